--- /dev/null
+++ b/tests/support/exchange.py
@@ -0,0 +1,356 @@
+"""A real exchange in virtual time: stores, registries and a proxy, and every call between them as it was made.
+
+It is the same to the last byte in each play: chance, lives and identities come from seeds. Orders, a backend's
+beats and its end come from outside, and a store and a registry are lost amid it, so that each call of the table is
+made, most of them with several kinds of bodies.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+import secrets
+from collections.abc import Awaitable, Callable, Coroutine, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+from unittest import mock
+
+from returns.result import Result, Success
+
+from irisdeal.almanac.member import Member
+from irisdeal.almanac.survey import ask as survey_one
+from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest
+from irisdeal.gauge.station import Station
+from irisdeal.http1.messages import Request
+from irisdeal.mast import places
+from irisdeal.mast.settings import Bind, Settings, Tolerance
+from irisdeal.mast.trouble import Trouble
+from irisdeal.permits.held import HeldPermits
+from irisdeal.placement.attempt_end import How
+from irisdeal.proxy.registry_client import RegistryClient
+from irisdeal.proxy.sources import Sources
+from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.sim.machine import Costs, Machine
+from irisdeal.squall.disk import MemoryDisk
+from irisdeal.telegraph.frames import ONE_WAY, encode
+from irisdeal.telegraph.link import Link
+from tests.core_rig import CoreRig, zone_of
+
+PROXY = "10.0.9.1"
+TENANT, SERVICE = "t-1", "s"
+STARTED = 1.5  # s by which the core has begun
+ENDS = 16.0  # s
+LIFE_BITS = 48
+
+
+@dataclass(frozen=True)
+class Call:
+    """One call and its good answer as frames, numbered 1; no `answer` to a word, which wants none.
+
+    `sender`: the name that it told as its connection came up; `shape`: of its bodies, apart from their values.
+    """
+
+    kind: str
+    sender: str
+    receiver: str
+    ask: bytes
+    answer: bytes | None
+    shape: str
+
+
+def shape_of(body: Any) -> str:
+    """Which kinds of values these are, in which order; of a list of many alike, one."""
+    if isinstance(body, list | tuple):
+        return f"[{','.join(dict.fromkeys(map(shape_of, body)))}]"
+    if isinstance(body, dict):
+        return "{}" if not body else f"{{{','.join(sorted({shape_of(value) for value in body.values()}))}}}"
+    empty = "0" if isinstance(body, bytes | str) and not body else ""
+    return f"{type(body).__name__}{empty}"
+
+
+class Recorder:
+    """Hears every call of every link."""
+
+    def __init__(self) -> None:
+        self.calls: list[Call] = []
+
+    @contextmanager
+    def hearing(self) -> Iterator[None]:
+        call, tell = Link.call, Link.tell
+
+        async def heard_call(link: Link, kind: str, body: Any, within: float) -> Result[Any, Trouble]:
+            ask, shape = encode([1, kind, body]), shape_of(body)
+            answer = await call(link, kind, body, within)
+            if isinstance(answer, Success):
+                told = answer.unwrap()
+                shape = f"{shape} -> {shape_of(told)}"
+                self.calls.append(Call(kind, link.name, link.peer, ask, encode([1, True, told]), shape))
+            return answer
+
+        def heard_word(link: Link, kind: str, body: Any) -> bool:
+            is_sent = tell(link, kind, body)
+            if is_sent:
+                frame = encode([ONE_WAY, kind, body])
+                self.calls.append(Call(kind, link.name, link.peer, frame, None, shape_of(body)))
+            return is_sent
+
+        with mock.patch.object(Link, "call", heard_call), mock.patch.object(Link, "tell", heard_word):
+            yield
+
+
+@contextmanager
+def fixed_chance() -> Iterator[None]:
+    """Whatever is drawn without a seed is drawn from one."""
+    chance = random.Random(11)
+
+    class Seeded(random.Random):
+        def __init__(self, seed: Any = None) -> None:
+            super().__init__(chance.getrandbits(32) if seed is None else seed)
+
+    with (
+        mock.patch.object(secrets, "randbits", chance.getrandbits),
+        mock.patch.object(secrets, "token_hex", lambda size: chance.randbytes(size).hex()),
+        mock.patch.object(random, "Random", Seeded),
+    ):
+        yield
+
+
+def configuration(number: int) -> bytes:
+    """One service and one tenant with a small limit."""
+    rule = {
+        "name": "r-1",
+        "kind": "idempotent",
+        "target_ms": 800,
+        "pattern": {"path_prefix": "/a/"},
+        "effect": {"service": SERVICE, "timeout_ms": 5000, "max_tries": 2},
+    }
+    tenant = {"name": TENANT, "api_keys": ["k-1"], "priority": 1, "rate_per_s": 60 + number, "burst": 60}
+    return json.dumps(
+        {
+            "generation": f"r{number}",
+            "tenants": [tenant],
+            "pools": [{"name": SERVICE}],
+            "sockets": [{"hostname": "h.example", "rules": [rule]}],
+        }
+    ).encode()
+
+
+class ExchangeRig(CoreRig):
+    """Three core machines with the real store and the real registry, and a proxy's ears and asks."""
+
+    def __init__(self) -> None:
+        self.disks: dict[tuple[str, str], MemoryDisk] = {}
+        self.started: set[tuple[str, str]] = set()
+        self.members: dict[str, Member] = {}
+        self.stations: dict[str, Station] = {}
+        self.processes: dict[tuple[str, str], Machine] = {}
+        self.sources: Sources | None = None
+        self.client: RegistryClient | None = None
+        self.held = HeldPermits(77)
+        self.numbers: list[tuple[str, int]] = []  # places that are held: registry and number
+        super().__init__(3, 0)
+        self.start_proxy()
+
+    def settings_for(self, ip: str, role: str) -> Settings:
+        of, is_first = self.settings(ip), (ip, role) not in self.started
+        self.started.add((ip, role))
+        return Settings(
+            node_name=ip,
+            role=role,
+            ip=ip,
+            zone=zone_of(ip),
+            port_range=of.port_range,
+            seed_peers=of.seed_peers,
+            bootstrap=is_first,
+            counted=True,
+            config_source="compared",
+            bounds=("contact_ms=3000", "sync_s=1", "grace_s=6"),
+            tolerance=Tolerance(1),
+            zones={zone_of(host): "r" for host in self.hosts},
+            bind=Bind(control=f"{ip}:8000"),
+        )
+
+    def process(self, host: str, make: Callable[[], Coroutine[Any, Any, int]]) -> Machine:
+        """With turns that take time: a wait that ends by the clock looks again until its time is over."""
+        machine = super().process(host, make)
+        machine.costs = Costs(turn=1)
+        return machine
+
+    def launch(self, ip: str, role: str, program: Callable[[], Awaitable[None]]) -> Machine:
+        async def run() -> int:
+            await program()
+            await asyncio.get_running_loop().create_future()
+            return 0
+
+        def make() -> Coroutine[Any, Any, int]:
+            return run()
+
+        machine = self.processes[ip, role] = self.process(ip, make)
+        return machine
+
+    def start_store(self, host: str) -> Machine:
+        async def program() -> None:
+            member = self.members[host] = Member(self.settings_for(host, "store"), self.disk(host, "store"))
+            await member.start()
+
+        return self.launch(host, "store", program)
+
+    def start_post(self, host: str) -> Machine:
+        async def program() -> None:
+            settings = self.settings_for(host, "registry")
+            station = self.stations[host] = Station(settings, self.disk(host, "registry"))
+            await station.start()
+
+        return self.launch(host, "registry", program)
+
+    def start_proxy(self) -> None:
+        async def program() -> None:
+            settings = self.settings_for(PROXY, "proxy")
+            self.sources = Sources(settings, lambda word: None, lambda life, silent: None)
+            self.client = RegistryClient(settings, self.sources)
+            self.sources.start()
+
+        self.launch(PROXY, "proxy", program)
+
+    def disk(self, host: str, role: str) -> MemoryDisk:
+        return self.disks.setdefault((host, role), MemoryDisk())
+
+    # Acts
+
+    def on(self, seconds: float, host: str, role: str, act: Callable[[], Awaitable[Any]]) -> None:
+        """At this second in the process that plays this role there."""
+
+        async def run() -> None:
+            await act()
+
+        def begin() -> None:
+            machine = self.processes[host, role]
+            machine.call_soon(lambda: machine.create_task(run()))
+
+        self.at(seconds, begin)
+
+    def outside(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
+        """A call from outside at a registry."""
+
+        async def act() -> None:
+            station = self.stations[host]
+            await station.outside(Request(method, target, [], body, station.loop.time()))
+
+        self.on(seconds, host, "registry", act)
+
+    def beat(self, seconds: float, host: str, count: int, state: str = "ready", id_: str = "i-1") -> None:
+        told = {
+            "service": SERVICE,
+            "address": "10.9.0.1:80",
+            "zone": "z0",
+            "generation": "v1",
+            "capacity": 1,
+            "state": state,
+            "warmup_left_ms": 1500,
+            "call_count": count,
+        }
+        self.outside(seconds, host, b"POST", f"/backends/{id_}/heartbeat".encode(), json.dumps(told).encode())
+
+    def start_again(self, host: str, role: str) -> None:
+        """With its disk as it is, and no first start."""
+        (self.start_store if role == "store" else self.start_post)(host)
+
+    def lose(self, host: str, role: str, wipe: bool = False) -> None:
+        self.processes[host, role].kill()
+        if wipe:
+            del self.disks[host, role]
+
+    # What the proxy asks
+
+    async def report(self, number: int) -> None:
+        assert self.client is not None
+        now = asyncio.get_running_loop().time()
+        self.held.note_demand(TENANT, 40, 0.5)
+
+        def make(registry: str) -> IntervalReport:
+            usages = {TENANT: Usage(7.0 + number, 1.25, 0.0, 1.0)}
+            return IntervalReport(0.25, number, usages, self.held.report(registry, now))
+
+        reported = await self.client.report(make)
+        if reported is not None:
+            self.held.hear(reported.registry, reported.reply.reserve, reported.sent_at, now)
+
+    async def place(self, **changes: Any) -> None:
+        assert self.client is not None
+        asked = {
+            "zone": "z0",
+            "service": SERVICE,
+            "usual_s": 0.05,
+            "avoid": (3,),
+            "rank": 2,
+            "hold_s": 0.0,
+            "left_s": 1.5,
+            "connected": (5, 6),
+            **changes,
+        }
+        placement = await self.client.place(PlaceRequest(**asked), 0.5)
+        if placement.reply.number > 0:
+            self.numbers.append((placement.registry, placement.reply.number))
+
+    async def end_places(self) -> None:
+        assert self.client is not None
+        for number, (registry, place) in enumerate(self.numbers):
+            how = How.GOOD if number % 2 else How.FAILED
+            self.client.end_place(registry, PlaceEnd(place, int(how), 1.25 + number))
+        self.numbers.clear()
+
+    async def ask_as_before(self) -> None:
+        """A call of the table that is answered and that this version makes no more."""
+        host = self.hosts[1]
+        link = Link((host, places.port(self.settings(host), places.GAUGE)), "gauge 10.7.0.1")
+        await link.call("all", None, 0.4)
+        link.close()
+
+    async def survey(self) -> None:
+        host = self.hosts[1]
+        await survey_one((host, places.port(self.settings(host), places.ALMANAC)))
+
+
+def script(rig: ExchangeRig) -> None:
+    """What befalls them, and who asks for what."""
+    one, two, three = rig.hosts
+    rig.outside(STARTED + 0.1, one, b"GET", b"/config/read")
+    rig.outside(STARTED + 0.5, one, b"POST", b"/config/replace", configuration(1))
+    rig.outside(STARTED + 0.8, two, b"GET", b"/config/read")
+    for number in range(1, 28):
+        rig.beat(STARTED + 0.4 * number, two, number)
+    rig.beat(STARTED + 1.1, three, 1, id_="i-2")
+    rig.outside(STARTED + 3.6, one, b"POST", b"/config/replace", configuration(2))
+    for number in range(14):
+        rig.on(STARTED + 1.0 + 0.5 * number, PROXY, "proxy", partial(rig.report, number))
+    for number in range(4):
+        rig.on(STARTED + 2.0 + 0.01 * number, PROXY, "proxy", rig.place)
+    rig.on(STARTED + 2.2, PROXY, "proxy", partial(rig.place, is_repeat=True, is_late=True))
+    rig.on(STARTED + 2.3, PROXY, "proxy", partial(rig.place, hold_s=0.2))
+    rig.on(STARTED + 2.4, PROXY, "proxy", partial(rig.place, hold_s=0.5))
+    rig.on(STARTED + 2.6, PROXY, "proxy", rig.end_places)
+    for number in range(80):  # more than this registry's part of the tenant's permits
+        rig.on(STARTED + 5.0 + 0.005 * number, PROXY, "proxy", partial(rig.place, tenant=TENANT))
+    rig.on(STARTED + 5.6, PROXY, "proxy", rig.end_places)
+    rig.on(STARTED + 5.8, PROXY, "proxy", rig.ask_as_before)
+    rig.on(STARTED + 5.9, PROXY, "proxy", rig.survey)
+    rig.beat(STARTED + 6.1, two, 2, "draining", "i-2")
+    rig.at(STARTED + 6.5, partial(rig.lose, three, "store", True))
+    rig.at(STARTED + 7.0, partial(rig.start_again, three, "store"))
+    rig.at(STARTED + 8.0, partial(rig.lose, one, "registry"))
+    rig.at(STARTED + 8.3, partial(rig.start_again, one, "registry"))
+    rig.outside(STARTED + 11.0, two, b"POST", b"/config/replace", configuration(3))
+    rig.outside(STARTED + 11.5, two, b"POST", b"/backends/i-1/deregister")
+
+
+def recorded() -> list[Call]:
+    """The whole exchange, in the order of the answers."""
+    recorder = Recorder()
+    with fixed_chance(), recorder.hearing():
+        rig = ExchangeRig()
+        script(rig)
+        rig.play(ENDS)
+    return recorder.calls
--- /dev/null
+++ b/tests/support/wire_formats.py
@@ -0,0 +1,418 @@
+"""Frames of every call between the processes, and the messages of a handover, as they were on the wire.
+
+`python -m tests.support.wire_formats --write` makes `tests/data/frames.json` anew: sample bodies of each call, the
+frames of a real exchange (`exchange.py`), and a handover. It was made before the packages were renamed: whoever
+needs to make it anew has processes of two versions that do not understand each other.
+
+The tables here are all that knows the program's own names. A reader takes a body by the program's decoder and gives
+it as its encoder writes it.
+"""
+
+from __future__ import annotations
+
+import argparse
+import hashlib
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from cresspulley.control import Gateway
+from cresspulley.interface import Barred, ListKind, ServerList, Shared
+from irisdeal.almanac.members import FIRST, Members, seat
+from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Value
+from irisdeal.almanac.report import Report
+from irisdeal.almanac.shelf import PIECE, Arrivals, Have, Shelf
+from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.gauge.messages import (
+    AllLives,
+    IntervalReply,
+    IntervalReport,
+    IntervalSum,
+    LivesTold,
+    PlaceEnd,
+    PlaceReply,
+    PlaceRequest,
+    PlaceResult,
+)
+from irisdeal.gauge.registry import Life, State, hear_life, tell_life
+from irisdeal.handover.message import ACCEPTING, HEAD, body, read_body, read_head, read_request, request
+from irisdeal.handover.roles import HALF
+from irisdeal.handover.state import pack, unpack
+from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
+from irisdeal.placement.attempt_end import How
+from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.telegraph.calls import CALLS, CANCEL
+from irisdeal.telegraph.frames import HELLO, ONE_WAY, Reader, encode
+from tests.support.exchange import Call, recorded
+from tests.test_handover import worked
+
+DATA = Path(__file__).parent.parent / "data" / "frames.json"
+DOOR = ("n0", "127.0.0.1:9000")  # name and address of the door whose state is handed over
+Again = Callable[[Any], Any]  # a body -> the same one through the program's decoder and encoder
+
+
+# Readers: the program's decoders and encoders, by call
+
+
+def as_is(told: Any) -> Any:
+    """What no class of the program stands for."""
+    return told
+
+
+def nothing(told: Any) -> None:
+    assert told is None
+
+
+def maybe(again: Again) -> Again:
+    return lambda told: None if told is None else again(told)
+
+
+def each(*agains: Again) -> Again:
+    """Of a list, each by its own."""
+    return lambda told: [again(part) for again, part in zip(agains, told, strict=True)]
+
+
+def every(again: Again) -> Again:
+    return lambda told: [again(part) for part in told]
+
+
+def number(told: Any) -> int:
+    assert type(told) is int
+    return told
+
+
+def ballot(told: Any) -> Any:
+    return Ballot.hear(told).tell()
+
+
+def kept(told: Any) -> Any:
+    return Kept.hear(told).tell()
+
+
+def value(told: Any) -> Any:
+    return Value.hear(told).tell()
+
+
+def report(told: Any) -> Any:
+    return Report.hear(told).tell()
+
+
+def have(told: Any) -> Any:
+    return Have.hear(told).tell()
+
+
+def outcome(told: Any) -> int:
+    return int(Outcome(told))
+
+
+def life(told: Any) -> Any:
+    return tell_life(hear_life(told, 0.0), 0.0)
+
+
+def accepted(told: Any) -> Any:
+    """Whether it is accepted, with what is promised; None, with what is there, where the body is missing."""
+    return [told[0], (have if told[0] is None else ballot)(told[1])]
+
+
+AGED = every(each(life, number))  # lives, and how many ms ago each was heard
+READERS: dict[str, tuple[Again, Again]] = {
+    "state": (maybe(report), report),
+    "prepare": (each(str, ballot), maybe(each(bool, kept))),
+    "accept": (each(str, ballot, value), maybe(accepted)),
+    "bring": (as_is, each(bool, have)),
+    "fetch": (each(have, number, bytes), maybe(as_is)),
+    "decided": (each(ballot, value), nothing),
+    "watch": (each(have, number), each(as_is, value, every(str), number)),
+    "put": (each(number, bytes, bytes), outcome),
+    "read": (nothing, each(bool, maybe(bytes))),
+    "news": (
+        each(have, number, number, number),
+        each(as_is, number, number, every(each(life, bool)), as_is, number, number),
+    ),
+    "lives": (AGED, nothing),
+    "count": (
+        lambda told: IntervalReport.decode(told).encode(),
+        lambda told: IntervalReply.decode(told).encode(),
+    ),
+    "place": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
+    "wait": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
+    "ended": (lambda told: PlaceEnd.decode(told).encode(), nothing),
+    "told": (lambda told: LivesTold.decode(told).encode(), nothing),
+    "all": (nothing, AGED),
+    "all_lives": (nothing, lambda told: AllLives.decode(told).encode()),
+    "sums": (lambda told: IntervalSum.decode(told).encode(), nothing),
+    "loads": (each(str, as_is), nothing),
+    "lend": (lambda told: LendRequest.decode(told).encode(), number),
+}
+
+
+# Samples
+
+
+@dataclass(frozen=True)
+class Sample:
+    """A call with bodies as the program's encoders write them. `name`: which of its kind."""
+
+    kind: str
+    name: str
+    ask: Any
+    answer: Any = None
+
+    def frames(self) -> list[str]:
+        """In hex: the call, its answer, and the call as a word where it may be one."""
+        frames = [encode([7, self.kind, self.ask]), encode([7, True, self.answer])]
+        if CALLS[self.kind].word:
+            frames.append(encode([ONE_WAY, self.kind, self.ask]))
+        return [frame.hex() for frame in frames]
+
+
+def words() -> tuple[Word, Word, Word]:
+    """Two versions that differ by little, and one of several pieces."""
+    lines = [hashlib.sha256(b"%d" % at).hexdigest().encode() for at in range(200)]
+    first, second = b"\n".join(lines), b"\n".join([*lines[:100], b"another", *lines[101:]])
+    long = b"".join(b"%08d;" % (at // 900) for at in range((2 * PIECE) // 9 + 900))
+    return Word.of("r1", first), Word.of("r2", second), Word.of("r3", long)
+
+
+def parcels() -> dict[str, Any]:
+    """Each kind of a parcel: a whole body, a difference, the first piece and the one after it."""
+    first, second, long = words()
+    shelf, arrivals = Shelf(), Arrivals(Shelf())
+    shelf.hold(first)
+    whole = shelf.parcel(Have(), first.stamp)
+    shelf.hold(second)
+    difference = shelf.parcel(Have(first.stamp), second.stamp)
+    shelf.hold(long)
+    piece = shelf.parcel(Have(), long.stamp)
+    assert piece is not None
+    arrivals.take(piece)
+    goes_on = shelf.parcel(arrivals.have(NOTHING), long.stamp)
+    return {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
+
+
+def _store_samples() -> list[Sample]:
+    ips = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
+    first, second, long = words()
+    members = Members.first(ips)
+    begun, now = Value.first(members), Value(300, second.stamp, members)
+    joint = Value(301, second.stamp, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
+    here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
+    low, high = Ballot(3, here), Ballot(70_000, there)
+    arriving = Have(first.stamp, long.stamp, PIECE).tell()
+    told = Report(here, "z0", low, now, now, True).tell()
+    samples = [
+        Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).tell()),
+        Sample("state", "of nobody", None, Report(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).tell()),
+        Sample("prepare", "promised", [there, high.tell()], [True, Kept(high, low, now).tell()]),
+        Sample("prepare", "refused", [there, low.tell()], [False, Kept(high, NO_BALLOT, begun).tell()]),
+        Sample("prepare", "of a disk that is gone", [there, low.tell()]),
+        Sample("accept", "accepted", [there, high.tell(), joint.tell()], [True, high.tell()]),
+        Sample("accept", "refused", [there, low.tell(), now.tell()], [False, high.tell()]),
+        Sample("accept", "without the body", [there, low.tell(), now.tell()], [None, Have(first.stamp).tell()]),
+        Sample("decided", "a value", [high.tell(), now.tell()]),
+        Sample("watch", "held", [Have(second.stamp).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]),
+        Sample("watch", "without contact", [Have().tell(), -2], [None, begun.tell(), [], -1]),
+        Sample("read", "what holds", None, [True, first.body]),
+        Sample("read", "nothing yet", None, [True, None]),
+        Sample("read", "not known", None, [False, None]),
+    ]
+    order = [first.stamp.number, first.stamp.digest, first.body]
+    samples += [Sample("put", end.name.lower(), order, int(end)) for end in Outcome]
+    asked = [Have(first.stamp).tell(), second.stamp.number, second.stamp.digest]
+    samples += [Sample("fetch", "not here", asked)]
+    for name, parcel in parcels().items():
+        samples += [
+            Sample("bring", name, parcel, [name != "first piece", arriving]),
+            Sample("fetch", name, asked, parcel),
+            Sample("watch", name, [arriving, 7], [parcel, joint.tell(), [], 0]),
+            Sample("news", name, [arriving, 1 << 40, 9, 300], [parcel, 1 << 40, 9, [], {}, -1, -1]),
+        ]
+    return samples
+
+
+def _registry_samples() -> list[Sample]:
+    lives = [
+        tell_life(Life("i-1", "s", "10.9.0.1:80", "z0", 40, State.READY, 12, 3.25), 0.0),
+        tell_life(Life("i-2", "s", "10.9.0.2:80", "z1", 8, State.DRAINING, 70_000, 0.0), 1.0),
+        tell_life(Life("i-3", "", "", "", 0, State.GONE, 0, 0.0), 0.0),
+    ]
+    aged = [(told, 30 * at) for at, told in enumerate(lives)]
+    zones = {"10.0.0.1": "z0", "10.1.0.1": ""}
+    usages = {"t-1": Usage(17.1234, 1.25, 0.0, 2.0), "t-2": Usage()}
+    held = HeldReport(77, 5, 1 << 47, {"t-1": 6}, {"t-1": 64, "t-2": 1})
+    reserve = ReserveReply(1 << 47, True, {"t-1": -3})
+    asked = PlaceRequest("z0", "s", 0.05, (3, 1 << 23), 2, 0.25, 1.5)
+    full = PlaceRequest("z0", "s", 0.05, (), -1, 0.0, 1.5, "t-1", True, True, True, (5, 6))
+    placed = PlaceReply(PlaceResult.PLACED, 1_579_233_161, "i-1", 2.15)
+    samples = [
+        Sample(
+            "news",
+            "lives",
+            [Have().tell(), 0, 0, -1],
+            [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(lives)], zones, 1100, 300],
+        ),
+        Sample("lives", "all kinds", [[told, 0] for told in lives]),
+        Sample("lives", "none", []),
+        Sample(
+            "count",
+            "with permits",
+            IntervalReport(0.25, 70_000, usages, held).encode(),
+            IntervalReply(15.0019, 12, 69_999, reserve, usages).encode(),
+        ),
+        Sample(
+            "count",
+            "the first",
+            IntervalReport(0.0, -1, {}, HeldReport(77, 1, 0)).encode(),
+            IntervalReply(0.5, 1, -1, ReserveReply(9)).encode(),
+        ),
+        Sample("place", "placed", asked.encode(), placed.encode()),
+        Sample("wait", "placed", asked.encode(), placed.encode()),
+        Sample("wait", "no place", full.encode(), PlaceReply(PlaceResult.NO_PLACE).encode()),
+        Sample("told", "lives", LivesTold("10.0.0.1", "z0", "10.0.0.1:8000", aged).encode()),
+        Sample("told", "none", LivesTold("10.0.0.1", "", "", []).encode()),
+        Sample("all", "lives", None, [[told, age] for told, age in aged]),
+        Sample("all_lives", "remembers", None, AllLives(True, aged).encode()),
+        Sample("all_lives", "forgot", None, AllLives(False, []).encode()),
+        Sample("sums", "a sum", IntervalSum("10.0.0.1", 15.0019, 13, usages, (4, 5)).encode()),
+        Sample("loads", "some", ["10.0.0.1", {1 << 23: 4, 7: 1}]),
+        Sample("loads", "none", ["10.0.0.1", {}]),
+        Sample("lend", "a loan", LendRequest("t-1", 64).encode(), 4),
+    ]
+    samples += [Sample("ended", how.name.lower(), PlaceEnd(1_579_233_161, int(how), 1.25).encode()) for how in How]
+    answers = [end for end in PlaceResult if end not in (PlaceResult.PLACED, PlaceResult.NO_REGISTRY)]
+    samples += [Sample("place", end.name.lower(), full.encode(), PlaceReply(end).encode()) for end in answers]
+    return samples
+
+
+def samples() -> dict[str, list[str]]:
+    """Frames by the name of the sample."""
+    return {f"{one.kind}: {one.name}": one.frames() for one in [*_store_samples(), *_registry_samples()]}
+
+
+def of_the_link() -> dict[str, str]:
+    """What a link tells by itself."""
+    return {
+        "hello": encode([HELLO, "hello", "proxy 10.1.0.9"]).hex(),
+        "cancel": encode([ONE_WAY, CANCEL, 70_000]).hex(),
+        "refused": encode([7, False, "this process ends"]).hex(),
+    }
+
+
+# The real exchange
+
+
+def firsts(calls: list[Call]) -> list[dict[str, str | None]]:
+    """The first call of each kind and shape."""
+    chosen: dict[tuple[str, str], Call] = {}
+    for call in calls:
+        chosen.setdefault((call.kind, call.shape), call)
+    return [
+        {
+            "kind": call.kind,
+            "from": call.sender,
+            "to": call.receiver,
+            "ask": call.ask.hex(),
+            "answer": call.answer.hex() if call.answer is not None else None,
+        }
+        for call in chosen.values()
+    ]
+
+
+def totals(calls: list[Call]) -> dict[str, list[int | str]]:
+    """Of each kind: how many there were, and a digest of all of them in order."""
+    digests: dict[str, tuple[int, Any]] = {}
+    for call in calls:
+        count, digest = digests.get(call.kind, (0, hashlib.sha256()))
+        digest.update(f"{call.sender}|{call.receiver}|".encode() + call.ask + (call.answer or b""))
+        digests[call.kind] = count + 1, digest
+    return {kind: [count, digest.hexdigest()] for kind, (count, digest) in sorted(digests.items())}
+
+
+# Reading
+
+
+def read_frame(frame: bytes) -> list[Any]:
+    """The number, the kind or whether it went well, and the body of one frame."""
+    (item,) = Reader().feed(frame)
+    assert isinstance(item, list) and len(item) == 3
+    return item
+
+
+def again(frame: str, kind: str) -> str:
+    """A frame of this call or of its answer, through the program's decoder and encoder."""
+    head, what, told = read_frame(bytes.fromhex(frame))
+    ask, answer = READERS[kind]
+    return encode([head, what, (answer if what is True else ask)(told)]).hex()
+
+
+# A handover
+
+
+def handover() -> dict[str, str]:
+    """What is told, in hex, by a gateway that has served for a while; and by the one that took over from it."""
+    old = worked()
+    told = pack(old.gateway, old.now, HALF)
+    old.give(Shared(HALF, False))
+    state = body({**told, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
+    return {
+        "request": request(*DOOR).hex(),
+        "state": state.hex(),
+        "refused": body({"refused": "another process has asked", "later": True}).hex(),
+        "accepting": ACCEPTING.hex(),
+        "taken over": taken_over(state).hex(),
+    }
+
+
+def read_handover(told: bytes) -> dict[str, Any]:
+    length, crc = read_head(told[: HEAD.size])
+    return read_body(told[HEAD.size :], length, crc)
+
+
+def read_asked(line: bytes) -> None:
+    """Raises where it is no request for this door's state."""
+    read_request(line.strip(), *DOOR)
+
+
+def taken_over(state: bytes) -> bytes:
+    """What a new gateway, told this state and the list, would hand over in its turn."""
+    old, told = worked(), read_handover(state)
+    new = Gateway(old.settings, 99)
+    entries = tuple(server.listed() for server in old.gateway.servers.values())
+    new.handle(old.now, [ServerList(ListKind.REMEMBERED, 2, entries), Shared(HALF, True)])
+    unpack(told, new, old.now)
+    new.handle(old.now, [Barred(server, True) for server in new.barred])
+    return body(pack(new, old.now, HALF))
+
+
+# The committed data
+
+
+def made() -> dict[str, Any]:
+    """All of it, as today's program writes it."""
+    calls = recorded()
+    return {
+        "link": of_the_link(),
+        "samples": samples(),
+        "exchange": firsts(calls),
+        "totals": totals(calls),
+        "handover": handover(),
+    }
+
+
+def expected() -> dict[str, Any]:
+    """What is committed."""
+    told: dict[str, Any] = json.loads(DATA.read_text("utf-8"))
+    return told
+
+
+def main() -> None:
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--write", action="store_true", required=True, help="make the committed data anew")
+    parser.parse_args()
+    DATA.write_text(json.dumps(made(), indent=1) + "\n", "utf-8")
+
+
+if __name__ == "__main__":
+    main()
