--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -17,7 +17,6 @@
 from benchmarks.capacity.play import play
 from benchmarks.capacity.runs import FIRST, MEASURED, RUNS, load, rates, restarts
 
-
 WITHIN = 570.0  # s for all runs together: `make capacity` is bounded by ten minutes
 USUAL = 60.0  # s of a run that was never played
 
@@ -34,8 +33,11 @@
         if time.monotonic() - begun + kept.get(name, {}).get("lasted_s", USUAL) > within:
             print(f"{name}: not played, the time is over", file=sys.stderr, flush=True)
             continue
-        print(f"{name}: {size.doors} doors, {size.backends} backends, {size.registries} registries",
-              file=sys.stderr, flush=True)
+        print(
+            f"{name}: {size.doors} doors, {size.backends} backends, {size.registries} registries",
+            file=sys.stderr,
+            flush=True,
+        )
         kept[name] = play(size, window, restarts(name), rates(size))
         print(f"{name}: {kept[name]['lasted_s']} s", file=sys.stderr, flush=True)
         file.write_text(json.dumps(kept, indent=1, sort_keys=True) + "\n", "utf-8")
@@ -43,7 +45,8 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(
-        prog="python -m benchmarks.capacity", description=(__doc__ or "").splitlines()[0])
+        prog="python -m benchmarks.capacity", description=(__doc__ or "").splitlines()[0]
+    )
     verbs = parser.add_subparsers(dest="verb", required=True)
     running = verbs.add_parser("run", help="play the runs; under 10 minutes in all")
     running.add_argument("--only", nargs="*", default=[], choices=list(FIRST | RUNS))
--- a/benchmarks/capacity/sweep.py
+++ b/benchmarks/capacity/sweep.py
@@ -35,8 +35,13 @@
 )
 
 
-def kinds(day: Played, laws: Callable[[str], Callable[[Size], float]], news: float, place: float, beat: float,
-          ) -> dict[str, float]:
+def kinds(
+    day: Played,
+    laws: Callable[[str], Callable[[Size], float]],
+    news: float,
+    place: float,
+    beat: float,
+) -> dict[str, float]:
     """kB/s by kind. `news`, `place`, `beat`: B of a news of a life at a door, of a place, of a beat."""
     size = day.size
     released = RELEASED * size.backends * NEWS_OF_RESTART * news * near(size) / day.seconds
@@ -48,5 +53,6 @@
         "beats themselves": size.backends / size.registries / BEAT * beat,
         "words of doors": laws("doors' words (count)")(size),
         "quiet asks for news": laws("quiet asks for news")(size),
-        "places": size.each * near(size) * place}
+        "places": size.each * near(size) * place,
+    }
     return {kind: bytes_ / 1000 for kind, bytes_ in told.items()}
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -60,7 +60,9 @@
 
         def encode(item: Any) -> bytes:
             data = frames.encode(item)
-            tally.add(f"out {item[1]}" if isinstance(item[1], str) else f"answer {tally.answering}", len(data))
+            tally.add(
+                f"out {item[1]}" if isinstance(item[1], str) else f"answer {tally.answering}", len(data)
+            )
             return data
 
         original: Any = server._Answers._write
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -180,7 +180,13 @@
 
     def rule(name: str, kind: str, prefix: str) -> dict[str, object]:
         effect = {"service": "s", "timeout_ms": 8000, "max_tries": 2}
-        return {"name": name, "kind": kind, "target_ms": 4000, "pattern": {"path_prefix": prefix}, "effect": effect}
+        return {
+            "name": name,
+            "kind": kind,
+            "target_ms": 4000,
+            "pattern": {"path_prefix": prefix},
+            "effect": effect,
+        }
 
     rules = [rule("repeatable", "idempotent", "/a/"), rule("once", "mutating", "/b/")]
     return json.dumps(
@@ -201,7 +207,8 @@
         settings = self.folder / f"{role}.toml"
         settings.write_text(
             SETTINGS.format(
-                name=role, metrics=METRICS[role],
+                name=role,
+                metrics=METRICS[role],
                 ip=ip,
                 port=FIRST_PORT,
                 last=FIRST_PORT + PORTS - 1,
@@ -446,12 +453,16 @@
                 f"SIGTERM: ended after {result.ended_s} s;",
                 ", ".join(f"{count} {end.value}" for end, count in result.ends.items()),
             )
-            print(f"passed on and cut: {len(result.cut_after_s)}, sent after the signal: {result.cut_after_s}")
+            print(
+                f"passed on and cut: {len(result.cut_after_s)}, sent after the signal: {result.cut_after_s}"
+            )
             print(f"failed tasks in the proxy's log (E105): {processes.log('proxy').count('E105')}")
             print(f"orders that had an answer amid a SIGTERM of the registry: {await orders(processes)} of 5")
     with tempfile.TemporaryDirectory() as name:
         async with gateway(Path(name)) as processes:
-            print(f"slow readers of 32 MB that had all of it amid a SIGTERM: {await slow_readers(processes)} of 4")
+            print(
+                f"slow readers of 32 MB that had all of it amid a SIGTERM: {await slow_readers(processes)} of 4"
+            )
 
 
 if __name__ == "__main__":
--- a/cresspulley/control.py
+++ b/cresspulley/control.py
@@ -14,11 +14,37 @@
 from dataclasses import replace
 from typing import Any
 
-from cresspulley.interface import (
-    Action, Arrival, AttemptEnded, Barred, BodyComplete, Cancel, ClassesChanged, Count, CountAnswer, Event,
-    Fail, FollowList, Group, ListKind, Note, Plan, Refuse, Repeat, RequestEnded, Restricted, Result, Send,
-    ServerList, ServerState, Settings, Shared, StreamStarted, Wake)
 from cresspulley.customer import FEW_WAYS, NEAR, SECOND, Customer
+from cresspulley.interface import (
+    Action,
+    Arrival,
+    AttemptEnded,
+    Barred,
+    BodyComplete,
+    Cancel,
+    ClassesChanged,
+    Count,
+    CountAnswer,
+    Event,
+    Fail,
+    FollowList,
+    Group,
+    ListKind,
+    Note,
+    Plan,
+    Refuse,
+    Repeat,
+    RequestEnded,
+    Restricted,
+    Result,
+    Send,
+    ServerList,
+    ServerState,
+    Settings,
+    Shared,
+    StreamStarted,
+    Wake,
+)
 from cresspulley.records import Request, Server, Try
 from irisdeal.queueing.fair import FairQueue
 from irisdeal.quota.account import Account
@@ -80,8 +106,13 @@
         self.crowding = Crowding()
         self.words: dict[int, deque[Word]] = {}
         self.zones = Zones(
-            settings.gateways, settings.fall_multiple, settings.start_capacity, settings.warm_up,
-            settings.parallel_attempts and settings.max_attempts > 1, random.Random(seed + 1))
+            settings.gateways,
+            settings.fall_multiple,
+            settings.start_capacity,
+            settings.warm_up,
+            settings.parallel_attempts and settings.max_attempts > 1,
+            random.Random(seed + 1),
+        )
         self.usual = [c.aim * FIRST_WORK_SHARE for c in settings.classes]
         self.quickest = [0.0 for _ in settings.classes]  # least time that an answer of late took, creeping up
         self.many = settings.gateways > FEW_WAYS  # where cold servers are used by turns throughout
@@ -91,10 +122,18 @@
         self.agenda: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerList: self._server_list, Arrival: self._arrival, AttemptEnded: self._attempt_ended,
-            StreamStarted: self._stream_started, RequestEnded: self._end, CountAnswer: self._counted,
-            ClassesChanged: self._classes_changed, Restricted: self._restricted, Barred: self._barred,
-            Shared: self._shared, BodyComplete: self._body_complete}
+            ServerList: self._server_list,
+            Arrival: self._arrival,
+            AttemptEnded: self._attempt_ended,
+            StreamStarted: self._stream_started,
+            RequestEnded: self._end,
+            CountAnswer: self._counted,
+            ClassesChanged: self._classes_changed,
+            Restricted: self._restricted,
+            Barred: self._barred,
+            Shared: self._shared,
+            BodyComplete: self._body_complete,
+        }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what happened by `now`; return what to do, in order."""
@@ -155,8 +194,11 @@
         self._sort()
 
     def _sort(self) -> None:
-        self.ready = [s for key, s in self.servers.items()
-                      if s.entry.state is ServerState.READY and key not in self.barred]
+        self.ready = [
+            s
+            for key, s in self.servers.items()
+            if s.entry.state is ServerState.READY and key not in self.barred
+        ]
         if self.many and (zones := Counter(s.entry.zone for s in self.ready)).keys() - {self.settings.zone}:
             self._ask(self.zones.listed(zones, self.now))
             self.ready = [s for s in self.ready if self.zones.share(s.entry.zone, self.now)]
@@ -196,18 +238,24 @@
     def _ask(self, words: list[Word]) -> None:
         for word in words if self.settings.counter else []:
             self.words.setdefault(word.name, deque()).append(word)
-            self.actions.append(Count(
-                word.name, word.amount, word.life, CALL_PATIENCE * self.settings.counter_timeout))
+            self.actions.append(
+                Count(word.name, word.amount, word.life, CALL_PATIENCE * self.settings.counter_timeout)
+            )
 
     def _trial(self, request: Request) -> None:
         """A second attempt at a zone that is left, beside one of a request that may be repeated."""
         safe = self.settings.classes[request.kind].repeat is Repeat.SAFE and not (
-            request.uploading or request.customer.plan.open_limit)  # it would count among what is out
+            request.uploading or request.customer.plan.open_limit
+        )  # it would count among what is out
         if safe and self.zones.trials and (zone := self.zones.trial(self.now)) is not None:
-            able = [s for key, s in self.servers.items() if s.entry.zone == zone and key not in self.barred
-                    and s.entry.state is ServerState.READY]
-            able = [s for s in able if (
-                w := self._warmth(s)) == 1.0 or (self.warms and self._fits_cold(s, w))]
+            able = [
+                s
+                for key, s in self.servers.items()
+                if s.entry.zone == zone and key not in self.barred and s.entry.state is ServerState.READY
+            ]
+            able = [
+                s for s in able if (w := self._warmth(s)) == 1.0 or (self.warms and self._fits_cold(s, w))
+            ]
             if able:
                 self.zones.tried(zone, self.now)
                 self._send(request, self.random.choice(able))
@@ -216,7 +264,8 @@
         if event.barred:
             self.barred.setdefault(event.server, self.now)
         elif (since := self.barred.pop(event.server, None)) is not None and (
-                server := self.servers.get(event.server)):
+            server := self.servers.get(event.server)
+        ):
             # It was restarted meanwhile, perhaps just now: cold from now on, until the list knows better.
             entry, told = server.entry, server.told
             server = Server(replace(entry, started=self.now) if entry.started <= since else entry)
@@ -279,7 +328,8 @@
     def _open(self, request: Request, band: int) -> bool:  # the window, for a request of that band
         window: float = self.window * BANDS[band]
         return self.out < window and (
-            window >= 1.0 or self.now - self.last_sent >= self.usual[request.kind] / window)
+            window >= 1.0 or self.now - self.last_sent >= self.usual[request.kind] / window
+        )
 
     def _pick(self, request: Request) -> Server | None:
         """The server that should finish first, failures counted as an aim lost."""
@@ -363,14 +413,19 @@
     def _tell(self, customer: Customer, calls: list[Call], request: Request | None = None) -> None:
         for call in calls:
             self.claims.setdefault(call.name, deque()).append((customer, call, request))
-            self.actions.append(Count(
-                call.name, call.amount, call.life, CALL_PATIENCE * self.settings.counter_timeout))
+            self.actions.append(
+                Count(call.name, call.amount, call.life, CALL_PATIENCE * self.settings.counter_timeout)
+            )
 
     def _forget(self) -> None:
         for _ in range(FORGOTTEN):
             oldest = self.customers[key := next(iter(self.customers))]
-            if (self.now - oldest.asked_at <= KNOWN_FOR or oldest.out or oldest.waiting
-                    or oldest.refill(self.now) < oldest.ceiling_most):  # a ceiling is not given back early
+            if (
+                self.now - oldest.asked_at <= KNOWN_FOR
+                or oldest.out
+                or oldest.waiting
+                or oldest.refill(self.now) < oldest.ceiling_most
+            ):  # a ceiling is not given back early
                 return
             del self.customers[key]
 
@@ -380,7 +435,8 @@
         interval = request.customer.fading / SECOND
         if plan.rate:  # a cap passes so much: Little's law
             return request.units, interval * min(
-                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf)
+                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf
+            )
         return took, (FILL if request.customer.small else 1.0) * plan.open_limit * interval
 
     def _admit(self, request: Request) -> None:  # the companion's chance, then the bound
@@ -406,8 +462,13 @@
         request.entry.cost = self.usual[request.kind]
         customer.waiting += 1
         for other in self.queue.push(
-                self._band(request), customer.key % len(self.settings.plans), customer.key, request.entry,
-                customer.plan.rate or customer.plan.open_limit or 1.0, self.now):
+            self._band(request),
+            customer.key % len(self.settings.plans),
+            customer.key,
+            request.entry,
+            customer.plan.rate or customer.plan.open_limit or 1.0,
+            self.now,
+        ):
             other.customer.waiting -= 1
             self._answer(other)
 
@@ -480,8 +541,10 @@
         risky = [t for t in request.tries if t.may_have_run]
         if request.ended or late or len(request.tries) >= self.settings.max_attempts or self.again < 1.0:
             return None
-        if risky and (rule.repeat is Repeat.UNSAFE or (
-                rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)):
+        if risky and (
+            rule.repeat is Repeat.UNSAFE
+            or (rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)
+        ):
             return None
         return self._pick(request) if self._open(request, self._band(request)) else None
 
@@ -544,7 +607,8 @@
         if event.result is Result.OK and not attempt.flows:
             self._good(request, attempt, event.took)
         elif event.result not in (Result.OK, Result.CANCELLED, Result.NOT_SENT) and (
-                event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual):  # else little time
+            event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual
+        ):  # else little time
             self._judge(attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None)
         if load := event.load:
             told = load.in_hand if load.in_hand is not None else (load.waiting or 0.0) + (load.busy or 0.0)
@@ -569,8 +633,11 @@
 
     def _stream_started(self, event: StreamStarted) -> None:
         """Its answer flows: out for its customer until its end, but no more work for its server."""
-        if (request := self.requests.get(event.request)) and event.attempt < len(request.tries) and (
-                attempt := request.tries[event.attempt]).out:
+        if (
+            (request := self.requests.get(event.request))
+            and event.attempt < len(request.tries)
+            and (attempt := request.tries[event.attempt]).out
+        ):
             attempt.flows, attempt.server.out, self.out = True, attempt.server.out - 1, self.out - 1
             self._good(request, attempt, event.took)
             self._end(request)
@@ -599,8 +666,9 @@
         if self.now >= request.last or (flow and (not flow.held or self.now >= request.waits_till)):
             self._answer(request)
         else:  # it is out, or waits for its count or for room of its own
-            self._plan(request.waits_till if self.now < request.waits_till else request.last,
-                       self._time_up, request)
+            self._plan(
+                request.waits_till if self.now < request.waits_till else request.last, self._time_up, request
+            )
 
     def _call(self, request: Request) -> None:
         """Add what is owed to the customer's count; the answer is the total, and the request waits for it."""
--- a/cresspulley/customer.py
+++ b/cresspulley/customer.py
@@ -37,8 +37,11 @@
         self.mine = self.owed = 0.0  # asked here, fading; asked here and not yet told
         self.total = self.mine_then = self.raw = self.base = self.credit = 0.0
         self.told_at, self.told_index, self.looks_at, self.since = -1, -1, 0, 0
-        self.account = Account(self.key, plan.rate, plan.burst, self.ways, now) if (
-            settings.counter and plan.rate and settings.gateways > FEW_WAYS) else None
+        self.account = (
+            Account(self.key, plan.rate, plan.burst, self.ways, now)
+            if (settings.counter and plan.rate and settings.gateways > FEW_WAYS)
+            else None
+        )
         # An even part; a start may be a restart: half of our slack, and what has flowed in since, is ours.
         part = share * ((settings.rank - event.first_gateway) % settings.gateways < self.ways) / self.ways
         self.ceiling_rate, self.ceiling_most = plan.ceiling_rate * part / SECOND, plan.ceiling_depth * part
--- a/cresspulley/drill.py
+++ b/cresspulley/drill.py
@@ -10,7 +10,6 @@
 from cresspulley.interface import Event
 
 
-
 class Host:
     """The instances that one process holds. They share nothing."""
 
--- a/cresspulley/interface.py
+++ b/cresspulley/interface.py
@@ -306,8 +306,19 @@
 
 
 Event = (
-    ServerList | Arrival | AttemptEnded | StreamStarted | RequestEnded | CountAnswer | ProbeEnded
-    | PeerMessage | Woken | ClassesChanged | Restricted | Barred | Shared
+    ServerList
+    | Arrival
+    | AttemptEnded
+    | StreamStarted
+    | RequestEnded
+    | CountAnswer
+    | ProbeEnded
+    | PeerMessage
+    | Woken
+    | ClassesChanged
+    | Restricted
+    | Barred
+    | Shared
     | BodyComplete
 )
 
@@ -398,8 +409,7 @@
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | Count | Wake | Probe | CloseIdle | FetchList | FollowList
-    | Tell | Note
+    Send | Cancel | Refuse | Fail | Count | Wake | Probe | CloseIdle | FetchList | FollowList | Tell | Note
 )
 
 
--- a/cresspulley/wire.py
+++ b/cresspulley/wire.py
@@ -42,7 +42,6 @@
     Woken,
 )
 
-
 T = TypeVar("T")
 
 
@@ -133,7 +132,7 @@
 def _tail(frame: memoryview, at: int, end: int, size: int, what: str) -> memoryview:
     if at + size > end:
         raise WireError(f"{what} of {size} bytes passes the end of its record at byte {end}")
-    return frame[at:at + size]
+    return frame[at : at + size]
 
 
 def _load(frame: memoryview, at: int, end: int, n: int, columns: Columns) -> LoadReport | None:
@@ -163,8 +162,14 @@
 def _completed(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, request, took, leg, state, ended, server, usage, settled, n = COMPLETED.read(frame, at, end)
     return AttemptEnded(
-        request, leg, server, _known(RESULTS, state, "outcome", at), took, bool(ended),
-        usage - 1 if usage else None, settled or None,
+        request,
+        leg,
+        server,
+        _known(RESULTS, state, "outcome", at),
+        took,
+        bool(ended),
+        usage - 1 if usage else None,
+        settled or None,
         _load(frame, at + COMPLETED.size, end, n, columns) if n else None,
     )
 
@@ -210,8 +215,17 @@
 
 
 READERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
-    1000: _completed, 1010: _ring, 1020: _halt, 1030: _health, 1040: _count_result, 1050: _init,
-    1060: _request, 1070: _ack_first, 1080: _dropped, 1090: _neighbour, 1100: _members,
+    1000: _completed,
+    1010: _ring,
+    1020: _halt,
+    1030: _health,
+    1040: _count_result,
+    1050: _init,
+    1060: _request,
+    1070: _ack_first,
+    1080: _dropped,
+    1090: _neighbour,
+    1100: _members,
 }
 
 
@@ -223,9 +237,7 @@
     return size
 
 
-def read_batch(
-    data: bytes, columns_of: dict[int, Columns]
-) -> tuple[int, Iterator[tuple[int, Decoded]]]:
+def read_batch(data: bytes, columns_of: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, Decoded]]]:
     """The clock and the events, each with its instance; unknown codes are skipped."""
     if len(data) < BATCH_HEADER.size:
         raise WireError(f"frame header cut off after {len(data)} bytes")
@@ -301,7 +313,9 @@
     Refuse: lambda d, a: REFUSE(d, a.request, a.retry_after),  # type: ignore[union-attr]
     Note: lambda d, a: _text(1060, d, b"", _clip(a.text)),  # type: ignore[union-attr]
     Tell: lambda d, a: _text(
-        1090, d, U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
+        1090,
+        d,
+        U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
         a.content,  # type: ignore[union-attr]
     ),
 }
--- a/irisdeal/almanac/acceptor.py
+++ b/irisdeal/almanac/acceptor.py
@@ -60,7 +60,12 @@
             state = State(FIRST if first else secrets.token_hex(ID), Kept(NO_BALLOT, NO_BALLOT, value), value)
             await self._on_disk(self.keeper.write, state)
             tell(211, seat=seat(self.ip, state.disk))
-        self.disk, self.kept, self.decided, self.written = state.disk, state.kept, state.decided, state.decided
+        self.disk, self.kept, self.decided, self.written = (
+            state.disk,
+            state.kept,
+            state.decided,
+            state.decided,
+        )
         for word in words:
             if word.stamp in (self.kept.value.stamp, self.decided.stamp):
                 self.shelf.hold(word)
@@ -71,6 +76,7 @@
 
     async def _whole(self, act: Coroutine[Any, Any, T]) -> T:
         """Goes to its end also where who asked for it goes away. OSError where the disk refuses."""
+
         async def run() -> Result[T, OSError]:
             try:
                 return Success(await act)
--- a/irisdeal/almanac/adoption.py
+++ b/irisdeal/almanac/adoption.py
@@ -47,16 +47,22 @@
     ballot = Ballot(promised + LEAP, seat(ip, identity))
     members = Members(max(value.members.number for value in known) + LEAP, (ballot.seat,))
     value = Value(max(value.change for value in known) + LEAP, base.stamp, members)
-    return Adoption(State(identity, Kept(ballot, ballot, value), value), base, tuple(machines),
-                    tuple(newer) if base != UNKNOWN else (EVERYTHING,))
+    return Adoption(
+        State(identity, Kept(ballot, ballot, value), value),
+        base,
+        tuple(machines),
+        tuple(newer) if base != UNKNOWN else (EVERYTHING,),
+    )
 
 
 def refusals(disk: Disk, adoption: Adoption, ip: str, survey: Survey, given: Collection[str]) -> list[str]:
     """Why it must not be done; `given`: the names that may be lost. Empty where it may."""
     if any(report.ip == ip for report in survey.reports.values()):
         return [f"the store of {ip} runs: stop it first"]
-    held = [(max(report.value.change, report.decided.change if report.holds else -1), report.seat)
-            for report in survey.reports.values()]
+    held = [
+        (max(report.value.change, report.decided.change if report.holds else -1), report.seat)
+        for report in survey.reports.values()
+    ]
     newest = max(held, default=(-1, ""))
     if newest[0] > adoption.base.change:
         return [f"{newest[1]} holds change {newest[0]}, this disk {adoption.base.change}: adopt there"]
@@ -65,11 +71,20 @@
         if value.members.is_quorum(survey.heard() | own):
             return [f"a quorum of list {value.members.number} can still be had: start the store of {ip}"]
     silent = set(adoption.machines) - {report.ip for report in survey.reports.values()}
-    newer = {f"r{report.decided.stamp.number}" for report in survey.reports.values()
-             if report.decided.change > adoption.base.change}  # known there, held by nobody who answers
-    return [f"--yes-lose {name}: wanted, as {why}" for names, why in (
-        (silent, "it does not answer, and what it alone holds is given up"),
-        (newer | set(adoption.others), "it is given up")) for name in sorted(names) if name not in given]
+    newer = {
+        f"r{report.decided.stamp.number}"
+        for report in survey.reports.values()
+        if report.decided.change > adoption.base.change
+    }  # known there, held by nobody who answers
+    return [
+        f"--yes-lose {name}: wanted, as {why}"
+        for names, why in (
+            (silent, "it does not answer, and what it alone holds is given up"),
+            (newer | set(adoption.others), "it is given up"),
+        )
+        for name in sorted(names)
+        if name not in given
+    ]
 
 
 def adopt(folder: Folder, adoption: Adoption) -> None:
--- a/irisdeal/almanac/configuration.py
+++ b/irisdeal/almanac/configuration.py
@@ -104,11 +104,21 @@
 
 
 LISTS: tuple[Any, ...] = (
-    tuple[Share, ...], tuple[Rule, ...], tuple[Socket, ...], tuple[Pool, ...], tuple[Tenant, ...],
-    tuple[Tenant, ...] | None)
-READING = dacite.Config(cast=[tuple], type_hooks={
-    float: lambda value: _figure(value), tuple[str, ...]: lambda value: _texts(value),
-    **dict.fromkeys(LISTS, _list)})
+    tuple[Share, ...],
+    tuple[Rule, ...],
+    tuple[Socket, ...],
+    tuple[Pool, ...],
+    tuple[Tenant, ...],
+    tuple[Tenant, ...] | None,
+)
+READING = dacite.Config(
+    cast=[tuple],
+    type_hooks={
+        float: lambda value: _figure(value),
+        tuple[str, ...]: lambda value: _texts(value),
+        **dict.fromkeys(LISTS, _list),
+    },
+)
 
 
 def _figure(value: Any) -> float:
@@ -217,5 +227,8 @@
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
         return Failure(Trouble("read", "configuration", str(error)))
     found = faults(configuration)
-    return Failure(Trouble("check", configuration.generation, "; ".join(found))) if found else Success(
-        configuration)
+    return (
+        Failure(Trouble("check", configuration.generation, "; ".join(found)))
+        if found
+        else Success(configuration)
+    )
--- a/irisdeal/almanac/difference.py
+++ b/irisdeal/almanac/difference.py
@@ -35,13 +35,13 @@
     """How many bytes are equal from these places on."""
     begun, size = to, 256
     while size:
-        one, other = base[at:at + size], wanted[to:to + size]
+        one, other = base[at : at + size], wanted[to : to + size]
         if one == other and one:
             at, to = at + len(one), to + len(one)
             size = min(size * 4, BLOCK) if len(one) == size else 0
         else:
             size = min(size, len(one), len(other)) // 2 if size > 1 else 0
-            if size == 0 and base[at:at + 1] == wanted[to:to + 1] != b"":
+            if size == 0 and base[at : at + 1] == wanted[to : to + 1] != b"":
                 size = 1
     return to - begun
 
@@ -66,7 +66,7 @@
         best, found = 0, (at, len(self.wanted))
         entry = to
         for _ in range(NEXT):
-            anchor = self.wanted[entry:entry + ANCHOR]
+            anchor = self.wanted[entry : entry + ANCHOR]
             if len(anchor) < ANCHOR or self.tries <= 0:
                 break
             self.tries -= 1
@@ -95,7 +95,7 @@
     size = BLOCK
     while size:
         ends = len(base) - count, len(wanted) - count
-        if count + size <= most and base[ends[0] - size:ends[0]] == wanted[ends[1] - size:ends[1]]:
+        if count + size <= most and base[ends[0] - size : ends[0]] == wanted[ends[1] - size : ends[1]]:
             count += size
         else:
             size //= 2
@@ -106,7 +106,7 @@
     """The wanted body from first to last: place in the base, place in the wanted one, bytes that are alike there;
     the place in the base is -1 for bytes that are new."""
     tail = _tail(base, wanted)
-    body = wanted[:len(wanted) - tail] if tail else wanted
+    body = wanted[: len(wanted) - tail] if tail else wanted
     way, at, to = _Walk(base, body), 0, 0
     while to < len(body):
         run = _run(base, at, body, to)
@@ -132,7 +132,7 @@
         if at >= 0:
             steps.append([at, count])
             continue
-        steps.append(wanted[to:to + count])
+        steps.append(wanted[to : to + count])
         told += count
         if told > MOST_TOLD // 2:
             raise NoDifference(f"over {MOST_TOLD // 2} bytes are new")
@@ -166,7 +166,7 @@
                 at, count = step
                 if at < 0 or count <= 0 or at + count > len(base):
                     raise NoDifference(f"{count} bytes at {at} of {len(base)}")
-                part = view[at:at + count]
+                part = view[at : at + count]
             left -= len(part)
             if left < 0:
                 raise NoDifference(f"over {length} bytes")
--- a/irisdeal/almanac/folder.py
+++ b/irisdeal/almanac/folder.py
@@ -46,7 +46,7 @@
         try:
             view = memoryview(data)
             while view:
-                view = view[os.write(file, view):]
+                view = view[os.write(file, view) :]
         finally:
             os.close(file)
 
--- a/irisdeal/almanac/index.py
+++ b/irisdeal/almanac/index.py
@@ -41,7 +41,8 @@
         return Changes(
             new_pools=list(configuration.pools),
             new_rules=[(socket.hostname, rule) for socket in configuration.sockets for rule in socket.rules],
-            new_tenants=list(configuration.tenants or ()))
+            new_tenants=list(configuration.tenants or ()),
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +91,9 @@
                 hosts.pop(host, None)
         return hosts.finish()
 
-    def _tenants(self, changes: Changes) -> Generator[None, None, tuple[Map[str, Tenant], Map[bytes, Tenant]]]:
+    def _tenants(
+        self, changes: Changes
+    ) -> Generator[None, None, tuple[Map[str, Tenant], Map[bytes, Tenant]]]:
         tenants, keys = self.tenants.mutate(), self.keys.mutate()
         for count, tenant in enumerate(changes.gone_tenants):
             if count % STEP == STEP - 1:
--- a/irisdeal/almanac/inspect.py
+++ b/irisdeal/almanac/inspect.py
@@ -11,6 +11,7 @@
 from irisdeal.almanac.word import NOTHING, Stamp, Word
 from irisdeal.mast.trouble import Trouble
 
+
 @dataclass
 class Disk:
     """What was found. `state` is None where the disk has no identity yet or `kept` is damaged."""
@@ -55,11 +56,17 @@
     """What is wrong: damage, and the body of an accepted value that is not there."""
     if disk.state is None:
         named = any(trouble.peer == keeper.NAME for trouble in disk.troubles)
-        return disk.troubles if named else [
-            *disk.troubles, Trouble("read", keeper.NAME, "missing: this disk has no identity yet")]
+        return (
+            disk.troubles
+            if named
+            else [*disk.troubles, Trouble("read", keeper.NAME, "missing: this disk has no identity yet")]
+        )
     value = disk.state.kept.value
     if not disk.holds(value):
-        return [*disk.troubles, Trouble("check", f"r{value.stamp.number}", "accepted, but its body is not here")]
+        return [
+            *disk.troubles,
+            Trouble("check", f"r{value.stamp.number}", "accepted, but its body is not here"),
+        ]
     return disk.troubles
 
 
--- a/irisdeal/almanac/member.py
+++ b/irisdeal/almanac/member.py
@@ -47,8 +47,9 @@
         self.tasks = Tasks()
         self.acceptor = Acceptor(self.ip, settings.data_path or "almanac-data", folder, self.tasks)
         self.peers = Peers(settings, self.acceptor, self.tasks)
-        self.proposer = Proposer(self.acceptor, self.peers, self.tasks, self.announce,
-                                 settings.config_source != "highest")
+        self.proposer = Proposer(
+            self.acceptor, self.peers, self.tasks, self.announce, settings.config_source != "highest"
+        )
         self.rounds = Rounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
         self.force = UNKNOWN  # the newest decided value whose body is here
         self.taking: asyncio.Task[None] | None = None
@@ -89,7 +90,8 @@
     def _may_go(self) -> bool:
         heard = self.rounds.heard
         return not self.proposer.turn.locked() and may_go(
-            self.acceptor.decided, heard.reports, self.acceptor.seat, now(), heard.since)
+            self.acceptor.decided, heard.reports, self.acceptor.seat, now(), heard.since
+        )
 
     def reload(self, settings: Settings) -> None:
         self.settings = self.rounds.settings = settings
@@ -127,9 +129,14 @@
         while self.force.change < self.acceptor.decided.change:
             value = self.acceptor.decided
             reports = sorted(self.rounds.heard.reports.values(), key=lambda heard: heard.at, reverse=True)
-            held = [heard.report.ip for heard in reports  # those first that answered last
-                    if heard.report.holds and heard.report.decided.stamp == value.stamp]
-            if await self.peers.body(value.stamp, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]):
+            held = [
+                heard.report.ip
+                for heard in reports  # those first that answered last
+                if heard.report.holds and heard.report.decided.stamp == value.stamp
+            ]
+            if await self.peers.body(
+                value.stamp, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
+            ):
                 self._enforce()
             else:
                 await asyncio.sleep(PARTING)
--- a/irisdeal/almanac/metrics.py
+++ b/irisdeal/almanac/metrics.py
@@ -11,6 +11,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.decisions = self.counter(
-            "decisions", "Ballots of ours that decided, by how many seats had synced the value by then.", "seats"
+            "decisions",
+            "Ballots of ours that decided, by how many seats had synced the value by then.",
+            "seats",
         )
         self.cut_calls = self.counter("cut_calls", "Calls of other processes without an answer at the end.")
--- a/irisdeal/almanac/model.py
+++ b/irisdeal/almanac/model.py
@@ -25,8 +25,21 @@
 from irisdeal.mast.trouble import Trouble
 
 __all__ = [
-    "KINDS", "MOST_FAULTS", "MOST_OVER_MS", "Configuration", "Effect", "Limits", "Pattern", "Pool", "Rule", "Share",
-    "Socket", "Tenant", "faults", "read", "read_whole",
+    "KINDS",
+    "MOST_FAULTS",
+    "MOST_OVER_MS",
+    "Configuration",
+    "Effect",
+    "Limits",
+    "Pattern",
+    "Pool",
+    "Rule",
+    "Share",
+    "Socket",
+    "Tenant",
+    "faults",
+    "read",
+    "read_whole",
 ]
 
 
--- a/irisdeal/almanac/proposer.py
+++ b/irisdeal/almanac/proposer.py
@@ -35,8 +35,14 @@
 class Proposer:
     """One member's ballots. `learn` is told each value that they decide, with its ballot."""
 
-    def __init__(self, acceptor: Acceptor, peers: Peers, tasks: Tasks, learn: Callable[[Ballot, Value], None],
-                 compares: bool) -> None:
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        peers: Peers,
+        tasks: Tasks,
+        learn: Callable[[Ballot, Value], None],
+        compares: bool,
+    ) -> None:
         """`compares`: another body under a decided number is told, where it is passed over otherwise."""
         self.acceptor, self.peers, self.tasks, self.learn = acceptor, peers, tasks, learn
         self.compares = compares
@@ -144,11 +150,15 @@
                 self.learn(ballot.ballot, ballot.value)
                 return ballot.value
             self.meet(ballot.above)
-            tell(208, ballot=ballot.ballot.count, above=self.met.count, by=self.met.seat, step=ballot.step.name)
+            tell(
+                208, ballot=ballot.ballot.count, above=self.met.count, by=self.met.seat, step=ballot.step.name
+            )
             await self._pause(pause)
             pause = min(2 * pause, MOST_PAUSE)
             if change is not same and self.acceptor.decided != begun:
-                return self.acceptor.decided  # by another; whether it is what is wanted is seen before the next
+                return (
+                    self.acceptor.decided
+                )  # by another; whether it is what is wanted is seen before the next
         return None
 
     async def _pause(self, pause: float) -> None:
@@ -170,8 +180,11 @@
         await self._phase(ballot, Step.PREPARING, self._ask_promise, until)
         if ballot.step is Step.ACCEPTING:
             assert ballot.value is not None
-            holders = [ip_of(seat) for seat, kept in ballot.promised.items()
-                       if kept.value.stamp == ballot.value.stamp]
+            holders = [
+                ip_of(seat)
+                for seat, kept in ballot.promised.items()
+                if kept.value.stamp == ballot.value.stamp
+            ]
             if ballot.value.stamp == NOTHING or await self._body(ballot.value.stamp, holders, until):
                 await self._phase(ballot, Step.ACCEPTING, self._ask_accept, until)
         if ballot.step is Step.DECIDED:
@@ -187,9 +200,13 @@
         except TimeoutError:
             return False
 
-    async def _phase(self, ballot: Round, step: Step, ask: Callable[[Round, str, asyncio.Event],
-                                                                      Coroutine[Any, Any, None]],
-                     until: float) -> None:
+    async def _phase(
+        self,
+        ballot: Round,
+        step: Step,
+        ask: Callable[[Round, str, asyncio.Event], Coroutine[Any, Any, None]],
+        until: float,
+    ) -> None:
         """Ask all that are to be asked until this step is over."""
         asked: dict[str, asyncio.Task[None]] = {}
         news = asyncio.Event()
@@ -232,7 +249,8 @@
             return news.set()
         while True:
             answer = await self.peers.call(
-                ip_of(seat), "accept", [seat, ballot.ballot.tell(), value.tell()], CALL)
+                ip_of(seat), "accept", [seat, ballot.ballot.tell(), value.tell()], CALL
+            )
             if isinstance(answer, Success):
                 if answer.unwrap() is None:
                     return
--- a/irisdeal/almanac/reading.py
+++ b/irisdeal/almanac/reading.py
@@ -116,8 +116,11 @@
         self.decode = json.JSONDecoder().raw_decode
         self.read = 0
         self.outline = before.outline if before is not None else None
-        runs = [run for run in walk(before.body, body) if run[0] >= 0 and run[2] >= LEAST_ALIKE] if (
-            before is not None and self.outline is not None) else []
+        runs = (
+            [run for run in walk(before.body, body) if run[0] >= 0 and run[2] >= LEAST_ALIKE]
+            if (before is not None and self.outline is not None)
+            else []
+        )
         self.places = [to for _, to, _ in runs]
         self.runs = runs
         self.changes = Changes()
@@ -132,16 +135,18 @@
     def expect(self, at: int, wanted: str) -> int:
         """The place after it and blanks."""
         at = self.skip(at)
-        if self.text[at:at + 1] != wanted:
+        if self.text[at : at + 1] != wanted:
             raise Odd(f"at {at}: wanted {wanted}")
         return self.skip(at + 1)
 
     def members(
-        self, at: int, value: Callable[[str, int], Generator[None, None, int]],
+        self,
+        at: int,
+        value: Callable[[str, int], Generator[None, None, int]],
     ) -> Generator[None, None, int]:
         """Walk an object: `value` reads what a key has from a place on and says where it ends; where all ends."""
         at, seen = self.expect(at, "{"), set()
-        if self.text[at:at + 1] == "}":
+        if self.text[at : at + 1] == "}":
             return at + 1
         while True:
             key, at = self.decode(self.text, at)
@@ -149,7 +154,7 @@
                 raise Odd("a key twice, or none")
             seen.add(key)
             at = self.skip((yield from value(key, self.expect(at, ":"))))
-            if self.text[at:at + 1] == "}":
+            if self.text[at : at + 1] == "}":
                 return at + 1
             at = self.expect(at, ",")
 
@@ -162,7 +167,11 @@
         return (old + at - to, to + count - at) if at < to + count else (-1, 0)
 
     def items(
-        self, at: int, base: int, old: _Old | None, make: Callable[[int], Generator[None, None, tuple[Any, int]]],
+        self,
+        at: int,
+        base: int,
+        old: _Old | None,
+        make: Callable[[int], Generator[None, None, tuple[Any, int]]],
     ) -> Generator[None, None, tuple[Entries, list[Any], int]]:
         """Walk a list: its entries, the values of those that are new, and where it ends. Places count from `base`.
 
@@ -170,7 +179,7 @@
         """
         entries, new = Entries(), list[Any]()
         at = self.expect(at, "[")
-        if self.text[at:at + 1] == "]":
+        if self.text[at : at + 1] == "]":
             return entries, new, at + 1
         while True:
             end = self._take(at, base, old, entries) if old is not None else -1
@@ -179,7 +188,7 @@
                 entries.add(at - base, end - base, value)
                 new.append(value)
             at = self.skip(end)
-            if self.text[at:at + 1] == "]":
+            if self.text[at : at + 1] == "]":
                 return entries, new, at + 1
             at = self.expect(at, ",")
 
@@ -274,11 +283,14 @@
         hosts = _Old(outline.hosts if outline else Entries())
         tenants = _Old(outline.tenants if outline else Entries())
         new: dict[str, list[Any]] = {"pools": [], "sockets": [], "tenants": []}
-        makes = {"pools": (pools, self.entry(Pool)), "sockets": (hosts, self.host(hosts)),
-                 "tenants": (tenants, self.entry(Tenant))}
+        makes = {
+            "pools": (pools, self.entry(Pool)),
+            "sockets": (hosts, self.host(hosts)),
+            "tenants": (tenants, self.entry(Tenant)),
+        }
 
         def value(key: str, at: int) -> Generator[None, None, int]:
-            if key in makes and self.text[at:at + 1] == "[":
+            if key in makes and self.text[at : at + 1] == "[":
                 old, make = makes[key]
                 lists[key], new[key], end = yield from self.items(at, 0, old, make)
                 parts[key] = tuple(lists[key].values)
@@ -305,8 +317,10 @@
         changes.gone_tenants = [tenants.entries.values[which] for which in tenants.left()]
         changes.new_pools, changes.new_tenants = new["pools"], new["tenants"]
         sockets = tuple(host.socket for host in lists["sockets"].values)
-        return (Configuration(parts["generation"], sockets, parts["pools"], parts.get("tenants"), limits),
-                Outline(lists["pools"], lists["sockets"], lists["tenants"]))
+        return (
+            Configuration(parts["generation"], sockets, parts["pools"], parts.get("tenants"), limits),
+            Outline(lists["pools"], lists["sockets"], lists["tenants"]),
+        )
 
 
 def _check(configuration: Configuration, index: Index, changes: Changes) -> Generator[None, None, None]:
@@ -354,4 +368,3 @@
     configuration = whole.unwrap()
     index = yield from Index().changing(Changes.all_of(configuration))
     return Success(Reading(body, configuration, index, None))
-
--- a/irisdeal/almanac/register.py
+++ b/irisdeal/almanac/register.py
@@ -117,7 +117,11 @@
     """The operator's word under its number, where that is above the one that holds; else nothing changes."""
 
     def change(value: Value) -> Value:
-        return replace(value, change=value.change + 1, stamp=stamp) if stamp.number > value.stamp.number else value
+        return (
+            replace(value, change=value.change + 1, stamp=stamp)
+            if stamp.number > value.stamp.number
+            else value
+        )
 
     return change
 
@@ -128,7 +132,8 @@
     def change(value: Value) -> Value:
         now = value.members
         follows = (members.number == now.number + 1 and members.former == now.seats and not now.former) or (
-            members == now.settled() and bool(now.former))
+            members == now.settled() and bool(now.former)
+        )
         return replace(value, change=value.change + 1, members=members) if follows else value
 
     return change
@@ -181,7 +186,9 @@
         """A seat's answer to the prepare of this ballot."""
         if self.step is not Step.PREPARING:
             return self.step
-        if not good and kept.promised != self.ballot:  # else it promised this one before: that answer was lost
+        if (
+            not good and kept.promised != self.ballot
+        ):  # else it promised this one before: that answer was lost
             self.above, self.step = max(self.above, kept.promised), Step.LOST
             return self.step
         self.promised[seat] = kept
--- a/irisdeal/almanac/report.py
+++ b/irisdeal/almanac/report.py
@@ -27,15 +27,29 @@
         return ip_of(self.seat)
 
     def tell(self) -> list[Any]:
-        return [self.seat, self.zone, self.accepted.tell(), self.value.tell(), self.decided.tell(), self.holds,
-                self.leaving]
+        return [
+            self.seat,
+            self.zone,
+            self.accepted.tell(),
+            self.value.tell(),
+            self.decided.tell(),
+            self.holds,
+            self.leaving,
+        ]
 
     @staticmethod
     def hear(told: list[Any]) -> Report:
         """ValueError, TypeError where it is none."""
         seat, zone, accepted, value, decided, holds, leaving = told
-        return Report(str(seat), str(zone), Ballot.hear(accepted), Value.hear(value), Value.hear(decided),
-                      bool(holds), bool(leaving))
+        return Report(
+            str(seat),
+            str(zone),
+            Ballot.hear(accepted),
+            Value.hear(value),
+            Value.hear(decided),
+            bool(holds),
+            bool(leaving),
+        )
 
 
 def decided_among(reports: Iterable[Report]) -> Value | None:
--- a/irisdeal/almanac/rounds.py
+++ b/irisdeal/almanac/rounds.py
@@ -27,7 +27,9 @@
 
 ROUND = 0.5  # s between two rounds; what was missed is here within two of them
 SEEKING = 0.12  # s between them without contact
-SETTLE = 0.3  # s, to twice that: so long may a value be accepted and not known as decided, then a ballot ends it
+SETTLE = (
+    0.3  # s, to twice that: so long may a value be accepted and not known as decided, then a ballot ends it
+)
 ANSWER = 0.35  # s for a short answer of another machine: hundreds of times the way there and back
 SOON = 0.02  # s that a round waits for the answers of those that are well: a few ways there and back
 Learn = Callable[[Value, list[str]], None]  # this value is decided, its body is at these machines
@@ -36,15 +38,25 @@
 class Rounds:
     """One member's view of the others."""
 
-    def __init__(self, settings: Settings, acceptor: Acceptor, peers: Peers, proposer: Proposer, tasks: Tasks,
-                 learn: Learn) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        acceptor: Acceptor,
+        peers: Peers,
+        proposer: Proposer,
+        tasks: Tasks,
+        learn: Learn,
+    ) -> None:
         self.settings, self.acceptor, self.peers, self.proposer = settings, acceptor, peers, proposer
         self.tasks, self.learn = tasks, learn
         self.contact, self.heard = Contact(), Watch(now())
         self.chance = random.Random(acceptor.ip)
         self.leaving = self.was_held = False
         self.asking: set[str] = set()
-        self.open: tuple[int, float] = (-1, 0.0)  # the highest change accepted and not known as decided; since
+        self.open: tuple[int, float] = (
+            -1,
+            0.0,
+        )  # the highest change accepted and not known as decided; since
         self.chore: asyncio.Task[None] | None = None
 
     # What is known
@@ -73,8 +85,15 @@
 
     def report(self) -> Report:
         kept, decided = self.acceptor.kept, self.acceptor.decided
-        return Report(self.acceptor.seat, self.settings.zone, kept.accepted, kept.value, decided,
-                      decided != UNKNOWN and self.acceptor.holds(decided.stamp), self.leaving)
+        return Report(
+            self.acceptor.seat,
+            self.settings.zone,
+            kept.accepted,
+            kept.value,
+            decided,
+            decided != UNKNOWN and self.acceptor.holds(decided.stamp),
+            self.leaving,
+        )
 
     # Asking
 
@@ -158,7 +177,9 @@
         All that see it pause by chance before, and who is first spares it the others.
         """
         kept, decided = self.acceptor.kept, self.acceptor.decided
-        ended = kept.accepted if kept.value == decided else NO_BALLOT  # nothing under it can be decided any more
+        ended = (
+            kept.accepted if kept.value == decided else NO_BALLOT
+        )  # nothing under it can be decided any more
         change = max((report.value.change for report in reports if report.accepted > ended), default=-1)
         if change <= decided.change:
             self.open = (-1, 0.0)
@@ -191,5 +212,10 @@
 
     def _wanted(self) -> Wanted:
         settings = self.settings
-        return Wanted(settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions,
-                      settings.zones, settings.bound("sync_s", 4.0))
+        return Wanted(
+            settings.tolerance.machines,
+            settings.tolerance.zones,
+            settings.tolerance.regions,
+            settings.zones,
+            settings.bound("sync_s", 4.0),
+        )
--- a/irisdeal/almanac/shelf.py
+++ b/irisdeal/almanac/shelf.py
@@ -31,7 +31,9 @@
 
 KEPT = 16  # words kept before the newest, as differences against the one after: bases of what callers have
 MOST_KEPT = 4 << 20  # bytes of all of them
-MOST_WHOLE = 2  # older bodies kept whole, the last ones asked for: bases, and what callers are in the middle of
+MOST_WHOLE = (
+    2  # older bodies kept whole, the last ones asked for: bases, and what callers are in the middle of
+)
 MOST_BODY = 16 << 20  # bytes of a body: one frame of `telegraph`
 PIECE = 96 << 10  # bytes of a body in one piece, some 27 KB packed; at worst 0.4 s of a link of 2 Mbit/s
 MOST_DIFFERENCE = 48 << 10  # bytes of a packed difference in one piece
@@ -109,8 +111,12 @@
             self.whole.popitem(last=False)
 
     def has(self, digest: bytes) -> bool:
-        return digest in self.whole or self._is(self.snapshot, digest) or self._is(self.newest, digest) or any(
-            stamp.digest == digest for stamp, _, _ in self.older)
+        return (
+            digest in self.whole
+            or self._is(self.snapshot, digest)
+            or self._is(self.newest, digest)
+            or any(stamp.digest == digest for stamp, _, _ in self.older)
+        )
 
     @staticmethod
     def _is(word: Word | None, digest: bytes) -> bool:
@@ -176,7 +182,7 @@
             offset = 0
         packed = self._packed(digest, b"", offset)
         if packed is None:
-            packed = self._pack(digest, b"", offset, zlib.compress(word.body[offset:offset + PIECE], LEVEL))
+            packed = self._pack(digest, b"", offset, zlib.compress(word.body[offset : offset + PIECE], LEVEL))
         check = _check(word.stamp.number, digest, length, b"", length, offset, packed)
         return [word.stamp.number, digest, length, b"", length, offset, check, packed]
 
@@ -184,7 +190,7 @@
         length, size = len(word.body), len(packed)
         if offset >= size:
             offset = 0
-        piece = packed[offset:offset + MOST_DIFFERENCE]
+        piece = packed[offset : offset + MOST_DIFFERENCE]
         check = _check(word.stamp.number, word.stamp.digest, length, base, size, offset, piece)
         return [word.stamp.number, word.stamp.digest, length, base, size, offset, check, piece]
 
@@ -258,13 +264,19 @@
         """
         try:
             number, digest, length, base, size, offset, check, piece = parcel
-            if not (all(type(figure) is int for figure in (number, length, size, offset, check))
-                    and all(type(data) is bytes for data in (digest, base, piece))):
+            if not (
+                all(type(figure) is int for figure in (number, length, size, offset, check))
+                and all(type(data) is bytes for data in (digest, base, piece))
+            ):
                 raise NoDifference("no parcel")
             if _check(number, digest, length, base, size, offset, piece) != check:
                 raise NoDifference("torn")
-            if not (0 < length <= MOST_BODY and 0 < size <= MOST_BODY and 0 <= offset < size
-                    and (base or size == length)):
+            if not (
+                0 < length <= MOST_BODY
+                and 0 < size <= MOST_BODY
+                and 0 <= offset < size
+                and (base or size == length)
+            ):
                 raise NoDifference("lengths that no parcel has")
             return self._take(Stamp(number, digest), length, base, size, offset, piece)
         except (NoDifference, TypeError, ValueError) as error:
@@ -274,7 +286,9 @@
                 self.last, self.from_nothing, self.no_use = NOTHING, True, 0
             return None
 
-    def _take(self, stamp: Stamp, length: int, base: bytes, size: int, offset: int, piece: bytes) -> Word | None:
+    def _take(
+        self, stamp: Stamp, length: int, base: bytes, size: int, offset: int, piece: bytes
+    ) -> Word | None:
         if self.shelf.has(stamp.digest):  # from another source, a moment ago
             self._came(stamp)
             return self.shelf.get(stamp.digest)
--- a/irisdeal/almanac/succession.py
+++ b/irisdeal/almanac/succession.py
@@ -60,7 +60,9 @@
 FEW = 3  # members that there are at least, where there are as many machines
 MANY = 5  # members that vote where nothing asks for more
 MOST = 9  # members at most, whatever is asked for
-EMPTY = 15.0  # s without anyone who knows a list, after which all disks count as lost: any start is over by then
+EMPTY = (
+    15.0  # s without anyone who knows a list, after which all disks count as lost: any start is over by then
+)
 VOUCHED = 60.0  # s for which a member that others brought in counts as heard by them
 FORGOTTEN = 60.0  # s after which a silent learner is forgotten
 MOST_HEARD = 256  # seats remembered: ten times the largest core
@@ -160,15 +162,23 @@
 
     def ready(self) -> list[str]:
         """Learners that have caught up."""
-        return sorted(seat for seat, heard in self.reports.items()
-                      if seat not in self.seats and not heard.report.leaving and self.well(seat)
-                      and self.has_caught_up(heard.report))
+        return sorted(
+            seat
+            for seat, heard in self.reports.items()
+            if seat not in self.seats
+            and not heard.report.leaving
+            and self.well(seat)
+            and self.has_caught_up(heard.report)
+        )
 
     def has_caught_up(self, report: Report) -> bool:
         """Whether it holds the body of the newest change, or of one at most `LAG` before it."""
         known = report.decided
-        return (report.holds and known.change >= max(0, self.value.change - LAG)
-                and (known.stamp != NOTHING or self.value.stamp == NOTHING))
+        return (
+            report.holds
+            and known.change >= max(0, self.value.change - LAG)
+            and (known.stamp != NOTHING or self.value.stamp == NOTHING)
+        )
 
     def others_ready(self) -> list[str]:
         """Those at addresses that no member has."""
@@ -182,24 +192,38 @@
         """Of two lists the lesser is spread better; of equals, the one that was heard for longer."""
         zones = Counter(map(self.zone, seats))
         regions = Counter(self.wanted.region_of.get(self.zone(seat), "") for seat in seats)
-        heard = [max(self.reports[seat].since, self.since) for seat in seats - self.seats if seat in self.reports]
-        return (self.worst(seats), sum(count * count for count in zones.values()),
-                sum(count * count for count in regions.values()), sum(heard))
+        heard = [
+            max(self.reports[seat].since, self.since) for seat in seats - self.seats if seat in self.reports
+        ]
+        return (
+            self.worst(seats),
+            sum(count * count for count in zones.values()),
+            sum(count * count for count in regions.values()),
+            sum(heard),
+        )
 
     def may(self, seats: Seats) -> bool:
         """Rule 9."""
-        return (len(self.live(seats)) >= majority(seats) and len(self.live(self.seats)) >= majority(self.seats)
-                and len(seats) >= min(self.wanted.least, len(self.seats)))
+        return (
+            len(self.live(seats)) >= majority(seats)
+            and len(self.live(self.seats)) >= majority(self.seats)
+            and len(seats) >= min(self.wanted.least, len(self.seats))
+        )
 
     def best(self, choices: Iterable[Seats]) -> Seats | None:
-        return min((seats for seats in choices if self.may(seats)),
-                   key=lambda seats: (self.badness(seats), sorted(seats)), default=None)
+        return min(
+            (seats for seats in choices if self.may(seats)),
+            key=lambda seats: (self.badness(seats), sorted(seats)),
+            default=None,
+        )
 
 
 def _another_disk(view: _View) -> Seats | None:
     """Rule 2."""
     by_ip = {ip_of(seat): seat for seat in view.seats}
-    return view.best(view.seats - {by_ip[ip_of(seat)]} | {seat} for seat in view.ready() if ip_of(seat) in by_ip)
+    return view.best(
+        view.seats - {by_ip[ip_of(seat)]} | {seat} for seat in view.ready() if ip_of(seat) in by_ip
+    )
 
 
 def _successor(view: _View) -> Seats | None:
@@ -229,8 +253,9 @@
     if count > view.wanted.most or not all(map(view.well, view.seats)):
         return None
     steady = 0.0 if count <= view.wanted.least else view.wanted.sync / 2 if count % 2 == 0 else DEAD
-    return view.best(view.seats | {seat} for seat in view.others_ready()
-                     if view.now - view.reports[seat].since >= steady)
+    return view.best(
+        view.seats | {seat} for seat in view.others_ready() if view.now - view.reports[seat].since >= steady
+    )
 
 
 def _elsewhere(view: _View) -> Seats | None:
@@ -238,8 +263,11 @@
     now = view.worst(view.seats)
     if len(view.seats) - now >= majority(view.seats):
         return None
-    return view.best(seats for old, new in product(view.seats - {view.own}, view.others_ready())
-                     if view.worst(seats := view.seats - {old} | {new}) < now)
+    return view.best(
+        seats
+        for old, new in product(view.seats - {view.own}, view.others_ready())
+        if view.worst(seats := view.seats - {old} | {new}) < now
+    )
 
 
 def _one_less(view: _View) -> Seats | None:
@@ -251,11 +279,22 @@
 
 
 RULES: tuple[Callable[[_View], Seats | None], ...] = (
-    _another_disk, _successor, _without, _one_more, _elsewhere, _one_less)
+    _another_disk,
+    _successor,
+    _without,
+    _one_more,
+    _elsewhere,
+    _one_less,
+)
 
 
 def next_members(
-    decided: Value, reports: Reports, own: str, now: float, wanted: Wanted, since: float = 0.0,
+    decided: Value,
+    reports: Reports,
+    own: str,
+    now: float,
+    wanted: Wanted,
+    since: float = 0.0,
     vouched: Seats = frozenset(),
 ) -> Members | None:
     """The list to propose, or None where all is well. For a member in contact with a quorum (see `is_proposer`).
@@ -277,7 +316,12 @@
 
 
 def is_proposer(
-    decided: Value, reports: Reports, own: str, now: float, waiting: float, since: float = 0.0,
+    decided: Value,
+    reports: Reports,
+    own: str,
+    now: float,
+    waiting: float,
+    since: float = 0.0,
 ) -> bool:
     """Whether it is this member's turn to propose what has been wanted for `waiting` s: the first live one's at
     once, each next one's `TURN` later."""
@@ -293,11 +337,19 @@
     if own not in members.voters():
         return True
     view = _View(decided, reports, own, now, Wanted(), since)
-    holders = [seat for seat in view.live(members.voters() - {own})
-               if seat in reports and reports[seat].report.holds
-               and reports[seat].report.decided.change >= decided.change]
-    return (not members.former and members.is_quorum(holders) and not view.others_ready()
-            and _without(view) is None)
+    holders = [
+        seat
+        for seat in view.live(members.voters() - {own})
+        if seat in reports
+        and reports[seat].report.holds
+        and reports[seat].report.decided.change >= decided.change
+    ]
+    return (
+        not members.former
+        and members.is_quorum(holders)
+        and not view.others_ready()
+        and _without(view) is None
+    )
 
 
 def beyond_help(decided: Value, reports: Reports, own: str) -> bool:
@@ -354,9 +406,14 @@
         """Events that have begun to hold, each with its seat: 222 a member is dead, 223 a learner is ready, 226 no
         quorum can ever be (for the own seat)."""
         view = _View(decided, self.reports, own, now, Wanted(), self.since)
-        hold = {(222, seat) for seat in view.seats - view.live(view.seats)} | {(223, seat) for seat in view.ready()}
-        empty = not decided.members.seats and now - self.since >= EMPTY and not any(
-            heard.report.decided.members.seats for heard in self.reports.values())
+        hold = {(222, seat) for seat in view.seats - view.live(view.seats)} | {
+            (223, seat) for seat in view.ready()
+        }
+        empty = (
+            not decided.members.seats
+            and now - self.since >= EMPTY
+            and not any(heard.report.decided.members.seats for heard in self.reports.values())
+        )
         if empty or beyond_help(decided, self.reports, own):
             hold.add((226, own))
         fresh, self.told = sorted(hold - self.told), frozenset(hold)
@@ -366,7 +423,9 @@
         """Rule 8."""
         if self.list is not None and self.list != members:
             fresh = members.voters() - self.list.voters() - {own}
-            silent = {seat for seat in fresh if seat not in self.reports or now - self.reports[seat].at >= QUIET}
+            silent = {
+                seat for seat in fresh if seat not in self.reports or now - self.reports[seat].at >= QUIET
+            }
             self.vouched.update(dict.fromkeys(silent, now + VOUCHED))
             self.vouched = {seat: until for seat, until in self.vouched.items() if seat in members.voters()}
         self.list = members
--- a/irisdeal/almanac/survey.py
+++ b/irisdeal/almanac/survey.py
@@ -27,8 +27,11 @@
     @property
     def decided(self) -> Value:
         """The newest value that anyone knows to be decided; `UNKNOWN` where nobody does."""
-        return max((report.decided for report in self.reports.values()), key=lambda value: value.change,
-                   default=UNKNOWN)
+        return max(
+            (report.decided for report in self.reports.values()),
+            key=lambda value: value.change,
+            default=UNKNOWN,
+        )
 
     @property
     def members(self) -> Members:
@@ -45,7 +48,9 @@
     def can_lose(self) -> int:
         """How many more members may be lost before no quorum lives; -1 where none does."""
         lists = [seats for seats in (self.members.seats, self.members.former) if seats]
-        return max(-1, min((len(self.heard() & set(seats)) - len(seats) // 2 - 1 for seats in lists), default=-1))
+        return max(
+            -1, min((len(self.heard() & set(seats)) - len(seats) // 2 - 1 for seats in lists), default=-1)
+        )
 
     def learners(self) -> list[str]:
         return sorted(self.heard() - self.members.voters())
@@ -71,8 +76,14 @@
     while waiting:
         answers = await asyncio.gather(*(ask(address) for address in sorted(waiting)))
         asked.update(zip(sorted(waiting), answers, strict=True))
-        ips = {ip for report in asked.values() if isinstance(report, Report)
-               for ip in report.decided.members.ips() | {report.ip}}
+        ips = {
+            ip
+            for report in asked.values()
+            if isinstance(report, Report)
+            for ip in report.decided.members.ips() | {report.ip}
+        }
         waiting = {(ip, port) for ip in ips for port in ports} - set(asked)
-    return Survey({address: report for address, report in asked.items() if isinstance(report, Report)},
-                  {address: why for address, why in asked.items() if isinstance(why, str)})
+    return Survey(
+        {address: report for address, report in asked.items() if isinstance(report, Report)},
+        {address: why for address, why in asked.items() if isinstance(why, str)},
+    )
