--- a/irisdeal/cli/almanac.py
+++ b/irisdeal/cli/almanac.py
@@ -45,8 +45,14 @@
 
 
 SETTINGS = click.option(
-    "--settings", "settings_file", type=click.Path(dir_okay=False), envvar="IRISDEAL_SETTINGS", show_envvar=True,
-    metavar="FILE", help="A core machine's settings.")
+    "--settings",
+    "settings_file",
+    type=click.Path(dir_okay=False),
+    envvar="IRISDEAL_SETTINGS",
+    show_envvar=True,
+    metavar="FILE",
+    help="A core machine's settings.",
+)
 JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
 STORES = click.argument("stores", type=At(), nargs=-1)
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
@@ -126,17 +132,37 @@
     """
     found = _survey(stores, settings_file)
     if as_json:
-        click.echo(json.dumps({
-            "change": found.decided.change, "generation": _generation(found.decided),
-            "list": found.members.number, "quorum": found.has_quorum, "bears": found.can_lose(),
-            "stores": [_plain(found, at) for at in sorted(found.reports)],
-            "silent": {f"{ip}:{port}": why for (ip, port), why in sorted(found.silent.items())}}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "change": found.decided.change,
+                    "generation": _generation(found.decided),
+                    "list": found.members.number,
+                    "quorum": found.has_quorum,
+                    "bears": found.can_lose(),
+                    "stores": [_plain(found, at) for at in sorted(found.reports)],
+                    "silent": {f"{ip}:{port}": why for (ip, port), why in sorted(found.silent.items())},
+                },
+                indent=1,
+            )
+        )
         _end(found)
-    table = _grid("store", "seat", "zone", "counts", "change", "generation", "holds", "list", "ballot", "leaving")
+    table = _grid(
+        "store", "seat", "zone", "counts", "change", "generation", "holds", "list", "ballot", "leaving"
+    )
     for at, report in sorted(found.reports.items()):
-        table.add_row(f"{at[0]}:{at[1]}", report.seat, report.zone, _role(found, report.seat),
-                      str(report.decided.change), _generation(report.decided), _yes(report.holds),
-                      str(report.decided.members.number), str(report.accepted.count), _yes(report.leaving))
+        table.add_row(
+            f"{at[0]}:{at[1]}",
+            report.seat,
+            report.zone,
+            _role(found, report.seat),
+            str(report.decided.change),
+            _generation(report.decided),
+            _yes(report.holds),
+            str(report.decided.members.number),
+            str(report.accepted.count),
+            _yes(report.leaving),
+        )
     _print(table)
     for (ip, port), why in sorted(found.silent.items()):
         click.echo(f"{ip}:{port}: {why}")
@@ -160,10 +186,18 @@
 
 def _plain(survey: Survey, at: Address) -> dict[str, object]:
     report = survey.reports[at]
-    return {"store": f"{at[0]}:{at[1]}", "seat": report.seat, "zone": report.zone,
-            "counts": _role(survey, report.seat), "change": report.decided.change,
-            "generation": _generation(report.decided), "holds": report.holds,
-            "list": report.decided.members.number, "ballot": report.accepted.count, "leaving": report.leaving}
+    return {
+        "store": f"{at[0]}:{at[1]}",
+        "seat": report.seat,
+        "zone": report.zone,
+        "counts": _role(survey, report.seat),
+        "change": report.decided.change,
+        "generation": _generation(report.decided),
+        "holds": report.holds,
+        "list": report.decided.members.number,
+        "ballot": report.accepted.count,
+        "leaving": report.leaving,
+    }
 
 
 @almanac.command()
@@ -181,13 +215,25 @@
     seats = [*sorted(found.members.voters()), *found.learners()]
     heard = found.heard()
     if as_json:
-        click.echo(json.dumps({
-            "list": found.members.number, "settled": not found.members.former, "quorum": found.has_quorum,
-            "bears": found.can_lose(),
-            "seats": [{"seat": seat, "counts": _role(found, seat), "answers": seat in heard} for seat in seats]},
-            indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "list": found.members.number,
+                    "settled": not found.members.former,
+                    "quorum": found.has_quorum,
+                    "bears": found.can_lose(),
+                    "seats": [
+                        {"seat": seat, "counts": _role(found, seat), "answers": seat in heard}
+                        for seat in seats
+                    ],
+                },
+                indent=1,
+            )
+        )
         _end(found)
-    click.echo(f"list {found.members.number}, {'a change is under way' if found.members.former else 'settled'}")
+    click.echo(
+        f"list {found.members.number}, {'a change is under way' if found.members.former else 'settled'}"
+    )
     table = _grid("seat", "counts", "answers")
     for seat in seats:
         table.add_row(seat, _role(found, seat), _yes(seat in heard))
@@ -219,19 +265,37 @@
     """
     disk = _look(folder)
     words = sorted(disk.words.items(), key=lambda item: item[1].stamp, reverse=True)
-    rows = [{"generation": f"r{word.stamp.number}", "stands": disk.standing(word.stamp), "bytes": len(word.body),
-             "digest": word.stamp.digest.hex(), "file": name} for name, word in words]
+    rows = [
+        {
+            "generation": f"r{word.stamp.number}",
+            "stands": disk.standing(word.stamp),
+            "bytes": len(word.body),
+            "digest": word.stamp.digest.hex(),
+            "file": name,
+        }
+        for name, word in words
+    ]
     state = disk.state
     if as_json:
-        told = None if state is None else {
-            "disk": state.disk, "promised": state.kept.promised.count, "ballot": state.kept.accepted.count,
-            "accepted": _value(state.kept.value), "decided": _value(state.decided)}
+        told = (
+            None
+            if state is None
+            else {
+                "disk": state.disk,
+                "promised": state.kept.promised.count,
+                "ballot": state.kept.accepted.count,
+                "accepted": _value(state.kept.value),
+                "decided": _value(state.decided),
+            }
+        )
         click.echo(json.dumps({"kept": told, "versions": rows}, indent=1))
         return
     if state is not None:
         for name, value in (("decided", state.decided), ("accepted", state.kept.value)):
-            click.echo(f"{name}: change {value.change}, {_generation(value)}, list {value.members.number}: "
-                       f"{' '.join(value.members.seats)}")
+            click.echo(
+                f"{name}: change {value.change}, {_generation(value)}, list {value.members.number}: "
+                f"{' '.join(value.members.seats)}"
+            )
     table = _grid("generation", "stands", "bytes", "digest")
     for row in rows:
         table.add_row(str(row["generation"]), str(row["stands"]), str(row["bytes"]), str(row["digest"])[:16])
@@ -239,8 +303,14 @@
 
 
 def _value(value: Value) -> dict[str, object]:
-    return {"change": value.change, "generation": _generation(value), "digest": value.stamp.digest.hex(),
-            "list": value.members.number, "seats": list(value.members.seats), "former": list(value.members.former)}
+    return {
+        "change": value.change,
+        "generation": _generation(value),
+        "digest": value.stamp.digest.hex(),
+        "list": value.members.number,
+        "seats": list(value.members.seats),
+        "former": list(value.members.former),
+    }
 
 
 @almanac.command()
@@ -256,20 +326,36 @@
     disk = _look(folder)
     troubles = check(disk)
     if as_json:
-        click.echo(json.dumps({"versions": len(disk.words), "good": not troubles, "troubles": [
-            {"file": trouble.peer, "detail": trouble.detail} for trouble in troubles]}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "versions": len(disk.words),
+                    "good": not troubles,
+                    "troubles": [{"file": trouble.peer, "detail": trouble.detail} for trouble in troubles],
+                },
+                indent=1,
+            )
+        )
     else:
         for trouble in troubles:
             click.echo(str(trouble))
-        click.echo(f"{len(disk.words)} versions are whole" + (f", {len(troubles)} troubles" if troubles else ""))
+        click.echo(
+            f"{len(disk.words)} versions are whole" + (f", {len(troubles)} troubles" if troubles else "")
+        )
     sys.exit(1 if troubles else 0)
 
 
 @almanac.command()
 @FOLDER
 @click.option("--generation", default=None, metavar="rN", help="Another one than the newest decided.")
-@click.option("--to", "out", type=click.Path(dir_okay=False, path_type=Path), default=None, metavar="FILE",
-              help="Else standard output.")
+@click.option(
+    "--to",
+    "out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    default=None,
+    metavar="FILE",
+    help="Else standard output.",
+)
 @click.option("--json", "as_json", is_flag=True, help="With --to: what was written, for machines.")
 def export(folder: str, generation: str | None, out: Path | None, as_json: bool) -> None:
     """A configuration from a store's folder, byte for byte as the operator sent it.
@@ -287,8 +373,12 @@
     if word is None:
         click.echo(f"irisdeal: {generation or 'a decided configuration'} is not in {folder}", err=True)
         sys.exit(1)
-    told = {"generation": f"r{word.stamp.number}", "stands": disk.standing(word.stamp), "bytes": len(word.body),
-            "digest": word.stamp.digest.hex()}
+    told = {
+        "generation": f"r{word.stamp.number}",
+        "stands": disk.standing(word.stamp),
+        "bytes": len(word.body),
+        "digest": word.stamp.digest.hex(),
+    }
     if out is None:
         click.echo(word.body, nl=False)
     else:
@@ -296,14 +386,22 @@
             out.write_bytes(word.body)
         except OSError as error:
             raise Unusable(f"--to {out}: {error.strerror}") from None
-        click.echo(json.dumps(told, indent=1) if as_json else f"{told['generation']}, {told['stands']}, "
-                   f"{told['bytes']} bytes")
+        click.echo(
+            json.dumps(told, indent=1)
+            if as_json
+            else f"{told['generation']}, {told['stands']}, {told['bytes']} bytes"
+        )
 
 
 @almanac.command()
 @SETTINGS
-@click.option("--yes-lose", "given", multiple=True, metavar="NAME",
-              help="A machine or generation that may be given up; again for each.")
+@click.option(
+    "--yes-lose",
+    "given",
+    multiple=True,
+    metavar="NAME",
+    help="A machine or generation that may be given up; again for each.",
+)
 @click.option("--dry-run", is_flag=True, help="Say what would be done, and change nothing.")
 @JSON
 def adopt(settings_file: str | None, given: tuple[str, ...], dry_run: bool, as_json: bool) -> None:
@@ -337,14 +435,25 @@
             raise Unusable(f"{settings.data_path}: {error.strerror or error}") from None
         tell(229, seats=" ".join(planned.state.decided.members.seats), base=planned.base.change)
     if as_json:
-        click.echo(json.dumps({
-            "done": not refused and not dry_run, "refused": refused, "begins_from": _value(planned.base),
-            "becomes": _value(planned.state.decided), "gives_up": [*planned.machines, *planned.others]}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "done": not refused and not dry_run,
+                    "refused": refused,
+                    "begins_from": _value(planned.base),
+                    "becomes": _value(planned.state.decided),
+                    "gives_up": [*planned.machines, *planned.others],
+                },
+                indent=1,
+            )
+        )
     else:
         for why in refused:
             click.echo(f"irisdeal: refused: {why}", err=True)
         if not refused:
-            click.echo(f"{'would be' if dry_run else 'is'} list {planned.state.decided.members.number}: "
-                       f"{planned.state.decided.members.seats[0]} from change {planned.base.change}, "
-                       f"{_generation(planned.base)}")
+            click.echo(
+                f"{'would be' if dry_run else 'is'} list {planned.state.decided.members.number}: "
+                f"{planned.state.decided.members.seats[0]} from change {planned.base.change}, "
+                f"{_generation(planned.base)}"
+            )
     sys.exit(1 if refused else 0)
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -66,26 +66,68 @@
 
 
 @main.command()
-@click.option("--scenario", "name", default="calm", metavar="NAME|FILE", show_default=True,
-              help="A built-in scenario, or a TOML file.")
+@click.option(
+    "--scenario",
+    "name",
+    default="calm",
+    metavar="NAME|FILE",
+    show_default=True,
+    help="A built-in scenario, or a TOML file.",
+)
 @click.option("--doors", type=click.IntRange(1, 64), default=None, help="In place of the scenario's.")
-@click.option("--seconds", type=click.FloatRange(0.5, 3600), default=None,
-              help="In place of the scenario's; its timeline moves along.")
-@click.option("--seed", type=click.IntRange(0), default=None,
-              help="The same seed draws the same day.  [default: the scenario's, mostly 1]")
-@click.option("--json", "out", type=click.Path(dir_okay=False, path_type=Path), default=None, metavar="FILE",
-              help="Also write the figures to a file; - for standard output in place of the tables.")
-@click.option("--deploy", "deploy_file", type=click.Path(dir_okay=False, path_type=Path), default=None,
-              metavar="FILE",
-              help="Whose run line starts the doors; else deploy/balancer.toml here or above.")
-@click.option("--stores", type=click.IntRange(0, 10_000), default=5, show_default=True,
-              help="How many of the stores furthest over their quotas to show; --json has all.")
-@click.option("--reports", type=click.Path(file_okay=False, exists=True, path_type=Path), default=None,
-              metavar="DIR", help="Where the doors make the sockets of their reports, for `irisdeal queues`.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0.5, 3600),
+    default=None,
+    help="In place of the scenario's; its timeline moves along.",
+)
+@click.option(
+    "--seed",
+    type=click.IntRange(0),
+    default=None,
+    help="The same seed draws the same day.  [default: the scenario's, mostly 1]",
+)
+@click.option(
+    "--json",
+    "out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    default=None,
+    metavar="FILE",
+    help="Also write the figures to a file; - for standard output in place of the tables.",
+)
+@click.option(
+    "--deploy",
+    "deploy_file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    default=None,
+    metavar="FILE",
+    help="Whose run line starts the doors; else deploy/balancer.toml here or above.",
+)
+@click.option(
+    "--stores",
+    type=click.IntRange(0, 10_000),
+    default=5,
+    show_default=True,
+    help="How many of the stores furthest over their quotas to show; --json has all.",
+)
+@click.option(
+    "--reports",
+    type=click.Path(file_okay=False, exists=True, path_type=Path),
+    default=None,
+    metavar="DIR",
+    help="Where the doors make the sockets of their reports, for `irisdeal queues`.",
+)
 @click.option("--list", "list_them", is_flag=True, help="List the built-in scenarios and end.")
 def demo(
-    name: str, doors: int | None, seconds: float | None, seed: int | None, out: Path | None,
-    deploy_file: Path | None, stores: int, reports: Path | None, list_them: bool,
+    name: str,
+    doors: int | None,
+    seconds: float | None,
+    seed: int | None,
+    out: Path | None,
+    deploy_file: Path | None,
+    stores: int,
+    reports: Path | None,
+    list_them: bool,
 ) -> None:
     """Play a day: stand-ins on loopback, real doors as processes, and the five rules judged.
 
@@ -149,12 +191,24 @@
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, interrupted)
         console = Console(stderr=True)
-        with Progress(TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed:.0f} of "
-                      "{task.total:.0f} s"), TimeElapsedColumn(), console=console, disable=quiet,
-                      transient=True) as bar:
+        with Progress(
+            TextColumn("{task.description}"),
+            BarColumn(),
+            TextColumn("{task.completed:.0f} of {task.total:.0f} s"),
+            TimeElapsedColumn(),
+            console=console,
+            disable=quiet,
+            transient=True,
+        ) as bar:
             shown = bar.add_task(day.scenario.name, total=day.scenario.seconds)
-            return await play(day, deploy, lambda s: bar.update(shown, completed=s), stop, started,
-                              reports and reports.absolute())
+            return await play(
+                day,
+                deploy,
+                lambda s: bar.update(shown, completed=s),
+                stop,
+                started,
+                reports and reports.absolute(),
+            )
 
     try:
         return uvloop.run(run())
--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -35,14 +35,31 @@
 @queues.command()
 @click.argument("sockets", type=click.Path(path_type=Path), nargs=-1, required=True)
 @click.option("--count", type=click.IntRange(1, 500), default=20, show_default=True, help="How many stores.")
-@click.option("--every", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, metavar="SECONDS",
-              help="Between two looks.")
-@click.option("--for", "seconds", type=click.FloatRange(0), default=None, metavar="SECONDS",
-              help="End after that; else it goes on until Ctrl-C.")
+@click.option(
+    "--every",
+    type=click.FloatRange(0.1, 60),
+    default=1.0,
+    show_default=True,
+    metavar="SECONDS",
+    help="Between two looks.",
+)
+@click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(0),
+    default=None,
+    metavar="SECONDS",
+    help="End after that; else it goes on until Ctrl-C.",
+)
 @click.option("--once", is_flag=True, help="One look, then end.")
 @click.option("--json", "as_json", is_flag=True, help="For machines: one look as JSON.")
 def top(
-    sockets: tuple[Path, ...], count: int, every: float, seconds: float | None, once: bool, as_json: bool,
+    sockets: tuple[Path, ...],
+    count: int,
+    every: float,
+    seconds: float | None,
+    once: bool,
+    as_json: bool,
 ) -> None:
     """The stores that ask most, over all doors named: what they got, how long they waited, who heeds advice.
 
@@ -66,7 +83,11 @@
 
 
 def _follow(
-    sockets: tuple[Path, ...], answers: dict[Path, Answer], count: int, every: float, seconds: float | None,
+    sockets: tuple[Path, ...],
+    answers: dict[Path, Answer],
+    count: int,
+    every: float,
+    seconds: float | None,
 ) -> dict[Path, Answer]:
     ends = None if seconds is None else time.monotonic() + seconds
     with Live(_tables(answers, count), auto_refresh=False) as live:
@@ -103,7 +124,8 @@
     return {
         "doors": [asdict(door) for door, _ in reports],
         "silent": {str(path): why for path, why in answers.items() if isinstance(why, str)},
-        "stores": [{**asdict(row), "wait": row.mean_wait} for row in merge(reports, count)]}
+        "stores": [{**asdict(row), "wait": row.mean_wait} for row in merge(reports, count)],
+    }
 
 
 def _table(title: str) -> Table:
@@ -112,21 +134,48 @@
 
 def _tables(answers: dict[Path, Answer], count: int) -> RenderableType:
     doors = _table("Doors")
-    for name in ("door", "waiting", "KiB", "queues", "given way", "out", "window", "asked", "sent",
-                 "refused"):
+    for name in (
+        "door",
+        "waiting",
+        "KiB",
+        "queues",
+        "given way",
+        "out",
+        "window",
+        "asked",
+        "sent",
+        "refused",
+    ):
         doors.add_column(name, justify="left" if name == "door" else "right", no_wrap=True)
     reports = _reports(answers)
     for door, _ in sorted(reports, key=lambda report: report[0].name):
-        doors.add_row(door.name, str(door.queued), f"{door.bytes / 1024:.0f}", str(door.queues),
-                      str(door.given_way), str(door.out), f"{door.window:.0f}", str(door.asked),
-                      str(door.sent), str(door.refused))
+        doors.add_row(
+            door.name,
+            str(door.queued),
+            f"{door.bytes / 1024:.0f}",
+            str(door.queues),
+            str(door.given_way),
+            str(door.out),
+            f"{door.window:.0f}",
+            str(door.asked),
+            str(door.sent),
+            str(door.refused),
+        )
     silent = [Text(f"{path}: {why}", style="red") for path, why in answers.items() if isinstance(why, str)]
     stores = _table("Stores that lately ask most, over these doors; waits in ms")
     for name in ("store", "plan", "share", "asked", "sent", "refused", "wait", "longest", "advice", "doors"):
         stores.add_column(name, justify="left" if name in ("store", "plan") else "right", no_wrap=True)
     for row in merge(reports, count):
         stores.add_row(
-            row.customer.lstrip("0") or "0", row.plan, f"{100 * row.share:.1f}%", str(row.asked),
-            str(row.sent), str(row.refused), "-" if row.mean_wait is None else f"{row.mean_wait:.1f}",
-            f"{row.longest:.0f}", f"{row.heeded}/{row.heeded + row.ignored}", str(len(row.doors)))
+            row.customer.lstrip("0") or "0",
+            row.plan,
+            f"{100 * row.share:.1f}%",
+            str(row.asked),
+            str(row.sent),
+            str(row.refused),
+            "-" if row.mean_wait is None else f"{row.mean_wait:.1f}",
+            f"{row.longest:.0f}",
+            f"{row.heeded}/{row.heeded + row.ignored}",
+            str(len(row.doors)),
+        )
     return Group(doors, *silent, "", stores)
--- a/irisdeal/cli/routes.py
+++ b/irisdeal/cli/routes.py
@@ -49,8 +49,11 @@
         click.echo(f"irisdeal: {description.errors[0].line()}", err=True)
         sys.exit(1)
     try:
-        return build(description.routes, allow_weaken="weaken" in description.allow,
-                     allow_remove="remove" in description.allow)
+        return build(
+            description.routes,
+            allow_weaken="weaken" in description.allow,
+            allow_remove="remove" in description.allow,
+        )
     except TooMany as error:
         click.echo(f"irisdeal: {file}: {error}", err=True)
         sys.exit(1)
@@ -59,14 +62,24 @@
 def _as_json(route: Route) -> dict[str, Any]:
     rule = route.rule
     return {
-        "method": route.method, "path": route.template, "class": rule.name,
+        "method": route.method,
+        "path": route.template,
+        "class": rule.name,
         "repeat": rule.repeat.name.lower(),
         "keyed": {"header": rule.key_header, "group": rule.group, "window_ms": rule.window / 1000}
-        if rule.repeat.name == "KEYED" else None,
-        "units": route.units.text(), "aim_ms": rule.aim / 1000, "deadline_ms": rule.deadline / 1000,
-        "worth": rule.worth, "late_worth": rule.late_worth, "customer": route.customer.text(),
-        "plan": route.plan.text(), "operation": route.operation or None, "pointer": route.pointer,
-        "deprecated": route.deprecated}
+        if rule.repeat.name == "KEYED"
+        else None,
+        "units": route.units.text(),
+        "aim_ms": rule.aim / 1000,
+        "deadline_ms": rule.deadline / 1000,
+        "worth": rule.worth,
+        "late_worth": rule.late_worth,
+        "customer": route.customer.text(),
+        "plan": route.plan.text(),
+        "operation": route.operation or None,
+        "pointer": route.pointer,
+        "deprecated": route.deprecated,
+    }
 
 
 @click.group()
@@ -89,20 +102,34 @@
     Example: irisdeal routes check refund.yaml --json
     """
     description = _read(file)
-    problems = [{"file": p.file, "pointer": p.pointer, "text": p.text,
-                 "level": "error" if p.error else "warning"} for p in description.problems]
+    problems = [
+        {"file": p.file, "pointer": p.pointer, "text": p.text, "level": "error" if p.error else "warning"}
+        for p in description.problems
+    ]
     if schema and not description.errors:
         problems += _validated(file)
     failed = any(problem["level"] == "error" for problem in problems)
     if as_json:
-        click.echo(json.dumps({"file": str(file), "version": description.version, "paths": description.paths,
-                               "operations": description.operations, "problems": problems}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "file": str(file),
+                    "version": description.version,
+                    "paths": description.paths,
+                    "operations": description.operations,
+                    "problems": problems,
+                },
+                indent=1,
+            )
+        )
     else:
         for problem in problems:
             click.echo(f"{problem['level']}: {problem['file']}: {problem['pointer']}: {problem['text']}")
-        click.echo(f"{file}: {description.paths} paths, {description.operations} operations, "
-                   f"{sum(p['level'] == 'error' for p in problems)} errors, "
-                   f"{sum(p['level'] == 'warning' for p in problems)} warnings")
+        click.echo(
+            f"{file}: {description.paths} paths, {description.operations} operations, "
+            f"{sum(p['level'] == 'error' for p in problems)} errors, "
+            f"{sum(p['level'] == 'warning' for p in problems)} warnings"
+        )
     sys.exit(1 if failed else 0)
 
 
@@ -122,9 +149,16 @@
     try:
         for wrong in made(value, base_uri=file.absolute().as_uri()).iter_errors():
             pointer = "#" + "".join(
-                "/" + str(p).replace("~", "~0").replace("/", "~1") for p in wrong.absolute_path)
-            found.append({"file": str(file), "pointer": pointer, "level": "error",
-                          "text": " ".join(str(wrong.message).split())[:300]})
+                "/" + str(p).replace("~", "~0").replace("/", "~1") for p in wrong.absolute_path
+            )
+            found.append(
+                {
+                    "file": str(file),
+                    "pointer": pointer,
+                    "level": "error",
+                    "text": " ".join(str(wrong.message).split())[:300],
+                }
+            )
     except Exception as error:  # the validator's own trouble with a reference, say, is told and not hidden
         text = f"cannot be validated: {type(error).__name__}: {' '.join(str(error).split())[:200]}"
         found.append({"file": str(file), "pointer": "#", "level": "error", "text": text})
@@ -141,16 +175,27 @@
     """
     table = _table(file)
     if as_json:
-        click.echo(json.dumps({"digest": table.digest, "routes": [
-            _as_json(route) for route in table.routes.values()]}, indent=1))
+        click.echo(
+            json.dumps(
+                {"digest": table.digest, "routes": [_as_json(route) for route in table.routes.values()]},
+                indent=1,
+            )
+        )
         return
     grid = Grid(title=f"{file}: {len(table.routes)} routes, digest {table.digest}", title_justify="left")
     for name in ("method", "path", "class", "repeat", "units", "aim ms", "deadline ms"):
         grid.add_column(name, overflow="fold")
     for route in table.routes.values():
         told = _as_json(route)
-        grid.add_row(route.method, route.template, told["class"], told["repeat"], told["units"],
-                     f"{told['aim_ms']:g}", f"{told['deadline_ms']:g}")
+        grid.add_row(
+            route.method,
+            route.template,
+            told["class"],
+            told["repeat"],
+            told["units"],
+            f"{told['aim_ms']:g}",
+            f"{told['deadline_ms']:g}",
+        )
     Console().print(grid)
 
 
@@ -186,8 +231,10 @@
         click.echo(json.dumps(told, indent=1))
     elif told["status"] is None:
         route = told["route"]
-        click.echo(f"{route['method']} {route['path']}: class {route['class']}, {route['repeat']}, units "
-                   f"{told.get('units', route['units'])}")
+        click.echo(
+            f"{route['method']} {route['path']}: class {route['class']}, {route['repeat']}, units "
+            f"{told.get('units', route['units'])}"
+        )
         for name, value in told["parameters"].items():
             click.echo(f"  {name} = {value}")
     else:
@@ -210,9 +257,20 @@
     one, other = _table(old), _table(new)
     changes, reason = difference(one, other), refusal(one, other)
     if as_json:
-        click.echo(json.dumps({"old": one.digest, "new": other.digest, "refused": reason, "changes": [
-            {"what": c.what, "method": c.method, "path": c.template, "old": c.old, "new": c.new}
-            for c in changes]}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "old": one.digest,
+                    "new": other.digest,
+                    "refused": reason,
+                    "changes": [
+                        {"what": c.what, "method": c.method, "path": c.template, "old": c.old, "new": c.new}
+                        for c in changes
+                    ],
+                },
+                indent=1,
+            )
+        )
     else:
         for change in changes:
             click.echo(change.text())
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -61,8 +61,11 @@
 
 def find_deploy(start: Path, path: Path | None = None) -> Deploy:
     """`deploy/balancer.toml` in a folder or above it; without one, this interpreter's own `-m irisdeal`."""
-    candidates = [path] if path is not None else [
-        folder / "deploy" / "balancer.toml" for folder in (start, *start.parents)]
+    candidates = (
+        [path]
+        if path is not None
+        else [folder / "deploy" / "balancer.toml" for folder in (start, *start.parents)]
+    )
     for candidate in candidates:
         if candidate.is_file():
             try:
@@ -83,7 +86,8 @@
     if not deploy.build:
         return
     made = await asyncio.create_subprocess_shell(
-        deploy.build, cwd=deploy.root, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        deploy.build, cwd=deploy.root, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT
+    )
     text, _ = await made.communicate()
     if made.returncode:
         raise CannotRun(f"the build line failed: {text.decode('utf-8', 'replace').strip()[-400:]}")
@@ -162,17 +166,26 @@
         self.sampler = asyncio.get_running_loop().create_task(self._sample())
 
     async def _start(self, door: _Door) -> None:
-        self.platform.write_config(
-            door.number, door.listen, self.random.getrandbits(63), door.config)
+        self.platform.write_config(door.number, door.listen, self.random.getrandbits(63), door.config)
         environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         environment |= {
-            "EDGE_NAME": f"n{door.number}", "EDGE_LISTEN": door.listen,
+            "EDGE_NAME": f"n{door.number}",
+            "EDGE_LISTEN": door.listen,
             "EDGE_DISCOVERY": self.platform.discovery(door.number),
-            "EDGE_CONFIG": str(door.config), "TMPDIR": str(self.folder)}
+            "EDGE_CONFIG": str(door.config),
+            "TMPDIR": str(self.folder),
+        }
         door.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", self.deploy.run, cwd=self.deploy.root, env=environment, start_new_session=True,
-            stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT)
+            "/bin/sh",
+            "-c",
+            self.deploy.run,
+            cwd=self.deploy.root,
+            env=environment,
+            start_new_session=True,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
         door.life = DoorLife(door.number, door.process.pid, self.platform.now())
         door.wanted = True
         door.uses.append(Use())
@@ -187,8 +200,10 @@
                     if door.process.returncode is not None:
                         await asyncio.sleep(POLL)
                         last = bytes(door.log[-400:]).decode("utf-8", "replace").strip()
-                        raise CannotRun(f"door {door.number} ended at its start with exit code "
-                                        f"{door.process.returncode}: {last}")
+                        raise CannotRun(
+                            f"door {door.number} ended at its start with exit code "
+                            f"{door.process.returncode}: {last}"
+                        )
                     await asyncio.sleep(POLL)
         except TimeoutError:
             raise CannotRun(f"door {door.number} was not ready after {READY_WITHIN:g} s") from None
@@ -225,7 +240,8 @@
             self.crashes.append(f"door {door.number} ended by itself with exit code {code}: {last[0][:200]}")
         if self.terminals is not None:
             asyncio.get_running_loop().call_later(
-                self.platform.scenario.load.notice_s, self._noticed, door, process)
+                self.platform.scenario.load.notice_s, self._noticed, door, process
+            )
 
     def _noticed(self, door: _Door, process: asyncio.subprocess.Process) -> None:
         """The front leaves a dead door out, unless another process stands there by now."""
--- a/irisdeal/demo/report.py
+++ b/irisdeal/demo/report.py
@@ -18,41 +18,82 @@
     service, day, verdict = outcome.service, outcome.day, outcome.verdict
     requests = _requests(outcome)
     return {
-        "version": VERSION, "scenario": day.scenario.name, "seed": day.seed, "schedule": day.digest(),
-        "doors": day.scenario.doors, "boxes": day.scenario.fleet.boxes, "seconds": day.scenario.seconds,
+        "version": VERSION,
+        "scenario": day.scenario.name,
+        "seed": day.seed,
+        "schedule": day.digest(),
+        "doors": day.scenario.doors,
+        "boxes": day.scenario.fleet.boxes,
+        "seconds": day.scenario.seconds,
         "interrupted_after": outcome.interrupted,
         "service": {
             "by_capacity_alone": outcome.reference,
-            "whole": service.whole.share, "worst_10s": service.worst, "worst_10s_at": service.worst_at,
+            "whole": service.whole.share,
+            "worst_10s": service.worst,
+            "worst_10s_at": service.worst_at,
             "by_class": {name: share.share for name, share in service.kinds.items()},
             "by_plan": {name: share.share for name, share in service.plans.items()},
-            "beyond_quota": service.beyond_units, "inside_per_s": service.inside_per_s,
-            "first_tries": service.first_tries, "tries": service.tries, "attempts": service.attempts,
-            "refused": service.refused, "failed": service.failed,
-            "p50_ms": service.percentile(0.5), "p99_ms": service.percentile(0.99)},
+            "beyond_quota": service.beyond_units,
+            "inside_per_s": service.inside_per_s,
+            "first_tries": service.first_tries,
+            "tries": service.tries,
+            "attempts": service.attempts,
+            "refused": service.refused,
+            "failed": service.failed,
+            "p50_ms": service.percentile(0.5),
+            "p99_ms": service.percentile(0.99),
+        },
         "doors_used": [
-            {"door": n, "pids": [life.pid for life in outcome.books.doors if life.door == n],
-             "requests": requests[n],
-             "cpu_us_per_request": round(use.cpu / requests[n]) if use.cpu and requests[n] else None,
-             "memory_bytes": use.memory, "descriptors": use.files} for n, use in enumerate(outcome.uses)],
+            {
+                "door": n,
+                "pids": [life.pid for life in outcome.books.doors if life.door == n],
+                "requests": requests[n],
+                "cpu_us_per_request": round(use.cpu / requests[n]) if use.cpu and requests[n] else None,
+                "memory_bytes": use.memory,
+                "descriptors": use.files,
+            }
+            for n, use in enumerate(outcome.uses)
+        ],
         "stores": [
-            {"plan": use.plan, "customer": f"{use.customer:016x}", "units_sent": use.sent,
-             "units_allowed": use.allowed, "overshoot_units": use.overshoot,
-             "worst_at": (use.worst_at - outcome.start) / 1e6 if use.worst_at else None, "doors": use.doors}
-            for use in outcome.stores],
+            {
+                "plan": use.plan,
+                "customer": f"{use.customer:016x}",
+                "units_sent": use.sent,
+                "units_allowed": use.allowed,
+                "overshoot_units": use.overshoot,
+                "worst_at": (use.worst_at - outcome.start) / 1e6 if use.worst_at else None,
+                "doors": use.doors,
+            }
+            for use in outcome.stores
+        ],
         "by_manner": {
-            name: {"stores": use.stores, "asks": use.asks, "inside": use.inside,
-                   "inside_unserved": use.unserved, "inside_late": use.late,
-                   "p50_ms": use.percentile(0.5), "p99_ms": use.percentile(0.99)}
-            for name, use in outcome.manners.items()},
+            name: {
+                "stores": use.stores,
+                "asks": use.asks,
+                "inside": use.inside,
+                "inside_unserved": use.unserved,
+                "inside_late": use.late,
+                "p50_ms": use.percentile(0.5),
+                "p99_ms": use.percentile(0.99),
+            }
+            for name, use in outcome.manners.items()
+        },
         "keeper_calls": outcome.keeper_calls,
-        "standins": {"cpu_s": outcome.own_cpu / 1e6, "late_ms": outcome.lateness / 1000,
-                     "late_at_start_or_end_ms": outcome.books.lateness / 1000},
+        "standins": {
+            "cpu_s": outcome.own_cpu / 1e6,
+            "late_ms": outcome.lateness / 1000,
+            "late_at_start_or_end_ms": outcome.books.lateness / 1000,
+        },
         "faults": [{"at": (at - outcome.start) / 1e6, "what": text} for at, text in outcome.books.faults],
         "crashes": outcome.crashes,
         "rules": {
-            rule.name.lower(): {"kept": not verdict.counts[rule], "breaches": verdict.counts[rule],
-                                "looked_at": verdict.looked[rule]} for rule in Rule},
+            rule.name.lower(): {
+                "kept": not verdict.counts[rule],
+                "breaches": verdict.counts[rule],
+                "looked_at": verdict.looked[rule],
+            }
+            for rule in Rule
+        },
         "strangers": outcome.books.strangers,
         "excused": verdict.excused,
         "breaches": [breach.text(outcome.start) for breach in verdict.breaches],
@@ -75,12 +116,22 @@
         console.print(f"[bold]Interrupted after {outcome.interrupted:.1f} s.[/] What was measured till then:")
     console.print(
         f"[bold]{scenario.name}[/]: {scenario.doors} doors, {scenario.fleet.boxes} boxes, "
-        f"{scenario.seconds:g} s, seed {outcome.day.seed} (schedule {told['schedule']})")
+        f"{scenario.seconds:g} s, seed {outcome.day.seed} (schedule {told['schedule']})"
+    )
     table = Table(title="Worth answered in time, of the worth asked inside the quotas", title_justify="left")
     for name in ("whole", "worst 10 s", *service["by_class"], *service["by_plan"]):
         table.add_column(name, justify="right")
-    table.add_row(*(f"{value:.3f}" for value in (
-        service["whole"], service["worst_10s"], *service["by_class"].values(), *service["by_plan"].values())))
+    table.add_row(
+        *(
+            f"{value:.3f}"
+            for value in (
+                service["whole"],
+                service["worst_10s"],
+                *service["by_class"].values(),
+                *service["by_plan"].values(),
+            )
+        )
+    )
     console.print(table)
     console.print(f"The boxes' capacity alone would allow {service['by_capacity_alone']:.3f} of it.")
     console.print(
@@ -88,15 +139,27 @@
         f"{100 * service['beyond_quota']:.1f}% of the units.\n"
         f"{service['first_tries']} first tries, {service['tries']} tries, {service['attempts']} attempts; "
         f"{service['refused']} refused, {service['failed']} failed; served in {service['p50_ms']:.0f} ms "
-        f"(median), {service['p99_ms']:.0f} ms (99th percentile).")
+        f"(median), {service['p99_ms']:.0f} ms (99th percentile)."
+    )
     table = Table(title="By how stores ask, over all tries of an ask", title_justify="left")
-    for name in ("stores that are", "count", "asks", "inside quota", "of them unserved", "late", "p50 ms",
-                 "p99 ms"):
+    for name in (
+        "stores that are",
+        "count",
+        "asks",
+        "inside quota",
+        "of them unserved",
+        "late",
+        "p50 ms",
+        "p99 ms",
+    ):
         table.add_column(name, justify="left" if name == "stores that are" else "right")
     for name, use in told["by_manner"].items():
-        table.add_row(name, *(str(use[key]) for key in (
-            "stores", "asks", "inside", "inside_unserved", "inside_late")),
-            f"{use['p50_ms']:.0f}", f"{use['p99_ms']:.0f}")
+        table.add_row(
+            name,
+            *(str(use[key]) for key in ("stores", "asks", "inside", "inside_unserved", "inside_late")),
+            f"{use['p50_ms']:.0f}",
+            f"{use['p99_ms']:.0f}",
+        )
     console.print(table)
     table = Table(title="Doors", title_justify="left")
     for name in ("door", "requests", "CPU µs a request", "memory MB", "descriptors"):
@@ -104,8 +167,12 @@
     for use in told["doors_used"]:
         memory = use["memory_bytes"]
         table.add_row(
-            str(use["door"]), str(use["requests"]), _or_dash(use["cpu_us_per_request"]),
-            _or_dash(None if memory is None else f"{memory / 1e6:.0f}"), _or_dash(use["descriptors"]))
+            str(use["door"]),
+            str(use["requests"]),
+            _or_dash(use["cpu_us_per_request"]),
+            _or_dash(None if memory is None else f"{memory / 1e6:.0f}"),
+            _or_dash(use["descriptors"]),
+        )
     console.print(table)
     if stores:
         over = sum(use.overshoot > 0 for use in outcome.stores)
@@ -115,8 +182,15 @@
             table.add_column(name, justify="left" if name in ("store", "plan") else "right")
         for use in outcome.stores[:stores]:
             at = f"{(use.worst_at - outcome.start) / 1e6:.1f}" if use.worst_at else "-"
-            table.add_row(f"{use.customer:09x}", use.plan, f"{use.sent:g}", f"{use.allowed:.0f}",
-                          f"{use.overshoot:.1f}", at, str(use.doors))
+            table.add_row(
+                f"{use.customer:09x}",
+                use.plan,
+                f"{use.sent:g}",
+                f"{use.allowed:.0f}",
+                f"{use.overshoot:.1f}",
+                at,
+                str(use.doors),
+            )
         console.print(table)
     for fault in told["faults"]:
         console.print(f"{fault['at']:7.2f} s  {fault['what']}")
@@ -128,8 +202,12 @@
         table.add_column(name, justify=side)  # type: ignore[arg-type]
     for rule in Rule:
         judged = told["rules"][rule.name.lower()]
-        table.add_row(rule.value, "[green]kept[/]" if judged["kept"] else "[bold red]BROKEN[/]",
-                      str(judged["breaches"]), str(judged["looked_at"]))
+        table.add_row(
+            rule.value,
+            "[green]kept[/]" if judged["kept"] else "[bold red]BROKEN[/]",
+            str(judged["breaches"]),
+            str(judged["looked_at"]),
+        )
     console.print(table)
     if told["excused"]:
         console.print(f"{told['excused']} tries were with a door when it was killed: the client's to retry.")
@@ -137,8 +215,10 @@
         console.print(f"[red]{text}[/]", highlight=False)
     if told["standins"]["late_ms"] > 50:
         late = told["standins"]["late_ms"]
-        console.print(f"The stand-ins ran up to {late:.0f} ms late, so this machine is busy; the rules' time "
-                      "limits were taken longer where that fell into them.")
+        console.print(
+            f"The stand-ins ran up to {late:.0f} ms late, so this machine is busy; the rules' time "
+            "limits were taken longer where that fell into them."
+        )
 
 
 def _or_dash(value: object) -> str:
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -53,8 +53,11 @@
 
 
 async def play(
-    day: Day, deploy: Deploy, progress: Callable[[float], None] = lambda _: None,
-    interrupted: asyncio.Event | None = None, started: Callable[[list[int]], None] = lambda _: None,
+    day: Day,
+    deploy: Deploy,
+    progress: Callable[[float], None] = lambda _: None,
+    interrupted: asyncio.Event | None = None,
+    started: Callable[[list[int]], None] = lambda _: None,
     reports: Path | None = None,
 ) -> Outcome:
     """Play a day with real doors. Ends early, in good order, once `interrupted` is set.
@@ -78,8 +81,11 @@
     with make_folder() as folder:
         doors = DoorProcesses(platform, deploy, Path(folder), day.seed)
         parts = day.scenario.load.processes
-        terminals = Terminals(day, platform.books, platform.now, doors.addresses) if parts == 1 else Crowd(
-            day, platform.books, platform.clock, doors.addresses, parts)
+        terminals = (
+            Terminals(day, platform.books, platform.now, doors.addresses)
+            if parts == 1
+            else Crowd(day, platform.books, platform.clock, doors.addresses, parts)
+        )
         doors.terminals = terminals
         cut: float | None = None
         try:
@@ -115,8 +121,17 @@
     scenario = day.scenario if cut is None else day.scenario.resized(seconds=max(0.5, cut))
     own = round((after.user + after.system - before.user - before.system) * 1e6)
     return Outcome(
-        day, platform.books, audit(platform.books, platform.figures), reckon(platform.books, scenario, start),
-        [doors.use(d) for d in platform.doors], own, start, doors.crashes, cut, platform.keeper.calls,
+        day,
+        platform.books,
+        audit(platform.books, platform.figures),
+        reckon(platform.books, scenario, start),
+        [doors.use(d) for d in platform.doors],
+        own,
+        start,
+        doors.crashes,
+        cut,
+        platform.keeper.calls,
         reference(platform.books, scenario, start),
         stores(platform.books, scenario),
-        manners(platform.books, scenario, {s.customer: s.manner for s in day.stores}, start))
+        manners(platform.books, scenario, {s.customer: s.manner for s in day.stores}, start),
+    )
--- a/irisdeal/door/backends.py
+++ b/irisdeal/door/backends.py
@@ -37,8 +37,14 @@
 # The most of each figure that a backend can mean; beyond it is noise.
 MOST_LOAD = {"in_hand": 10_000.0, "waiting": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
 TOLD_LOAD = {  # the names of load figures, as in the settings and as plain words
-    **COLUMNS, "inflight": "in_hand", "queue": "waiting", "util": "busy", "latency_ms": "service_ms",
-    "qps": "served_per_s", "eps": "errors_per_s"}
+    **COLUMNS,
+    "inflight": "in_hand",
+    "queue": "waiting",
+    "util": "busy",
+    "latency_ms": "service_ms",
+    "qps": "served_per_s",
+    "eps": "errors_per_s",
+}
 
 
 class Outlet(Protocol):
@@ -103,11 +109,29 @@
 class Attempt:
     """One attempt of a request, out until `finish`."""
 
-    __slots__ = ("address", "bodiless", "body", "connection", "done", "number", "on_end", "on_stream",
-                 "payload", "request", "sent", "server", "timer", "took")
+    __slots__ = (
+        "address",
+        "bodiless",
+        "body",
+        "connection",
+        "done",
+        "number",
+        "on_end",
+        "on_stream",
+        "payload",
+        "request",
+        "sent",
+        "server",
+        "timer",
+        "took",
+    )
 
     def __init__(
-        self, request: Any, number: int, server: bytes, sent: int,
+        self,
+        request: Any,
+        number: int,
+        server: bytes,
+        sent: int,
         on_end: Callable[[Attempt, Result, Answer | None], None],
     ) -> None:
         self.request, self.number, self.server, self.sent, self.on_end = request, number, server, sent, on_end
@@ -470,7 +494,11 @@
     """The connections to all backends, bounded in number."""
 
     def __init__(
-        self, config: Config, most: int, loop: asyncio.AbstractEventLoop, host: Host | None = None,
+        self,
+        config: Config,
+        most: int,
+        loop: asyncio.AbstractEventLoop,
+        host: Host | None = None,
     ) -> None:
         self.host = host or Host()
         self.loop, self.most, self.rest_time, self.stall_time = loop, most, REST, STALLED
--- a/irisdeal/door/clients.py
+++ b/irisdeal/door/clients.py
@@ -46,15 +46,36 @@
 LINGER = 1.0  # s that a client may take to read why its connection ends
 SWEEP = 0.25  # s
 # Headers that speak of one connection, or that are written anew.
-NOT_FORWARDED = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"content-length", b"expect", b"x-expires-in"))
+NOT_FORWARDED = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+        b"x-expires-in",
+    )
+)
 FRAMING = (b"content-length", b"transfer-encoding")
 # What a Connection field may name beside fields of its own hop (RFC 9110, 7.6.1).
 CONNECTION_OPTIONS = frozenset((b"close", b"keep-alive", b"te", b"trailer", b"upgrade", b"http2-settings"))
-SINGLE = frozenset((
-    b"x-trace-id", b"x-qos", b"plan", b"account", b"x-expires-in", b"idempotency-key", b"quota-info",
-    b"x-second-try", b"host"))
+SINGLE = frozenset(
+    (
+        b"x-trace-id",
+        b"x-qos",
+        b"plan",
+        b"account",
+        b"x-expires-in",
+        b"idempotency-key",
+        b"quota-info",
+        b"x-second-try",
+        b"host",
+    )
+)
 ALIASED = NOT_FORWARDED | SINGLE
 ACCOUNT = re.compile(rb"[0-9a-fA-F]{16}")
 EXPIRES = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
@@ -62,10 +83,19 @@
 WHOLE = re.compile(rb"[0-9]{1,9}")
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
     409: b"Conflict",
-    413: b"Content Too Large", 429: b"Too Many Requests", 431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error", 502: b"Bad Gateway", 503: b"Service Unavailable"}
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 
 
 class Malformed(Exception):
@@ -155,7 +185,12 @@
     """What takes the place of the class header where a description gives the routes (`routed.py`)."""
 
     def read(
-        self, request: ClientRequest, method: bytes, url: bytes, headers: list[bytes], body: bytes,
+        self,
+        request: ClientRequest,
+        method: bytes,
+        url: bytes,
+        headers: list[bytes],
+        body: bytes,
         expires: bytes | None,
     ) -> None:
         """Fill a request from its message, or raise `Malformed`.
@@ -272,8 +307,12 @@
         self._read_on()
 
     def _read_on(self) -> None:
-        if (self.paused and self.transport is not None and not (self.full or self.closing or self.choked)
-                and (len(self.waiting) < MOST_PIPELINED or self.upload is not None)):
+        if (
+            self.paused
+            and self.transport is not None
+            and not (self.full or self.closing or self.choked)
+            and (len(self.waiting) < MOST_PIPELINED or self.upload is not None)
+        ):
             self.paused = False
             self.begun = self.side.now()  # what we did not read was not slow
             if self.pace is not None:
@@ -435,8 +474,12 @@
         if named := self.hop & (SINGLE | {b"content-length", b"transfer-encoding"}):
             raise Malformed(400, f"Connection names {min(named).decode()}")
         lines = self.lines
-        self.lines = [part for n in range(0, len(lines), 4) if lines[n].lower() not in self.hop
-                      for part in lines[n:n + 4]]
+        self.lines = [
+            part
+            for n in range(0, len(lines), 4)
+            if lines[n].lower() not in self.hop
+            for part in lines[n : n + 4]
+        ]
 
     def _turn_away(self, request: ClientRequest) -> None:
         """No place is free: refused before the module has seen it, so that nothing was sent on for it."""
@@ -452,8 +495,13 @@
             if b"host" not in named and parser.get_http_version() == "1.1":
                 raise Malformed(400, "no Host")
             return side.router.read(
-                request, parser.get_method(), self.url, self.lines, b"".join(self.parts),
-                named.get(b"x-expires-in"))
+                request,
+                parser.get_method(),
+                self.url,
+                self.lines,
+                b"".join(self.parts),
+                named.get(b"x-expires-in"),
+            )
         kind = side.classes.get(named.get(b"x-qos", b""))
         if kind is None:
             raise Malformed(400, "unknown class")
@@ -514,10 +562,15 @@
         self.side.count_out(request, status)
         self.side.open_traces.discard(request.trace)
         length = b"" if request.bodiless else b"Content-Length: %d\r\n" % len(body)
-        request.answer = b"".join((
-            b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Other")), length, extra,
-            b"Connection: close\r\n\r\n" if request.then_close else b"\r\n",
-            b"" if request.bodiless else body))
+        request.answer = b"".join(
+            (
+                b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Other")),
+                length,
+                extra,
+                b"Connection: close\r\n\r\n" if request.then_close else b"\r\n",
+                b"" if request.bodiless else body,
+            )
+        )
         self.advance()
 
     def _done_with(self, request: ClientRequest) -> None:
@@ -532,7 +585,11 @@
             self.in_message = False
 
     def flow(
-        self, request: ClientRequest, length: int | None, kind: bytes, on_over: Callable[[], None],
+        self,
+        request: ClientRequest,
+        length: int | None,
+        kind: bytes,
+        on_over: Callable[[], None],
     ) -> Outflow | None:
         """Pass an answer on as it comes; None where it cannot be."""
         budget = self.side.budget
@@ -547,11 +604,19 @@
         if length is None and old:
             request.then_close = True  # its end is the connection's
             self.closing = self.closing or request is self.waiting[-1]
-        framing = b"Content-Length: %d\r\n" % length if length is not None else (
-            b"" if old else b"Transfer-Encoding: chunked\r\n")
-        head = b"".join((
-            b"HTTP/1.1 200 OK\r\n", framing, b"Content-Type: " + kind + b"\r\n" if kind else b"",
-            b"Connection: close\r\n\r\n" if request.then_close else b"\r\n"))
+        framing = (
+            b"Content-Length: %d\r\n" % length
+            if length is not None
+            else (b"" if old else b"Transfer-Encoding: chunked\r\n")
+        )
+        head = b"".join(
+            (
+                b"HTTP/1.1 200 OK\r\n",
+                framing,
+                b"Content-Type: " + kind + b"\r\n" if kind else b"",
+                b"Connection: close\r\n\r\n" if request.then_close else b"\r\n",
+            )
+        )
         self.side.open_traces.discard(request.trace)
         request.flow = made = self.side.new_flow(request, head, length is None and not old, on_over)
         self.advance()  # it may be its turn
@@ -652,8 +717,11 @@
     def check(self, now: float, longest_idle: float) -> None:
         """End what takes too long."""
         if self.ends_at:
-            if self.side.budget is not None and self.transport is not None and (
-                    self.transport.get_write_buffer_size() and self._reads(now)):
+            if (
+                self.side.budget is not None
+                and self.transport is not None
+                and (self.transport.get_write_buffer_size() and self._reads(now))
+            ):
                 return  # the last of a long answer, which is read slowly
             if now > self.ends_at and self.transport is not None:
                 self.transport.abort()  # it neither reads what it is owed nor closes
@@ -677,7 +745,6 @@
         elif self.is_idle() and now - self.since > longest_idle:
             self.retire()
 
-
     def _reads(self, now: float) -> bool:
         """Whether it has taken something since the last look, or has had little time to."""
         unread = self.transport.get_write_buffer_size() if self.transport is not None else 0
@@ -690,8 +757,14 @@
     """All client connections of this front door."""
 
     def __init__(
-        self, config: Config, door: Taker, most: int, reserve: int, loop: asyncio.AbstractEventLoop,
-        now: Callable[[], float] | None = None, host: Host | None = None,
+        self,
+        config: Config,
+        door: Taker,
+        most: int,
+        reserve: int,
+        loop: asyncio.AbstractEventLoop,
+        now: Callable[[], float] | None = None,
+        host: Host | None = None,
     ) -> None:
         self.config, self.door, self.loop = config, door, loop
         self.host = host or Host()
@@ -705,7 +778,8 @@
         self.router: Router | None = None
         # By class: taken = completed + rejected + failed + gone + pending, after every event.
         self.taken, self.completed, self.rejected, self.failed, self.gone = (
-            [0] * len(config.classes) for _ in range(5))
+            [0] * len(config.classes) for _ in range(5)
+        )
         self.pending = 0
         self.uploading = 0  # of these, with their body on the way
         # Where long bodies are passed on (`flows.py`), else None:
@@ -817,8 +891,14 @@
 
 def most_units(plan: Plan) -> float:
     """More than this a plan never passes at once: its stores do not hold it."""
-    return min([store for rate, store in (
-        (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth)) if rate > 0] or [MOST_UNITS])
+    return min(
+        [
+            store
+            for rate, store in ((plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth))
+            if rate > 0
+        ]
+        or [MOST_UNITS]
+    )
 
 
 def retry_after(delay: int) -> bytes:
--- a/irisdeal/door/config.py
+++ b/irisdeal/door/config.py
@@ -77,8 +77,12 @@
         raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {error}") from None
     if not isinstance(told, dict):
         raise ConfigError(f"EDGE_CONFIG: {path}: wanted an object")
-    for key, variable in (("name", "EDGE_NAME"), ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY"),
-                          ("operator", "EDGE_OPERATOR")):
+    for key, variable in (
+        ("name", "EDGE_NAME"),
+        ("listen", "EDGE_LISTEN"),
+        ("discovery", "EDGE_DISCOVERY"),
+        ("operator", "EDGE_OPERATOR"),
+    ):
         if environ.get(variable) and not (again and told.get(key) and key == "discovery"):
             told[key] = environ[variable]
     try:
--- a/irisdeal/door/counter.py
+++ b/irisdeal/door/counter.py
@@ -211,7 +211,10 @@
     """Deals calls out to a few lines, by name."""
 
     def __init__(
-        self, address: Address, timeout: int, on_answer: Callable[[CountAnswer], None],
+        self,
+        address: Address,
+        timeout: int,
+        on_answer: Callable[[CountAnswer], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.address, self.timeout, self.on_answer, self.loop = address, timeout / 1e6, on_answer, loop
--- a/irisdeal/door/discovery.py
+++ b/irisdeal/door/discovery.py
@@ -57,16 +57,32 @@
         return ServerList(kind, _version(told), tuple(entries)), places
 
     def write(
-        self, version: int, entries: Iterable[ServerEntry], places: Mapping[bytes, Address],
+        self,
+        version: int,
+        entries: Iterable[ServerEntry],
+        places: Mapping[bytes, Address],
     ) -> dict[str, Any]:
         """Entries as discovery tells them: the reverse of `read`."""
         zones, kinds = ({n: name for name, n in names.items()} for names in (self.zones, self.kinds))
         phases = {state: phase for phase, state in STATES.items()}
-        return {"revision": max(0, version), "complete": True, "members": [
-            {"id": entry.server.decode(), "host_port": "{}:{}".format(*places[entry.server]),
-             "locality": zones.get(entry.zone, ""), "flavor": kinds.get(entry.kind, ""), "cell": entry.cell,
-             "phase": phases[entry.state], "size": entry.weight, "up_since_ms": entry.started // 1000}
-            for entry in entries if entry.server in places]}
+        return {
+            "revision": max(0, version),
+            "complete": True,
+            "members": [
+                {
+                    "id": entry.server.decode(),
+                    "host_port": "{}:{}".format(*places[entry.server]),
+                    "locality": zones.get(entry.zone, ""),
+                    "flavor": kinds.get(entry.kind, ""),
+                    "cell": entry.cell,
+                    "phase": phases[entry.state],
+                    "size": entry.weight,
+                    "up_since_ms": entry.started // 1000,
+                }
+                for entry in entries
+                if entry.server in places
+            ],
+        }
 
     def _entry(self, member: dict[str, Any]) -> tuple[ServerEntry, Address | None]:
         if not (isinstance(member, dict) and isinstance(member.get("id"), str) and member["id"]):
--- a/irisdeal/door/flows.py
+++ b/irisdeal/door/flows.py
@@ -29,7 +29,12 @@
     """An answer on its way to a client. It is whole, or its client sees that it is not."""
 
     def __init__(
-        self, request: ClientRequest, head: bytes, chunked: bool, budget: Budget, on_over: Callable[[], None],
+        self,
+        request: ClientRequest,
+        head: bytes,
+        chunked: bool,
+        budget: Budget,
+        on_over: Callable[[], None],
     ) -> None:
         self.request, self.client, self.chunked, self.loan = request, request.where, chunked, budget.enter()
         self.on_over = on_over
@@ -166,8 +171,8 @@
             self.next += 1
         may_hold = self.loan.allows(self.held)
         if self.next and (self.size > REPLAY or not may_hold):
-            self.held -= sum(map(len, self.parts[:self.next]))
-            del self.parts[:self.next]
+            self.held -= sum(map(len, self.parts[: self.next]))
+            del self.parts[: self.next]
             self.next, self.spent = 0, True
             may_hold = self.loan.allows(self.held)
         if sink is not None and self.whole and self.next == len(self.parts):
--- a/irisdeal/door/handover.py
+++ b/irisdeal/door/handover.py
@@ -19,7 +19,16 @@
 from cresspulley.control import Gateway
 from cresspulley.interface import Barred, Shared
 from irisdeal.handover.message import (
-    ACCEPTING, HEAD, MOST_REQUEST, Unreadable, body, read_body, read_head, read_request, request)
+    ACCEPTING,
+    HEAD,
+    MOST_REQUEST,
+    Unreadable,
+    body,
+    read_body,
+    read_head,
+    read_request,
+    request,
+)
 from irisdeal.handover.roles import HALF, Duty, Event, Role
 from irisdeal.handover.state import pack, unpack
 
@@ -212,8 +221,8 @@
             text = self._state()
             listening = self.program.clients.listener.socket
             files = [listening.fileno()] if listening is not None else []
-            socket.send_fds(newer, [text[:HEAD.size]], files)
-            await self.loop.sock_sendall(newer, text[HEAD.size:])
+            socket.send_fds(newer, [text[: HEAD.size]], files)
+            await self.loop.sock_sendall(newer, text[HEAD.size :])
             heard = b""
             while part := (await self._receive(newer, 64))[0]:
                 heard = (heard + part)[-64:]
@@ -237,13 +246,16 @@
         program, gateway = self.program, self.program.door.decider
         assert isinstance(gateway, Gateway)
         program.door.turn()  # what has come is decided before it is told
-        keeps = min(max(program.config.sockets // 2, program.held() + SPARE),
-                    program.config.sockets - LEAST_SOCKETS)
+        keeps = min(
+            max(program.config.sockets // 2, program.held() + SPARE), program.config.sockets - LEAST_SOCKETS
+        )
         told = pack(gateway, program.host.now(), HALF)
         told["sockets"] = program.config.sockets - keeps
         told["list"] = program.discovery.reader.write(
-            program.discovery.asking.version, [s.listed() for s in gateway.servers.values()],
-            program.door.places)
+            program.discovery.asking.version,
+            [s.listed() for s in gateway.servers.values()],
+            program.door.places,
+        )
         if program.operator is not None:
             told["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
         text = body(told)
@@ -327,8 +339,7 @@
 
 def _check_owner(peer: socket.socket) -> None:
     """Unreadable where the other end is another user's process: it must not be told, nor believed."""
-    _, user, _ = CREDENTIALS.unpack(
-        peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
+    _, user, _ = CREDENTIALS.unpack(peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     if user != os.getuid():
         raise Unreadable(f"a process of user {user}: wanted {os.getuid()}")
 
--- a/irisdeal/door/listener.py
+++ b/irisdeal/door/listener.py
@@ -42,8 +42,11 @@
     """
 
     def __init__(
-        self, admit: Callable[[], Accepted], loop: asyncio.AbstractEventLoop,
-        room: Callable[[], bool] = lambda: True, host: Host | None = None,
+        self,
+        admit: Callable[[], Accepted],
+        loop: asyncio.AbstractEventLoop,
+        room: Callable[[], bool] = lambda: True,
+        host: Host | None = None,
     ) -> None:
         self.admit, self.loop, self.room, self.host = admit, loop, room, host or Host()
         self.socket: socket.socket | None = None
--- a/irisdeal/door/loop.py
+++ b/irisdeal/door/loop.py
@@ -8,9 +8,30 @@
 from typing import TYPE_CHECKING, Any
 
 from cresspulley.interface import (
-    Action, Arrival, AttemptEnded, BodyComplete, Cancel, CloseIdle, Count, CountAnswer, Decider, Event, Fail,
-    FetchList, FollowList, ListKind, Note, Refuse, RequestEnded, Result, Send, ServerList, StreamStarted,
-    Wake, Woken)
+    Action,
+    Arrival,
+    AttemptEnded,
+    BodyComplete,
+    Cancel,
+    CloseIdle,
+    Count,
+    CountAnswer,
+    Decider,
+    Event,
+    Fail,
+    FetchList,
+    FollowList,
+    ListKind,
+    Note,
+    Refuse,
+    RequestEnded,
+    Result,
+    Send,
+    ServerList,
+    StreamStarted,
+    Wake,
+    Woken,
+)
 from irisdeal.door.backends import Answer, Attempt, Outlet, Pool
 from irisdeal.door.clients import ClientRequest, retry_after
 from irisdeal.door.config import Address, Config
@@ -55,7 +76,11 @@
     """Transport for one `Decider`."""
 
     def __init__(
-        self, config: Config, decider: Decider, pool: Pool, loop: asyncio.AbstractEventLoop,
+        self,
+        config: Config,
+        decider: Decider,
+        pool: Pool,
+        loop: asyncio.AbstractEventLoop,
         host: Host | None = None,
     ) -> None:
         self.config, self.decider, self.pool, self.loop = config, decider, pool, loop
@@ -78,10 +103,17 @@
         self.on_refetch: Callable[[], None] = lambda: None
         self.on_over: Callable[[ClientRequest], None] = lambda _: None  # answered, and no attempt is out
         self.actions: dict[type, Callable[[Any], None]] = {
-            Send: self._send, Cancel: self._cancel, Refuse: self._refuse, Fail: self._fail,
-            Count: self._count, Wake: self._wake, CloseIdle: self._close_idle,
-            FetchList: lambda _: self.on_refetch(), FollowList: lambda _: None,  # the watch always runs
-            Note: lambda note: log.info("%s", note.text)}
+            Send: self._send,
+            Cancel: self._cancel,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Count: self._count,
+            Wake: self._wake,
+            CloseIdle: self._close_idle,
+            FetchList: lambda _: self.on_refetch(),
+            FollowList: lambda _: None,  # the watch always runs
+            Note: lambda note: log.info("%s", note.text),
+        }
 
     # Events in
 
@@ -114,7 +146,7 @@
         """One event failed: its request fails, what was decided before it stands, the rest goes on."""
         if events.read and (number := getattr(events[events.read - 1], "request", None)) is not None:
             self._leave(number, lambda client: client.reply(500, b"failed\n"))
-        for event in events[events.read:]:
+        for event in events[events.read :]:
             self.post(event)
         self._after(RESCUE_PAUSE, self.post, Woken(0))  # what was due may have been left undone
         return list(self.decider.actions)
@@ -134,10 +166,22 @@
         uploading = client.upload is not None  # its time counts from its last byte
         if not uploading:
             request.guard = self._after(left + self.settings.answer_grace, self._overdue, number)
-        self.post(Arrival(
-            number, client.customer, client.plan, client.kind, left, client.units, client.first,
-            client.gateways, client.is_retry, client.is_write, len(client.head) + len(client.body),
-            uploading))
+        self.post(
+            Arrival(
+                number,
+                client.customer,
+                client.plan,
+                client.kind,
+                left,
+                client.units,
+                client.first,
+                client.gateways,
+                client.is_retry,
+                client.is_write,
+                len(client.head) + len(client.body),
+                uploading,
+            )
+        )
 
     def uploaded(self, client: ClientRequest) -> None:
         """The last byte of its body has come: from now its time counts."""
@@ -285,11 +329,15 @@
         attempt.address, attempt.body, attempt.on_stream = place, upload, self._stream
         length = b"Content-Length: %d\r\n" % len(client.body) if client.is_write else b""
         if upload is not None:
-            length = b"Transfer-Encoding: chunked\r\n" if upload.length is None else (
-                b"Content-Length: %d\r\n" % upload.length)
+            length = (
+                b"Transfer-Encoding: chunked\r\n"
+                if upload.length is None
+                else (b"Content-Length: %d\r\n" % upload.length)
+            )
             left = min(left, client.time_left)
-        attempt.payload = b"".join((
-            client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body))
+        attempt.payload = b"".join(
+            (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body)
+        )
         attempt.bodiless = client.bodiless
         if upload is None or upload.whole:
             attempt.timer = self._after(left, attempt.time_out)
@@ -314,10 +362,19 @@
             self._final(number, request)
         elif request.final and not request.out:
             self._over(number)
-        self.post(AttemptEnded(
-            number, attempt.number, attempt.server, result,
-            self.clock.now() - attempt.sent if attempt.took is None else attempt.took, request.final,
-            answer.usage if answer else None, None, answer.load if answer else None))
+        self.post(
+            AttemptEnded(
+                number,
+                attempt.number,
+                attempt.server,
+                result,
+                self.clock.now() - attempt.sent if attempt.took is None else attempt.took,
+                request.final,
+                answer.usage if answer else None,
+                None,
+                answer.load if answer else None,
+            )
+        )
 
     def _cancel(self, action: Cancel) -> None:
         request = self.requests.get(action.request)
--- a/irisdeal/door/operator.py
+++ b/irisdeal/door/operator.py
@@ -29,9 +29,16 @@
 SWEEP = 0.5  # s
 TEXT = b"text/plain; charset=utf-8"
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    413: b"Content Too Large", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
-    503: b"Service Unavailable"}
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
 class Caller(asyncio.Protocol):
@@ -104,15 +111,27 @@
         self.answer(fault.status, fault.text.encode() + b"\n", TEXT, extra)
 
     def answer(
-        self, status: int, text: bytes, kind: bytes, extra: bytes = b"", has_body: bool = True,
+        self,
+        status: int,
+        text: bytes,
+        kind: bytes,
+        extra: bytes = b"",
+        has_body: bool = True,
     ) -> None:
         if self.answered or self.transport is None:
             return
         self.answered = True
-        self.transport.write(b"".join((
-            b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n" % (
-                status, REASONS.get(status, b"Other"), kind, len(text)),
-            extra, b"Connection: close\r\n\r\n", text if has_body else b"")))
+        self.transport.write(
+            b"".join(
+                (
+                    b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"
+                    % (status, REASONS.get(status, b"Other"), kind, len(text)),
+                    extra,
+                    b"Connection: close\r\n\r\n",
+                    text if has_body else b"",
+                )
+            )
+        )
         # Closed with bytes unread it would be reset, answer and all: the caller closes, or the sweep does.
         self.transport.write_eof()
 
@@ -128,7 +147,11 @@
     """The desk that operators call."""
 
     def __init__(
-        self, address: Address, program: Program, most: int, loop: asyncio.AbstractEventLoop,
+        self,
+        address: Address,
+        program: Program,
+        most: int,
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
         """`most` callers are connected at once; the one that came first makes room."""
         self.address, self.program, self.most, self.loop = address, program, most, loop
@@ -216,15 +239,23 @@
         counter("rejected_total", "Requests refused: trying again is harmless.", lambda: side.rejected)
         counter("failed_total", "Requests failed.", lambda: side.failed)
         counter("gone_total", "Requests whose client left before the answer.", lambda: side.gone)
-        one("upstream_requests_total", Kind.COUNTER, "Attempts written whole to backends.",
-            lambda: program.pool.written)
+        one(
+            "upstream_requests_total",
+            Kind.COUNTER,
+            "Attempts written whole to backends.",
+            lambda: program.pool.written,
+        )
         one("pending", Kind.GAUGE, "Requests taken and not ended.", lambda: side.pending - side.uploading)
         one("members", Kind.GAUGE, "Backends in the list.", lambda: len(self._servers()))
         one("members_unavailable", Kind.GAUGE, "Listed backends that are avoided now.", self._avoided)
         one("client_connections", Kind.GAUGE, "Connections of clients.", lambda: len(side.connections))
         one("backend_connections", Kind.GAUGE, "Connections to backends.", lambda: len(program.pool.all))
-        one("open_requests", Kind.GAUGE, "Requests with an attempt out or no answer.",
-            lambda: len(door.requests))
+        one(
+            "open_requests",
+            Kind.GAUGE,
+            "Requests with an attempt out or no answer.",
+            lambda: len(door.requests),
+        )
 
     def _servers(self) -> dict[bytes, ServerState]:
         decider = self.program.door.decider
@@ -232,5 +263,6 @@
 
     def _avoided(self) -> int:
         banned = self.bans.banned
-        return sum(state is not ServerState.READY or server in banned
-                   for server, state in self._servers().items())
+        return sum(
+            state is not ServerState.READY or server in banned for server, state in self._servers().items()
+        )
--- a/irisdeal/door/program.py
+++ b/irisdeal/door/program.py
@@ -22,8 +22,8 @@
 from irisdeal.door.config import Address, Config, ConfigError, load
 from irisdeal.door.discovery import Discovery
 from irisdeal.door.host import Host
-from irisdeal.door.loop import Door
 from irisdeal.door.limits import CALLERS, OPERATORS_OWN, OWN, share
+from irisdeal.door.loop import Door
 
 if TYPE_CHECKING:
     from irisdeal.door.handover import Handover
@@ -72,15 +72,18 @@
     """One front door, from its start to its end."""
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider, host: Host | None = None,
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        decider: Decider,
+        host: Host | None = None,
     ) -> None:
         self.config = config
         limits = share(config.sockets, config.operator is not None)
         self.loop, self.host = loop, host or Host()
         self.pool = Pool(config, limits.backends, loop, self.host)
         self.door = Door(config, decider, self.pool, loop, self.host)
-        self.clients = ClientSide(
-            config, self.door, limits.clients, limits.reserve, loop, host=self.host)
+        self.clients = ClientSide(config, self.door, limits.clients, limits.reserve, loop, host=self.host)
         chance = random.Random(config.seed ^ LIST_STREAM)
         self.discovery = Discovery(config, self.door.listed, chance.random)
         self.door.on_refetch = self.discovery.refetch
@@ -121,7 +124,8 @@
         side.new_pace = pace.Pace
         side.new_upload = lambda client, length: Upload(client, length, budget)
         side.new_flow = lambda request, head, chunked, on_over: Outflow(
-            request, head, chunked, budget, on_over)
+            request, head, chunked, budget, on_over
+        )
 
     def start(self) -> None:
         """Listen, and watch the list."""
@@ -209,8 +213,11 @@
             config = self.host.read_again()
         except ConfigError as error:
             return log.error("the old configuration goes on: %s", " ".join(str(error).split()))
-        log.info("configuration read again: discovery %s:%d, counter %s:%d",
-                 *config.discovery, *(config.counter or ("none", 0)))
+        log.info(
+            "configuration read again: discovery %s:%d, counter %s:%d",
+            *config.discovery,
+            *(config.counter or ("none", 0)),
+        )
         self.discovery.move(config.discovery)
         self.door.recount(config.counter)
         if self.router is not None and config.routes is not None:
@@ -252,8 +259,9 @@
 
 def main() -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # before there is a handler, it would end the process
-    logging.basicConfig(stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s",
-                        level=logging.INFO)
+    logging.basicConfig(
+        stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", level=logging.INFO
+    )
     logging.getLogger().handlers[0].addFilter(Sparing())
     try:
         config = load(os.environ)
@@ -261,4 +269,3 @@
         print("irisdeal:", " ".join(str(error).split()), file=sys.stderr)
         return 2
     return uvloop.run(serve(config))
-
--- a/irisdeal/door/report.py
+++ b/irisdeal/door/report.py
@@ -81,14 +81,23 @@
         for store in watch["stores"]:
             store["plan_name"] = config.plans[store["plan"]]
         made: dict[str, Any] = {
-            "version": VERSION, "name": config.name, "open": len(door.requests),
+            "version": VERSION,
+            "name": config.name,
+            "open": len(door.requests),
             "unanswered": door.unanswered,
-            "queue": {"entries": 0, "bytes": 0, "flows": 0, "given_way": 0}, "out": 0, "window": 0.0,
-            "watch": watch}
+            "queue": {"entries": 0, "bytes": 0, "flows": 0, "given_way": 0},
+            "out": 0,
+            "window": 0.0,
+            "watch": watch,
+        }
         if isinstance(decider := door.decider, Gateway):
             queue = decider.queue
-            made["queue"] = {"entries": queue.entries, "bytes": queue.bytes, "flows": queue.flows,
-                             "given_way": queue.given_way}
+            made["queue"] = {
+                "entries": queue.entries,
+                "bytes": queue.bytes,
+                "flows": queue.flows,
+                "given_way": queue.given_way,
+            }
             made["out"], made["window"] = decider.out, round(decider.window, 2)
             made["zones"] = decider.zones.told(door.clock.now())
         return made
--- a/irisdeal/door/routed.py
+++ b/irisdeal/door/routed.py
@@ -24,7 +24,16 @@
 from cresspulley.interface import ClassesChanged, Event, Group, RequestClass, Restricted, Settings
 from cresspulley.interface import Repeat as Repeats
 from irisdeal.door.clients import (
-    ACCOUNT, EXPIRES, LONGEST_WAIT, MARGIN, MOST_QUOTA_TEXT, TOKEN, ClientRequest, ClientSide, Malformed)
+    ACCOUNT,
+    EXPIRES,
+    LONGEST_WAIT,
+    MARGIN,
+    MOST_QUOTA_TEXT,
+    TOKEN,
+    ClientRequest,
+    ClientSide,
+    Malformed,
+)
 from irisdeal.door.config import Config, ConfigError, Routes
 from irisdeal.door.loop import Door
 from irisdeal.routes.costs import BadUnits, query_value, units_of
@@ -62,8 +71,15 @@
 def as_class(rule: Rule) -> RequestClass:
     """A rule as the module knows it."""
     return RequestClass(
-        aim=rule.aim, deadline=rule.deadline, repeat=REPEATS[rule.repeat], group=GROUPS[rule.group],
-        window=rule.window, worth=rule.worth, late_worth=rule.late_worth, streams=False)
+        aim=rule.aim,
+        deadline=rule.deadline,
+        repeat=REPEATS[rule.repeat],
+        group=GROUPS[rule.group],
+        window=rule.window,
+        worth=rule.worth,
+        late_worth=rule.late_worth,
+        streams=False,
+    )
 
 
 def _wait(text: bytes | None) -> int:
@@ -81,7 +97,11 @@
     """Reads requests by their routes, and swaps one generation for the next."""
 
     def __init__(
-        self, config: Config, routes: Routes, door: Door, clients: ClientSide,
+        self,
+        config: Config,
+        routes: Routes,
+        door: Door,
+        clients: ClientSide,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.config, self.routes, self.door, self.clients, self.loop = config, routes, door, clients, loop
@@ -104,7 +124,12 @@
     # A request
 
     def read(
-        self, request: ClientRequest, method: bytes, url: bytes, headers: list[bytes], body: bytes,
+        self,
+        request: ClientRequest,
+        method: bytes,
+        url: bytes,
+        headers: list[bytes],
+        body: bytes,
         expires: bytes | None,
     ) -> None:
         """Fill a request by its route. Raises `Malformed`: 400, 404, or 405 with `Allow`."""
@@ -118,8 +143,9 @@
         if route is None:
             if not found.allow:
                 raise Malformed(404, "no such path")
-            raise Malformed(405, "the path has other methods",
-                            b"Allow: " + ", ".join(found.allow).encode() + b"\r\n")
+            raise Malformed(
+                405, "the path has other methods", b"Allow: " + ", ".join(found.allow).encode() + b"\r\n"
+            )
         if body and name in ("GET", "HEAD"):
             raise Malformed(400, f"{name} with a body")
         told: dict[bytes, bytes] = {}
@@ -152,14 +178,19 @@
         request.plan, request.kind = plan, self.numbers[rule]
         request.is_retry = told.get(b"x-second-try", b"") == b"1"
         request.is_write = name not in ("GET", "HEAD")
-        request.head = b"".join((
-            method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra))
+        request.head = b"".join(
+            (method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra)
+        )
         request.body = body
         request.routed = Routed(name, target, rule)
         self.classes.use(request.kind)
 
     def _value(
-        self, source: Source, told: dict[bytes, bytes], target: Target, parameters: dict[str, str],
+        self,
+        source: Source,
+        told: dict[bytes, bytes],
+        target: Target,
+        parameters: dict[str, str],
     ) -> str:
         if source.place == "header":
             return told.get(source.name.encode(), b"").decode("latin-1")
@@ -277,9 +308,16 @@
         self.signature = self._sign()
         root = Path(__file__).resolve().parents[2]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "irisdeal.sources.openapi", os.path.abspath(self.routes.file),
-            stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            cwd=root, limit=MOST_LINE)
+            sys.executable,
+            "-m",
+            "irisdeal.sources.openapi",
+            os.path.abspath(self.routes.file),
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            cwd=root,
+            limit=MOST_LINE,
+        )
         try:
             async with asyncio.timeout(READ_WITHIN):
                 table = await self._build(process)
@@ -365,6 +403,13 @@
         self.door.post(ClassesChanged(tuple(self.as_classes)))
         for event in restricted:
             self.door.post(event)
-        log.info("routes: generation %d in place of %d, %d routes, %d classes, %d open requests restricted, "
-                 "digest %s", table.number, was.number, len(table.routes), len(self.numbers), len(restricted),
-                 table.digest)
+        log.info(
+            "routes: generation %d in place of %d, %d routes, %d classes, %d open requests restricted, "
+            "digest %s",
+            table.number,
+            was.number,
+            len(table.routes),
+            len(self.numbers),
+            len(restricted),
+            table.digest,
+        )
--- a/irisdeal/gauge/admission.py
+++ b/irisdeal/gauge/admission.py
@@ -43,7 +43,9 @@
         self.quotas = QuotaService(settings, loop, life, self.authority, age, lend_from)
         bound = settings.bound
         slack = REGISTRY_SLACK * bound("retry_slack", 50.0)
-        self.repeats = RetryBudgets(bound("retry_ratio", 0.2), bound("retry_window_s", 10.0), slack, loop.time())
+        self.repeats = RetryBudgets(
+            bound("retry_ratio", 0.2), bound("retry_window_s", 10.0), slack, loop.time()
+        )
 
     def quick(self, peer: str, kind: str, body: Any) -> Any:
         """The answer to a call that needs no waiting; `LATER` for all others."""
--- a/irisdeal/gauge/authority_watch.py
+++ b/irisdeal/gauge/authority_watch.py
@@ -15,7 +15,11 @@
     """One registry's authority and its record. The disk may be slow, and nothing waits for it."""
 
     def __init__(
-        self, authority: IssuingAuthority, record: ListRecord | None, age: Callable[[], float | None], tasks: Tasks
+        self,
+        authority: IssuingAuthority,
+        record: ListRecord | None,
+        age: Callable[[], float | None],
+        tasks: Tasks,
     ) -> None:
         """`record`: None on a machine without a disk; `age`: s, of what is known as decided."""
         self.authority, self.record, self.age, self.tasks = authority, record, age, tasks
--- a/irisdeal/gauge/ended_record.py
+++ b/irisdeal/gauge/ended_record.py
@@ -60,7 +60,9 @@
         if NAME not in self.folder.names():
             return None
         lives = decode(self.folder.read(NAME))
-        put(self.folder, NAME, encode(lives))  # the process that wrote it may have been killed before it synced
+        put(
+            self.folder, NAME, encode(lives)
+        )  # the process that wrote it may have been killed before it synced
         self.kept = {life.id: life.state for life in lives}
         return lives
 
--- a/irisdeal/gauge/messages.py
+++ b/irisdeal/gauge/messages.py
@@ -95,7 +95,11 @@
 
     def encode(self) -> list[Any]:
         """For the wire: the number of the place, or the result where there is none."""
-        return [self.number if self.result is PlaceResult.PLACED else int(self.result), self.backend, self.crowd]
+        return [
+            self.number if self.result is PlaceResult.PLACED else int(self.result),
+            self.backend,
+            self.crowd,
+        ]
 
     @staticmethod
     def decode(told: Any) -> PlaceReply:
@@ -189,7 +193,11 @@
         """ValueError, TypeError where it is none."""
         registry, position, number, usages, proxies = told
         return IntervalSum(
-            str(registry), float(position), int(number), decode_usages(usages), [int(proxy) for proxy in proxies]
+            str(registry),
+            float(position),
+            int(number),
+            decode_usages(usages),
+            [int(proxy) for proxy in proxies],
         )
 
 
--- a/irisdeal/gauge/metrics.py
+++ b/irisdeal/gauge/metrics.py
@@ -16,7 +16,8 @@
             "machines",
         )
         self.refused_ends = self.counter(
-            "unacknowledged_backend_ends", "Drains and ends of backends that too few of the core were told in time."
+            "unacknowledged_backend_ends",
+            "Drains and ends of backends that too few of the core were told in time.",
         )
         self.orders = self.counter("orders", "Orders of the operator, by the status answered.", "status")
         self.cut_calls = self.counter("cut_calls", "Calls from outside without an answer at the end.")
--- a/irisdeal/gauge/news.py
+++ b/irisdeal/gauge/news.py
@@ -31,7 +31,13 @@
         is_full: Callable[[], bool],
     ) -> None:
         """`life`: of this registry; `is_full`: whether it has learned which backends there are."""
-        self.follower, self.registry, self.life, self.zones, self.is_full = follower, registry, life, zones, is_full
+        self.follower, self.registry, self.life, self.zones, self.is_full = (
+            follower,
+            registry,
+            life,
+            zones,
+            is_full,
+        )
         self.loop = asyncio.get_running_loop()
         self.waking = asyncio.Event()
 
@@ -56,7 +62,9 @@
                 pass
         now, follower = self.loop.time(), self.follower
         stamp = follower.stamp
-        parcel = follower.shelf.parcel(has, stamp, by_snapshot=True) if stamp.number > has.stamp.number else None
+        parcel = (
+            follower.shelf.parcel(has, stamp, by_snapshot=True) if stamp.number > has.stamp.number else None
+        )
         is_newest = parcel is None or (parcel[0], parcel[1]) == (stamp.number, stamp.digest)
         return [
             parcel,
--- a/irisdeal/gauge/peers.py
+++ b/irisdeal/gauge/peers.py
@@ -55,7 +55,9 @@
         self.links: dict[str, Link] = {}
         self.unsent: dict[str, Life] = {}  # lives heard here that the others have not been told
         self.sure: set[tuple[str, State]] = set()  # ends of lives that a majority of the core was told by us
-        self.remembers = settings.bootstrap  # whether all is here that an earlier process of ours has said it had
+        self.remembers = (
+            settings.bootstrap
+        )  # whether all is here that an earlier process of ours has said it had
         self.has_learned, self.is_learning = False, False
 
     # Links
--- a/irisdeal/gauge/quota_service.py
+++ b/irisdeal/gauge/quota_service.py
@@ -7,12 +7,12 @@
 
 from irisdeal.almanac.model import Configuration
 from irisdeal.gauge.messages import IntervalReply, IntervalReport, IntervalSum
-from irisdeal.placement.load_reports import key
 from irisdeal.mast.settings import Settings
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim, PermitIssuer
 from irisdeal.permits.messages import LendRequest
+from irisdeal.placement.load_reports import key
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
 from irisdeal.telegraph.calls import name_of
@@ -22,7 +22,9 @@
 FRESH_SUM_S = 3 * LENGTH  # that another registry's sum says whether it has permits to lend
 MOST_LENT = 64  # permits in one loan
 
-Lend = Callable[[str, LendRequest], Awaitable[int]]  # asks a registry; how many it lent, 0 where it did not answer
+Lend = Callable[
+    [str, LendRequest], Awaitable[int]
+]  # asks a registry; how many it lent, 0 where it did not answer
 Age = Callable[[], float | None]  # s, of the knowledge of what is decided; None where there is no contact
 
 
@@ -50,7 +52,9 @@
         self.edge = Edge(loop.time())
         self.counter = IntervalCounter(settings.ip)
         self.borrowing: dict[str, asyncio.Future[None]] = {}
-        self.asked_for_loan: dict[tuple[str, str], float] = {}  # tenant and registry -> when it was asked last
+        self.asked_for_loan: dict[
+            tuple[str, str], float
+        ] = {}  # tenant and registry -> when it was asked last
 
     def configure(self, configuration: Configuration) -> None:
         """The tenants' limits, as the operator set them last."""
@@ -115,7 +119,12 @@
         lent = await self.lend_from(lender, LendRequest(tenant, wanted))
         now = self.loop.time()
         is_in_time = now - asked_at <= 2 * LEND_S  # else we stood still, and the lender has refilled
-        if lent > 0 and is_in_time and self.issuer.may_issue(self.age(), now) and self.issuer.is_limited(tenant):
+        if (
+            lent > 0
+            and is_in_time
+            and self.issuer.may_issue(self.age(), now)
+            and self.issuer.is_limited(tenant)
+        ):
             self.issuer.bucket(tenant, now).add_borrowed(min(lent, wanted), now)
 
     def lend(self, request: LendRequest) -> int:
@@ -166,7 +175,9 @@
         if self.issuer.may_issue(self.age(), now):
             for tenant, count in self._ready_to_tell(own.usages.keys(), now).items():
                 own.usages.setdefault(tenant, Usage()).ready = round(count, 1)
-        return IntervalSum(self.ip, round(self.edge.position(now), 4), number, own.usages, sorted(own.proxies))
+        return IntervalSum(
+            self.ip, round(self.edge.position(now), 4), number, own.usages, sorted(own.proxies)
+        )
 
     def _ready_to_tell(self, asked: Iterable[str], now: float) -> dict[str, float]:
         """Permits that are ready here, of tenants that were asked for; and of others whose buckets are not
--- a/irisdeal/gauge/registry.py
+++ b/irisdeal/gauge/registry.py
@@ -159,4 +159,6 @@
 
     def all(self, now: float) -> list[tuple[list[Any], int]]:
         """Every life and how many ms ago it was heard, for another registry."""
-        return [(tell_life(entry.life, now), round((now - entry.heard) * 1000)) for entry in self.entries.values()]
+        return [
+            (tell_life(entry.life, now), round((now - entry.heard) * 1000)) for entry in self.entries.values()
+        ]
--- a/irisdeal/gauge/station.py
+++ b/irisdeal/gauge/station.py
@@ -9,6 +9,7 @@
 
 from returns.result import Failure, Success
 
+from irisdeal.almanac.folder import DiskFolder, Folder
 from irisdeal.almanac.model import read
 from irisdeal.almanac.register import Outcome
 from irisdeal.almanac.shelf import Shelf
@@ -16,26 +17,25 @@
 from irisdeal.gauge.admission import AdmissionService
 from irisdeal.gauge.authority_watch import AuthorityWatch
 from irisdeal.gauge.commands import Beat, Command, Leave, Look, Put, Read, decode
-from irisdeal.gauge.list_record import ListRecord
-from irisdeal.almanac.folder import DiskFolder, Folder
 from irisdeal.gauge.ended_record import FOLDER, EndedRecord
+from irisdeal.gauge.list_record import ListRecord
 from irisdeal.gauge.messages import IntervalReport, IntervalSum, LivesTold
-from irisdeal.gauge.peers import RegistryPeers
+from irisdeal.gauge.metrics import RegistryMetrics
 from irisdeal.gauge.news import News
+from irisdeal.gauge.peers import RegistryPeers
 from irisdeal.gauge.quota_service import LEND_S
 from irisdeal.gauge.registry import Life, Registry, State
 from irisdeal.gauge.store import AGAIN, Follower
-from irisdeal.gauge.metrics import RegistryMetrics
-from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer
-from irisdeal.placement.load_reports import TELL
 from irisdeal.mast import places
 from irisdeal.mast.events import tell
 from irisdeal.mast.process import Tasks, every
 from irisdeal.mast.settings import Settings, address
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import LendRequest
+from irisdeal.placement.load_reports import TELL
 from irisdeal.ratelimit.interval_counter import encode_usages
 from irisdeal.telegraph.server import Server
 
@@ -44,7 +44,9 @@
 OWN_PAUSE = 1.0  # s between two looks: so late, we were not there to hear beats
 QUIET_S = 0.1  # s that a registry which ends goes on accepting: callers go to another once it does not
 END_S = 0.4  # s of the grace that are kept for the process's own end
-TAKEN_LEAVING = frozenset({"told", "all", "all_lives", "ended"})  # calls answered to the end: others rely on them
+TAKEN_LEAVING = frozenset(
+    {"told", "all", "all_lives", "ended"}
+)  # calls answered to the end: others rely on them
 JSON = [(b"Content-Type", b"application/json")]
 
 
@@ -65,7 +67,9 @@
         self.peers = RegistryPeers(
             settings, self.follower, self.registry, ended, self.metrics, self.tasks, lambda: self.news.wake()
         )
-        self.news = News(self.follower, self.registry, self.life, self.peers.zones, lambda: self.peers.has_learned)
+        self.news = News(
+            self.follower, self.registry, self.life, self.peers.zones, lambda: self.peers.has_learned
+        )
         self.admission = AdmissionService(
             settings, self.registry, self.loop, self.life, self.follower.age, self._lend_from
         )
@@ -125,7 +129,9 @@
         self.peers.forget_all_but(core)
         has_contact = self.follower.has_contact
         if has_contact and not self.had_contact and self.peers.has_learned:
-            self.tasks.start(self.peers.learn())  # we were cut off: others may have been told what we were not
+            self.tasks.start(
+                self.peers.learn()
+            )  # we were cut off: others may have been told what we were not
         self.had_contact = has_contact
         self.news.wake()
 
@@ -206,7 +212,9 @@
             case Read():
                 known, body = await self.follower.read()
                 if not known:
-                    return self._later("no store has contact with a majority of the core, or none answered in time")
+                    return self._later(
+                        "no store has contact with a majority of the core, or none answered in time"
+                    )
                 return Answer(200, body, JSON) if body is not None else Answer(404, b"{}", JSON)
             case Look():
                 return Answer(200, json.dumps(self._status()).encode(), JSON)
@@ -283,7 +291,9 @@
         self.peers.unsent[life.id] = self.registry.entries[life.id].life
         if state is State.DRAINING and not await self.peers.make_sure(life.id):
             return self._later("too few of the core were told")
-        near = [control for ip, control in self.peers.controls.items() if self.peers.zones.get(ip) == beat.zone]
+        near = [
+            control for ip, control in self.peers.controls.items() if self.peers.zones.get(ip) == beat.zone
+        ]
         target = {"beat_target": near[0]} if near and beat.zone != self.settings.zone else {}
         return Answer(200, json.dumps(target).encode(), JSON)
 
--- a/irisdeal/gauge/store.py
+++ b/irisdeal/gauge/store.py
@@ -38,7 +38,9 @@
 PULSE = 0.2  # s between two asks for the age of what we know; on the same machine, so they cost no bytes on a link
 STALE = LEASE + PULSE + ANSWER  # s: knowledge that is older is no contact, whatever was said
 GRACE = 0.15  # s that another store is looked for before doors are told that there is no contact
-SEEK = 0.5  # s between two looks for a store that has contact, times 0.75 to 1.25: registries do not ask as one
+SEEK = (
+    0.5  # s between two looks for a store that has contact, times 0.75 to 1.25: registries do not ask as one
+)
 OWN = 0.1  # s between two looks at the own store meanwhile
 PUT = 0.95  # s for an order or a read: the caller goes elsewhere after a second of silence
 LEAST = 0.1  # s under which no further store is tried
@@ -214,7 +216,9 @@
             return Ear.SILENT
         try:
             parcel, told, learners, age = answer.unwrap()
-            return self._hear(ip, have, sent, parcel, Value.hear(told), frozenset(map(str, learners)), int(age))
+            return self._hear(
+                ip, have, sent, parcel, Value.hear(told), frozenset(map(str, learners)), int(age)
+            )
         except (ValueError, TypeError, IndexError) as error:
             tell(500, peer=ip, error=error)
             return Ear.SILENT
@@ -258,7 +262,9 @@
             if ip in self.links:
                 self.links.pop(ip).close()
         if value.members.number != number or gone:
-            tell(315, list=value.members.number, members=len(value.members.ips()), left=",".join(sorted(gone)))
+            tell(
+                315, list=value.members.number, members=len(value.members.ips()), left=",".join(sorted(gone))
+            )
         return value.members.number != number
 
     def _take_word(self, have: Have, parcel: list[Any] | None) -> bool:
--- a/irisdeal/handover/state.py
+++ b/irisdeal/handover/state.py
@@ -29,8 +29,19 @@
 SERVER = ("others", "slow")
 SERVER_TIMES = ("last_good", "told_at", "last_sent", "due")
 SERVER_WHOLE = ("turn", "turned")
-CUSTOMER = ("left", "mine", "owed", "total", "mine_then", "raw", "base", "credit", "store", "ceiling_rate",
-            "ceiling_most")
+CUSTOMER = (
+    "left",
+    "mine",
+    "owed",
+    "total",
+    "mine_then",
+    "raw",
+    "base",
+    "credit",
+    "store",
+    "ceiling_rate",
+    "ceiling_most",
+)
 CUSTOMER_TIMES = ("store_at", "asked_at", "told_at", "since")
 CUSTOMER_WHOLE = ("told_index", "bound")
 ACCOUNT = ("drawn", "carried", "much", "mine", "alone")
@@ -96,8 +107,13 @@
 def _server(gateway: Gateway, key: bytes, server: Server) -> dict[str, Any]:
     plans = gateway.settings.plans
     bad = [[-1 if plan is None else plans.index(plan), value] for plan, value in server.bad.items()]
-    return {"id": _text(key), "started": server.entry.started, "bad": bad, "sent": list(server.sent),
-            **_values(server, (*SERVER, *SERVER_TIMES, *SERVER_WHOLE))}
+    return {
+        "id": _text(key),
+        "started": server.entry.started,
+        "bad": bad,
+        "sent": list(server.sent),
+        **_values(server, (*SERVER, *SERVER_TIMES, *SERVER_WHOLE)),
+    }
 
 
 def _take_server(told: dict[str, Any], gateway: Gateway, server: Server, now: int) -> None:
@@ -116,8 +132,12 @@
 
 
 def _customer(key: tuple[int, int], customer: Customer, share: float) -> dict[str, Any]:
-    told = {"customer": key[0], "plan": key[1], "ways": customer.ways,
-            **_values(customer, (*CUSTOMER, *CUSTOMER_TIMES, *CUSTOMER_WHOLE))}
+    told = {
+        "customer": key[0],
+        "plan": key[1],
+        "ways": customer.ways,
+        **_values(customer, (*CUSTOMER, *CUSTOMER_TIMES, *CUSTOMER_WHOLE)),
+    }
     for name in ("store", "ceiling_rate", "ceiling_most"):
         told[name] *= share
     if (account := customer.account) is not None:
@@ -128,8 +148,14 @@
 def _take_customer(told: dict[str, Any], gateway: Gateway, now: int) -> bool:
     settings = gateway.settings
     number, plan, ways = (told.get(name) for name in ("customer", "plan", "ways"))
-    if not (isinstance(number, int) and 0 <= number < 2**33 and isinstance(plan, int)
-            and 0 <= plan < len(settings.plans) and isinstance(ways, int) and 1 <= ways <= settings.gateways):
+    if not (
+        isinstance(number, int)
+        and 0 <= number < 2**33
+        and isinstance(plan, int)
+        and 0 <= plan < len(settings.plans)
+        and isinstance(ways, int)
+        and 1 <= ways <= settings.gateways
+    ):
         return False
     event = Arrival(0, number, plan, 0, 0, 0.0, settings.rank, ways)
     customer = Customer(event, settings, now, gateway.born, gateway.share)
--- a/irisdeal/http1/connection.py
+++ b/irisdeal/http1/connection.py
@@ -44,7 +44,9 @@
         self.current: Request | None = None  # the request at work
         self.task: asyncio.Task[Answer] | None = None  # that serves it
         self.is_ending = False  # no further request is taken
-        self.is_finished = False  # the last answer is written, and our end of the connection is closed behind it
+        self.is_finished = (
+            False  # the last answer is written, and our end of the connection is closed behind it
+        )
         self.is_paused = False
         self.unsent, self.unsent_since = 0, 0.0  # bytes that the client had not taken at the last look
 
@@ -195,10 +197,14 @@
         """The process ends: promise what is coming, close what is idle."""
         if self.transport is None or self.is_finished or self.owed():
             return
-        is_idle = self.loop.time() - self.parser.since > LINGER_S and not self.transport.get_write_buffer_size()
+        is_idle = (
+            self.loop.time() - self.parser.since > LINGER_S and not self.transport.get_write_buffer_size()
+        )
         if self.parser.is_reading:
             self._write(NOT_TAKEN, close=True)
-        elif is_idle:  # no answer is on its way that a reset could take along, and who asks now hears of it at once
+        elif (
+            is_idle
+        ):  # no answer is on its way that a reset could take along, and who asks now hears of it at once
             self.is_ending = True
             return self.drop()
         self._finish()
@@ -223,7 +229,9 @@
         if unsent:
             if now - self.unsent_since > UNREAD_S:
                 self.abort()
-        elif self.parser.is_reading and now - self.parser.since > bounds.head_time and not self.parser.has_head:
+        elif (
+            self.parser.is_reading and now - self.parser.since > bounds.head_time and not self.parser.has_head
+        ):
             self._reject(Malformed(408, "the head took too long"))
         elif now - self.parser.since > bounds.idle_time:
             self.drop()
--- a/irisdeal/http1/messages.py
+++ b/irisdeal/http1/messages.py
@@ -40,7 +40,9 @@
 
     __slots__ = ("body", "close", "headers", "status")
 
-    def __init__(self, status: int, body: bytes = b"", headers: Headers | None = None, close: bool = False) -> None:
+    def __init__(
+        self, status: int, body: bytes = b"", headers: Headers | None = None, close: bool = False
+    ) -> None:
         self.status, self.body, self.headers, self.close = status, body, headers or [], close
 
 
--- a/irisdeal/http1/server.py
+++ b/irisdeal/http1/server.py
@@ -50,7 +50,9 @@
     ) -> None:
         """Serve at an address, or at a socket that listens there already. OSError where it is taken."""
         if sock is not None:
-            self.listening = await self.loop.create_server(lambda: Connection(self), sock=sock, backlog=backlog)
+            self.listening = await self.loop.create_server(
+                lambda: Connection(self), sock=sock, backlog=backlog
+            )
         else:
             self.listening = await self.loop.create_server(
                 lambda: Connection(self), *address, backlog=backlog, reuse_address=True
--- a/irisdeal/load_balancing/backend_choice.py
+++ b/irisdeal/load_balancing/backend_choice.py
@@ -98,7 +98,9 @@
     def crowd(self, backend: Backend) -> float:
         """How many times its work an answer takes by what is there already."""
         there = backend.out + backend.others
-        return 1.0 + max(0.0, there + 1 - backend.capacity) / backend.capacity + BUSY * there / backend.capacity
+        return (
+            1.0 + max(0.0, there + 1 - backend.capacity) / backend.capacity + BUSY * there / backend.capacity
+        )
 
     def expected(self, backend: Backend, usual: float, now: float) -> float:
         """s until an answer, were it sent there now."""
--- a/irisdeal/mast/catalogue.py
+++ b/irisdeal/mast/catalogue.py
@@ -18,8 +18,10 @@
 
 def page() -> str:
     """The whole page."""
-    rows = (f"| E{number} | {logging.getLevelName(level).lower()} | {text} |\n"
-            for number, (level, text) in sorted(CATALOGUE.items()))
+    rows = (
+        f"| E{number} | {logging.getLevelName(level).lower()} | {text} |\n"
+        for number, (level, text) in sorted(CATALOGUE.items())
+    )
     return HEAD + "".join(rows)
 
 
--- a/irisdeal/mast/early.py
+++ b/irisdeal/mast/early.py
@@ -34,7 +34,9 @@
     """Sockets that listen at these addresses of the settings that `IRISDEAL_SETTINGS` names."""
     listening: Listening = {}
     try:
-        with open(os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml"), encoding="utf-8") as file:
+        with open(
+            os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml"), encoding="utf-8"
+        ) as file:
             wanted = addresses(file.read(), names)
         for name, address in wanted.items():
             sock = socket.socket()
--- a/irisdeal/mast/metrics.py
+++ b/irisdeal/mast/metrics.py
@@ -100,7 +100,9 @@
             yield family
         for summary in self.summaries:
             yield SummaryMetricFamily(PREFIX + summary.name, summary.help, summary.count, summary.sum)
-            yield GaugeMetricFamily(f"{PREFIX}{summary.name}_max", f"{summary.help}; the most so far", summary.most)
+            yield GaugeMetricFamily(
+                f"{PREFIX}{summary.name}_max", f"{summary.help}; the most so far", summary.most
+            )
 
     def text(self) -> bytes:
         """All figures, as they are told."""
--- a/irisdeal/mast/process.py
+++ b/irisdeal/mast/process.py
@@ -91,8 +91,7 @@
     os.environ["UV_USE_IO_URING"] = "0"  # read by libuv at its start, which is the next import
     import uvloop
 
-    logging.basicConfig(
-        level=os.environ.get("IRISDEAL_LOG", "INFO"), stream=sys.stderr, format="%(message)s")
+    logging.basicConfig(level=os.environ.get("IRISDEAL_LOG", "INFO"), stream=sys.stderr, format="%(message)s")
     path = os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml")
     read = load(path)
     if isinstance(read, Failure):
--- a/irisdeal/mast/settings.py
+++ b/irisdeal/mast/settings.py
@@ -101,7 +101,12 @@
         low, high = settings.port_range
         if not 0 < low <= high < 65536 or high - low < 3:
             raise ValueError(f"port_range: wanted four ports or more, got {low}..{high}")
-        for text in (*settings.seed_peers, settings.bind.front, settings.bind.readiness, settings.bind.control):
+        for text in (
+            *settings.seed_peers,
+            settings.bind.front,
+            settings.bind.readiness,
+            settings.bind.control,
+        ):
             if text:
                 address(text)
         if settings.metrics:
--- a/irisdeal/operator/figures.py
+++ b/irisdeal/operator/figures.py
@@ -68,7 +68,8 @@
         raise ValueError(f"{figure.name}: wanted {len(figure.values)} numbers, one for each {figure.label}")
     return lines + [
         f'{name}{{{figure.label}="{_escape(value)}"}} {_number(number)}\n'
-        for value, number in zip(figure.values, told, strict=True)]
+        for value, number in zip(figure.values, told, strict=True)
+    ]
 
 
 def _number(value: Number) -> str:
--- a/irisdeal/overload/places.py
+++ b/irisdeal/overload/places.py
@@ -130,4 +130,3 @@
     def _fade(self, now: float) -> None:
         kept = math.exp(-max(0.0, now - self._at) / MEMORY)
         self._freed, self._refused, self._at = self._freed * kept, self._refused * kept, max(now, self._at)
-
--- a/irisdeal/permits/allowance.py
+++ b/irisdeal/permits/allowance.py
@@ -16,7 +16,9 @@
 
 from dataclasses import dataclass
 
-IN_FLIGHT_S = 0.4  # from the claim of a permit to the last moment at which its request may be sent, with its ways
+IN_FLIGHT_S = (
+    0.4  # from the claim of a permit to the last moment at which its request may be sent, with its ways
+)
 CLOCK_FAST = 1.02  # a steady clock runs at most so much too fast or too slow
 # of the burst that refills over the window; the rest is stock for the first moment of a flood
 BURST_IN_REFILL = 0.7
--- a/irisdeal/permits/issuer.py
+++ b/irisdeal/permits/issuer.py
@@ -45,7 +45,9 @@
         if self.epoch != self.authority.epochs:  # what an earlier entitlement issued is not known to be over
             self.epoch = self.authority.epochs
             self.buckets.clear()
-            if self.authority.entitled_at > self.born:  # not all along: the former list's grants are to be over
+            if (
+                self.authority.entitled_at > self.born
+            ):  # not all along: the former list's grants are to be over
                 self.reserves_from = max(self.reserves_from, now + RESERVE_GUARD_S)
         return self.authority.may_issue(age_s, now)
 
@@ -63,7 +65,9 @@
         share = self._share(tenant, now)
         since = min(now, max(self.born, self.authority.entitled_at))
         bucket = PermitBucket(share.refill_per_s, share.ready, since)
-        if now > self.reserves_from:  # the part that a former life's holders might have used fills from then on
+        if (
+            now > self.reserves_from
+        ):  # the part that a former life's holders might have used fills from then on
             bucket.change(share.refill_per_s, share.ready + share.reserved, self.reserves_from)
         return bucket
 
@@ -124,7 +128,9 @@
         bucket = self.bucket(tenant, now)
         share = self._share(tenant, now)
         room = int(share.reserved) - self.outstanding.total(tenant)
-        if room < 0:  # the reserve has become smaller: this part is given up, and is over with its lease at last
+        if (
+            room < 0
+        ):  # the reserve has become smaller: this part is given up, and is over with its lease at last
             return -held
         more = bucket.take_ahead(min(wanted - held, room), now) if wanted > held else 0
         if held or more:
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -19,12 +19,14 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
+from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
 from irisdeal.placement.attempt_end import How
 from irisdeal.placement.load_reports import key
 from irisdeal.telegraph.calls import name_of
-from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
 
-CROSSING = 0.6  # of a usual time, that another zone must be quicker by: its bytes are dear, its load is told late
+CROSSING = (
+    0.6  # of a usual time, that another zone must be quicker by: its bytes are dear, its load is told late
+)
 REGION = 2.0  # likewise another region
 CONNECTING = 0.6  # likewise a new connection: it is dear, and takes its time
 PACE_WEIGHT = 0.08  # of the newest answer in a backend's pace: a whole zone's answers come together here
@@ -34,7 +36,9 @@
 ILL_DOOR = 0.5  # share of failures over all backends, beyond which a door is not believed
 MOST_WAITING = 4000  # asks that wait for room at one registry; more are answered at once
 JITTER = 0.05  # of its cost, so that two registries that know the same do not choose alike
-FIRST_NUMBERS = 31  # bits: numbers of places begin anywhere there, so that an end told to a later life meets none
+FIRST_NUMBERS = (
+    31  # bits: numbers of places begin anywhere there, so that an end told to a later life meets none
+)
 FREE = 1.0  # requests for each slot up to which a backend has room
 
 
@@ -79,8 +83,7 @@
         """A life that may be used."""
         backend = self.backends.get(id_)
         if backend is None:
-            backend = Backend(
-                id_, service, ("", 0), zone, 0, max(1, capacity), warm_at, key=key(id_))
+            backend = Backend(id_, service, ("", 0), zone, 0, max(1, capacity), warm_at, key=key(id_))
             self.backends[id_] = self.keys[backend.key] = backend
             self.services.setdefault(service, {}).setdefault(zone, []).append(backend)
         backend.warm_at = warm_at
@@ -100,8 +103,16 @@
     # Places
 
     def place(
-        self, door: str, zone: str, service: str, usual: float, avoid: Iterable[int], now: float, until: float,
-        only_free: bool, connected: Iterable[int] = (),
+        self,
+        door: str,
+        zone: str,
+        service: str,
+        usual: float,
+        avoid: Iterable[int],
+        now: float,
+        until: float,
+        only_free: bool,
+        connected: Iterable[int] = (),
     ) -> tuple[int, Backend, float] | None:
         """A place's number, its backend and how many times its work the answer will take; None: no room, or none.
 
@@ -120,7 +131,13 @@
         return self.number, backend, crowd
 
     def _choose(
-        self, zone: str, service: str, usual: float, avoid: frozenset[int], connected: frozenset[int], now: float,
+        self,
+        zone: str,
+        service: str,
+        usual: float,
+        avoid: frozenset[int],
+        connected: frozenset[int],
+        now: float,
         only_free: bool,
     ) -> Backend | None:
         zones = self.services.get(service, {})
@@ -143,8 +160,14 @@
         return best
 
     def _best(
-        self, backends: Iterable[Backend], crossing: float, usual: float, avoid: frozenset[int],
-        connected: frozenset[int], now: float, only_free: bool,
+        self,
+        backends: Iterable[Backend],
+        crossing: float,
+        usual: float,
+        avoid: frozenset[int],
+        connected: frozenset[int],
+        now: float,
+        only_free: bool,
     ) -> tuple[Backend | None, float]:
         """The cheapest and its cost in usual times beyond the first; dear and suspect ones are not `free`."""
         best, least = None, 0.0
@@ -153,12 +176,22 @@
             there = backend.out + backend.others
             if (only_free and there >= backend.capacity * FREE) or backend.key in avoid:
                 continue
-            shunned = (backend.silent or backend.rests_until > now or backend.full_until > now
-                       or (backend.out and choice.is_suspect(backend, usual, now)))
+            shunned = (
+                backend.silent
+                or backend.rests_until > now
+                or backend.full_until > now
+                or (backend.out and choice.is_suspect(backend, usual, now))
+            )
             if shunned and only_free:
                 continue
-            cost = (choice.expected(backend, 1.0, now) - 1.0 + crossing + ILL_COST * backend.ill
-                    + JITTER * self.chance.random() + (10.0 if shunned else 0.0))
+            cost = (
+                choice.expected(backend, 1.0, now)
+                - 1.0
+                + crossing
+                + ILL_COST * backend.ill
+                + JITTER * self.chance.random()
+                + (10.0 if shunned else 0.0)
+            )
             if backend.key not in connected:
                 cost += CONNECTING
             if best is None or cost < least:
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -17,12 +17,12 @@
 from irisdeal.gauge.messages import IntervalReport
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.held import HeldPermits
+from irisdeal.proxy.refusal import Refused, over_quota
+from irisdeal.proxy.registry_client import RegistryClient, Reported
 from irisdeal.ratelimit.concurrency_limit import Gate
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import Usage, Usages
 from irisdeal.ratelimit.rate_companion import RateCompanion
-from irisdeal.proxy.refusal import Refused, over_quota
-from irisdeal.proxy.registry_client import RegistryClient, Reported
 
 SEND_WITHIN_S = 0.35  # `IN_FLIGHT_S` of an allowance, less what a message to a backend takes
 LEAST_SPREAD, MOST_SPREAD = 0.04, 0.28  # of an interval, when a proxy reports: not all at the edge
@@ -81,7 +81,9 @@
         self.client, self.loop, self.chance, self.slots = client, loop, chance, slots
         self.companions: dict[str, RateCompanion] = {}
         self.held = HeldPermits(secrets.randbits(48))
-        self.returned: dict[str, list[float]] = {}  # permits of requests that ended unsent: until when each serves
+        self.returned: dict[
+            str, list[float]
+        ] = {}  # permits of requests that ended unsent: until when each serves
         self.gate = Gate()
         self.edge = Edge(loop.time())
         self.proxies, self.has_reported = FIRST_PROXIES, False
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -10,17 +10,19 @@
 from dataclasses import dataclass, replace
 
 from irisdeal.gauge.messages import PlaceEnd, PlaceRequest, PlaceResult
+from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
 from irisdeal.placement.attempt_end import How
-from irisdeal.ratelimit.retry_budget import RetryBudgets
 from irisdeal.proxy.admission import SEND_WITHIN_S, RequestPermit, TenantAdmission
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.refusal import without_permits
 from irisdeal.proxy.registry_client import PLACE_S, Placement, RegistryClient
-from irisdeal.load_balancing.backend_choice import Backend, Usual, BackendChoice
+from irisdeal.ratelimit.retry_budget import RetryBudgets
 
 FIRST_WAIT_S = 0.3  # that a request at a proxy which has just started waits for a first registry
 LEAST_HOLD_S = 0.001  # a first attempt goes to the best there is, full or not, when its time to wait is over
-MOST_HOLD_S = SEND_WITHIN_S - PLACE_S - 0.02  # that an ask with a permit waits for room: it has to be sent in time
+MOST_HOLD_S = (
+    SEND_WITHIN_S - PLACE_S - 0.02
+)  # that an ask with a permit waits for room: it has to be sent in time
 PERMIT_RETRY_S = 0.08  # between two asks of a request while no registry gives permits
 NO_PERMITS = (PlaceResult.NOT_ISSUING, PlaceResult.NO_REGISTRY)
 
@@ -81,7 +83,11 @@
         ask = self._request(needs, is_wanted)
         placement = await self.registries.place(ask, FIRST_WAIT_S)
         if permit is not None and is_wanted:
-            if placement.reply.result in NO_PERMITS and not needs.is_repeat and not self.admission.holds(permit):
+            if (
+                placement.reply.result in NO_PERMITS
+                and not needs.is_repeat
+                and not self.admission.holds(permit)
+            ):
                 now, placement = await self._ask_again(ask, placement, now + ask.hold_s)
             if not self._take_permit(permit, placement.reply.result, now, needs.is_repeat):
                 return None
@@ -96,7 +102,9 @@
     def _request(self, needs: AttemptNeeds, is_permit_wanted: bool) -> PlaceRequest:
         now, permit = self.loop.time(), needs.permit
         known = self.services.get(needs.service, {})
-        avoid = [backend.key for id_, backend in known.items() if id_ in needs.tried or backend.rests_until > now]
+        avoid = [
+            backend.key for id_, backend in known.items() if id_ in needs.tried or backend.rests_until > now
+        ]
         connected = [known[id_].key for id_ in self.pool.connected(now, needs.is_mutating) if id_ in known]
         is_limited = permit is not None and permit.companion.limit.is_limited
         hold = min(needs.hold_s, MOST_HOLD_S) if is_limited else needs.hold_s
@@ -125,7 +133,9 @@
             last = await self.registries.place(replace(ask, is_counted=last.is_counted, hold_s=hold), 0.0)
         return asked_at, last
 
-    def _take_permit(self, permit: RequestPermit, result: PlaceResult, asked_at: float, is_repeat: bool) -> bool:
+    def _take_permit(
+        self, permit: RequestPermit, result: PlaceResult, asked_at: float, is_repeat: bool
+    ) -> bool:
         """Whether a permit is in hand after an ask that ended so; Refused where there is none for a first
         attempt."""
         if result in NO_PERMITS:
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -18,7 +18,7 @@
 from irisdeal.gauge.messages import PlaceEnd
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.phase import Phase
-from irisdeal.load_balancing.backend_choice import Usual, BackendChoice
+from irisdeal.load_balancing.backend_choice import BackendChoice, Usual
 from irisdeal.mast.events import invariant, tell
 from irisdeal.mast.process import Tasks
 from irisdeal.placement.attempt_end import How
@@ -27,16 +27,18 @@
 from irisdeal.proxy.attempt_placement import LEAST_HOLD_S, AttemptNeeds, AttemptPlacer, Placed
 from irisdeal.proxy.backend_message import MARGIN_S, BackendRequest
 from irisdeal.proxy.connection_pool import ConnectionPool
-from irisdeal.proxy.outcome import End, Outcome
 from irisdeal.proxy.drain_plan import DrainPlan
 from irisdeal.proxy.metrics import ProxyMetrics
+from irisdeal.proxy.outcome import End, Outcome
 from irisdeal.proxy.refusal import Refused, leaving
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
 
 LEAST_LEFT_S = 0.010  # of a request's time under which no attempt is begun
 PATIENCE, LEAST_PATIENCE_S = 3.0, 0.1  # times the usual, s: then a second backend is asked as well
-HOLD_SHARE = 0.22  # of the aim that a request waits past the bound; refused later, it would be dear and useless
+HOLD_SHARE = (
+    0.22  # of the aim that a request waits past the bound; refused later, it would be dear and useless
+)
 MOST_UNSENT = 4  # backends that could not be reached, then the request is given up
 AGAIN_S = 0.1  # after which a client whose request has not run may come back
 
@@ -153,7 +155,9 @@
         case End.PROMISE:
             return How.ENDED if outcome.misdirected else How.FULL
         case End.LOST if outcome.late:
-            return How.UNKNOWN  # its time was over, perhaps before its turn came; a dark one shows by its silence
+            return (
+                How.UNKNOWN
+            )  # its time was over, perhaps before its turn came; a dark one shows by its silence
     return How.FAILED
 
 
--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -26,7 +26,11 @@
 IDLE_SHARE = 0.85  # of what the backend tells in Keep-Alive
 MOST_BODY = 64 << 20  # bytes of an answer
 MOST_HEAD = 32768
-PROMISES = (408, 429, 503)  # to a client these say that it has not run: the backend's own word for it is wanted
+PROMISES = (
+    408,
+    429,
+    503,
+)  # to a client these say that it has not run: the backend's own word for it is wanted
 USER_TIMEOUT = 3000  # ms that written bytes may stay unacknowledged
 USER_TIMEOUT_AGAIN = 800  # ms likewise, where the request may be sent elsewhere
 
--- a/irisdeal/proxy/backend_message.py
+++ b/irisdeal/proxy/backend_message.py
@@ -8,7 +8,9 @@
 from irisdeal.http1.messages import Request
 from irisdeal.load_balancing.backend_choice import Backend
 
-OWN = frozenset((b"x-irisdeal-target-backend", b"x-irisdeal-tenant", b"x-irisdeal-deadline-ms", b"authorization"))
+OWN = frozenset(
+    (b"x-irisdeal-target-backend", b"x-irisdeal-tenant", b"x-irisdeal-deadline-ms", b"authorization")
+)
 DROPPED = HOP | OWN
 BODILESS = (b"GET", b"HEAD", b"DELETE")  # methods of which a request without a body tells no length
 MARGIN_S = 0.004  # of a deadline that the answer's way back takes
--- a/irisdeal/proxy/config_apply.py
+++ b/irisdeal/proxy/config_apply.py
@@ -14,8 +14,12 @@
 from irisdeal.proxy.table import Table
 
 SLICE = 0.004  # s of work between two looks at requests; on 0.2 cores that is some 0.02 s
-PACE = 0.3  # s from one begin to the next: words that come faster are skipped; far below an `apply_ms` of 2.5 s
-MOST_DROPPED = 1  # that are given up midway for a newer one, from one in force to the next: something gets done
+PACE = (
+    0.3  # s from one begin to the next: words that come faster are skipped; far below an `apply_ms` of 2.5 s
+)
+MOST_DROPPED = (
+    1  # that are given up midway for a newer one, from one in force to the next: something gets done
+)
 
 Steps = Generator[None, None, Table | None]
 
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -114,7 +114,9 @@
             resting[0].drop()
 
     def _make_room(self) -> bool:
-        oldest = min((few[0] for few in self.resting.values() if few), key=lambda c: c.idle_since, default=None)
+        oldest = min(
+            (few[0] for few in self.resting.values() if few), key=lambda c: c.idle_since, default=None
+        )
         if oldest is not None:
             oldest.drop()
         return oldest is not None
--- a/irisdeal/proxy/metrics.py
+++ b/irisdeal/proxy/metrics.py
@@ -11,7 +11,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.departures = self.counter(
-            "client_departures", "Requests whose client left before the answer, by what they waited for.", "phase"
+            "client_departures",
+            "Requests whose client left before the answer, by what they waited for.",
+            "phase",
         )
         self.work_after_departure = self.summary(
             "work_after_departure_seconds", "Seconds from a client's leaving to the end of all work for it."
@@ -20,7 +22,9 @@
             "attempts_abandoned", "Attempts at backends that were given up, by the reason.", "reason"
         )
         self.drained = self.counter(
-            "drained_requests", "Requests that came after the signal to end, by what became of them.", "outcome"
+            "drained_requests",
+            "Requests that came after the signal to end, by what became of them.",
+            "outcome",
         )
         self.cut = self.counter("cut_requests", "Requests without an answer at the end, by phase.", "phase")
         self.unsent = self.counter("unsent_bytes", "Bytes of answers that were not out at the end.")
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -16,16 +16,14 @@
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.server import HttpServer, Unanswered
-from irisdeal.load_balancing.backend_choice import Backend, Usual, BackendChoice
+from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
 from irisdeal.mast.early import Listening
 from irisdeal.mast.events import tell
 from irisdeal.mast.process import Tasks
 from irisdeal.mast.settings import Settings, address
 from irisdeal.permits.allowance import Limit
 from irisdeal.placement.load_reports import key
-from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
 from irisdeal.proxy.admission import RequestPermit, TenantAdmission
-from irisdeal.proxy.config_apply import ConfigApply
 from irisdeal.proxy.attempt_placement import AttemptPlacer
 from irisdeal.proxy.attempts import (
     HOLD_SHARE,
@@ -34,6 +32,7 @@
     AttemptServices,
     RequestAttempts,
 )
+from irisdeal.proxy.config_apply import ConfigApply
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.drain_plan import DrainPlan
 from irisdeal.proxy.metrics import ProxyMetrics
@@ -41,6 +40,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
+from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
 
 MOST_WAIT = 60.0  # s, where a client tells no deadline
 FIRST_WAIT = 0.3  # s that a request at a door which has just started waits for the first configuration
@@ -74,11 +74,20 @@
         self.gate = self.admission.gate
         slack = PROXY_SLACK * settings.bound("retry_slack", 50.0)
         self.repeats = RetryBudgets(
-            settings.bound("retry_ratio", 0.2), settings.bound("retry_window_s", 10.0), slack, self.loop.time()
+            settings.bound("retry_ratio", 0.2),
+            settings.bound("retry_window_s", 10.0),
+            slack,
+            self.loop.time(),
         )
         self.pool = ConnectionPool(self.loop, max(64, settings.limits.max_fds - BODY_LIMIT) // 2)
         self.placer = AttemptPlacer(
-            settings.zone, self.services, self.pool, self.choice, self.registries, self.admission, self.repeats
+            settings.zone,
+            self.services,
+            self.pool,
+            self.choice,
+            self.registries,
+            self.admission,
+            self.repeats,
         )
         self.front = HttpServer(self.serve, self.loop, ends_at_eof=True)
         self.readiness = HttpServer(self._ready, self.loop)
@@ -107,7 +116,9 @@
         self.sources.start()
         self.tasks.start(self.admission.report_intervals())
         await self.front.listen(address(self.settings.bind.front), sock=self.listening.get("front"))
-        await self.readiness.listen(address(self.settings.bind.readiness), sock=self.listening.get("readiness"))
+        await self.readiness.listen(
+            address(self.settings.bind.readiness), sock=self.listening.get("readiness")
+        )
         await self.metrics_server.start()
 
     async def stop(self) -> None:
--- a/irisdeal/proxy/refusal.py
+++ b/irisdeal/proxy/refusal.py
@@ -6,7 +6,9 @@
 
 FLOODED_AGAIN_S = 1.0  # after which a client of a tenant that is far over its limit may come back
 AGAIN_S = 0.05  # likewise of one that is not: another proxy may have a permit
-UNKNOWN_AGAIN_S = 1.0  # likewise while no total is known: registries that start again have little to give at first
+UNKNOWN_AGAIN_S = (
+    1.0  # likewise while no total is known: registries that start again have little to give at first
+)
 LEAVING_AGAIN_S = 0.05  # likewise where this process ends: another serves at once
 NO_PERMIT_AGAIN_S = 0.6  # likewise where no registry gives permits: one that starts again is back in a second
 
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -21,12 +21,12 @@
     PlaceRequest,
     PlaceResult,
 )
-from irisdeal.placement.attempt_end import How
 from irisdeal.mast import places
 from irisdeal.mast.events import tell
 from irisdeal.mast.settings import Settings
-from irisdeal.telegraph.link import Link
+from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.sources import Sources, hash_of
+from irisdeal.telegraph.link import Link
 
 REPORT_S = 0.4  # for the answer to a report
 PLACE_S = 0.06  # for the answer to an ask for a place: some ways there and back
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -34,8 +34,12 @@
 SOURCES = 2  # asked at once: one may lag or die without a loss of time
 HOLD = 1.0  # s that a source holds an ask without news
 ASK = HOLD + 0.5  # s for news
-OLD = LEASE + HOLD  # s: knowledge that is older when it comes is no contact; sources in order tell 1.1 at most
-LOST = OLD + ASK  # s: the age of our own knowledge from which we have no contact: the next answer has not come
+OLD = (
+    LEASE + HOLD
+)  # s: knowledge that is older when it comes is no contact; sources in order tell 1.1 at most
+LOST = (
+    OLD + ASK
+)  # s: the age of our own knowledge from which we have no contact: the next answer has not come
 LEFT = 2.0  # s at least that a source which was left is not preferred; doubled each time that it was no use again
 MOST_LEFT = 8.0  # s
 PAUSE, MOST_PAUSE = 0.05, 0.15  # s before the next source is tried: drawn between these
@@ -67,12 +71,18 @@
         self.ended: dict[str, float] = {}
         self.silent: dict[str, dict[str, bool]] = {}  # life -> source -> whether it says silent
         self.using: list[str] = []
-        self.told: dict[str, dict[str, str]] = {}  # source -> the machines of the core and their zones, by its word
+        self.told: dict[
+            str, dict[str, str]
+        ] = {}  # source -> the machines of the core and their zones, by its word
         self.zones: dict[str, str] = {}  # what all of them told; as it was, where none tells
-        self.left: dict[str, tuple[float, float]] = {}  # source -> until when it is not preferred, and for how long
+        self.left: dict[
+            str, tuple[float, float]
+        ] = {}  # source -> until when it is not preferred, and for how long
         self.fresh: dict[str, float] = {}  # source -> as of when its knowledge was when it told last
         self.known: dict[str, int] = {}  # source -> its life that was told what we know
-        self.on_left: Callable[[set[str]], None] = lambda gone: None  # hears which machines have left the core
+        self.on_left: Callable[[set[str]], None] = lambda gone: (
+            None
+        )  # hears which machines have left the core
         self.answering: set[str] = set()  # sources that answer, in contact with the core or not
         self.has_heard = asyncio.Event()  # that a first source has answered
         self.arriving = ""  # the source that a word comes from in pieces; the other one does not bring it too
@@ -128,7 +138,9 @@
                 hash_of(self.settings.ip, ip),
             )
 
-        return sorted((ip for ip in {*self.zones, *places.seeds(self.settings)} if ip not in self.using), key=rank)
+        return sorted(
+            (ip for ip in {*self.zones, *places.seeds(self.settings)} if ip not in self.using), key=rank
+        )
 
     def _is_left(self, ip: str, now: float) -> bool:
         return self.left.get(ip, (0.0, 0.0))[0] > now
@@ -150,7 +162,9 @@
         others = [other for other in self._candidates() if not self._is_left(other, now)]
         if not is_good:
             return bool(others) and not self._waits()
-        return ip == self.using[0] and not any(map(self.is_near, self.using)) and any(map(self.is_near, others))
+        return (
+            ip == self.using[0] and not any(map(self.is_near, self.using)) and any(map(self.is_near, others))
+        )
 
     def _waits(self) -> bool:
         """Whether we have just started and no source had contact yet: all may be starting, and tell when they have
@@ -297,7 +311,14 @@
         life = self.lives.get(id_)
         if life is not None and life.state is not State.GONE:
             gone = Life(
-                life.id, life.service, life.address, life.zone, life.capacity, State.GONE, life.count, life.warm_at
+                life.id,
+                life.service,
+                life.address,
+                life.zone,
+                life.capacity,
+                State.GONE,
+                life.count,
+                life.warm_at,
             )
             self.lives[id_] = gone
             self.ended.setdefault(id_, self.loop.time())
--- a/irisdeal/queueing/fair.py
+++ b/irisdeal/queueing/fair.py
@@ -124,7 +124,13 @@
         return len(self._flows)
 
     def push(
-        self, band: int, plan: Hashable, store: Hashable, entry: Entry[T], weight: float, now: int,
+        self,
+        band: int,
+        plan: Hashable,
+        store: Hashable,
+        entry: Entry[T],
+        weight: float,
+        now: int,
     ) -> list[T]:
         """Let a request wait in its store's queue; return what gave way to it, perhaps the request itself.
 
--- a/irisdeal/queueing/sketch.py
+++ b/irisdeal/queueing/sketch.py
@@ -57,7 +57,7 @@
         if ago > FAR:
             self._move(now)
             ago = 0.0
-        weight *= 2.0 ** ago
+        weight *= 2.0**ago
         if (old := self._counts.get(key)) is not None:
             self._counts[key] = old[0] + weight, old[1]
             return None
--- a/irisdeal/queueing/top.py
+++ b/irisdeal/queueing/top.py
@@ -59,13 +59,35 @@
     try:
         queue, seen, name = told["queue"], told["watch"], str(told["name"])
         door = Door(
-            name, int(queue["entries"]), int(queue["bytes"]), int(queue["flows"]), int(queue["given_way"]),
-            int(told["out"]), float(told["window"]), int(seen["asked"]), int(seen["sent"]),
-            int(seen["refused"]), int(seen["advice_heeded"]), int(seen["advice_ignored"]))
-        rows = [Row(
-            str(s["customer"]), str(s["plan_name"]), float(s["share"]), int(s["asked"]), int(s["sent"]),
-            int(s["refused"]), float(s["mean_wait_ms"] or 0.0) * int(s["sent"]), float(s["longest_wait_ms"]),
-            int(s["advice_heeded"]), int(s["advice_ignored"]), [name]) for s in seen["stores"]]
+            name,
+            int(queue["entries"]),
+            int(queue["bytes"]),
+            int(queue["flows"]),
+            int(queue["given_way"]),
+            int(told["out"]),
+            float(told["window"]),
+            int(seen["asked"]),
+            int(seen["sent"]),
+            int(seen["refused"]),
+            int(seen["advice_heeded"]),
+            int(seen["advice_ignored"]),
+        )
+        rows = [
+            Row(
+                str(s["customer"]),
+                str(s["plan_name"]),
+                float(s["share"]),
+                int(s["asked"]),
+                int(s["sent"]),
+                int(s["refused"]),
+                float(s["mean_wait_ms"] or 0.0) * int(s["sent"]),
+                float(s["longest_wait_ms"]),
+                int(s["advice_heeded"]),
+                int(s["advice_ignored"]),
+                [name],
+            )
+            for s in seen["stores"]
+        ]
     except (KeyError, TypeError, ValueError) as error:
         raise BadReport(f"a report that cannot be read: {error!r}") from None
     return door, rows
--- a/irisdeal/queueing/watch.py
+++ b/irisdeal/queueing/watch.py
@@ -86,16 +86,28 @@
         total = sum(heavy.weight for heavy in self._heavy.top(len(self._heavy), now))
         for heavy in self._heavy.top(count, now):
             record = self._records[heavy.key]
-            stores.append({
-                "customer": f"{heavy.key[0]:016x}", "plan": heavy.key[1],
-                "share": round(heavy.weight / total, 4) if total else 0.0,
-                "share_error": round(heavy.error / total, 4) if total else 0.0,
-                "asked": record.asked, "sent": record.sent, "refused": record.refused,
-                "mean_wait_ms": round(record.waited / record.sent / 1000, 1) if record.sent else None,
-                "longest_wait_ms": round(record.longest / 1000, 1),
-                "advice_heeded": record.heeded, "advice_ignored": record.ignored})
+            stores.append(
+                {
+                    "customer": f"{heavy.key[0]:016x}",
+                    "plan": heavy.key[1],
+                    "share": round(heavy.weight / total, 4) if total else 0.0,
+                    "share_error": round(heavy.error / total, 4) if total else 0.0,
+                    "asked": record.asked,
+                    "sent": record.sent,
+                    "refused": record.refused,
+                    "mean_wait_ms": round(record.waited / record.sent / 1000, 1) if record.sent else None,
+                    "longest_wait_ms": round(record.longest / 1000, 1),
+                    "advice_heeded": record.heeded,
+                    "advice_ignored": record.ignored,
+                }
+            )
         return {
-            "asked": self.asked, "sent": self.sent, "refused": self.refused,
-            "advice_heeded": self.heeded, "advice_ignored": self.ignored,
+            "asked": self.asked,
+            "sent": self.sent,
+            "refused": self.refused,
+            "advice_heeded": self.heeded,
+            "advice_ignored": self.ignored,
             "waits_ms": {"ends": list(ENDS), "counts": list(self.waits)},
-            "stores_watched": len(self._records), "stores": stores}
+            "stores_watched": len(self._records),
+            "stores": stores,
+        }
--- a/irisdeal/quota/account.py
+++ b/irisdeal/quota/account.py
@@ -52,8 +52,24 @@
     """One customer of one plan with a rate, at one door."""
 
     __slots__ = (
-        "alone", "alone_at", "burst", "carried", "drawn", "heard_at", "index", "key", "mine", "mine_at",
-        "much", "much_in", "phase", "quantum", "rate", "slot", "ways")
+        "alone",
+        "alone_at",
+        "burst",
+        "carried",
+        "drawn",
+        "heard_at",
+        "index",
+        "key",
+        "mine",
+        "mine_at",
+        "much",
+        "much_in",
+        "phase",
+        "quantum",
+        "rate",
+        "slot",
+        "ways",
+    )
 
     def __init__(self, key: int, rate: float, burst: float, ways: int, now: int) -> None:
         """`rate` is over 0; `ways`: doors that it comes through."""
--- a/irisdeal/ratelimit/interval_counter.py
+++ b/irisdeal/ratelimit/interval_counter.py
@@ -22,7 +22,9 @@
 
 from irisdeal.ratelimit.interval_clock import LENGTH
 
-PROXY_KEPT_S = 30.0  # that a silent proxy counts: a cut of some twenty seconds, a window, and the time to notice
+PROXY_KEPT_S = (
+    30.0  # that a silent proxy counts: a cut of some twenty seconds, a window, and the time to notice
+)
 REGISTRY_KEPT_S = 30.0  # likewise for a silent registry
 SILENT_INTERVALS = 2.4  # without a report, then a proxy is silent: it missed two
 MOST_PROXIES = 8192
@@ -114,7 +116,9 @@
         elif known is not None or len(self.reports) < MOST_PROXIES:
             self.reports[proxy] = ProxyReport(number, now, usages)
 
-    def hear_sum(self, registry: str, number: int, usages: Usages, proxies: Iterable[int], now: float) -> None:
+    def hear_sum(
+        self, registry: str, number: int, usages: Usages, proxies: Iterable[int], now: float
+    ) -> None:
         """Another registry's sum."""
         known = self.sums.get(registry)
         if known is None or known.number < number:
--- a/irisdeal/ratelimit/rate_companion.py
+++ b/irisdeal/ratelimit/rate_companion.py
@@ -15,7 +15,9 @@
 from irisdeal.ratelimit.interval_counter import Usage
 
 SPARE = 3.0  # requests of an interval that chance lets through beyond: a small tenant asks in clumps
-ROOM_FACTOR = 1.7  # times the room that chance lets through: permits are to bind, chance only to spare the calls
+ROOM_FACTOR = (
+    1.7  # times the room that chance lets through: permits are to bind, chance only to spare the calls
+)
 
 
 def chance(asked: float, room: float) -> float:
--- a/irisdeal/routes/costs.py
+++ b/irisdeal/routes/costs.py
@@ -48,8 +48,12 @@
     """The value of a parameter; None where it is not there. Twice is an error: which one counts?"""
     if len(query) > MOST_QUERY:
         raise BadUnits("query too long")
-    found = [value for part in query.split("&") for key, _, value in (part.partition("="),)
-             if key == name or (("%" in key or "+" in key) and unquote_plus(key) == name)]
+    found = [
+        value
+        for part in query.split("&")
+        for key, _, value in (part.partition("="),)
+        if key == name or (("%" in key or "+" in key) and unquote_plus(key) == name)
+    ]
     if len(found) > 1:
         raise BadUnits(f"query parameter {name} more than once")
     return unquote_plus(found[0]) if found else None
--- a/irisdeal/routes/difference.py
+++ b/irisdeal/routes/difference.py
@@ -38,8 +38,10 @@
     if new.repeat is not old.repeat:
         return new.repeat < old.repeat
     return old.repeat is Repeat.KEYED and (
-        new.window > old.window or new.key_header != old.key_header or (
-            new.group != old.group and old.group != "all"))
+        new.window > old.window
+        or new.key_header != old.key_header
+        or (new.group != old.group and old.group != "all")
+    )
 
 
 def difference(old: Table, new: Table) -> list[Change]:
@@ -66,8 +68,14 @@
     if _times(old) != _times(new):
         found.append(Change("times", *key, _times(old), _times(new)))
     if (one.customer, one.plan) != (other.customer, other.plan):
-        found.append(Change("identity", *key, f"{one.customer.text()}, {one.plan.text()}",
-                            f"{other.customer.text()}, {other.plan.text()}"))
+        found.append(
+            Change(
+                "identity",
+                *key,
+                f"{one.customer.text()}, {one.plan.text()}",
+                f"{other.customer.text()}, {other.plan.text()}",
+            )
+        )
     if old.name != new.name:
         found.append(Change("name", *key, old.name, new.name))
     return found
@@ -80,16 +88,20 @@
 
 
 def _times(rule: Rule) -> str:
-    return (f"aim {rule.aim / 1000:g} ms, deadline {rule.deadline / 1000:g} ms, worth {rule.worth:g}, "
-            f"late {rule.late_worth:g}")
+    return (
+        f"aim {rule.aim / 1000:g} ms, deadline {rule.deadline / 1000:g} ms, worth {rule.worth:g}, "
+        f"late {rule.late_worth:g}"
+    )
 
 
 def refusal(old: Table, new: Table) -> str | None:
     """Why a swap is not to be made, with the first route that it concerns; None where it may be."""
     for change in difference(old, new):
         if change.what == "weaker" and not new.allow_weaken:
-            return (f"{change.method} {change.template}: {change.old} would become {change.new}: "
-                    "wanted weaken in x-irisdeal allow")
+            return (
+                f"{change.method} {change.template}: {change.old} would become {change.new}: "
+                "wanted weaken in x-irisdeal allow"
+            )
         if change.what == "gone" and not new.allow_remove:
             return f"{change.method} {change.template} would be gone: wanted remove in x-irisdeal allow"
     return None
--- a/irisdeal/routes/matcher.py
+++ b/irisdeal/routes/matcher.py
@@ -48,7 +48,10 @@
     __slots__ = ("allow", "names", "route", "values")
 
     def __init__(
-        self, route: Route | None, names: tuple[str, ...] = (), values: Sequence[str] = (),
+        self,
+        route: Route | None,
+        names: tuple[str, ...] = (),
+        values: Sequence[str] = (),
         allow: tuple[str, ...] = (),
     ) -> None:
         self.route, self.names, self.values, self.allow = route, names, values, allow
@@ -118,7 +121,11 @@
 
 
 def _search(
-    node: _Node, segments: Sequence[str], at: int, method: str, values: list[str],
+    node: _Node,
+    segments: Sequence[str],
+    at: int,
+    method: str,
+    values: list[str],
 ) -> tuple[Route, tuple[str, ...]] | None:
     """The first choice that has the method; its parameters are behind what `values` held.
 
@@ -174,8 +181,7 @@
     heads = (one.literals[0], other.literals[0])
     tails = (one.literals[-1], other.literals[-1])
     head, tail = min(map(len, heads)), min(map(len, tails))
-    return heads[0][:head] == heads[1][:head] and (
-        not tail or tails[0][-tail:] == tails[1][-tail:])
+    return heads[0][:head] == heads[1][:head] and (not tail or tails[0][-tail:] == tails[1][-tail:])
 
 
 def _text(segment: Segment) -> str:
--- a/irisdeal/routes/model.py
+++ b/irisdeal/routes/model.py
@@ -84,8 +84,10 @@
     def stricter(self, other: Rule) -> Rule:
         """This class with the stricter rule on repeats of the two; times and worth stay."""
         if other.repeat <= self.repeat and not (
-                self.repeat is Repeat.KEYED and other.repeat is Repeat.KEYED and (
-                    other.window < self.window or other.group != self.group)):
+            self.repeat is Repeat.KEYED
+            and other.repeat is Repeat.KEYED
+            and (other.window < self.window or other.group != self.group)
+        ):
             return self
         if other.repeat is Repeat.KEYED and self.repeat is Repeat.KEYED:
             if other.group != self.group and "all" not in (other.group, self.group):
@@ -97,8 +99,17 @@
 
 
 def _with(rule: Rule, repeat: Repeat, group: str, window: int) -> Rule:
-    return Rule(rule.name, repeat, group, window, rule.key_header, rule.aim, rule.deadline, rule.worth,
-                rule.late_worth)
+    return Rule(
+        rule.name,
+        repeat,
+        group,
+        window,
+        rule.key_header,
+        rule.aim,
+        rule.deadline,
+        rule.worth,
+        rule.late_worth,
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/routes/path.py
+++ b/irisdeal/routes/path.py
@@ -37,8 +37,13 @@
     """Origin form or absolute form to its parts; `*` has the one segment `*`. Raises `BadTarget`."""
     if len(target) > MOST_TARGET:
         raise BadTarget(f"target over {MOST_TARGET} bytes")
-    if (target[:1] == "/" and "%" not in target and "/." not in target and "#" not in target
-            and target.isprintable()):  # nothing to decode and nothing odd: by far the most
+    if (
+        target[:1] == "/"
+        and "%" not in target
+        and "/." not in target
+        and "#" not in target
+        and target.isprintable()
+    ):  # nothing to decode and nothing odd: by far the most
         path, _, query = target.partition("?")
         segments = path[1:].split("/")
         if len(segments) <= MOST_SEGMENTS:
@@ -49,7 +54,7 @@
         absolute = ABSOLUTE.match(target)
         if absolute is None:
             raise BadTarget("target is neither a path nor a URL")
-        target = target[absolute.end():]
+        target = target[absolute.end() :]
         if not target.startswith("/"):
             target = "/" + target
     if "#" in target:
@@ -130,7 +135,8 @@
         return Segment(tuple(literals), (), None)
     # Leftmost parameter shortest, as in most routers; each literal between stands where it first fits.
     text = "".join(
-        re.escape(literal) + ("(.+?)" if n < len(names) else "") for n, literal in enumerate(literals))
+        re.escape(literal) + ("(.+?)" if n < len(names) else "") for n, literal in enumerate(literals)
+    )
     return Segment(tuple(literals), names, re.compile(text, re.DOTALL))
 
 
--- a/irisdeal/routes/table.py
+++ b/irisdeal/routes/table.py
@@ -45,7 +45,10 @@
 
 
 def building(
-    routes: Iterable[Route], number: int = 1, allow_weaken: bool = False, allow_remove: bool = False,
+    routes: Iterable[Route],
+    number: int = 1,
+    allow_weaken: bool = False,
+    allow_remove: bool = False,
 ) -> Iterator[Table]:
     """Make a table in small steps: the same table is given after each, whole with the last one.
 
--- a/irisdeal/routes/wire.py
+++ b/irisdeal/routes/wire.py
@@ -11,27 +11,82 @@
 from irisdeal.routes.model import Repeat, Route, Rule, Source, Units
 
 FIELDS = (
-    "method", "template", "class", "repeat", "group", "window", "key_header", "aim", "deadline", "worth",
-    "late_worth", "units", "customer", "plan", "operation", "pointer", "deprecated")
+    "method",
+    "template",
+    "class",
+    "repeat",
+    "group",
+    "window",
+    "key_header",
+    "aim",
+    "deadline",
+    "worth",
+    "late_worth",
+    "units",
+    "customer",
+    "plan",
+    "operation",
+    "pointer",
+    "deprecated",
+)
 
 
 def route_to_wire(route: Route) -> list[Any]:
     rule, units = route.rule, route.units
     return [
-        route.method, route.template, rule.name, int(rule.repeat), rule.group, rule.window, rule.key_header,
-        rule.aim, rule.deadline, rule.worth, rule.late_worth,
+        route.method,
+        route.template,
+        rule.name,
+        int(rule.repeat),
+        rule.group,
+        rule.window,
+        rule.key_header,
+        rule.aim,
+        rule.deadline,
+        rule.worth,
+        rule.late_worth,
         [units.amount, units.place, units.name, units.default, units.cap],
-        [route.customer.place, route.customer.name], [route.plan.place, route.plan.name], route.operation,
-        route.pointer, route.deprecated]
+        [route.customer.place, route.customer.name],
+        [route.plan.place, route.plan.name],
+        route.operation,
+        route.pointer,
+        route.deprecated,
+    ]
 
 
 def route_from_wire(told: list[Any], rules: dict[Rule, Rule]) -> Route:
     """A route; equal rules are shared through `rules`. ValueError where it is none."""
     if len(told) != len(FIELDS):
         raise ValueError(f"a route of {len(told)} values: wanted {len(FIELDS)}")
-    (method, template, name, repeat, group, window, key_header, aim, deadline, worth, late_worth, units,
-     customer, plan, operation, pointer, deprecated) = told
+    (
+        method,
+        template,
+        name,
+        repeat,
+        group,
+        window,
+        key_header,
+        aim,
+        deadline,
+        worth,
+        late_worth,
+        units,
+        customer,
+        plan,
+        operation,
+        pointer,
+        deprecated,
+    ) = told
     rule = Rule(name, Repeat(repeat), group, window, key_header, aim, deadline, worth, late_worth)
     rule = rules.setdefault(rule, rule)
-    return Route(method, template, rule, Units(*units), Source(*customer), Source(*plan), operation, pointer,
-                 deprecated)
+    return Route(
+        method,
+        template,
+        rule,
+        Units(*units),
+        Source(*customer),
+        Source(*plan),
+        operation,
+        pointer,
+        deprecated,
+    )
--- a/irisdeal/sim/machine.py
+++ b/irisdeal/sim/machine.py
@@ -73,7 +73,13 @@
     """One process: its loop, its descriptors, its end."""
 
     def __init__(
-        self, world: World, net: Network, name: str, core: Core, costs: Costs, grain: int = 1,
+        self,
+        world: World,
+        net: Network,
+        name: str,
+        core: Core,
+        costs: Costs,
+        grain: int = 1,
         files: int = 1_000_000,
     ) -> None:
         """`grain`: what its timers count in, µs (uvloop's: 1000). `files`: the most descriptors of it."""
@@ -271,7 +277,10 @@
     # asyncio's calls
 
     def call_soon(
-        self, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None,
+        self,
+        callback: Callable[..., object],
+        *args: Any,
+        context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
         handle = asyncio.Handle(callback, args, self, context)
         if not self.dead:
@@ -280,7 +289,10 @@
         return handle
 
     def call_later(
-        self, delay: float, callback: Callable[..., object], *args: Any,
+        self,
+        delay: float,
+        callback: Callable[..., object],
+        *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
         if math.isnan(delay):
@@ -302,7 +314,10 @@
         return timer
 
     def call_at(
-        self, when: float, callback: Callable[..., object], *args: Any,
+        self,
+        when: float,
+        callback: Callable[..., object],
+        *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
         return self.call_later(when - self.time(), callback, *args, context=context)
@@ -317,7 +332,10 @@
         return asyncio.Future(loop=self)
 
     def create_task(
-        self, coro: Generator[Any, None, T] | Coroutine[Any, Any, T], *, name: str | None = None,
+        self,
+        coro: Generator[Any, None, T] | Coroutine[Any, Any, T],
+        *,
+        name: str | None = None,
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[T]:
         task: asyncio.Task[T] = asyncio.Task(coro, loop=self, name=name, context=context)
@@ -350,7 +368,8 @@
         return self.dead
 
     def set_exception_handler(
-        self, handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None,
+        self,
+        handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None,
     ) -> None:
         self._exceptions = handler
 
@@ -384,7 +403,11 @@
         return bool(fd.unwatch())
 
     async def create_connection(
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any,
+        self,
+        protocol_factory: Any,
+        host: Any = None,
+        port: Any = None,
+        **_: Any,
     ) -> Any:
         return await self.net.connect(self, protocol_factory, (str(host), int(port)))
 
--- a/irisdeal/sim/net.py
+++ b/irisdeal/sim/net.py
@@ -61,8 +61,24 @@
 class Socket:
     """One end of a connection, as the system has it."""
 
-    __slots__ = ("address", "closed", "fin", "fin_sent", "free_at", "inbox", "last", "machine", "net",
-                 "number", "other", "out", "reset", "size", "transport", "way")
+    __slots__ = (
+        "address",
+        "closed",
+        "fin",
+        "fin_sent",
+        "free_at",
+        "inbox",
+        "last",
+        "machine",
+        "net",
+        "number",
+        "other",
+        "out",
+        "reset",
+        "size",
+        "transport",
+        "way",
+    )
 
     def __init__(self, net: Network, machine: Machine, way: Way) -> None:
         self.net, self.machine, self.way = net, machine, way
@@ -469,7 +485,10 @@
 
     @staticmethod
     def _arrive(
-        sock: Socket, written: int | None, call: Callable[..., None], args: tuple[Any, ...],
+        sock: Socket,
+        written: int | None,
+        call: Callable[..., None],
+        args: tuple[Any, ...],
     ) -> None:
         died = sock.machine.died_at
         if written is None or died is None or written <= died:
--- a/irisdeal/sim/world.py
+++ b/irisdeal/sim/world.py
@@ -124,8 +124,10 @@
             if self._at_once > MOST_AT_ONCE - 16:
                 self._last.append(entry.what)
                 if self._at_once > MOST_AT_ONCE:
-                    raise Spinning(f"{MOST_AT_ONCE} entries at {self.seconds():.6f} s, of late: "
-                                   f"{', '.join(dict.fromkeys(self._last))}")
+                    raise Spinning(
+                        f"{MOST_AT_ONCE} entries at {self.seconds():.6f} s, of late: "
+                        f"{', '.join(dict.fromkeys(self._last))}"
+                    )
             self.trail.note(when, entry.what)
             entry.call(*entry.args)
 
--- a/irisdeal/sources/openapi.py
+++ b/irisdeal/sources/openapi.py
@@ -30,8 +30,19 @@
 from irisdeal.routes.costs import tokens
 from irisdeal.routes.matcher import Clash, Matcher
 from irisdeal.routes.model import (
-    DEFAULT_AIM, DEFAULT_DEADLINE, DEFAULT_WINDOW, METHODS, MOST_UNITS, SAFE_METHODS, Repeat, Route, Rule,
-    Source, Units, check_rule)
+    DEFAULT_AIM,
+    DEFAULT_DEADLINE,
+    DEFAULT_WINDOW,
+    METHODS,
+    MOST_UNITS,
+    SAFE_METHODS,
+    Repeat,
+    Route,
+    Rule,
+    Source,
+    Units,
+    check_rule,
+)
 from irisdeal.routes.path import BadTarget, BadTemplate, read_path, read_template
 from irisdeal.routes.wire import route_to_wire
 from irisdeal.sources.yamljson import MOST_BYTES, Malformed, load
@@ -43,8 +54,9 @@
 EXTENSION = "x-irisdeal"
 KEYS = ("class", "units", "repeat", "aim_ms", "deadline_ms", "worth", "late_worth", "customer", "plan")
 TOP_KEYS = (*KEYS, "allow")
-NOT_FORWARDED = frozenset((
-    "connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect"))
+NOT_FORWARDED = frozenset(
+    ("connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect")
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -179,8 +191,11 @@
                 raise self._stop(where, f"wanted a reference, not {_short(ref)}")
             parts = urlsplit(ref) if len(ref) < 4_096 else None
             if parts is None or parts.scheme or parts.netloc:
-                raise self._stop(where, f"{_short(ref)} leads away from the description: wanted a place in "
-                                 "it or a file beside it")
+                raise self._stop(
+                    where,
+                    f"{_short(ref)} leads away from the description: wanted a place in "
+                    "it or a file beside it",
+                )
             whole = urljoin(at.uri, ref)
             uri, _, fragment = whole.partition("#")
             if (uri, fragment) in seen or len(seen) >= MOST_HOPS:
@@ -334,14 +349,21 @@
         for n, value in enumerate(told.value):
             place = self._resolved(_At(value, told.uri, f"{told.pointer}/{n}"))
             if not isinstance(place.value, dict) or not all(
-                    isinstance(place.value.get(k), str) for k in ("in", "name")):
+                isinstance(place.value.get(k), str) for k in ("in", "name")
+            ):
                 raise self._stop(place, "wanted a parameter with in and name")
             made[place.value["in"], place.value["name"]] = True
         return made
 
     def _operation(
-        self, at: _At, method: str, template: str, names: list[str], bases: list[str],
-        above: dict[str, _At], shared: dict[tuple[str, str], bool],
+        self,
+        at: _At,
+        method: str,
+        template: str,
+        names: list[str],
+        bases: list[str],
+        above: dict[str, _At],
+        shared: dict[tuple[str, str], bool],
     ) -> None:
         if not isinstance(at.value, dict):
             raise self._stop(at, f"wanted an operation, not {_short(at.value)}")
@@ -359,9 +381,19 @@
         customer = self._source(extension.get("customer"), Source("header", "account"), names)
         plan = self._source(extension.get("plan"), Source("header", "plan"), names)
         for base in bases:
-            self.made.routes.append(Route(
-                method, base.rstrip("/") + template, rule, units, customer, plan, operation, "#" + at.pointer,
-                at.value.get("deprecated") is True))
+            self.made.routes.append(
+                Route(
+                    method,
+                    base.rstrip("/") + template,
+                    rule,
+                    units,
+                    customer,
+                    plan,
+                    operation,
+                    "#" + at.pointer,
+                    at.value.get("deprecated") is True,
+                )
+            )
 
     # x-irisdeal
 
@@ -369,10 +401,16 @@
         repeat, group, window, header = self._repeat(told.get("repeat"), method)
         default = "read" if method in SAFE_METHODS else "write"
         rule = Rule(
-            name=self._text(told.get("class"), default), repeat=repeat, group=group, window=window,
-            key_header=header, aim=self._ms(told.get("aim_ms"), DEFAULT_AIM),
+            name=self._text(told.get("class"), default),
+            repeat=repeat,
+            group=group,
+            window=window,
+            key_header=header,
+            aim=self._ms(told.get("aim_ms"), DEFAULT_AIM),
             deadline=self._ms(told.get("deadline_ms"), DEFAULT_DEADLINE),
-            worth=self._number(told.get("worth"), 1.0), late_worth=self._number(told.get("late_worth"), 0.0))
+            worth=self._number(told.get("worth"), 1.0),
+            late_worth=self._number(told.get("late_worth"), 0.0),
+        )
         if (wrong := check_rule(rule)) is not None:
             key = wrong.split()[0]
             raise self._stop(next((told[k] for k in (key, f"{key}_ms") if k in told), at), wrong)
@@ -386,8 +424,11 @@
         if value in ("safe", "unsafe", "keyed"):
             return Repeat[value.upper()], *plain
         if not isinstance(value, dict) or set(value) != {"keyed"} or not isinstance(value["keyed"], dict):
-            raise self._stop(told, f"repeat is {_short(value)}: wanted safe, unsafe, keyed, or "
-                             "keyed with header, group, window_ms")
+            raise self._stop(
+                told,
+                f"repeat is {_short(value)}: wanted safe, unsafe, keyed, or "
+                "keyed with header, group, window_ms",
+            )
         keyed = told.child("keyed")
         for key in keyed.value:
             if key not in ("header", "group", "window_ms"):
@@ -403,8 +444,13 @@
 
     def _header(self, told: _At) -> str:
         name = told.value
-        if not isinstance(name, str) or not name or not name.replace("-", "").replace("_", "").isalnum() \
-                or not name.isascii() or len(name) > 64:
+        if (
+            not isinstance(name, str)
+            or not name
+            or not name.replace("-", "").replace("_", "").isalnum()
+            or not name.isascii()
+            or len(name) > 64
+        ):
             raise self._stop(told, f"{_short(name)}: wanted the name of a header")
         if name.lower() in NOT_FORWARDED:
             raise self._stop(told, f"{name}: a header that speaks of one connection")
@@ -481,13 +527,19 @@
             try:
                 matcher.add(route)
             except Clash as clash:
-                self._note(_At(None, self.root, route.pointer[1:]),
-                           f"{clash}: wanted one of them, which stands at {clash.one.pointer}")
+                self._note(
+                    _At(None, self.root, route.pointer[1:]),
+                    f"{clash}: wanted one of them, which stands at {clash.one.pointer}",
+                )
             except BadTemplate as error:  # with its base path: too many segments, a name twice
                 self._note(_At(None, self.root, route.pointer[1:]), f"path {_short(route.template)}: {error}")
         for one, other in matcher.overlaps:
-            self._note(top, f"segments {one} and {other} can match the same text: the one with more literal "
-                       "characters goes first", error=False)
+            self._note(
+                top,
+                f"segments {one} and {other} can match the same text: the one with more literal "
+                "characters goes first",
+                error=False,
+            )
 
 
 def _climbs(uri: str, path: str) -> bool:
@@ -536,8 +588,9 @@
 
 def lines(description: Description) -> Iterator[str]:
     """The compact form, a JSON line each: what it holds, then each route (`irisdeal.routes.wire`)."""
-    yield json.dumps({"routes": len(description.routes), "allow": sorted(description.allow),
-                      "files": description.files})
+    yield json.dumps(
+        {"routes": len(description.routes), "allow": sorted(description.allow), "files": description.files}
+    )
     for route in description.routes:
         yield json.dumps(route_to_wire(route))
 
--- a/irisdeal/sources/yamljson.py
+++ b/irisdeal/sources/yamljson.py
@@ -177,6 +177,15 @@
 
 
 _PLAIN: dict[str, Any] = {
-    "": None, "null": None, "~": None, "Null": None, "NULL": None, "true": True, "True": True, "TRUE": True,
-    "false": False, "False": False, "FALSE": False}
-
+    "": None,
+    "null": None,
+    "~": None,
+    "Null": None,
+    "NULL": None,
+    "true": True,
+    "True": True,
+    "TRUE": True,
+    "false": False,
+    "False": False,
+    "FALSE": False,
+}
--- a/irisdeal/squall/core.py
+++ b/irisdeal/squall/core.py
@@ -44,7 +44,9 @@
     refused: int = 0  # sends refused for good of orders that were acknowledged before
     lists: int = 0  # the number of the newest list of members that a watcher saw
     caught_up: float = 0.0  # s after the last return until every member had answered
-    outages: list[tuple[str, float]] = field(default_factory=list)  # orders that met a loss: which, s they took
+    outages: list[tuple[str, float]] = field(
+        default_factory=list
+    )  # orders that met a loss: which, s they took
     breaches: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     trail: str = ""  # of all that happened, to the last byte
@@ -54,8 +56,16 @@
     """One day of `count` members by one seed."""
 
     def __init__(
-        self, count: int, seed: int, make: MAKE = Member, length: float = LENGTH, operators: int = 2,
-        only: tuple[str, ...] = (), burst: bool = False, readers: int = 0, disk_times: tuple[int, ...] = DISK_TIMES,
+        self,
+        count: int,
+        seed: int,
+        make: MAKE = Member,
+        length: float = LENGTH,
+        operators: int = 2,
+        only: tuple[str, ...] = (),
+        burst: bool = False,
+        readers: int = 0,
+        disk_times: tuple[int, ...] = DISK_TIMES,
         pace: float = PACE,
     ) -> None:
         """`only`: the faults to choose from. `burst`: hundreds of changes with a member down. `readers`: callers
@@ -79,7 +89,8 @@
         await self.director.play(self.length)
         begun = self.stage.world.seconds()
         if await self.callers.next(machine, self.callers.waiting, MOST_CALM) is None and not any(
-                op.kind is Kind.CONFLICT and op.start > begun for op in self.callers.record.ops):
+            op.kind is Kind.CONFLICT and op.start > begun for op in self.callers.record.ops
+        ):
             self.breach(f"no order was acknowledged in {MOST_CALM:g} s without a fault")
         await self.director.close()
         await self._end(machine)
@@ -107,8 +118,11 @@
             await pause(machine, 0.1)
         waiting = list(self.stage.hosts)
         while waiting:
-            waiting = [host for host in waiting
-                       if host in self.stage.hosts and not await self.callers.read(machine, host)]
+            waiting = [
+                host
+                for host in waiting
+                if host in self.stage.hosts and not await self.callers.read(machine, host)
+            ]
             if waiting and self.stage.world.seconds() - begun > MOST_READ + CAUGHT_UP:
                 return self.breach(f"not caught up: {', '.join(waiting)}")
             await pause(machine, 0.05 if waiting else 0.0)
@@ -130,14 +144,25 @@
         verdict.orders, verdict.acknowledged, verdict.sends = record.orders, record.acknowledged, record.sends
         verdict.reads = sum(op.kind is Kind.READ for op in record.ops)
         confirmed = {(op.number, op.body): op.end for op in reversed(record.ops) if op.kind is Kind.CONFIRMED}
-        verdict.refused = sum(op.kind is Kind.CONFLICT and confirmed.get((op.number, op.body), EVER) < op.start
-                              for op in record.ops)
+        verdict.refused = sum(
+            op.kind is Kind.CONFLICT and confirmed.get((op.number, op.body), EVER) < op.start
+            for op in record.ops
+        )
         verdict.lists = max((seen.members for seen in record.seen), default=0)
         verdict.faults = self.director.log.lines
-        verdict.outages = [(name, took) for begun, took in record.times for loss, name in self.director.log.began
-                           if 0.0 <= begun - loss <= AFTER_LOSS]
-        verdict.breaches += [*check(record.ops), *self._changes(record), *self._ages(record),
-                             *self._lags(record), *events[:3]]
+        verdict.outages = [
+            (name, took)
+            for begun, took in record.times
+            for loss, name in self.director.log.began
+            if 0.0 <= begun - loss <= AFTER_LOSS
+        ]
+        verdict.breaches += [
+            *check(record.ops),
+            *self._changes(record),
+            *self._ages(record),
+            *self._lags(record),
+            *events[:3],
+        ]
         verdict.trail = self.stage.world.trail.digest()
         return verdict
 
@@ -164,18 +189,21 @@
                     return [f"{seen.at:.3f} s: {host} says it asked at {asked:.3f}, and was cut off then"]
         return []
 
-
     def _lags(self, record: Record) -> list[str]:
         """Who says that it asked a majority then knows what was confirmed well before."""
         confirmed = sorted((op.end, op.number) for op in record.ops if op.kind is Kind.CONFIRMED)
         newest, at = NONE, 0
-        for asked, seen in sorted(((seen.at - seen.age / 1e3 - LAG, seen) for seen in record.seen if seen.age >= 0),
-                                  key=lambda pair: pair[0]):
+        for asked, seen in sorted(
+            ((seen.at - seen.age / 1e3 - LAG, seen) for seen in record.seen if seen.age >= 0),
+            key=lambda pair: pair[0],
+        ):
             while at < len(confirmed) and confirmed[at][0] < asked:
                 newest, at = max(newest, confirmed[at][1]), at + 1
             if seen.number < newest:
-                return [f"{seen.at:.3f} s: {seen.host} says that it asked {seen.age:.0f} ms ago and tells "
-                        f"r{seen.number}; r{newest} was confirmed {LAG:g} s before that"]
+                return [
+                    f"{seen.at:.3f} s: {seen.host} says that it asked {seen.age:.0f} ms ago and tells "
+                    f"r{seen.number}; r{newest} was confirmed {LAG:g} s before that"
+                ]
         return []
 
 
--- a/irisdeal/squall/disk.py
+++ b/irisdeal/squall/disk.py
@@ -24,7 +24,7 @@
         """What it may hold after a loss of power."""
         if self.now == self.lasting:
             return [self.lasting]
-        half = self.now[:len(self.now) // 2]
+        half = self.now[: len(self.now) // 2]
         torn = half + bytes(len(self.now) - len(half))  # its length is known, its second half is not
         return [self.lasting, self.now, half, torn]
 
@@ -84,12 +84,20 @@
 
     def copy(self) -> MemoryDisk:
         """The same disk, apart from this one."""
-        files = {id(file): _File(file.now, file.lasting) for file in (
-            *self.files.values(), *self.lasting.values(), *(file for _, file in self.changes if file))}
+        files = {
+            id(file): _File(file.now, file.lasting)
+            for file in (
+                *self.files.values(),
+                *self.lasting.values(),
+                *(file for _, file in self.changes if file),
+            )
+        }
         return MemoryDisk(
             {name: files[id(file)] for name, file in self.files.items()},
             {name: files[id(file)] for name, file in self.lasting.items()},
-            [(name, files[id(file)] if file else None) for name, file in self.changes], self.full)
+            [(name, files[id(file)] if file else None) for name, file in self.changes],
+            self.full,
+        )
 
     # Losses of power
 
@@ -106,14 +114,16 @@
             files = list(dict.fromkeys(names.values()))
             for contents in itertools.product(*(file.after() for file in files)):
                 held = {file: content for file, content in zip(files, contents, strict=True)}
-                yield MemoryDisk._of({name: data for name, file in names.items()
-                                      if (data := held[file]) is not None})
+                yield MemoryDisk._of(
+                    {name: data for name, file in names.items() if (data := held[file]) is not None}
+                )
 
     def lose_power(self, chance: random.Random) -> MemoryDisk:
         """One of them; at some losses every later write is gone."""
         if chance.random() < 0.3:
-            return MemoryDisk._of({name: file.lasting for name, file in self.lasting.items()
-                                   if file.lasting is not None})
+            return MemoryDisk._of(
+                {name: file.lasting for name, file in self.lasting.items() if file.lasting is not None}
+            )
         names = dict(self.lasting)
         for name, file in self.changes:
             if chance.random() < 0.5:
@@ -122,7 +132,9 @@
                 else:
                     names[name] = file
         held = {file: chance.choice(file.after()) for file in dict.fromkeys(names.values())}
-        return MemoryDisk._of({name: data for name, file in names.items() if (data := held[file]) is not None})
+        return MemoryDisk._of(
+            {name: data for name, file in names.items() if (data := held[file]) is not None}
+        )
 
     @staticmethod
     def _of(contents: dict[str, bytes]) -> MemoryDisk:
--- a/irisdeal/squall/faults.py
+++ b/irisdeal/squall/faults.py
@@ -40,11 +40,23 @@
         self.stage, self.callers, self.machine, self.chance = stage, callers, machine, stage.chance
         self.log = Log()
         every: dict[str, Callable[[str], Awaitable[None]]] = {
-            "kill": self.kill, "power": self.power, "wipe": self.wipe, "cut": self.cut, "long cut": self.long_cut,
-            "one way": self.one_way, "freeze": self.freeze, "slow disk": self.slow_disk,
-            "full disk": self.full_disk, "reset": self.reset, "replace": self.replace, "herd": self.herd,
-            "after ack": self.after_ack, "after put": self.after_put, "flap": self.flap,
-            "clock": self.clock, "blink": self.blink,
+            "kill": self.kill,
+            "power": self.power,
+            "wipe": self.wipe,
+            "cut": self.cut,
+            "long cut": self.long_cut,
+            "one way": self.one_way,
+            "freeze": self.freeze,
+            "slow disk": self.slow_disk,
+            "full disk": self.full_disk,
+            "reset": self.reset,
+            "replace": self.replace,
+            "herd": self.herd,
+            "after ack": self.after_ack,
+            "after put": self.after_put,
+            "flap": self.flap,
+            "clock": self.clock,
+            "blink": self.blink,
         }
         self.faults = {name: fault for name, fault in every.items() if not only or name in only}
         self.names = [name for name in self.faults for _ in range(WEIGHTS.get(name, 1))]
