--- a/irisdeal/squall/operators.py
+++ b/irisdeal/squall/operators.py
@@ -56,7 +56,9 @@
     orders: int = 0
     sends: int = 0
     acknowledged: int = 0
-    times: list[tuple[float, float]] = field(default_factory=list)  # of each order: its begin, s until its ack
+    times: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # of each order: its begin, s until its ack
     answers: list[tuple[float, str]] = field(default_factory=list)  # acknowledgements: s, who gave it
 
     def newest(self) -> int:
@@ -79,7 +81,13 @@
     """The operators and watchers of one day."""
 
     def __init__(
-        self, stage: Stage, operators: int, watchers: int, readers: int = 0, pace: float = PACE, size: int = 0,
+        self,
+        stage: Stage,
+        operators: int,
+        watchers: int,
+        readers: int = 0,
+        pace: float = PACE,
+        size: int = 0,
     ) -> None:
         """`readers`: callers that do nothing but read. `size`: bytes of padding in each body."""
         self.stage, self.size = stage, size
@@ -134,8 +142,9 @@
         self.record.sends += 1
         told = int(answer.unwrap()) if isinstance(answer, Success) else 0
         kind = {0: Kind.UNCLEAR, 1: Kind.CONFIRMED, 2: Kind.CONFLICT}[told]
-        self.record.ops.append(Op(
-            kind, word.stamp.number, digest(word.body), begun, self.now(), f"{machine.name} at {host}"))
+        self.record.ops.append(
+            Op(kind, word.stamp.number, digest(word.body), begun, self.now(), f"{machine.name} at {host}")
+        )
         if kind is Kind.CONFIRMED:
             self.record.answers.append((self.now(), host))
             wake(self.waiting, host)
@@ -169,8 +178,16 @@
             return False
         body = answer.unwrap()[1]
         number = int(body.split(b" ")[0][1:]) if body else NONE
-        self.record.ops.append(Op(
-            Kind.READ, number, digest(body) if body else "", begun, self.now(), f"{machine.name} at {host}"))
+        self.record.ops.append(
+            Op(
+                Kind.READ,
+                number,
+                digest(body) if body else "",
+                begun,
+                self.now(),
+                f"{machine.name} at {host}",
+            )
+        )
         return True
 
     # What they do all day
@@ -213,7 +230,9 @@
 
     # Watchers
 
-    async def ask(self, machine: Machine, link: Link, host: str, arrivals: Arrivals, have: Any, change: int) -> Any:
+    async def ask(
+        self, machine: Machine, link: Link, host: str, arrivals: Arrivals, have: Any, change: int
+    ) -> Any:
         """One watch: the value told, and the word of it where it is whole now; None where there was no answer."""
         answer = await link.call("watch", [arrivals.have(have).tell(), change], HOLD)
         if not isinstance(answer, Success):
@@ -243,4 +262,3 @@
     def _in_force(self, machine: Machine, host: str, number: int, body: str) -> None:
         """A door acts on it: it must have been decided."""
         self.record.ops.append(Op(Kind.READ, number, body, -EVER, self.now(), f"{machine.name} by {host}"))
-
--- a/irisdeal/squall/probes.py
+++ b/irisdeal/squall/probes.py
@@ -40,7 +40,12 @@
     """A store, one caller, no other load."""
 
     def __init__(
-        self, count: int, seed: int, make: MAKE, watchers: int = 0, readers: int = 0,
+        self,
+        count: int,
+        seed: int,
+        make: MAKE,
+        watchers: int = 0,
+        readers: int = 0,
         disk_times: tuple[int, ...] = DISK_TIMES,
     ) -> None:
         self.stage = Stage(count, seed, make, disk_times)
@@ -99,7 +104,9 @@
 def replace_body(seed: int, make: MAKE = Member, count: int = 3) -> Probe:
     """A body of larger digest under a number, put 1 s after the other's confirmation; then a read."""
     run = _Run(count, seed, make)
-    words = sorted((run.word(1, f"{text} {seed}") for text in ("one", "other")), key=lambda word: word.stamp.digest)
+    words = sorted(
+        (run.word(1, f"{text} {seed}") for text in ("one", "other")), key=lambda word: word.stamp.digest
+    )
 
     async def act(machine: Machine) -> int:
         run.left += 2
--- a/irisdeal/squall/quota_faults.py
+++ b/irisdeal/squall/quota_faults.py
@@ -161,7 +161,9 @@
         until = at + self._lasts()
         nodes = self._ips() + self.names
         left = set(self._some(nodes))
-        self._cut([(one, other) for one in nodes for other in nodes if (one in left) != (other in left)], at, until)
+        self._cut(
+            [(one, other) for one in nodes for other in nodes if (one in left) != (other in left)], at, until
+        )
 
     def _lossy(self, at: float) -> None:
         self.world.at(at, setattr, self.world, "loss", self.chance.choice((0.02, 0.1, 0.4)))
@@ -227,7 +229,9 @@
         ip = self.chance.choice(self._ips())
         if self.chance.random() < 0.7:
             others = [other for other in self._ips() if other != ip]
-            self._cut([(ip, other) for other in others] + [(other, ip) for other in others], at, at + self._lasts())
+            self._cut(
+                [(ip, other) for other in others] + [(other, ip) for other in others], at, at + self._lasts()
+            )
         self.world.at(at + self.chance.random(), self.world.remove_registry, ip)
 
     def _replaced_registry(self, at: float) -> None:
--- a/irisdeal/squall/stage.py
+++ b/irisdeal/squall/stage.py
@@ -62,7 +62,11 @@
     """Machines, disks and ways by one seed."""
 
     def __init__(
-        self, count: int, seed: int, make: MAKE = Member, disk_times: tuple[int, ...] = DISK_TIMES,
+        self,
+        count: int,
+        seed: int,
+        make: MAKE = Member,
+        disk_times: tuple[int, ...] = DISK_TIMES,
     ) -> None:
         self.disk_times = disk_times
         self.world = World(seed)
@@ -109,10 +113,18 @@
     def settings(self, host: str, first: bool) -> Settings:
         seeds = self.first if first else self.chance.sample(self.hosts, min(SEEDS, len(self.hosts)))
         return Settings(
-            node_name=host, role="almanac", ip=host, zone=f"z{host}", port_range=(FIRST_PORT, FIRST_PORT + 15),
-            config_source="compared", bootstrap=first, counted=True,
+            node_name=host,
+            role="almanac",
+            ip=host,
+            zone=f"z{host}",
+            port_range=(FIRST_PORT, FIRST_PORT + 15),
+            config_source="compared",
+            bootstrap=first,
+            counted=True,
             seed_peers=tuple(f"{seed}:8000" for seed in seeds),
-            tolerance=Tolerance(1), bounds=BOUNDS)
+            tolerance=Tolerance(1),
+            bounds=BOUNDS,
+        )
 
     def start(self, host: str, first: bool = False) -> None:
         """The process of this machine starts, with the settings of this moment and the disk as it is.
@@ -189,8 +201,10 @@
 
     def run(self, over: Callable[[], bool], most: float) -> None:
         """Raises `Stuck` where it is not over after so many s."""
-        with (mock.patch.object(secrets, "token_hex", self._token),
-              mock.patch.object(time, "time", self._time_of_day)):
+        with (
+            mock.patch.object(secrets, "token_hex", self._token),
+            mock.patch.object(time, "time", self._time_of_day),
+        ):
             self.world.run(over, START + int(most * 1e6))
 
     def _token(self, size: int) -> str:
--- a/irisdeal/standins/boxmodel.py
+++ b/irisdeal/standins/boxmodel.py
@@ -163,7 +163,9 @@
 
 
 def over_budget(
-    sent: Iterable[tuple[int, int]], life: Life, figures: Figures,
+    sent: Iterable[tuple[int, int]],
+    life: Life,
+    figures: Figures,
 ) -> tuple[int, float, float] | None:
     """Where work sent to a cold box passes its budget: time, work and budget in µs; None where it never does.
 
--- a/irisdeal/standins/roster.py
+++ b/irisdeal/standins/roster.py
@@ -38,9 +38,16 @@
 
     def told(self, door: int) -> dict[str, Any]:
         """The line as one door is told it."""
-        return {"id": self.box, "host_port": f"127.0.0.1:{self.ports[door]}", "locality": self.hall,
-                "flavor": self.kind, "cell": self.cell, "phase": self.phase, "size": self.weight,
-                "up_since_ms": self.started // 1000}
+        return {
+            "id": self.box,
+            "host_port": f"127.0.0.1:{self.ports[door]}",
+            "locality": self.hall,
+            "flavor": self.kind,
+            "cell": self.cell,
+            "phase": self.phase,
+            "size": self.weight,
+            "up_since_ms": self.started // 1000,
+        }
 
 
 @dataclass(slots=True)
@@ -168,7 +175,11 @@
             self._over(watch)
 
     def _answer(
-        self, connection: ServerConnection, revision: int, members: list[Member], whole: bool,
+        self,
+        connection: ServerConnection,
+        revision: int,
+        members: list[Member],
+        whole: bool,
     ) -> None:
         told = {"revision": revision, "complete": whole, "members": [m.told(self.door) for m in members]}
         if connection.reply(200, json.dumps(told).encode(), "Content-Type: application/json\r\n"):
--- a/irisdeal/standins/schedule.py
+++ b/irisdeal/standins/schedule.py
@@ -114,9 +114,18 @@
     halls = len(fleet.halls)
     cell = number // (fleet.cell * halls) * halls + number % halls
     return Machine(
-        number, fleet.halls[number % halls], kind.name, cell,
-        kind.cores, speed, max(kind.cores, round(kind.slots_per_core * kind.cores)),
-        round(kind.queue_per_core * kind.cores), kind.cold_from, round(kind.cold_s * 1e6), kind.error_rate)
+        number,
+        fleet.halls[number % halls],
+        kind.name,
+        cell,
+        kind.cores,
+        speed,
+        max(kind.cores, round(kind.slots_per_core * kind.cores)),
+        round(kind.queue_per_core * kind.cores),
+        kind.cold_from,
+        round(kind.cold_s * 1e6),
+        kind.error_rate,
+    )
 
 
 def mean_units(scenario: Scenario) -> float:
@@ -180,16 +189,32 @@
     if ceiling := scenario.ceiling(plan):  # its part of the ceiling must hold a request of the largest kind
         most = max(c.units for c in scenario.classes)
         spread = max(1, min(spread, int(ceiling.depth / (2 * most))))
-    rate = plan.rate * {"calm": use, "spiky": use, "new": 0.0, "full": rng.uniform(0.85, 1.0),
-                        "heavy": rng.uniform(*load.heavy_x)}[manner]
+    rate = (
+        plan.rate
+        * {
+            "calm": use,
+            "spiky": use,
+            "new": 0.0,
+            "full": rng.uniform(0.85, 1.0),
+            "heavy": rng.uniform(*load.heavy_x),
+        }[manner]
+    )
     spikes: list[tuple[int, int, float]] = []
     at = rng.expovariate(1 / load.spike_every_s) if manner == "spiky" and load.spike_every_s else math.inf
     while at < scenario.seconds:
         end = at + rng.uniform(*load.spike_s)
         spikes.append((round(at * 1e6), round(end * 1e6), rng.uniform(*load.spike_x)))
         at = end + rng.expovariate(1 / load.spike_every_s)
-    return Store(rng.randrange(1, 2**33), number, rng.randrange(doors), spread, rate, manner, tuple(spikes),
-                 rng.random() < load.honour and not (manner == "heavy" and scenario.doing("greedy")))
+    return Store(
+        rng.randrange(1, 2**33),
+        number,
+        rng.randrange(doors),
+        spread,
+        rate,
+        manner,
+        tuple(spikes),
+        rng.random() < load.honour and not (manner == "heavy" and scenario.doing("greedy")),
+    )
 
 
 def _arrivals(scenario: Scenario, seed: int, stores: tuple[Store, ...]) -> Iterator[Arrival]:
--- a/irisdeal/telegraph/calls.py
+++ b/irisdeal/telegraph/calls.py
@@ -51,7 +51,13 @@
     for call in (
         # Between stores
         Call(
-            "state", "almanac", "almanac", Again.ANYONE, "the seat in the report", _NOTHING, "asks again next round"
+            "state",
+            "almanac",
+            "almanac",
+            Again.ANYONE,
+            "the seat in the report",
+            _NOTHING,
+            "asks again next round",
         ),
         Call(
             "prepare",
@@ -101,7 +107,14 @@
         ),
         # The registry at the store
         Call(
-            "watch", "gauge", "almanac", Again.ANYONE, "what the asker has", _NOTHING, _ANEW, ends_with_asker=True
+            "watch",
+            "gauge",
+            "almanac",
+            Again.ANYONE,
+            "what the asker has",
+            _NOTHING,
+            _ANEW,
+            ends_with_asker=True,
         ),
         Call(
             "put",
@@ -263,7 +276,9 @@
     ),
     Call("GET /config/read", "operator", "gauge", Again.ANYONE, "-", _NOTHING, "the operator asks again"),
     Call("GET /status", "anyone", "gauge", Again.ANYONE, "-", _NOTHING, "-"),
-    Call("GET /readiness", "platform", "proxy", Again.ANYONE, "-", _NOTHING, "two misses, and the door is out"),
+    Call(
+        "GET /readiness", "platform", "proxy", Again.ANYONE, "-", _NOTHING, "two misses, and the door is out"
+    ),
 )
 
 
--- a/irisdeal/telegraph/link.py
+++ b/irisdeal/telegraph/link.py
@@ -82,7 +82,9 @@
         number, good, body = item
         asked = self.asked.pop(number, None)
         if asked is not None and self.heard <= asked.until and not asked.answer.done():
-            asked.answer.set_result(Success(body) if good else Failure(Trouble(asked.kind, self.peer, str(body))))
+            asked.answer.set_result(
+                Success(body) if good else Failure(Trouble(asked.kind, self.peer, str(body)))
+            )
             return
         if asked is not None:  # its time is over, or its asker was cancelled, though that was not seen yet
             self._fail(asked)
@@ -168,7 +170,9 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT):
-                _, calls = await loop.create_connection(lambda: _Calls(self.peer, self.on_late), *self.address)
+                _, calls = await loop.create_connection(
+                    lambda: _Calls(self.peer, self.on_late), *self.address
+                )
         except (OSError, TimeoutError) as error:
             return f"not connected: {error or 'timed out'}"
         finally:
--- a/irisdeal/telegraph/server.py
+++ b/irisdeal/telegraph/server.py
@@ -36,7 +36,9 @@
         self.server, self.reader, self.peer, self.last = server, Reader(), "", HELLO
         self.transport: asyncio.Transport | None = None
         self.at_work: dict[int, asyncio.Task[tuple[bool, Any]]] = {}
-        self.ending: dict[int, asyncio.Task[tuple[bool, Any]]] = {}  # of these, those that end with their asker
+        self.ending: dict[
+            int, asyncio.Task[tuple[bool, Any]]
+        ] = {}  # of these, those that end with their asker
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -185,7 +187,9 @@
     async def listen(self, address: Address) -> None:
         """Answer at this address. OSError where it is taken."""
         loop = asyncio.get_running_loop()
-        self.listening = await loop.create_server(lambda: _Answers(self), *address, backlog=256, reuse_address=True)
+        self.listening = await loop.create_server(
+            lambda: _Answers(self), *address, backlog=256, reuse_address=True
+        )
 
     def begin_drain(self, still: frozenset[str] = frozenset()) -> None:
         """From now on only calls of the kinds `still` are begun; those that are held for news end."""
--- a/irisdeal/zones/belief.py
+++ b/irisdeal/zones/belief.py
@@ -104,8 +104,10 @@
 def _seen(zone: Zone) -> str:
     """What speaks against it, in words."""
     evidence = zone.evidence
-    return (f"{len(evidence.failed)} of {zone.backends} backends failed, sum {evidence.score:.1f} of"
-            f" {ALARM:.1f}, {100 * evidence.failing:.0f}% of the last attempts")
+    return (
+        f"{len(evidence.failed)} of {zone.backends} backends failed, sum {evidence.score:.1f} of"
+        f" {ALARM:.1f}, {100 * evidence.failing:.0f}% of the last attempts"
+    )
 
 
 def suspects(doors: int) -> int:
@@ -122,7 +124,12 @@
     """All zones of a door. What `told` and the like return are the calls to make."""
 
     def __init__(
-        self, doors: int, fall_multiple: float, start_capacity: float, warm_up: int, trials: bool,
+        self,
+        doors: int,
+        fall_multiple: float,
+        start_capacity: float,
+        warm_up: int,
+        trials: bool,
         chance: random.Random,
     ) -> None:
         """`trials`: a request may have a second attempt at once. Without, a left zone returns by time."""
@@ -159,27 +166,44 @@
     def text(self, number: int) -> str:
         """One line for a log: where the zone stands, and by what."""
         zone = self.zones[number]
-        why = {Stand.LEFT: "as so many do" if zone.with_fleet else "by what this door saw alone",
-               Stand.RETURNING: f"{zone.backends} backends", Stand.SERVING: f"{zone.setbacks} setbacks"}
+        why = {
+            Stand.LEFT: "as so many do" if zone.with_fleet else "by what this door saw alone",
+            Stand.RETURNING: f"{zone.backends} backends",
+            Stand.SERVING: f"{zone.setbacks} setbacks",
+        }
         return f"zone {number} {zone.stand.value}: {why[zone.stand]}"
 
     def told(self, now: int) -> dict[str, Any]:
         """All zones as plain values, times in s before now, and the last changes, the latest first."""
+
         def age(at: int) -> float:
             return round((now - at) / SECOND, 3)
 
         return {
-            "doors": self.doors, "suspects_wanted": self.suspects,
-            "zones": [{
-                "zone": number, "stand": zone.stand.value, "for_s": age(zone.since) if zone.since else None,
-                "share": round(self.share(number, now), 3), "sum": round(zone.evidence.score, 2),
-                "failing": round(zone.evidence.failing, 3), "backends": zone.backends,
-                "failed": len(zone.evidence.failed), "counted": zone.epoch >= 0,
-                "with_fleet": zone.with_fleet and zone.stand is Stand.LEFT, "setbacks": zone.setbacks,
-                "answered_s": age(zone.answered_at) if zone.shown >= 0 else None,
-            } for number, zone in sorted(self.zones.items())],
-            "changes": [{"ago_s": age(at), "zone": number, "text": text}
-                        for at, number, text in reversed(self.history)]}
+            "doors": self.doors,
+            "suspects_wanted": self.suspects,
+            "zones": [
+                {
+                    "zone": number,
+                    "stand": zone.stand.value,
+                    "for_s": age(zone.since) if zone.since else None,
+                    "share": round(self.share(number, now), 3),
+                    "sum": round(zone.evidence.score, 2),
+                    "failing": round(zone.evidence.failing, 3),
+                    "backends": zone.backends,
+                    "failed": len(zone.evidence.failed),
+                    "counted": zone.epoch >= 0,
+                    "with_fleet": zone.with_fleet and zone.stand is Stand.LEFT,
+                    "setbacks": zone.setbacks,
+                    "answered_s": age(zone.answered_at) if zone.shown >= 0 else None,
+                }
+                for number, zone in sorted(self.zones.items())
+            ],
+            "changes": [
+                {"ago_s": age(at), "zone": number, "text": text}
+                for at, number, text in reversed(self.history)
+            ],
+        }
 
     # What attempts show
 
@@ -282,15 +306,23 @@
 
     def _elsewhere(self, zone: Zone) -> float:
         """The share of attempts that fail in the other zones that stand, and half as much for its noise."""
-        found = [other.evidence.failing for other in self.zones.values()
-                 if other is not zone and other.stand is not Stand.LEFT and other.backends]
+        found = [
+            other.evidence.failing
+            for other in self.zones.values()
+            if other is not zone and other.stand is not Stand.LEFT and other.backends
+        ]
         return 1.5 * sum(found) / len(found) if found else 0.0
 
     def _others(self, zone: Zone, now: int) -> bool:
         """Another zone stands, has answered lately, and mostly does."""
-        return any(other is not zone and other.stand is not Stand.LEFT and other.backends > 0
-                   and now - other.answered_at <= LIVELY and other.evidence.failing <= FINE
-                   for other in self.zones.values())
+        return any(
+            other is not zone
+            and other.stand is not Stand.LEFT
+            and other.backends > 0
+            and now - other.answered_at <= LIVELY
+            and other.evidence.failing <= FINE
+            for other in self.zones.values()
+        )
 
     def _leave(self, zone: Zone, now: int, with_fleet: bool) -> None:
         if not self._others(zone, now):
--- a/irisdeal/zones/fleet.py
+++ b/irisdeal/zones/fleet.py
@@ -49,8 +49,10 @@
 
     def run(self) -> Fleet:
         rng = self.random = random.Random(self.seed)
-        self.beliefs = [Zones(self.doors, 4.0, 0.18, 17 * SECOND, True, random.Random(rng.random()))
-                        for _ in range(self.doors)]
+        self.beliefs = [
+            Zones(self.doors, 4.0, 0.18, 17 * SECOND, True, random.Random(rng.random()))
+            for _ in range(self.doors)
+        ]
         sizes = {zone: self.backends // 3 for zone in range(3)}
         self.counts: Counter[int] = Counter()
         self.was: defaultdict[tuple[int, int], bool] = defaultdict(bool)
@@ -124,8 +126,13 @@
     def note(self, door: int) -> None:
         for number, zone in self.beliefs[door].zones.items():
             left = zone.stand is Stand.LEFT
-            if left and not self.was[door, number] and not any(
-                    self.lost(door, number, self.now - age * STEP) for age in range(round(MEMORY / STEP))):
+            if (
+                left
+                and not self.was[door, number]
+                and not any(
+                    self.lost(door, number, self.now - age * STEP) for age in range(round(MEMORY / STEP))
+                )
+            ):
                 self.wrong.add((door, number))
             self.was[door, number] = left
         stand = self.beliefs[door].zones[0].stand
@@ -170,8 +177,14 @@
 
 
 FAULTS: dict[str, Callable[[int, int, float], bool]] = {
-    "cut": cut, "calm": calm, "brief": brief, "flapping": flapping, "half": half, "some": some,
-    "all": everything}
+    "cut": cut,
+    "calm": calm,
+    "brief": brief,
+    "flapping": flapping,
+    "half": half,
+    "some": some,
+    "all": everything,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,10 +210,18 @@
     during = [at for at in fleet.calls if LOST_AT <= at < LOST_AT + CUT]
     half, most, last = (part(left, fleet.doors, share) - LOST_AT for share in (0.5, 0.95, 1.0))
     return Figures(
-        len(left), half, most, last,
-        sum(zone == 0 and LOST_AT <= at < LOST_AT + CUT for at, _, zone in fleet.sent), fleet.trials,
-        len(during) / CUT, max(Counter(map(int, fleet.calls)).values(), default=0),
-        part(back, len(left), 0.95) - LOST_AT - CUT, len(fleet.wrong), fleet.none_left)
+        len(left),
+        half,
+        most,
+        last,
+        sum(zone == 0 and LOST_AT <= at < LOST_AT + CUT for at, _, zone in fleet.sent),
+        fleet.trials,
+        len(during) / CUT,
+        max(Counter(map(int, fleet.calls)).values(), default=0),
+        part(back, len(left), 0.95) - LOST_AT - CUT,
+        len(fleet.wrong),
+        fleet.none_left,
+    )
 
 
 def part(times: list[float], of: int, share: float) -> float:
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -167,7 +167,7 @@
             ended_record.decode(data[:size])
     for at in range(len(data)):
         with pytest.raises((ValueError, TypeError)):
-            ended_record.decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:])
+            ended_record.decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
 
 
 def test_each_loss_of_power_amid_a_write_leaves_the_old_record_or_the_new() -> None:
