--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -25,7 +25,7 @@
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 CONNECTIONS = 8  # of one process of hollow backends to each registry
 ANSWER = 1.0  # s for a beat to be acknowledged, as the deployments have it
@@ -231,7 +231,8 @@
     def _send(self, life: dict[str, Any], call: str, body: bytes) -> None:
         self.calls[life["number"] % len(self.calls)].put_nowait(
             (
-                f"POST /backends/{life['id']}/{call} HTTP/1.1\r\nHost: core\r\nContent-Type: application/json\r\n"
+                f"POST /backends/{life['id']}/{call} HTTP/1.1\r\nHost: core\r\n"
+                f"Content-Type: application/json\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n"
             ).encode()
             + body
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from irisdeal.mast.process import main
-from irisdeal.telegraph import frames, link, server
+from irisdeal.rpc import client, frames, server
 
 Counts = dict[str, list[int]]
 
@@ -74,7 +74,7 @@
 
         names: dict[str, Any] = {"Reader": Reader, "encode": encode}
         for name, value in names.items():
-            setattr(link, name, value)
+            setattr(client, name, value)
             setattr(server, name, value)
         server._Answers._write = write  # type: ignore[method-assign, assignment]
 
--- a/irisdeal/almanac/member.py
+++ b/irisdeal/almanac/member.py
@@ -28,7 +28,7 @@
 from irisdeal.mast.events import tell
 from irisdeal.mast.process import Tasks
 from irisdeal.mast.settings import Settings
-from irisdeal.telegraph.server import Server
+from irisdeal.rpc.server import Server
 
 PUT = 0.85  # s for an order: the operator goes elsewhere after a second of silence
 READ = 0.85  # s, likewise
--- a/irisdeal/almanac/peers.py
+++ b/irisdeal/almanac/peers.py
@@ -15,7 +15,7 @@
 from irisdeal.mast.process import Tasks
 from irisdeal.mast.settings import Settings
 from irisdeal.mast.trouble import Trouble
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 PARCEL = 2.0  # s for one parcel: 64 KB on a link of 2 Mbit/s take 0.3, and the other's disk may be in trouble
 MOST_PARCELS = 400  # of one body: over 20 MB of pieces
--- a/irisdeal/almanac/survey.py
+++ b/irisdeal/almanac/survey.py
@@ -12,7 +12,7 @@
 from irisdeal.almanac.register import UNKNOWN, Value
 from irisdeal.almanac.report import Report
 from irisdeal.mast.settings import Address
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 WITHIN = 1.0  # s for an answer: hundreds of times the way there and back
 
--- a/irisdeal/gauge/admission.py
+++ b/irisdeal/gauge/admission.py
@@ -16,7 +16,7 @@
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
-from irisdeal.telegraph.server import LATER
+from irisdeal.rpc.server import LATER
 
 OVER_QUOTA = PlaceReply(PlaceResult.OVER_QUOTA)
 OVER_BUDGET = PlaceReply(PlaceResult.OVER_BUDGET)
--- a/irisdeal/gauge/peers.py
+++ b/irisdeal/gauge/peers.py
@@ -24,7 +24,7 @@
 from irisdeal.mast.events import tell
 from irisdeal.mast.process import Tasks
 from irisdeal.mast.settings import Settings
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 ANSWER_S = 0.4  # for a short answer of another registry
 LEARN_S = 2.5  # that a registry which starts or was away asks the others for lives before it goes on without
--- a/irisdeal/gauge/quota_service.py
+++ b/irisdeal/gauge/quota_service.py
@@ -15,7 +15,7 @@
 from irisdeal.placement.load_reports import key
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
-from irisdeal.telegraph.calls import name_of
+from irisdeal.rpc.calls import name_of
 
 SUM_AT = 0.45  # of an interval, when the sum of the one before is told: proxies have told theirs by 0.3
 LEND_S = 0.04  # for another registry to lend: the proxy that asked waits for 0.06
--- a/irisdeal/gauge/station.py
+++ b/irisdeal/gauge/station.py
@@ -37,7 +37,7 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import TELL
 from irisdeal.ratelimit.interval_counter import encode_usages
-from irisdeal.telegraph.server import Server
+from irisdeal.rpc.server import Server
 
 FLUSH = 0.2  # s between two tellings of beats and sums to the other registries
 LOOK = 0.25  # s between two looks at who is silent
--- a/irisdeal/gauge/store.py
+++ b/irisdeal/gauge/store.py
@@ -31,7 +31,7 @@
 from irisdeal.mast.process import Tasks, every
 from irisdeal.mast.settings import Settings
 from irisdeal.mast.trouble import Trouble
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 HOLD = 1.0  # s that a store may hold a watch without news
 ANSWER = 0.4  # s for a short answer of a store
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -22,7 +22,7 @@
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
 from irisdeal.placement.attempt_end import How
 from irisdeal.placement.load_reports import key
-from irisdeal.telegraph.calls import name_of
+from irisdeal.rpc.calls import name_of
 
 CROSSING = (
     0.6  # of a usual time, that another zone must be quicker by: its bytes are dear, its load is told late
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -26,7 +26,7 @@
 from irisdeal.mast.settings import Settings
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.sources import Sources, hash_of
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 REPORT_S = 0.4  # for the answer to a report
 PLACE_S = 0.06  # for the answer to an ask for a place: some ways there and back
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -28,7 +28,7 @@
 from irisdeal.mast.events import tell
 from irisdeal.mast.process import Tasks
 from irisdeal.mast.settings import Settings
-from irisdeal.telegraph.link import Link
+from irisdeal.rpc.client import Link
 
 ENOUGH = Stamp(1 << 62, b"")  # as the word that we have: no source has a newer one
 SOURCES = 2  # asked at once: one may lag or die without a loss of time
--- a/irisdeal/squall/operators.py
+++ b/irisdeal/squall/operators.py
@@ -17,10 +17,10 @@
 from irisdeal.almanac.shelf import Arrivals, Shelf
 from irisdeal.almanac.word import NOTHING, Word
 from irisdeal.mast import places
+from irisdeal.rpc.client import Link
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.history import EVER, NONE, Kind, Op
 from irisdeal.squall.stage import FIRST_PORT, Stage, pause
-from irisdeal.telegraph.link import Link
 
 PATIENCE = 1.0  # s of silence after which an operator goes to another member
 LOSE_AFTER = (0.0005, 0.004, 0.02, 0.08)  # s after which an answer counts as lost on its way
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -26,11 +26,11 @@
 from irisdeal.mast import places
 from irisdeal.mast.settings import Settings
 from irisdeal.proxy.sources import Sources
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.server import Server
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Socket, Way
 from irisdeal.sim.world import START, World
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import Server
 
 HOLD = 1.0  # s, the real store's
 
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -22,10 +22,10 @@
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
+from irisdeal.rpc.server import LATER, Server
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, World
-from irisdeal.telegraph.server import LATER, Server
 
 PROXY, BACKEND, REGISTRY = "10.1.0.3", "10.9.0.1", "10.1.0.4"
 FRONT = (PROXY, 80)
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -33,10 +33,10 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.frames import ONE_WAY, encode
 from irisdeal.sim.machine import Costs, Machine
 from irisdeal.squall.disk import MemoryDisk
-from irisdeal.telegraph.frames import ONE_WAY, encode
-from irisdeal.telegraph.link import Link
 from tests.core_rig import CoreRig, zone_of
 
 PROXY = "10.0.9.1"
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -40,6 +40,7 @@
 from irisdeal.gauge.quota_service import QuotaService
 from irisdeal.http1.connection import Connection
 from irisdeal.proxy.backend_connection import BackendConnection
+from irisdeal.rpc import server as rpc_server
 from irisdeal.sim.machine import Machine
 from irisdeal.sim.net import Address, Network, Socket
 from irisdeal.sim.world import World
@@ -47,7 +48,6 @@
 from irisdeal.squall.disk import MemoryDisk
 from irisdeal.squall.operators import Callers, Record
 from irisdeal.standins.schedule import draw as draw_day
-from irisdeal.telegraph import server as rpc_server
 from tests import core_world
 from tests.request_runs import RandomRun
 
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -43,8 +43,8 @@
 from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
 from irisdeal.placement.attempt_end import How
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.telegraph.calls import CALLS, CANCEL
-from irisdeal.telegraph.frames import HELLO, ONE_WAY, Reader, encode
+from irisdeal.rpc.calls import CALLS, CANCEL
+from irisdeal.rpc.frames import HELLO, ONE_WAY, Reader, encode
 from tests.support.exchange import Call, recorded
 from tests.test_handover import worked
 
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -42,8 +42,8 @@
 from irisdeal.cli.almanac import almanac
 from irisdeal.cli.main import main
 from irisdeal.mast.settings import Address
+from irisdeal.rpc.server import Server
 from irisdeal.squall.disk import MemoryDisk
-from irisdeal.telegraph.server import Server
 
 PORT = 7340
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/tests/test_call_lifetime.py
+++ b/tests/test_call_lifetime.py
@@ -12,10 +12,10 @@
 from irisdeal.gauge.messages import PlaceRequest, PlaceResult
 from irisdeal.gauge.placement_service import PlacementService
 from irisdeal.gauge.registry import Life, Registry, State
+from irisdeal.rpc.calls import CALLS, ends_with_asker
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.server import Server
 from irisdeal.sim.machine import Machine
-from irisdeal.telegraph.calls import CALLS, ends_with_asker
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import Server
 from tests.test_calls import Two
 
 HELD_S = 1.0  # that each call takes
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -28,13 +28,13 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.rpc import calls as table
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
+from irisdeal.rpc.server import LATER, Server
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, World
-from irisdeal.telegraph import calls as table
-from irisdeal.telegraph.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import LATER, Server
 
 ROOT = Path(__file__).parent.parent
 HOST, PORT = "10.0.0.2", 7000
@@ -109,7 +109,7 @@
 def told(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """The numbers of events that are told from now on."""
     numbers: list[int] = []
-    for module in ("irisdeal.telegraph.link", "irisdeal.telegraph.server"):
+    for module in ("irisdeal.rpc.client", "irisdeal.rpc.server"):
         monkeypatch.setattr(f"{module}.tell", lambda number, **fields: numbers.append(number))
     assert events.CATALOGUE
     return numbers
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -28,10 +28,11 @@
 from irisdeal.gauge.registry import Life
 from irisdeal.mast.settings import Settings
 from irisdeal.proxy.sources import Sources
-from irisdeal.telegraph import link, server
-from irisdeal.telegraph.frames import encode
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import Server
+from irisdeal.rpc import client as rpc_client
+from irisdeal.rpc import server
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.frames import encode
+from irisdeal.rpc.server import Server
 
 PATIENCE = 5.0  # s: only a test that hangs meets it
 IPS = [f"127.{100 + os.getpid() % 100}.{os.getpid() >> 8 & 255}.{at}" for at in (1, 2)]
@@ -165,7 +166,7 @@
 
 def test_the_tally_counts_every_byte_of_every_kind(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("Reader", "encode"):
-        for module in (link, server):
+        for module in (rpc_client, server):
             monkeypatch.setattr(module, name, getattr(module, name))
     monkeypatch.setattr(server._Answers, "_write", server._Answers._write)
     tally = Tally()
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -17,8 +17,8 @@
 from irisdeal.gauge import store
 from irisdeal.gauge.store import Follower
 from irisdeal.mast import places
+from irisdeal.rpc.client import Link
 from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.telegraph.link import Link
 from tests.core_rig import CoreRig
 
 WAY = 0.04  # s there and back with the work at both ends
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -24,8 +24,8 @@
 from returns.result import Success
 
 from irisdeal.almanac.word import Word
+from irisdeal.rpc.client import Link
 from irisdeal.squall.history import NONE, Kind, Op, check
-from irisdeal.telegraph.link import Link
 from tests.fault_proxy import Gate
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -20,10 +20,10 @@
 from irisdeal.almanac.report import Report, decided_among, read_from
 from irisdeal.almanac.word import Stamp, Word
 from irisdeal.mast import places
+from irisdeal.rpc.client import Link
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.disk import MemoryDisk
 from irisdeal.squall.stage import FIRST_PORT, Stage, pause
-from irisdeal.telegraph.link import Link
 
 FIRST = Value.first(Members(0, ("a", "b", "c")))
 
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -19,7 +19,7 @@
 from irisdeal.ratelimit.concurrency_limit import Gate
 from irisdeal.ratelimit.demand_split import bound, part
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
-from irisdeal.telegraph.frames import BadFrame, Reader, encode
+from irisdeal.rpc.frames import BadFrame, Reader, encode
 
 
 def configuration(**changes: Any) -> dict[str, Any]:
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -8,10 +8,10 @@
 import pytest
 
 from irisdeal.handover.message import body
-from irisdeal.telegraph.calls import CALLS
-from irisdeal.telegraph.frames import encode
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import Server
+from irisdeal.rpc.calls import CALLS
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.frames import encode
+from irisdeal.rpc.server import Server
 from tests.support import wire_formats as forms
 from tests.support.exchange import Call, recorded
 
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -24,12 +24,12 @@
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.outcome import End, Outcome
 from irisdeal.proxy.process import Proxy
+from irisdeal.rpc import client as telegraph
+from irisdeal.rpc.client import Link
+from irisdeal.rpc.server import Server
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, Stuck, World
-from irisdeal.telegraph import link as telegraph
-from irisdeal.telegraph.link import Link
-from irisdeal.telegraph.server import Server
 
 DOOR = ("10.1.0.3", 80)
 LENGTH = 6.0  # s in which clients ask
