--- a/benchmarks/capacity/crowd.py
+++ b/benchmarks/capacity/crowd.py
@@ -17,8 +17,8 @@
 
 from benchmarks.capacity.hollow import Backends, HollowDoor, Shared
 from benchmarks.capacity.tally import Tally
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 ONE = 8.0  # s that one door may take to start before the next one does
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -18,14 +18,14 @@
 from irisdeal.almanac.word import Word
 from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
 from irisdeal.gauge.registry import Life, hear_life, tell_life
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.rpc.client import Link
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 CONNECTIONS = 8  # of one process of hollow backends to each registry
 ANSWER = 1.0  # s for a beat to be acknowledged, as the deployments have it
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from irisdeal.mast.process import main
 from irisdeal.rpc import client, frames, server
+from irisdeal.runtime.process import main
 
 Counts = dict[str, list[int]]
 
--- a/irisdeal/almanac/__main__.py
+++ b/irisdeal/almanac/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 from irisdeal.almanac.member import Member
-from irisdeal.mast.process import main
+from irisdeal.runtime.process import main
 
 if __name__ == "__main__":
     sys.exit(main(Member))
--- a/irisdeal/almanac/acceptor.py
+++ b/irisdeal/almanac/acceptor.py
@@ -20,8 +20,8 @@
 from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Value, on_accept, on_prepare
 from irisdeal.almanac.shelf import Shelf
 from irisdeal.almanac.word import NOTHING, Stamp, Word
-from irisdeal.mast.events import invariant, tell
-from irisdeal.mast.process import Tasks
+from irisdeal.runtime.events import invariant, tell
+from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
 ID = 8  # bytes of a disk's identity: no two of all disks ever are alike
--- a/irisdeal/almanac/configuration.py
+++ b/irisdeal/almanac/configuration.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from irisdeal.almanac.word import number
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
 
 KINDS = ("idempotent", "mutating")
 MOST_OVER_MS = 60_000  # a `target_ms` that is over its `timeout_ms` by this much or more is a slip
--- a/irisdeal/almanac/files.py
+++ b/irisdeal/almanac/files.py
@@ -11,7 +11,7 @@
 
 from irisdeal.almanac.folder import Folder
 from irisdeal.almanac.word import Stamp, Word
-from irisdeal.mast.events import tell
+from irisdeal.runtime.events import tell
 
 KEPT = 3  # bodies on disk beside those that are needed: for whoever looks, and for ballots under way
 MAGIC = "irisdeal-word-1"
--- a/irisdeal/almanac/inspect.py
+++ b/irisdeal/almanac/inspect.py
@@ -9,7 +9,7 @@
 from irisdeal.almanac.keeper import State
 from irisdeal.almanac.register import Value
 from irisdeal.almanac.word import NOTHING, Stamp, Word
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
 
 
 @dataclass
--- a/irisdeal/almanac/member.py
+++ b/irisdeal/almanac/member.py
@@ -24,11 +24,11 @@
 from irisdeal.almanac.succession import may_go
 from irisdeal.almanac.word import NOTHING, Stamp, Word
 from irisdeal.http1.metrics_server import MetricsServer
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
 from irisdeal.rpc.server import Server
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 PUT = 0.85  # s for an order: the operator goes elsewhere after a second of silence
 READ = 0.85  # s, likewise
@@ -62,12 +62,12 @@
     # What a process does
 
     async def start(self) -> None:
-        first = Value.first(Members.first(places.seeds(self.settings)))
+        first = Value.first(Members.first(ports.seeds(self.settings)))
         await self.acceptor.open(first if self.settings.bootstrap else None)
         if self.acceptor.decided == UNKNOWN:
             tell(206, seat=self.acceptor.seat)
         self._enforce()
-        await self.server.listen((self.ip, places.port(self.settings, places.ALMANAC)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.ALMANAC)))
         self.tasks.start(self.rounds.run())
         await self.metrics_server.start()
 
--- a/irisdeal/almanac/metrics.py
+++ b/irisdeal/almanac/metrics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from irisdeal.mast.metrics import Metrics
+from irisdeal.runtime.metrics import Metrics
 
 
 class StoreMetrics(Metrics):
--- a/irisdeal/almanac/model.py
+++ b/irisdeal/almanac/model.py
@@ -22,7 +22,7 @@
 )
 from irisdeal.almanac.index import run
 from irisdeal.almanac.reading import Reading, reading
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
 
 __all__ = [
     "KINDS",
--- a/irisdeal/almanac/peers.py
+++ b/irisdeal/almanac/peers.py
@@ -11,11 +11,11 @@
 from irisdeal.almanac.acceptor import Acceptor
 from irisdeal.almanac.shelf import Arrivals, Have
 from irisdeal.almanac.word import NOTHING, Stamp, Word
-from irisdeal.mast import places
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
-from irisdeal.mast.trouble import Trouble
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 PARCEL = 2.0  # s for one parcel: 64 KB on a link of 2 Mbit/s take 0.3, and the other's disk may be in trouble
 MOST_PARCELS = 400  # of one body: over 20 MB of pieces
@@ -33,7 +33,7 @@
 
     def link(self, ip: str) -> Link:
         if ip not in self.links:
-            self.links[ip] = Link(places.at(self.settings, ip, places.ALMANAC), f"almanac {self.settings.ip}")
+            self.links[ip] = Link(ports.at(self.settings, ip, ports.ALMANAC), f"almanac {self.settings.ip}")
         return self.links[ip]
 
     async def call(self, ip: str, kind: str, body: Any, within: float) -> Result[Any, Trouble]:
--- a/irisdeal/almanac/proposer.py
+++ b/irisdeal/almanac/proposer.py
@@ -20,8 +20,8 @@
 from irisdeal.almanac.register import NO_BALLOT, Ballot, Change, Kept, Outcome, Round, Step, Value, put, same
 from irisdeal.almanac.shelf import Have
 from irisdeal.almanac.word import NOTHING, Stamp, Word
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
 
 BALLOT = 2.5  # s for a ballot: a disk in trouble takes over a second for each of the two syncs
 WORK = 3.0  # s for a decision, with all its ballots; who sent the order may have gone on and come again
--- a/irisdeal/almanac/reading.py
+++ b/irisdeal/almanac/reading.py
@@ -39,7 +39,7 @@
 from irisdeal.almanac.difference import walk
 from irisdeal.almanac.index import STEP, Changes, Index
 from irisdeal.almanac.word import number
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
 
 BLANK = re.compile(r"[ \t\n\r]*")
 EACH = 8  # entries read with dacite between two pauses, some 0.6 ms
--- a/irisdeal/almanac/rounds.py
+++ b/irisdeal/almanac/rounds.py
@@ -20,10 +20,10 @@
 from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Value, set_members
 from irisdeal.almanac.report import Report, decided_among
 from irisdeal.almanac.succession import Wanted, Watch
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 ROUND = 0.5  # s between two rounds; what was missed is here within two of them
 SEEKING = 0.12  # s between them without contact
@@ -69,7 +69,7 @@
     def others(self) -> list[str]:
         """All machines that may be there."""
         ips = self.members.ips() | self.acceptor.kept.value.members.ips()
-        return sorted((ips | set(places.seeds(self.settings)) | set(self.learners())) - {self.settings.ip})
+        return sorted((ips | set(ports.seeds(self.settings)) | set(self.learners())) - {self.settings.ip})
 
     def learners(self) -> list[str]:
         """Machines outside the list that were heard of late."""
--- a/irisdeal/almanac/survey.py
+++ b/irisdeal/almanac/survey.py
@@ -11,8 +11,8 @@
 from irisdeal.almanac.members import Members
 from irisdeal.almanac.register import UNKNOWN, Value
 from irisdeal.almanac.report import Report
-from irisdeal.mast.settings import Address
 from irisdeal.rpc.client import Link
+from irisdeal.runtime.settings import Address
 
 WITHIN = 1.0  # s for an answer: hundreds of times the way there and back
 
--- a/irisdeal/cli/almanac.py
+++ b/irisdeal/cli/almanac.py
@@ -16,7 +16,7 @@
     from irisdeal.almanac.inspect import Disk
     from irisdeal.almanac.register import Value
     from irisdeal.almanac.survey import Survey
-    from irisdeal.mast.settings import Address, Settings
+    from irisdeal.runtime.settings import Address, Settings
 
 WIDTH = 116  # columns of a table: as long as our lines
 
@@ -36,7 +36,7 @@
     name = "ip:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        from irisdeal.mast.settings import address
+        from irisdeal.runtime.settings import address
 
         try:
             return value if isinstance(value, tuple) else address(value)
@@ -74,7 +74,7 @@
         raise Unusable("--settings: wanted, as no store was named")
     from returns.result import Failure
 
-    from irisdeal.mast.settings import load
+    from irisdeal.runtime.settings import load
 
     read = load(settings_file)
     if isinstance(read, Failure):
@@ -83,10 +83,10 @@
 
 
 def _seeds(settings: Settings) -> list[Address]:
-    from irisdeal.mast import places
+    from irisdeal.runtime import ports
 
-    ips = [*places.seeds(settings), *([settings.ip] if settings.data_path else [])]
-    return [places.at(settings, ip, places.ALMANAC) for ip in ips]
+    ips = [*ports.seeds(settings), *([settings.ip] if settings.data_path else [])]
+    return [ports.at(settings, ip, ports.ALMANAC) for ip in ips]
 
 
 def _survey(stores: tuple[Address, ...], settings_file: str | None) -> Survey:
@@ -417,16 +417,16 @@
     from irisdeal.almanac import adoption
     from irisdeal.almanac.folder import DiskFolder
     from irisdeal.almanac.survey import survey
-    from irisdeal.mast import places
-    from irisdeal.mast.events import tell
+    from irisdeal.runtime import ports
+    from irisdeal.runtime.events import tell
 
     settings = _settings(settings_file)
     if not Path(settings.data_path).is_dir():
         raise Unusable(f"data_path {settings.data_path}: wanted the folder of this machine's store")
     disk = _look(settings.data_path)
     planned = adoption.plan(disk, settings.ip)
-    ips = {*places.seeds(settings), settings.ip, *planned.machines}
-    found = asyncio.run(survey(places.at(settings, ip, places.ALMANAC) for ip in ips))
+    ips = {*ports.seeds(settings), settings.ip, *planned.machines}
+    found = asyncio.run(survey(ports.at(settings, ip, ports.ALMANAC) for ip in ips))
     refused = adoption.refusals(disk, planned, settings.ip, found, given)
     if not refused and not dry_run:
         try:
--- a/irisdeal/gauge/__main__.py
+++ b/irisdeal/gauge/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 from irisdeal.gauge.station import Station
-from irisdeal.mast.process import main
+from irisdeal.runtime.process import main
 
 if __name__ == "__main__":
     sys.exit(main(Station))
--- a/irisdeal/gauge/admission.py
+++ b/irisdeal/gauge/admission.py
@@ -12,11 +12,11 @@
 from irisdeal.gauge.placement_service import NO_PLACE, PlacementService
 from irisdeal.gauge.quota_service import Age, Lend, QuotaService
 from irisdeal.gauge.registry import Registry
-from irisdeal.mast.settings import Settings
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
 from irisdeal.rpc.server import LATER
+from irisdeal.runtime.settings import Settings
 
 OVER_QUOTA = PlaceReply(PlaceResult.OVER_QUOTA)
 OVER_BUDGET = PlaceReply(PlaceResult.OVER_BUDGET)
--- a/irisdeal/gauge/authority_watch.py
+++ b/irisdeal/gauge/authority_watch.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from irisdeal.gauge.list_record import ListRecord
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
 
 
 class AuthorityWatch:
--- a/irisdeal/gauge/commands.py
+++ b/irisdeal/gauge/commands.py
@@ -12,8 +12,8 @@
 
 from irisdeal.almanac.model import read
 from irisdeal.almanac.word import Word
-from irisdeal.mast.settings import address
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.settings import address
 
 MOST_BEAT = 4096  # bytes of a beat
 ID = re.compile(r"[\x21-\x7e]{1,200}")
--- a/irisdeal/gauge/ended_record.py
+++ b/irisdeal/gauge/ended_record.py
@@ -18,7 +18,7 @@
 from irisdeal.almanac.files import put
 from irisdeal.almanac.folder import Folder
 from irisdeal.gauge.registry import Life, State, hear_life, tell_life
-from irisdeal.mast.events import tell
+from irisdeal.runtime.events import tell
 
 FOLDER, NAME = "registry", "ended"
 MAGIC = b"irisdeal-ended-1 "
--- a/irisdeal/gauge/list_record.py
+++ b/irisdeal/gauge/list_record.py
@@ -13,8 +13,8 @@
 
 from irisdeal.almanac.files import put
 from irisdeal.almanac.folder import DiskFolder
-from irisdeal.mast.events import tell
 from irisdeal.permits.authority import IssuerList
+from irisdeal.runtime.events import tell
 
 FOLDER, NAME = "registry", "issuers.json"
 
--- a/irisdeal/gauge/peers.py
+++ b/irisdeal/gauge/peers.py
@@ -20,11 +20,11 @@
 from irisdeal.gauge.metrics import RegistryMetrics
 from irisdeal.gauge.registry import MOST_LIVES, Life, Registry, State, hear_life, tell_life
 from irisdeal.gauge.store import Follower
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 ANSWER_S = 0.4  # for a short answer of another registry
 LEARN_S = 2.5  # that a registry which starts or was away asks the others for lives before it goes on without
@@ -69,7 +69,7 @@
     def link(self, ip: str) -> Link:
         """The registry of this machine."""
         if ip not in self.links:
-            self.links[ip] = Link(places.at(self.settings, ip, places.GAUGE), f"gauge {self.ip}")
+            self.links[ip] = Link(ports.at(self.settings, ip, ports.GAUGE), f"gauge {self.ip}")
         return self.links[ip]
 
     def forget_all_but(self, core: frozenset[str]) -> None:
--- a/irisdeal/gauge/quota_service.py
+++ b/irisdeal/gauge/quota_service.py
@@ -7,7 +7,6 @@
 
 from irisdeal.almanac.model import Configuration
 from irisdeal.gauge.messages import IntervalReply, IntervalReport, IntervalSum
-from irisdeal.mast.settings import Settings
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim, PermitIssuer
@@ -16,6 +15,7 @@
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
 from irisdeal.rpc.calls import name_of
+from irisdeal.runtime.settings import Settings
 
 SUM_AT = 0.45  # of an interval, when the sum of the one before is told: proxies have told theirs by 0.3
 LEND_S = 0.04  # for another registry to lend: the proxy that asked waits for 0.06
--- a/irisdeal/gauge/registry.py
+++ b/irisdeal/gauge/registry.py
@@ -11,7 +11,7 @@
 from enum import IntEnum
 from typing import Any
 
-from irisdeal.mast.events import invariant, tell
+from irisdeal.runtime.events import invariant, tell
 
 SILENT_BEATS = 2.7  # beats that may be missed before a life is taken for silent: two, and the way of one
 FORGET = 120.0  # s that a life that is gone is remembered: far over any beat that is still on its way
--- a/irisdeal/gauge/station.py
+++ b/irisdeal/gauge/station.py
@@ -29,15 +29,15 @@
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks, every
-from irisdeal.mast.settings import Settings, address
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import TELL
 from irisdeal.ratelimit.interval_counter import encode_usages
 from irisdeal.rpc.server import Server
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks, every
+from irisdeal.runtime.settings import Settings, address
 
 FLUSH = 0.2  # s between two tellings of beats and sums to the other registries
 LOOK = 0.25  # s between two looks at who is silent
@@ -84,7 +84,7 @@
 
     async def start(self) -> None:
         await self.peers.recall()
-        await self.server.listen((self.ip, places.port(self.settings, places.GAUGE)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.GAUGE)))
         self.follower.start()
         self.tasks.start(self.peers.learn())
         self.tasks.start(every(FLUSH, self.peers.flush))
--- a/irisdeal/gauge/store.py
+++ b/irisdeal/gauge/store.py
@@ -26,12 +26,12 @@
 from irisdeal.almanac.register import Outcome, Value
 from irisdeal.almanac.shelf import Arrivals, Have, Shelf
 from irisdeal.almanac.word import NOTHING, Stamp, Word
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks, every
-from irisdeal.mast.settings import Settings
-from irisdeal.mast.trouble import Trouble
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks, every
+from irisdeal.runtime.settings import Settings
 
 HOLD = 1.0  # s that a store may hold a watch without news
 ANSWER = 0.4  # s for a short answer of a store
@@ -73,7 +73,7 @@
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
         self.arrivals = Arrivals(shelf)
-        self.value = Value(-1, NOTHING, Members.first(places.seeds(settings)))  # -1: none was told
+        self.value = Value(-1, NOTHING, Members.first(ports.seeds(settings)))  # -1: none was told
         self.word: Word | None = None
         self.change = -1  # of the newest value whose body is here
         self.learners: frozenset[str] = frozenset()
@@ -110,7 +110,7 @@
 
     def everyone(self) -> frozenset[str]:
         """The machines whose registries are to be asked, told and shared with, this one among them."""
-        seeds = places.seeds(self.settings) if self.value.change < 0 else ()
+        seeds = ports.seeds(self.settings) if self.value.change < 0 else ()
         return self.members.ips() | self.learners | {self.ip, *seeds}
 
     def is_majority(self, ips: Iterable[str]) -> bool:
@@ -128,7 +128,7 @@
 
     def _link(self, ip: str) -> Link:
         if ip not in self.links:
-            self.links[ip] = Link(places.at(self.settings, ip, places.ALMANAC), f"gauge {self.ip}")
+            self.links[ip] = Link(ports.at(self.settings, ip, ports.ALMANAC), f"gauge {self.ip}")
         return self.links[ip]
 
     def _others(self) -> list[str]:
--- a/irisdeal/http1/metrics_server.py
+++ b/irisdeal/http1/metrics_server.py
@@ -6,8 +6,8 @@
 
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.server import HttpServer
-from irisdeal.mast.metrics import CONTENT_TYPE, Metrics, parse_address
-from irisdeal.mast.settings import Settings
+from irisdeal.runtime.metrics import CONTENT_TYPE, Metrics, parse_address
+from irisdeal.runtime.settings import Settings
 
 
 class MetricsServer:
--- a/irisdeal/http1/server.py
+++ b/irisdeal/http1/server.py
@@ -14,7 +14,7 @@
 
 from irisdeal.http1.connection import Connection
 from irisdeal.http1.messages import Answer, Bounds, Handler, Request
-from irisdeal.mast.process import Tasks
+from irisdeal.runtime.process import Tasks
 
 LOOK_S = 1.0  # between two looks at what takes too long
 DRAIN_LOOK_S = 0.05  # likewise at what a drain waits for
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -19,8 +19,6 @@
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.phase import Phase
 from irisdeal.load_balancing.backend_choice import BackendChoice, Usual
-from irisdeal.mast.events import invariant, tell
-from irisdeal.mast.process import Tasks
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy import backend_message
 from irisdeal.proxy.admission import RequestPermit
@@ -33,6 +31,8 @@
 from irisdeal.proxy.refusal import Refused, leaving
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
+from irisdeal.runtime.events import invariant, tell
+from irisdeal.runtime.process import Tasks
 
 LEAST_LEFT_S = 0.010  # of a request's time under which no attempt is begun
 PATIENCE, LEAST_PATIENCE_S = 3.0, 0.1  # times the usual, s: then a second backend is asked as well
--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -15,9 +15,9 @@
 
 from irisdeal.http1.framing import HOP, OWS, Headers
 from irisdeal.load_balancing.backend_choice import Backend
-from irisdeal.mast.events import tell
 from irisdeal.proxy.backend_message import BackendRequest
 from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.runtime.events import tell
 
 if TYPE_CHECKING:
     from irisdeal.proxy.connection_pool import ConnectionPool
--- a/irisdeal/proxy/config_apply.py
+++ b/irisdeal/proxy/config_apply.py
@@ -9,9 +9,9 @@
 
 from irisdeal.almanac.reading import Reading, reading
 from irisdeal.almanac.word import Stamp, Word
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
 from irisdeal.proxy.table import Table
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
 
 SLICE = 0.004  # s of work between two looks at requests; on 0.2 cores that is some 0.02 s
 PACE = (
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -17,10 +17,6 @@
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.server import HttpServer, Unanswered
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
-from irisdeal.mast.early import Listening
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings, address
 from irisdeal.permits.allowance import Limit
 from irisdeal.placement.load_reports import key
 from irisdeal.proxy.admission import RequestPermit, TenantAdmission
@@ -41,6 +37,10 @@
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
+from irisdeal.runtime.early_listen import Listening
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings, address
 
 MOST_WAIT = 60.0  # s, where a client tells no deadline
 FIRST_WAIT = 0.3  # s that a request at a door which has just started waits for the first configuration
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -21,12 +21,12 @@
     PlaceRequest,
     PlaceResult,
 )
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.settings import Settings
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.sources import Sources, hash_of
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.settings import Settings
 
 REPORT_S = 0.4  # for the answer to a report
 PLACE_S = 0.06  # for the answer to an ask for a place: some ways there and back
@@ -82,7 +82,7 @@
 
     def _link(self, registry: str) -> Link:
         if registry not in self.links:
-            address = places.at(self.settings, registry, places.GAUGE)
+            address = ports.at(self.settings, registry, ports.GAUGE)
             self.links[registry] = Link(
                 address, f"proxy {self.settings.ip}", lambda kind, told: self._late(registry, kind, told)
             )
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -24,11 +24,11 @@
 from irisdeal.almanac.shelf import Arrivals, Have, Shelf
 from irisdeal.almanac.word import NOTHING, Stamp, Word
 from irisdeal.gauge.registry import Life, State, hear_life, tell_life
-from irisdeal.mast import places
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Settings
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Settings
 
 ENOUGH = Stamp(1 << 62, b"")  # as the word that we have: no source has a newer one
 SOURCES = 2  # asked at once: one may lag or die without a loss of time
@@ -139,7 +139,7 @@
             )
 
         return sorted(
-            (ip for ip in {*self.zones, *places.seeds(self.settings)} if ip not in self.using), key=rank
+            (ip for ip in {*self.zones, *ports.seeds(self.settings)} if ip not in self.using), key=rank
         )
 
     def _is_left(self, ip: str, now: float) -> bool:
@@ -177,7 +177,7 @@
             was_left = ip is None or self._is_left(ip, self.loop.time())
             if ip is not None:
                 self.using.append(ip)
-                link = Link(places.at(self.settings, ip, places.GAUGE), f"proxy {self.settings.ip}")
+                link = Link(ports.at(self.settings, ip, ports.GAUGE), f"proxy {self.settings.ip}")
                 try:
                     await self._ask(ip, link)
                 finally:
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -23,12 +23,12 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.mast.events import tell
-from irisdeal.mast.settings import Address
-from irisdeal.mast.trouble import Trouble
 from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send
 from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.transport import tune
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.settings import Address
 
 CONNECT = 0.4  # s to come up: over a hundred times the delay within a region
 MOST_LATE = 1024  # calls of one connection that were given up and may still be answered; then it is done with
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -13,12 +13,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, cast
 
-from irisdeal.mast.events import tell
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.settings import Address
 from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send, name_of
 from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.transport import tune
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.process import Tasks
+from irisdeal.runtime.settings import Address
 
 MOST_CALLS = 256  # calls of one connection at work at once; more are answered with an error
 DRAIN_LOOK_S = 0.02  # between two looks at what a drain waits for
--- a/irisdeal/mast/catalogue.py
+++ b/irisdeal/runtime/event_catalogue.py
@@ -1,15 +1,15 @@
-"""`python -m irisdeal.mast.catalogue`: the page of events, made from the code."""
+"""`python -m irisdeal.runtime.event_catalogue`: the page of events, made from the code."""
 
 from __future__ import annotations
 
 import logging
 
-from irisdeal.mast.events import CATALOGUE
+from irisdeal.runtime.events import CATALOGUE
 
 HEAD = """# Events of the gateway's logs
 
 Each line on standard error is `E`, the number, the text and fields (`name=value`). This page is made by
-`python -m irisdeal.mast.catalogue` and compared with the code in CI.
+`python -m irisdeal.runtime.event_catalogue` and compared with the code in CI.
 
 | number | level | text |
 | --- | --- | --- |
--- a/irisdeal/mast/places.py
+++ b/irisdeal/runtime/ports.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from irisdeal.mast.settings import Address, Settings, address
+from irisdeal.runtime.settings import Address, Settings, address
 
 ALMANAC, GAUGE, VANE = 0, 1, 2  # offsets from the first port
 
--- a/irisdeal/mast/process.py
+++ b/irisdeal/runtime/process.py
@@ -13,8 +13,8 @@
 
 from returns.result import Failure
 
-from irisdeal.mast.events import tell
-from irisdeal.mast.settings import Settings, load
+from irisdeal.runtime.events import tell
+from irisdeal.runtime.settings import Settings, load
 
 T = TypeVar("T")
 
--- a/irisdeal/mast/settings.py
+++ b/irisdeal/runtime/settings.py
@@ -10,8 +10,8 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.mast.metrics import parse_address
-from irisdeal.mast.trouble import Trouble
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.metrics import parse_address
 
 Address = tuple[str, int]
 
--- a/irisdeal/squall/core.py
+++ b/irisdeal/squall/core.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from irisdeal.almanac.member import Member
-from irisdeal.mast.events import log
+from irisdeal.runtime.events import log
 from irisdeal.sim.machine import Machine
 from irisdeal.sim.world import Spinning, Stuck
 from irisdeal.squall.faults import Director
--- a/irisdeal/squall/operators.py
+++ b/irisdeal/squall/operators.py
@@ -16,8 +16,8 @@
 
 from irisdeal.almanac.shelf import Arrivals, Shelf
 from irisdeal.almanac.word import NOTHING, Word
-from irisdeal.mast import places
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.history import EVER, NONE, Kind, Op
 from irisdeal.squall.stage import FIRST_PORT, Stage, pause
@@ -117,7 +117,7 @@
 
     def _link(self, machine: Machine, host: str) -> Link:
         if (machine.name, host) not in self.links:
-            self.links[machine.name, host] = Link((host, FIRST_PORT + places.ALMANAC), machine.name)
+            self.links[machine.name, host] = Link((host, FIRST_PORT + ports.ALMANAC), machine.name)
         return self.links[machine.name, host]
 
     # Orders
--- a/irisdeal/squall/quota_nodes.py
+++ b/irisdeal/squall/quota_nodes.py
@@ -10,7 +10,6 @@
 
 from irisdeal.gauge.messages import IntervalReport
 from irisdeal.gauge.quota_service import QuotaService
-from irisdeal.mast.settings import Settings
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
 from irisdeal.permits.held import HeldPermits
@@ -19,6 +18,7 @@
 from irisdeal.ratelimit.interval_clock import LENGTH
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.ratelimit.rate_companion import RateCompanion
+from irisdeal.runtime.settings import Settings
 
 TENANT = "t"
 CONTACT_KEPT_S = 1.8  # that a registry counts itself in contact after it last was
--- a/irisdeal/squall/stage.py
+++ b/irisdeal/squall/stage.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from irisdeal.almanac.member import Member
-from irisdeal.mast.settings import Settings, Tolerance
+from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, World
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -23,11 +23,11 @@
 from irisdeal.gauge.news import News
 from irisdeal.gauge.registry import Registry
 from irisdeal.gauge.store import Follower
-from irisdeal.mast import places
-from irisdeal.mast.settings import Settings
 from irisdeal.proxy.sources import Sources
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
+from irisdeal.runtime import ports
+from irisdeal.runtime.settings import Settings
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Socket, Way
 from irisdeal.sim.world import START, World
@@ -99,7 +99,7 @@
         self.put_s = 0.0  # that an order takes
 
     async def run(self) -> int:
-        await self.server.listen((self.ip, places.port(self.settings, places.ALMANAC)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.ALMANAC)))
         loop = asyncio.get_running_loop()
         while True:
             self.contact.tick(loop.time())
@@ -114,7 +114,7 @@
 
     async def ask(self, ip: str) -> None:
         if ip not in self.links:
-            self.links[ip] = Link((ip, places.port(self.settings, places.ALMANAC)), self.ip)
+            self.links[ip] = Link((ip, ports.port(self.settings, ports.ALMANAC)), self.ip)
         sent = asyncio.get_running_loop().time()
         answer = await self.links[ip].call("state", None, ANSWER)
         if isinstance(answer, Success):
@@ -179,7 +179,7 @@
         self.news.wake()
 
     async def run(self) -> int:
-        await self.server.listen((self.ip, places.port(self.settings, places.GAUGE)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.GAUGE)))
         self.follower.start()
         await asyncio.get_running_loop().create_future()
         return 0
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -14,7 +14,7 @@
 from irisdeal.almanac.members import FIRST, Members
 from irisdeal.almanac.register import NO_BALLOT, Ballot, Kept, Value, put
 from irisdeal.almanac.word import Word
-from irisdeal.mast.process import Tasks
+from irisdeal.runtime.process import Tasks
 from irisdeal.squall.disk import MemoryDisk
 
 START = Value.first(Members.first(["a", "b", "c"]))
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -18,11 +18,11 @@
 from irisdeal.almanac.word import Word
 from irisdeal.gauge.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.gauge.registry import Life, State
-from irisdeal.mast.settings import Bind, Settings
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
 from irisdeal.rpc.server import LATER, Server
+from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, World
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -33,8 +33,8 @@
 from irisdeal.gauge.ended_record import EndedRecord
 from irisdeal.gauge.list_record import ListRecord
 from irisdeal.gauge.registry import Life, State
-from irisdeal.mast.process import Tasks
 from irisdeal.permits.authority import IssuerList
+from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
 DATA = Path(__file__).parent.parent / "data" / "folders"
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -25,9 +25,6 @@
 from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest
 from irisdeal.gauge.station import Station
 from irisdeal.http1.messages import Request
-from irisdeal.mast import places
-from irisdeal.mast.settings import Bind, Settings, Tolerance
-from irisdeal.mast.trouble import Trouble
 from irisdeal.permits.held import HeldPermits
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.registry_client import RegistryClient
@@ -35,6 +32,9 @@
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import ONE_WAY, encode
+from irisdeal.runtime import ports
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.settings import Bind, Settings, Tolerance
 from irisdeal.sim.machine import Costs, Machine
 from irisdeal.squall.disk import MemoryDisk
 from tests.core_rig import CoreRig, zone_of
@@ -305,13 +305,13 @@
     async def ask_as_before(self) -> None:
         """A call of the table that is answered and that this version makes no more."""
         host = self.hosts[1]
-        link = Link((host, places.port(self.settings(host), places.GAUGE)), "gauge 10.7.0.1")
+        link = Link((host, ports.port(self.settings(host), ports.GAUGE)), "gauge 10.7.0.1")
         await link.call("all", None, 0.4)
         link.close()
 
     async def survey(self) -> None:
         host = self.hosts[1]
-        await survey_one((host, places.port(self.settings(host), places.ALMANAC)))
+        await survey_one((host, ports.port(self.settings(host), ports.ALMANAC)))
 
 
 def script(rig: ExchangeRig) -> None:
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -41,8 +41,8 @@
 from irisdeal.almanac.word import Word
 from irisdeal.cli.almanac import almanac
 from irisdeal.cli.main import main
-from irisdeal.mast.settings import Address
 from irisdeal.rpc.server import Server
+from irisdeal.runtime.settings import Address
 from irisdeal.squall.disk import MemoryDisk
 
 PORT = 7340
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,8 +19,6 @@
 from irisdeal.gauge.admission import AdmissionService
 from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.gauge.registry import Life, Registry, State
-from irisdeal.mast import events
-from irisdeal.mast.settings import Settings
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import HeldReport
@@ -32,6 +30,8 @@
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.server import LATER, Server
+from irisdeal.runtime import events
+from irisdeal.runtime.settings import Settings
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, World
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,13 +26,13 @@
 from irisdeal.almanac.shelf import Have, Shelf
 from irisdeal.almanac.word import Word
 from irisdeal.gauge.registry import Life
-from irisdeal.mast.settings import Settings
 from irisdeal.proxy.sources import Sources
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc import server
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import encode
 from irisdeal.rpc.server import Server
+from irisdeal.runtime.settings import Settings
 
 PATIENCE = 5.0  # s: only a test that hangs meets it
 IPS = [f"127.{100 + os.getpid() % 100}.{os.getpid() >> 8 & 255}.{at}" for at in (1, 2)]
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from irisdeal.mast.early import addresses, listen
+from irisdeal.runtime.early_listen import addresses, listen
 
 
 def test_only_the_section_bind_is_read_and_odd_lines_are_left() -> None:
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -16,8 +16,8 @@
 from irisdeal.almanac.word import Word
 from irisdeal.gauge import store
 from irisdeal.gauge.store import Follower
-from irisdeal.mast import places
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
 from irisdeal.sim.machine import Core, Costs, Machine
 from tests.core_rig import CoreRig
 
@@ -295,7 +295,7 @@
 
 def ask_news(rig: CoreRig, host: str, at: float, change: int, life: int = 0) -> list[tuple[float, Any]]:
     async def ask() -> Any:
-        link = Link((host, 7000 + places.GAUGE), "proxy 10.9.9.9")
+        link = Link((host, 7000 + ports.GAUGE), "proxy 10.9.9.9")
         answer = await link.call("news", [Have().tell(), life, 0, change], 2.0)
         link.close()
         return answer.unwrap()
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -17,7 +17,7 @@
 from irisdeal.almanac.rounds import ROUND, SETTLE, SOON
 from irisdeal.almanac.shelf import Have
 from irisdeal.almanac.word import Word
-from irisdeal.mast.settings import Settings, Tolerance
+from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Way
 from irisdeal.sim.world import START, World
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,9 +11,9 @@
 from irisdeal.gauge.metrics import RegistryMetrics
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
-from irisdeal.mast.metrics import Metrics, MetricsAddress, parse_address
-from irisdeal.mast.settings import Settings, read
 from irisdeal.proxy.metrics import ProxyMetrics
+from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_address
+from irisdeal.runtime.settings import Settings, read
 
 GIVEN = {
     "node_name": "n",
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -16,7 +16,6 @@
 from irisdeal.gauge.authority_watch import AuthorityWatch
 from irisdeal.gauge.list_record import ListRecord, decode, encode
 from irisdeal.gauge.messages import PlaceRequest
-from irisdeal.mast.process import Tasks
 from irisdeal.permits.allowance import CLOCK_FAST, IN_FLIGHT_S, Limit, QuotaRule, allowance
 from irisdeal.permits.authority import GUARD_S, MOST_AGE_S, RESERVE_GUARD_S, IssuerList, IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
@@ -24,6 +23,7 @@
 from irisdeal.permits.issuer import Claim, PermitIssuer
 from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
 from irisdeal.permits.outstanding import LEASE_GUARD_S, LEASE_S, OutstandingPermits
+from irisdeal.runtime.process import Tasks
 
 RULE, LIMIT = QuotaRule(), Limit(30.0, 30.0)
 LISTED = IssuerList(3, frozenset({"a", "b", "c"}))
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -19,8 +19,8 @@
 from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Round, Step, Value, put, same
 from irisdeal.almanac.report import Report, decided_among, read_from
 from irisdeal.almanac.word import Stamp, Word
-from irisdeal.mast import places
 from irisdeal.rpc.client import Link
+from irisdeal.runtime import ports
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.disk import MemoryDisk
 from irisdeal.squall.stage import FIRST_PORT, Stage, pause
@@ -131,7 +131,7 @@
         """The answer, or None."""
         key = machine.name, host
         if key not in self.links:
-            self.links[key] = Link((host, FIRST_PORT + places.ALMANAC), machine.name)
+            self.links[key] = Link((host, FIRST_PORT + ports.ALMANAC), machine.name)
         answer = await self.links[key].call(kind, body, within)
         return answer.unwrap() if isinstance(answer, Success) else None
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -16,7 +16,7 @@
 from irisdeal.gauge.registry import Life, State, hear_life
 from irisdeal.gauge.station import Station
 from irisdeal.http1.messages import Answer, Request
-from irisdeal.mast.settings import Bind, Settings
+from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Machine
 from tests.core_rig import CoreRig, settings_of
 
--- a/tests/test_system_pages.py
+++ b/tests/test_system_pages.py
@@ -4,7 +4,7 @@
 import tomllib
 from pathlib import Path
 
-from irisdeal.mast.catalogue import page
+from irisdeal.runtime.event_catalogue import page
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -14,12 +14,12 @@
 from irisdeal.almanac.model import read
 from irisdeal.gauge.commands import Beat, Leave, Put, decode
 from irisdeal.gauge.registry import Life, Registry, State
-from irisdeal.mast import settings
 from irisdeal.proxy.table import Table
 from irisdeal.ratelimit.concurrency_limit import Gate
 from irisdeal.ratelimit.demand_split import bound, part
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
 from irisdeal.rpc.frames import BadFrame, Reader, encode
+from irisdeal.runtime import settings
 
 
 def configuration(**changes: Any) -> dict[str, Any]:
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -16,11 +16,11 @@
 from irisdeal.almanac.index import run
 from irisdeal.almanac.reading import Reading, reading
 from irisdeal.almanac.word import Word
-from irisdeal.mast.process import Tasks
-from irisdeal.mast.trouble import Trouble
 from irisdeal.proxy import config_apply
 from irisdeal.proxy.config_apply import PACE, ConfigApply
 from irisdeal.proxy.table import Route, Table
+from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.process import Tasks
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network
 from irisdeal.sim.world import START, World
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -18,7 +18,6 @@
 
 from irisdeal.almanac.word import Word
 from irisdeal.gauge.registry import Life, State
-from irisdeal.mast.settings import Bind, Settings
 from irisdeal.proxy import backend_connection, connection_pool
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.connection_pool import ConnectionPool
@@ -27,6 +26,7 @@
 from irisdeal.rpc import client as telegraph
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
+from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
 from irisdeal.sim.world import START, Stuck, World
