--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from benchmarks.capacity.size import BEAT
-from irisdeal.almanac.shelf import Have
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
 from irisdeal.gauge.registry import Life, hear_life, tell_life
 from irisdeal.permits.held import HeldPermits
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -86,7 +86,10 @@
     os.kill(os.getpid(), signal.SIGTERM)
 
 
-PROGRAMS = {"gauge": ("irisdeal.gauge.station", "Station"), "almanac": ("irisdeal.almanac.member", "Member")}
+PROGRAMS = {
+    "gauge": ("irisdeal.gauge.station", "Station"),
+    "almanac": ("irisdeal.config_store.replica", "Member"),
+}
 
 if __name__ == "__main__":
     counted = Tally()
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -24,11 +24,11 @@
 
 import cbor2
 
-from irisdeal.almanac.configuration import read_whole
-from irisdeal.almanac.index import run
-from irisdeal.almanac.reading import Reading, reading
-from irisdeal.almanac.shelf import Arrivals, Shelf
-from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.index import run
+from irisdeal.config_store.configuration.schema import read_whole
+from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.storage.version_store import Arrivals, Shelf
 from irisdeal.proxy.config_apply import SLICE
 from irisdeal.proxy.table import Table
 from tests.words import change, configuration
--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -2,13 +2,13 @@
 
     python -m benchmarks.register_states [--most 2000000] [NAME ...]
 
-A breadth-first search of the real core (`irisdeal.almanac.register`, `members`, `report`), no model of it. A step
-is one of: a proposer begins a ballot; an acceptor gets a ballot's prepare or accept, and its answer arrives or is
-lost; an accept comes late, again, or to a learner; a proposer hears what another decided; a process is killed and
-loses what it had not synced; a machine's disk is lost, and an empty one with another identity comes in its place;
-a read begins, asks one seat, ends. Messages that are lost for good, doubled, late or out of order, and cuts of any
-one way, are all of these: no step has to come. That an answer arrives at once or never leaves out nothing: a
-proposer that hears it later does what one does whose accepts are late.
+A breadth-first search of the real core (`irisdeal.config_store.consensus.register`, `members`, `report`), no model
+of it. A step is one of: a proposer begins a ballot; an acceptor gets a ballot's prepare or accept, and its answer
+arrives or is lost; an accept comes late, again, or to a learner; a proposer hears what another decided; a process
+is killed and loses what it had not synced; a machine's disk is lost, and an empty one with another identity comes
+in its place; a read begins, asks one seat, ends. Messages that are lost for good, doubled, late or out of order,
+and cuts of any one way, are all of these: no step has to come. That an answer arrives at once or never leaves out
+nothing: a proposer that hears it later does what one does whose accepts are late.
 
 Rules: (1) a ballot over one whose value was told as decided takes that one over, or one over it; (2) one body for
 each number, and one value for each change, are told as decided; (3) a read answers no less than what was told as
@@ -24,11 +24,21 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from irisdeal.almanac import register, report
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Change, Kept, Round, Step, Value
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.word import Stamp
+from irisdeal.config_store.configuration.version import Stamp
+from irisdeal.config_store.consensus import register
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    UNKNOWN,
+    Ballot,
+    Change,
+    Kept,
+    Round,
+    Step,
+    Value,
+)
+from irisdeal.config_store.membership import report
+from irisdeal.config_store.membership.members import Members
+from irisdeal.config_store.membership.report import Report
 
 Program = Callable[
     [Value], Change | None
--- a/irisdeal/cli/almanac.py
+++ b/irisdeal/cli/almanac.py
@@ -13,9 +13,9 @@
 from rich.table import Table
 
 if TYPE_CHECKING:
-    from irisdeal.almanac.inspect import Disk
-    from irisdeal.almanac.register import Value
-    from irisdeal.almanac.survey import Survey
+    from irisdeal.config_store.consensus.register import Value
+    from irisdeal.config_store.membership.survey import Survey
+    from irisdeal.config_store.storage.inspection import Disk
     from irisdeal.runtime.settings import Address, Settings
 
 WIDTH = 116  # columns of a table: as long as our lines
@@ -90,7 +90,7 @@
 
 
 def _survey(stores: tuple[Address, ...], settings_file: str | None) -> Survey:
-    from irisdeal.almanac.survey import survey
+    from irisdeal.config_store.membership.survey import survey
 
     return asyncio.run(survey(stores or _seeds(_settings(settings_file))))
 
@@ -243,8 +243,8 @@
 
 
 def _look(folder: str) -> Disk:
-    from irisdeal.almanac.folder import DiskFolder
-    from irisdeal.almanac.inspect import look
+    from irisdeal.config_store.storage.folder import DiskFolder
+    from irisdeal.config_store.storage.inspection import look
 
     try:
         return look(DiskFolder(folder))
@@ -321,7 +321,7 @@
 
     Example: irisdeal almanac verify /var/lib/irisdeal
     """
-    from irisdeal.almanac.inspect import verify as check
+    from irisdeal.config_store.storage.inspection import verify as check
 
     disk = _look(folder)
     troubles = check(disk)
@@ -364,7 +364,7 @@
 
     Example: irisdeal almanac export /var/lib/irisdeal --generation r12 --to r12.json
     """
-    from irisdeal.almanac.inspect import named, newest
+    from irisdeal.config_store.storage.inspection import named, newest
 
     if as_json and out is None:
         raise Unusable("--json: wanted with --to, as standard output is the configuration")
@@ -414,9 +414,9 @@
 
     Example: irisdeal almanac adopt --settings settings.toml --yes-lose 10.0.0.2 --yes-lose 10.0.0.3
     """
-    from irisdeal.almanac import adoption
-    from irisdeal.almanac.folder import DiskFolder
-    from irisdeal.almanac.survey import survey
+    from irisdeal.config_store.membership import adoption
+    from irisdeal.config_store.membership.survey import survey
+    from irisdeal.config_store.storage.folder import DiskFolder
     from irisdeal.runtime import ports
     from irisdeal.runtime.events import tell
 
--- /dev/null
+++ b/irisdeal/config_store/__main__.py
@@ -0,0 +1,9 @@
+"""`python -m irisdeal.config_store`: the store of the operator's word."""
+
+import sys
+
+from irisdeal.config_store.replica import Member
+from irisdeal.runtime.process import main
+
+if __name__ == "__main__":
+    sys.exit(main(Member))
--- /dev/null
+++ b/irisdeal/config_store/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""The operator's configuration: its schema, validation, versions and differences."""
--- a/irisdeal/almanac/model.py
+++ b/irisdeal/config_store/configuration/cached_reading.py
@@ -4,7 +4,9 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.almanac.configuration import (
+from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.index import run
+from irisdeal.config_store.configuration.schema import (
     KINDS,
     MOST_FAULTS,
     MOST_OVER_MS,
@@ -20,8 +22,6 @@
     faults,
     read_whole,
 )
-from irisdeal.almanac.index import run
-from irisdeal.almanac.reading import Reading, reading
 from irisdeal.runtime.errors import Trouble
 
 __all__ = [
--- a/irisdeal/almanac/reading.py
+++ b/irisdeal/config_store/configuration/incremental_reading.py
@@ -23,7 +23,9 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.almanac.configuration import (
+from irisdeal.config_store.configuration.difference import walk
+from irisdeal.config_store.configuration.index import STEP, Changes, Index
+from irisdeal.config_store.configuration.schema import (
     READING,
     Configuration,
     Limits,
@@ -36,9 +38,7 @@
     rule_faults,
     tenant_faults,
 )
-from irisdeal.almanac.difference import walk
-from irisdeal.almanac.index import STEP, Changes, Index
-from irisdeal.almanac.word import number
+from irisdeal.config_store.configuration.version import number
 from irisdeal.runtime.errors import Trouble
 
 BLANK = re.compile(r"[ \t\n\r]*")
--- a/irisdeal/almanac/index.py
+++ b/irisdeal/config_store/configuration/index.py
@@ -13,7 +13,7 @@
 
 from immutables import Map
 
-from irisdeal.almanac.configuration import Configuration, Pool, Rule, Tenant
+from irisdeal.config_store.configuration.schema import Configuration, Pool, Rule, Tenant
 
 T = TypeVar("T")
 
--- a/irisdeal/almanac/configuration.py
+++ b/irisdeal/config_store/configuration/schema.py
@@ -10,7 +10,7 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.almanac.word import number
+from irisdeal.config_store.configuration.version import number
 from irisdeal.runtime.errors import Trouble
 
 KINDS = ("idempotent", "mutating")
--- /dev/null
+++ b/irisdeal/config_store/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Ballots on one register: acceptors, proposers and what they decide."""
--- a/irisdeal/almanac/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -13,13 +13,21 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.almanac.files import Files
-from irisdeal.almanac.folder import DiskFolder, Folder
-from irisdeal.almanac.keeper import Keeper, State
-from irisdeal.almanac.members import FIRST, seat
-from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Value, on_accept, on_prepare
-from irisdeal.almanac.shelf import Shelf
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    UNKNOWN,
+    Ballot,
+    Kept,
+    Value,
+    on_accept,
+    on_prepare,
+)
+from irisdeal.config_store.membership.members import FIRST, seat
+from irisdeal.config_store.storage.acceptor_state import Keeper, State
+from irisdeal.config_store.storage.folder import DiskFolder, Folder
+from irisdeal.config_store.storage.version_files import Files
+from irisdeal.config_store.storage.version_store import Shelf
 from irisdeal.runtime.events import invariant, tell
 from irisdeal.runtime.process import Tasks
 
--- a/irisdeal/almanac/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -14,12 +14,23 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.members import ip_of
-from irisdeal.almanac.peers import Peers, now
-from irisdeal.almanac.register import NO_BALLOT, Ballot, Change, Kept, Outcome, Round, Step, Value, put, same
-from irisdeal.almanac.shelf import Have
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    Ballot,
+    Change,
+    Kept,
+    Outcome,
+    Round,
+    Step,
+    Value,
+    put,
+    same,
+)
+from irisdeal.config_store.membership.members import ip_of
+from irisdeal.config_store.peers import Peers, now
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.runtime.events import tell
 from irisdeal.runtime.process import Tasks
 
--- a/irisdeal/almanac/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -26,8 +26,8 @@
 from enum import IntEnum
 from typing import Any
 
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.word import NOTHING, Stamp
+from irisdeal.config_store.configuration.version import NOTHING, Stamp
+from irisdeal.config_store.membership.members import Members
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/irisdeal/almanac/adoption.py
+++ b/irisdeal/config_store/membership/adoption.py
@@ -14,13 +14,13 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from irisdeal.almanac.acceptor import ID
-from irisdeal.almanac.folder import Folder
-from irisdeal.almanac.inspect import Disk
-from irisdeal.almanac.keeper import Keeper, State
-from irisdeal.almanac.members import Members, ip_of, seat
-from irisdeal.almanac.register import UNKNOWN, Ballot, Kept, Value
-from irisdeal.almanac.survey import Survey
+from irisdeal.config_store.consensus.acceptor import ID
+from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, Kept, Value
+from irisdeal.config_store.membership.members import Members, ip_of, seat
+from irisdeal.config_store.membership.survey import Survey
+from irisdeal.config_store.storage.acceptor_state import Keeper, State
+from irisdeal.config_store.storage.folder import Folder
+from irisdeal.config_store.storage.inspection import Disk
 
 LEAP = 1_000_000  # changes and ballots: three years of 760 changes a day
 EVERYTHING = "everything"  # what is given up where this disk knows nothing
--- a/irisdeal/almanac/contact.py
+++ b/irisdeal/config_store/membership/contact.py
@@ -24,7 +24,7 @@
 
 from __future__ import annotations
 
-from irisdeal.almanac.members import Members
+from irisdeal.config_store.membership.members import Members
 
 LEASE = 1.2  # s: a round of 0.5, 0.35 for a dead member in it, and as much again for a slow processor
 STILL = 1.2  # s between two ticks from which the process stood still: two rounds never are so far apart
--- a/irisdeal/almanac/succession.py
+++ b/irisdeal/config_store/membership/reconfiguration.py
@@ -47,10 +47,10 @@
 from itertools import product
 from typing import NamedTuple
 
-from irisdeal.almanac.members import Members, ip_of, majority
-from irisdeal.almanac.register import Value
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.word import NOTHING
+from irisdeal.config_store.configuration.version import NOTHING
+from irisdeal.config_store.consensus.register import Value
+from irisdeal.config_store.membership.members import Members, ip_of, majority
+from irisdeal.config_store.membership.report import Report
 
 DEAD = 2.0  # s of silence: four rounds; a process that is killed and started again is back within one
 LOST = 3.0  # s of silence after which no successor is waited for: a new machine is up and ready within it
--- a/irisdeal/almanac/report.py
+++ b/irisdeal/config_store/membership/report.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from irisdeal.almanac.members import Members, ip_of
-from irisdeal.almanac.register import Ballot, Value
+from irisdeal.config_store.consensus.register import Ballot, Value
+from irisdeal.config_store.membership.members import Members, ip_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/almanac/rounds.py
+++ b/irisdeal/config_store/membership/rounds.py
@@ -12,14 +12,14 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.contact import Contact
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.peers import Peers, now
-from irisdeal.almanac.proposer import BALLOT, Proposer
-from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Value, set_members
-from irisdeal.almanac.report import Report, decided_among
-from irisdeal.almanac.succession import Wanted, Watch
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.proposer import BALLOT, Proposer
+from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Value, set_members
+from irisdeal.config_store.membership.contact import Contact
+from irisdeal.config_store.membership.members import Members
+from irisdeal.config_store.membership.reconfiguration import Wanted, Watch
+from irisdeal.config_store.membership.report import Report, decided_among
+from irisdeal.config_store.peers import Peers, now
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import tell
 from irisdeal.runtime.process import Tasks
--- a/irisdeal/almanac/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -8,9 +8,9 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.register import UNKNOWN, Value
-from irisdeal.almanac.report import Report
+from irisdeal.config_store.consensus.register import UNKNOWN, Value
+from irisdeal.config_store.membership.members import Members
+from irisdeal.config_store.membership.report import Report
 from irisdeal.rpc.client import Link
 from irisdeal.runtime.settings import Address
 
--- a/irisdeal/almanac/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -8,9 +8,9 @@
 
 from returns.result import Result, Success
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.shelf import Arrivals, Have
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.storage.version_store import Arrivals, Have
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import Trouble
--- a/irisdeal/almanac/member.py
+++ b/irisdeal/config_store/replica.py
@@ -10,19 +10,19 @@
 import math
 from typing import Any
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.contact import LEASE
-from irisdeal.almanac.folder import Folder
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.metrics import StoreMetrics
-from irisdeal.almanac.peers import Peers, now
-from irisdeal.almanac.proposer import Proposer
-from irisdeal.almanac.register import UNKNOWN, Ballot, Outcome, Value
-from irisdeal.almanac.report import Report, read_from
-from irisdeal.almanac.rounds import Rounds
-from irisdeal.almanac.shelf import Have
-from irisdeal.almanac.succession import may_go
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.proposer import Proposer
+from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, Outcome, Value
+from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.members import Members
+from irisdeal.config_store.membership.reconfiguration import may_go
+from irisdeal.config_store.membership.report import Report, read_from
+from irisdeal.config_store.membership.rounds import Rounds
+from irisdeal.config_store.metrics import StoreMetrics
+from irisdeal.config_store.peers import Peers, now
+from irisdeal.config_store.storage.folder import Folder
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.rpc.server import Server
 from irisdeal.runtime import ports
--- a/irisdeal/almanac/keeper.py
+++ b/irisdeal/config_store/storage/acceptor_state.py
@@ -12,9 +12,9 @@
 
 import cbor2
 
-from irisdeal.almanac.files import put
-from irisdeal.almanac.folder import Folder
-from irisdeal.almanac.register import Kept, Value
+from irisdeal.config_store.consensus.register import Kept, Value
+from irisdeal.config_store.storage.folder import Folder
+from irisdeal.config_store.storage.version_files import put
 
 MAGIC = b"irisdeal-kept-1 "
 NAME = "kept"
--- a/irisdeal/almanac/inspect.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from irisdeal.almanac import files, keeper
-from irisdeal.almanac.folder import Folder
-from irisdeal.almanac.keeper import State
-from irisdeal.almanac.register import Value
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.register import Value
+from irisdeal.config_store.storage import acceptor_state, version_files
+from irisdeal.config_store.storage.acceptor_state import State
+from irisdeal.config_store.storage.folder import Folder
 from irisdeal.runtime.errors import Trouble
 
 
@@ -43,10 +43,10 @@
     disk = Disk()
     for name in folder.names():
         try:
-            if name == keeper.NAME:
-                disk.state = keeper.decode(folder.read(name))
+            if name == acceptor_state.NAME:
+                disk.state = acceptor_state.decode(folder.read(name))
             elif name.endswith(".word"):
-                disk.words[name] = files.decode(folder.read(name))
+                disk.words[name] = version_files.decode(folder.read(name))
         except ValueError as error:
             disk.troubles.append(Trouble("read", name, str(error)))
     return disk
@@ -55,11 +55,14 @@
 def verify(disk: Disk) -> list[Trouble]:
     """What is wrong: damage, and the body of an accepted value that is not there."""
     if disk.state is None:
-        named = any(trouble.peer == keeper.NAME for trouble in disk.troubles)
+        named = any(trouble.peer == acceptor_state.NAME for trouble in disk.troubles)
         return (
             disk.troubles
             if named
-            else [*disk.troubles, Trouble("read", keeper.NAME, "missing: this disk has no identity yet")]
+            else [
+                *disk.troubles,
+                Trouble("read", acceptor_state.NAME, "missing: this disk has no identity yet"),
+            ]
         )
     value = disk.state.kept.value
     if not disk.holds(value):
--- a/irisdeal/almanac/files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -9,8 +9,8 @@
 import hashlib
 from collections.abc import Collection
 
-from irisdeal.almanac.folder import Folder
-from irisdeal.almanac.word import Stamp, Word
+from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.storage.folder import Folder
 from irisdeal.runtime.events import tell
 
 KEPT = 3  # bodies on disk beside those that are needed: for whoever looks, and for ballots under way
--- a/irisdeal/almanac/shelf.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -26,8 +26,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from irisdeal.almanac.difference import LEVEL, NoDifference, apply, difference, unpack
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.difference import LEVEL, NoDifference, apply, difference, unpack
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
 
 KEPT = 16  # words kept before the newest, as differences against the one after: bases of what callers have
 MOST_KEPT = 4 << 20  # bytes of all of them
--- a/irisdeal/gauge/commands.py
+++ b/irisdeal/gauge/commands.py
@@ -10,8 +10,8 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.almanac.model import read
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.runtime.errors import Trouble
 from irisdeal.runtime.settings import address
 
--- a/irisdeal/gauge/ended_record.py
+++ b/irisdeal/gauge/ended_record.py
@@ -15,8 +15,8 @@
 
 import cbor2
 
-from irisdeal.almanac.files import put
-from irisdeal.almanac.folder import Folder
+from irisdeal.config_store.storage.folder import Folder
+from irisdeal.config_store.storage.version_files import put
 from irisdeal.gauge.registry import Life, State, hear_life, tell_life
 from irisdeal.runtime.events import tell
 
--- a/irisdeal/gauge/list_record.py
+++ b/irisdeal/gauge/list_record.py
@@ -11,8 +11,8 @@
 import json
 from pathlib import Path
 
-from irisdeal.almanac.files import put
-from irisdeal.almanac.folder import DiskFolder
+from irisdeal.config_store.storage.folder import DiskFolder
+from irisdeal.config_store.storage.version_files import put
 from irisdeal.permits.authority import IssuerList
 from irisdeal.runtime.events import tell
 
--- a/irisdeal/gauge/news.py
+++ b/irisdeal/gauge/news.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.almanac.shelf import Have
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.gauge.registry import Registry, tell_life
 from irisdeal.gauge.store import Follower
 
--- a/irisdeal/gauge/quota_service.py
+++ b/irisdeal/gauge/quota_service.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
 
-from irisdeal.almanac.model import Configuration
+from irisdeal.config_store.configuration.cached_reading import Configuration
 from irisdeal.gauge.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
--- a/irisdeal/gauge/station.py
+++ b/irisdeal/gauge/station.py
@@ -9,11 +9,11 @@
 
 from returns.result import Failure, Success
 
-from irisdeal.almanac.folder import DiskFolder, Folder
-from irisdeal.almanac.model import read
-from irisdeal.almanac.register import Outcome
-from irisdeal.almanac.shelf import Shelf
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.consensus.register import Outcome
+from irisdeal.config_store.storage.folder import DiskFolder, Folder
+from irisdeal.config_store.storage.version_store import Shelf
 from irisdeal.gauge.admission import AdmissionService
 from irisdeal.gauge.authority_watch import AuthorityWatch
 from irisdeal.gauge.commands import Beat, Command, Leave, Look, Put, Read, decode
--- a/irisdeal/gauge/store.py
+++ b/irisdeal/gauge/store.py
@@ -21,11 +21,11 @@
 
 from returns.result import Failure, Result
 
-from irisdeal.almanac.contact import LEASE
-from irisdeal.almanac.members import Members, ip_of, majority
-from irisdeal.almanac.register import Outcome, Value
-from irisdeal.almanac.shelf import Arrivals, Have, Shelf
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.consensus.register import Outcome, Value
+from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.members import Members, ip_of, majority
+from irisdeal.config_store.storage.version_store import Arrivals, Have, Shelf
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import Trouble
--- a/irisdeal/proxy/config_apply.py
+++ b/irisdeal/proxy/config_apply.py
@@ -7,8 +7,8 @@
 
 from returns.result import Failure
 
-from irisdeal.almanac.reading import Reading, reading
-from irisdeal.almanac.word import Stamp, Word
+from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.version import Stamp, Word
 from irisdeal.proxy.table import Table
 from irisdeal.runtime.events import tell
 from irisdeal.runtime.process import Tasks
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -10,7 +10,7 @@
 import random
 from collections import Counter
 
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.gauge.registry import Life, State
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -20,9 +20,9 @@
 
 from returns.result import Failure
 
-from irisdeal.almanac.contact import LEASE
-from irisdeal.almanac.shelf import Arrivals, Have, Shelf
-from irisdeal.almanac.word import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.storage.version_store import Arrivals, Have, Shelf
 from irisdeal.gauge.registry import Life, State, hear_life, tell_life
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
--- a/irisdeal/proxy/table.py
+++ b/irisdeal/proxy/table.py
@@ -7,9 +7,9 @@
 
 from immutables import Map
 
-from irisdeal.almanac.configuration import Configuration, Limits, Rule
-from irisdeal.almanac.index import STEP, Index, run
-from irisdeal.almanac.reading import Reading
+from irisdeal.config_store.configuration.incremental_reading import Reading
+from irisdeal.config_store.configuration.index import STEP, Index, run
+from irisdeal.config_store.configuration.schema import Configuration, Limits, Rule
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/squall/core.py
+++ b/irisdeal/squall/core.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from irisdeal.almanac.member import Member
+from irisdeal.config_store.replica import Member
 from irisdeal.runtime.events import log
 from irisdeal.sim.machine import Machine
 from irisdeal.sim.world import Spinning, Stuck
--- a/irisdeal/squall/operators.py
+++ b/irisdeal/squall/operators.py
@@ -14,8 +14,8 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.shelf import Arrivals, Shelf
-from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.storage.version_store import Arrivals, Shelf
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.sim.machine import Machine
--- a/irisdeal/squall/probes.py
+++ b/irisdeal/squall/probes.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from irisdeal.almanac.member import Member
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.replica import Member
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.history import Kind, Op, check
 from irisdeal.squall.operators import Callers, digest
--- a/irisdeal/squall/stage.py
+++ b/irisdeal/squall/stage.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from irisdeal.almanac.member import Member
+from irisdeal.config_store.replica import Member
 from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network, Way
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -14,12 +14,12 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.contact import LEASE, Contact
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.register import Value
-from irisdeal.almanac.rounds import ANSWER, ROUND, SEEKING
-from irisdeal.almanac.shelf import Have, Shelf
-from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.consensus.register import Value
+from irisdeal.config_store.membership.contact import LEASE, Contact
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SEEKING
+from irisdeal.config_store.storage.version_store import Have, Shelf
 from irisdeal.gauge.news import News
 from irisdeal.gauge.registry import Registry
 from irisdeal.gauge.store import Follower
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.register import NO_BALLOT, Value, put, set_members
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.succession import Wanted, Watch, may_go
-from irisdeal.almanac.word import NOTHING, Stamp
+from irisdeal.config_store.configuration.version import NOTHING, Stamp
+from irisdeal.config_store.consensus.register import NO_BALLOT, Value, put, set_members
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.reconfiguration import Wanted, Watch, may_go
+from irisdeal.config_store.membership.report import Report
 
 EMPTY = Value(-1, NOTHING, Members(-1, ()))  # what an empty disk knows
 STEP = 0.1  # s
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -10,10 +10,10 @@
 
 from behave import given, then, when
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.members import FIRST, Members
-from irisdeal.almanac.register import NO_BALLOT, Ballot, Kept, Value, put
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.register import NO_BALLOT, Ballot, Kept, Value, put
+from irisdeal.config_store.membership.members import FIRST, Members
 from irisdeal.runtime.process import Tasks
 from irisdeal.squall.disk import MemoryDisk
 
--- a/tests/planted/store.py
+++ b/tests/planted/store.py
@@ -13,16 +13,16 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.contact import Contact
-from irisdeal.almanac.member import Member
-from irisdeal.almanac.members import Members, ip_of, majority
-from irisdeal.almanac.peers import now
-from irisdeal.almanac.proposer import Proposer
-from irisdeal.almanac.register import Ballot, Kept, Outcome, Value, on_accept, on_prepare
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.rounds import Rounds
-from irisdeal.almanac.word import Stamp, Word
+from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.proposer import Proposer
+from irisdeal.config_store.consensus.register import Ballot, Kept, Outcome, Value, on_accept, on_prepare
+from irisdeal.config_store.membership.contact import Contact
+from irisdeal.config_store.membership.members import Members, ip_of, majority
+from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.rounds import Rounds
+from irisdeal.config_store.peers import now
+from irisdeal.config_store.replica import Member
 
 
 async def promise_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, Kept]:
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.gauge.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.gauge.registry import Life, State
 from irisdeal.permits.messages import ReserveReply
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -21,15 +21,15 @@
 from typing import Any, TypeVar
 from unittest import mock
 
-from irisdeal.almanac import adoption
-from irisdeal.almanac.acceptor import Acceptor
-from irisdeal.almanac.files import Files
-from irisdeal.almanac.folder import DiskFolder
-from irisdeal.almanac.inspect import look
-from irisdeal.almanac.keeper import Keeper
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.register import Ballot, Value
-from irisdeal.almanac.word import Stamp, Word
+from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.consensus.acceptor import Acceptor
+from irisdeal.config_store.consensus.register import Ballot, Value
+from irisdeal.config_store.membership import adoption
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.storage.acceptor_state import Keeper
+from irisdeal.config_store.storage.folder import DiskFolder
+from irisdeal.config_store.storage.inspection import look
+from irisdeal.config_store.storage.version_files import Files
 from irisdeal.gauge.ended_record import EndedRecord
 from irisdeal.gauge.list_record import ListRecord
 from irisdeal.gauge.registry import Life, State
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -20,8 +20,8 @@
 
 from returns.result import Result, Success
 
-from irisdeal.almanac.member import Member
-from irisdeal.almanac.survey import ask as survey_one
+from irisdeal.config_store.membership.survey import ask as survey_one
+from irisdeal.config_store.replica import Member
 from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest
 from irisdeal.gauge.station import Station
 from irisdeal.http1.messages import Request
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -34,9 +34,9 @@
 from unittest import mock
 
 from cresspulley import drill
-from irisdeal.almanac.members import Members
 from irisdeal.chaos import day as door_day
 from irisdeal.chaos import schedule as door_schedule
+from irisdeal.config_store.membership.members import Members
 from irisdeal.gauge.quota_service import QuotaService
 from irisdeal.http1.connection import Connection
 from irisdeal.proxy.backend_connection import BackendConnection
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -20,11 +20,11 @@
 
 from cresspulley.control import Gateway
 from cresspulley.interface import Barred, ListKind, ServerList, Shared
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Value
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.shelf import PIECE, Arrivals, Have, Shelf
-from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Value
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.storage.version_store import PIECE, Arrivals, Have, Shelf
 from irisdeal.gauge.messages import (
     AllLives,
     IntervalReply,
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from irisdeal.almanac.files import put
+from irisdeal.config_store.storage.version_files import put
 from irisdeal.gauge import ended_record
 from irisdeal.gauge.ended_record import EndedRecord
 from irisdeal.gauge.peers import ANSWER_S, RegistryPeers
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -14,13 +14,10 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from irisdeal.almanac import adoption, survey
-from irisdeal.almanac.files import Files
-from irisdeal.almanac.folder import DiskFolder, Folder
-from irisdeal.almanac.inspect import look, named, newest, verify
-from irisdeal.almanac.keeper import NAME, Keeper, State
-from irisdeal.almanac.members import Members, ip_of, seat
-from irisdeal.almanac.register import (
+from irisdeal.cli.almanac import almanac
+from irisdeal.cli.main import main
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
     UNKNOWN,
     Ballot,
@@ -35,12 +32,15 @@
     same,
     set_members,
 )
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.survey import Survey
-from irisdeal.almanac.survey import survey as ask_all
-from irisdeal.almanac.word import Word
-from irisdeal.cli.almanac import almanac
-from irisdeal.cli.main import main
+from irisdeal.config_store.membership import adoption, survey
+from irisdeal.config_store.membership.members import Members, ip_of, seat
+from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.survey import Survey
+from irisdeal.config_store.membership.survey import survey as ask_all
+from irisdeal.config_store.storage.acceptor_state import NAME, Keeper, State
+from irisdeal.config_store.storage.folder import DiskFolder, Folder
+from irisdeal.config_store.storage.inspection import look, named, newest, verify
+from irisdeal.config_store.storage.version_files import Files
 from irisdeal.rpc.server import Server
 from irisdeal.runtime.settings import Address
 from irisdeal.squall.disk import MemoryDisk
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,9 +22,9 @@
 from benchmarks.capacity.runs import BENCH, CHECK, FIT, RUNS, load
 from benchmarks.capacity.size import DOOR_BYTES, WHOLE, Size, part
 from benchmarks.capacity.tally import Tally
-from irisdeal.almanac.model import read
-from irisdeal.almanac.shelf import Have, Shelf
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.storage.version_store import Have, Shelf
 from irisdeal.gauge.registry import Life
 from irisdeal.proxy.sources import Sources
 from irisdeal.rpc import client as rpc_client
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.almanac.contact import LEASE, MOST_SEATS, STILL, Contact
-from irisdeal.almanac.members import Members, seat
+from irisdeal.config_store.membership.contact import LEASE, MOST_SEATS, STILL, Contact
+from irisdeal.config_store.membership.members import Members, seat
 
 SEATS = [seat(f"10.{number}.0.1", "d") for number in range(6)]
 OWN = SEATS[0]
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from irisdeal.almanac.contact import LEASE
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.register import Outcome, Value
-from irisdeal.almanac.shelf import Have
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.consensus.register import Outcome, Value
+from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.gauge import store
 from irisdeal.gauge.store import Follower
 from irisdeal.rpc.client import Link
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from irisdeal.almanac.member import Member
-from irisdeal.almanac.register import Ballot, Outcome, Value
-from irisdeal.almanac.rounds import ROUND, SETTLE, SOON
-from irisdeal.almanac.shelf import Have
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.consensus.register import Ballot, Outcome, Value
+from irisdeal.config_store.membership.rounds import ROUND, SETTLE, SOON
+from irisdeal.config_store.replica import Member
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Way
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,11 +9,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from irisdeal.almanac import succession
-from irisdeal.almanac.members import FIRST, Members, majority, seat
-from irisdeal.almanac.register import NO_BALLOT, Value
-from irisdeal.almanac.report import Report
-from irisdeal.almanac.succession import DEAD, MOST_HEARD, Heard, Wanted, Watch, is_proposer, next_members
+from irisdeal.config_store.consensus.register import NO_BALLOT, Value
+from irisdeal.config_store.membership import reconfiguration
+from irisdeal.config_store.membership.members import FIRST, Members, majority, seat
+from irisdeal.config_store.membership.reconfiguration import (
+    DEAD,
+    MOST_HEARD,
+    Heard,
+    Wanted,
+    Watch,
+    is_proposer,
+    next_members,
+)
+from irisdeal.config_store.membership.report import Report
 from tests.core_world import Machine, World
 
 CORES = (3, 4, 5)
@@ -451,7 +459,7 @@
     return (Members(0, old.members.former or old.members.seats),)
 
 
-def drops_all_dead(view: succession._View) -> frozenset[str] | None:
+def drops_all_dead(view: reconfiguration._View) -> frozenset[str] | None:
     dead = view.seats - view.live(view.seats)
     return view.seats - dead if dead else None
 
@@ -504,7 +512,7 @@
 
 def test_a_removal_below_tolerance_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     world = begun(3)
-    monkeypatch.setattr(succession, "RULES", (drops_all_dead, *succession.RULES))
+    monkeypatch.setattr(reconfiguration, "RULES", (drops_all_dead, *reconfiguration.RULES))
     with pytest.raises(Breach):
         losses(world)
 
--- a/tests/test_members_counting.py
+++ b/tests/test_members_counting.py
@@ -13,9 +13,9 @@
 import pytest
 import z3
 
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.register import NO_BALLOT, Ballot, Kept, Round, Step, Value, set_members
-from irisdeal.almanac.word import NOTHING
+from irisdeal.config_store.configuration.version import NOTHING
+from irisdeal.config_store.consensus.register import NO_BALLOT, Ballot, Kept, Round, Step, Value, set_members
+from irisdeal.config_store.membership.members import Members
 
 LARGEST = 9  # members of a list
 Bits = list[z3.BoolRef]  # a set of seats
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from irisdeal.almanac.metrics import StoreMetrics
+from irisdeal.config_store.metrics import StoreMetrics
 from irisdeal.gauge.metrics import RegistryMetrics
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings, strategies
 from returns.result import Failure, Success
 
-from irisdeal.almanac import configuration as entries
-from irisdeal.almanac import reading as readings
-from irisdeal.almanac.index import Index, run
-from irisdeal.almanac.model import read, read_whole
-from irisdeal.almanac.reading import Reading, reading
+from irisdeal.config_store.configuration import incremental_reading as readings
+from irisdeal.config_store.configuration import schema as entries
+from irisdeal.config_store.configuration.cached_reading import read, read_whole
+from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.index import Index, run
 from tests.words import change, configuration
 
 DUMPS: list[dict[str, Any]] = [{"separators": (",", ":")}, {}, {"indent": 1}, {"ensure_ascii": False}]
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,7 +23,7 @@
 
 from returns.result import Success
 
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.rpc.client import Link
 from irisdeal.squall.history import NONE, Kind, Op, check
 from tests.fault_proxy import Gate
@@ -77,7 +77,7 @@
 """)
         with (self.folder / f"{member}.log").open("ab") as log:
             self.running[member] = subprocess.Popen(
-                [sys.executable, "-m", "irisdeal.almanac"],
+                [sys.executable, "-m", "irisdeal.config_store"],
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.gauge.registry import Life, State
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.permits.messages import ReserveReply
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -13,12 +13,23 @@
 from returns.result import Success
 
 from benchmarks.register_states import PLANS, Plan, Search, orders
-from irisdeal.almanac.member import Member
-from irisdeal.almanac.members import Members
-from irisdeal.almanac.proposer import Proposer
-from irisdeal.almanac.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Round, Step, Value, put, same
-from irisdeal.almanac.report import Report, decided_among, read_from
-from irisdeal.almanac.word import Stamp, Word
+from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.consensus.proposer import Proposer
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    UNKNOWN,
+    Ballot,
+    Kept,
+    Outcome,
+    Round,
+    Step,
+    Value,
+    put,
+    same,
+)
+from irisdeal.config_store.membership.members import Members
+from irisdeal.config_store.membership.report import Report, decided_among, read_from
+from irisdeal.config_store.replica import Member
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.sim.machine import Machine
@@ -235,7 +246,7 @@
 
 
 def test_an_order_that_is_refused_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("irisdeal.almanac.member.Proposer", RefusesAgain)
+    monkeypatch.setattr("irisdeal.config_store.replica.Proposer", RefusesAgain)
     with pytest.raises(AssertionError):
         test_two_bodies_under_one_number_and_orders_again(0)
 
--- a/tests/test_register_states.py
+++ b/tests/test_register_states.py
@@ -9,10 +9,11 @@
 import pytest
 
 from benchmarks.register_states import PLANS, THREE, A, B, orders, search
-from irisdeal.almanac import register, report
-from irisdeal.almanac.members import Members, majority
-from irisdeal.almanac.register import Ballot, Kept, Step, Value
-from irisdeal.almanac.report import Report
+from irisdeal.config_store.consensus import register
+from irisdeal.config_store.consensus.register import Ballot, Kept, Step, Value
+from irisdeal.config_store.membership import report
+from irisdeal.config_store.membership.members import Members, majority
+from irisdeal.config_store.membership.report import Report
 
 ONE_READ = {"ballots": (1, 1), "reads": 1}
 FEW = 12_000  # states of each plan here; `python -m benchmarks.register_states` looks at millions
--- a/tests/test_shelf.py
+++ b/tests/test_shelf.py
@@ -12,10 +12,19 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from irisdeal.almanac import shelf as shelves
-from irisdeal.almanac.difference import MOST_TOLD, NoDifference, apply, difference, unpack
-from irisdeal.almanac.shelf import KEPT, MOST_BODY, MOST_WHOLE, PIECE, STUBBORN, Arrivals, Have, Shelf
-from irisdeal.almanac.word import NOTHING, Word
+from irisdeal.config_store.configuration.difference import MOST_TOLD, NoDifference, apply, difference, unpack
+from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.storage import version_store as shelves
+from irisdeal.config_store.storage.version_store import (
+    KEPT,
+    MOST_BODY,
+    MOST_WHOLE,
+    PIECE,
+    STUBBORN,
+    Arrivals,
+    Have,
+    Shelf,
+)
 from tests.words import change, configuration
 
 SPLIT = {"separators": (",", ":")}
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from irisdeal.almanac.contact import LEASE
-from irisdeal.almanac.members import FIRST, Members, seat
-from irisdeal.almanac.rounds import ANSWER, ROUND, SETTLE, SOON
-from irisdeal.almanac.shelf import PIECE, Have, Shelf
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SETTLE, SOON
+from irisdeal.config_store.storage.version_store import PIECE, Have, Shelf
 from irisdeal.gauge import news, store
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from irisdeal.almanac.shelf import Have
+from irisdeal.config_store.storage.version_store import Have
 from irisdeal.gauge import store
 from irisdeal.gauge.peers import LEARN_S
 from irisdeal.gauge.registry import Life, State, hear_life
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from irisdeal.almanac.model import read
+from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.gauge.commands import Beat, Leave, Put, decode
 from irisdeal.gauge.registry import Life, Registry, State
 from irisdeal.proxy.table import Table
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -13,9 +13,9 @@
 from hypothesis import example, given, settings, strategies
 from returns.result import Result
 
-from irisdeal.almanac.index import run
-from irisdeal.almanac.reading import Reading, reading
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.index import run
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.proxy import config_apply
 from irisdeal.proxy.config_apply import PACE, ConfigApply
 from irisdeal.proxy.table import Route, Table
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -16,7 +16,7 @@
 import pytest
 from returns.result import Success
 
-from irisdeal.almanac.word import Word
+from irisdeal.config_store.configuration.version import Word
 from irisdeal.gauge.registry import Life, State
 from irisdeal.proxy import backend_connection, connection_pool
 from irisdeal.proxy.backend_connection import BackendConnection
