--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -16,13 +16,13 @@
 from benchmarks.capacity.size import BEAT
 from irisdeal.config_store.configuration.version import Word
 from irisdeal.config_store.storage.version_store import Have
-from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
-from irisdeal.gauge.registry import Life, hear_life, tell_life
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.registry.backend_table import Life, hear_life, tell_life
+from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
 from irisdeal.rpc.client import Link
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -87,7 +87,7 @@
 
 
 PROGRAMS = {
-    "gauge": ("irisdeal.gauge.station", "Station"),
+    "gauge": ("irisdeal.registry.server", "Station"),
     "almanac": ("irisdeal.config_store.replica", "Member"),
 }
 
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -14,7 +14,6 @@
 from dataclasses import dataclass
 from functools import partial
 
-from irisdeal.gauge.messages import IntervalReport
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.refusal import Refused, over_quota
@@ -23,6 +22,7 @@
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import Usage, Usages
 from irisdeal.ratelimit.rate_companion import RateCompanion
+from irisdeal.registry.messages import IntervalReport
 
 SEND_WITHIN_S = 0.35  # `IN_FLIGHT_S` of an allowance, less what a message to a backend takes
 LEAST_SPREAD, MOST_SPREAD = 0.04, 0.28  # of an interval, when a proxy reports: not all at the edge
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -9,7 +9,6 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from irisdeal.gauge.messages import PlaceEnd, PlaceRequest, PlaceResult
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.admission import SEND_WITHIN_S, RequestPermit, TenantAdmission
@@ -17,6 +16,7 @@
 from irisdeal.proxy.refusal import without_permits
 from irisdeal.proxy.registry_client import PLACE_S, Placement, RegistryClient
 from irisdeal.ratelimit.retry_budget import RetryBudgets
+from irisdeal.registry.messages import PlaceEnd, PlaceRequest, PlaceResult
 
 FIRST_WAIT_S = 0.3  # that a request at a proxy which has just started waits for a first registry
 LEAST_HOLD_S = 0.001  # a first attempt goes to the best there is, full or not, when its time to wait is over
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -15,7 +15,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from irisdeal.gauge.messages import PlaceEnd
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.phase import Phase
 from irisdeal.load_balancing.backend_choice import BackendChoice, Usual
@@ -31,6 +30,7 @@
 from irisdeal.proxy.refusal import Refused, leaving
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
+from irisdeal.registry.messages import PlaceEnd
 from irisdeal.runtime.events import invariant, tell
 from irisdeal.runtime.process import Tasks
 
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -11,7 +11,6 @@
 from collections import Counter
 
 from irisdeal.config_store.configuration.version import Word
-from irisdeal.gauge.registry import Life, State
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.phase import Phase
@@ -37,6 +36,7 @@
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
+from irisdeal.registry.backend_table import Life, State
 from irisdeal.runtime.early_listen import Listening
 from irisdeal.runtime.events import tell
 from irisdeal.runtime.process import Tasks
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -13,7 +13,9 @@
 
 from returns.result import Failure
 
-from irisdeal.gauge.messages import (
+from irisdeal.placement.attempt_end import How
+from irisdeal.proxy.sources import Sources, hash_of
+from irisdeal.registry.messages import (
     IntervalReply,
     IntervalReport,
     PlaceEnd,
@@ -21,8 +23,6 @@
     PlaceRequest,
     PlaceResult,
 )
-from irisdeal.placement.attempt_end import How
-from irisdeal.proxy.sources import Sources, hash_of
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import tell
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -23,7 +23,7 @@
 from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.storage.version_store import Arrivals, Have, Shelf
-from irisdeal.gauge.registry import Life, State, hear_life, tell_life
+from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import tell
--- a/irisdeal/gauge/__main__.py
+++ b/irisdeal/registry/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m irisdeal.gauge`: the registry."""
+"""`python -m irisdeal.registry`: the registry."""
 
 import sys
 
-from irisdeal.gauge.station import Station
+from irisdeal.registry.server import Station
 from irisdeal.runtime.process import main
 
 if __name__ == "__main__":
--- a/irisdeal/gauge/admission.py
+++ b/irisdeal/registry/admission.py
@@ -8,13 +8,13 @@
 import asyncio
 from typing import Any
 
-from irisdeal.gauge.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.gauge.placement_service import NO_PLACE, PlacementService
-from irisdeal.gauge.quota_service import Age, Lend, QuotaService
-from irisdeal.gauge.registry import Registry
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
+from irisdeal.registry.backend_table import Registry
+from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
+from irisdeal.registry.placement_service import NO_PLACE, PlacementService
+from irisdeal.registry.quota_service import Age, Lend, QuotaService
 from irisdeal.rpc.server import LATER
 from irisdeal.runtime.settings import Settings
 
--- a/irisdeal/gauge/authority_watch.py
+++ b/irisdeal/registry/authority_watch.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from irisdeal.gauge.list_record import ListRecord
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
+from irisdeal.registry.list_record import ListRecord
 from irisdeal.runtime.events import tell
 from irisdeal.runtime.process import Tasks
 
--- a/irisdeal/gauge/ended_record.py
+++ b/irisdeal/registry/ended_record.py
@@ -17,7 +17,7 @@
 
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.config_store.storage.version_files import put
-from irisdeal.gauge.registry import Life, State, hear_life, tell_life
+from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
 from irisdeal.runtime.events import tell
 
 FOLDER, NAME = "registry", "ended"
--- a/irisdeal/gauge/peers.py
+++ b/irisdeal/registry/peers.py
@@ -15,11 +15,11 @@
 
 from returns.result import Success
 
-from irisdeal.gauge.ended_record import EndedRecord
-from irisdeal.gauge.messages import AllLives, LivesTold
-from irisdeal.gauge.metrics import RegistryMetrics
-from irisdeal.gauge.registry import MOST_LIVES, Life, Registry, State, hear_life, tell_life
-from irisdeal.gauge.store import Follower
+from irisdeal.registry.backend_table import MOST_LIVES, Life, Registry, State, hear_life, tell_life
+from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.messages import AllLives, LivesTold
+from irisdeal.registry.metrics import RegistryMetrics
+from irisdeal.registry.store_client import Follower
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import tell
--- a/irisdeal/gauge/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -5,11 +5,11 @@
 import asyncio
 import random
 
-from irisdeal.gauge.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.gauge.registry import Registry, State
 from irisdeal.placement.attempt_end import How
 from irisdeal.placement.load_reports import Loads
 from irisdeal.placement.placer import Placer
+from irisdeal.registry.backend_table import Registry, State
+from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 
 MOST_HOLD_S = 2.0  # that an ask may wait for room
 GRACE_S = 0.5  # beyond the proxy's own time that a place counts, if its proxy says nothing
--- a/irisdeal/gauge/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -6,7 +6,6 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from irisdeal.config_store.configuration.cached_reading import Configuration
-from irisdeal.gauge.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim, PermitIssuer
@@ -14,6 +13,7 @@
 from irisdeal.placement.load_reports import key
 from irisdeal.ratelimit.interval_clock import LENGTH, Edge
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
+from irisdeal.registry.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.rpc.calls import name_of
 from irisdeal.runtime.settings import Settings
 
--- a/irisdeal/gauge/station.py
+++ b/irisdeal/registry/server.py
@@ -14,18 +14,6 @@
 from irisdeal.config_store.consensus.register import Outcome
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.version_store import Shelf
-from irisdeal.gauge.admission import AdmissionService
-from irisdeal.gauge.authority_watch import AuthorityWatch
-from irisdeal.gauge.commands import Beat, Command, Leave, Look, Put, Read, decode
-from irisdeal.gauge.ended_record import FOLDER, EndedRecord
-from irisdeal.gauge.list_record import ListRecord
-from irisdeal.gauge.messages import IntervalReport, IntervalSum, LivesTold
-from irisdeal.gauge.metrics import RegistryMetrics
-from irisdeal.gauge.news import News
-from irisdeal.gauge.peers import RegistryPeers
-from irisdeal.gauge.quota_service import LEND_S
-from irisdeal.gauge.registry import Life, Registry, State
-from irisdeal.gauge.store import AGAIN, Follower
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer
@@ -33,6 +21,18 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import TELL
 from irisdeal.ratelimit.interval_counter import encode_usages
+from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.authority_watch import AuthorityWatch
+from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.commands import Beat, Command, Leave, Look, Put, Read, decode
+from irisdeal.registry.ended_record import FOLDER, EndedRecord
+from irisdeal.registry.list_record import ListRecord
+from irisdeal.registry.messages import IntervalReport, IntervalSum, LivesTold
+from irisdeal.registry.metrics import RegistryMetrics
+from irisdeal.registry.peers import RegistryPeers
+from irisdeal.registry.quota_service import LEND_S
+from irisdeal.registry.store_client import AGAIN, Follower
+from irisdeal.registry.watch import News
 from irisdeal.rpc.server import Server
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import tell
--- a/irisdeal/gauge/news.py
+++ b/irisdeal/registry/watch.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from irisdeal.config_store.storage.version_store import Have
-from irisdeal.gauge.registry import Registry, tell_life
-from irisdeal.gauge.store import Follower
+from irisdeal.registry.backend_table import Registry, tell_life
+from irisdeal.registry.store_client import Follower
 
 HOLD = 1.0  # s that a door's ask may be held without news
 
--- a/irisdeal/squall/quota_nodes.py
+++ b/irisdeal/squall/quota_nodes.py
@@ -8,8 +8,6 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from irisdeal.gauge.messages import IntervalReport
-from irisdeal.gauge.quota_service import QuotaService
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
 from irisdeal.permits.held import HeldPermits
@@ -18,6 +16,8 @@
 from irisdeal.ratelimit.interval_clock import LENGTH
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.ratelimit.rate_companion import RateCompanion
+from irisdeal.registry.messages import IntervalReport
+from irisdeal.registry.quota_service import QuotaService
 from irisdeal.runtime.settings import Settings
 
 TENANT = "t"
--- a/irisdeal/squall/quota_world.py
+++ b/irisdeal/squall/quota_world.py
@@ -1,7 +1,7 @@
 """Proxies and registries on one clock: what a tenant gets of its quota under floods and faults.
 
 The issuing side and what proxies hold are the program's own code (`irisdeal/permits/`,
-`gauge/quota_service.py`); links, the store's decisions and a request's way are played here. The judge
+`registry/quota_service.py`); links, the store's decisions and a request's way are played here. The judge
 (`quota_judge.py`) knows only what ran when.
 """
 
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.gauge.messages import IntervalReport, IntervalSum
-from irisdeal.gauge.quota_service import SUM_AT
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.issuer import Claim
 from irisdeal.permits.messages import LendRequest
 from irisdeal.ratelimit.interval_clock import LENGTH
+from irisdeal.registry.messages import IntervalReport, IntervalSum
+from irisdeal.registry.quota_service import SUM_AT
 from irisdeal.squall.quota_judge import QuotaJudge
 from irisdeal.squall.quota_nodes import TENANT, Clock, ProxyNode, RegistryNode
 
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -20,10 +20,10 @@
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SEEKING
 from irisdeal.config_store.storage.version_store import Have, Shelf
-from irisdeal.gauge.news import News
-from irisdeal.gauge.registry import Registry
-from irisdeal.gauge.store import Follower
 from irisdeal.proxy.sources import Sources
+from irisdeal.registry.backend_table import Registry
+from irisdeal.registry.store_client import Follower
+from irisdeal.registry.watch import News
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
 from irisdeal.runtime import ports
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -16,11 +16,11 @@
 from unittest import mock
 
 from irisdeal.config_store.configuration.version import Word
-from irisdeal.gauge.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.gauge.registry import Life, State
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
+from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.rpc.server import LATER, Server
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Core, Costs, Machine
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -30,10 +30,10 @@
 from irisdeal.config_store.storage.folder import DiskFolder
 from irisdeal.config_store.storage.inspection import look
 from irisdeal.config_store.storage.version_files import Files
-from irisdeal.gauge.ended_record import EndedRecord
-from irisdeal.gauge.list_record import ListRecord
-from irisdeal.gauge.registry import Life, State
 from irisdeal.permits.authority import IssuerList
+from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.list_record import ListRecord
 from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -22,14 +22,14 @@
 
 from irisdeal.config_store.membership.survey import ask as survey_one
 from irisdeal.config_store.replica import Member
-from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceRequest
-from irisdeal.gauge.station import Station
 from irisdeal.http1.messages import Request
 from irisdeal.permits.held import HeldPermits
 from irisdeal.placement.attempt_end import How
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest
+from irisdeal.registry.server import Station
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import ONE_WAY, encode
 from irisdeal.runtime import ports
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -37,9 +37,9 @@
 from irisdeal.chaos import day as door_day
 from irisdeal.chaos import schedule as door_schedule
 from irisdeal.config_store.membership.members import Members
-from irisdeal.gauge.quota_service import QuotaService
 from irisdeal.http1.connection import Connection
 from irisdeal.proxy.backend_connection import BackendConnection
+from irisdeal.registry.quota_service import QuotaService
 from irisdeal.rpc import server as rpc_server
 from irisdeal.sim.machine import Machine
 from irisdeal.sim.net import Address, Network, Socket
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -25,7 +25,14 @@
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.report import Report
 from irisdeal.config_store.storage.version_store import PIECE, Arrivals, Have, Shelf
-from irisdeal.gauge.messages import (
+from irisdeal.handover.message import ACCEPTING, HEAD, body, read_body, read_head, read_request, request
+from irisdeal.handover.roles import HALF
+from irisdeal.handover.state import pack, unpack
+from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
+from irisdeal.placement.attempt_end import How
+from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
+from irisdeal.registry.messages import (
     AllLives,
     IntervalReply,
     IntervalReport,
@@ -36,13 +43,6 @@
     PlaceRequest,
     PlaceResult,
 )
-from irisdeal.gauge.registry import Life, State, hear_life, tell_life
-from irisdeal.handover.message import ACCEPTING, HEAD, body, read_body, read_head, read_request, request
-from irisdeal.handover.roles import HALF
-from irisdeal.handover.state import pack, unpack
-from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
-from irisdeal.placement.attempt_end import How
-from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.rpc.calls import CALLS, CANCEL
 from irisdeal.rpc.frames import HELLO, ONE_WAY, Reader, encode
 from tests.support.exchange import Call, recorded
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -12,11 +12,11 @@
 import pytest
 
 from irisdeal.config_store.storage.version_files import put
-from irisdeal.gauge import ended_record
-from irisdeal.gauge.ended_record import EndedRecord
-from irisdeal.gauge.peers import ANSWER_S, RegistryPeers
-from irisdeal.gauge.registry import Life, State, tell_life
-from irisdeal.gauge.station import Station
+from irisdeal.registry import ended_record
+from irisdeal.registry.backend_table import Life, State, tell_life
+from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.peers import ANSWER_S, RegistryPeers
+from irisdeal.registry.server import Station
 from irisdeal.sim.machine import Machine
 from irisdeal.squall.disk import MemoryDisk
 from irisdeal.squall.stage import Host, Stage
--- a/tests/test_call_lifetime.py
+++ b/tests/test_call_lifetime.py
@@ -9,9 +9,9 @@
 import pytest
 from returns.result import Failure, Success
 
-from irisdeal.gauge.messages import PlaceRequest, PlaceResult
-from irisdeal.gauge.placement_service import PlacementService
-from irisdeal.gauge.registry import Life, Registry, State
+from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.messages import PlaceRequest, PlaceResult
+from irisdeal.registry.placement_service import PlacementService
 from irisdeal.rpc.calls import CALLS, ends_with_asker
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -16,9 +16,6 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from irisdeal.gauge.admission import AdmissionService
-from irisdeal.gauge.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.gauge.registry import Life, Registry, State
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import HeldReport
@@ -26,6 +23,9 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.rpc import calls as table
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -25,8 +25,8 @@
 from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.config_store.configuration.version import Word
 from irisdeal.config_store.storage.version_store import Have, Shelf
-from irisdeal.gauge.registry import Life
 from irisdeal.proxy.sources import Sources
+from irisdeal.registry.backend_table import Life
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc import server
 from irisdeal.rpc.client import Link
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -14,8 +14,8 @@
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.storage.version_store import Have
-from irisdeal.gauge import store
-from irisdeal.gauge.store import Follower
+from irisdeal.registry import store_client
+from irisdeal.registry.store_client import Follower
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
 from irisdeal.sim.machine import Core, Costs, Machine
@@ -93,15 +93,15 @@
         kept = rig.stores[host].watch
 
         def watch(have: Have, change: int) -> Any:
-            asks[change != store.AT_ONCE] += 1
+            asks[change != store_client.AT_ONCE] += 1
             return kept(have, change)
 
         rig.stores[host].watch = watch  # type: ignore[method-assign]
 
     rig.at(3.0, count)
     rig.play(13.0)
-    assert asks[0] <= 10 / store.PULSE + 2 and asks[1] <= 10 / store.HOLD + 2
-    assert asks[0] >= 10 / (store.PULSE + WAY) - 2
+    assert asks[0] <= 10 / store_client.PULSE + 2 and asks[1] <= 10 / store_client.HOLD + 2
+    assert asks[0] >= 10 / (store_client.PULSE + WAY) - 2
 
 
 def test_without_its_own_store_it_follows_another_and_returns() -> None:
@@ -113,7 +113,7 @@
     def look() -> None:
         seen.append((rig.posts[host].follower.source, rig.posts[host].follower.has_contact))
 
-    rig.at(3.0 + store.GRACE + WAY, look)
+    rig.at(3.0 + store_client.GRACE + WAY, look)
     rig.at(4.0, partial(rig.decide, 1, rig.hosts[1:]))
     rig.at(4.0 + WAY, lambda: seen.append((str(rig.posts[host].words), True)))
     rig.at(6.0, lambda: rig.machines[host].insert(0, rig.start_store(host)))
@@ -173,8 +173,8 @@
         ),
     )
     rig.play(12.0)
-    assert 5.0 < lost[0] <= 5.0 + LEASE + store.PULSE + store.GRACE + WAY
-    assert back[0] <= 9.0 + 1.25 * store.SEEK + store.ANSWER + WAY
+    assert 5.0 < lost[0] <= 5.0 + LEASE + store_client.PULSE + store_client.GRACE + WAY
+    assert back[0] <= 9.0 + 1.25 * store_client.SEEK + store_client.ANSWER + WAY
 
 
 def test_an_order_without_contact_is_answered_at_once_and_not_refused_for_good() -> None:
@@ -227,7 +227,7 @@
     orders.at(5.0, put)  # by then another one is followed
     rig.play(9.0)
     (second, confirmed), (first, later) = sorted(orders.done, key=lambda done: done[0])
-    assert later in (Outcome.LATER, Outcome.CONFIRMED) and first <= store.PUT + WAY
+    assert later in (Outcome.LATER, Outcome.CONFIRMED) and first <= store_client.PUT + WAY
     assert confirmed is Outcome.CONFIRMED and second <= WAY
 
 
@@ -263,7 +263,7 @@
     follower = follower_of(rig)
     older = Value(0, rig.first.stamp, rig.first.members)
     ear = follower._hear(rig.hosts[1], Have(), 1003.0, None, older, frozenset(), 10)
-    assert ear is store.Ear.NO_CONTACT
+    assert ear is store_client.Ear.NO_CONTACT
     assert follower.members.number == 1 and follower.stamp.number == 4
 
 
@@ -272,7 +272,7 @@
     follower = follower_of(rig)
     unknown = Value(-1, rig.first.stamp, Members(-1, ()))
     ear = follower._hear(rig.hosts[1], Have(), 1003.0, None, unknown, frozenset(), -1)
-    assert ear is store.Ear.NO_CONTACT
+    assert ear is store_client.Ear.NO_CONTACT
     assert follower.members == rig.first.members
 
 
@@ -312,7 +312,7 @@
     held = ask_news(rig, host, 5.0, 0, life)
     rig.play(7.0)
     took, told = at_once[0]
-    assert took <= WAY and 0 <= told[5] <= (0.9 + store.PULSE) * 1000
+    assert took <= WAY and 0 <= told[5] <= (0.9 + store_client.PULSE) * 1000
     took, told = held[0]
     assert 1.0 <= took <= 1.0 + WAY
     # The ask lasted 1 s: the door makes of it 1 s and the ways, or what the registry knew if that is more.
@@ -334,10 +334,10 @@
     follower.as_of = 0.0
     host, value = rig.hosts[0], follower.value
     ear = follower._hear(host, Have(), 1002.0, None, value, frozenset(), 300)
-    assert ear is store.Ear.GOOD
+    assert ear is store_client.Ear.GOOD
     assert follower.as_of == pytest.approx(1001.7), "however late the answer came"
     ear = follower._hear(host, Have(), 1002.5, None, value, frozenset(), -1)
-    assert ear is store.Ear.NO_CONTACT and follower.as_of == pytest.approx(1001.7)
+    assert ear is store_client.Ear.NO_CONTACT and follower.as_of == pytest.approx(1001.7)
 
 
 def test_an_age_counts_only_once_the_body_of_what_is_decided_is_here() -> None:
@@ -345,5 +345,5 @@
     follower = follower_of(rig)
     follower.as_of, host = 900.0, rig.hosts[0]
     newer = Value(5, Word.of("r5", b"five").stamp, rig.first.members)
-    assert follower._hear(host, Have(), 1003.0, None, newer, frozenset(), 0) is store.Ear.GOOD
+    assert follower._hear(host, Have(), 1003.0, None, newer, frozenset(), 0) is store_client.Ear.GOOD
     assert follower.as_of == 900.0 and follower.change == 0 and follower.value.change == 5
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,10 +8,10 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from irisdeal.config_store.metrics import StoreMetrics
-from irisdeal.gauge.metrics import RegistryMetrics
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.proxy.metrics import ProxyMetrics
+from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_address
 from irisdeal.runtime.settings import Settings, read
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -13,9 +13,6 @@
 from hypothesis import settings as trying
 from hypothesis import strategies as st
 
-from irisdeal.gauge.authority_watch import AuthorityWatch
-from irisdeal.gauge.list_record import ListRecord, decode, encode
-from irisdeal.gauge.messages import PlaceRequest
 from irisdeal.permits.allowance import CLOCK_FAST, IN_FLIGHT_S, Limit, QuotaRule, allowance
 from irisdeal.permits.authority import GUARD_S, MOST_AGE_S, RESERVE_GUARD_S, IssuerList, IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
@@ -23,6 +20,9 @@
 from irisdeal.permits.issuer import Claim, PermitIssuer
 from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
 from irisdeal.permits.outstanding import LEASE_GUARD_S, LEASE_S, OutstandingPermits
+from irisdeal.registry.authority_watch import AuthorityWatch
+from irisdeal.registry.list_record import ListRecord, decode, encode
+from irisdeal.registry.messages import PlaceRequest
 from irisdeal.runtime.process import Tasks
 
 RULE, LIMIT = QuotaRule(), Limit(30.0, 30.0)
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -10,13 +10,13 @@
 import pytest
 
 from irisdeal.config_store.configuration.version import Word
-from irisdeal.gauge.registry import Life, State
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy.backend_message import BackendRequest
 from irisdeal.proxy.outcome import End, Outcome
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.table import Route
+from irisdeal.registry.backend_table import Life, State
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network
--- a/tests/test_quota_world.py
+++ b/tests/test_quota_world.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from irisdeal.gauge.quota_service import QuotaService
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
+from irisdeal.registry.quota_service import QuotaService
 from irisdeal.squall import quota_world
 from irisdeal.squall.quota_faults import QuotaDayPlayer, draw, play
 from irisdeal.squall.quota_world import QuotaWorld
--- a/tests/test_registry_drain.py
+++ b/tests/test_registry_drain.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from irisdeal.gauge.station import Station
+from irisdeal.registry.server import Station
 from irisdeal.sim.machine import Core, Costs, Machine
 from tests.test_station import StationRig, beat
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -20,9 +20,9 @@
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SETTLE, SOON
 from irisdeal.config_store.storage.version_store import PIECE, Have, Shelf
-from irisdeal.gauge import news, store
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
+from irisdeal.registry import store_client, watch
 from irisdeal.sim.machine import Core, Costs, Machine
 from irisdeal.sim.net import Network
 from irisdeal.sim.world import World
@@ -40,15 +40,15 @@
 # Between two asks that a quorum answers: the oldest that a store in order is, with a dead member beside it.
 STORE = ROUND + ANSWER + WAY
 # What a registry tells, and what a door makes of it when it comes and just before the next answer does.
-REGISTRY = STORE + store.PULSE + WAY
-DOOR = max(REGISTRY, news.HOLD) + WAY + news.HOLD + WAY
+REGISTRY = STORE + store_client.PULSE + WAY
+DOOR = max(REGISTRY, watch.HOLD) + WAY + watch.HOLD + WAY
 # A decided word whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
 # Confirmed by a member that is cut off before anybody heard: seen open in a round, left so for a while, then
 # a ballot at the next look.
 OPEN = 2 * (ROUND + SOON) + 2 * SETTLE + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
-LEAVE_CUT = LEASE + store.PULSE + store.GRACE + WAY
+LEAVE_CUT = LEASE + store_client.PULSE + store_client.GRACE + WAY
 # One that says nothing: an ask that was sent just before.
 LEAVE_SILENT = sources.ASK
 # To another one, where all that was used was of no use.
@@ -67,15 +67,16 @@
     assert contact >= LEAVE_SILENT + TURN + TAKEN
     assert apply >= LEAVE_CUT + TURN + TAKEN  # also where both sources are cut off
     assert apply >= LEAVE_SILENT + TURN + TAKEN
-    assert apply >= store.ANSWER + store.PULSE + TURN + TAKEN  # a store alone is silent: another's is asked
+    # a store alone is silent: another's is asked
+    assert apply >= store_client.ANSWER + store_client.PULSE + TURN + TAKEN
 
 
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert ROUND + SOON <= STORE < LEASE
-    assert REGISTRY < store.STALE
-    assert max(REGISTRY, news.HOLD) + WAY < sources.OLD
+    assert REGISTRY < store_client.STALE
+    assert max(REGISTRY, watch.HOLD) + WAY < sources.OLD
     assert DOOR < sources.LOST
-    assert news.HOLD == sources.HOLD == store.HOLD
+    assert watch.HOLD == sources.HOLD == store_client.HOLD
 
 
 # Days
@@ -198,7 +199,10 @@
     assert not wrong, wrong[:3]
     assert not rig.late(APPLY)
     silent = [at for at, age in rig.posts[lost].ages if age < 0 and at > 1003]
-    assert all(1004 <= at <= 1004 + store.ANSWER + store.PULSE + store.GRACE + 1 for at in silent)
+    assert all(
+        1004 <= at <= 1004 + store_client.ANSWER + store_client.PULSE + store_client.GRACE + 1
+        for at in silent
+    )
 
 
 def test_two_of_five_are_cut_off_and_doors_that_used_both_turn_in_time() -> None:
@@ -241,7 +245,9 @@
     assert all(rig.in_force(door, 32.0) == rig.decided[-1][1] for door in rig.doors)
     lines = Counter(record.getMessage()[:4] for record in caplog.records)
     assert lines["E411"] == lines["E412"] == 4
-    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / news.HOLD + 2 / sources.LEFT, "asks a second of a door"
+    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.HOLD + 2 / sources.LEFT, (
+        "asks a second of a door"
+    )
 
 
 def test_a_registry_that_returns_is_not_stormed() -> None:
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -11,11 +11,11 @@
 import pytest
 
 from irisdeal.config_store.storage.version_store import Have
-from irisdeal.gauge import store
-from irisdeal.gauge.peers import LEARN_S
-from irisdeal.gauge.registry import Life, State, hear_life
-from irisdeal.gauge.station import Station
 from irisdeal.http1.messages import Answer, Request
+from irisdeal.registry import store_client
+from irisdeal.registry.backend_table import Life, State, hear_life
+from irisdeal.registry.peers import LEARN_S
+from irisdeal.registry.server import Station
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.sim.machine import Machine
 from tests.core_rig import CoreRig, settings_of
@@ -144,7 +144,7 @@
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
     full = [(at, states(one)) for at, one in told if one[5] >= 0]
     assert full and all(lives == {"i-1": State.DRAINING} for _, lives in full), full[0]
-    assert full[0][0] <= 8.0 + 1.25 * store.SEEK + store.ANSWER + 10 * WAY
+    assert full[0][0] <= 8.0 + 1.25 * store_client.SEEK + store_client.ANSWER + 10 * WAY
 
 
 def test_a_registry_that_can_hear_too_few_goes_on_after_a_while(caplog: pytest.LogCaptureFixture) -> None:
@@ -159,7 +159,7 @@
     watch_news(rig, away, 5.1, 9.0)
     rig.play(9.1)
     full = [at for at, told in shown(rig, 5.0) if told[5] >= 0]
-    assert 5.0 + LEARN_S - 0.1 <= full[0] <= 5.0 + LEARN_S + 3 * store.ANSWER
+    assert 5.0 + LEARN_S - 0.1 <= full[0] <= 5.0 + LEARN_S + 3 * store_client.ANSWER
     assert sum("E317" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -191,8 +191,8 @@
     put, read, invalid, status, again = (answer for _, answer in rig.heard)
     for answer in (put, read):
         assert answer.status == 503
-        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % store.AGAIN
-        assert json.loads(answer.body)["retry_after_s"] == store.AGAIN
+        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % store_client.AGAIN
+        assert json.loads(answer.body)["retry_after_s"] == store_client.AGAIN
     assert [at for at, _ in rig.heard[:2]] == pytest.approx([7.0, 7.1]), "it is said at once"
     assert invalid.status == 400
     assert json.loads(status.body)["contact_age_s"] is None
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -12,12 +12,12 @@
 from returns.result import Failure, Success
 
 from irisdeal.config_store.configuration.cached_reading import read
-from irisdeal.gauge.commands import Beat, Leave, Put, decode
-from irisdeal.gauge.registry import Life, Registry, State
 from irisdeal.proxy.table import Table
 from irisdeal.ratelimit.concurrency_limit import Gate
 from irisdeal.ratelimit.demand_split import bound, part
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
+from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.commands import Beat, Leave, Put, decode
 from irisdeal.rpc.frames import BadFrame, Reader, encode
 from irisdeal.runtime import settings
 
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -17,12 +17,12 @@
 from returns.result import Success
 
 from irisdeal.config_store.configuration.version import Word
-from irisdeal.gauge.registry import Life, State
 from irisdeal.proxy import backend_connection, connection_pool
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.outcome import End, Outcome
 from irisdeal.proxy.process import Proxy
+from irisdeal.registry.backend_table import Life, State
 from irisdeal.rpc import client as telegraph
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
