--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -20,7 +20,7 @@
 import time
 from collections.abc import Iterator
 
-from irisdeal.squall.core import Verdict, day_of
+from irisdeal.simulation.cluster.store_day import Verdict, day_of
 
 SLICE = 5  # days of one task: short enough that a breach is told at once
 
--- a/benchmarks/counted.py
+++ b/benchmarks/counted.py
@@ -18,8 +18,8 @@
 from dataclasses import asdict, dataclass
 
 from irisdeal.permits.authority import IssuerList
-from irisdeal.squall.quota_faults import play
-from irisdeal.squall.quota_world import QuotaWorld
+from irisdeal.simulation.quota.faults import play
+from irisdeal.simulation.quota.world import QuotaWorld
 
 FAULTS = ("none", "proxies killed", "proxies cut off", "registry killed", "registries killed", "words lost")
 WAYS = ("permits", "no loans", "one home")
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -19,9 +19,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from irisdeal.chaos.day import play as play_virtual
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import play as play_real
+from irisdeal.simulation.search.front_door_day import play as play_virtual
 from irisdeal.standins import scenario as scenarios
 from irisdeal.standins.schedule import draw
 
--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -16,9 +16,9 @@
 from rich.table import Table as Grid
 
 if TYPE_CHECKING:
-    from irisdeal.chaos.day import Played
-    from irisdeal.chaos.judge import Judged
-    from irisdeal.chaos.search import Found, Search
+    from irisdeal.simulation.search.front_door_day import Played
+    from irisdeal.simulation.search.judge import Judged
+    from irisdeal.simulation.search.search import Found, Search
 
 
 class Unusable(click.ClickException):
@@ -55,7 +55,7 @@
     """The schedule of a file, checked whole."""
     import tomllib
 
-    from irisdeal.chaos.schedule import scenario
+    from irisdeal.simulation.search.schedule import scenario
     from irisdeal.standins.scenario import MOST_BYTES, ScenarioError
 
     try:
@@ -146,8 +146,8 @@
 
     Example: irisdeal chaos run --minutes 10 --out found --only door-kill,box-drain
     """
-    from irisdeal.chaos import search as searching
-    from irisdeal.chaos.schedule import KINDS
+    from irisdeal.simulation.search import search as searching
+    from irisdeal.simulation.search.schedule import KINDS
 
     _writable(out)
     names = tuple(name for name in only.split(",") if name)
@@ -237,8 +237,8 @@
 
 def _least(search: Search, folder: Path, jobs: int, shrink: bool, quiet: bool) -> list[str]:
     """Write what was found, the first of each name made least."""
-    from irisdeal.chaos.files import write
-    from irisdeal.chaos.judge import judge
+    from irisdeal.simulation.search.judge import judge
+    from irisdeal.simulation.search.schedule_files import write
 
     written, names = [], set[str]()
     for found in search.found:
@@ -255,8 +255,8 @@
 
 def _shrunk(table: dict[str, Any], name: str, bug: str, most: int, quiet: bool) -> tuple[dict[str, Any], int]:
     """The least schedule that still breaks what is named, and the days that it took."""
-    from irisdeal.chaos.judge import judge
-    from irisdeal.chaos.shrink import Shrinker
+    from irisdeal.simulation.search.judge import judge
+    from irisdeal.simulation.search.shrink import Shrinker
 
     with _progress(quiet) as bar:
         task = bar.add_task(f"making {name} least", total=most)
@@ -359,7 +359,7 @@
 
     Example: irisdeal chaos replay found/answers-1.toml
     """
-    from irisdeal.chaos.judge import judge
+    from irisdeal.simulation.search.judge import judge
 
     _writable(out)
     _known(bug)
@@ -372,7 +372,7 @@
 
 
 def _known(bug: str) -> None:
-    from irisdeal.chaos.planted import NAMES
+    from irisdeal.simulation.search.planted_bugs import NAMES
 
     if bug and bug not in NAMES:
         raise Unusable(f"--bug {bug}: no such bug: wanted one of {', '.join(NAMES)}")
@@ -380,7 +380,7 @@
 
 def _differ(table: dict[str, Any], bug: str) -> str:
     """Where two plays of one schedule part, in words; empty where they do not."""
-    from irisdeal.sim.world import BLOCK, first_difference
+    from irisdeal.simulation.world import BLOCK, first_difference
 
     one, other = _play(table, bug), _play(table, bug)
     if one.digest() == other.digest():
@@ -398,9 +398,9 @@
 def _play(table: dict[str, Any], bug: str = "", keep: int | None = None) -> Played:
     import logging
 
-    from irisdeal.chaos.day import play
-    from irisdeal.chaos.planted import planted
-    from irisdeal.chaos.schedule import scenario
+    from irisdeal.simulation.search.front_door_day import play
+    from irisdeal.simulation.search.planted_bugs import planted
+    from irisdeal.simulation.search.schedule import scenario
     from irisdeal.standins.schedule import draw
 
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)
@@ -428,9 +428,9 @@
 
     Example: irisdeal chaos shrink found/answers-1.toml --to least.toml
     """
-    from irisdeal.chaos.files import as_toml
-    from irisdeal.chaos.judge import judge
-    from irisdeal.chaos.schedule import scenario
+    from irisdeal.simulation.search.judge import judge
+    from irisdeal.simulation.search.schedule import scenario
+    from irisdeal.simulation.search.schedule_files import as_toml
 
     _known(bug)
     _writable(to)
@@ -464,7 +464,7 @@
 
     Example: irisdeal chaos show found/answers-1.toml --request 1f0c6b02a9d54e11
     """
-    from irisdeal.chaos.timeline import timeline
+    from irisdeal.simulation.search.timeline import timeline
 
     _known(bug)
     played = _play(_read(file, seed), bug)
@@ -499,9 +499,9 @@
 
     Example: irisdeal chaos prove --bug drain-unheard --days 128
     """
-    from irisdeal.chaos.planted import BUGS
-    from irisdeal.chaos.search import Search
-    from irisdeal.chaos.search import run as search_on
+    from irisdeal.simulation.search.planted_bugs import BUGS
+    from irisdeal.simulation.search.search import Search
+    from irisdeal.simulation.search.search import run as search_on
 
     console = Console()
     if list_them:
--- a/irisdeal/squall/operators.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -18,9 +18,9 @@
 from irisdeal.config_store.storage.version_store import Arrivals, Shelf
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
-from irisdeal.sim.machine import Machine
-from irisdeal.squall.history import EVER, NONE, Kind, Op
-from irisdeal.squall.stage import FIRST_PORT, Stage, pause
+from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
+from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, Op
+from irisdeal.simulation.machine import Machine
 
 PATIENCE = 1.0  # s of silence after which an operator goes to another member
 LOSE_AFTER = (0.0005, 0.004, 0.02, 0.08)  # s after which an answer counts as lost on its way
--- a/irisdeal/squall/stage.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -17,10 +17,10 @@
 
 from irisdeal.config_store.replica import Member
 from irisdeal.runtime.settings import Settings, Tolerance
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Way
-from irisdeal.sim.world import START, World
-from irisdeal.squall.disk import MemoryDisk
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Way
+from irisdeal.simulation.world import START, World
 
 SYNC = 4.0  # s that a member counts as lost after its return
 GRACE = 6.0  # s from SIGTERM to SIGKILL
--- a/irisdeal/squall/faults.py
+++ b/irisdeal/simulation/cluster/faults.py
@@ -10,9 +10,9 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from irisdeal.sim.machine import Machine
-from irisdeal.squall.operators import Callers
-from irisdeal.squall.stage import SYNC, Stage, pause
+from irisdeal.simulation.cluster.callers import Callers
+from irisdeal.simulation.cluster.cluster import SYNC, Stage, pause
+from irisdeal.simulation.machine import Machine
 
 LONG_CUT = 20.0  # s
 FREEZE = 4.0  # s that a machine stands still
--- a/irisdeal/squall/probes.py
+++ b/irisdeal/simulation/cluster/probes.py
@@ -10,10 +10,10 @@
 
 from irisdeal.config_store.configuration.version import Word
 from irisdeal.config_store.replica import Member
-from irisdeal.sim.machine import Machine
-from irisdeal.squall.history import Kind, Op, check
-from irisdeal.squall.operators import Callers, digest
-from irisdeal.squall.stage import DISK_TIMES, MAKE, SYNC, Stage, pause
+from irisdeal.simulation.cluster.callers import Callers, digest
+from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, SYNC, Stage, pause
+from irisdeal.simulation.cluster.linearizability import Kind, Op, check
+from irisdeal.simulation.machine import Machine
 
 SETTLE = 1.5  # s from the start to the first order
 MOST = 120.0  # s of a probe
--- a/irisdeal/squall/core.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -1,7 +1,7 @@
 """Days of the store in virtual time: the members' own program, disks that tear, faults, and a judge.
 
-The judge (`squall/history.py`) knows only what operators and doors saw, and shares no code with the program.
-Faults stay within what a deployment's tolerance of one machine says (`squall/faults.py`).
+The judge (`simulation/cluster/linearizability.py`) knows only what operators and doors saw, and shares no code with
+the program. Faults stay within what a deployment's tolerance of one machine says (`simulation/cluster/faults.py`).
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from irisdeal.config_store.replica import Member
 from irisdeal.runtime.events import log
-from irisdeal.sim.machine import Machine
-from irisdeal.sim.world import Spinning, Stuck
-from irisdeal.squall.faults import Director
-from irisdeal.squall.history import EVER, NONE, Kind, check
-from irisdeal.squall.operators import PACE, Callers, Record
-from irisdeal.squall.stage import DISK_TIMES, MAKE, Stage, pause
+from irisdeal.simulation.cluster.callers import PACE, Callers, Record
+from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, Stage, pause
+from irisdeal.simulation.cluster.faults import Director
+from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, check
+from irisdeal.simulation.machine import Machine
+from irisdeal.simulation.world import Spinning, Stuck
 
 LENGTH = 8.0  # s of faults; then the closing one, and as long as it takes
 START_BY = 2.0  # s until the first fault
--- a/irisdeal/sim/machine.py
+++ b/irisdeal/simulation/machine.py
@@ -23,10 +23,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from irisdeal.sim.world import World
+from irisdeal.simulation.world import World
 
 if TYPE_CHECKING:
-    from irisdeal.sim.net import Network, Readable
+    from irisdeal.simulation.network import Network, Readable
 
 T = TypeVar("T")
 
--- a/irisdeal/sim/net.py
+++ b/irisdeal/simulation/network.py
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol, cast
 
-from irisdeal.sim.machine import Machine
-from irisdeal.sim.world import World
+from irisdeal.simulation.machine import Machine
+from irisdeal.simulation.world import World
 
 Address = tuple[str, int]
 
--- a/irisdeal/squall/quota_faults.py
+++ b/irisdeal/simulation/quota/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from irisdeal.squall.quota_world import QuotaWorld
+from irisdeal.simulation.quota.world import QuotaWorld
 
 END_S = 30.0  # of a usual day
 LONG_END_S = 150.0  # of a day with a fault of over a minute
--- a/irisdeal/squall/quota_world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -19,8 +19,8 @@
 from irisdeal.ratelimit.interval_clock import LENGTH
 from irisdeal.registry.messages import IntervalReport, IntervalSum
 from irisdeal.registry.quota_service import SUM_AT
-from irisdeal.squall.quota_judge import QuotaJudge
-from irisdeal.squall.quota_nodes import TENANT, Clock, ProxyNode, RegistryNode
+from irisdeal.simulation.quota.judge import QuotaJudge
+from irisdeal.simulation.quota.nodes import TENANT, Clock, ProxyNode, RegistryNode
 
 WAY_S = 0.0014  # between two machines
 PLACE_S = 0.06  # that a proxy waits for an answer to a request
--- a/irisdeal/chaos/states.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -13,11 +13,11 @@
 
 from cresspulley.control import Gateway
 from cresspulley.interface import ServerState
-from irisdeal.chaos.day import VirtualDoors
 from irisdeal.door.program import Program
+from irisdeal.simulation.search.front_door_day import VirtualDoors
 
 if TYPE_CHECKING:
-    from irisdeal.sim.world import World
+    from irisdeal.simulation.world import World
 
 EVERY = 40_000  # µs between two looks: a drain's notice is out for longer, a restart for much longer
 State = tuple[str, ...]
--- a/irisdeal/chaos/day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -19,9 +19,9 @@
 from irisdeal.door.config import Config, parse
 from irisdeal.door.host import Host
 from irisdeal.door.program import Program
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Port, Socket, Way
-from irisdeal.sim.world import START, Trail, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Port, Socket, Way
+from irisdeal.simulation.world import START, Trail, World
 from irisdeal.standins.audit import Verdict, audit
 from irisdeal.standins.books import Books, DoorLife, Hold
 from irisdeal.standins.platform import Platform
--- a/irisdeal/chaos/judge.py
+++ b/irisdeal/simulation/search/judge.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from irisdeal.chaos.day import Played, VirtualDoors, play
-from irisdeal.chaos.planted import planted
-from irisdeal.chaos.schedule import QUIET, Moment, Table, scenario, without_faults
-from irisdeal.chaos.states import Probe
-from irisdeal.sim.world import Spinning, Stuck
+from irisdeal.simulation.search.coverage import Probe
+from irisdeal.simulation.search.front_door_day import Played, VirtualDoors, play
+from irisdeal.simulation.search.planted_bugs import planted
+from irisdeal.simulation.search.schedule import QUIET, Moment, Table, scenario, without_faults
+from irisdeal.simulation.world import Spinning, Stuck
 from irisdeal.standins.schedule import draw
 
 BACK_WITHIN = 2.0  # s after the last fault has ended: what clients still try again has ended by then
--- a/irisdeal/chaos/files.py
+++ b/irisdeal/simulation/search/schedule_files.py
@@ -7,7 +7,7 @@
 
 import tomli_w
 
-from irisdeal.chaos.schedule import Table
+from irisdeal.simulation.search.schedule import Table
 
 
 def as_toml(table: Table, broken: Sequence[str], texts: Sequence[str]) -> str:
--- a/irisdeal/chaos/search.py
+++ b/irisdeal/simulation/search/search.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from irisdeal.chaos.judge import Judged, judge
-from irisdeal.chaos.schedule import PAIRS, Moment, Table, aimed, drawn, mutated, pairs_of
+from irisdeal.simulation.search.judge import Judged, judge
+from irisdeal.simulation.search.schedule import PAIRS, Moment, Table, aimed, drawn, mutated, pairs_of
 
 GENERATION = 64  # schedules made at once: enough for each core, few enough that what is learnt is used soon
 MOST_KEPT = 400  # schedules in the corpus; past it the ones that brought least go
--- a/irisdeal/chaos/shrink.py
+++ b/irisdeal/simulation/search/shrink.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from irisdeal.chaos.schedule import Table, with_faults
+from irisdeal.simulation.search.schedule import Table, with_faults
 
 MOST_PLAYS = 200  # days played for one schedule
 
--- a/irisdeal/chaos/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from irisdeal.chaos.day import Played
+from irisdeal.simulation.search.front_door_day import Played
 from irisdeal.standins.books import Attempt, DoorLife, Taken
 
 Line = tuple[int, str]
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -28,9 +28,9 @@
 from irisdeal.rpc.server import Server
 from irisdeal.runtime import ports
 from irisdeal.runtime.settings import Settings
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Socket, Way
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Socket, Way
+from irisdeal.simulation.world import START, World
 
 HOLD = 1.0  # s, the real store's
 
--- a/tests/features/steps/core_steps.py
+++ b/tests/features/steps/core_steps.py
@@ -6,8 +6,8 @@
 
 from behave import given, then, when
 
-from irisdeal.squall.core import CoreDay, day_of
-from irisdeal.squall.probes import duels, race, replace_body, replace_members
+from irisdeal.simulation.cluster.probes import duels, race, replace_body, replace_members
+from irisdeal.simulation.cluster.store_day import CoreDay, day_of
 from tests.planted.store import planted
 
 SHORT = 4.0  # s of faults in a day for a planted bug
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -15,7 +15,7 @@
 from irisdeal.config_store.consensus.register import NO_BALLOT, Ballot, Kept, Value, put
 from irisdeal.config_store.membership.members import FIRST, Members
 from irisdeal.runtime.process import Tasks
-from irisdeal.squall.disk import MemoryDisk
+from irisdeal.simulation.disk import MemoryDisk
 
 START = Value.first(Members.first(["a", "b", "c"]))
 
--- a/tests/features/steps/quota_steps.py
+++ b/tests/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Floods, kills, cuts and lost words over proxies and registries (`irisdeal/squall/quota_world.py`)."""
+"""Floods, kills, cuts and lost words over proxies and registries (`irisdeal/simulation/quota/world.py`)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from irisdeal.permits.bucket import PermitBucket
 from irisdeal.permits.issuer import PermitIssuer
-from irisdeal.squall.quota_world import QuotaWorld
+from irisdeal.simulation.quota.world import QuotaWorld
 
 
 @given("{doors:d} doors, {registries:d} registries and a tenant of {rate:g} a second, seed {seed:d}")
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -23,9 +23,9 @@
 from irisdeal.registry.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.rpc.server import LATER, Server
 from irisdeal.runtime.settings import Bind, Settings
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Way
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Way
+from irisdeal.simulation.world import START, World
 
 PROXY, BACKEND, REGISTRY = "10.1.0.3", "10.9.0.1", "10.1.0.4"
 FRONT = (PROXY, 80)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -10,9 +10,9 @@
 
 from cresspulley.control import Gateway
 from cresspulley.interface import Decider, Settings
-from irisdeal.chaos import day
 from irisdeal.door.config import Config, parse
 from irisdeal.door.program import Program
+from irisdeal.simulation.search import front_door_day
 from irisdeal.standins.audit import Verdict, audit
 from irisdeal.standins.books import Books, DoorLife
 from irisdeal.standins.platform import Platform
@@ -186,10 +186,10 @@
     seed: int = 1,
     make: MakeDecider = Gateway,
     spoil: Callable[[Program], None] = lambda _: None,
-) -> day.Played:
+) -> front_door_day.Played:
     """The same in virtual time: nothing waits, and lateness is judged."""
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # broken doors have much to say
     try:
-        return day.play(draw(read(text), seed), make, spoil)
+        return front_door_day.play(draw(read(text), seed), make, spoil)
     finally:
         logging.getLogger("irisdeal").setLevel(logging.NOTSET)
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -35,8 +35,8 @@
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import Trouble
 from irisdeal.runtime.settings import Bind, Settings, Tolerance
-from irisdeal.sim.machine import Costs, Machine
-from irisdeal.squall.disk import MemoryDisk
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Costs, Machine
 from tests.core_rig import CoreRig, zone_of
 
 PROXY = "10.0.9.1"
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -34,19 +34,20 @@
 from unittest import mock
 
 from cresspulley import drill
-from irisdeal.chaos import day as door_day
-from irisdeal.chaos import schedule as door_schedule
 from irisdeal.config_store.membership.members import Members
 from irisdeal.http1.connection import Connection
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.registry.quota_service import QuotaService
 from irisdeal.rpc import server as rpc_server
-from irisdeal.sim.machine import Machine
-from irisdeal.sim.net import Address, Network, Socket
-from irisdeal.sim.world import World
-from irisdeal.squall import core, probes, quota_faults
-from irisdeal.squall.disk import MemoryDisk
-from irisdeal.squall.operators import Callers, Record
+from irisdeal.simulation.cluster import probes, store_day
+from irisdeal.simulation.cluster.callers import Callers, Record
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Machine
+from irisdeal.simulation.network import Address, Network, Socket
+from irisdeal.simulation.quota import faults
+from irisdeal.simulation.search import front_door_day as door_day
+from irisdeal.simulation.search import schedule as door_schedule
+from irisdeal.simulation.world import World
 from irisdeal.standins.schedule import draw as draw_day
 from tests import core_world
 from tests.request_runs import RandomRun
@@ -287,7 +288,7 @@
 def play_store_day(seed: int, recorder: Recorder) -> None:
     """A short day of the replicated store, with faults; one seed has a burst of changes."""
     operators = 8 if seed % 4 == 0 else 2
-    day = core.CoreDay(3 + seed % 3, seed, length=STORE_SECONDS, operators=operators, burst=seed == 7)
+    day = store_day.CoreDay(3 + seed % 3, seed, length=STORE_SECONDS, operators=operators, burst=seed == 7)
     verdict = day.play()
     note_record(recorder, day.callers.record)
     recorder.note(verdict.orders, verdict.acknowledged, verdict.sends, verdict.reads, verdict.refused)
@@ -368,8 +369,8 @@
 
 def play_quota_day(seed: int, recorder: Recorder) -> None:
     """A day of quotas under floods and faults."""
-    day = quota_faults.draw(seed)
-    player = quota_faults.QuotaDayPlayer(day)
+    day = faults.draw(seed)
+    player = faults.QuotaDayPlayer(day)
     world = player.world
     recorder.clock = lambda: world.time
     recorder.note(player.play(), world.asked, world.refused)
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -17,9 +17,9 @@
 from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.peers import ANSWER_S, RegistryPeers
 from irisdeal.registry.server import Station
-from irisdeal.sim.machine import Machine
-from irisdeal.squall.disk import MemoryDisk
-from irisdeal.squall.stage import Host, Stage
+from irisdeal.simulation.cluster.cluster import Host, Stage
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Machine
 from tests.test_registry_drain import Caller, DrainRig
 from tests.test_station import beat, news_of, states
 
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -43,7 +43,7 @@
 from irisdeal.config_store.storage.version_files import Files
 from irisdeal.rpc.server import Server
 from irisdeal.runtime.settings import Address
-from irisdeal.squall.disk import MemoryDisk
+from irisdeal.simulation.disk import MemoryDisk
 
 PORT = 7340
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/tests/test_call_lifetime.py
+++ b/tests/test_call_lifetime.py
@@ -15,7 +15,7 @@
 from irisdeal.rpc.calls import CALLS, ends_with_asker
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
-from irisdeal.sim.machine import Machine
+from irisdeal.simulation.machine import Machine
 from tests.test_calls import Two
 
 HELD_S = 1.0  # that each call takes
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -32,9 +32,9 @@
 from irisdeal.rpc.server import LATER, Server
 from irisdeal.runtime import events
 from irisdeal.runtime.settings import Settings
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Way
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Way
+from irisdeal.simulation.world import START, World
 
 ROOT = Path(__file__).parent.parent
 HOST, PORT = "10.0.0.2", 7000
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -14,12 +14,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.chaos import search as searching
-from irisdeal.chaos.day import Played, play
-from irisdeal.chaos.files import as_toml
-from irisdeal.chaos.judge import Judged, judge
-from irisdeal.chaos.planted import BUGS, NAMES, planted
-from irisdeal.chaos.schedule import (
+from irisdeal.cli.main import main
+from irisdeal.door.program import Program
+from irisdeal.simulation.search import search as searching
+from irisdeal.simulation.search.front_door_day import Played, play
+from irisdeal.simulation.search.judge import Judged, judge
+from irisdeal.simulation.search.planted_bugs import BUGS, NAMES, planted
+from irisdeal.simulation.search.schedule import (
     FIRST,
     LAST,
     PAIRS,
@@ -33,11 +34,10 @@
     scenario,
     with_faults,
 )
-from irisdeal.chaos.search import Search, SearchError, judges
-from irisdeal.chaos.shrink import Shrinker
-from irisdeal.chaos.timeline import timeline
-from irisdeal.cli.main import main
-from irisdeal.door.program import Program
+from irisdeal.simulation.search.schedule_files import as_toml
+from irisdeal.simulation.search.search import Search, SearchError, judges
+from irisdeal.simulation.search.shrink import Shrinker
+from irisdeal.simulation.search.timeline import timeline
 from irisdeal.standins.scenario import parse
 from irisdeal.standins.schedule import draw
 
@@ -100,8 +100,8 @@
 
 def test_a_day_is_the_same_to_the_byte_in_other_processes() -> None:
     code = (
-        "import random\nfrom irisdeal.chaos.judge import judge\n"
-        "from irisdeal.chaos.schedule import drawn\nrng = random.Random(5)\n"
+        "import random\nfrom irisdeal.simulation.search.judge import judge\n"
+        "from irisdeal.simulation.search.schedule import drawn\nrng = random.Random(5)\n"
         "print([judge(drawn(n, rng)).digest for n in range(4)])"
     )
     told = {
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -18,7 +18,7 @@
 from irisdeal.registry.store_client import Follower
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
-from irisdeal.sim.machine import Core, Costs, Machine
+from irisdeal.simulation.machine import Core, Costs, Machine
 from tests.core_rig import CoreRig
 
 WAY = 0.04  # s there and back with the work at both ends
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from irisdeal.squall.history import EVER, NONE, Kind, Op, check
+from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, Op, check
 
 
 def any_order(ops: tuple[Op, ...], decided: tuple[tuple[int, str], ...] = ((NONE, ""),)) -> bool:
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -9,9 +9,9 @@
 from irisdeal.http1.connection import Connection
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.server import HttpServer
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network
+from irisdeal.simulation.world import START, World
 from tests.request_world import reset
 
 ADDRESS = ("10.0.0.2", 80)
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -18,10 +18,10 @@
 from irisdeal.config_store.replica import Member
 from irisdeal.config_store.storage.version_store import Have
 from irisdeal.runtime.settings import Settings, Tolerance
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Way
-from irisdeal.sim.world import START, World
-from irisdeal.squall.disk import MemoryDisk
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Way
+from irisdeal.simulation.world import START, World
 from tests.core_rig import CutNetwork, zone_of
 
 SETTLED = 2 * (ROUND + SOON) + 2 * SETTLE + 0.08  # s: until it is seen, left so, seen again; and a ballot
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -25,7 +25,7 @@
 
 from irisdeal.config_store.configuration.version import Word
 from irisdeal.rpc.client import Link
-from irisdeal.squall.history import NONE, Kind, Op, check
+from irisdeal.simulation.cluster.linearizability import NONE, Kind, Op, check
 from tests.fault_proxy import Gate
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -18,9 +18,9 @@
 from irisdeal.proxy.table import Route
 from irisdeal.registry.backend_table import Life, State
 from irisdeal.runtime.settings import Bind, Settings
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network
+from irisdeal.simulation.world import START, World
 
 SETTINGS = Settings(
     node_name="d",
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.squall.quota_judge import QuotaJudge
+from irisdeal.simulation.quota.judge import QuotaJudge
 from tests.fault_proxy import Gate
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_quota_world.py
+++ b/tests/test_quota_world.py
@@ -10,9 +10,9 @@
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
 from irisdeal.registry.quota_service import QuotaService
-from irisdeal.squall import quota_world
-from irisdeal.squall.quota_faults import QuotaDayPlayer, draw, play
-from irisdeal.squall.quota_world import QuotaWorld
+from irisdeal.simulation.quota import world
+from irisdeal.simulation.quota.faults import QuotaDayPlayer, draw, play
+from irisdeal.simulation.quota.world import QuotaWorld
 
 FLOOD, END = 12.0, 25.0  # s: a usual time up to the first, a flood at nine times up to the second
 Fault = Callable[[QuotaWorld], None]
@@ -159,7 +159,7 @@
     return int(request.wanted)
 
 
-_ask_next = quota_world.QuotaWorld._ask_next
+_ask_next = world.QuotaWorld._ask_next
 
 
 @pytest.mark.parametrize(
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -32,9 +32,9 @@
 from irisdeal.config_store.replica import Member
 from irisdeal.rpc.client import Link
 from irisdeal.runtime import ports
-from irisdeal.sim.machine import Machine
-from irisdeal.squall.disk import MemoryDisk
-from irisdeal.squall.stage import FIRST_PORT, Stage, pause
+from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
+from irisdeal.simulation.disk import MemoryDisk
+from irisdeal.simulation.machine import Machine
 
 FIRST = Value.first(Members(0, ("a", "b", "c")))
 
--- a/tests/test_registry_drain.py
+++ b/tests/test_registry_drain.py
@@ -10,7 +10,7 @@
 import pytest
 
 from irisdeal.registry.server import Station
-from irisdeal.sim.machine import Core, Costs, Machine
+from irisdeal.simulation.machine import Core, Costs, Machine
 from tests.test_station import StationRig, beat
 
 ORDER = b'{"generation": "r9", "sockets": [], "pools": []}'
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from irisdeal.squall.probes import second_loss
+from irisdeal.simulation.cluster.probes import second_loss
 
 SEEDS = 12
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -11,10 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.sim import world as worlds
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import WINDOW, Network, Port, Transport, Way
-from irisdeal.sim.world import START, Spinning, Stuck, Trail, World, first_difference
+from irisdeal.simulation import world as worlds
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import WINDOW, Network, Port, Transport, Way
+from irisdeal.simulation.world import START, Spinning, Stuck, Trail, World, first_difference
 
 HERE = ("127.0.0.1", 700)
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -23,9 +23,9 @@
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
 from irisdeal.registry import store_client, watch
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network
-from irisdeal.sim.world import World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network
+from irisdeal.simulation.world import World
 from tests.core_rig import CoreRig, DoorPost, settings_of
 
 DEPLOYMENTS = {  # s: contact_ms, apply_ms, revert_slack_ms
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -17,7 +17,7 @@
 from irisdeal.registry.peers import LEARN_S
 from irisdeal.registry.server import Station
 from irisdeal.runtime.settings import Bind, Settings
-from irisdeal.sim.machine import Machine
+from irisdeal.simulation.machine import Machine
 from tests.core_rig import CoreRig, settings_of
 
 WAY = 0.04  # s there and back with the work at both ends
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -21,9 +21,9 @@
 from irisdeal.proxy.table import Route, Table
 from irisdeal.runtime.errors import Trouble
 from irisdeal.runtime.process import Tasks
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network
-from irisdeal.sim.world import START, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network
+from irisdeal.simulation.world import START, World
 from tests.words import change, configuration, route
 
 
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -27,9 +27,9 @@
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.server import Server
 from irisdeal.runtime.settings import Bind, Settings
-from irisdeal.sim.machine import Core, Costs, Machine
-from irisdeal.sim.net import Network, Way
-from irisdeal.sim.world import START, Stuck, World
+from irisdeal.simulation.machine import Core, Costs, Machine
+from irisdeal.simulation.network import Network, Way
+from irisdeal.simulation.world import START, Stuck, World
 
 DOOR = ("10.1.0.3", 80)
 LENGTH = 6.0  # s in which clients ask
