--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -24,11 +24,11 @@
 import uvloop
 
 from irisdeal.demo.processes import Use, free_port, measure
-from irisdeal.standins.books import Books, Clock
-from irisdeal.standins.http import ClientConnection, Request, ServerConnection
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.roster import Member, Roster
-from irisdeal.standins.scenario import load
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.http import ClientConnection, Request, ServerConnection
+from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.scenario import load
 
 BACKENDS = 4
 STORES = 200  # so many that none passes its quota
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -24,9 +24,9 @@
 
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.standins.books import SECOND
-from irisdeal.standins.scenario import parse
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed.request_log import SECOND
+from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
 # Boxes are slow and half busy, so that doors send into all zones, some three attempts a second into each.
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -19,9 +19,9 @@
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.quota.account import EVEN, SECOND, Account
-from irisdeal.standins.overshoot import Refusals, refusals
-from irisdeal.standins.scenario import parse
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed.quota_overshoot import Refusals, refusals
+from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
 DOORS, LARGEST = 12, 3.0  # doors; units of the largest request
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -23,10 +23,10 @@
 
 from irisdeal.demo.processes import find_deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.standins.audit import Rule
-from irisdeal.standins.scenario import Fault, Scenario, load
-from irisdeal.standins.schedule import draw
-from irisdeal.standins.service import recovery
+from irisdeal.testbed.audit import Rule
+from irisdeal.testbed.scenario import Fault, Scenario, load
+from irisdeal.testbed.service_report import recovery
+from irisdeal.testbed.workload import draw
 
 CURVE = ("0.5", "1", "1.5", "2", "3", "5", "7", "10")
 
--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -26,11 +26,11 @@
 from irisdeal.demo.processes import free_port
 from irisdeal.door.config import parse
 from irisdeal.door.program import Program
-from irisdeal.standins.books import Books, Clock
-from irisdeal.standins.http import ServerConnection
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.roster import Member, Roster
-from irisdeal.standins.scenario import load
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.http import ServerConnection
+from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.scenario import load
 
 TICK = 0.001  # s
 
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -22,8 +22,8 @@
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import play as play_real
 from irisdeal.simulation.search.front_door_day import play as play_virtual
-from irisdeal.standins import scenario as scenarios
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed import scenario as scenarios
+from irisdeal.testbed.workload import draw
 
 HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
 # Played in both worlds; the rest want several processes of terminals, or strangers by the thousand.
--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -56,7 +56,7 @@
     import tomllib
 
     from irisdeal.simulation.search.schedule import scenario
-    from irisdeal.standins.scenario import MOST_BYTES, ScenarioError
+    from irisdeal.testbed.scenario import MOST_BYTES, ScenarioError
 
     try:
         raw = file.open("rb").read(MOST_BYTES + 1)
@@ -401,7 +401,7 @@
     from irisdeal.simulation.search.front_door_day import play
     from irisdeal.simulation.search.planted_bugs import planted
     from irisdeal.simulation.search.schedule import scenario
-    from irisdeal.standins.schedule import draw
+    from irisdeal.testbed.workload import draw
 
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)
     made = scenario(table)
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from irisdeal.demo.processes import Deploy
     from irisdeal.demo.run import Outcome
-    from irisdeal.standins.schedule import Day
+    from irisdeal.testbed.workload import Day
 
 CONTEXT = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 
@@ -138,8 +138,8 @@
     """
     from irisdeal.demo.processes import CannotRun, find_deploy
     from irisdeal.demo.report import as_json, show
-    from irisdeal.standins import scenario as scenarios
-    from irisdeal.standins.schedule import draw
+    from irisdeal.testbed import scenario as scenarios
+    from irisdeal.testbed.workload import draw
 
     console = Console(soft_wrap=False)
     if list_them:
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.standins.books import DoorLife
-from irisdeal.standins.crowd import Crowd
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_processes import Crowd
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import DoorLife
 
 READY_WITHIN = 30.0  # s; DEPLOY, Limits: clients come when all doors are ready, or after 30 s
 ENDS_WITHIN = 4.2  # s from SIGTERM to SIGKILL: the longest deadline (3 s at most), 0.7 s more, a margin
--- a/irisdeal/demo/report.py
+++ b/irisdeal/demo/report.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from irisdeal.demo.run import Outcome
-from irisdeal.standins.audit import Rule
+from irisdeal.testbed.audit import Rule
 
 VERSION = 1  # of the JSON form; a key that goes or changes its meaning counts up
 
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 
 from irisdeal.demo.processes import CannotRun, Deploy, DoorProcesses, Use, build, make_folder
-from irisdeal.standins.audit import Verdict, audit
-from irisdeal.standins.books import Books
-from irisdeal.standins.crowd import Crowd, CrowdError
-from irisdeal.standins.overshoot import StoreUse, stores
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.reference import reference
-from irisdeal.standins.schedule import Day
-from irisdeal.standins.service import MannerUse, Service, manners, reckon
-from irisdeal.standins.sites import SiteError
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.audit import Verdict, audit
+from irisdeal.testbed.capacity_bound import reference
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_processes import Crowd, CrowdError
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.quota_overshoot import StoreUse, stores
+from irisdeal.testbed.request_log import Books
+from irisdeal.testbed.service_report import MannerUse, Service, manners, reckon
+from irisdeal.testbed.site_processes import SiteError
+from irisdeal.testbed.workload import Day
 
 SETTLE = 0.3  # s after the last answer: what a door still sends shows
 PROGRESS = 0.2  # s between two words on how far it is
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -22,13 +22,13 @@
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network, Port, Socket, Way
 from irisdeal.simulation.world import START, Trail, World
-from irisdeal.standins.audit import Verdict, audit
-from irisdeal.standins.books import Books, DoorLife, Hold
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.relay import Condition
-from irisdeal.standins.schedule import Day, stream
-from irisdeal.standins.service import Service, reckon
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.audit import Verdict, audit
+from irisdeal.testbed.fault_proxy import Condition
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import Books, DoorLife, Hold
+from irisdeal.testbed.service_report import Service, reckon
+from irisdeal.testbed.workload import Day, stream
 
 EPOCH = 1_700_000_000_000_000  # µs: what the world's clock says at its own 0, as Unix time
 # µs of a door's CPU; docs/design/sim.md holds them against what real doors take.
--- a/irisdeal/simulation/search/judge.py
+++ b/irisdeal/simulation/search/judge.py
@@ -18,7 +18,7 @@
 from irisdeal.simulation.search.planted_bugs import planted
 from irisdeal.simulation.search.schedule import QUIET, Moment, Table, scenario, without_faults
 from irisdeal.simulation.world import Spinning, Stuck
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed.workload import draw
 
 BACK_WITHIN = 2.0  # s after the last fault has ended: what clients still try again has ended by then
 # Of the worth inside the quotas: so much less may be served than without faults. Coarse on purpose: the last
--- a/irisdeal/simulation/search/schedule.py
+++ b/irisdeal/simulation/search/schedule.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from irisdeal.standins.scenario import FAULTS, Scenario, read
+from irisdeal.testbed.scenario import FAULTS, Scenario, read
 
 Table = dict[str, Any]
 
--- a/irisdeal/simulation/search/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from irisdeal.simulation.search.front_door_day import Played
-from irisdeal.standins.books import Attempt, DoorLife, Taken
+from irisdeal.testbed.request_log import Attempt, DoorLife, Taken
 
 Line = tuple[int, str]
 
--- a/irisdeal/standins/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""Each stand-in alone: `python -m irisdeal.standins box|keeper|roster|relay|terminals`.
+"""Each stand-in alone: `python -m irisdeal.testbed box|keeper|roster|relay|terminals`.
 
 It prints one JSON line with its addresses once it is ready, serves until SIGINT or SIGTERM, and then prints
 one JSON line with its book. Exit codes: 0, or 2 where it cannot be used as asked.
@@ -14,16 +14,16 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from irisdeal.standins.books import Books, Clock, End
-from irisdeal.standins.box import Box
-from irisdeal.standins.boxmodel import HallMemory, Meter
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.relay import Address, Condition, Relay
-from irisdeal.standins.roster import Member, Roster
-from irisdeal.standins.scenario import Scenario, ScenarioError, load
-from irisdeal.standins.schedule import draw, machine
-from irisdeal.standins.service import reckon
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.backend import Box
+from irisdeal.testbed.backend_model import HallMemory, Meter
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.fault_proxy import Address, Condition, Relay
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.request_log import Books, Clock, End
+from irisdeal.testbed.scenario import Scenario, ScenarioError, load
+from irisdeal.testbed.service_report import reckon
+from irisdeal.testbed.workload import draw, machine
 
 Report = Callable[[], dict[str, Any]]
 
@@ -37,9 +37,9 @@
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
-        prog="python -m irisdeal.standins",
+        prog="python -m irisdeal.testbed",
         description="One stand-in alone.",
-        epilog="Example: python -m irisdeal.standins keeper --doors 2",
+        epilog="Example: python -m irisdeal.testbed keeper --doors 2",
     )
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--scenario", default="calm", help="built-in name or TOML file (default: calm)")
--- a/irisdeal/standins/audit.py
+++ b/irisdeal/testbed/audit.py
@@ -26,7 +26,7 @@
 from enum import Enum
 from itertools import accumulate, pairwise
 
-from irisdeal.standins.books import (
+from irisdeal.testbed.request_log import (
     SECOND,
     Answer,
     Attempt,
--- a/irisdeal/standins/box.py
+++ b/irisdeal/testbed/backend.py
@@ -13,12 +13,12 @@
 from functools import partial
 from typing import cast
 
-from irisdeal.standins.audit import Figures
-from irisdeal.standins.books import Attempt, Books, End, Life, Now
-from irisdeal.standins.boxmodel import BoxModel, Done, HallMemory, Job, Meter, Report, Verdict
-from irisdeal.standins.http import Request, ServerConnection
-from irisdeal.standins.scenario import Class, Fleet
-from irisdeal.standins.schedule import Machine, stream, work
+from irisdeal.testbed.audit import Figures
+from irisdeal.testbed.backend_model import BoxModel, Done, HallMemory, Job, Meter, Report, Verdict
+from irisdeal.testbed.http import Request, ServerConnection
+from irisdeal.testbed.request_log import Attempt, Books, End, Life, Now
+from irisdeal.testbed.scenario import Class, Fleet
+from irisdeal.testbed.workload import Machine, stream, work
 
 SPOILT = (  # what a spoilt answer looks like; the request has run, and no more can come of it
     b"\x00\xff noise without a line\r\n\r\n",
--- a/irisdeal/standins/boxmodel.py
+++ b/irisdeal/testbed/backend_model.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from irisdeal.standins.audit import Figures
-from irisdeal.standins.books import Life
-from irisdeal.standins.schedule import Machine
+from irisdeal.testbed.audit import Figures
+from irisdeal.testbed.request_log import Life
+from irisdeal.testbed.workload import Machine
 
 COLD_STEP = 50_000  # µs: how often the speed of a cold box is taken anew between events
 MOST_JOBS = 4_096  # in work and waiting; slots and queue are far fewer
--- a/irisdeal/standins/reference.py
+++ b/irisdeal/testbed/capacity_bound.py
@@ -16,9 +16,9 @@
 
 from collections import defaultdict
 
-from irisdeal.standins.books import SECOND, Books, Life
-from irisdeal.standins.scenario import Scenario
-from irisdeal.standins.service import Bucket
+from irisdeal.testbed.request_log import SECOND, Books, Life
+from irisdeal.testbed.scenario import Scenario
+from irisdeal.testbed.service_report import Bucket
 
 MOST_SLOTS = 60  # of a day: the work is cubic in them
 LEAST_SLOT = SECOND // 2  # µs
--- a/irisdeal/standins/keeper.py
+++ b/irisdeal/testbed/counter_service.py
@@ -17,9 +17,9 @@
 from functools import partial
 from typing import cast
 
-from irisdeal.standins.books import Now
-from irisdeal.standins.scenario import KeeperSpec
-from irisdeal.standins.schedule import stream
+from irisdeal.testbed.request_log import Now
+from irisdeal.testbed.scenario import KeeperSpec
+from irisdeal.testbed.workload import stream
 
 MOST_LIFE = 60_000_000  # µs; PROTOCOL, The counter
 MOST_AMOUNT = 1e9
--- a/irisdeal/standins/roster.py
+++ b/irisdeal/testbed/discovery_service.py
@@ -13,10 +13,10 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from irisdeal.standins.books import Books, Now, Told
-from irisdeal.standins.http import Request, ServerConnection
-from irisdeal.standins.scenario import RosterSpec
-from irisdeal.standins.schedule import stream
+from irisdeal.testbed.http import Request, ServerConnection
+from irisdeal.testbed.request_log import Books, Now, Told
+from irisdeal.testbed.scenario import RosterSpec
+from irisdeal.testbed.workload import stream
 
 LONGEST_WATCH = 60_000  # ms; PROTOCOL, Discovery
 KEPT_CHANGES = 1_000  # revisions that an agent can tell as changes; who is further behind gets the whole list
--- a/irisdeal/standins/relay.py
+++ b/irisdeal/testbed/fault_proxy.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from irisdeal.standins.books import Hold, Now
+from irisdeal.testbed.request_log import Hold, Now
 
 MOST_HELD = 1_048_576  # bytes held on one way of one connection before its sender is no longer read
 MOST_WRITES = 10_000  # of one hold that are noted
--- a/irisdeal/standins/terminals.py
+++ b/irisdeal/testbed/load_generator.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.standins.books import Answer, Books, Now, Taken
-from irisdeal.standins.http import ClientConnection, readable_now
-from irisdeal.standins.schedule import Arrival, Day, claim_key, stream, trace, weights
-from irisdeal.standins.strangers import Strangers
+from irisdeal.testbed.http import ClientConnection, readable_now
+from irisdeal.testbed.misbehaving_clients import Strangers
+from irisdeal.testbed.request_log import Answer, Books, Now, Taken
+from irisdeal.testbed.workload import Arrival, Day, claim_key, stream, trace, weights
 
 LATE_WATCH = 0.5  # s that a connection is still read after its try was given up: a late answer is seen
 CONNECT_TIMEOUT = 1.0  # s
--- a/irisdeal/standins/crowd.py
+++ b/irisdeal/testbed/load_processes.py
@@ -18,10 +18,10 @@
 from contextlib import suppress
 from dataclasses import dataclass, replace
 
-from irisdeal.standins.books import Books, Clock, Taken, lay_together
-from irisdeal.standins.lateness import Lateness
-from irisdeal.standins.schedule import Day
-from irisdeal.standins.terminals import LATE_WATCH, Address, Terminals
+from irisdeal.testbed.load_generator import LATE_WATCH, Address, Terminals
+from irisdeal.testbed.loop_lag import Lateness
+from irisdeal.testbed.request_log import Books, Clock, Taken, lay_together
+from irisdeal.testbed.workload import Day
 
 READY_WITHIN = 20.0  # s for a process to come up
 ENDS_WITHIN = 60.0  # s for a book to be handed over once the last try has ended
@@ -74,7 +74,7 @@
             await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "irisdeal.standins.crowd",
+                "irisdeal.testbed.load_processes",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
@@ -201,6 +201,6 @@
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # a Ctrl-C is the parent's, which says "stop"
     # Under its own name, so that what is pickled here is what the parent knows.
-    from irisdeal.standins import crowd
+    from irisdeal.testbed import load_processes
 
-    uvloop.run(crowd._main())
+    uvloop.run(load_processes._main())
--- a/irisdeal/standins/lateness.py
+++ b/irisdeal/testbed/loop_lag.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from irisdeal.standins.books import Now
+from irisdeal.testbed.request_log import Now
 
 STEP = 0.01  # s: how often it is looked at
 LEAST = 5_000  # µs: what a loop of whole milliseconds shows anyway
--- a/irisdeal/standins/strangers.py
+++ b/irisdeal/testbed/misbehaving_clients.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from irisdeal.standins.schedule import Day
+from irisdeal.testbed.workload import Day
 
 WATCH = 3.0  # s
 CONNECT_TIMEOUT = 3.0  # s
--- a/irisdeal/standins/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -14,18 +14,18 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from irisdeal.standins.books import Books, Clock, Now, door_name
-from irisdeal.standins.box import Box
-from irisdeal.standins.boxmodel import HallMemory, Meter
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.lateness import Lateness
-from irisdeal.standins.relay import Address, Condition, Relay
-from irisdeal.standins.roster import Member, Roster
-from irisdeal.standins.scenario import Fault
-from irisdeal.standins.schedule import Day, machine, stream
-from irisdeal.standins.sites import FarBox, FarKeeper, FarLinks, Sites
-
-log = logging.getLogger("irisdeal.standins")
+from irisdeal.testbed.backend import Box
+from irisdeal.testbed.backend_model import HallMemory, Meter
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.fault_proxy import Address, Condition, Relay
+from irisdeal.testbed.loop_lag import Lateness
+from irisdeal.testbed.request_log import Books, Clock, Now, door_name
+from irisdeal.testbed.scenario import Fault
+from irisdeal.testbed.site_processes import FarBox, FarKeeper, FarLinks, Sites
+from irisdeal.testbed.workload import Day, machine, stream
+
+log = logging.getLogger("irisdeal.testbed")
 
 
 class Doors(Protocol):
--- a/irisdeal/standins/overshoot.py
+++ b/irisdeal/testbed/quota_overshoot.py
@@ -12,8 +12,8 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-from irisdeal.standins.books import Attempt, Books
-from irisdeal.standins.scenario import Scenario
+from irisdeal.testbed.request_log import Attempt, Books
+from irisdeal.testbed.scenario import Scenario
 
 REFUSED_ROOM = 0.5  # part of a burst that a store holds at least where a refusal counts as one with room
 
--- a/irisdeal/standins/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from irisdeal.standins.audit import Ceiling, Figures, KindRule
+from irisdeal.testbed.audit import Ceiling, Figures, KindRule
 
-BUILT_IN = resources.files("irisdeal.standins") / "scenarios"
+BUILT_IN = resources.files("irisdeal.testbed") / "scenarios"
 MOST_BYTES = 262_144  # of a scenario file
 MOST_BASES = 4  # a chain of bases longer than this is a circle
 MOST = {"doors": 64, "boxes": 200, "seconds": 3600.0, "processes": 8}  # what one machine can start
--- a/irisdeal/standins/service.py
+++ b/irisdeal/testbed/service_report.py
@@ -12,8 +12,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from irisdeal.standins.books import SECOND, Attempt, Books, End, Taken
-from irisdeal.standins.scenario import Scenario
+from irisdeal.testbed.request_log import SECOND, Attempt, Books, End, Taken
+from irisdeal.testbed.scenario import Scenario
 
 SPAN = 2  # seconds that are looked at together: one has few requests
 WINDOW = 10 * SECOND  # µs; the worst 10 s of BRIEF, Weights of service
--- a/irisdeal/standins/sites.py
+++ b/irisdeal/testbed/site_processes.py
@@ -21,13 +21,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.standins.books import Books, Clock, lay_together
-from irisdeal.standins.box import Box
-from irisdeal.standins.boxmodel import HallMemory, Meter
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.lateness import Lateness
-from irisdeal.standins.relay import Address, Condition, Relay
-from irisdeal.standins.schedule import Day, Machine
+from irisdeal.testbed.backend import Box
+from irisdeal.testbed.backend_model import HallMemory, Meter
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.fault_proxy import Address, Condition, Relay
+from irisdeal.testbed.loop_lag import Lateness
+from irisdeal.testbed.request_log import Books, Clock, lay_together
+from irisdeal.testbed.workload import Day, Machine
 
 ANSWERS_WITHIN = 30.0  # s for any call: a process of ours that takes longer hangs
 METER_EVERY = 0.1  # s between two tellings of what was used; the meter itself is told far later
@@ -260,7 +260,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "irisdeal.standins.sites",
+            "irisdeal.testbed.site_processes",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
@@ -471,6 +471,6 @@
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # a Ctrl-C is the parent's, which ends this
     # Under its own name, so that what is pickled here is what the parent knows.
-    from irisdeal.standins import sites
+    from irisdeal.testbed import site_processes
 
-    uvloop.run(sites._main())
+    uvloop.run(site_processes._main())
--- a/irisdeal/standins/schedule.py
+++ b/irisdeal/testbed/workload.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from irisdeal.standins.books import SECOND
-from irisdeal.standins.scenario import Class, Plan, Scenario
+from irisdeal.testbed.request_log import SECOND
+from irisdeal.testbed.scenario import Class, Plan, Scenario
 
 LEAST_STORES = 2  # of each plan: one alone would make its plan
 MOST_ARRIVALS = 2_000_000  # of a day: a load over this is refused rather than drawn
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,12 +13,12 @@
 from irisdeal.door.config import Config, parse
 from irisdeal.door.program import Program
 from irisdeal.simulation.search import front_door_day
-from irisdeal.standins.audit import Verdict, audit
-from irisdeal.standins.books import Books, DoorLife
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.scenario import parse as read
-from irisdeal.standins.schedule import draw
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.audit import Verdict, audit
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import Books, DoorLife
+from irisdeal.testbed.scenario import parse as read
+from irisdeal.testbed.workload import draw
 
 # A day of three seconds in which every rule has something to say: short grace, short fall, a low ceiling.
 SMALL = """
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -48,7 +48,7 @@
 from irisdeal.simulation.search import front_door_day as door_day
 from irisdeal.simulation.search import schedule as door_schedule
 from irisdeal.simulation.world import World
-from irisdeal.standins.schedule import draw as draw_day
+from irisdeal.testbed.workload import draw as draw_day
 from tests import core_world
 from tests.request_runs import RandomRun
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,9 +6,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.standins.audit import Ceiling, Figures, KindRule, Rule, audit
-from irisdeal.standins.books import SECOND, Answer, Attempt, Books, DoorLife, End, Hold, Life, Taken, Told
-from irisdeal.standins.boxmodel import over_budget
+from irisdeal.testbed.audit import Ceiling, Figures, KindRule, Rule, audit
+from irisdeal.testbed.backend_model import over_budget
+from irisdeal.testbed.request_log import (
+    SECOND,
+    Answer,
+    Attempt,
+    Books,
+    DoorLife,
+    End,
+    Hold,
+    Life,
+    Taken,
+    Told,
+)
 
 FIGURES = Figures(
     kinds={
--- a/tests/test_audit_on_days.py
+++ b/tests/test_audit_on_days.py
@@ -21,7 +21,7 @@
 from irisdeal.door.clients import Client, ClientRequest
 from irisdeal.door.loop import Door
 from irisdeal.door.program import Program
-from irisdeal.standins.audit import Rule
+from irisdeal.testbed.audit import Rule
 from tests.rig import DAY, SMALL, played
 
 UNSAFE = 2  # the class `file`
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -38,8 +38,8 @@
 from irisdeal.simulation.search.search import Search, SearchError, judges
 from irisdeal.simulation.search.shrink import Shrinker
 from irisdeal.simulation.search.timeline import timeline
-from irisdeal.standins.scenario import parse
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.workload import draw
 
 HERE = Path(__file__).parent
 FOUND = sorted((HERE / "found").glob("*.toml"))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,11 +11,11 @@
 
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import play
-from irisdeal.standins.books import SECOND, Books, Clock, Life, Taken, lay_together
-from irisdeal.standins.crowd import Crowd, CrowdError
-from irisdeal.standins.reference import reference
-from irisdeal.standins.scenario import ScenarioError, parse
-from irisdeal.standins.schedule import draw
+from irisdeal.testbed.capacity_bound import reference
+from irisdeal.testbed.load_processes import Crowd, CrowdError
+from irisdeal.testbed.request_log import SECOND, Books, Clock, Life, Taken, lay_together
+from irisdeal.testbed.scenario import ScenarioError, parse
+from irisdeal.testbed.workload import draw
 from tests.rig import SMALL
 
 HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -14,12 +14,12 @@
 import uvloop
 
 from irisdeal.demo.processes import CannotRun, Deploy, DoorProcesses, find_deploy
-from irisdeal.standins.audit import audit
-from irisdeal.standins.books import Attempt, End
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.scenario import parse
-from irisdeal.standins.schedule import draw
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.audit import audit
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import Attempt, End
+from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.workload import draw
 from tests.rig import SMALL
 
 ROOT = Path(__file__).parent.parent
@@ -220,7 +220,7 @@
         "import sys, irisdeal.door.program, irisdeal.__main__;"
         "print([m for m in sys.modules if m.partition('.')[0] in "
         "('click', 'rich', 'tomllib', 'yaml', 'referencing') or m.startswith(("
-        "'irisdeal.standins', 'irisdeal.demo', 'irisdeal.cli', 'irisdeal.routes', 'irisdeal.sources', "
+        "'irisdeal.testbed', 'irisdeal.demo', 'irisdeal.cli', 'irisdeal.routes', 'irisdeal.sources', "
         "'irisdeal.door.routed', 'irisdeal.door.report', 'irisdeal.queueing.watch', "
         "'irisdeal.queueing.top', 'irisdeal.queueing.sketch'))])"
     )
@@ -238,7 +238,7 @@
 )
 def test_each_stand_in_runs_alone(what: list[str]) -> None:
     process = subprocess.Popen(
-        [sys.executable, "-m", "irisdeal.standins", *what], cwd=ROOT, text=True, stdout=subprocess.PIPE
+        [sys.executable, "-m", "irisdeal.testbed", *what], cwd=ROOT, text=True, stdout=subprocess.PIPE
     )
     assert process.stdout is not None
     assert json.loads(process.stdout.readline())["addresses"][0].startswith("127.0.0.1:")
@@ -249,7 +249,7 @@
 
 def test_a_stand_in_that_cannot_be_used_says_so() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "irisdeal.standins", "box", "--scenario", "none"],
+        [sys.executable, "-m", "irisdeal.testbed", "box", "--scenario", "none"],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,7 +13,7 @@
 from irisdeal.door.program import Program
 from irisdeal.operator.calls import Call, TurnedDown, What, read
 from irisdeal.operator.figures import Figure, Kind, Registry
-from irisdeal.standins.platform import Platform
+from irisdeal.testbed.platform import Platform
 from tests.peers import (
     Peer,
     Running,
--- a/tests/test_overshoot.py
+++ b/tests/test_overshoot.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.standins.books import SECOND, Attempt, Books, End
-from irisdeal.standins.overshoot import overshoot, stores
-from irisdeal.standins.scenario import parse
+from irisdeal.testbed.quota_overshoot import overshoot, stores
+from irisdeal.testbed.request_log import SECOND, Attempt, Books, End
+from irisdeal.testbed.scenario import parse
 
 TEXT = """
 seconds = 10
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -31,9 +31,9 @@
 from irisdeal.door.config import ConfigError, parse
 from irisdeal.door.program import Program
 from irisdeal.door.routed import Router
-from irisdeal.standins.books import Attempt, End
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.relay import Relay
+from irisdeal.testbed.fault_proxy import Relay
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import Attempt, End
 from tests.desk import KEYED, UNSAFE, entry
 from tests.desk import settings as desk_settings
 from tests.peers import (
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from irisdeal.standins.scenario import FAULTS, Scenario, ScenarioError, load, names, parse
-from irisdeal.standins.schedule import draw, mean_work, weights, work
+from irisdeal.testbed.scenario import FAULTS, Scenario, ScenarioError, load, names, parse
+from irisdeal.testbed.workload import draw, mean_work, weights, work
 from tests.rig import SMALL
 
 TOP, _, REST = SMALL.partition("[fleet]")
@@ -132,7 +132,7 @@
 
 def test_the_schedule_of_a_seed_is_the_same_under_any_hash_seed() -> None:
     code = (
-        "from irisdeal.standins.schedule import draw; from irisdeal.standins.scenario import load;"
+        "from irisdeal.testbed.workload import draw; from irisdeal.testbed.scenario import load;"
         "print(draw(load('hot-door').resized(seconds=2), 7).digest())"
     )
     digests = {
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from irisdeal.standins.books import SECOND, Answer, Attempt, Books, End, Taken
-from irisdeal.standins.scenario import Scenario, parse
-from irisdeal.standins.service import Bucket, Share, reckon, recovery
+from irisdeal.testbed.request_log import SECOND, Answer, Attempt, Books, End, Taken
+from irisdeal.testbed.scenario import Scenario, parse
+from irisdeal.testbed.service_report import Bucket, Share, reckon, recovery
 
 TEXT = """
 seconds = 30
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,10 +10,10 @@
 
 from irisdeal.demo.processes import CannotRun, Deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.standins.books import Books, Clock
-from irisdeal.standins.scenario import load, parse
-from irisdeal.standins.schedule import draw
-from irisdeal.standins.sites import KEEPER, SiteError, Sites, _SharedMeter
+from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.scenario import load, parse
+from irisdeal.testbed.site_processes import KEEPER, SiteError, Sites, _SharedMeter
+from irisdeal.testbed.workload import draw
 from tests.rig import SMALL
 
 HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
--- a/tests/test_standin_models.py
+++ b/tests/test_standin_models.py
@@ -9,13 +9,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.standins.audit import Figures
-from irisdeal.standins.books import SECOND, Life
-from irisdeal.standins.boxmodel import BoxModel, Done, HallMemory, Job, Meter, Verdict
-from irisdeal.standins.keeper import Keeper, KeeperModel, _Line, read_call
-from irisdeal.standins.roster import Ledger, Member
-from irisdeal.standins.scenario import KeeperSpec
-from irisdeal.standins.schedule import Machine
+from irisdeal.testbed.audit import Figures
+from irisdeal.testbed.backend_model import BoxModel, Done, HallMemory, Job, Meter, Verdict
+from irisdeal.testbed.counter_service import Keeper, KeeperModel, _Line, read_call
+from irisdeal.testbed.discovery_service import Ledger, Member
+from irisdeal.testbed.request_log import SECOND, Life
+from irisdeal.testbed.scenario import KeeperSpec
+from irisdeal.testbed.workload import Machine
 
 FIGURES = Figures({}, {}, 8_000, SECOND, 4.0, 2 * SECOND, {})
 FAR = 10**15
--- a/tests/test_standin_sockets.py
+++ b/tests/test_standin_sockets.py
@@ -11,16 +11,16 @@
 import pytest
 import uvloop
 
-from irisdeal.standins.audit import Rule
-from irisdeal.standins.books import Books, Clock, End, Told
-from irisdeal.standins.http import ClientConnection
-from irisdeal.standins.keeper import Keeper
-from irisdeal.standins.platform import Platform
-from irisdeal.standins.relay import Condition, Relay
-from irisdeal.standins.roster import Member, Roster
-from irisdeal.standins.scenario import KeeperSpec, RosterSpec, parse
-from irisdeal.standins.schedule import draw
-from irisdeal.standins.terminals import Terminals
+from irisdeal.testbed.audit import Rule
+from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.fault_proxy import Condition, Relay
+from irisdeal.testbed.http import ClientConnection
+from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.platform import Platform
+from irisdeal.testbed.request_log import Books, Clock, End, Told
+from irisdeal.testbed.scenario import KeeperSpec, RosterSpec, parse
+from irisdeal.testbed.workload import draw
 from tests.peers import ask, read_message, socket_test
 from tests.rig import SMALL, play
 
