--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -24,9 +24,9 @@
 from itertools import accumulate
 from typing import Any, Protocol
 
-from irisdeal.quota.account import Account
-from irisdeal.quota.call import Call, Purpose
-from irisdeal.quota.crowding import Crowding, Way
+from irisdeal.front_door.quota.account import Account
+from irisdeal.front_door.quota.call import Call, Purpose
+from irisdeal.front_door.quota.crowding import Crowding, Way
 
 SECOND = 1_000_000
 START = 1_000_000 * SECOND
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -4,8 +4,8 @@
     python -m benchmarks.many_doors --seeds 20 --fault silent
 
 Each customer comes through all twelve doors, so that a door sees one of them once in seconds; what it may
-have is known to the keeper alone. Bounds are those at the top of `irisdeal/quota/account.py`; figures are by
-the boxes' books. Columns: rules kept, the worst store's units over its quota, the bound, what quiet stores
+have is known to the keeper alone. Bounds are those at the top of `irisdeal/front_door/quota/account.py`; figures
+are by the boxes' books. Columns: rules kept, the worst store's units over its quota, the bound, what quiet stores
 asked, the share of it that was refused with half of the store or more left, and what was served.
 """
 
@@ -18,7 +18,7 @@
 
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.quota.account import EVEN, SECOND, Account
+from irisdeal.front_door.quota.account import EVEN, SECOND, Account
 from irisdeal.testbed.quota_overshoot import Refusals, refusals
 from irisdeal.testbed.scenario import parse
 from irisdeal.testbed.workload import draw
--- a/benchmarks/route_match.py
+++ b/benchmarks/route_match.py
@@ -27,11 +27,11 @@
 from werkzeug.routing import Map
 from werkzeug.routing import Rule as WerkzeugRule
 
-from irisdeal.routes.matcher import Matcher
-from irisdeal.routes.model import Repeat, Route, Rule
-from irisdeal.routes.path import Target, read_target
-from irisdeal.routes.table import building
-from irisdeal.routes.wire import route_from_wire
+from irisdeal.front_door.routes.matcher import Matcher
+from irisdeal.front_door.routes.model import Repeat, Route, Rule
+from irisdeal.front_door.routes.path import Target, read_target
+from irisdeal.front_door.routes.table import building
+from irisdeal.front_door.routes.wire import route_from_wire
 
 SIZES = (10, 100, 1_000, 10_000)
 PATHS = 500  # matched in each round
@@ -110,7 +110,7 @@
 def described(path: Path) -> dict[str, Any]:
     start = time.perf_counter()
     done = subprocess.run(
-        [sys.executable, "-m", "irisdeal.sources.openapi", str(path)],
+        [sys.executable, "-m", "irisdeal.front_door.sources.openapi", str(path)],
         capture_output=True,
         text=True,
         check=False,
--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -22,10 +22,10 @@
 import uvloop
 
 from benchmarks.door_cost import Instant, Load
-from cresspulley.control import Gateway
 from irisdeal.demo.processes import free_port
-from irisdeal.door.config import parse
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.server.config import parse
+from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.counter_service import Keeper
 from irisdeal.testbed.discovery_service import Member, Roster
 from irisdeal.testbed.http import ServerConnection
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -16,7 +16,7 @@
 
 import argparse
 
-from irisdeal.zones.fleet import BAD, FAULTS, Fleet, figures
+from irisdeal.front_door.zones.fleet import BAD, FAULTS, Fleet, figures
 
 
 def main() -> None:
--- a/benchmarks/zones_states.py
+++ b/benchmarks/zones_states.py
@@ -3,7 +3,7 @@
 
     python -m benchmarks.zones_states --depth 7 --from calm --from left
 
-A breadth-first search of the real core (`irisdeal.zones.belief.Zones`), no model of it. A step is one
+A breadth-first search of the real core (`irisdeal.front_door.zones.belief.Zones`), no model of it. A step is one
 of: a door's attempt at a zone is answered, or fails, as that zone is; it fails though its zone is well
 (`STRAYS` times at most); the oldest word of a door reaches the keeper and is answered, or is lost
 (`LOSSES`); `TICK` passes; zone 0 is lost or back (`FAULTS`). Two states are one where they differ by
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.zones.belief import BACK, EPOCH, LIVELY, SECOND, Stand, Word, Zones, suspects
+from irisdeal.front_door.zones.belief import BACK, EPOCH, LIVELY, SECOND, Stand, Word, Zones, suspects
 
 DOORS, BACKENDS, FAULTS, STRAYS, LOSSES = 3, 2, 2, 2, 1
 PART = 0.6  # of what makes a cold backend fall: what all doors may send there
--- a/irisdeal/__main__.py
+++ b/irisdeal/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from irisdeal.door.program import main
+from irisdeal.front_door.server.program import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -60,7 +60,7 @@
 
     Example: EDGE_CONFIG=config.json irisdeal serve
     """
-    from irisdeal.door.program import main as run_door
+    from irisdeal.front_door.server.program import main as run_door
 
     sys.exit(run_door())
 
--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -17,7 +17,7 @@
 from rich.text import Text
 
 from irisdeal.cli.reports import fetch
-from irisdeal.queueing.top import BadReport, Door, Row, merge, read
+from irisdeal.front_door.queueing.top import BadReport, Door, Row, merge, read
 
 Answer = tuple[Door, list[Row]] | str  # a report, or why there is none
 
--- a/irisdeal/cli/routes.py
+++ b/irisdeal/cli/routes.py
@@ -12,9 +12,9 @@
 from rich.table import Table as Grid
 
 if TYPE_CHECKING:
-    from irisdeal.routes.model import Route
-    from irisdeal.routes.table import Table
-    from irisdeal.sources.openapi import Description
+    from irisdeal.front_door.routes.model import Route
+    from irisdeal.front_door.routes.table import Table
+    from irisdeal.front_door.sources.openapi import Description
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
@@ -31,7 +31,7 @@
 
 def _read(file: Path) -> Description:
     try:
-        from irisdeal.sources.openapi import read
+        from irisdeal.front_door.sources.openapi import read
     except ImportError as error:
         raise Missing(error) from None
     if not file.exists():
@@ -42,7 +42,7 @@
 
 def _table(file: Path) -> Table:
     """The table of a description that must be right: its first error ends the command, with 1."""
-    from irisdeal.routes.table import TooMany, build
+    from irisdeal.front_door.routes.table import TooMany, build
 
     description = _read(file)
     if description.errors:
@@ -139,7 +139,7 @@
         from openapi_spec_validator import OpenAPIV30SpecValidator, OpenAPIV31SpecValidator
     except ImportError as error:
         raise Missing(error) from None
-    from irisdeal.sources.yamljson import load
+    from irisdeal.front_door.sources.yamljson import load
 
     text = file.read_text("utf-8-sig")
     value = load(text, file.suffix.lower() == ".json" or text.lstrip()[:1] == "{")
@@ -209,8 +209,8 @@
 
     Example: irisdeal routes match refund.yaml GET "/refund/check?receipt=7"
     """
-    from irisdeal.routes.costs import BadUnits, units_of
-    from irisdeal.routes.path import BadTarget, read_target
+    from irisdeal.front_door.routes.costs import BadUnits, units_of
+    from irisdeal.front_door.routes.path import BadTarget, read_target
 
     table = _table(file)
     told: dict[str, Any]
@@ -252,7 +252,7 @@
 
     Example: irisdeal routes diff refund.yaml refund-new.yaml
     """
-    from irisdeal.routes.difference import difference, refusal
+    from irisdeal.front_door.routes.difference import difference, refusal
 
     one, other = _table(old), _table(new)
     changes, reason = difference(one, other), refusal(one, other)
--- a/irisdeal/cli/zones.py
+++ b/irisdeal/cli/zones.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from irisdeal.cli.reports import fetch
-from irisdeal.zones.fleet import BAD, CUT, FAULTS, Fleet, figures
+from irisdeal.front_door.zones.fleet import BAD, CUT, FAULTS, Fleet, figures
 
 HEADS = {
     "left": "left",
--- a/cresspulley/control.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -14,8 +14,7 @@
 from dataclasses import replace
 from typing import Any
 
-from cresspulley.customer import FEW_WAYS, NEAR, SECOND, Customer
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -45,12 +44,13 @@
     StreamStarted,
     Wake,
 )
-from cresspulley.records import Request, Server, Try
-from irisdeal.queueing.fair import FairQueue
-from irisdeal.quota.account import Account
-from irisdeal.quota.call import Call
-from irisdeal.quota.crowding import Crowding, Way
-from irisdeal.zones.belief import Word, Zones
+from irisdeal.front_door.decisions.records import Request, Server, Try
+from irisdeal.front_door.decisions.tenant import FEW_WAYS, NEAR, SECOND, Customer
+from irisdeal.front_door.queueing.fair import FairQueue
+from irisdeal.front_door.quota.account import Account
+from irisdeal.front_door.quota.call import Call
+from irisdeal.front_door.quota.crowding import Crowding, Way
+from irisdeal.front_door.zones.belief import Word, Zones
 
 ROOM, FILL, LEFT = 0.90, 0.7, 0.5  # parts that the chance aims at: of rate, cap, what is left of a burst
 TELLERS = 25  # gateways that tell in one interval
--- a/cresspulley/interface.py
+++ b/irisdeal/front_door/decisions/interface.py
@@ -414,7 +414,7 @@
 
 
 class Decider(Protocol):
-    """The shape of `cresspulley.control.Gateway`."""
+    """The shape of `irisdeal.front_door.decisions.gateway.Gateway`."""
 
     actions: list[Action]  # of the last call; what was decided before an event failed stands
 
--- a/cresspulley/records.py
+++ b/irisdeal/front_door/decisions/records.py
@@ -5,10 +5,10 @@
 from collections import defaultdict, deque
 from dataclasses import replace
 
-from cresspulley.customer import Customer
-from cresspulley.interface import Arrival, Plan, ServerEntry
-from irisdeal.queueing.fair import Entry
-from irisdeal.quota.call import Call
+from irisdeal.front_door.decisions.interface import Arrival, Plan, ServerEntry
+from irisdeal.front_door.decisions.tenant import Customer
+from irisdeal.front_door.queueing.fair import Entry
+from irisdeal.front_door.quota.call import Call
 
 
 class Server:
--- a/cresspulley/wire.py
+++ b/irisdeal/front_door/decisions/simulator_wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple, TypeVar
 
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/cresspulley/customer.py
+++ b/irisdeal/front_door/decisions/tenant.py
@@ -5,9 +5,9 @@
 import math
 from typing import Any
 
-from cresspulley.interface import Arrival, Settings
-from irisdeal.queueing.fair import Flow
-from irisdeal.quota.account import Account
+from irisdeal.front_door.decisions.interface import Arrival, Settings
+from irisdeal.front_door.queueing.fair import Flow
+from irisdeal.front_door.quota.account import Account
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
 PERIOD = 8  # fading intervals that one name holds; a new name starts from what was last known
--- a/irisdeal/handover/state.py
+++ b/irisdeal/front_door/handover/state.py
@@ -16,10 +16,10 @@
 from itertools import islice
 from typing import Any
 
-from cresspulley.control import Gateway
-from cresspulley.customer import Customer
-from cresspulley.interface import Arrival
-from cresspulley.records import Server
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Arrival
+from irisdeal.front_door.decisions.records import Server
+from irisdeal.front_door.decisions.tenant import Customer
 
 MOST_CUSTOMERS = 4_096
 MOST_SENT = 1_000  # entries of the work sent to one cold backend: as many as the module keeps
--- a/irisdeal/queueing/watch.py
+++ b/irisdeal/front_door/queueing/watch.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.queueing.sketch import Sketch
+from irisdeal.front_door.queueing.sketch import Sketch
 
 MOST_STORES = 512  # with a record: some 600 bytes each
 HALF_LIFE = 5_000_000  # µs in which what was asked fades by half: a person reads a table that moves slowly
--- a/irisdeal/quota/account.py
+++ b/irisdeal/front_door/quota/account.py
@@ -30,7 +30,7 @@
 
 import math
 
-from irisdeal.quota.call import Call, Purpose
+from irisdeal.front_door.quota.call import Call, Purpose
 
 SECOND = 1_000_000
 SLOT = 0.5  # of the time that the burst lasts: shorter ones cost more calls, longer ones run further ahead
--- a/irisdeal/routes/costs.py
+++ b/irisdeal/front_door/routes/costs.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import unquote_plus
 
-from irisdeal.routes.model import MOST_UNITS, Units
+from irisdeal.front_door.routes.model import MOST_UNITS, Units
 
 MOST_BODY = 65_536  # bytes of a body that are read for its units; PROTOCOL, top
 MOST_DEPTH = 64  # of nesting in such a body
--- a/irisdeal/routes/difference.py
+++ b/irisdeal/front_door/routes/difference.py
@@ -13,8 +13,8 @@
 
 from dataclasses import dataclass
 
-from irisdeal.routes.model import Repeat, Route, Rule
-from irisdeal.routes.table import Table
+from irisdeal.front_door.routes.model import Repeat, Route, Rule
+from irisdeal.front_door.routes.table import Table
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/routes/matcher.py
+++ b/irisdeal/front_door/routes/matcher.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from irisdeal.routes.model import Route
-from irisdeal.routes.path import Segment, Target, read_template
+from irisdeal.front_door.routes.model import Route
+from irisdeal.front_door.routes.path import Segment, Target, read_template
 
 MOST_OVERLAPS = 100  # told of; more say nothing new
 
--- a/irisdeal/routes/table.py
+++ b/irisdeal/front_door/routes/table.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from irisdeal.routes.matcher import Found, Matcher
-from irisdeal.routes.model import Route, Rule
-from irisdeal.routes.path import Target
+from irisdeal.front_door.routes.matcher import Found, Matcher
+from irisdeal.front_door.routes.model import Route, Rule
+from irisdeal.front_door.routes.path import Target
 
 MOST_ROUTES = 50_000
 MOST_CLASSES = 1_000  # of one generation: each has an average of its own in the module
--- a/irisdeal/routes/wire.py
+++ b/irisdeal/front_door/routes/wire.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from irisdeal.routes.model import Repeat, Route, Rule, Source, Units
+from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source, Units
 
 FIELDS = (
     "method",
--- a/irisdeal/door/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -10,20 +10,20 @@
 
 import httptools
 
-from cresspulley.interface import LoadReport, Result
-from cresspulley.wire import COLUMNS
-from irisdeal.door.config import Address, Config
-from irisdeal.door.host import Host
+from irisdeal.front_door.decisions.interface import LoadReport, Result
+from irisdeal.front_door.decisions.simulator_wire import COLUMNS
+from irisdeal.front_door.server.config import Address, Config
+from irisdeal.front_door.server.host import Host
 
 if TYPE_CHECKING:
-    from irisdeal.streaming.budget import Budget
+    from irisdeal.front_door.streaming.budget import Budget
 
 log = logging.getLogger("irisdeal.backends")
 
 MOST_BODY = 65_536
 MOST_HEAD = 16_384
 MOST_STREAM = 64 << 20  # bytes of an answer that is passed on: twice the longest there are
-READ = 65_536  # bytes that one read of a stream brings at most: `irisdeal.streaming.budget.READ`
+READ = 65_536  # bytes that one read of a stream brings at most: `irisdeal.front_door.streaming.budget.READ`
 UNSENT = 65_536  # bytes of a body that may wait for a backend to read
 SOON = 0.1  # s after its head: an answer of unknown length is passed on from here
 OWS = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
--- a/irisdeal/door/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -14,17 +14,17 @@
 
 import httptools
 
-from cresspulley.interface import Plan, Repeat
-from irisdeal.door.backends import small_reads
-from irisdeal.door.config import Config
-from irisdeal.door.host import Host
-from irisdeal.door.listener import Listener
-from irisdeal.overload.places import IDLE_FOR, SILENT_FOR, Places, Stage
+from irisdeal.front_door.decisions.interface import Plan, Repeat
+from irisdeal.front_door.overload.places import IDLE_FOR, SILENT_FOR, Places, Stage
+from irisdeal.front_door.server.backends import small_reads
+from irisdeal.front_door.server.config import Config
+from irisdeal.front_door.server.host import Host
+from irisdeal.front_door.server.listener import Listener
 
 if TYPE_CHECKING:
-    from irisdeal.door.flows import Outflow, Upload
-    from irisdeal.streaming.budget import Budget
-    from irisdeal.streaming.pace import Pace
+    from irisdeal.front_door.server.flows import Outflow, Upload
+    from irisdeal.front_door.streaming.budget import Budget
+    from irisdeal.front_door.streaming.pace import Pace
 
 log = logging.getLogger("irisdeal.clients")
 
--- a/irisdeal/door/config.py
+++ b/irisdeal/front_door/server/config.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cresspulley import wire
-from cresspulley.interface import Settings
+from irisdeal.front_door.decisions import simulator_wire
+from irisdeal.front_door.decisions.interface import Settings
 
 Address = tuple[str, int]
 MEMORY = 192  # MB, where none is told: the most on the days that are scored (DEPLOY, Limits)
@@ -99,8 +99,8 @@
     if not isinstance(nested, dict):
         raise ConfigError("settings are missing")
     values = dict(flatten(nested))
-    settings, _ = wire.read_settings(values)
-    reader = wire.Reader(values)
+    settings, _ = simulator_wire.read_settings(values)
+    reader = simulator_wire.Reader(values)
     counter = told.get("counter")
     if settings.counter and not counter:
         raise ConfigError("counter is missing, though the settings tell of one")
@@ -177,7 +177,7 @@
     return "" if value is None else str(value)
 
 
-def _names(reader: wire.Reader, path: str, count: int) -> tuple[str, ...]:
+def _names(reader: simulator_wire.Reader, path: str, count: int) -> tuple[str, ...]:
     return tuple(reader.text(f"{path}.{n}.name") for n in range(count))
 
 
--- a/irisdeal/door/counter.py
+++ b/irisdeal/front_door/server/counter_client.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from cresspulley.interface import Count, CountAnswer, Result
-from irisdeal.door.config import Address
+from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result
+from irisdeal.front_door.server.config import Address
 
 log = logging.getLogger("irisdeal.counter")
 
--- a/irisdeal/door/discovery.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -1,6 +1,6 @@
 """The list of backends: a watch from the list held, or the whole, for as long as the program runs.
 
-What is asked when is decided in `irisdeal/membership/asking.py`.
+What is asked when is decided in `irisdeal/front_door/membership/asking.py`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 import httptools
 
-from cresspulley.interface import ListKind, ServerEntry, ServerList, ServerState
-from irisdeal.door.config import Address, Config, address
-from irisdeal.membership.asking import Asking, turn
+from irisdeal.front_door.decisions.interface import ListKind, ServerEntry, ServerList, ServerState
+from irisdeal.front_door.membership.asking import Asking, turn
+from irisdeal.front_door.server.config import Address, Config, address
 
 log = logging.getLogger("irisdeal.discovery")
 
--- a/irisdeal/door/flows.py
+++ b/irisdeal/front_door/server/flows.py
@@ -1,7 +1,7 @@
 """Bodies that are passed on as they come: a client's to a backend, and a backend's answer to a client.
 
 Only a door whose configuration has `operator` imports this file. How much may be held and how slow a peer may
-be is decided in `irisdeal/streaming/`.
+be is decided in `irisdeal/front_door/streaming/`.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from irisdeal.streaming.budget import LEAST, Budget
-from irisdeal.streaming.pace import REPLAY
+from irisdeal.front_door.streaming.budget import LEAST, Budget
+from irisdeal.front_door.streaming.pace import REPLAY
 
 if TYPE_CHECKING:
-    from irisdeal.door.backends import Backend
-    from irisdeal.door.clients import Client, ClientRequest
+    from irisdeal.front_door.server.backends import Backend
+    from irisdeal.front_door.server.clients import Client, ClientRequest
 
 
 def chunk(data: bytes) -> bytes:
--- a/irisdeal/door/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -1,7 +1,7 @@
 """The I/O of a handover: a Unix socket in the shared folder, the state and the listening socket through it.
 
-What is told and who may spend what is decided in `irisdeal/handover/`. Only a door whose configuration has
-`operator` imports this file.
+What is told and who may spend what is decided in `irisdeal/front_door/handover/`. Only a door whose configuration
+has `operator` imports this file.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from collections.abc import Coroutine, Iterator
 from typing import TYPE_CHECKING, Any
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Barred, Shared
-from irisdeal.handover.message import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Barred, Shared
+from irisdeal.front_door.handover.message import (
     ACCEPTING,
     HEAD,
     MOST_REQUEST,
@@ -29,13 +29,13 @@
     read_request,
     request,
 )
-from irisdeal.handover.roles import HALF, Duty, Event, Role
-from irisdeal.handover.state import pack, unpack
+from irisdeal.front_door.handover.roles import HALF, Duty, Event, Role
+from irisdeal.front_door.handover.state import pack, unpack
 
 if TYPE_CHECKING:
-    from irisdeal.door.program import Program
+    from irisdeal.front_door.server.program import Program
 
-log = logging.getLogger("irisdeal.handover")
+log = logging.getLogger("irisdeal.front_door.handover")
 
 ANSWERED = 1.0  # s for an older process to tell its state: the new one owes its yes within 6 s
 ASKS_FOR = 3.5  # s that a new process asks again while the older one has one beside it itself
--- a/irisdeal/door/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -11,8 +11,8 @@
 import socket
 import time
 
-from irisdeal.door.config import Config, load
-from irisdeal.door.quiet import has_bytes
+from irisdeal.front_door.server.config import Config, load
+from irisdeal.front_door.server.socket_state import has_bytes
 
 
 class Host:
--- a/irisdeal/door/listener.py
+++ b/irisdeal/front_door/server/listener.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from irisdeal.door.config import Address
-from irisdeal.door.host import Host
-from irisdeal.overload.backlog import Backlog
+from irisdeal.front_door.overload.backlog import Backlog
+from irisdeal.front_door.server.config import Address
+from irisdeal.front_door.server.host import Host
 
 log = logging.getLogger("irisdeal.listener")
 
--- a/irisdeal/door/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, Any
 
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -32,17 +32,17 @@
     Wake,
     Woken,
 )
-from irisdeal.door.backends import Answer, Attempt, Outlet, Pool
-from irisdeal.door.clients import ClientRequest, retry_after
-from irisdeal.door.config import Address, Config
-from irisdeal.door.counter import Counter
-from irisdeal.door.host import Host
-from irisdeal.overload.lateness import Lateness
+from irisdeal.front_door.overload.lateness import Lateness
+from irisdeal.front_door.server.backends import Answer, Attempt, Outlet, Pool
+from irisdeal.front_door.server.clients import ClientRequest, retry_after
+from irisdeal.front_door.server.config import Address, Config
+from irisdeal.front_door.server.counter_client import Counter
+from irisdeal.front_door.server.host import Host
 
 if TYPE_CHECKING:
-    from irisdeal.queueing.watch import QueueWatch
+    from irisdeal.front_door.queueing.watch import QueueWatch
 
-log = logging.getLogger("irisdeal.door")
+log = logging.getLogger("irisdeal.front_door.server")
 
 FAR = 1 << 50  # µs: the time of a request whose body is still on its way has not begun
 RESCUE_PAUSE = 10_000  # µs after a failed decision: one that fails each time must not spin
--- a/irisdeal/door/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -1,4 +1,4 @@
-"""The operators' listener: calls in, one answer each; what they ask is decided in `irisdeal/operator/`.
+"""The operators' listener: calls in, one answer each; what they ask is decided in `irisdeal/front_door/operator/`.
 
 Only a door whose configuration has `operator` imports this file.
 """
@@ -12,18 +12,18 @@
 
 import httptools
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Barred, ServerList, ServerState
-from irisdeal.door.config import Address
-from irisdeal.door.listener import Listener
-from irisdeal.operator.bans import Bans
-from irisdeal.operator.calls import MOST_BODY, MOST_HEAD, Call, TurnedDown, What, read
-from irisdeal.operator.figures import CLASS_LABEL, CONTENT_TYPE, Figure, Kind, Registry
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Barred, ServerList, ServerState
+from irisdeal.front_door.operator.bans import Bans
+from irisdeal.front_door.operator.calls import MOST_BODY, MOST_HEAD, Call, TurnedDown, What, read
+from irisdeal.front_door.operator.figures import CLASS_LABEL, CONTENT_TYPE, Figure, Kind, Registry
+from irisdeal.front_door.server.config import Address
+from irisdeal.front_door.server.listener import Listener
 
 if TYPE_CHECKING:
-    from irisdeal.door.program import Program
+    from irisdeal.front_door.server.program import Program
 
-log = logging.getLogger("irisdeal.operator")
+log = logging.getLogger("irisdeal.front_door.operator")
 
 CALL_TIME = 5.0  # s for a whole call and for its answer to be read: one second more than slow callers take
 SWEEP = 0.5  # s
--- a/irisdeal/door/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -15,21 +15,21 @@
 
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Decider
-from irisdeal.door.backends import Pool
-from irisdeal.door.clients import ClientSide
-from irisdeal.door.config import Address, Config, ConfigError, load
-from irisdeal.door.discovery import Discovery
-from irisdeal.door.host import Host
-from irisdeal.door.limits import CALLERS, OPERATORS_OWN, OWN, share
-from irisdeal.door.loop import Door
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Decider
+from irisdeal.front_door.server.backends import Pool
+from irisdeal.front_door.server.clients import ClientSide
+from irisdeal.front_door.server.config import Address, Config, ConfigError, load
+from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.host import Host
+from irisdeal.front_door.server.limits import CALLERS, OPERATORS_OWN, OWN, share
+from irisdeal.front_door.server.loop import Door
 
 if TYPE_CHECKING:
-    from irisdeal.door.handover import Handover
-    from irisdeal.door.operator import Operator
-    from irisdeal.door.report import Report
-    from irisdeal.door.routed import Router
+    from irisdeal.front_door.server.handover import Handover
+    from irisdeal.front_door.server.operator import Operator
+    from irisdeal.front_door.server.report import Report
+    from irisdeal.front_door.server.routed import Router
 
 log = logging.getLogger("irisdeal")
 
@@ -89,32 +89,32 @@
         self.door.on_refetch = self.discovery.refetch
         self.router: Router | None = None
         if config.routes is not None:
-            from irisdeal.door.routed import Router  # a door without routes imports none of it
+            from irisdeal.front_door.server.routed import Router  # a door without routes imports none of it
 
             self.router = Router(config, config.routes, self.door, self.clients, loop)
         self.report: Report | None = None
         if config.report is not None:
-            from irisdeal.door.report import Report
+            from irisdeal.front_door.server.report import Report
 
             self.report = Report(config.report, self.door, loop)
         self.operator: Operator | None = None
         if config.operator is not None:
-            from irisdeal.door.operator import Operator
+            from irisdeal.front_door.server.operator import Operator
 
             self.operator = Operator(config.operator, self, CALLERS, loop)
             self._pass_long_bodies_on(config)
         self.handover: Handover | None = None
         if config.operator is not None and (folder := self.host.folder()):
-            from irisdeal.door.handover import Handover
+            from irisdeal.front_door.server.handover import Handover
 
             self.handover = Handover(self, folder, loop)
         self.over = asyncio.Event()
         self.stopping = self.may_reload = self.reload_owed = False
 
     def _pass_long_bodies_on(self, config: Config) -> None:
-        from irisdeal.door.flows import Outflow, Upload
-        from irisdeal.streaming import pace
-        from irisdeal.streaming.budget import Budget
+        from irisdeal.front_door.server.flows import Outflow, Upload
+        from irisdeal.front_door.streaming import pace
+        from irisdeal.front_door.streaming.budget import Budget
 
         budget, side = Budget(config.memory), self.clients
         side.budget = self.pool.budget = budget
--- a/irisdeal/door/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -14,12 +14,12 @@
 import stat
 from typing import TYPE_CHECKING, Any, cast
 
-from cresspulley.control import Gateway
-from irisdeal.queueing.top import VERSION
-from irisdeal.queueing.watch import QueueWatch
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.queueing.top import VERSION
+from irisdeal.front_door.queueing.watch import QueueWatch
 
 if TYPE_CHECKING:
-    from irisdeal.door.loop import Door
+    from irisdeal.front_door.server.loop import Door
 
 log = logging.getLogger("irisdeal.report")
 
--- a/irisdeal/door/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -1,10 +1,10 @@
 """A door whose routes and costs come from a description: reading requests by their route, and swaps.
 
 Imported only where the configuration has `routes`. What is decided here is little: the matcher, the costs,
-the rules of a swap and the numbers of classes are `irisdeal.routes`'s; which box, whether again and what to
-turn away stay the module's. A description is read and checked by a process of its own
-(`irisdeal.sources.openapi`), so that neither its libraries nor its size touch the loop; its routes come line
-by line and the table is built in slices between which the loop runs.
+the rules of a swap and the numbers of classes are `irisdeal.front_door.routes`'s; which box, whether again and what
+to turn away stay the module's. A description is read and checked by a process of its own
+(`irisdeal.front_door.sources.openapi`), so that neither its libraries nor its size touch the loop; its routes come
+line by line and the table is built in slices between which the loop runs.
 """
 
 from __future__ import annotations
@@ -21,9 +21,23 @@
 from pathlib import Path
 from typing import Any
 
-from cresspulley.interface import ClassesChanged, Event, Group, RequestClass, Restricted, Settings
-from cresspulley.interface import Repeat as Repeats
-from irisdeal.door.clients import (
+from irisdeal.front_door.decisions.interface import (
+    ClassesChanged,
+    Event,
+    Group,
+    RequestClass,
+    Restricted,
+    Settings,
+)
+from irisdeal.front_door.decisions.interface import Repeat as Repeats
+from irisdeal.front_door.routes.costs import BadUnits, query_value, units_of
+from irisdeal.front_door.routes.difference import refusal
+from irisdeal.front_door.routes.matcher import Clash
+from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source
+from irisdeal.front_door.routes.path import BadTarget, BadTemplate, Target, read_target
+from irisdeal.front_door.routes.table import SLICE, Classes, Table, TooMany, building
+from irisdeal.front_door.routes.wire import route_from_wire
+from irisdeal.front_door.server.clients import (
     ACCOUNT,
     EXPIRES,
     LONGEST_WAIT,
@@ -34,15 +48,8 @@
     ClientSide,
     Malformed,
 )
-from irisdeal.door.config import Config, ConfigError, Routes
-from irisdeal.door.loop import Door
-from irisdeal.routes.costs import BadUnits, query_value, units_of
-from irisdeal.routes.difference import refusal
-from irisdeal.routes.matcher import Clash
-from irisdeal.routes.model import Repeat, Route, Rule, Source
-from irisdeal.routes.path import BadTarget, BadTemplate, Target, read_target
-from irisdeal.routes.table import SLICE, Classes, Table, TooMany, building
-from irisdeal.routes.wire import route_from_wire
+from irisdeal.front_door.server.config import Config, ConfigError, Routes
+from irisdeal.front_door.server.loop import Door
 
 log = logging.getLogger("irisdeal.routed")
 
@@ -310,7 +317,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "irisdeal.sources.openapi",
+            "irisdeal.front_door.sources.openapi",
             os.path.abspath(self.routes.file),
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
--- a/irisdeal/sources/openapi.py
+++ b/irisdeal/front_door/sources/openapi.py
@@ -8,7 +8,7 @@
 As a program it prints the routes in compact lines, for a door that reads them without this module's
 libraries:
 
-    python -m irisdeal.sources.openapi FILE
+    python -m irisdeal.front_door.sources.openapi FILE
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from referencing import Registry, Resource, Specification
 from referencing.exceptions import Unresolvable
 
-from irisdeal.routes.costs import tokens
-from irisdeal.routes.matcher import Clash, Matcher
-from irisdeal.routes.model import (
+from irisdeal.front_door.routes.costs import tokens
+from irisdeal.front_door.routes.matcher import Clash, Matcher
+from irisdeal.front_door.routes.model import (
     DEFAULT_AIM,
     DEFAULT_DEADLINE,
     DEFAULT_WINDOW,
@@ -43,9 +43,9 @@
     Units,
     check_rule,
 )
-from irisdeal.routes.path import BadTarget, BadTemplate, read_path, read_template
-from irisdeal.routes.wire import route_to_wire
-from irisdeal.sources.yamljson import MOST_BYTES, Malformed, load
+from irisdeal.front_door.routes.path import BadTarget, BadTemplate, read_path, read_template
+from irisdeal.front_door.routes.wire import route_to_wire
+from irisdeal.front_door.sources.yamljson import MOST_BYTES, Malformed, load
 
 MOST_FILES = 1_000  # that one description may lead to
 MOST_HOPS = 50  # of references, one behind the other
@@ -587,7 +587,7 @@
 
 
 def lines(description: Description) -> Iterator[str]:
-    """The compact form, a JSON line each: what it holds, then each route (`irisdeal.routes.wire`)."""
+    """The compact form, a JSON line each: what it holds, then each route (`irisdeal.front_door.routes.wire`)."""
     yield json.dumps(
         {"routes": len(description.routes), "allow": sorted(description.allow), "files": description.files}
     )
@@ -597,7 +597,7 @@
 
 def main() -> int:
     if len(sys.argv) != 2:
-        print("usage: python -m irisdeal.sources.openapi FILE", file=sys.stderr)
+        print("usage: python -m irisdeal.front_door.sources.openapi FILE", file=sys.stderr)
         return 2
     try:
         description = read(Path(sys.argv[1])).checked()
--- a/irisdeal/zones/belief.py
+++ b/irisdeal/front_door/zones/belief.py
@@ -36,7 +36,7 @@
 from enum import Enum
 from typing import Any
 
-from irisdeal.zones.evidence import ALARM, Evidence
+from irisdeal.front_door.zones.evidence import ALARM, Evidence
 
 SECOND = 1_000_000
 CHANCE, ODDS = 0.05, 1e4  # that a door suspects what is well; against a fleet that errs
--- a/irisdeal/zones/fleet.py
+++ b/irisdeal/front_door/zones/fleet.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from irisdeal.zones.belief import SECOND, Stand, Word, Zones
+from irisdeal.front_door.zones.belief import SECOND, Stand, Word, Zones
 
 USUAL, SPREAD = 0.15, 0.9  # s of an attempt at the median; sigma of its logarithm
 PATIENCE = 3.0  # such times after which an attempt counts as failed: two of the mean, as in the module
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from irisdeal.door.quiet import has_bytes
+from irisdeal.front_door.server.socket_state import has_bytes
 from irisdeal.load_balancing.backend_choice import Backend
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.backend_message import BackendRequest
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -11,9 +11,9 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from cresspulley.control import Gateway
-from cresspulley.interface import ServerState
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import ServerState
+from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.search.front_door_day import VirtualDoors
 
 if TYPE_CHECKING:
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Decider, Settings
-from irisdeal.door.config import Config, parse
-from irisdeal.door.host import Host
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Decider, Settings
+from irisdeal.front_door.server.config import Config, parse
+from irisdeal.front_door.server.host import Host
+from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network, Port, Socket, Way
 from irisdeal.simulation.world import START, Trail, World
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from cresspulley import control
-from cresspulley.control import Gateway
-from cresspulley.customer import Customer
-from cresspulley.interface import Group, ListKind, Repeat, Result, ServerState
-from irisdeal.door import backends, counter, discovery
-from irisdeal.door.backends import Backend, Pool
-from irisdeal.door.clients import ClientSide
-from irisdeal.door.counter import Line
-from irisdeal.door.discovery import Discovery
-from irisdeal.door.listener import Listener
-from irisdeal.door.loop import Door
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions import gateway
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Group, ListKind, Repeat, Result, ServerState
+from irisdeal.front_door.decisions.tenant import Customer
+from irisdeal.front_door.server import backends, counter_client, discovery_client
+from irisdeal.front_door.server.backends import Backend, Pool
+from irisdeal.front_door.server.clients import ClientSide
+from irisdeal.front_door.server.counter_client import Line
+from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.listener import Listener
+from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.program import Program
 
 Patch = tuple[Any, str, Any]
 
@@ -88,11 +88,11 @@
 
 
 def _timed_out_never_ran() -> list[Patch]:
-    return [(control, "NEVER_RAN", (*control.NEVER_RAN, Result.TIMED_OUT))]
+    return [(gateway, "NEVER_RAN", (*gateway.NEVER_RAN, Result.TIMED_OUT))]
 
 
 def _drain_unheard() -> list[Patch]:
-    return [(discovery, "STATES", {**discovery.STATES, "Terminating": ServerState.READY})]
+    return [(discovery_client, "STATES", {**discovery_client.STATES, "Terminating": ServerState.READY})]
 
 
 def _lost_on_reconnect() -> list[Patch]:
@@ -231,7 +231,7 @@
 
         return time_out
 
-    return _wrap(counter.Line, "_time_out", made)
+    return _wrap(counter_client.Line, "_time_out", made)
 
 
 def _dead_for_good() -> list[Patch]:
@@ -242,7 +242,7 @@
 
         return recover
 
-    return _wrap(counter.Line, "_give_up", made)
+    return _wrap(counter_client.Line, "_give_up", made)
 
 
 BUGS = tuple(
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -10,10 +10,10 @@
 
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
-from irisdeal.door.config import Config, parse
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
+from irisdeal.front_door.server.config import Config, parse
+from irisdeal.front_door.server.program import Program
 
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Decider, Settings
-from irisdeal.door.config import Config, parse
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Decider, Settings
+from irisdeal.front_door.server.config import Config, parse
+from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.search import front_door_day
 from irisdeal.testbed.audit import Verdict, audit
 from irisdeal.testbed.load_generator import Terminals
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -33,8 +33,8 @@
 from typing import Any
 from unittest import mock
 
-from cresspulley import drill
 from irisdeal.config_store.membership.members import Members
+from irisdeal.front_door.decisions import simulator
 from irisdeal.http1.connection import Connection
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.registry.quota_service import QuotaService
@@ -474,7 +474,7 @@
 
     def __init__(self, seed: int, recorder: Recorder) -> None:
         self.chance, self.recorder = random.Random(seed), recorder
-        self.host = drill.Host()
+        self.host = simulator.Host()
         self.agenda: list[tuple[int, int, bytes]] = []
         self.made = 0
         self.now = 0
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -18,16 +18,24 @@
 from pathlib import Path
 from typing import Any
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Barred, ListKind, ServerList, Shared
 from irisdeal.config_store.configuration.version import NOTHING, Word
 from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Value
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.report import Report
 from irisdeal.config_store.storage.version_store import PIECE, Arrivals, Have, Shelf
-from irisdeal.handover.message import ACCEPTING, HEAD, body, read_body, read_head, read_request, request
-from irisdeal.handover.roles import HALF
-from irisdeal.handover.state import pack, unpack
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Barred, ListKind, ServerList, Shared
+from irisdeal.front_door.handover.message import (
+    ACCEPTING,
+    HEAD,
+    body,
+    read_body,
+    read_head,
+    read_request,
+    request,
+)
+from irisdeal.front_door.handover.roles import HALF
+from irisdeal.front_door.handover.state import pack, unpack
 from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
 from irisdeal.placement.attempt_end import How
 from irisdeal.ratelimit.interval_counter import Usage
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.quota.account import DRAWN_FULL, Account
-from irisdeal.quota.call import Call, Purpose
-from irisdeal.quota.crowding import Crowding, Way
+from irisdeal.front_door.quota.account import DRAWN_FULL, Account
+from irisdeal.front_door.quota.call import Call, Purpose
+from irisdeal.front_door.quota.crowding import Crowding, Way
 
 SECOND = 1_000_000
 MS = 1_000
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.membership.asking import (
+from irisdeal.front_door.membership.asking import (
     BROKEN_PAUSE,
     GROWTH,
     LINE_PATIENCE,
--- a/tests/test_audit_on_days.py
+++ b/tests/test_audit_on_days.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     Event,
@@ -18,9 +18,9 @@
     ServerState,
     Settings,
 )
-from irisdeal.door.clients import Client, ClientRequest
-from irisdeal.door.loop import Door
-from irisdeal.door.program import Program
+from irisdeal.front_door.server.clients import Client, ClientRequest
+from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.audit import Rule
 from tests.rig import DAY, SMALL, played
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,8 +11,8 @@
 import pytest
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -23,7 +23,7 @@
     Result,
     Send,
 )
-from irisdeal.door.backends import Attempt, Pool
+from irisdeal.front_door.server.backends import Attempt, Pool
 from tests.peers import (
     Peer,
     Script,
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Arrival,
     AttemptEnded,
     Barred,
@@ -17,7 +17,7 @@
     ServerList,
     ServerState,
 )
-from irisdeal.operator.bans import Bans
+from irisdeal.front_door.operator.bans import Bans
 from tests.desk import MS, SECOND, Desk, entry, name, of
 from tests.peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 from tests.test_operator import OPERATOR, figures, operate
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from irisdeal.cli.main import main
-from irisdeal.door.program import Program
+from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.search import search as searching
 from irisdeal.simulation.search.front_door_day import Played, play
 from irisdeal.simulation.search.judge import Judged, judge
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from cresspulley.interface import Count, CountAnswer, Result
+from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result
 from tests.peers import Peer, Script, running, settings, socket_test
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -144,7 +144,7 @@
     program = (
         "import sys; sys.argv = ['x']; import asyncio, threading, os;"
         "threading.Timer(1.5, lambda: os._exit(9)).start();"
-        "from irisdeal.door.program import main; main()"
+        "from irisdeal.front_door.server.program import main; main()"
     )
     path = deploy_file(tmp_path, f'exec {sys.executable} -c \\"{program}\\"')
     done = demo("--deploy", str(path), "--seconds", "3", "--doors", "1", "--json", "-")
@@ -217,12 +217,14 @@
 
 def test_a_platform_door_imports_nothing_of_the_tool() -> None:
     code = (
-        "import sys, irisdeal.door.program, irisdeal.__main__;"
+        "import sys, irisdeal.front_door.server.program, irisdeal.__main__;"
         "print([m for m in sys.modules if m.partition('.')[0] in "
         "('click', 'rich', 'tomllib', 'yaml', 'referencing') or m.startswith(("
-        "'irisdeal.testbed', 'irisdeal.demo', 'irisdeal.cli', 'irisdeal.routes', 'irisdeal.sources', "
-        "'irisdeal.door.routed', 'irisdeal.door.report', 'irisdeal.queueing.watch', "
-        "'irisdeal.queueing.top', 'irisdeal.queueing.sketch'))])"
+        "'irisdeal.testbed', 'irisdeal.demo', 'irisdeal.cli', 'irisdeal.front_door.routes', "
+        "'irisdeal.front_door.sources', "
+        "'irisdeal.front_door.server.routed', 'irisdeal.front_door.server.report', "
+        "'irisdeal.front_door.queueing.watch', "
+        "'irisdeal.front_door.queueing.top', 'irisdeal.front_door.queueing.sketch'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from cresspulley.interface import ListKind, ServerList, ServerState
-from irisdeal.door.discovery import MOST_NAMES, Reader
+from irisdeal.front_door.decisions.interface import ListKind, ServerList, ServerState
+from irisdeal.front_door.server.discovery_client import MOST_NAMES, Reader
 from tests.peers import (
     Peer,
     Script,
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from cresspulley.interface import Action, Arrival, Event, Refuse, Send, Wake, Woken
-from irisdeal.door.config import ConfigError, load
+from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send, Wake, Woken
+from irisdeal.front_door.server.config import ConfigError, load
 from tests.peers import (
     Peer,
     Script,
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.queueing.fair import MEMORY, STALE, Entry, FairQueue, Flow
+from irisdeal.front_door.queueing.fair import MEMORY, STALE, Entry, FairQueue, Flow
 
 Queue = FairQueue[tuple[str, int]]
 ROOM = 10**6
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import (
     Arrival,
     AttemptEnded,
     Barred,
@@ -27,9 +27,7 @@
     ServerList,
     Shared,
 )
-from irisdeal.door.host import Host
-from irisdeal.door.program import Program
-from irisdeal.handover.message import (
+from irisdeal.front_door.handover.message import (
     HEAD,
     MOST_BODY,
     Unreadable,
@@ -39,8 +37,10 @@
     read_request,
     request,
 )
-from irisdeal.handover.roles import HALF, Event, Role, Stage
-from irisdeal.handover.state import pack, unpack
+from irisdeal.front_door.handover.roles import HALF, Event, Role, Stage
+from irisdeal.front_door.handover.state import pack, unpack
+from irisdeal.front_door.server.host import Host
+from irisdeal.front_door.server.program import Program
 from tests.desk import CEILED, MS, SECOND, Desk, entry, name
 from tests.peers import Peer, Running, answer, ask, config, member, read_message, socket_test, whole_list
 from tests.test_operator import operate
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-CONTROL = ROOT / "cresspulley" / "control.py"
+CONTROL = ROOT / "irisdeal/front_door/decisions" / "gateway.py"
 POLICY = [ROOT / path for path in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
 
 
@@ -26,7 +26,7 @@
 
 
 def test_no_line_is_long() -> None:
-    for path in [*ROOT.glob("cresspulley/*.py"), *ROOT.glob("tests/*.py")]:
+    for path in [*ROOT.glob("irisdeal/front_door/decisions/*.py"), *ROOT.glob("tests/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
@@ -47,19 +47,26 @@
         "operator",
         "random",
         "typing",
-        "cresspulley.customer",
-        "cresspulley.interface",
-        "cresspulley.records",
-        "irisdeal.queueing.fair",
-        "irisdeal.quota.account",
-        "irisdeal.quota.call",
-        "irisdeal.quota.crowding",
-        "irisdeal.zones.belief",
+        "irisdeal.front_door.decisions.tenant",
+        "irisdeal.front_door.decisions.interface",
+        "irisdeal.front_door.decisions.records",
+        "irisdeal.front_door.queueing.fair",
+        "irisdeal.front_door.quota.account",
+        "irisdeal.front_door.quota.call",
+        "irisdeal.front_door.quota.crowding",
+        "irisdeal.front_door.zones.belief",
     }
     for path in POLICY:
         assert imported(path) <= allowed, path
 
 
 def test_no_other_module_decides() -> None:
-    assert "cresspulley.control" not in imported(ROOT / "cresspulley" / "wire.py")
-    assert imported(ROOT / "cresspulley" / "interface.py") == {"__future__", "dataclasses", "enum", "typing"}
+    assert "irisdeal.front_door.decisions.gateway" not in imported(
+        ROOT / "irisdeal/front_door/decisions" / "simulator_wire.py"
+    )
+    assert imported(ROOT / "irisdeal/front_door/decisions" / "interface.py") == {
+        "__future__",
+        "dataclasses",
+        "enum",
+        "typing",
+    }
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,9 +5,18 @@
 
 import pytest
 
-from cresspulley.customer import FEW_WAYS, Customer
-from cresspulley.interface import Arrival, Count, CountAnswer, Refuse, RequestEnded, Result, Send, Woken
-from irisdeal.quota.account import DRAWN_FULL
+from irisdeal.front_door.decisions.interface import (
+    Arrival,
+    Count,
+    CountAnswer,
+    Refuse,
+    RequestEnded,
+    Result,
+    Send,
+    Woken,
+)
+from irisdeal.front_door.decisions.tenant import FEW_WAYS, Customer
+from irisdeal.front_door.quota.account import DRAWN_FULL
 from tests.desk import CAPPED, CEILED, FREE, MS, RATED, SAFE, SECOND, Desk, name, of, plan
 
 
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -10,9 +10,9 @@
 ASK = """
 import json, sys
 import asyncio
-from cresspulley.control import Gateway
-from irisdeal.door.config import parse
-from irisdeal.door.program import Program
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.server.config import parse
+from irisdeal.front_door.server.program import Program
 config = parse(json.loads(sys.argv[1]))
 async def made():
     Program(config, asyncio.get_running_loop(), Gateway(config.settings, 1))
@@ -20,12 +20,12 @@
 print(json.dumps(sorted(name for name in sys.modules if name.startswith("irisdeal"))))
 """
 NEW = (
-    "irisdeal.operator",
-    "irisdeal.handover",
-    "irisdeal.streaming",
-    "irisdeal.door.operator",
-    "irisdeal.door.handover",
-    "irisdeal.door.flows",
+    "irisdeal.front_door.operator",
+    "irisdeal.front_door.handover",
+    "irisdeal.front_door.streaming",
+    "irisdeal.front_door.server.operator",
+    "irisdeal.front_door.server.handover",
+    "irisdeal.front_door.server.flows",
 )
 
 
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from irisdeal.routes.model import Repeat, Source, Units
-from irisdeal.sources.openapi import Description, DescriptionError, lines, read
-from irisdeal.sources.yamljson import Malformed, load_json, load_yaml
+from irisdeal.front_door.routes.model import Repeat, Source, Units
+from irisdeal.front_door.sources.openapi import Description, DescriptionError, lines, read
+from irisdeal.front_door.sources.yamljson import Malformed, load_json, load_yaml
 
 ROOT = Path(__file__).parent.parent
 HEAD = "openapi: 3.1.0\ninfo: {title: t, version: '1'}\n"
@@ -298,7 +298,7 @@
 def test_the_readers_own_process_prints_the_routes_or_the_error(tmp_path: Path) -> None:
     path = tmp_path / "api.yaml"
     path.write_text(HEAD + "paths: {/a: {get: {}}}\n")
-    command = [sys.executable, "-m", "irisdeal.sources.openapi", str(path)]
+    command = [sys.executable, "-m", "irisdeal.front_door.sources.openapi", str(path)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.splitlines() == list(lines(read(path)))
     path.write_text("openapi: 4\n")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from irisdeal.door.config import ConfigError, parse
-from irisdeal.door.limits import CALLERS, OWN, share
-from irisdeal.door.program import Program
-from irisdeal.operator.calls import Call, TurnedDown, What, read
-from irisdeal.operator.figures import Figure, Kind, Registry
+from irisdeal.front_door.operator.calls import Call, TurnedDown, What, read
+from irisdeal.front_door.operator.figures import Figure, Kind, Registry
+from irisdeal.front_door.server.config import ConfigError, parse
+from irisdeal.front_door.server.limits import CALLERS, OWN, share
+from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.platform import Platform
 from tests.peers import (
     Peer,
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from cresspulley.interface import Action, Arrival, Event, Refuse, Send
-from irisdeal.door.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
-from irisdeal.door.limits import OWN, share
-from irisdeal.door.listener import Listener
-from irisdeal.overload.places import SILENT_FOR
+from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send
+from irisdeal.front_door.overload.places import SILENT_FOR
+from irisdeal.front_door.server.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
+from irisdeal.front_door.server.limits import OWN, share
+from irisdeal.front_door.server.listener import Listener
 from tests.peers import (
     Peer,
     Running,
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -4,9 +4,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.overload.backlog import LEAST, MOST, WAIT, Backlog
-from irisdeal.overload.lateness import HALF, USUAL, Lateness
-from irisdeal.overload.places import ENDED_FOR, IDLE_FOR, LOOK, SILENT_FOR, SILENT_IN_STORM, Places, Stage
+from irisdeal.front_door.overload.backlog import LEAST, MOST, WAIT, Backlog
+from irisdeal.front_door.overload.lateness import HALF, USUAL, Lateness
+from irisdeal.front_door.overload.places import (
+    ENDED_FOR,
+    IDLE_FOR,
+    LOOK,
+    SILENT_FOR,
+    SILENT_IN_STORM,
+    Places,
+    Stage,
+)
 
 
 def test_the_oldest_that_nothing_is_owed_makes_room_and_whoever_has_begun_to_speak_never_does() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings, strategies
 
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Cancel,
     Fail,
     ListKind,
--- a/tests/test_queue_watch.py
+++ b/tests/test_queue_watch.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.queueing.sketch import Sketch
-from irisdeal.queueing.watch import ENDS, QueueWatch
+from irisdeal.front_door.queueing.sketch import Sketch
+from irisdeal.front_door.queueing.watch import ENDS, QueueWatch
 
 SECOND = 1_000_000
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -17,9 +17,9 @@
 from click.testing import CliRunner
 
 from irisdeal.cli.main import main
-from irisdeal.door.config import ConfigError
-from irisdeal.door.report import MOST_READERS
-from irisdeal.queueing.top import BadReport, merge, read
+from irisdeal.front_door.queueing.top import BadReport, merge, read
+from irisdeal.front_door.server.config import ConfigError
+from irisdeal.front_door.server.report import MOST_READERS
 from tests.peers import Peer, answer, ask, config, member, read_message, running, socket_test, whole_list
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cresspulley.interface import Count, CountAnswer, Result, ServerList
+from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result, ServerList
 from tests.peers import (
     Peer,
     Script,
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -14,8 +14,8 @@
 import pytest
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import (
     Arrival,
     AttemptEnded,
     ClassesChanged,
@@ -28,9 +28,9 @@
     Send,
     ServerList,
 )
-from irisdeal.door.config import ConfigError, parse
-from irisdeal.door.program import Program
-from irisdeal.door.routed import Router
+from irisdeal.front_door.server.config import ConfigError, parse
+from irisdeal.front_door.server.program import Program
+from irisdeal.front_door.server.routed import Router
 from irisdeal.testbed.fault_proxy import Relay
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Attempt, End
@@ -337,13 +337,13 @@
         async with routed(file, script) as door:
             router, settled = router_of(door), asyncio.Event()
             router.on_settled = settled.set
-            monkeypatch.setattr("irisdeal.door.routed.READ_WITHIN", 0.5)
+            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_WITHIN", 0.5)
             file.unlink()
             os.mkfifo(file)  # opening it waits for a writer that never comes
             router.load()
             await settled.wait()
-            monkeypatch.setattr("irisdeal.door.routed.READ_WITHIN", 15.0)
-            monkeypatch.setattr("irisdeal.door.routed.sys.executable", "/bin/false")
+            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_WITHIN", 15.0)
+            monkeypatch.setattr("irisdeal.front_door.server.routed.sys.executable", "/bin/false")
             settled.clear()
             router.load()
             await settled.wait()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -11,13 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.routes.costs import BadUnits, tokens, units_of
-from irisdeal.routes.difference import difference, refusal, weaker
-from irisdeal.routes.matcher import Clash, Matcher
-from irisdeal.routes.model import Repeat, Route, Rule, Source, Units, check_rule
-from irisdeal.routes.path import BadTarget, BadTemplate, read_target, read_template
-from irisdeal.routes.table import Classes, TooMany, build, building
-from irisdeal.routes.wire import route_from_wire, route_to_wire
+from irisdeal.front_door.routes.costs import BadUnits, tokens, units_of
+from irisdeal.front_door.routes.difference import difference, refusal, weaker
+from irisdeal.front_door.routes.matcher import Clash, Matcher
+from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source, Units, check_rule
+from irisdeal.front_door.routes.path import BadTarget, BadTemplate, read_target, read_template
+from irisdeal.front_door.routes.table import Classes, TooMany, build, building
+from irisdeal.front_door.routes.wire import route_from_wire, route_to_wire
 
 SAFE, KEYED, UNSAFE = Rule("r", Repeat.SAFE), Rule("k", Repeat.KEYED), Rule("u", Repeat.UNSAFE)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
 """The five rules, one at a time."""
 
-from cresspulley.interface import (
+from irisdeal.front_door.decisions.interface import (
     Action,
     Arrival,
     Cancel,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from cresspulley import drill
-from cresspulley.control import Gateway
-from cresspulley.interface import Arrival, AttemptEnded, Result
+from irisdeal.front_door.decisions import simulator
+from irisdeal.front_door.decisions.gateway import Gateway
+from irisdeal.front_door.decisions.interface import Arrival, AttemptEnded, Result
 from tests.desk import CLASSES, PLANS, Desk, name, settings
 
 
@@ -49,6 +49,6 @@
     def serve(*_: object) -> None:
         settings(rank=8)
 
-    monkeypatch.setattr(drill, "serve", serve)
-    assert drill.main() == 2
-    assert capsys.readouterr().err == "cresspulley: rank is 8: wanted from 0 to 2\n"
+    monkeypatch.setattr(simulator, "serve", serve)
+    assert simulator.main() == 2
+    assert capsys.readouterr().err == "irisdeal.front_door.decisions: rank is 8: wanted from 0 to 2\n"
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -11,9 +11,17 @@
 
 import pytest
 
-from cresspulley.interface import Action, Arrival, AttemptEnded, BodyComplete, Refuse, Result, Send
-from irisdeal.streaming.budget import LEAST, READ, Budget, Loan
-from irisdeal.streaming.pace import HEAD, RATE, STAND, Pace
+from irisdeal.front_door.decisions.interface import (
+    Action,
+    Arrival,
+    AttemptEnded,
+    BodyComplete,
+    Refuse,
+    Result,
+    Send,
+)
+from irisdeal.front_door.streaming.budget import LEAST, READ, Budget, Loan
+from irisdeal.front_door.streaming.pace import HEAD, RATE, STAND, Pace
 from tests.desk import CEILED, MS, SECOND, Desk, of
 from tests.peers import (
     Peer,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from irisdeal.overload.backlog import Backlog
+from irisdeal.front_door.overload.backlog import Backlog
 from tests.peers import answer, ask, member, read_message, settings, socket_test, whole_list
 
 CLIENTS = 12
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cresspulley import control
-from cresspulley.interface import Arrival, Refuse, RequestEnded, Result, Send, Woken
-from irisdeal.queueing.fair import FairQueue
+from irisdeal.front_door.decisions import gateway as gateway_module
+from irisdeal.front_door.decisions.interface import Arrival, Refuse, RequestEnded, Result, Send, Woken
+from irisdeal.front_door.queueing.fair import FairQueue
 from tests.desk import CAPPED, CEILED, FREE, KEYED, MS, RATED, SAFE, SECOND, Desk, name, of, plan
 
 
@@ -20,7 +20,7 @@
     gateway = desk.gateway
     gateway.window = gateway.usual_window = 4.0 * places  # the cheapest band has half of it at least
     gateway.out = 4 * places - places
-    gateway.window = 4.0 * places / control.BANDS[gateway._band(next(iter(gateway.requests.values())))]
+    gateway.window = 4.0 * places / gateway_module.BANDS[gateway._band(next(iter(gateway.requests.values())))]
     return [send.request for send in of(Send, desk.give(Woken(0)))]
 
 
@@ -42,7 +42,11 @@
     came, gateway.usual[SAFE] = gateway._band(gateway.requests[sunk]), 4.0 * gateway.usual[SAFE]
     now = gateway._band(gateway.requests[sunk])
     gateway.window, gateway.out = 5.0, 3
-    assert control.BANDS[now] * gateway.window < gateway.out < control.BANDS[came] * gateway.window - 1
+    assert (
+        gateway_module.BANDS[now] * gateway.window
+        < gateway.out
+        < gateway_module.BANDS[came] * gateway.window - 1
+    )
     assert [send.request for send in of(Send, desk.give(Woken(0)))] == [sunk, dear]
 
 
@@ -55,7 +59,7 @@
     gateway.window, gateway.out, gateway.last_sent = 0.5, 0, desk.now
     assert [send.request for send in of(Send, desk.give(Woken(0)))] == [dear]
     gateway.out, gateway.last_sent = 0, desk.now - int(2 * gateway.usual[SAFE])
-    assert cheap in [send.request for send in of(Send, desk.run(2 * control.NO_SERVER_PAUSE))]
+    assert cheap in [send.request for send in of(Send, desk.run(2 * gateway_module.NO_SERVER_PAUSE))]
 
 
 def test_what_waits_for_the_fleet_is_refused_at_once_when_its_wait_is_over() -> None:
@@ -64,7 +68,7 @@
     full_window(desk)
     desk.ask()
     spare = desk.settings.classes[SAFE].aim - desk.gateway.usual[SAFE]
-    assert not of(Refuse, desk.run(int(control.QUEUE_SHARE * spare) - 5 * MS))
+    assert not of(Refuse, desk.run(int(gateway_module.QUEUE_SHARE * spare) - 5 * MS))
     assert of(Refuse, desk.run(10 * MS))
 
 
@@ -74,7 +78,7 @@
         desk.ask(customer=4, plan=CAPPED)
     waiting = desk.ask(customer=4, plan=CAPPED)[0]
     spare = desk.settings.classes[SAFE].aim - desk.gateway.usual[SAFE]
-    assert not of(Refuse, desk.run(int(control.HOLD_SHARE * spare) - 5 * MS))
+    assert not of(Refuse, desk.run(int(gateway_module.HOLD_SHARE * spare) - 5 * MS))
     assert [r.request for r in of(Refuse, desk.run(10 * MS))] == [waiting]
 
 
@@ -131,10 +135,10 @@
     full_window(desk)
     first, second = desk.ask(customer=1)[0], desk.ask(customer=2)[0]
     spare = desk.settings.classes[SAFE].aim - desk.gateway.usual[SAFE]
-    desk.now += int(control.QUEUE_SHARE * spare)
+    desk.now += int(gateway_module.QUEUE_SHARE * spare)
     gateway = desk.gateway
     gateway.window, gateway.out = 4.0, 4
-    gateway.window = 5.0 / control.BANDS[gateway._band(gateway.requests[first])]
+    gateway.window = 5.0 / gateway_module.BANDS[gateway._band(gateway.requests[first])]
     actions = desk.give(Woken(0))
     assert [send.request for send in of(Send, actions)] == [first]
     assert [refused.request for refused in of(Refuse, actions)] == [second]
@@ -143,7 +147,7 @@
 @pytest.mark.parametrize(("entries", "size"), [(8, 1 << 30), (1_000, 8_000)])
 def test_past_its_bound_the_longest_queue_is_refused_at_once(entries: int, size: int) -> None:
     desk = Desk(counter=False)
-    desk.gateway.queue = FairQueue(control.BANDS, entries, size, 100)
+    desk.gateway.queue = FairQueue(gateway_module.BANDS, entries, size, 100)
     full_window(desk)
     greedy = []
     for _ in range(8):
@@ -188,8 +192,8 @@
             note([*desk.end(number, server, Result.OK, 100 * MS, attempt=0)])
         queue = desk.gateway.queue
         most = max(most, queue.entries)
-        assert queue.flows <= control.MOST_QUEUES
-    assert most <= control.MOST_WAITING and len(waits) > 480 and lost <= 5
+        assert queue.flows <= gateway_module.MOST_QUEUES
+    assert most <= gateway_module.MOST_WAITING and len(waits) > 480 and lost <= 5
     assert sorted(waits)[int(0.99 * len(waits))] <= 150 * MS
     assert desk.attempts and name(0)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,8 +11,8 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from cresspulley import drill, wire
-from cresspulley.interface import (
+from irisdeal.front_door.decisions import simulator, simulator_wire
+from irisdeal.front_door.decisions.interface import (
     Arrival,
     AttemptEnded,
     CountAnswer,
@@ -61,7 +61,7 @@
 
 
 def read(*records: bytes) -> list[tuple[int, Any]]:
-    return list(wire.read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
+    return list(simulator_wire.read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
 
 
 def init(door: int = 3, text: bytes = SETTINGS) -> bytes:
@@ -97,9 +97,9 @@
 
 
 def test_actions_go_out_as_the_wire_has_them() -> None:
-    out = wire.write_action(3, Send(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+    out = simulator_wire.write_action(3, Send(77, b"\x0a\x01\x02\x03\x50\x00", 80))
     assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
-    assert wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
+    assert simulator_wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
 
 
 @settings(deadline=None, derandomize=True)
@@ -108,10 +108,10 @@
     whole = frame(
         init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
     )
-    [_, (_, event)] = list(wire.read_batch(whole, {})[1])
+    [_, (_, event)] = list(simulator_wire.read_batch(whole, {})[1])
     assert (event.request, event.time_left) == (request, left)  # type: ignore[union-attr]
-    with pytest.raises(wire.WireError):
-        drill.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
+    with pytest.raises(simulator_wire.WireError):
+        simulator.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
 
 
 @pytest.mark.parametrize(
@@ -126,7 +126,10 @@
 )
 def test_malformed_input_is_named_in_one_line(broken: bytes, says: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "cresspulley.drill"], input=broken, capture_output=True, check=False
+        [sys.executable, "-m", "irisdeal.front_door.decisions.simulator"],
+        input=broken,
+        capture_output=True,
+        check=False,
     )
     assert done.returncode != 0 and done.stdout == b""
     assert says in done.stderr.decode() and done.stderr.count(b"\n") == 1
@@ -135,7 +138,7 @@
 def test_halt_then_init_in_one_batch_and_the_end_of_input() -> None:
     out = io.BytesIO()
     halt = record(1020, struct.pack("<I", 3))
-    drill.serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), out)
+    simulator.serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), out)
     sizes, at, data = [], 0, out.getvalue()
     while at < len(data):
         sizes.append(struct.unpack_from("<I", data, at)[0])
@@ -147,6 +150,6 @@
     def fail(*_: object) -> None:
         raise RuntimeError("out of luck")
 
-    monkeypatch.setattr("cresspulley.drill.Gateway.handle", fail)
-    reply = drill.Host().reply(frame(init()))
+    monkeypatch.setattr("irisdeal.front_door.decisions.simulator.Gateway.handle", fail)
+    reply = simulator.Host().reply(frame(init()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from irisdeal.handover.message import body
+from irisdeal.front_door.handover.message import body
 from irisdeal.rpc.calls import CALLS
 from irisdeal.rpc.client import Link
 from irisdeal.rpc.frames import encode
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -15,9 +15,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cresspulley.interface import Count, CountAnswer, ListKind, Result, Send, ServerList
 from irisdeal.cli.main import main
-from irisdeal.zones.belief import (
+from irisdeal.front_door.decisions.interface import Count, CountAnswer, ListKind, Result, Send, ServerList
+from irisdeal.front_door.zones.belief import (
     ALONE,
     BACK,
     CHANCE,
@@ -34,8 +34,8 @@
     Zones,
     suspects,
 )
-from irisdeal.zones.evidence import ALARM, Evidence
-from irisdeal.zones.fleet import AFTER, BAD, CUT, FAULTS, LOST_AT, Fleet, calm, cut, figures, part
+from irisdeal.front_door.zones.evidence import ALARM, Evidence
+from irisdeal.front_door.zones.fleet import AFTER, BAD, CUT, FAULTS, LOST_AT, Fleet, calm, cut, figures, part
 from tests.desk import CAPPED, KEYED, MS, SAFE, Desk, entry, name, of
 
 NOW = 100 * EPOCH
--- a/tests/test_zones_states.py
+++ b/tests/test_zones_states.py
@@ -8,9 +8,9 @@
 import pytest
 
 from benchmarks.zones_states import STARTS, search
-from irisdeal.zones import belief
-from irisdeal.zones.belief import Stand, Word, Zone, Zones
-from irisdeal.zones.evidence import Evidence
+from irisdeal.front_door.zones import belief
+from irisdeal.front_door.zones.belief import Stand, Word, Zone, Zones
+from irisdeal.front_door.zones.evidence import Evidence
 
 
 @pytest.mark.parametrize("where", STARTS)
