--- a/benchmarks/capacity/play.py
+++ b/benchmarks/capacity/play.py
@@ -59,8 +59,8 @@
         for number in range(self.size.registries):
             zone = self.zones[number % len(self.zones)]
             for role, program, these in (
-                ("store", "almanac", self.stores),
-                ("registry", "gauge", self.gauges),
+                ("store", "config_store", self.stores),
+                ("registry", "registry", self.gauges),
             ):
                 path = write_settings(
                     self.folder,
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -87,8 +87,8 @@
 
 
 PROGRAMS = {
-    "gauge": ("irisdeal.registry.server", "Station"),
-    "almanac": ("irisdeal.config_store.replica", "Member"),
+    "registry": ("irisdeal.registry.server", "Station"),
+    "config_store": ("irisdeal.config_store.replica", "Member"),
 }
 
 if __name__ == "__main__":
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -26,7 +26,7 @@
 CORE, PROXY = "127.9.0.1", "127.9.0.2"
 FIRST_PORT, PORTS = 18_600, 16
 CONTROL, FRONT, READINESS, BACKEND = 18_700, 18_701, 18_702, 18_703
-METRICS = {"proxy": 18_710, "gauge": 18_711, "almanac": 18_712}
+METRICS = {"proxy": 18_710, "registry": 18_711, "config_store": 18_712}
 GRACE_S = 6.0  # from SIGTERM to SIGKILL
 UP_BY_S = 15.0  # for a gateway to serve its first request
 PATIENCE_S = 9.0  # that a client waits for an answer
@@ -276,7 +276,7 @@
     await processes.backend.listen(CORE, BACKEND)
     beating = asyncio.ensure_future(processes.beat())
     try:
-        for role in ("almanac", "gauge", "proxy"):
+        for role in ("config_store", "registry", "proxy"):
             processes.start(role)
         up_by = time.monotonic() + UP_BY_S
         while await call(CORE, CONTROL, "POST /config/replace", configuration()) != 200:
@@ -432,13 +432,13 @@
 
 async def orders(processes: GatewayProcesses, count: int = 5) -> int:
     """Of so many orders at a registry whose store stands still, amid a SIGTERM: those that had an answer."""
-    processes.running["almanac"].send_signal(signal.SIGSTOP)
+    processes.running["config_store"].send_signal(signal.SIGSTOP)
     line = "POST /config/replace"
     asking = [asyncio.ensure_future(call(CORE, CONTROL, line, configuration())) for _ in range(count)]
     await asyncio.sleep(0.05)
-    processes.terminate("gauge")
+    processes.terminate("registry")
     answered = sum([await status > 0 for status in asking])
-    processes.running["almanac"].send_signal(signal.SIGCONT)
+    processes.running["config_store"].send_signal(signal.SIGCONT)
     return answered
 
 
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -15,10 +15,10 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
 from irisdeal import __version__
-from irisdeal.cli.almanac import almanac
 from irisdeal.cli.chaos import chaos
 from irisdeal.cli.queues import queues
 from irisdeal.cli.routes import routes
+from irisdeal.cli.store import deprecated_store, store
 from irisdeal.cli.zones import zones
 
 if TYPE_CHECKING:
@@ -44,7 +44,8 @@
     """Front doors that keep each store to its quota before a shared fleet, and the tools round them."""
 
 
-main.add_command(almanac)
+main.add_command(store)
+main.add_command(deprecated_store)
 main.add_command(chaos)
 main.add_command(queues)
 main.add_command(routes)
--- a/irisdeal/cli/almanac.py
+++ b/irisdeal/cli/store.py
@@ -1,4 +1,4 @@
-"""`irisdeal almanac`: who the members are and what they hold, what a store's folder holds, a new list by hand."""
+"""`irisdeal store`: who the members are and what they hold, what a store's folder holds, a new list by hand."""
 
 from __future__ import annotations
 
@@ -59,13 +59,13 @@
 
 
 @click.group()
-def almanac() -> None:
+def store() -> None:
     """The store of the operator's configuration.
 
     status and members ask stores that run; history, verify and export read a store's folder and change nothing;
     adopt begins a new list of members where no quorum can be had any more.
 
-    Example: irisdeal almanac status --settings /etc/irisdeal/settings.toml
+    Example: irisdeal store status --settings /etc/irisdeal/settings.toml
     """
 
 
@@ -118,7 +118,7 @@
     sys.exit(2 if not survey.reports else 0 if survey.has_quorum else 1)
 
 
-@almanac.command()
+@store.command()
 @STORES
 @SETTINGS
 @JSON
@@ -128,7 +128,7 @@
     STORES are ip:port of any of them, the first port of `port_range`; else the seeds of the settings. One that
     answers is enough: the others are found by it. Exit code 0 with a quorum, 1 without, 2 where nobody answered.
 
-    Example: irisdeal almanac status 10.0.0.1:7340
+    Example: irisdeal store status 10.0.0.1:7340
     """
     found = _survey(stores, settings_file)
     if as_json:
@@ -200,7 +200,7 @@
     }
 
 
-@almanac.command()
+@store.command()
 @STORES
 @SETTINGS
 @JSON
@@ -209,7 +209,7 @@
 
     STORES and exit codes as for status.
 
-    Example: irisdeal almanac members 10.0.0.1:7340 --json
+    Example: irisdeal store members 10.0.0.1:7340 --json
     """
     found = _survey(stores, settings_file)
     seats = [*sorted(found.members.voters()), *found.learners()]
@@ -252,7 +252,7 @@
         raise Unusable(f"{folder}: {error.strerror or error}") from None
 
 
-@almanac.command()
+@store.command()
 @FOLDER
 @JSON
 def history(folder: str, as_json: bool) -> None:
@@ -261,7 +261,7 @@
     `decided`: the newest that it knew to be decided; `accepted`: perhaps not decided; `kept`: older, or one that
     lost against another.
 
-    Example: irisdeal almanac history /var/lib/irisdeal
+    Example: irisdeal store history /var/lib/irisdeal
     """
     disk = _look(folder)
     words = sorted(disk.words.items(), key=lambda item: item[1].stamp, reverse=True)
@@ -313,13 +313,13 @@
     }
 
 
-@almanac.command()
+@store.command()
 @FOLDER
 @JSON
 def verify(folder: str, as_json: bool) -> None:
     """Whether everything in a store's folder proves itself. Exit code 0, or 1 with what is wrong.
 
-    Example: irisdeal almanac verify /var/lib/irisdeal
+    Example: irisdeal store verify /var/lib/irisdeal
     """
     from irisdeal.config_store.storage.inspection import verify as check
 
@@ -345,7 +345,7 @@
     sys.exit(1 if troubles else 0)
 
 
-@almanac.command()
+@store.command()
 @FOLDER
 @click.option("--generation", default=None, metavar="rN", help="Another one than the newest decided.")
 @click.option(
@@ -362,7 +362,7 @@
 
     Exit code 1 where it is not there. Sent to POST /config/replace again, it is what it was.
 
-    Example: irisdeal almanac export /var/lib/irisdeal --generation r12 --to r12.json
+    Example: irisdeal store export /var/lib/irisdeal --generation r12 --to r12.json
     """
     from irisdeal.config_store.storage.inspection import named, newest
 
@@ -393,7 +393,7 @@
         )
 
 
-@almanac.command()
+@store.command()
 @SETTINGS
 @click.option(
     "--yes-lose",
@@ -412,7 +412,7 @@
     each machine that does not answer was named with --yes-lose: what those alone hold is given up. Then start the
     store; the others come in by themselves, from empty disks or their own.
 
-    Example: irisdeal almanac adopt --settings settings.toml --yes-lose 10.0.0.2 --yes-lose 10.0.0.3
+    Example: irisdeal store adopt --settings settings.toml --yes-lose 10.0.0.2 --yes-lose 10.0.0.3
     """
     from irisdeal.config_store.membership import adoption
     from irisdeal.config_store.membership.survey import survey
@@ -457,3 +457,8 @@
                 f"{_generation(planned.base)}"
             )
     sys.exit(1 if refused else 0)
+
+
+@click.group(name="almanac", commands=store.commands, hidden=True, deprecated=True)
+def deprecated_store() -> None:
+    """The former name of `irisdeal store`. Answers with a warning on standard error."""
--- a/irisdeal/config_store/membership/reconfiguration.py
+++ b/irisdeal/config_store/membership/reconfiguration.py
@@ -36,7 +36,7 @@
 stands the second loss that 4 with a dead one could not. The first list is the seeds (three) with their first
 disks; the fourth machine is added by rule 5.
 
-All but one disk lost, or all: no majority, so no rule applies; `irisdeal almanac adopt` begins a new list.
+All but one disk lost, or all: no majority, so no rule applies; `irisdeal store adopt` begins a new list.
 """
 
 from __future__ import annotations
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -52,8 +52,8 @@
         # Between stores
         Call(
             "state",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ANYONE,
             "the seat in the report",
             _NOTHING,
@@ -61,8 +61,8 @@
         ),
         Call(
             "prepare",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ASKER,
             "the ballot",
             "the promise may stand",
@@ -70,8 +70,8 @@
         ),
         Call(
             "accept",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ASKER,
             "the ballot, with its one value",
             "it may be accepted",
@@ -79,8 +79,8 @@
         ),
         Call(
             "bring",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ANYONE,
             "number and digest of the body",
             "it may be held",
@@ -88,8 +88,8 @@
         ),
         Call(
             "fetch",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ANYONE,
             "number and digest of the body",
             _NOTHING,
@@ -97,8 +97,8 @@
         ),
         Call(
             "decided",
-            "almanac",
-            "almanac",
+            "config_store",
+            "config_store",
             Again.ANYONE,
             "the ballot, with its one value",
             _NOTHING,
@@ -108,8 +108,8 @@
         # The registry at the store
         Call(
             "watch",
-            "gauge",
-            "almanac",
+            "registry",
+            "config_store",
             Again.ANYONE,
             "what the asker has",
             _NOTHING,
@@ -118,19 +118,19 @@
         ),
         Call(
             "put",
-            "gauge",
-            "almanac",
+            "registry",
+            "config_store",
             Again.ASKER,
             "number and digest of the body",
             "it may be decided",
             "503: the operator sends it again",
         ),
-        Call("read", "gauge", "almanac", Again.ANYONE, "-", _NOTHING, "503: the operator asks again"),
+        Call("read", "registry", "config_store", Again.ANYONE, "-", _NOTHING, "503: the operator asks again"),
         # Doors at registries
         Call(
             "news",
             "proxy",
-            "gauge",
+            "registry",
             Again.ANYONE,
             "what the door has, and the registry's life",
             _NOTHING,
@@ -140,7 +140,7 @@
         Call(
             "lives",
             "proxy",
-            "gauge",
+            "registry",
             Again.ANYONE,
             "each life's id, state and count",
             "they may be known",
@@ -149,7 +149,7 @@
         Call(
             "count",
             "proxy",
-            "gauge",
+            "registry",
             Again.ANYONE,
             "the door and the interval's number; of what it holds, a number that rises",
             "it may be counted, and permits may be granted that come nowhere",
@@ -158,7 +158,7 @@
         Call(
             "place",
             "proxy",
-            "gauge",
+            "registry",
             Again.NEVER,
             "-",
             "a permit, a repeat and a place may be taken: the place is free once its connection ends",
@@ -167,7 +167,7 @@
         Call(
             "wait",
             "proxy",
-            "gauge",
+            "registry",
             Again.NEVER,
             "-",
             "a place may be taken: free once its connection ends",
@@ -177,7 +177,7 @@
         Call(
             "ended",
             "proxy",
-            "gauge",
+            "registry",
             Again.ANYONE,
             "the place's number, which begins elsewhere in each life",
             "the place may count until its time is over",
@@ -187,19 +187,19 @@
         # Between registries
         Call(
             "told",
-            "gauge",
-            "gauge",
+            "registry",
+            "registry",
             Again.ANYONE,
             "each life's id, state and count",
             "they may be known",
             "tells it again with the next beat; an end is not acknowledged",
         ),
-        Call("all", "gauge", "gauge", Again.ANYONE, "-", _NOTHING, "asks again 0.5 s later"),
-        Call("all_lives", "gauge", "gauge", Again.ANYONE, "-", _NOTHING, "asks again 0.25 s later"),
+        Call("all", "registry", "registry", Again.ANYONE, "-", _NOTHING, "asks again 0.5 s later"),
+        Call("all_lives", "registry", "registry", Again.ANYONE, "-", _NOTHING, "asks again 0.25 s later"),
         Call(
             "sums",
-            "gauge",
-            "gauge",
+            "registry",
+            "registry",
             Again.ANYONE,
             "the registry and the interval's number",
             "it may be heard",
@@ -208,8 +208,8 @@
         ),
         Call(
             "loads",
-            "gauge",
-            "gauge",
+            "registry",
+            "registry",
             Again.ANYONE,
             "the registry; the newest counts, for 1.5 s",
             "it may be heard",
@@ -218,8 +218,8 @@
         ),
         Call(
             "lend",
-            "gauge",
-            "gauge",
+            "registry",
+            "registry",
             Again.NEVER,
             "-",
             "permits may be gone there, and come nowhere",
@@ -250,7 +250,7 @@
     Call(
         "POST heartbeat",
         "backend",
-        "gauge",
+        "registry",
         Again.ANYONE,
         "the life's id and `call_count`",
         "it may be known",
@@ -259,7 +259,7 @@
     Call(
         "POST deregister",
         "backend",
-        "gauge",
+        "registry",
         Again.ANYONE,
         "the life's id",
         "it may be known",
@@ -268,14 +268,14 @@
     Call(
         "POST /config/replace",
         "operator",
-        "gauge",
+        "registry",
         Again.ASKER,
         "the version and the body's digest",
         "it may be decided",
         "the operator sends it again, to any door",
     ),
-    Call("GET /config/read", "operator", "gauge", Again.ANYONE, "-", _NOTHING, "the operator asks again"),
-    Call("GET /status", "anyone", "gauge", Again.ANYONE, "-", _NOTHING, "-"),
+    Call("GET /config/read", "operator", "registry", Again.ANYONE, "-", _NOTHING, "the operator asks again"),
+    Call("GET /status", "anyone", "registry", Again.ANYONE, "-", _NOTHING, "-"),
     Call(
         "GET /readiness", "platform", "proxy", Again.ANYONE, "-", _NOTHING, "two misses, and the door is out"
     ),
--- a/irisdeal/runtime/events.py
+++ b/irisdeal/runtime/events.py
@@ -38,7 +38,7 @@
     223: (INFO, "a learner has caught up and is ready"),
     224: (WARNING, "no quorum of the list is in contact: nothing is confirmed, read or refused"),
     225: (INFO, "a quorum of the list is in contact again"),
-    226: (ERROR, "so many disks are lost that no quorum can be: `irisdeal almanac adopt` begins a new list"),
+    226: (ERROR, "so many disks are lost that no quorum can be: `irisdeal store adopt` begins a new list"),
     227: (INFO, "a member that leaves has handed over"),
     228: (WARNING, "a member leaves though too few others are known to hold what it holds"),
     229: (WARNING, "a new first list was written by hand: what other disks alone held is given up"),
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -114,7 +114,7 @@
         seeds = self.first if first else self.chance.sample(self.hosts, min(SEEDS, len(self.hosts)))
         return Settings(
             node_name=host,
-            role="almanac",
+            role="config_store",
             ip=host,
             zone=f"z{host}",
             port_range=(FIRST_PORT, FIRST_PORT + 15),
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -62,7 +62,7 @@
         async def lend(other: str, request: LendRequest) -> int:
             return lend_from(ip, other, request)
 
-        settings = Settings(node_name=ip, role="gauge", ip=ip, zone="z", port_range=(1, 9), seed_peers=())
+        settings = Settings(node_name=ip, role="registry", ip=ip, zone="z", port_range=(1, 9), seed_peers=())
         self.authority = IssuingAuthority(ip)
         if recorded is not None:
             self.authority.recall(recorded, clock.now())
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -1,4 +1,4 @@
-"""`irisdeal almanac`: folders read and verified, stores asked, a new first list that is hard to get wrong."""
+"""`irisdeal store`: folders read and verified, stores asked, a new first list that is hard to get wrong."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from irisdeal.cli.almanac import almanac
 from irisdeal.cli.main import main
+from irisdeal.cli.store import store
 from irisdeal.config_store.configuration.version import Word
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
@@ -284,7 +284,7 @@
 
         monkeypatch.setattr(survey, "survey", answers)
         given = [one.replace("SETTINGS", str(settings)).replace("FOLDER", str(folder)) for one in arguments]
-        return CliRunner().invoke(main, ["almanac", *given], catch_exceptions=False)
+        return CliRunner().invoke(main, ["store", *given], catch_exceptions=False)
 
     return go
 
@@ -359,6 +359,6 @@
     assert len(lines) > 10
     for line in lines:
         program, group, command, *arguments = shlex.split(line)
-        assert (program, group) == ("irisdeal", "almanac"), line
-        found = almanac.commands[command]
+        assert (program, group) == ("irisdeal", "store"), line
+        found = store.commands[command]
         found.make_parser(click.Context(found)).parse_args(arguments)  # UsageError where it cannot be given
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -38,7 +38,7 @@
 
 ROOT = Path(__file__).parent.parent
 HOST, PORT = "10.0.0.2", 7000
-PROGRAMS = ("almanac", "gauge", "proxy")
+PROGRAMS = ("config_store", "registry", "proxy")
 WAITING: Any = object()
 
 
@@ -513,7 +513,9 @@
     def __init__(self) -> None:
         self.now = 0.0
         loop: Any = SimpleNamespace(time=lambda: self.now)
-        settings = Settings(node_name="g", role="gauge", ip="g", zone="z", port_range=(1, 9), seed_peers=())
+        settings = Settings(
+            node_name="g", role="registry", ip="g", zone="z", port_range=(1, 9), seed_peers=()
+        )
         registry = Registry(1.5)
         self.desk = AdmissionService(settings, registry, loop, 1, lambda: 0.0, lambda *_: asyncio.sleep(0, 0))
         self.places = self.desk.places
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -43,7 +43,7 @@
         machine = self.machines[host] = Machine(self.world, self.net, host, Core(), Costs())
         settings = Settings(
             node_name=host,
-            role="almanac",
+            role="config_store",
             ip=host,
             zone=zone_of(host),
             port_range=(7000, 7010),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -62,7 +62,7 @@
         settings = self.folder / f"{member}.toml"
         settings.write_text(f"""
 node_name = "m{member}"
-role = "almanac"
+role = "config_store"
 ip = "{host}"
 zone = "z{member}"
 port_range = [{port}, {port + APART - 1}]
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -200,9 +200,9 @@
     second.shut(True, True)
     await asyncio.sleep(3.0)
     second.shut(False, False)
-    processes.kill("gauge", CORE)
+    processes.kill("registry", CORE)
     await asyncio.sleep(0.3)
-    processes.start("gauge", CORE)
+    processes.start("registry", CORE)
     await asyncio.sleep(1.5)
     processes.kill("proxy", DOORS[0])
     processes.start("proxy", DOORS[0])
@@ -216,8 +216,8 @@
     chance = random.Random(5)
     await processes.open_gates()
     server = await backend(processes.judge)
-    processes.start("almanac", CORE, first=True)
-    processes.start("gauge", CORE, first=True)
+    processes.start("config_store", CORE, first=True)
+    processes.start("registry", CORE, first=True)
     beating = asyncio.ensure_future(beat())
     try:
         rule = {
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -36,7 +36,7 @@
         return Settings(
             bootstrap=is_first,
             node_name=of.node_name,
-            role="gauge",
+            role="registry",
             ip=ip,
             zone=of.zone,
             port_range=of.port_range,
