--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -14,16 +14,16 @@
 from typing import Any
 
 from benchmarks.capacity.size import BEAT
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.storage.version_store import Have
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
-from irisdeal.ratelimit.interval_clock import LENGTH, Edge
+from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.registry.backend_table import Life, hear_life, tell_life
+from irisdeal.registry.backend_table import BackendIncarnation, decode_incarnation, encode_incarnation
 from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -35,9 +35,9 @@
     """What the hollow doors of one process know together."""
 
     def __init__(self) -> None:
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, BackendIncarnation] = {}
         self.ids: dict[str, list[str]] = {}  # by service
-        self.words: dict[bytes, Word] = {}
+        self.words: dict[bytes, ConfigVersion] = {}
         self.news = 0  # lives that were told to us, each as often as it was
 
 
@@ -48,10 +48,10 @@
         super().__init__(settings, self._ignore_word, self._ignore_life)
         self.shared = shared
 
-    def _ignore_word(self, word: Word) -> None:
+    def _ignore_word(self, word: ConfigVersion) -> None:
         pass
 
-    def _ignore_life(self, life: Life, silent: bool) -> None:
+    def _ignore_life(self, life: BackendIncarnation, silent: bool) -> None:
         pass
 
     def _hear_lives(self, ip: str, lives: list[Any]) -> None:
@@ -59,16 +59,18 @@
         shared.news += len(lives)
         for told, _ in lives:
             if told[0] not in shared.lives or int(shared.lives[told[0]].state) < told[5]:
-                shared.lives[told[0]] = hear_life(told, now)
+                shared.lives[told[0]] = decode_incarnation(told, now)
 
-    def _hear_word(self, ip: str, have: Have, parcel: list[Any] | None, change: int) -> None:
+    def _hear_word(self, ip: str, have: SyncState, parcel: list[Any] | None, change: int) -> None:
         super()._hear_word(ip, have, parcel, change)
         if self.word is not None:  # one body for all doors of this process
             self.word = self.shared.words.setdefault(self.word.stamp.digest, self.word)
 
-    async def _tell_again(self, link: Link) -> None:
+    async def _tell_again(self, link: RpcClient) -> None:
         now = self.loop.time()
-        await link.call("lives", [[tell_life(life, now), 0] for life in self.shared.lives.values()], ASK)
+        await link.call(
+            "lives", [[encode_incarnation(life, now), 0] for life in self.shared.lives.values()], ASK
+        )
 
 
 class HollowDoor:
@@ -80,7 +82,7 @@
         self.client = RegistryClient(settings, self.sources)
         self.held = HeldPermits(self.chance.getrandbits(48))
         self.active, self.tenants = active, tenants
-        self.edge = Edge(self.sources.loop.time())
+        self.edge = SharedIntervalClock(self.sources.loop.time())
         self.asked = self.placed = self.lost = self.words = 0
 
     def start(self) -> None:
--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -87,8 +87,8 @@
 
 
 PROGRAMS = {
-    "registry": ("irisdeal.registry.server", "Station"),
-    "config_store": ("irisdeal.config_store.replica", "Member"),
+    "registry": ("irisdeal.registry.server", "RegistryServer"),
+    "config_store": ("irisdeal.config_store.replica", "StoreReplica"),
 }
 
 if __name__ == "__main__":
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -27,8 +27,8 @@
 from irisdeal.config_store.configuration.incremental_reading import Reading, reading
 from irisdeal.config_store.configuration.index import run
 from irisdeal.config_store.configuration.schema import read_whole
-from irisdeal.config_store.configuration.version import NOTHING, Word
-from irisdeal.config_store.storage.version_store import Arrivals, Shelf
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
+from irisdeal.config_store.storage.version_store import ChunkAssembler, VersionStore
 from irisdeal.proxy.config_apply import SLICE
 from irisdeal.proxy.table import Table
 from tests.words import change, configuration
@@ -63,17 +63,19 @@
         most = max(most, (time.process_time() - begun) * 1000)
 
 
-def telling(shelf: Shelf, arrivals: Arrivals, held: Word, word: Word) -> None:
+def telling(shelf: VersionStore, arrivals: ChunkAssembler, held: ConfigVersion, word: ConfigVersion) -> None:
     """A new word at its holder, and the first who asks for it."""
     shelf.hold(word)
     shelf.parcel(arrivals.have(held.stamp), word.stamp)
 
 
-def taking(shelf: Shelf, arrivals: Arrivals, held: Word | None, want: Word) -> tuple[int, int]:
+def taking(
+    shelf: VersionStore, arrivals: ChunkAssembler, held: ConfigVersion | None, want: ConfigVersion
+) -> tuple[int, int]:
     """Bytes and parcels until the word is whole."""
     size = parcels = 0
     while True:
-        parcel = shelf.parcel(arrivals.have(held.stamp if held else NOTHING), want.stamp)
+        parcel = shelf.parcel(arrivals.have(held.stamp if held else NO_VERSION), want.stamp)
         assert parcel is not None
         size, parcels = size + len(cbor2.dumps(parcel)), parcels + 1
         if arrivals.take(parcel) is not None:
@@ -83,19 +85,19 @@
 def measure(share: float, changes: int) -> dict[str, Any]:
     """One size."""
     chance, data = Random("differences"), configuration(round(ROUTES * share))
-    words = [Word.of("r1", encoded(data))]
+    words = [ConfigVersion.of("r1", encoded(data))]
     times: dict[str, list[float]] = {
         name: []
         for name in ("whole read", "whole table", "tell", "take", "read", "table", "slice", "snapshot")
     }
     for number in range(2, changes + 2):
         data = change(data, chance, f"r{number}")
-        words.append(Word.of(f"r{number}", encoded(data)))
+        words.append(ConfigVersion.of(f"r{number}", encoded(data)))
     timed(
         partial(Table, timed(partial(read_whole, words[0].body), times["whole read"]).unwrap()),
         times["whole table"],
     )
-    shelf, arrivals = Shelf(), Arrivals(Shelf(kept=0))
+    shelf, arrivals = VersionStore(), ChunkAssembler(VersionStore(kept=0))
     shelf.hold(words[0])
     snapshot, pieces = timed(partial(taking, shelf, arrivals, None, words[0]), times["snapshot"])
     before: Reading = run(reading(words[0].body, None)).unwrap()
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -127,7 +127,9 @@
 
 def mixes(old: Checkout, new: Checkout) -> list[Mix]:
     """All in which both are; those that split the core from the proxies first."""
-    every = [dict(zip(Part, chosen, strict=True)) for chosen in itertools.product((old, new), repeat=len(Part))]
+    every = [
+        dict(zip(Part, chosen, strict=True)) for chosen in itertools.product((old, new), repeat=len(Part))
+    ]
     mixed = [mix for mix in every if len({checkout.name for checkout in mix.values()}) > 1]
     return sorted(mixed, key=lambda mix: mix[Part.STORE] is not mix[Part.REGISTRY])
 
@@ -171,7 +173,9 @@
     core: str
     edge: str
     running: dict[Part, subprocess.Popen[bytes]] = field(default_factory=dict)
-    backends: dict[str, WorkingBackend] = field(default_factory=lambda: {id_: WorkingBackend() for id_ in BACKENDS})
+    backends: dict[str, WorkingBackend] = field(
+        default_factory=lambda: {id_: WorkingBackend() for id_ in BACKENDS}
+    )
     draining: set[str] = field(default_factory=set)
     beats: dict[str, int] = field(default_factory=dict)
 
@@ -427,14 +431,19 @@
     breaches = played.breaches()
     served = len(played.asked) - len(played.unanswered())
     second = sum(played.services(asked) == {SERVICES[2]} for asked in played.asked)
-    print(f"{named(mix)}: {served} of {len(played.asked)} served, {second} by the second configuration", end="; ")
+    print(
+        f"{named(mix)}: {served} of {len(played.asked)} served, {second} by the second configuration",
+        end="; ",
+    )
     print("; ".join(breaches) or "none at the drained backend after its drain")
     return not breaches
 
 
 async def main() -> int:
     """Print a line a mix and the verdict; 1 where something was wrong."""
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--old", type=Path, required=True, help="the checkout of the version before")
     parser.add_argument("--new", type=Path, default=ROOT, help="this one, if nothing is said")
     parser.add_argument("--only", type=int, help="the mix of this number, from 0")
--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -24,14 +24,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from irisdeal.config_store.configuration.version import Stamp
+from irisdeal.config_store.configuration.version import VersionId
 from irisdeal.config_store.consensus import register
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
     UNKNOWN,
+    AcceptorState,
     Ballot,
     Change,
-    Kept,
     Round,
     Step,
     Value,
@@ -46,7 +46,7 @@
 GONE = -1  # an acceptor that is not there (any more)
 
 
-def orders(*stamps: Stamp) -> Program:
+def orders(*stamps: VersionId) -> Program:
     """One order after the other."""
 
     def program(decided: Value) -> Change | None:
@@ -88,7 +88,7 @@
     reused: bool = False  # planted: a ballot is counted from where its process began
 
 
-A, B, C = Stamp(1, b"a"), Stamp(1, b"b"), Stamp(2, b"c")
+A, B, C = VersionId(1, b"a"), VersionId(1, b"b"), VersionId(2, b"c")
 THREE, FOUR = ("a", "b", "c"), ("a", "b", "c", "d")
 PLANS = {
     "two bodies under one number": Plan(THREE, 3, (orders(A), orders(B)), (2, 2)),
@@ -143,7 +143,7 @@
     known: Members
     change: int
     step: Step
-    promised: tuple[tuple[str, Kept], ...]
+    promised: tuple[tuple[str, AcceptorState], ...]
     accepted: frozenset[str]
     above: Ballot
     base: Value | None
@@ -184,7 +184,10 @@
         """The first state."""
         plan, number = self.plan, self.table.number
         first = Value.first(Members(0, plan.seats[: plan.first]))
-        kept, empty = number(Kept(NO_BALLOT, NO_BALLOT, first)), number(Kept(NO_BALLOT, NO_BALLOT, UNKNOWN))
+        kept, empty = (
+            number(AcceptorState(NO_BALLOT, NO_BALLOT, first)),
+            number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN)),
+        )
         seats = tuple(
             kept if index < plan.first else empty if index in plan.there else GONE
             for index in range(len(plan.seats))
@@ -249,7 +252,7 @@
             yield from self._late(state)
         if self.plan.wiped is not None and not state.wiped:
             old, new = self.plan.wiped
-            empty = self.table.number(Kept(NO_BALLOT, NO_BALLOT, UNKNOWN))
+            empty = self.table.number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN))
             seats = _set(_set(state.now, old, GONE), new, empty)
             yield f"the disk of {old} is lost", state._replace(now=seats, synced=seats, wiped=True)
         yield from self._read(state)
@@ -261,7 +264,7 @@
         if change is None:
             return
         things, seat = self.table.things, self.plan.seats[proposer]
-        kept: Kept = things[state.now[proposer]]
+        kept: AcceptorState = things[state.now[proposer]]
         known: Value = things[state.known[proposer]]
         if self.plan.reused:
             ballot = Ballot(state.above[proposer] + 1, seat)
@@ -472,7 +475,7 @@
         yield f"the read answers {value.change}", self._tell(state, found[0]) if found else state
 
     def _report(self, seat: int, kept: int) -> Report:
-        has: Kept = self.table.things[kept]
+        has: AcceptorState = self.table.things[kept]
         return Report(self.plan.seats[seat], "", has.accepted, has.value, has.value, True)
 
     # Rules
--- a/irisdeal/cli/store.py
+++ b/irisdeal/cli/store.py
@@ -86,7 +86,7 @@
     from irisdeal.runtime import ports
 
     ips = [*ports.seeds(settings), *([settings.ip] if settings.data_path else [])]
-    return [ports.at(settings, ip, ports.ALMANAC) for ip in ips]
+    return [ports.at(settings, ip, ports.CONFIG_STORE) for ip in ips]
 
 
 def _survey(stores: tuple[Address, ...], settings_file: str | None) -> Survey:
@@ -418,7 +418,7 @@
     from irisdeal.config_store.membership.survey import survey
     from irisdeal.config_store.storage.folder import DiskFolder
     from irisdeal.runtime import ports
-    from irisdeal.runtime.events import tell
+    from irisdeal.runtime.events import Event, log_event
 
     settings = _settings(settings_file)
     if not Path(settings.data_path).is_dir():
@@ -426,14 +426,18 @@
     disk = _look(settings.data_path)
     planned = adoption.plan(disk, settings.ip)
     ips = {*ports.seeds(settings), settings.ip, *planned.machines}
-    found = asyncio.run(survey(ports.at(settings, ip, ports.ALMANAC) for ip in ips))
+    found = asyncio.run(survey(ports.at(settings, ip, ports.CONFIG_STORE) for ip in ips))
     refused = adoption.refusals(disk, planned, settings.ip, found, given)
     if not refused and not dry_run:
         try:
             adoption.adopt(DiskFolder(settings.data_path), planned)
         except OSError as error:
             raise Unusable(f"{settings.data_path}: {error.strerror or error}") from None
-        tell(229, seats=" ".join(planned.state.decided.members.seats), base=planned.base.change)
+        log_event(
+            Event.MEMBERSHIP_ADOPTED,
+            seats=" ".join(planned.state.decided.members.seats),
+            base=planned.base.change,
+        )
     if as_json:
         click.echo(
             json.dumps(
--- a/irisdeal/config_store/__main__.py
+++ b/irisdeal/config_store/__main__.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.replica import StoreReplica
 from irisdeal.runtime.process import main
 
 if __name__ == "__main__":
-    sys.exit(main(Member))
+    sys.exit(main(StoreReplica))
--- a/irisdeal/config_store/configuration/cached_reading.py
+++ b/irisdeal/config_store/configuration/cached_reading.py
@@ -22,7 +22,7 @@
     faults,
     read_whole,
 )
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 
 __all__ = [
     "KINDS",
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.reading: Reading | None = None
 
-    def read(self, body: bytes) -> Result[Reading, Trouble]:
+    def read(self, body: bytes) -> Result[Reading, OperationError]:
         found = run(reading(body, self.reading))
         if isinstance(found, Success):
             self.reading = found.unwrap()
@@ -59,7 +59,7 @@
 _last = _Last()
 
 
-def read(body: bytes) -> Result[Configuration, Trouble]:
+def read(body: bytes) -> Result[Configuration, OperationError]:
     """The valid configuration in these bytes, or what makes it invalid."""
     found = _last.read(body)
     return Failure(found.failure()) if isinstance(found, Failure) else Success(found.unwrap().configuration)
--- a/irisdeal/config_store/configuration/incremental_reading.py
+++ b/irisdeal/config_store/configuration/incremental_reading.py
@@ -39,7 +39,7 @@
     tenant_faults,
 )
 from irisdeal.config_store.configuration.version import number
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 
 BLANK = re.compile(r"[ \t\n\r]*")
 EACH = 8  # entries read with dacite between two pauses, some 0.6 ms
@@ -343,7 +343,7 @@
                 raise Odd(f"rule {rule.name!r}")
 
 
-def reading(body: bytes, before: Reading | None) -> Generator[None, None, Result[Reading, Trouble]]:
+def reading(body: bytes, before: Reading | None) -> Generator[None, None, Result[Reading, OperationError]]:
     """The reading of a valid configuration, or what makes it invalid; pauses each ms or so.
 
     Only what is odd, or invalid, is read in one go.
--- a/irisdeal/config_store/configuration/schema.py
+++ b/irisdeal/config_store/configuration/schema.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from irisdeal.config_store.configuration.version import number
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 
 KINDS = ("idempotent", "mutating")
 MOST_OVER_MS = 60_000  # a `target_ms` that is over its `timeout_ms` by this much or more is a slip
@@ -212,7 +212,7 @@
     return found
 
 
-def read_whole(body: bytes) -> Result[Configuration, Trouble]:
+def read_whole(body: bytes) -> Result[Configuration, OperationError]:
     """The valid configuration in these bytes, or what makes it invalid."""
     try:
         data = json.loads(body)
@@ -223,12 +223,14 @@
                 raise ValueError(f"{key}: missing")
         configuration = dacite.from_dict(Configuration, data, READING)
     except dacite.DaciteError as error:
-        return Failure(Trouble("read", getattr(error, "field_path", None) or "configuration", str(error)))
+        return Failure(
+            OperationError("read", getattr(error, "field_path", None) or "configuration", str(error))
+        )
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
-        return Failure(Trouble("read", "configuration", str(error)))
+        return Failure(OperationError("read", "configuration", str(error)))
     found = faults(configuration)
     return (
-        Failure(Trouble("check", configuration.generation, "; ".join(found)))
+        Failure(OperationError("check", configuration.generation, "; ".join(found)))
         if found
         else Success(configuration)
     )
--- a/irisdeal/config_store/configuration/version.py
+++ b/irisdeal/config_store/configuration/version.py
@@ -20,30 +20,30 @@
 
 @total_ordering
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class VersionId:
     """What two words are compared by: the number, and where two operators gave one number, the digest."""
 
     number: int
     digest: bytes
 
-    def __lt__(self, other: Stamp) -> bool:
+    def __lt__(self, other: VersionId) -> bool:
         return (self.number, self.digest) < (other.number, other.digest)
 
 
-NOTHING = Stamp(-1, b"")
+NO_VERSION = VersionId(-1, b"")
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class ConfigVersion:
     """A whole configuration, byte for byte as the operator sent it."""
 
-    stamp: Stamp
+    stamp: VersionId
     body: bytes
 
     @staticmethod
-    def of(generation: object, body: bytes) -> Word:
+    def of(generation: object, body: bytes) -> ConfigVersion:
         """ValueError where the generation is none."""
-        return Word(Stamp(number(generation), hashlib.sha256(body).digest()), body)
+        return ConfigVersion(VersionId(number(generation), hashlib.sha256(body).digest()), body)
 
     def is_whole(self) -> bool:
         return hashlib.sha256(self.body).digest() == self.stamp.digest
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -13,22 +13,22 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
     UNKNOWN,
+    AcceptorState,
     Ballot,
-    Kept,
     Value,
     on_accept,
     on_prepare,
 )
 from irisdeal.config_store.membership.members import FIRST, seat
-from irisdeal.config_store.storage.acceptor_state import Keeper, State
+from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.version_files import Files
-from irisdeal.config_store.storage.version_store import Shelf
-from irisdeal.runtime.events import invariant, tell
+from irisdeal.config_store.storage.version_store import VersionStore
+from irisdeal.runtime.events import Event, invariant, log_event
 from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
@@ -43,12 +43,18 @@
         self.ip, self.tasks = ip, tasks
         self.folder = folder or DiskFolder(path)
         self.thread = ThreadPoolExecutor(1, "disk") if folder is None else None
-        self.files, self.keeper, self.shelf = Files(self.folder), Keeper(self.folder), Shelf()
+        self.files, self.keeper, self.shelf = (
+            Files(self.folder),
+            AcceptorStateFile(self.folder),
+            VersionStore(),
+        )
         self.lock = asyncio.Lock()
         self.disk = ""
-        self.kept, self.decided = Kept(NO_BALLOT, NO_BALLOT, UNKNOWN), UNKNOWN
+        self.kept, self.decided = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN), UNKNOWN
         self.written = UNKNOWN  # the decided value that is on the disk
-        self.needed: dict[Stamp, Word] = {}  # bodies of what is accepted and decided, whatever else comes
+        self.needed: dict[
+            VersionId, ConfigVersion
+        ] = {}  # bodies of what is accepted and decided, whatever else comes
 
     @property
     def seat(self) -> str:
@@ -60,14 +66,16 @@
         try:
             state = await self._on_disk(self.keeper.open)
         except ValueError as error:
-            tell(212, ip=self.ip, error=error)
+            log_event(Event.ACCEPTOR_STATE_DAMAGED, ip=self.ip, error=error)
             first = None
         words = await self._on_disk(self.files.open)
         if state is None:
             value = first or UNKNOWN
-            state = State(FIRST if first else secrets.token_hex(ID), Kept(NO_BALLOT, NO_BALLOT, value), value)
+            state = PersistedState(
+                FIRST if first else secrets.token_hex(ID), AcceptorState(NO_BALLOT, NO_BALLOT, value), value
+            )
             await self._on_disk(self.keeper.write, state)
-            tell(211, seat=seat(self.ip, state.disk))
+            log_event(Event.DISK_IDENTITY_ASSIGNED, seat=seat(self.ip, state.disk))
         self.disk, self.kept, self.decided, self.written = (
             state.disk,
             state.kept,
@@ -89,7 +97,7 @@
             try:
                 return Success(await act)
             except OSError as error:
-                tell(203, error=error)
+                log_event(Event.DISK_WRITE_FAILED, error=error)
                 return Failure(error)
 
         done: Result[T, OSError] = await asyncio.shield(self.tasks.start(run()))
@@ -99,11 +107,11 @@
 
     # Promises and accepts
 
-    async def prepare(self, ballot: Ballot) -> tuple[bool, Kept]:
+    async def prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
         """Whether it is promised, synced, and what is kept. OSError where the disk refuses."""
         return await self._whole(self._prepare(ballot))
 
-    async def _prepare(self, ballot: Ballot) -> tuple[bool, Kept]:
+    async def _prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
         async with self.lock:
             good, kept = on_prepare(self.kept, ballot)
             if good:
@@ -123,9 +131,9 @@
                 await self._write(kept)
             return good, self.kept.promised
 
-    async def _write(self, kept: Kept) -> None:
+    async def _write(self, kept: AcceptorState) -> None:
         decided = self.decided
-        await self._on_disk(self.keeper.write, State(self.disk, kept, decided))
+        await self._on_disk(self.keeper.write, PersistedState(self.disk, kept, decided))
         self.kept, self.written = kept, decided
         self._need()
 
@@ -151,32 +159,32 @@
     # Bodies
 
     def _need(self) -> None:
-        stamps = {self.kept.value.stamp, self.decided.stamp} - {NOTHING}
+        stamps = {self.kept.value.stamp, self.decided.stamp} - {NO_VERSION}
         self.needed = {stamp: word for stamp in stamps if (word := self.word(stamp)) is not None}
 
-    def word(self, stamp: Stamp) -> Word | None:
+    def word(self, stamp: VersionId) -> ConfigVersion | None:
         """This body, where it is here."""
         return self.needed.get(stamp) or self.shelf.get(stamp.digest)
 
-    def holds(self, stamp: Stamp) -> bool:
+    def holds(self, stamp: VersionId) -> bool:
         """Whether this body is here, synced; nothing is always held."""
-        return stamp == NOTHING or (self.files.has(stamp) and self.word(stamp) is not None)
+        return stamp == NO_VERSION or (self.files.has(stamp) and self.word(stamp) is not None)
 
-    async def hold(self, word: Word) -> bool:
+    async def hold(self, word: ConfigVersion) -> bool:
         """Hold this body, synced; False where the disk refuses."""
         if not invariant(word.is_whole(), "a word is kept whole", number=word.stamp.number):
             return False
         return await self._whole(self._hold(word))
 
-    async def _hold(self, word: Word) -> bool:
+    async def _hold(self, word: ConfigVersion) -> bool:
         self.shelf.hold(word)
         async with self.lock:
             if not self.files.has(word.stamp):
                 try:
                     await self._on_disk(self.files.keep, word, {self.kept.value.stamp, self.decided.stamp})
                 except OSError as error:
-                    tell(203, error=error)
+                    log_event(Event.DISK_WRITE_FAILED, error=error)
                     return False
-                tell(200, generation=f"r{word.stamp.number}", bytes=len(word.body))
+                log_event(Event.VERSION_STORED, generation=f"r{word.stamp.number}", bytes=len(word.body))
             self._need()
         return True
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -14,14 +14,14 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
+    AcceptorState,
     Ballot,
     Change,
-    Kept,
-    Outcome,
+    PutOutcome,
     Round,
     Step,
     Value,
@@ -30,8 +30,8 @@
 )
 from irisdeal.config_store.membership.members import ip_of
 from irisdeal.config_store.peers import Peers, now
-from irisdeal.config_store.storage.version_store import Have
-from irisdeal.runtime.events import tell
+from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
 BALLOT = 2.5  # s for a ballot: a disk in trouble takes over a second for each of the two syncs
@@ -60,7 +60,7 @@
         self.chance = random.Random()
         self.turn = asyncio.Lock()
         self.on_decided: Callable[[int], None] = lambda seats: None  # seats that have synced what we decided
-        self.orders: dict[Stamp, tuple[Word, asyncio.Future[Outcome]]] = {}
+        self.orders: dict[VersionId, tuple[ConfigVersion, asyncio.Future[PutOutcome]]] = {}
         self.working = False
         self.news = asyncio.Event()  # something was decided
         self.lasted = PAUSE  # s that the last ballot took
@@ -68,14 +68,14 @@
 
     # Orders
 
-    async def put(self, word: Word, within: float) -> Outcome:
+    async def put(self, word: ConfigVersion, within: float) -> PutOutcome:
         """What became of this order, as far as it is known in so many seconds."""
         settled = self.settled(word.stamp)
         if settled is not None:
             return settled
         if len(self.orders) >= MOST_ORDERS:
-            tell(216, generation=f"r{word.stamp.number}")
-            return Outcome.LATER
+            log_event(Event.PUT_BACKLOG_FULL, generation=f"r{word.stamp.number}")
+            return PutOutcome.LATER
         if word.stamp not in self.orders:
             self.orders[word.stamp] = word, asyncio.get_running_loop().create_future()
         done = self.orders[word.stamp][1]
@@ -86,15 +86,15 @@
             async with asyncio.timeout(within):
                 return await asyncio.shield(done)
         except TimeoutError:
-            return Outcome.LATER
+            return PutOutcome.LATER
 
-    def settled(self, stamp: Stamp) -> Outcome | None:
+    def settled(self, stamp: VersionId) -> PutOutcome | None:
         """The outcome by what is decided; None where it is under this order."""
         held = self.acceptor.decided.stamp
         if held.number < stamp.number:
             return None
         is_other = self.compares and held.number == stamp.number and held.digest != stamp.digest
-        return Outcome.OTHER if is_other else Outcome.CONFIRMED
+        return PutOutcome.OTHER if is_other else PutOutcome.CONFIRMED
 
     def meet(self, ballot: Ballot) -> None:
         """Somebody told of this ballot."""
@@ -109,7 +109,7 @@
             if settled is not None:
                 self._answer(stamp, settled)
 
-    def _answer(self, stamp: Stamp, outcome: Outcome) -> None:
+    def _answer(self, stamp: VersionId, outcome: PutOutcome) -> None:
         _, done = self.orders.pop(stamp)
         if not done.done():
             done.set_result(outcome)
@@ -122,13 +122,13 @@
                 self.peers.offer(word, self.acceptor.decided.members.ips())
                 good = await self.acceptor.hold(word) and await self.decide(put(stamp), self._over(stamp))
                 if not good and stamp in self.orders:
-                    tell(202, generation=f"r{stamp.number}")
-                    self._answer(stamp, Outcome.LATER)
+                    log_event(Event.VERSION_NOT_REPLICATED, generation=f"r{stamp.number}")
+                    self._answer(stamp, PutOutcome.LATER)
         finally:
             self.working = False
 
     @staticmethod
-    def _over(stamp: Stamp) -> Callable[[Value], bool]:
+    def _over(stamp: VersionId) -> Callable[[Value], bool]:
         return lambda value: value.stamp.number >= stamp.number
 
     # Ballots
@@ -161,8 +161,12 @@
                 self.learn(ballot.ballot, ballot.value)
                 return ballot.value
             self.meet(ballot.above)
-            tell(
-                208, ballot=ballot.ballot.count, above=self.met.count, by=self.met.seat, step=ballot.step.name
+            log_event(
+                Event.BALLOT_RETRIED,
+                ballot=ballot.ballot.count,
+                above=self.met.count,
+                by=self.met.seat,
+                step=ballot.step.name,
             )
             await self._pause(pause)
             pause = min(2 * pause, MOST_PAUSE)
@@ -196,14 +200,14 @@
                 for seat, kept in ballot.promised.items()
                 if kept.value.stamp == ballot.value.stamp
             ]
-            if ballot.value.stamp == NOTHING or await self._body(ballot.value.stamp, holders, until):
+            if ballot.value.stamp == NO_VERSION or await self._body(ballot.value.stamp, holders, until):
                 await self._phase(ballot, Step.ACCEPTING, self._ask_accept, until)
         if ballot.step is Step.DECIDED:
             self.lasted = now() - begun
             self.on_decided(len(ballot.accepted))
         return ballot
 
-    async def _body(self, stamp: Stamp, holders: list[str], until: float) -> bool:
+    async def _body(self, stamp: VersionId, holders: list[str], until: float) -> bool:
         """Whether the body that is to be proposed is here in time."""
         try:
             async with asyncio.timeout(max(0.0, until - now())):
@@ -243,7 +247,7 @@
                 if answer.unwrap() is None:
                     return  # that disk is gone
                 good, kept = answer.unwrap()
-                ballot.on_promise(seat, bool(good), Kept.hear(kept))
+                ballot.on_promise(seat, bool(good), AcceptorState.hear(kept))
                 return news.set()
             await asyncio.sleep(AGAIN)
 
@@ -270,6 +274,6 @@
                     ballot.on_accept(seat, bool(good), Ballot.hear(told))
                     return news.set()
                 word = self.acceptor.word(value.stamp)
-                if word is not None and await self.peers.bring(ip_of(seat), word, Have.hear(told)):
+                if word is not None and await self.peers.bring(ip_of(seat), word, SyncState.hear(told)):
                     continue
             await asyncio.sleep(AGAIN)
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -6,7 +6,7 @@
 and each later ballot starts from it.
 
 Rules that must hold here:
-1. An acceptor answers a promise or an accept only after `Kept` is synced.
+1. An acceptor answers a promise or an accept only after `AcceptorState` is synced.
 2. It accepts a ballot that is not under its promise, and promises only higher ones.
 3. It accepts a value only when it holds the body that the value names, synced.
 4. A ballot's quorum is one of the list that the proposer knew, of the list of the value that it took over (and
@@ -26,7 +26,7 @@
 from enum import IntEnum
 from typing import Any
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp
+from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.config_store.membership.members import Members
 
 
@@ -48,7 +48,7 @@
 NO_BALLOT = Ballot(0, "")
 
 
-class Outcome(IntEnum):
+class PutOutcome(IntEnum):
     """What became of an order."""
 
     LATER = 0  # not known, or not yet: to be sent again
@@ -61,12 +61,12 @@
     """What the register holds. `change` rises by one with each change that is decided: the term of all control."""
 
     change: int
-    stamp: Stamp
+    stamp: VersionId
     members: Members
 
     @staticmethod
     def first(members: Members) -> Value:
-        return Value(0, NOTHING, members)
+        return Value(0, NO_VERSION, members)
 
     def tell(self) -> list[Any]:
         return [self.change, self.stamp.number, self.stamp.digest, self.members.tell()]
@@ -74,14 +74,14 @@
     @staticmethod
     def hear(told: list[Any]) -> Value:
         change, number, digest, members = told
-        return Value(int(change), Stamp(int(number), bytes(digest)), Members.hear(members))
+        return Value(int(change), VersionId(int(number), bytes(digest)), Members.hear(members))
 
 
-UNKNOWN = Value(-1, NOTHING, Members(-1, ()))  # of a disk that came empty: under all that may be decided
+UNKNOWN = Value(-1, NO_VERSION, Members(-1, ()))  # of a disk that came empty: under all that may be decided
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class AcceptorState:
     """What an acceptor has on its disk."""
 
     promised: Ballot
@@ -92,28 +92,28 @@
         return [self.promised.tell(), self.accepted.tell(), self.value.tell()]
 
     @staticmethod
-    def hear(told: list[Any]) -> Kept:
-        return Kept(Ballot.hear(told[0]), Ballot.hear(told[1]), Value.hear(told[2]))
+    def hear(told: list[Any]) -> AcceptorState:
+        return AcceptorState(Ballot.hear(told[0]), Ballot.hear(told[1]), Value.hear(told[2]))
 
 
-def on_prepare(kept: Kept, ballot: Ballot) -> tuple[bool, Kept]:
+def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
     """Whether it is promised, and what to keep, synced, before the answer; refused: `kept` tells what is higher."""
     if ballot <= kept.promised:
         return False, kept
     return True, replace(kept, promised=ballot)
 
 
-def on_accept(kept: Kept, ballot: Ballot, value: Value) -> tuple[bool, Kept]:
+def on_accept(kept: AcceptorState, ballot: Ballot, value: Value) -> tuple[bool, AcceptorState]:
     """Whether it is accepted, and what to keep, synced, before the answer. The body must be held before."""
     if ballot < kept.promised:
         return False, kept
-    return True, Kept(ballot, ballot, value)
+    return True, AcceptorState(ballot, ballot, value)
 
 
 Change = Callable[[Value], Value]  # the value that holds -> the one wanted; itself where nothing is to change
 
 
-def put(stamp: Stamp) -> Change:
+def put(stamp: VersionId) -> Change:
     """The operator's word under its number, where that is above the one that holds; else nothing changes."""
 
     def change(value: Value) -> Value:
@@ -161,7 +161,7 @@
     known: Members
     change: Change
     step: Step = Step.PREPARING
-    promised: dict[str, Kept] = field(default_factory=dict)
+    promised: dict[str, AcceptorState] = field(default_factory=dict)
     accepted: set[str] = field(default_factory=set)
     above: Ballot = NO_BALLOT
     base: Value | None = None  # what was taken over
@@ -178,11 +178,11 @@
         more = newest.value.members.voters() if newest is not None else frozenset()
         return frozenset().union(more, *(members.voters() for members in self.lists()))
 
-    def _highest(self) -> Kept | None:
+    def _highest(self) -> AcceptorState | None:
         """Of those that accepted nothing, one that knows the first list goes before one that knows none."""
         return max(self.promised.values(), key=lambda kept: (kept.accepted, kept.value.change), default=None)
 
-    def on_promise(self, seat: str, good: bool, kept: Kept) -> Step:
+    def on_promise(self, seat: str, good: bool, kept: AcceptorState) -> Step:
         """A seat's answer to the prepare of this ballot."""
         if self.step is not Step.PREPARING:
             return self.step
--- a/irisdeal/config_store/membership/adoption.py
+++ b/irisdeal/config_store/membership/adoption.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass
 
 from irisdeal.config_store.consensus.acceptor import ID
-from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, Kept, Value
+from irisdeal.config_store.consensus.register import UNKNOWN, AcceptorState, Ballot, Value
 from irisdeal.config_store.membership.members import Members, ip_of, seat
 from irisdeal.config_store.membership.survey import Survey
-from irisdeal.config_store.storage.acceptor_state import Keeper, State
+from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.config_store.storage.inspection import Disk
 
@@ -30,7 +30,7 @@
 class Adoption:
     """What would be written, what it begins from, and the names of what it gives up: machines, generations."""
 
-    state: State
+    state: PersistedState
     base: Value
     machines: tuple[str, ...]
     others: tuple[str, ...]
@@ -48,7 +48,7 @@
     members = Members(max(value.members.number for value in known) + LEAP, (ballot.seat,))
     value = Value(max(value.change for value in known) + LEAP, base.stamp, members)
     return Adoption(
-        State(identity, Kept(ballot, ballot, value), value),
+        PersistedState(identity, AcceptorState(ballot, ballot, value), value),
         base,
         tuple(machines),
         tuple(newer) if base != UNKNOWN else (EVERYTHING,),
@@ -89,4 +89,4 @@
 
 def adopt(folder: Folder, adoption: Adoption) -> None:
     """Synced when it returns. OSError where the disk refuses."""
-    Keeper(folder).write(adoption.state)
+    AcceptorStateFile(folder).write(adoption.state)
--- a/irisdeal/config_store/membership/reconfiguration.py
+++ b/irisdeal/config_store/membership/reconfiguration.py
@@ -47,10 +47,11 @@
 from itertools import product
 from typing import NamedTuple
 
-from irisdeal.config_store.configuration.version import NOTHING
+from irisdeal.config_store.configuration.version import NO_VERSION
 from irisdeal.config_store.consensus.register import Value
 from irisdeal.config_store.membership.members import Members, ip_of, majority
 from irisdeal.config_store.membership.report import Report
+from irisdeal.runtime.events import Event
 
 DEAD = 2.0  # s of silence: four rounds; a process that is killed and started again is back within one
 LOST = 3.0  # s of silence after which no successor is waited for: a new machine is up and ready within it
@@ -177,7 +178,7 @@
         return (
             report.holds
             and known.change >= max(0, self.value.change - LAG)
-            and (known.stamp != NOTHING or self.value.stamp == NOTHING)
+            and (known.stamp != NO_VERSION or self.value.stamp == NO_VERSION)
         )
 
     def others_ready(self) -> list[str]:
@@ -360,7 +361,7 @@
     return bool(decided.members.seats) and not decided.members.is_quorum(there)
 
 
-class Watch:
+class MembershipMonitor:
     """What one process has heard of the others, and since when it has wanted a change. `now`: its start."""
 
     def __init__(self, now: float) -> None:
@@ -368,7 +369,7 @@
         self.reports: dict[str, Heard] = {}
         self.wanting: tuple[int, bool] | None = None  # the list's number, and whether it is to be settled
         self.wanted_at = now
-        self.told: frozenset[tuple[int, str]] = frozenset()  # (event, seat) that hold now and were told
+        self.told: frozenset[tuple[Event, str]] = frozenset()  # (event, seat) that hold now and were told
         self.list: Members | None = None  # the one that was decided last, as far as this process knew
         self.vouched: dict[str, float] = {}  # seat -> until when
 
@@ -402,12 +403,12 @@
         ips = {heard.report.ip for heard in self.reports.values() if now - heard.at < DEAD}
         return sorted(ips - decided.members.ips())
 
-    def news(self, decided: Value, own: str, now: float) -> list[tuple[int, str]]:
+    def news(self, decided: Value, own: str, now: float) -> list[tuple[Event, str]]:
         """Events that have begun to hold, each with its seat: 222 a member is dead, 223 a learner is ready, 226 no
         quorum can ever be (for the own seat)."""
         view = _View(decided, self.reports, own, now, Wanted(), self.since)
-        hold = {(222, seat) for seat in view.seats - view.live(view.seats)} | {
-            (223, seat) for seat in view.ready()
+        hold = {(Event.MEMBER_SILENT, seat) for seat in view.seats - view.live(view.seats)} | {
+            (Event.LEARNER_READY, seat) for seat in view.ready()
         }
         empty = (
             not decided.members.seats
@@ -415,7 +416,7 @@
             and not any(heard.report.decided.members.seats for heard in self.reports.values())
         )
         if empty or beyond_help(decided, self.reports, own):
-            hold.add((226, own))
+            hold.add((Event.QUORUM_UNREACHABLE, own))
         fresh, self.told = sorted(hold - self.told), frozenset(hold)
         return fresh
 
--- a/irisdeal/config_store/membership/rounds.py
+++ b/irisdeal/config_store/membership/rounds.py
@@ -17,11 +17,11 @@
 from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Value, set_members
 from irisdeal.config_store.membership.contact import Contact
 from irisdeal.config_store.membership.members import Members
-from irisdeal.config_store.membership.reconfiguration import Wanted, Watch
+from irisdeal.config_store.membership.reconfiguration import MembershipMonitor, Wanted
 from irisdeal.config_store.membership.report import Report, decided_among
 from irisdeal.config_store.peers import Peers, now
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -35,7 +35,7 @@
 Learn = Callable[[Value, list[str]], None]  # this value is decided, its body is at these machines
 
 
-class Rounds:
+class StatusRounds:
     """One member's view of the others."""
 
     def __init__(
@@ -49,7 +49,7 @@
     ) -> None:
         self.settings, self.acceptor, self.peers, self.proposer = settings, acceptor, peers, proposer
         self.tasks, self.learn = tasks, learn
-        self.contact, self.heard = Contact(), Watch(now())
+        self.contact, self.heard = Contact(), MembershipMonitor(now())
         self.chance = random.Random(acceptor.ip)
         self.leaving = self.was_held = False
         self.asking: set[str] = set()
@@ -137,7 +137,7 @@
     async def run(self) -> None:
         while True:
             if self.contact.tick(now()):
-                tell(214)
+                log_event(Event.PROCESS_STALLED)
                 self.heard.woke(now())
             asks = [self.tasks.start(self._ask_alone(ip)) for ip in self.others()]
             if asks:
@@ -149,15 +149,18 @@
         """What was heard, taken together."""
         own, at = self.report(), now()
         self.heard.heard(own, at)
-        for number, seat in self.heard.news(self.acceptor.decided, self.acceptor.seat, at):
-            tell(number, seat=seat)
+        for event, seat in self.heard.news(self.acceptor.decided, self.acceptor.seat, at):
+            log_event(event, seat=seat)
         reports = [heard.report for heard in self.heard.reports.values()]
         shown = decided_among(reports)
         if shown is not None:
             self.learn(shown, [report.ip for report in reports if report.value == shown])
         if self.has_contact() != self.was_held:
             self.was_held = not self.was_held
-            tell(225 if self.was_held else 224, list=self.members.number)
+            log_event(
+                Event.QUORUM_CONTACT_REGAINED if self.was_held else Event.QUORUM_CONTACT_LOST,
+                list=self.members.number,
+            )
         if self.chore is None or self.chore.done():
             self.chore = self.tasks.start(self._chores(reports))
 
@@ -186,7 +189,7 @@
         elif change != self.open[0]:
             self.open = (change, now() + SETTLE * self.chance.random())
         elif now() - self.open[1] >= SETTLE:
-            tell(240, change=change, decided=decided.change)
+            log_event(Event.ACCEPTED_VALUE_RECOVERED, change=change, decided=decided.change)
             self.open = (-1, 0.0)
             await self.proposer.safe(BALLOT)
 
@@ -195,7 +198,7 @@
         kept, decided = self.acceptor.kept, self.acceptor.decided
         for report in reports:
             if report.value == decided and report.accepted >= kept.promised and kept.value != decided:
-                tell(210, change=decided.change, ballot=report.accepted.count)
+                log_event(Event.ACCEPTOR_CAUGHT_UP, change=decided.change, ballot=report.accepted.count)
                 await self.acceptor.accept(report.accepted, report.value)
                 return
 
@@ -205,7 +208,12 @@
         wanted = self.heard.next(self.acceptor.decided, self.acceptor.seat, now(), self._wanted())
         if wanted is None:
             return
-        tell(215, list=wanted.number, seats=" ".join(wanted.seats), former=" ".join(wanted.former))
+        log_event(
+            Event.MEMBERSHIP_CHANGE_PROPOSED,
+            list=wanted.number,
+            seats=" ".join(wanted.seats),
+            former=" ".join(wanted.former),
+        )
         await self.proposer.decide(set_members(wanted), lambda value: value.members != members)
         if wanted.former and self.members == wanted:  # a joint list stands less
             await self.proposer.decide(set_members(wanted.settled()), lambda value: value.members != wanted)
--- a/irisdeal/config_store/membership/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -11,7 +11,7 @@
 from irisdeal.config_store.consensus.register import UNKNOWN, Value
 from irisdeal.config_store.membership.members import Members
 from irisdeal.config_store.membership.report import Report
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime.settings import Address
 
 WITHIN = 1.0  # s for an answer: hundreds of times the way there and back
@@ -58,7 +58,7 @@
 
 async def ask(address: Address) -> Report | str:
     """One store's report, or in words why there is none."""
-    link = Link(address, "irisdeal almanac")
+    link = RpcClient(address, "irisdeal almanac")
     try:
         answer = await link.call("state", None, WITHIN)
         return Report.hear(answer.unwrap()) if isinstance(answer, Success) else answer.failure().detail
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -8,12 +8,12 @@
 
 from returns.result import Result, Success
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
-from irisdeal.config_store.storage.version_store import Arrivals, Have
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -27,16 +27,18 @@
 
     def __init__(self, settings: Settings, acceptor: Acceptor, tasks: Tasks) -> None:
         self.settings, self.acceptor, self.tasks = settings, acceptor, tasks
-        self.links: dict[str, Link] = {}
-        self.newest: dict[str, Stamp] = {}  # machine -> the newest body that it said to hold
-        self.arriving: dict[tuple[str, bytes], Arrivals] = {}  # (caller, digest) -> what came so far
+        self.links: dict[str, RpcClient] = {}
+        self.newest: dict[str, VersionId] = {}  # machine -> the newest body that it said to hold
+        self.arriving: dict[tuple[str, bytes], ChunkAssembler] = {}  # (caller, digest) -> what came so far
 
-    def link(self, ip: str) -> Link:
+    def link(self, ip: str) -> RpcClient:
         if ip not in self.links:
-            self.links[ip] = Link(ports.at(self.settings, ip, ports.ALMANAC), f"almanac {self.settings.ip}")
+            self.links[ip] = RpcClient(
+                ports.at(self.settings, ip, ports.CONFIG_STORE), f"almanac {self.settings.ip}"
+            )
         return self.links[ip]
 
-    async def call(self, ip: str, kind: str, body: Any, within: float) -> Result[Any, Trouble]:
+    async def call(self, ip: str, kind: str, body: Any, within: float) -> Result[Any, OperationError]:
         return await self.link(ip).call(kind, body, within)
 
     def tell(self, ip: str, kind: str, body: Any) -> None:
@@ -47,12 +49,12 @@
 
     # Bodies
 
-    def base(self) -> Stamp:
+    def base(self) -> VersionId:
         """The newest body that is here: what a difference may be told against."""
         newest = self.acceptor.shelf.newest
-        return newest.stamp if newest is not None else NOTHING
+        return newest.stamp if newest is not None else NO_VERSION
 
-    async def bring(self, ip: str, word: Word, have: Have) -> bool:
+    async def bring(self, ip: str, word: ConfigVersion, have: SyncState) -> bool:
         """Whether this body is there now, synced, in as many parcels as it takes. `have`: what it said last."""
         for _ in range(MOST_PARCELS):
             parcel = self._parcel(have, word)
@@ -64,20 +66,20 @@
             whole, told = answer.unwrap()
             if whole:
                 return True
-            before, have = have, Have.hear(told)
+            before, have = have, SyncState.hear(told)
             if have == before:
                 return False
         return False
 
-    def offer(self, word: Word, ips: Iterable[str]) -> None:
+    def offer(self, word: ConfigVersion, ips: Iterable[str]) -> None:
         """Bring this body to all of them, without waiting for it."""
         for ip in sorted(set(ips) - {self.settings.ip}):
-            self.tasks.start(self.bring(ip, word, Have(self.newest.get(ip, NOTHING))))
+            self.tasks.start(self.bring(ip, word, SyncState(self.newest.get(ip, NO_VERSION))))
 
     async def brought(self, peer: str, parcel: list[Any]) -> list[Any]:
         """The other side: `[whole, what we have]`."""
         key = peer, bytes(parcel[1])
-        arrivals = self.arriving.pop(key, None) or Arrivals(self.acceptor.shelf)
+        arrivals = self.arriving.pop(key, None) or ChunkAssembler(self.acceptor.shelf)
         word = arrivals.take(parcel)
         if word is None:
             self.arriving[key] = arrivals
@@ -86,9 +88,9 @@
         whole = word is not None and await self.acceptor.hold(word)
         return [whole, arrivals.have(self.base()).tell()]
 
-    async def fetch(self, ip: str, stamp: Stamp) -> Word | None:
+    async def fetch(self, ip: str, stamp: VersionId) -> ConfigVersion | None:
         """This body from there, synced here; None where it is not there or our disk refuses."""
-        arrivals = Arrivals(self.acceptor.shelf)
+        arrivals = ChunkAssembler(self.acceptor.shelf)
         for _ in range(MOST_PARCELS):
             have = arrivals.have(self.base())
             answer = await self.call(ip, "fetch", [have.tell(), stamp.number, stamp.digest], PARCEL)
@@ -103,20 +105,20 @@
 
     def fetched(self, have: list[Any], number: int, digest: bytes) -> list[Any] | None:
         """The other side: the next parcel."""
-        stamp = Stamp(number, digest)
+        stamp = VersionId(number, digest)
         word = self.acceptor.word(stamp)
         if word is None:
             return None
-        return self._parcel(Have.hear(have), word)
+        return self._parcel(SyncState.hear(have), word)
 
-    def _parcel(self, have: Have, word: Word) -> list[Any] | None:
+    def _parcel(self, have: SyncState, word: ConfigVersion) -> list[Any] | None:
         """The next parcel; None where the body is over the bound of a frame."""
         shelf = self.acceptor.shelf
         if not shelf.has(word.stamp.digest):
             shelf.hold(word)  # ones that are needed may have been put off the shelf
         return shelf.parcel(have, word.stamp)
 
-    async def body(self, stamp: Stamp, ips: list[str]) -> Word | None:
+    async def body(self, stamp: VersionId, ips: list[str]) -> ConfigVersion | None:
         """This body: from here, or from the first of these machines that has it."""
         if self.acceptor.holds(stamp):
             return self.acceptor.word(stamp)
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -10,23 +10,23 @@
 import math
 from typing import Any
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import Proposer
-from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, Outcome, Value
+from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, PutOutcome, Value
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import Members
 from irisdeal.config_store.membership.reconfiguration import may_go
 from irisdeal.config_store.membership.report import Report, read_from
-from irisdeal.config_store.membership.rounds import Rounds
+from irisdeal.config_store.membership.rounds import StatusRounds
 from irisdeal.config_store.metrics import StoreMetrics
 from irisdeal.config_store.peers import Peers, now
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.config_store.storage.version_store import Have
+from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.http1.metrics_server import MetricsServer
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -38,7 +38,7 @@
 HANDOVER = 1.5  # s at most that we wait until others hold what we hold, well inside any time to end
 
 
-class Member:
+class StoreReplica:
     """The store's process."""
 
     def __init__(self, settings: Settings, folder: Folder | None = None) -> None:
@@ -50,11 +50,11 @@
         self.proposer = Proposer(
             self.acceptor, self.peers, self.tasks, self.announce, settings.config_source != "highest"
         )
-        self.rounds = Rounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
+        self.rounds = StatusRounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
         self.force = UNKNOWN  # the newest decided value whose body is here
         self.taking: asyncio.Task[None] | None = None
         self.news = asyncio.Event()
-        self.server = Server(self.handle)
+        self.server = RpcServer(self.handle)
         self.metrics = StoreMetrics()
         self.proposer.on_decided = lambda seats: self.metrics.decisions.add(str(seats))
         self.metrics_server = MetricsServer(settings, self.metrics, asyncio.get_running_loop())
@@ -65,9 +65,9 @@
         first = Value.first(Members.first(ports.seeds(self.settings)))
         await self.acceptor.open(first if self.settings.bootstrap else None)
         if self.acceptor.decided == UNKNOWN:
-            tell(206, seat=self.acceptor.seat)
+            log_event(Event.STARTED_AS_LEARNER, seat=self.acceptor.seat)
         self._enforce()
-        await self.server.listen((self.ip, ports.port(self.settings, ports.ALMANAC)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.CONFIG_STORE)))
         self.tasks.start(self.rounds.run())
         await self.metrics_server.start()
 
@@ -78,11 +78,13 @@
         await asyncio.sleep(PARTING)
         while not self._may_go() and now() < begun + HANDOVER:
             await asyncio.sleep(PARTING)
-        tell(227 if self._may_go() else 228, seat=self.acceptor.seat)
+        log_event(
+            Event.MEMBER_HANDED_OVER if self._may_go() else Event.MEMBER_LEFT_EARLY, seat=self.acceptor.seat
+        )
         cut = await self.server.drain(begun + self.settings.bound("grace_s", 6.0) - END_S)
         if cut:
             self.metrics.cut_calls.add(amount=cut)
-            tell(230, calls=cut)
+            log_event(Event.STORE_CALLS_CUT, calls=cut)
         self.tasks.cancel()
         self.metrics_server.close()
         self.peers.close()
@@ -104,9 +106,15 @@
         if not self.acceptor.learn(value):
             return
         members = value.members
-        tell(209, change=value.change, generation=f"r{value.stamp.number}", list=members.number)
+        log_event(
+            Event.VALUE_DECIDED, change=value.change, generation=f"r{value.stamp.number}", list=members.number
+        )
         if members != before:
-            tell(220 if members.former else 221, list=members.number, seats=" ".join(members.seats))
+            log_event(
+                Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_SETTLED,
+                list=members.number,
+                seats=" ".join(members.seats),
+            )
             self.tasks.start(self._save())  # who goes by this list is needed by the one before it
         self.proposer.decided()
         self._enforce()
@@ -146,7 +154,7 @@
         decided = self.acceptor.decided
         if decided.change > self.force.change and self.acceptor.holds(decided.stamp):
             self.force = decided
-            tell(205, change=decided.change)
+            log_event(Event.DECIDED_VERSION_STORED, change=decided.change)
             self.news.set()
             self.news = asyncio.Event()
 
@@ -168,11 +176,11 @@
                 self.proposer.meet(Ballot.hear(body[0]))
                 return self.learn(Value.hear(body[1]), [peer.rpartition(" ")[2]])
             case "put":
-                return int(await self.put(Word(Stamp(body[0], bytes(body[1])), bytes(body[2]))))
+                return int(await self.put(ConfigVersion(VersionId(body[0], bytes(body[1])), bytes(body[2]))))
             case "read":
                 return await self.read()
             case "watch":
-                return await self.watch(Have.hear(body[0]), int(body[1]))
+                return await self.watch(SyncState.hear(body[0]), int(body[1]))
         raise ValueError(f"no call {kind!r}")
 
     async def _vote(self, seat: str, ballot: list[Any], value: list[Any] | None = None) -> Any:
@@ -186,29 +194,29 @@
             given = await self.acceptor.accept(Ballot.hear(ballot), Value.hear(value))
         except OSError:
             return None
-        return [given[0], given[1].tell()] if given else [None, Have(self.peers.base()).tell()]
+        return [given[0], given[1].tell()] if given else [None, SyncState(self.peers.base()).tell()]
 
     def has_contact(self) -> bool:
         return self.rounds.has_contact()
 
-    async def put(self, word: Word) -> Outcome:
+    async def put(self, word: ConfigVersion) -> PutOutcome:
         """What became of an order. It may come to be decided after a LATER."""
         if not self.has_contact():
-            tell(213, call="put", generation=f"r{word.stamp.number}")
-            return Outcome.LATER
+            log_event(Event.REQUEST_WITHOUT_CONTACT, call="put", generation=f"r{word.stamp.number}")
+            return PutOutcome.LATER
         return await self.proposer.put(word, PUT)
 
     async def read(self) -> list[Any]:
         """`[known, body]`: what is decided now, body None where nothing is; not known without a quorum."""
         if not self.has_contact():
-            tell(213, call="read")
+            log_event(Event.REQUEST_WITHOUT_CONTACT, call="read")
             return [False, None]
         until = now() + READ
         value = await self._heard_value() or await self.proposer.safe(until - now())
         if value is None:
             return [False, None]
         self.learn(value, [])
-        if value.stamp == NOTHING:
+        if value.stamp == NO_VERSION:
             return [True, None]
         word = await self.peers.body(value.stamp, sorted(value.members.ips()))
         return [word is not None, word.body if word is not None else None]
@@ -223,7 +231,7 @@
             reports += [report for task in answered if (report := task.result()) is not None]
         return value
 
-    async def watch(self, have: Have, change: int) -> list[Any]:
+    async def watch(self, have: SyncState, change: int) -> list[Any]:
         """`[parcel or None, value in force, learners, age in ms of our contact or -1]`, soon or in HOLD s.
 
         A caller that knows more than we do has no news from us.
@@ -235,7 +243,7 @@
             except TimeoutError:
                 pass
         force, parcel = self.force, None
-        if force.change >= change and force.stamp not in (have.stamp, NOTHING):
+        if force.change >= change and force.stamp not in (have.stamp, NO_VERSION):
             parcel = self.peers.fetched(have.tell(), force.stamp.number, force.stamp.digest)
         age = self.rounds.known_age(force.change)
         return [parcel, force.tell(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
--- a/irisdeal/config_store/storage/acceptor_state.py
+++ b/irisdeal/config_store/storage/acceptor_state.py
@@ -12,7 +12,7 @@
 
 import cbor2
 
-from irisdeal.config_store.consensus.register import Kept, Value
+from irisdeal.config_store.consensus.register import AcceptorState, Value
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.config_store.storage.version_files import put
 
@@ -21,36 +21,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class PersistedState:
     """All of it. `decided`: the newest value that was known to be decided when it was written."""
 
     disk: str
-    kept: Kept
+    kept: AcceptorState
     decided: Value
 
 
-def encode(state: State) -> bytes:
+def encode(state: PersistedState) -> bytes:
     """A line with magic and a check of the rest, then the rest."""
     told = cbor2.dumps([state.disk, state.kept.tell(), state.decided.tell()])
     return MAGIC + hashlib.sha256(told).hexdigest().encode() + b"\n" + told
 
 
-def decode(data: bytes) -> State:
+def decode(data: bytes) -> PersistedState:
     """ValueError where the bytes are no proof of themselves."""
     head, _, told = data.partition(b"\n")
     if head != MAGIC + hashlib.sha256(told).hexdigest().encode():
         raise ValueError("damaged")
     disk, kept, decided = cbor2.loads(told)
-    return State(str(disk), Kept.hear(kept), Value.hear(decided))
+    return PersistedState(str(disk), AcceptorState.hear(kept), Value.hear(decided))
 
 
-class Keeper:
+class AcceptorStateFile:
     """The file in its folder. One thread at a time."""
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
 
-    def open(self) -> State | None:
+    def open(self) -> PersistedState | None:
         """What was kept, synced anew; None where there is none. ValueError where it is damaged, OSError."""
         if NAME not in self.folder.names():
             return None
@@ -58,6 +58,6 @@
         self.write(state)  # the process that wrote it may have been killed before it synced
         return state
 
-    def write(self, state: State) -> None:
+    def write(self, state: PersistedState) -> None:
         """Synced when it returns. OSError where the disk refuses."""
         put(self.folder, NAME, encode(state))
--- a/irisdeal/config_store/storage/inspection.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -4,23 +4,23 @@
 
 from dataclasses import dataclass, field
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import Value
 from irisdeal.config_store.storage import acceptor_state, version_files
-from irisdeal.config_store.storage.acceptor_state import State
+from irisdeal.config_store.storage.acceptor_state import PersistedState
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 
 
 @dataclass
 class Disk:
     """What was found. `state` is None where the disk has no identity yet or `kept` is damaged."""
 
-    state: State | None = None
-    words: dict[str, Word] = field(default_factory=dict)  # file -> body
-    troubles: list[Trouble] = field(default_factory=list)
+    state: PersistedState | None = None
+    words: dict[str, ConfigVersion] = field(default_factory=dict)  # file -> body
+    troubles: list[OperationError] = field(default_factory=list)
 
-    def body(self, stamp: Stamp) -> Word | None:
+    def body(self, stamp: VersionId) -> ConfigVersion | None:
         return next((word for word in self.words.values() if word.stamp == stamp), None)
 
     @property
@@ -29,9 +29,9 @@
         return [self.state.decided, self.state.kept.value] if self.state is not None else []
 
     def holds(self, value: Value) -> bool:
-        return value.stamp == NOTHING or self.body(value.stamp) is not None
+        return value.stamp == NO_VERSION or self.body(value.stamp) is not None
 
-    def standing(self, stamp: Stamp) -> str:
+    def standing(self, stamp: VersionId) -> str:
         """`decided`, `accepted` (perhaps not decided) or `kept` (an older one, or one that was never decided)."""
         if self.state is not None and stamp == self.state.decided.stamp:
             return "decided"
@@ -48,11 +48,11 @@
             elif name.endswith(".word"):
                 disk.words[name] = version_files.decode(folder.read(name))
         except ValueError as error:
-            disk.troubles.append(Trouble("read", name, str(error)))
+            disk.troubles.append(OperationError("read", name, str(error)))
     return disk
 
 
-def verify(disk: Disk) -> list[Trouble]:
+def verify(disk: Disk) -> list[OperationError]:
     """What is wrong: damage, and the body of an accepted value that is not there."""
     if disk.state is None:
         named = any(trouble.peer == acceptor_state.NAME for trouble in disk.troubles)
@@ -61,24 +61,24 @@
             if named
             else [
                 *disk.troubles,
-                Trouble("read", acceptor_state.NAME, "missing: this disk has no identity yet"),
+                OperationError("read", acceptor_state.NAME, "missing: this disk has no identity yet"),
             ]
         )
     value = disk.state.kept.value
     if not disk.holds(value):
         return [
             *disk.troubles,
-            Trouble("check", f"r{value.stamp.number}", "accepted, but its body is not here"),
+            OperationError("check", f"r{value.stamp.number}", "accepted, but its body is not here"),
         ]
     return disk.troubles
 
 
-def newest(disk: Disk) -> Word | None:
+def newest(disk: Disk) -> ConfigVersion | None:
     """The body to be exported: that of the newest decided value, else of the one accepted, that is here."""
     return next((word for value in disk.values if (word := disk.body(value.stamp)) is not None), None)
 
 
-def named(disk: Disk, generation: str) -> Word | None:
+def named(disk: Disk, generation: str) -> ConfigVersion | None:
     """The body of `r12`; where two have this number, the one that was decided or accepted."""
     found = [word for word in disk.words.values() if f"r{word.stamp.number}" == generation]
     return min(found, key=lambda word: (disk.standing(word.stamp) == "kept", word.stamp.digest), default=None)
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -9,9 +9,9 @@
 import hashlib
 from collections.abc import Collection
 
-from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 
 KEPT = 3  # bodies on disk beside those that are needed: for whoever looks, and for ballots under way
 MAGIC = "irisdeal-word-1"
@@ -27,7 +27,7 @@
     folder.sync_names()
 
 
-def encode(word: Word) -> bytes:
+def encode(word: ConfigVersion) -> bytes:
     """A line with magic, number, digest, length and a check of these, then the body as it came."""
     told = f"{MAGIC} {word.stamp.number} {word.stamp.digest.hex()} {len(word.body)}"
     return f"{told} {_check(told)}\n".encode() + word.body
@@ -37,14 +37,14 @@
     return hashlib.sha256(told.encode()).hexdigest()[:16]
 
 
-def decode(data: bytes) -> Word:
+def decode(data: bytes) -> ConfigVersion:
     """ValueError where the bytes are not a whole word."""
     head, line, body = data.partition(b"\n")
     told, _, check = head.decode("ascii", "replace").rpartition(" ")
     parts = told.split(" ")
     if not line or check != _check(told) or len(parts) != 4 or parts[0] != MAGIC:
         raise ValueError("no word")
-    word = Word(Stamp(int(parts[1]), bytes.fromhex(parts[2])), body)
+    word = ConfigVersion(VersionId(int(parts[1]), bytes.fromhex(parts[2])), body)
     if str(len(body)) != parts[3] or not word.is_whole():
         raise ValueError("torn")
     return word
@@ -55,9 +55,9 @@
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
-        self.stamps: dict[str, Stamp] = {}  # file -> what is in it, synced; the one kept last is the last
+        self.stamps: dict[str, VersionId] = {}  # file -> what is in it, synced; the one kept last is the last
 
-    def open(self) -> list[Word]:
+    def open(self) -> list[ConfigVersion]:
         """All whole words, synced, by number. OSError where the disk refuses."""
         words = []
         for name in self.folder.names():
@@ -68,7 +68,7 @@
             try:
                 word = decode(self.folder.read(name))
             except (OSError, ValueError) as error:
-                tell(204, file=name, error=error)
+                log_event(Event.FILE_DAMAGED, file=name, error=error)
                 continue
             self.folder.sync(name)  # the process that wrote it may have been killed before it synced
             self.stamps[name] = word.stamp
@@ -77,11 +77,11 @@
             self.folder.sync_names()
         return words
 
-    def has(self, stamp: Stamp) -> bool:
+    def has(self, stamp: VersionId) -> bool:
         """Whether this body is on the disk, synced."""
         return stamp in self.stamps.values()
 
-    def keep(self, word: Word, needed: Collection[Stamp] = ()) -> None:
+    def keep(self, word: ConfigVersion, needed: Collection[VersionId] = ()) -> None:
         """Synced when it returns. `needed`: what must stay. OSError where the disk refuses."""
         name = f"r{word.stamp.number:018d}-{word.stamp.digest.hex()[:16]}.word"
         if name not in self.stamps:
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -1,8 +1,8 @@
 """Bodies of words by digest: the last few are kept, and told as parcels. No input or output here.
 
-A caller says what it has (`Have`); a holder answers with a parcel of what is wanted: a difference against a
-body that the caller has, or a piece of the whole that goes on where the last one ended. `Arrivals` puts parcels
-together and gives the word when it is whole; each word proves itself by its digest, whatever way it came.
+A caller says what it has (`SyncState`); a holder answers with a parcel of what is wanted: a difference against a
+body that the caller has, or a piece of the whole that goes on where the last one ended. `ChunkAssembler` puts
+parcels together and gives the word when it is whole; each word proves itself by its digest, whatever way it came.
 
 A parcel is a list: number and digest of its word, the body's length, the digest of the base (empty for a piece of
 the whole), the length of what is sent piece by piece (the body itself, or the packed difference), this piece's
@@ -27,7 +27,7 @@
 from typing import Any
 
 from irisdeal.config_store.configuration.difference import LEVEL, NoDifference, apply, difference, unpack
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 
 KEPT = 16  # words kept before the newest, as differences against the one after: bases of what callers have
 MOST_KEPT = 4 << 20  # bytes of all of them
@@ -44,23 +44,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Have:
+class SyncState:
     """What a caller has: its newest word, and how much of another it has got so far.
 
     `offset` counts bytes of the other's body, or, below nought, those of a packed difference against `stamp`.
     """
 
-    stamp: Stamp = NOTHING
-    arriving: Stamp = NOTHING
+    stamp: VersionId = NO_VERSION
+    arriving: VersionId = NO_VERSION
     offset: int = 0
 
     def tell(self) -> list[Any]:
         return [self.stamp.number, self.stamp.digest, self.arriving.number, self.arriving.digest, self.offset]
 
     @staticmethod
-    def hear(told: list[Any]) -> Have:
+    def hear(told: list[Any]) -> SyncState:
         number, digest, other, other_digest, offset = told
-        return Have(Stamp(int(number), bytes(digest)), Stamp(int(other), bytes(other_digest)), int(offset))
+        return SyncState(
+            VersionId(int(number), bytes(digest)), VersionId(int(other), bytes(other_digest)), int(offset)
+        )
 
 
 def _check(number: int, digest: bytes, length: int, base: bytes, size: int, offset: int, piece: bytes) -> int:
@@ -69,7 +71,7 @@
     return zlib.crc32(piece, zlib.crc32(head + digest + base))
 
 
-class Shelf:
+class VersionStore:
     """The last bodies that this process held, within bounds.
 
     At most the newest, the snapshot and `MOST_WHOLE` others are whole; differences and what is packed take 12 MB:
@@ -79,14 +81,14 @@
     def __init__(self, kept: int = KEPT) -> None:
         """`kept`: words before the newest; 0 for who tells no others."""
         self.kept = kept
-        self.newest: Word | None = None
-        self.snapshot: Word | None = None
-        self.older: list[tuple[Stamp, bytes, int]] = []  # the last first: as differences, and lengths
-        self.whole: OrderedDict[bytes, Word] = OrderedDict()
+        self.newest: ConfigVersion | None = None
+        self.snapshot: ConfigVersion | None = None
+        self.older: list[tuple[VersionId, bytes, int]] = []  # the last first: as differences, and lengths
+        self.whole: OrderedDict[bytes, ConfigVersion] = OrderedDict()
         self.packed: OrderedDict[tuple[bytes, bytes, int], bytes] = OrderedDict()  # digest, base, place
         self.packed_bytes = 0
 
-    def hold(self, word: Word) -> None:
+    def hold(self, word: ConfigVersion) -> None:
         """Keep it as the newest; the oldest goes."""
         if self.newest is None or word.stamp.digest == self.newest.stamp.digest:
             self.newest = word
@@ -104,7 +106,7 @@
         while len(self.older) > self.kept or sum(len(packed) for _, packed, _ in self.older) > MOST_KEPT:
             self.older.pop()
 
-    def _keep_whole(self, word: Word) -> None:
+    def _keep_whole(self, word: ConfigVersion) -> None:
         self.whole[word.stamp.digest] = word
         self.whole.move_to_end(word.stamp.digest)
         while len(self.whole) > MOST_WHOLE:
@@ -119,10 +121,10 @@
         )
 
     @staticmethod
-    def _is(word: Word | None, digest: bytes) -> bool:
+    def _is(word: ConfigVersion | None, digest: bytes) -> bool:
         return word is not None and word.stamp.digest == digest
 
-    def get(self, digest: bytes) -> Word | None:
+    def get(self, digest: bytes) -> ConfigVersion | None:
         for word in (self.newest, self.snapshot):
             if word is not None and word.stamp.digest == digest:
                 return word
@@ -135,12 +137,12 @@
         for stamp, packed, length in self.older:
             body = apply(body, packed, length)
             if stamp.digest == digest:
-                word = Word(stamp, body)
+                word = ConfigVersion(stamp, body)
                 self._keep_whole(word)
                 return word
         return None
 
-    def parcel(self, have: Have, want: Stamp, by_snapshot: bool = False) -> list[Any] | None:
+    def parcel(self, have: SyncState, want: VersionId, by_snapshot: bool = False) -> list[Any] | None:
         """The next parcel of this word for a caller that has that; None where the body is not here.
 
         A caller that is in the middle of another, newer than what it has, may get the next piece of that one: its
@@ -149,7 +151,7 @@
         word = self.get(want.digest)
         if word is None or len(word.body) > MOST_BODY:
             return None
-        going_on = have.arriving != NOTHING and have.offset > 0
+        going_on = have.arriving != NO_VERSION and have.offset > 0
         if not (going_on and have.arriving == want):
             packed = self._difference(have.stamp.digest, word)
             if packed is not None:
@@ -163,7 +165,7 @@
             return self._piece(word, have.offset)
         return self._piece(self._snapshot(word, have.stamp) if by_snapshot else word, 0)
 
-    def _snapshot(self, word: Word, above: Stamp) -> Word:
+    def _snapshot(self, word: ConfigVersion, above: VersionId) -> ConfigVersion:
         """What a caller begins with that wants this word and has nothing near it: the snapshot, above what it has;
         renewed where it is far from the word by now."""
         before = self.snapshot
@@ -176,7 +178,7 @@
         self.snapshot = word
         return word
 
-    def _piece(self, word: Word, offset: int) -> list[Any]:
+    def _piece(self, word: ConfigVersion, offset: int) -> list[Any]:
         length, digest = len(word.body), word.stamp.digest
         if offset >= length:
             offset = 0
@@ -186,7 +188,7 @@
         check = _check(word.stamp.number, digest, length, b"", length, offset, packed)
         return [word.stamp.number, digest, length, b"", length, offset, check, packed]
 
-    def _difference_parcel(self, word: Word, base: bytes, packed: bytes, offset: int) -> list[Any]:
+    def _difference_parcel(self, word: ConfigVersion, base: bytes, packed: bytes, offset: int) -> list[Any]:
         length, size = len(word.body), len(packed)
         if offset >= size:
             offset = 0
@@ -194,7 +196,7 @@
         check = _check(word.stamp.number, word.stamp.digest, length, base, size, offset, piece)
         return [word.stamp.number, word.stamp.digest, length, base, size, offset, check, piece]
 
-    def _difference(self, base: bytes, word: Word) -> bytes | None:
+    def _difference(self, base: bytes, word: ConfigVersion) -> bytes | None:
         """Packed once for all callers that have this base; None where the whole is told instead."""
         if not base or base == word.stamp.digest:
             return None
@@ -227,35 +229,35 @@
         return packed
 
 
-class AnotherWord(NoDifference):
+class VersionMismatch(NoDifference):
     """What came cannot become the word that was announced; it is begun anew, from nothing."""
 
 
-class Arrivals:
+class ChunkAssembler:
     """Words on their way to this process. Holds at most one that is not whole, so `MOST_BODY` bytes."""
 
-    def __init__(self, shelf: Shelf) -> None:
+    def __init__(self, shelf: VersionStore) -> None:
         self.shelf = shelf
-        self.held = NOTHING  # the newest word that is held, as last told
-        self.last = NOTHING  # the last one that came whole: a base, also before it holds
+        self.held = NO_VERSION  # the newest word that is held, as last told
+        self.last = NO_VERSION  # the last one that came whole: a base, also before it holds
         self.from_nothing = False  # something could not be used: the whole is asked for
         self.no_use = 0  # parcels in a row
-        self._begin(NOTHING, 0, b"", 0)
+        self._begin(NO_VERSION, 0, b"", 0)
 
-    def _begin(self, stamp: Stamp, length: int, base: bytes, size: int) -> None:
+    def _begin(self, stamp: VersionId, length: int, base: bytes, size: int) -> None:
         """Forget what was got so far."""
         self.stamp, self.length, self.base, self.size = stamp, length, base, size
         self.got, self.hash = bytearray(), hashlib.sha256()
 
-    def have(self, stamp: Stamp) -> Have:
+    def have(self, stamp: VersionId) -> SyncState:
         """What to say when asking; `stamp`: the newest word that is held."""
         self.held = stamp
         base = self.last if self.from_nothing else max(stamp, self.last)
         if self.shelf.has(self.stamp.digest) or (self.base and self.base != base.digest):
-            self._begin(NOTHING, 0, b"", 0)
-        return Have(base, self.stamp, -len(self.got) if self.base else len(self.got))
+            self._begin(NO_VERSION, 0, b"", 0)
+        return SyncState(base, self.stamp, -len(self.got) if self.base else len(self.got))
 
-    def take(self, parcel: list[Any]) -> Word | None:
+    def take(self, parcel: list[Any]) -> ConfigVersion | None:
         """The word, where it is whole and proves itself (it is on the shelf then).
 
         None where more is to come, or where the parcel was no use. One that came before, or is of another word
@@ -278,17 +280,17 @@
                 and (base or size == length)
             ):
                 raise NoDifference("lengths that no parcel has")
-            return self._take(Stamp(number, digest), length, base, size, offset, piece)
+            return self._take(VersionId(number, digest), length, base, size, offset, piece)
         except (NoDifference, TypeError, ValueError) as error:
             self.no_use += 1
-            if isinstance(error, AnotherWord) or self.no_use > STUBBORN:
-                self._begin(NOTHING, 0, b"", 0)
-                self.last, self.from_nothing, self.no_use = NOTHING, True, 0
+            if isinstance(error, VersionMismatch) or self.no_use > STUBBORN:
+                self._begin(NO_VERSION, 0, b"", 0)
+                self.last, self.from_nothing, self.no_use = NO_VERSION, True, 0
             return None
 
     def _take(
-        self, stamp: Stamp, length: int, base: bytes, size: int, offset: int, piece: bytes
-    ) -> Word | None:
+        self, stamp: VersionId, length: int, base: bytes, size: int, offset: int, piece: bytes
+    ) -> ConfigVersion | None:
         if self.shelf.has(stamp.digest):  # from another source, a moment ago
             self._came(stamp)
             return self.shelf.get(stamp.digest)
@@ -297,9 +299,9 @@
             if offset > 0 or goes_on:
                 raise NoDifference("of another word than the one on its way")
             if base and not self.shelf.has(base):
-                raise AnotherWord("the base is not here")
+                raise VersionMismatch("the base is not here")
             if not base:
-                self.last = NOTHING  # told as a base, it was none to this source
+                self.last = NO_VERSION  # told as a base, it was none to this source
             self._begin(stamp, length, base, size)
         if offset != len(self.got):
             raise NoDifference("doubled, or out of order")
@@ -311,27 +313,27 @@
         self.no_use = 0
         return self._whole() if len(self.got) == size else None
 
-    def _whole(self) -> Word:
+    def _whole(self) -> ConfigVersion:
         """What was got is all there is: the word. AnotherWord where it is not the one that was announced."""
         body, proof = bytes(self.got), self.hash
         if self.base:
             held = self.shelf.get(self.base)
             if held is None:
-                raise AnotherWord("the base is here no more")
+                raise VersionMismatch("the base is here no more")
             try:
                 body = apply(held.body, body, self.length)
             except NoDifference as error:
-                raise AnotherWord(str(error)) from error
+                raise VersionMismatch(str(error)) from error
             proof = hashlib.sha256(body)
         if proof.digest() != self.stamp.digest:
-            raise AnotherWord("whole by its length, another by its digest")
-        word = Word(self.stamp, body)
-        self._begin(NOTHING, 0, b"", 0)
+            raise VersionMismatch("whole by its length, another by its digest")
+        word = ConfigVersion(self.stamp, body)
+        self._begin(NO_VERSION, 0, b"", 0)
         self._came(word.stamp)
         self.shelf.hold(word)
         return word
 
-    def _came(self, stamp: Stamp) -> None:
+    def _came(self, stamp: VersionId) -> None:
         """It is whole here: a base, the only one told after something could not be used, until a word is as new as
         the one that is held."""
         self.last = stamp
--- a/irisdeal/load_balancing/backend_choice.py
+++ b/irisdeal/load_balancing/backend_choice.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Usual:
+class LatencyEstimate:
     """What a kind of request usually takes at a service, s."""
 
     time: float = FIRST_USUAL
@@ -138,7 +138,9 @@
         """Whether one more would wait there behind a request for each slot: better it waits here, for any."""
         return backend.out + backend.others >= backend.capacity * MOST_THERE
 
-    def answered(self, backend: Backend, usual: Usual, seconds: float, crowd: float, now: float) -> None:
+    def answered(
+        self, backend: Backend, usual: LatencyEstimate, seconds: float, crowd: float, now: float
+    ) -> None:
         """A whole answer after so long, where it was `crowd` times its work by what was there."""
         alone = seconds / crowd
         self.paced(backend, alone / max(0.001, usual.time), now)
--- a/irisdeal/placement/attempt_end.py
+++ b/irisdeal/placement/attempt_end.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 
-class How(IntEnum):
+class AttemptResult(IntEnum):
     """The end of an attempt, as its door tells it."""
 
     GOOD = 0  # a whole answer
--- a/irisdeal/placement/load_reports.py
+++ b/irisdeal/placement/load_reports.py
@@ -17,7 +17,7 @@
     return zlib.crc32(id_.encode()) & 0xFFFFFF
 
 
-class Loads:
+class LoadReports:
     """The latest sums of the other registries."""
 
     def __init__(self) -> None:
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
-from irisdeal.placement.attempt_end import How
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.placement.load_reports import key
 from irisdeal.rpc.calls import name_of
 
@@ -198,7 +198,7 @@
                 best, least = backend, cost
         return best, least
 
-    def ended(self, door: str, number: int, how: How, ratio: float, now: float) -> str | None:
+    def ended(self, door: str, number: int, how: AttemptResult, ratio: float, now: float) -> str | None:
         """The end of a place; the service at which there may be room now. `ratio`: s it took over the usual."""
         place = self.places.get(number)
         name = name_of(door)
@@ -208,24 +208,27 @@
         self._freed(place.door, number)
         backend, choice = place.backend, self.choice
         choice.ended(backend, place.begun)
-        bad = how in (How.FAILED, How.POOR)
-        if how not in (How.UNKNOWN, How.ABANDONED):
+        bad = how in (AttemptResult.FAILED, AttemptResult.POOR)
+        if how not in (AttemptResult.UNKNOWN, AttemptResult.ABANDONED):
             share = self.failing.get(name, 0.0)
-            self.failing[name] = share + DOOR_WEIGHT * ((how is How.FAILED) - share)
-            if how in (How.GOOD, How.POOR, How.FAILED) and self.failing[name] < ILL_DOOR:
+            self.failing[name] = share + DOOR_WEIGHT * ((how is AttemptResult.FAILED) - share)
+            if (
+                how in (AttemptResult.GOOD, AttemptResult.POOR, AttemptResult.FAILED)
+                and self.failing[name] < ILL_DOOR
+            ):
                 backend.ill += ILL_WEIGHT * (bad - backend.ill)
         match how:
-            case How.GOOD:
+            case AttemptResult.GOOD:
                 choice.paced(backend, ratio / place.crowd, now, PACE_WEIGHT)
-            case How.POOR:  # as quick as it may be, it is no better for it
+            case AttemptResult.POOR:  # as quick as it may be, it is no better for it
                 backend.heard = now
-            case How.FULL:
+            case AttemptResult.FULL:
                 choice.full(backend, now, 0.1)
-            case How.ENDED:
+            case AttemptResult.ENDED:
                 self.retire(backend.id)
-            case How.FAILED if self.failing[name] < ILL_DOOR:
+            case AttemptResult.FAILED if self.failing[name] < ILL_DOOR:
                 choice.failed(backend, now)
-            case How.ABANDONED if self.failing.get(name, 0.0) < ILL_DOOR:
+            case AttemptResult.ABANDONED if self.failing.get(name, 0.0) < ILL_DOOR:
                 choice.abandoned(backend, place.begun, ratio / place.crowd, now, PACE_WEIGHT)
         return backend.service
 
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -18,8 +18,8 @@
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.refusal import Refused, over_quota
 from irisdeal.proxy.registry_client import RegistryClient, Reported
-from irisdeal.ratelimit.concurrency_limit import Gate
-from irisdeal.ratelimit.interval_clock import LENGTH, Edge
+from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
+from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import Usage, Usages
 from irisdeal.ratelimit.rate_companion import RateCompanion
 from irisdeal.registry.messages import IntervalReport
@@ -84,8 +84,8 @@
         self.returned: dict[
             str, list[float]
         ] = {}  # permits of requests that ended unsent: until when each serves
-        self.gate = Gate()
-        self.edge = Edge(loop.time())
+        self.gate = ConcurrencyLimit()
+        self.edge = SharedIntervalClock(loop.time())
         self.proxies, self.has_reported = FIRST_PROXIES, False
         self.most_proxies = 0  # that were told
         self.newest_total = -1  # the newest finished one that was taken over
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -9,8 +9,8 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
-from irisdeal.placement.attempt_end import How
+from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, LatencyEstimate
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.admission import SEND_WITHIN_S, RequestPermit, TenantAdmission
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.refusal import without_permits
@@ -48,7 +48,7 @@
 
     service: str
     tried: set[str]
-    usual: Usual
+    usual: LatencyEstimate
     rank: int
     hold_s: float
     until: float
@@ -156,7 +156,7 @@
     def give_back(self, placed: Placed) -> None:
         """The place is not used."""
         if placed.number:
-            self.registries.end_place(placed.source, PlaceEnd(placed.number, int(How.UNKNOWN)))
+            self.registries.end_place(placed.source, PlaceEnd(placed.number, int(AttemptResult.UNKNOWN)))
 
     def _checked(self, placement: Placement, needs: AttemptNeeds) -> Placed | None:
         """The backend of a registry's answer where it fits what we know, or our own choice in its place."""
@@ -168,7 +168,7 @@
         if backend is not None and not backend.draining and reply.backend not in needs.tried:
             return Placed(backend, reply.crowd, placement.registry, reply.number)
         if has_place:
-            self.registries.end_place(placement.registry, PlaceEnd(reply.number, int(How.UNKNOWN)))
+            self.registries.end_place(placement.registry, PlaceEnd(reply.number, int(AttemptResult.UNKNOWN)))
         own = self._choose(needs)
         return Placed(own, self.choice.crowd(own)) if own is not None else None
 
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -17,8 +17,8 @@
 
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.phase import Phase
-from irisdeal.load_balancing.backend_choice import BackendChoice, Usual
-from irisdeal.placement.attempt_end import How
+from irisdeal.load_balancing.backend_choice import BackendChoice, LatencyEstimate
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy import backend_message
 from irisdeal.proxy.admission import RequestPermit
 from irisdeal.proxy.attempt_placement import LEAST_HOLD_S, AttemptNeeds, AttemptPlacer, Placed
@@ -26,12 +26,12 @@
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.drain_plan import DrainPlan
 from irisdeal.proxy.metrics import ProxyMetrics
-from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.refusal import Refused, leaving
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
 from irisdeal.registry.messages import PlaceEnd
-from irisdeal.runtime.events import invariant, tell
+from irisdeal.runtime.events import Event, invariant, log_event
 from irisdeal.runtime.process import Tasks
 
 LEAST_LEFT_S = 0.010  # of a request's time under which no attempt is begun
@@ -54,7 +54,7 @@
     tenant: str
     rank: int  # least first
     until: float
-    usual: Usual
+    usual: LatencyEstimate
     permit: RequestPermit | None
 
 
@@ -110,12 +110,14 @@
             self.services.metrics.abandoned.add(reason)
             self.task.cancel()
 
-    def _ended(self, task: asyncio.Task[Outcome]) -> None:
+    def _ended(self, task: asyncio.Task[AttemptOutcome]) -> None:
         """Give back what it had, and learn from it."""
         services, backend, usual = self.services, self.placed.backend, self.admitted.usual
-        now, how, outcome = services.loop.time(), How.ABANDONED, None
+        now, how, outcome = services.loop.time(), AttemptResult.ABANDONED, None
         if not task.cancelled():
-            outcome = task.result() if task.exception() is None else Outcome(End.LOST, "a fault of our own")
+            outcome = (
+                task.result() if task.exception() is None else AttemptOutcome(End.LOST, "a fault of our own")
+            )
             how = reported_as(outcome)
         ratio = (now - self.begun) / max(0.001, usual.time)
         services.choice.ended(backend, self.begun)
@@ -127,38 +129,40 @@
         self._learn(how, outcome, ratio, now)
         self.on_ended(self)
 
-    def _has_not_run(self, outcome: Outcome | None) -> bool:
+    def _has_not_run(self, outcome: AttemptOutcome | None) -> bool:
         return not self.sent.is_sent if outcome is None else outcome.end in (End.UNSENT, End.PROMISE)
 
-    def _learn(self, how: How, outcome: Outcome | None, ratio: float, now: float) -> None:
+    def _learn(self, how: AttemptResult, outcome: AttemptOutcome | None, ratio: float, now: float) -> None:
         choice, backend, usual = self.services.choice, self.placed.backend, self.admitted.usual
         match how:
-            case How.GOOD:
+            case AttemptResult.GOOD:
                 choice.answered(backend, usual, now - self.begun, self.placed.crowd, now)
-            case How.FULL:
+            case AttemptResult.FULL:
                 choice.full(backend, now, usual.time)
-            case How.ENDED:
+            case AttemptResult.ENDED:
                 self.services.on_ended(backend.id)
-            case How.ABANDONED if self.sent.is_sent:
+            case AttemptResult.ABANDONED if self.sent.is_sent:
                 choice.abandoned(backend, self.begun, ratio / self.placed.crowd, now)
-            case How.FAILED:
+            case AttemptResult.FAILED:
                 rest = choice.failed(backend, now)
                 why = outcome.why if outcome is not None else ""
-                tell(405, backend=backend.id, service=backend.service, why=why, seconds=rest)
+                log_event(
+                    Event.BACKEND_EJECTED, backend=backend.id, service=backend.service, why=why, seconds=rest
+                )
 
 
-def reported_as(outcome: Outcome) -> How:
+def reported_as(outcome: AttemptOutcome) -> AttemptResult:
     """An attempt's end as the registry is told it."""
     match outcome.end:
         case End.ANSWER:
-            return How.POOR if outcome.status >= 500 else How.GOOD
+            return AttemptResult.POOR if outcome.status >= 500 else AttemptResult.GOOD
         case End.PROMISE:
-            return How.ENDED if outcome.misdirected else How.FULL
+            return AttemptResult.ENDED if outcome.misdirected else AttemptResult.FULL
         case End.LOST if outcome.late:
             return (
-                How.UNKNOWN
+                AttemptResult.UNKNOWN
             )  # its time was over, perhaps before its turn came; a dark one shows by its silence
-    return How.FAILED
+    return AttemptResult.FAILED
 
 
 class RequestAttempts:
@@ -173,8 +177,10 @@
         self.tried: set[str] = set()
         self.unsent = self.sent = 0  # attempts that ended
         self.may_have_run = self.is_promised = False
-        self.last = Outcome(End.UNSENT, "no backend")
-        self.failure: Outcome | None = None  # a backend's own 5xx, the answer where there is no better one
+        self.last = AttemptOutcome(End.UNSENT, "no backend")
+        self.failure: AttemptOutcome | None = (
+            None  # a backend's own 5xx, the answer where there is no better one
+        )
 
     async def run(self) -> Answer:
         """The final answer. Refused where there is none of a backend; cancelled where the client has left and
@@ -318,7 +324,7 @@
             return None
         return max(LEAST_PATIENCE_S, PATIENCE * self.admitted.usual.time)
 
-    def _take(self, outcome: Outcome) -> Answer | None:
+    def _take(self, outcome: AttemptOutcome) -> Answer | None:
         """One attempt has ended."""
         self.last = outcome
         match outcome.end:
--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: one request at a time, each of which ends in exactly one `Outcome`.
+"""One connection to a backend: one request at a time, each of which ends in exactly one `AttemptOutcome`.
 
 An answer is matched by its connection, one request at a time, and by the attempt's id. A connection on which an
 attempt ended in any other way than by a whole answer is never used again; nor is one for the same id once more,
@@ -16,8 +16,8 @@
 from irisdeal.http1.framing import HOP, OWS, Headers
 from irisdeal.load_balancing.backend_choice import Backend
 from irisdeal.proxy.backend_message import BackendRequest
-from irisdeal.proxy.outcome import End, Outcome
-from irisdeal.runtime.events import tell
+from irisdeal.proxy.outcome import AttemptOutcome, End
+from irisdeal.runtime.events import Event, log_event
 
 if TYPE_CHECKING:
     from irisdeal.proxy.connection_pool import ConnectionPool
@@ -42,7 +42,7 @@
         self.pool, self.backend = pool, backend
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.done: asyncio.Future[Outcome] | None = None
+        self.done: asyncio.Future[AttemptOutcome] | None = None
         self.id = b""
         self.dead = self.bodiless = self.whole = False
         self.used = 0  # requests that were written
@@ -58,7 +58,7 @@
 
     # One request
 
-    def start(self, request: BackendRequest) -> asyncio.Future[Outcome]:
+    def start(self, request: BackendRequest) -> asyncio.Future[AttemptOutcome]:
         """Write the request; the outcome comes when it is known."""
         assert self.transport is not None
         if self.mutating != request.is_mutating:
@@ -74,7 +74,7 @@
         self.transport.write(request.message)
         return self.done
 
-    def _finish(self, outcome: Outcome, keep: bool) -> None:
+    def _finish(self, outcome: AttemptOutcome, keep: bool) -> None:
         done, self.done = self.done, None
         if not keep:
             self.drop()
@@ -110,18 +110,20 @@
         self.transport = None
         self.dead = True
         self.pool.forget(self)
-        self._finish(Outcome(End.LOST, why), keep=False)
+        self._finish(AttemptOutcome(End.LOST, why), keep=False)
 
     def data_received(self, data: bytes) -> None:
         if self.done is None:  # bytes that belong to no request
-            tell(512, backend=self.backend.id, last=self.id, bytes=len(data))
+            log_event(Event.DUPLICATE_RESPONSE, backend=self.backend.id, last=self.id, bytes=len(data))
             return self.drop()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self.whole:  # more behind a whole answer: that one may stand, the connection is done with
                 return self._answered(spoilt=True)
-            return self._finish(Outcome(End.LOST, f"odd answer: {error.__context__ or error}"), keep=False)
+            return self._finish(
+                AttemptOutcome(End.LOST, f"odd answer: {error.__context__ or error}"), keep=False
+            )
         if self.whole:
             self._answered(spoilt=False)
 
@@ -133,13 +135,13 @@
             self.idle_most = min(IDLE, IDLE_SHARE * keep_alive(told))
         id_ = named.get(b"x-irisdeal-attempt-id")
         if id_ is not None and id_ != self.id:
-            tell(404, backend=self.backend.id, wanted=self.id, came=id_)
-            return self._finish(Outcome(End.LOST, "an answer to another request"), keep=False)
+            log_event(Event.RESPONSE_MISMATCH, backend=self.backend.id, wanted=self.id, came=id_)
+            return self._finish(AttemptOutcome(End.LOST, "an answer to another request"), keep=False)
         if id_ is None and self.used > 1:  # an earlier request's, come twice, would look alike
-            return self._finish(Outcome(End.LOST, f"an answer {status} without an id"), keep=False)
+            return self._finish(AttemptOutcome(End.LOST, f"an answer {status} without an id"), keep=False)
         if b"x-irisdeal-not-executed" in named or status == 421:
             return self._finish(
-                Outcome(
+                AttemptOutcome(
                     End.PROMISE,
                     f"turned away with {status}",
                     status,
@@ -149,15 +151,17 @@
                 keep,
             )
         if id_ is None:
-            return self._finish(Outcome(End.LOST, f"an answer {status} without an id"), keep=False)
+            return self._finish(AttemptOutcome(End.LOST, f"an answer {status} without an id"), keep=False)
         if b"content-encoding" in named:
-            return self._finish(Outcome(End.LOST, "an encoding nobody asked for"), keep=False)
+            return self._finish(AttemptOutcome(End.LOST, "an encoding nobody asked for"), keep=False)
         if 200 <= status < 300 and b"x-irisdeal-backend-seal" not in named:
-            return self._finish(Outcome(End.LOST, "a success without a seal"), keep=False)
+            return self._finish(AttemptOutcome(End.LOST, "a success without a seal"), keep=False)
         if status in PROMISES:
-            return self._finish(Outcome(End.LOST, f"{status} without a word that it has not run"), keep)
+            return self._finish(
+                AttemptOutcome(End.LOST, f"{status} without a word that it has not run"), keep
+            )
         headers = [field for field in self.headers if field[0].lower() not in HOP]
-        self._finish(Outcome(End.ANSWER, "", status, headers, b"".join(self.parts)), keep)
+        self._finish(AttemptOutcome(End.ANSWER, "", status, headers, b"".join(self.parts)), keep)
 
     # The parser's calls
 
--- a/irisdeal/proxy/config_apply.py
+++ b/irisdeal/proxy/config_apply.py
@@ -8,9 +8,9 @@
 from returns.result import Failure
 
 from irisdeal.config_store.configuration.incremental_reading import Reading, reading
-from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.proxy.table import Table
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
 SLICE = 0.004  # s of work between two looks at requests; on 0.2 cores that is some 0.02 s
@@ -33,13 +33,13 @@
         self.loop = asyncio.get_running_loop()
         self.reading: Reading | None = None
         self.table: Table | None = None
-        self.newest: Stamp | None = None
-        self.waiting: Word | None = None
+        self.newest: VersionId | None = None
+        self.waiting: ConfigVersion | None = None
         self.working = False
         self.begun = -PACE
         self.dropped = 0
 
-    def take(self, word: Word) -> None:
+    def take(self, word: ConfigVersion) -> None:
         """A word to be in force. A short one, not too soon after the one before, is so when this returns."""
         if self.newest is not None and word.stamp <= self.newest:
             return
@@ -61,10 +61,10 @@
         self.begun = self.loop.time()
         return self._steps(word)
 
-    def _steps(self, word: Word) -> Steps:
+    def _steps(self, word: ConfigVersion) -> Steps:
         found = yield from reading(word.body, self.reading)
         if isinstance(found, Failure):
-            tell(406, trouble=found.failure())
+            log_event(Event.CONFIGURATION_UNREADABLE, trouble=found.failure())
             return None
         made = found.unwrap()
         table = yield from Table.building(made, self.table)
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -9,7 +9,7 @@
 from irisdeal.load_balancing.backend_choice import Backend
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.backend_message import BackendRequest
-from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.proxy.outcome import AttemptOutcome, End
 
 CONNECT = 0.25  # s to come up: an accept queue that is full answers after seconds
 IDLE_MUTATING = 0.65  # of the rest that a connection may have, for what runs once: a reset costs its answer
@@ -25,16 +25,16 @@
         self.all: set[BackendConnection] = set()
         loop.call_later(1.0, self._sweep)
 
-    async def send(self, backend: Backend, request: BackendRequest) -> Outcome:
+    async def send(self, backend: Backend, request: BackendRequest) -> AttemptOutcome:
         """One attempt. Cancelled, it ends at once, and its connection with it."""
         send_by = min(request.until, request.send_by)
         # we stood still: its place and its permit were given for a time that is over
         if self.loop.time() >= send_by:
-            return Outcome(End.UNSENT, "its time is over")
+            return AttemptOutcome(End.UNSENT, "its time is over")
         connection = self._rested(backend, request.is_mutating, request.attempt_id)
         if connection is None:
             opened = await self._open(backend, send_by)
-            if isinstance(opened, Outcome):
+            if isinstance(opened, AttemptOutcome):
                 return opened
             connection = opened
         waiting = connection.start(request)
@@ -43,7 +43,7 @@
                 return await waiting
         except TimeoutError:
             connection.give_up()
-            return Outcome(End.LOST, "no answer in time", late=True)
+            return AttemptOutcome(End.LOST, "no answer in time", late=True)
         except asyncio.CancelledError:
             connection.give_up()
             raise
@@ -51,10 +51,10 @@
             if not connection.dead:
                 self._rest(connection)
 
-    async def _open(self, backend: Backend, send_by: float) -> BackendConnection | Outcome:
+    async def _open(self, backend: Backend, send_by: float) -> BackendConnection | AttemptOutcome:
         """A new connection, or why there is none."""
         if len(self.all) >= self.most and not self._make_room():
-            return Outcome(End.UNSENT, "no connection to be had")
+            return AttemptOutcome(End.UNSENT, "no connection to be had")
         connection = BackendConnection(self, backend)
         self.all.add(connection)
         try:
@@ -62,15 +62,15 @@
                 await self.loop.create_connection(lambda: connection, *backend.address)
         except (OSError, TimeoutError) as error:
             connection.drop()
-            return Outcome(End.UNSENT, f"not connected: {error or 'timed out'}")
+            return AttemptOutcome(End.UNSENT, f"not connected: {error or 'timed out'}")
         except asyncio.CancelledError:
             connection.drop()
             raise
         if connection.dead or connection.transport is None:
-            return Outcome(End.UNSENT, "closed as it came up")
+            return AttemptOutcome(End.UNSENT, "closed as it came up")
         if has_bytes(connection.file):  # an end that is known before our first byte
             connection.drop()
-            return Outcome(End.UNSENT, "closed as it came up")
+            return AttemptOutcome(End.UNSENT, "closed as it came up")
         return connection
 
     def _rested(self, backend: Backend, mutating: bool, id_: bytes = b"") -> BackendConnection | None:
--- a/irisdeal/proxy/outcome.py
+++ b/irisdeal/proxy/outcome.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptOutcome:
     """The end of an attempt, with the answer where there is one."""
 
     end: End
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -10,12 +10,12 @@
 import random
 from collections import Counter
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.server import HttpServer, Unanswered
-from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, Usual
+from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, LatencyEstimate
 from irisdeal.permits.allowance import Limit
 from irisdeal.placement.load_reports import key
 from irisdeal.proxy.admission import RequestPermit, TenantAdmission
@@ -36,9 +36,9 @@
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
-from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.runtime.early_listen import Listening
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings, address
 
@@ -68,7 +68,7 @@
         self.backends: dict[str, Backend] = {}
         self.services: dict[str, dict[str, Backend]] = {}
         self.given: dict[str, float] = {}  # the most time that a client gave of late, by route
-        self.usual: dict[tuple[str, str], Usual] = {}
+        self.usual: dict[tuple[str, str], LatencyEstimate] = {}
         self.registries = RegistryClient(settings, self.sources)
         self.admission = TenantAdmission(self.registries, self.loop, self.chance, self._slots)
         self.gate = self.admission.gate
@@ -147,10 +147,13 @@
             self.metrics.cut.add(request.phase.value)
         self.metrics.unsent.add(amount=unsent)
         told = self.metrics.drained.values
-        tell(416, **{outcome: int(told.get(outcome, 0)) for outcome in ("taken", "finished", "promised")})
+        log_event(
+            Event.DRAIN_SUMMARY,
+            **{outcome: int(told.get(outcome, 0)) for outcome in ("taken", "finished", "promised")},
+        )
         if requests or unsent:
             phases = Counter(request.phase.value for request in requests)
-            tell(407, requests=len(requests), unsent_bytes=unsent, **phases)
+            log_event(Event.RESPONSES_CUT, requests=len(requests), unsent_bytes=unsent, **phases)
 
     def reload(self, settings: Settings) -> None:
         self.settings = settings
@@ -162,7 +165,7 @@
 
     # News
 
-    def _on_word(self, word: Word) -> None:
+    def _on_word(self, word: ConfigVersion) -> None:
         self.config_apply.take(word)
 
     def _in_force(self, table: Table) -> None:
@@ -173,11 +176,11 @@
         bounds, limits = self.front.bounds, table.limits
         bounds.head, bounds.body = limits.max_header_bytes, limits.max_body_bytes
         bounds.head_time, bounds.idle_time = limits.header_timeout_ms / 1000, limits.idle_timeout_ms / 1000
-        tell(400, generation=table.generation)
+        log_event(Event.CONFIGURATION_APPLIED, generation=table.generation)
 
-    def _on_life(self, life: Life, silent: bool) -> None:
+    def _on_life(self, life: BackendIncarnation, silent: bool) -> None:
         backend = self.backends.get(life.id)
-        if life.state is State.GONE:
+        if life.state is BackendState.GONE:
             if backend is not None:
                 backend.draining = True
                 del self.backends[life.id]
@@ -207,7 +210,7 @@
                 self.gate.slots = self._slots()
         backend.warm_at = life.warm_at
         backend.silent = silent
-        backend.draining = backend.draining or life.state is State.DRAINING
+        backend.draining = backend.draining or life.state is BackendState.DRAINING
         if backend.draining:
             self.pool.retire(life.id)
 
@@ -302,7 +305,7 @@
             raise Refused(400, "X-Irisdeal-Deadline-Ms: wanted a number of ms") from None
         until = request.arrived + min(given, route.timeout, MOST_WAIT)
         service = self._service(route)
-        usual = self.usual.setdefault((service, route.name), Usual())
+        usual = self.usual.setdefault((service, route.name), LatencyEstimate())
         if self.drain is not None and not self.drain.may_take(self.loop.time(), until, usual.slowest):
             raise leaving()
         if not tenant:
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -13,7 +13,7 @@
 
 from returns.result import Failure
 
-from irisdeal.placement.attempt_end import How
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.sources import Sources, hash_of
 from irisdeal.registry.messages import (
     IntervalReply,
@@ -23,9 +23,9 @@
     PlaceRequest,
     PlaceResult,
 )
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Settings
 
 REPORT_S = 0.4  # for the answer to a report
@@ -62,7 +62,7 @@
     def __init__(self, settings: Settings, sources: Sources) -> None:
         self.settings, self.sources = settings, sources
         self.loop = asyncio.get_running_loop()
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, RpcClient] = {}
         self.silent_until: dict[str, float] = {}  # registries that did not answer an ask for a place
         self.without_permits_until: dict[str, float] = {}
         self.has_permits = True
@@ -80,10 +80,10 @@
         near = self.sources.is_near
         return sorted(self.sources.answering, key=lambda ip: (not near(ip), hash_of(self.settings.ip, ip)))
 
-    def _link(self, registry: str) -> Link:
+    def _link(self, registry: str) -> RpcClient:
         if registry not in self.links:
-            address = ports.at(self.settings, registry, ports.GAUGE)
-            self.links[registry] = Link(
+            address = ports.at(self.settings, registry, ports.REGISTRY)
+            self.links[registry] = RpcClient(
                 address, f"proxy {self.settings.ip}", lambda kind, told: self._late(registry, kind, told)
             )
         return self.links[registry]
@@ -93,7 +93,7 @@
         if kind in ("place", "wait"):
             reply = PlaceReply.decode(told)
             if reply.result is PlaceResult.PLACED:
-                self.end_place(registry, PlaceEnd(reply.number, int(How.UNKNOWN)))
+                self.end_place(registry, PlaceEnd(reply.number, int(AttemptResult.UNKNOWN)))
 
     async def report(self, make: Callable[[str], IntervalReport]) -> Reported | None:
         """Tell the nearest registry that answers. `make`: the report for this registry. None where none answers."""
@@ -134,7 +134,7 @@
         """Tell when permits can no longer be had, or again."""
         if has_permits != self.has_permits:
             self.has_permits = has_permits
-            tell(415 if has_permits else 414)
+            log_event(Event.PERMITS_AVAILABLE if has_permits else Event.PERMITS_UNAVAILABLE)
 
     async def _has_registry(self, first_wait_s: float) -> bool:
         if self.sources.has_heard.is_set():
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -20,17 +20,22 @@
 
 from returns.result import Failure
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.membership.contact import LEASE
-from irisdeal.config_store.storage.version_store import Arrivals, Have, Shelf
-from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState, VersionStore
+from irisdeal.registry.backend_table import (
+    BackendIncarnation,
+    BackendState,
+    decode_incarnation,
+    encode_incarnation,
+)
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-ENOUGH = Stamp(1 << 62, b"")  # as the word that we have: no source has a newer one
+ENOUGH = VersionId(1 << 62, b"")  # as the word that we have: no source has a newer one
 SOURCES = 2  # asked at once: one may lag or die without a loss of time
 HOLD = 1.0  # s that a source holds an ask without news
 ASK = HOLD + 0.5  # s for news
@@ -55,19 +60,19 @@
     def __init__(
         self,
         settings: Settings,
-        on_word: Callable[[Word], None],
-        on_life: Callable[[Life, bool], None],
+        on_word: Callable[[ConfigVersion], None],
+        on_life: Callable[[BackendIncarnation, bool], None],
     ) -> None:
         self.settings, self.on_word, self.on_life = settings, on_word, on_life
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
-        self.arrivals = Arrivals(Shelf(kept=0))
-        self.word: Word | None = None
+        self.arrivals = ChunkAssembler(VersionStore(kept=0))
+        self.word: ConfigVersion | None = None
         self.change = -1  # of the newest word that is here
         self.as_of = float("-inf")  # we know all that was decided by then
         self.born = self.loop.time()
         self.has_contact: bool | None = None  # as was told last; None before any
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, BackendIncarnation] = {}
         self.ended: dict[str, float] = {}
         self.silent: dict[str, dict[str, bool]] = {}  # life -> source -> whether it says silent
         self.using: list[str] = []
@@ -101,9 +106,9 @@
     # How old what we know may be
 
     @property
-    def stamp(self) -> Stamp:
+    def stamp(self) -> VersionId:
         """Of the word that is here."""
-        return self.word.stamp if self.word is not None else NOTHING
+        return self.word.stamp if self.word is not None else NO_VERSION
 
     def age(self, now: float) -> float:
         """s since the moment by which we know all that was decided; inf where no source in contact told any."""
@@ -115,9 +120,9 @@
         has_contact = self.age(now) <= LOST
         if has_contact != self.has_contact and (has_contact or now - self.born > LOST):
             if not has_contact:
-                tell(411, age=round(self.age(now), 2), sources=",".join(self.using))
+                log_event(Event.CONTACT_LOST, age=round(self.age(now), 2), sources=",".join(self.using))
             elif self.has_contact is not None:
-                tell(412, sources=",".join(self.using))
+                log_event(Event.CONTACT_REGAINED, sources=",".join(self.using))
             self.has_contact = has_contact
 
     # Which sources
@@ -177,7 +182,7 @@
             was_left = ip is None or self._is_left(ip, self.loop.time())
             if ip is not None:
                 self.using.append(ip)
-                link = Link(ports.at(self.settings, ip, ports.GAUGE), f"proxy {self.settings.ip}")
+                link = RpcClient(ports.at(self.settings, ip, ports.REGISTRY), f"proxy {self.settings.ip}")
                 try:
                     await self._ask(ip, link)
                 finally:
@@ -196,14 +201,14 @@
 
     # News
 
-    async def _ask(self, ip: str, link: Link) -> None:
+    async def _ask(self, ip: str, link: RpcClient) -> None:
         """Ask one source until it is silent, out of contact, or another one is better."""
         life = number = 0
         while True:
             have, sent = self._have(ip), self.loop.time()
             answer = await link.call("news", [have.tell(), life, number, self.change], ASK)
             if isinstance(answer, Failure):
-                tell(403, source=ip, trouble=answer.failure())
+                log_event(Event.SOURCE_SILENT, source=ip, trouble=answer.failure())
                 return self._leave(ip)
             parcel, now_life, number, lives, zones, age, change = answer.unwrap()
             self.answering.add(ip)
@@ -221,7 +226,7 @@
             self._hear_zones(ip, zones, is_good)
             self._judge()
             if not is_good and not self._is_left(ip, self.loop.time()) and not self._waits():
-                tell(410, source=ip, age=age)
+                log_event(Event.SOURCE_WITHOUT_CONTACT, source=ip, age=age)
                 self._leave(ip)
             if self._better(ip, is_good):
                 return
@@ -229,11 +234,11 @@
             if is_idle and self.loop.time() - sent < IDLE:
                 await asyncio.sleep(MOST_PAUSE)
 
-    def _have(self, ip: str) -> Have:
+    def _have(self, ip: str) -> SyncState:
         """What we have, for this source: while a word comes in pieces from another one, this is to bring none."""
-        return self.arrivals.have(self.stamp) if self.arriving in ("", ip) else Have(ENOUGH)
+        return self.arrivals.have(self.stamp) if self.arriving in ("", ip) else SyncState(ENOUGH)
 
-    def _hear_word(self, ip: str, have: Have, parcel: list[Any] | None, change: int) -> None:
+    def _hear_word(self, ip: str, have: SyncState, parcel: list[Any] | None, change: int) -> None:
         """`change`: of the source's newest word; below 0 where this parcel is of an older one."""
         if parcel is None:
             if self.arriving == ip:
@@ -271,36 +276,36 @@
         gone = self.zones.keys() - now.keys()
         self.zones = now
         if gone:
-            tell(413, left=",".join(sorted(gone)), sources=len(now))
+            log_event(Event.SOURCES_CHANGED, left=",".join(sorted(gone)), sources=len(now))
         for other in gone:
             for known in (self.left, self.fresh, self.told, self.known):
                 known.pop(other, None)
         if gone:
             self.on_left(set(gone))
 
-    async def _tell_again(self, link: Link) -> None:
+    async def _tell_again(self, link: RpcClient) -> None:
         """A source that is new, or has started again, may have forgotten: tell it what we know."""
         now = self.loop.time()
-        await link.call("lives", [[tell_life(life, now), 0] for life in self.lives.values()], ASK)
+        await link.call("lives", [[encode_incarnation(life, now), 0] for life in self.lives.values()], ASK)
 
     def _hear_lives(self, ip: str, lives: list[Any]) -> None:
         now = self.loop.time()
         for told, silent in lives:
-            self._hear_life(ip, hear_life(told, now), bool(silent))
+            self._hear_life(ip, decode_incarnation(told, now), bool(silent))
         for id_, at in list(self.ended.items()):
             if now - at > GONE_KEPT:
                 del self.ended[id_]
                 self.lives.pop(id_, None)
                 self.silent.pop(id_, None)
 
-    def _hear_life(self, ip: str, life: Life, silent: bool) -> None:
+    def _hear_life(self, ip: str, life: BackendIncarnation, silent: bool) -> None:
         known = self.lives.get(life.id)
         if known is not None:
             older = life.count < known.count and life.state == known.state
             if older or known.state > life.state:  # it never goes back
                 life = known
         self.lives[life.id] = life
-        if life.state is State.GONE:
+        if life.state is BackendState.GONE:
             self.ended.setdefault(life.id, self.loop.time())
         told = self.silent.setdefault(life.id, {})
         told[ip] = silent
@@ -309,14 +314,14 @@
     def end(self, id_: str) -> None:
         """The backend itself showed that this life is over."""
         life = self.lives.get(id_)
-        if life is not None and life.state is not State.GONE:
-            gone = Life(
+        if life is not None and life.state is not BackendState.GONE:
+            gone = BackendIncarnation(
                 life.id,
                 life.service,
                 life.address,
                 life.zone,
                 life.capacity,
-                State.GONE,
+                BackendState.GONE,
                 life.count,
                 life.warm_at,
             )
--- a/irisdeal/ratelimit/concurrency_limit.py
+++ b/irisdeal/ratelimit/concurrency_limit.py
@@ -27,7 +27,7 @@
     waiting: list[tuple[int, int, Hashable]] = field(default_factory=list)
 
 
-class Gate:
+class ConcurrencyLimit:
     """All tenants at one door."""
 
     def __init__(self, slots: int = 0) -> None:
--- a/irisdeal/ratelimit/interval_clock.py
+++ b/irisdeal/ratelimit/interval_clock.py
@@ -15,7 +15,7 @@
 MOST = float(1 << 40)  # intervals, over ten thousand years: a larger position is no position
 
 
-class Edge:
+class SharedIntervalClock:
     """One process's position."""
 
     def __init__(self, now: float, length: float = LENGTH) -> None:
--- a/irisdeal/registry/__main__.py
+++ b/irisdeal/registry/__main__.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from irisdeal.registry.server import Station
+from irisdeal.registry.server import RegistryServer
 from irisdeal.runtime.process import main
 
 if __name__ == "__main__":
-    sys.exit(main(Station))
+    sys.exit(main(RegistryServer))
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -11,11 +11,11 @@
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import Claim
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
-from irisdeal.registry.backend_table import Registry
+from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.registry.placement_service import NO_PLACE, PlacementService
 from irisdeal.registry.quota_service import Age, Lend, QuotaService
-from irisdeal.rpc.server import LATER
+from irisdeal.rpc.server import DEFERRED
 from irisdeal.runtime.settings import Settings
 
 OVER_QUOTA = PlaceReply(PlaceResult.OVER_QUOTA)
@@ -30,7 +30,7 @@
     def __init__(
         self,
         settings: Settings,
-        registry: Registry,
+        registry: BackendTable,
         loop: asyncio.AbstractEventLoop,
         life: int,
         age: Age,
@@ -48,14 +48,14 @@
         )
 
     def quick(self, peer: str, kind: str, body: Any) -> Any:
-        """The answer to a call that needs no waiting; `LATER` for all others."""
+        """The answer to a call that needs no waiting; `DEFERRED` for all others."""
         if kind == "ended":
             self.places.ended(peer, PlaceEnd.decode(body))
             return None
         if kind == "place":
             reply = self._place_at_once(peer, PlaceRequest.decode(body))
-            return LATER if reply is None else reply.encode()
-        return LATER
+            return DEFERRED if reply is None else reply.encode()
+        return DEFERRED
 
     def _place_at_once(self, peer: str, request: PlaceRequest) -> PlaceReply | None:
         """None where permits have to be borrowed first."""
--- a/irisdeal/registry/authority_watch.py
+++ b/irisdeal/registry/authority_watch.py
@@ -7,7 +7,7 @@
 
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
 from irisdeal.registry.list_record import ListRecord
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
 
@@ -40,7 +40,11 @@
         is_issuing = self.authority.may_issue(self.age(), now)
         if is_issuing != self.was_issuing:
             self.was_issuing = is_issuing
-            tell(321 if is_issuing else 320, age=self.age(), issuers=self.authority.issuers(now))
+            log_event(
+                Event.PERMITS_RESUMED if is_issuing else Event.PERMITS_SUSPENDED,
+                age=self.age(),
+                issuers=self.authority.issuers(now),
+            )
         listed = self.authority.to_record(now)
         if listed is not None and self.record is not None and not self.is_saving:
             self.tasks.start(self._save(self.record, listed))
@@ -50,6 +54,6 @@
         try:
             if await self.loop.run_in_executor(None, record.save, listed):
                 self.authority.recorded = listed
-                tell(322, list=listed.number, machines=len(listed.machines))
+                log_event(Event.ISSUER_LIST_STORED, list=listed.number, machines=len(listed.machines))
         finally:
             self.is_saving = False
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -11,15 +11,15 @@
 from enum import IntEnum
 from typing import Any
 
-from irisdeal.runtime.events import invariant, tell
+from irisdeal.runtime.events import Event, invariant, log_event
 
-SILENT_BEATS = 2.7  # beats that may be missed before a life is taken for silent: two, and the way of one
+MISSED_HEARTBEATS = 2.7  # beats that may be missed before a life is taken for silent: two, and the way of one
 FORGET = 120.0  # s that a life that is gone is remembered: far over any beat that is still on its way
 LOST = 60.0  # s of silence after which a life is taken for gone
-MOST_LIVES = 20_000  # remembered; the oldest that are gone go first
+MAX_INCARNATIONS = 20_000  # remembered; the oldest that are gone go first
 
 
-class State(IntEnum):
+class BackendState(IntEnum):
     """How far a life has come; it never goes back."""
 
     READY = 0
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class BackendIncarnation:
     """One start of a backend. `warm_at`: s on our clock, when it is no longer slow."""
 
     id: str
@@ -36,22 +36,22 @@
     address: str
     zone: str
     capacity: int
-    state: State
+    state: BackendState
     count: int
     warm_at: float
 
 
 @dataclass(slots=True)
-class Entry:
+class BackendEntry:
     """A life, when it was last heard, and under which number it last changed for those who watch."""
 
-    life: Life
+    life: BackendIncarnation
     heard: float
     changed: int
     silent: bool = False
 
 
-def tell_life(life: Life, now: float) -> list[Any]:
+def encode_incarnation(life: BackendIncarnation, now: float) -> list[Any]:
     """A life for another process: clocks differ, so times go as what is left."""
     return [
         life.id,
@@ -65,37 +65,41 @@
     ]
 
 
-def hear_life(told: list[Any], now: float) -> Life:
+def decode_incarnation(told: list[Any], now: float) -> BackendIncarnation:
     """ValueError where it is none."""
     id_, service, address, zone, capacity, state, count, warm = told
-    return Life(
+    return BackendIncarnation(
         str(id_),
         str(service),
         str(address),
         str(zone),
         int(capacity),
-        State(state),
+        BackendState(state),
         int(count),
         now + int(warm) / 1000,
     )
 
 
-class Registry:
+class BackendTable:
     """All lives, and what has changed since a number."""
 
     def __init__(self, beat: float) -> None:
-        self.silence = beat * SILENT_BEATS
-        self.entries: dict[str, Entry] = {}
+        self.silence = beat * MISSED_HEARTBEATS
+        self.entries: dict[str, BackendEntry] = {}
         self.number = 0
 
-    def hear(self, life: Life, now: float, age: float = 0.0) -> bool:
+    def hear(self, life: BackendIncarnation, now: float, age: float = 0.0) -> bool:
         """A beat, or another's word of one, `age` s old. True where it is news to those who watch."""
         entry = self.entries.get(life.id)
         if entry is None:
             self.number += 1
-            self.entries[life.id] = Entry(life, now - age, self.number)
-            tell(
-                {State.READY: 300, State.DRAINING: 301, State.GONE: 302}[life.state],
+            self.entries[life.id] = BackendEntry(life, now - age, self.number)
+            log_event(
+                {
+                    BackendState.READY: Event.BACKEND_ADDED,
+                    BackendState.DRAINING: Event.BACKEND_DRAINING,
+                    BackendState.GONE: Event.BACKEND_GONE,
+                }[life.state],
                 id=life.id,
                 service=life.service,
                 address=life.address,
@@ -117,15 +121,19 @@
             self.number += 1
             entry.changed = self.number
             if merged.state != known.state:
-                tell(301 if merged.state is State.DRAINING else 302, id=life.id, service=life.service)
+                log_event(
+                    Event.BACKEND_DRAINING if merged.state is BackendState.DRAINING else Event.BACKEND_GONE,
+                    id=life.id,
+                    service=life.service,
+                )
         return news
 
-    def leave(self, id_: str, now: float) -> Life | None:
+    def leave(self, id_: str, now: float) -> BackendIncarnation | None:
         """It says that it is gone. None where it is not known."""
         entry = self.entries.get(id_)
         if entry is None:
             return None
-        gone = replace(entry.life, state=State.GONE, count=entry.life.count + 1)
+        gone = replace(entry.life, state=BackendState.GONE, count=entry.life.count + 1)
         self.hear(gone, now)
         return entry.life
 
@@ -134,31 +142,37 @@
         news = False
         for entry in list(self.entries.values()):
             quiet = now - entry.heard
-            if entry.life.state is State.GONE:
-                if quiet > FORGET or len(self.entries) > MOST_LIVES:
+            if entry.life.state is BackendState.GONE:
+                if quiet > FORGET or len(self.entries) > MAX_INCARNATIONS:
                     del self.entries[entry.life.id]
             elif quiet > LOST:
-                entry.life = replace(entry.life, state=State.GONE)
+                entry.life = replace(entry.life, state=BackendState.GONE)
                 self.number += 1
                 entry.changed, news = self.number, True
             elif quiet > self.silence and not entry.silent:
                 self.number += 1
                 entry.silent, entry.changed, news = True, self.number, True
-                tell(303, id=entry.life.id, service=entry.life.service, seconds=round(quiet, 2))
+                log_event(
+                    Event.BACKEND_SILENT,
+                    id=entry.life.id,
+                    service=entry.life.service,
+                    seconds=round(quiet, 2),
+                )
         return news
 
     def void_silence(self, now: float) -> None:
         """We did not hear because of ourselves: nobody was silent."""
         for entry in self.entries.values():
-            if entry.life.state is not State.GONE:
+            if entry.life.state is not BackendState.GONE:
                 entry.heard = max(entry.heard, now - self.silence / 2)
 
-    def since(self, number: int) -> Iterable[Entry]:
+    def since(self, number: int) -> Iterable[BackendEntry]:
         """What has changed after this number of ours."""
         return (entry for entry in self.entries.values() if entry.changed > number)
 
     def all(self, now: float) -> list[tuple[list[Any], int]]:
         """Every life and how many ms ago it was heard, for another registry."""
         return [
-            (tell_life(entry.life, now), round((now - entry.heard) * 1000)) for entry in self.entries.values()
+            (encode_incarnation(entry.life, now), round((now - entry.heard) * 1000))
+            for entry in self.entries.values()
         ]
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -11,8 +11,8 @@
 from returns.result import Failure, Result, Success
 
 from irisdeal.config_store.configuration.cached_reading import read
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.runtime.errors import Trouble
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import address
 
 MOST_BEAT = 4096  # bytes of a beat
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """A backend says that it is there."""
 
     id: str
@@ -35,30 +35,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class Deregister:
     """A backend says that it is gone."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class PutConfiguration:
     """The operator gives a configuration, checked."""
 
-    word: Word
+    word: ConfigVersion
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadConfiguration:
     """The operator asks for the newest configuration."""
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ListBackends:
     """Somebody asks how this program is."""
 
 
-Command = Beat | Leave | Put | Read | Look
+Command = Heartbeat | Deregister | PutConfiguration | ReadConfiguration | ListBackends
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     """A call that is no command: the status and the reason."""
 
     status: int
-    trouble: Trouble
+    trouble: OperationError
 
 
 def decode(method: bytes, target: bytes, body: bytes) -> Result[Command, Refusal]:
@@ -78,15 +78,15 @@
             return _beat(id_, body)
         case b"POST", ["backends", id_, "deregister"]:
             if ID.fullmatch(id_):
-                return Success(Leave(id_))
-            return Failure(Refusal(400, Trouble("deregister", id_, "the id cannot be used")))
+                return Success(Deregister(id_))
+            return Failure(Refusal(400, OperationError("deregister", id_, "the id cannot be used")))
         case b"POST", ["config", "replace"]:
             return _put(body)
         case b"GET", ["config", "read"]:
-            return Success(Read())
+            return Success(ReadConfiguration())
         case b"GET", ["status"]:
-            return Success(Look())
-    return Failure(Refusal(404, Trouble("call", path, "nothing is served here")))
+            return Success(ListBackends())
+    return Failure(Refusal(404, OperationError("call", path, "nothing is served here")))
 
 
 def _beat(id_: str, body: bytes) -> Result[Command, Refusal]:
@@ -94,12 +94,12 @@
         data: Any = json.loads(body) if len(body) <= MOST_BEAT else None
         if not isinstance(data, dict) or not ID.fullmatch(id_):
             raise ValueError(f"wanted an object of at most {MOST_BEAT} bytes and a printable id")
-        beat = dacite.from_dict(Beat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
+        beat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
         if beat.state not in ("ready", "draining"):
             raise ValueError(f"state: wanted ready or draining, got {beat.state!r}")
         address(beat.address)
     except (dacite.DaciteError, ValueError, TypeError) as error:
-        return Failure(Refusal(400, Trouble("heartbeat", id_, str(error))))
+        return Failure(Refusal(400, OperationError("heartbeat", id_, str(error))))
     return Success(beat)
 
 
@@ -107,4 +107,4 @@
     checked = read(body)
     if isinstance(checked, Failure):
         return Failure(Refusal(400, checked.failure()))
-    return Success(Put(Word.of(checked.unwrap().generation, body)))
+    return Success(PutConfiguration(ConfigVersion.of(checked.unwrap().generation, body)))
--- a/irisdeal/registry/ended_record.py
+++ b/irisdeal/registry/ended_record.py
@@ -17,26 +17,31 @@
 
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.config_store.storage.version_files import put
-from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
-from irisdeal.runtime.events import tell
+from irisdeal.registry.backend_table import (
+    BackendIncarnation,
+    BackendState,
+    decode_incarnation,
+    encode_incarnation,
+)
+from irisdeal.runtime.events import Event, log_event
 
 FOLDER, NAME = "registry", "ended"
 MAGIC = b"irisdeal-ended-1 "
 
 
-def encode(lives: Iterable[Life]) -> bytes:
+def encode(lives: Iterable[BackendIncarnation]) -> bytes:
     """A line with magic and a check of the rest, then the rest."""
-    body: bytes = cbor2.dumps([tell_life(life, 0.0) for life in lives])
+    body: bytes = cbor2.dumps([encode_incarnation(life, 0.0) for life in lives])
     return MAGIC + hashlib.sha256(body).hexdigest().encode() + b"\n" + body
 
 
-def decode(data: bytes) -> list[Life]:
+def decode(data: bytes) -> list[BackendIncarnation]:
     """ValueError where the bytes are no proof of themselves."""
     head, _, body = data.partition(b"\n")
     if head != MAGIC + hashlib.sha256(body).hexdigest().encode():
         raise ValueError("damaged")
     told: list[list[Any]] = cbor2.loads(body)
-    return [hear_life(life, 0.0) for life in told]
+    return [decode_incarnation(life, 0.0) for life in told]
 
 
 class EndedRecord:
@@ -44,19 +49,19 @@
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
-        self.kept: dict[str, State] = {}  # what is on the disk, synced
+        self.kept: dict[str, BackendState] = {}  # what is on the disk, synced
         self.lock = asyncio.Lock()
 
-    async def open(self) -> list[Life] | None:
+    async def open(self) -> list[BackendIncarnation] | None:
         """What was recorded; None where there is nothing whole, so that an earlier process may have known more."""
         try:
             async with self.lock:
                 return await asyncio.get_running_loop().run_in_executor(None, self._open)
         except (OSError, ValueError, TypeError) as error:
-            tell(204, file=NAME, error=error)
+            log_event(Event.FILE_DAMAGED, file=NAME, error=error)
             return None
 
-    def _open(self) -> list[Life] | None:
+    def _open(self) -> list[BackendIncarnation] | None:
         if NAME not in self.folder.names():
             return None
         lives = decode(self.folder.read(NAME))
@@ -66,11 +71,11 @@
         self.kept = {life.id: life.state for life in lives}
         return lives
 
-    def has(self, life: Life) -> bool:
+    def has(self, life: BackendIncarnation) -> bool:
         """Whether this state of a life is on the disk, or needs not be."""
-        return life.state <= self.kept.get(life.id, State.READY)
+        return life.state <= self.kept.get(life.id, BackendState.READY)
 
-    async def keep(self, lives: Iterable[Life], known: Iterable[Life]) -> bool:
+    async def keep(self, lives: Iterable[BackendIncarnation], known: Iterable[BackendIncarnation]) -> bool:
         """Whether these states are on the disk, synced. `known`: every life there is, read as a write begins."""
         wanted = list(lives)
         if all(map(self.has, wanted)):
@@ -78,26 +83,26 @@
         async with self.lock:
             if all(map(self.has, wanted)):  # they went with the write before
                 return True
-            ended = [life for life in known if life.state > State.READY]
+            ended = [life for life in known if life.state > BackendState.READY]
             if not await self._write(ended):
                 return False
             self.kept = {life.id: life.state for life in ended}
             return all(map(self.has, wanted))
 
-    async def begin(self, known: Iterable[Life]) -> bool:
+    async def begin(self, known: Iterable[BackendIncarnation]) -> bool:
         """Write the record though nothing may have ended: from now on an earlier process's word is in it."""
         async with self.lock:
-            ended = [life for life in known if life.state > State.READY]
+            ended = [life for life in known if life.state > BackendState.READY]
             if await self._write(ended):
                 self.kept = {life.id: life.state for life in ended}
                 return True
             return False
 
-    async def _write(self, ended: list[Life]) -> bool:
+    async def _write(self, ended: list[BackendIncarnation]) -> bool:
         try:
             loop = asyncio.get_running_loop()
             await loop.run_in_executor(None, put, self.folder, NAME, encode(ended))
         except OSError as error:
-            tell(203, file=NAME, error=error)
+            log_event(Event.DISK_WRITE_FAILED, file=NAME, error=error)
             return False
         return True
--- a/irisdeal/registry/list_record.py
+++ b/irisdeal/registry/list_record.py
@@ -14,7 +14,7 @@
 from irisdeal.config_store.storage.folder import DiskFolder
 from irisdeal.config_store.storage.version_files import put
 from irisdeal.permits.authority import IssuerList
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 
 FOLDER, NAME = "registry", "issuers.json"
 
@@ -47,7 +47,7 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, TypeError) as error:
-            tell(204, file=NAME, error=error)
+            log_event(Event.FILE_DAMAGED, file=NAME, error=error)
             return None
 
     def save(self, record: IssuerList) -> bool:
@@ -55,6 +55,6 @@
         try:
             put(DiskFolder(str(self.path)), NAME, encode(record))
         except OSError as error:
-            tell(203, file=NAME, error=error)
+            log_event(Event.DISK_WRITE_FAILED, file=NAME, error=error)
             return False
         return True
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -202,7 +202,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LivesTold:
+class BackendUpdate:
     """A registry tells another which backends it has heard, and where it is itself.
 
     `control`: the address at which it takes beats; `lives`: each with how many ms ago it was heard.
@@ -218,14 +218,14 @@
         return [[list(life) for life in self.lives], [self.ip, self.zone, self.control]]
 
     @staticmethod
-    def decode(told: Any) -> LivesTold:
+    def decode(told: Any) -> BackendUpdate:
         """ValueError, TypeError where it is none."""
         lives, (ip, zone, control) = told
-        return LivesTold(str(ip), str(zone), str(control), [(life, int(age)) for life, age in lives])
+        return BackendUpdate(str(ip), str(zone), str(control), [(life, int(age)) for life, age in lives])
 
 
 @dataclass(frozen=True, slots=True)
-class AllLives:
+class BackendSnapshot:
     """All that a registry knows of backends, for one that learns.
 
     `remembers`: whether it has all that it, or an earlier process of its machine, has said it had.
@@ -239,7 +239,7 @@
         return [self.remembers, [list(life) for life in self.lives]]
 
     @staticmethod
-    def decode(told: Any) -> AllLives:
+    def decode(told: Any) -> BackendSnapshot:
         """ValueError, TypeError where it is none."""
         remembers, lives = told
-        return AllLives(bool(remembers), [(life, int(age)) for life, age in lives])
+        return BackendSnapshot(bool(remembers), [(life, int(age)) for life, age in lives])
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -15,14 +15,21 @@
 
 from returns.result import Success
 
-from irisdeal.registry.backend_table import MOST_LIVES, Life, Registry, State, hear_life, tell_life
+from irisdeal.registry.backend_table import (
+    MAX_INCARNATIONS,
+    BackendIncarnation,
+    BackendState,
+    BackendTable,
+    decode_incarnation,
+    encode_incarnation,
+)
 from irisdeal.registry.ended_record import EndedRecord
-from irisdeal.registry.messages import AllLives, LivesTold
+from irisdeal.registry.messages import BackendSnapshot, BackendUpdate
 from irisdeal.registry.metrics import RegistryMetrics
-from irisdeal.registry.store_client import Follower
-from irisdeal.rpc.client import Link
+from irisdeal.registry.store_client import StoreClient
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -38,8 +45,8 @@
     def __init__(
         self,
         settings: Settings,
-        follower: Follower,
-        registry: Registry,
+        follower: StoreClient,
+        registry: BackendTable,
         record: EndedRecord | None,
         metrics: RegistryMetrics,
         tasks: Tasks,
@@ -52,9 +59,11 @@
         self.loop = asyncio.get_running_loop()
         self.zones: dict[str, str] = {self.ip: settings.zone}
         self.controls: dict[str, str] = {self.ip: settings.bind.control}  # where each registry takes beats
-        self.links: dict[str, Link] = {}
-        self.unsent: dict[str, Life] = {}  # lives heard here that the others have not been told
-        self.sure: set[tuple[str, State]] = set()  # ends of lives that a majority of the core was told by us
+        self.links: dict[str, RpcClient] = {}
+        self.unsent: dict[str, BackendIncarnation] = {}  # lives heard here that the others have not been told
+        self.sure: set[tuple[str, BackendState]] = (
+            set()
+        )  # ends of lives that a majority of the core was told by us
         self.remembers = (
             settings.bootstrap
         )  # whether all is here that an earlier process of ours has said it had
@@ -66,10 +75,10 @@
         """The machines of the core but ours."""
         return sorted(self.follower.everyone() - {self.ip})
 
-    def link(self, ip: str) -> Link:
+    def link(self, ip: str) -> RpcClient:
         """The registry of this machine."""
         if ip not in self.links:
-            self.links[ip] = Link(ports.at(self.settings, ip, ports.GAUGE), f"gauge {self.ip}")
+            self.links[ip] = RpcClient(ports.at(self.settings, ip, ports.REGISTRY), f"gauge {self.ip}")
         return self.links[ip]
 
     def forget_all_but(self, core: frozenset[str]) -> None:
@@ -119,7 +128,11 @@
             if is_enough or self.loop.time() > until:
                 break
             await asyncio.sleep(LEARN_PAUSE_S)
-        tell(316 if is_enough else 317, heard=len(heard), lives=len(self.registry.entries))
+        log_event(
+            Event.BACKENDS_LEARNED if is_enough else Event.BACKENDS_LEARNED_PARTIALLY,
+            heard=len(heard),
+            lives=len(self.registry.entries),
+        )
         await self._remember()
         self.is_learning, self.has_learned = False, True
         self.on_news()
@@ -127,7 +140,7 @@
     async def _learn_from(self, ip: str, heard: set[str]) -> None:
         answer = await self.link(ip).call("all_lives", None, ANSWER_S)
         if isinstance(answer, Success):
-            told = AllLives.decode(answer.unwrap())
+            told = BackendSnapshot.decode(answer.unwrap())
             if told.remembers:
                 heard.add(ip)
             self.hear(told.lives)
@@ -143,16 +156,16 @@
         """Lives and how many ms ago each was heard, as another process tells them."""
         now, news = self.loop.time(), False
         for life, age in lives:
-            news |= self.registry.hear(hear_life(life, now), now, age / 1000)
+            news |= self.registry.hear(decode_incarnation(life, now), now, age / 1000)
         if news:
             self.on_news()
 
-    def _known(self) -> Iterator[Life]:
+    def _known(self) -> Iterator[BackendIncarnation]:
         return (entry.life for entry in self.registry.entries.values())
 
     # Calls of other registries
 
-    async def told(self, message: LivesTold) -> None:
+    async def told(self, message: BackendUpdate) -> None:
         """Another registry tells lives. OSError where an end is not on our disk: it is not to be counted then."""
         self.zones[message.ip] = message.zone
         self.controls[message.ip] = message.control
@@ -161,11 +174,11 @@
         if not await self._keep(entry.life for id_ in ids if (entry := self.registry.entries.get(id_))):
             raise OSError("an end is not on the disk")
 
-    def all(self) -> AllLives:
+    def all(self) -> BackendSnapshot:
         """All that we know, for one that learns."""
-        return AllLives(self.remembers, self.registry.all(self.loop.time()))
+        return BackendSnapshot(self.remembers, self.registry.all(self.loop.time()))
 
-    async def _keep(self, lives: Iterable[Life]) -> bool:
+    async def _keep(self, lives: Iterable[BackendIncarnation]) -> bool:
         """Whether those of these that end are on our disk, synced."""
         return self.record is None or await self.record.keep(lives, self._known())
 
@@ -174,14 +187,14 @@
     async def flush(self) -> None:
         """Tell the others what was heard here since the last time."""
         now = self.loop.time()
-        lives = [(tell_life(life, now), 0) for life in self.unsent.values()]
+        lives = [(encode_incarnation(life, now), 0) for life in self.unsent.values()]
         self.unsent = {}
         if lives or self.follower.everyone() - self.zones.keys():
             for ip in self.others():
                 self.tasks.start(self.link(ip).call("told", self._message(lives).encode(), ANSWER_S))
 
-    def _message(self, lives: list[tuple[list[Any], int]]) -> LivesTold:
-        return LivesTold(self.ip, self.settings.zone, self.settings.bind.control, lives)
+    def _message(self, lives: list[tuple[list[Any], int]]) -> BackendUpdate:
+        return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, lives)
 
     async def make_sure(self, id_: str) -> bool:
         """Whether a majority has this life's end on its disk: only then may it be acknowledged."""
@@ -190,16 +203,16 @@
             return True
         if not await self._tell_now(life):
             return False
-        if len(self.sure) >= MOST_LIVES:
+        if len(self.sure) >= MAX_INCARNATIONS:
             self.sure.clear()  # to be told once more is all that it costs
         self.sure.add((id_, life.state))
         return True
 
-    async def _tell_now(self, life: Life) -> bool:
+    async def _tell_now(self, life: BackendIncarnation) -> bool:
         """Whether a majority of the core has this end, this machine counted as any other."""
         known: set[str] = set()
         enough = asyncio.Event()
-        body = self._message([(tell_life(life, self.loop.time()), 0)]).encode()
+        body = self._message([(encode_incarnation(life, self.loop.time()), 0)]).encode()
 
         def note(ip: str) -> None:
             known.add(ip)
@@ -221,7 +234,12 @@
             async with asyncio.timeout(2 * ANSWER_S):
                 await enough.wait()
         except TimeoutError:
-            tell(304, id=life.id, known=len(known), members=len(self.follower.members.ips()))
+            log_event(
+                Event.DRAIN_NOT_ACKNOWLEDGED,
+                id=life.id,
+                known=len(known),
+                members=len(self.follower.members.ips()),
+            )
             self.metrics.refused_ends.add()
             return False
         self.metrics.acknowledged_ends.add(str(len(known)))
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -5,10 +5,10 @@
 import asyncio
 import random
 
-from irisdeal.placement.attempt_end import How
-from irisdeal.placement.load_reports import Loads
+from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.load_reports import LoadReports
 from irisdeal.placement.placer import Placer
-from irisdeal.registry.backend_table import Registry, State
+from irisdeal.registry.backend_table import BackendState, BackendTable
 from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 
 MOST_HOLD_S = 2.0  # that an ask may wait for room
@@ -19,11 +19,13 @@
 class PlacementService:
     """The places of one registry's process."""
 
-    def __init__(self, zones: dict[str, str], registry: Registry, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, zones: dict[str, str], registry: BackendTable, loop: asyncio.AbstractEventLoop
+    ) -> None:
         """`zones`: their regions."""
         self.registry, self.loop = registry, loop
         self.placer = Placer(zones, random.Random())
-        self.loads = Loads()
+        self.loads = LoadReports()
         self.synced = 0
         self.told: dict[int, int] = {}
 
@@ -82,7 +84,7 @@
 
     def ended(self, peer: str, end: PlaceEnd) -> None:
         """The end of an attempt that had a place."""
-        service = self.placer.ended(peer, end.number, How(end.how), end.ratio, self.loop.time())
+        service = self.placer.ended(peer, end.number, AttemptResult(end.how), end.ratio, self.loop.time())
         if service is not None:
             self._wake(service)
 
@@ -122,7 +124,7 @@
             return
         for entry in self.registry.since(self.synced):
             life = entry.life
-            if life.state is State.READY:
+            if life.state is BackendState.READY:
                 backend = self.placer.know(life.id, life.service, life.zone, life.capacity, life.warm_at)
                 backend.silent = entry.silent
             else:
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -11,7 +11,7 @@
 from irisdeal.permits.issuer import Claim, PermitIssuer
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import key
-from irisdeal.ratelimit.interval_clock import LENGTH, Edge
+from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
 from irisdeal.registry.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.rpc.calls import name_of
@@ -49,7 +49,7 @@
         """`life`: of this process."""
         self.ip, self.loop, self.age, self.lend_from = settings.ip, loop, age, lend_from
         self.issuer = PermitIssuer(life, quota_rule(settings), authority, loop.time())
-        self.edge = Edge(loop.time())
+        self.edge = SharedIntervalClock(loop.time())
         self.counter = IntervalCounter(settings.ip)
         self.borrowing: dict[str, asyncio.Future[None]] = {}
         self.asked_for_loan: dict[
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -10,10 +10,10 @@
 from returns.result import Failure, Success
 
 from irisdeal.config_store.configuration.cached_reading import read
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.consensus.register import Outcome
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.consensus.register import PutOutcome
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
-from irisdeal.config_store.storage.version_store import Shelf
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer
@@ -23,19 +23,27 @@
 from irisdeal.ratelimit.interval_counter import encode_usages
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.authority_watch import AuthorityWatch
-from irisdeal.registry.backend_table import Life, Registry, State
-from irisdeal.registry.commands import Beat, Command, Leave, Look, Put, Read, decode
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
+from irisdeal.registry.commands import (
+    Command,
+    Deregister,
+    Heartbeat,
+    ListBackends,
+    PutConfiguration,
+    ReadConfiguration,
+    decode,
+)
 from irisdeal.registry.ended_record import FOLDER, EndedRecord
 from irisdeal.registry.list_record import ListRecord
-from irisdeal.registry.messages import IntervalReport, IntervalSum, LivesTold
+from irisdeal.registry.messages import BackendUpdate, IntervalReport, IntervalSum
 from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.registry.peers import RegistryPeers
 from irisdeal.registry.quota_service import LEND_S
-from irisdeal.registry.store_client import AGAIN, Follower
-from irisdeal.registry.watch import News
-from irisdeal.rpc.server import Server
+from irisdeal.registry.store_client import AGAIN, StoreClient
+from irisdeal.registry.watch import WatchService
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks, every
 from irisdeal.runtime.settings import Settings, address
 
@@ -50,7 +58,7 @@
 JSON = [(b"Content-Type", b"application/json")]
 
 
-class Station:
+class RegistryServer:
     """One registry."""
 
     def __init__(self, settings: Settings, folder: Folder | None = None) -> None:
@@ -58,8 +66,8 @@
         self.settings, self.ip = settings, settings.ip
         self.loop = asyncio.get_running_loop()
         self.life = secrets.randbits(48)
-        self.registry = Registry(settings.beat_interval_ms / 1000)
-        self.follower = Follower(settings, Shelf(), self._on_word, self._changed)
+        self.registry = BackendTable(settings.beat_interval_ms / 1000)
+        self.follower = StoreClient(settings, VersionStore(), self._on_word, self._changed)
         self.had_contact = False
         self.tasks, self.metrics = Tasks(), RegistryMetrics()
         disk = folder or (DiskFolder(f"{settings.data_path}/{FOLDER}") if settings.data_path else None)
@@ -67,7 +75,7 @@
         self.peers = RegistryPeers(
             settings, self.follower, self.registry, ended, self.metrics, self.tasks, lambda: self.news.wake()
         )
-        self.news = News(
+        self.news = WatchService(
             self.follower, self.registry, self.life, self.peers.zones, lambda: self.peers.has_learned
         )
         self.admission = AdmissionService(
@@ -76,7 +84,7 @@
         record = ListRecord(settings.data_path) if settings.data_path else None
         self.authority_watch = AuthorityWatch(self.admission.authority, record, self.follower.age, self.tasks)
         self.looked = self.loop.time()
-        self.server = Server(self.handle, self.admission.quick, self.admission.places.lost)
+        self.server = RpcServer(self.handle, self.admission.quick, self.admission.places.lost)
         self.http = HttpServer(self.outside, self.loop)
         self.metrics_server = MetricsServer(settings, self.metrics, self.loop)
 
@@ -84,7 +92,7 @@
 
     async def start(self) -> None:
         await self.peers.recall()
-        await self.server.listen((self.ip, ports.port(self.settings, ports.GAUGE)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
         self.follower.start()
         self.tasks.start(self.peers.learn())
         self.tasks.start(every(FLUSH, self.peers.flush))
@@ -104,7 +112,12 @@
         cut = await self.server.drain(ends_at)
         if unanswered.requests or unanswered.unsent_bytes or cut:
             self.metrics.cut_calls.add(amount=len(unanswered.requests))
-            tell(323, calls=len(unanswered.requests), unsent_bytes=unanswered.unsent_bytes, internal=cut)
+            log_event(
+                Event.REGISTRY_CALLS_CUT,
+                calls=len(unanswered.requests),
+                unsent_bytes=unanswered.unsent_bytes,
+                internal=cut,
+            )
         self.follower.stop()
         self.tasks.cancel()
         self.metrics_server.close()
@@ -115,7 +128,7 @@
 
     # The store
 
-    def _on_word(self, word: Word) -> None:
+    def _on_word(self, word: ConfigVersion) -> None:
         checked = read(word.body)
         if isinstance(checked, Success):
             self.admission.quotas.configure(checked.unwrap())
@@ -173,7 +186,7 @@
             case "sums":
                 return self.admission.quotas.hear_sum(IntervalSum.decode(body))
             case "told":
-                return await self.peers.told(LivesTold.decode(body))
+                return await self.peers.told(BackendUpdate.decode(body))
             case "place":
                 return await self.admission.place(peer, body)
             case "wait":
@@ -196,27 +209,27 @@
         if isinstance(decoded, Failure):
             refusal = decoded.failure()
             if request.method == b"POST" and request.target.startswith(b"/config"):
-                tell(201, trouble=refusal.trouble)
+                log_event(Event.VERSION_REJECTED, trouble=refusal.trouble)
             return Answer(refusal.status, json.dumps({"error": str(refusal.trouble)}).encode(), JSON)
         return await self.run(decoded.unwrap())
 
     async def run(self, command: Command) -> Answer:
         """Carry out a command."""
         match command:
-            case Beat():
+            case Heartbeat():
                 return await self._beat(command)
-            case Leave():
+            case Deregister():
                 return await self._leave(command)
-            case Put():  # goes to its end, whoever waits: what became of an order is known then
+            case PutConfiguration():  # goes to its end, whoever waits: what became of an order is known then
                 return await asyncio.shield(self.tasks.start(self._put(command)))
-            case Read():
+            case ReadConfiguration():
                 known, body = await self.follower.read()
                 if not known:
                     return self._later(
                         "no store has contact with a majority of the core, or none answered in time"
                     )
                 return Answer(200, body, JSON) if body is not None else Answer(404, b"{}", JSON)
-            case Look():
+            case ListBackends():
                 return Answer(200, json.dumps(self._status()).encode(), JSON)
 
     def _later(self, why: str) -> Answer:
@@ -257,26 +270,26 @@
             ],
         }
 
-    async def _put(self, command: Put) -> Answer:
+    async def _put(self, command: PutConfiguration) -> Answer:
         answer = await self._ordered(command)
         self.metrics.orders.add(str(answer.status))
         return answer
 
-    async def _ordered(self, command: Put) -> Answer:
+    async def _ordered(self, command: PutConfiguration) -> Answer:
         match await self.follower.put(command.word):
-            case Outcome.CONFIRMED:
+            case PutOutcome.CONFIRMED:
                 return Answer(200, b"{}", JSON)
-            case Outcome.OTHER:
+            case PutOutcome.OTHER:
                 held = f"r{self.follower.stamp.number}"
                 return Answer(
                     409, json.dumps({"error": "another body holds this number", "held": held}).encode(), JSON
                 )
         return self._later("not decided by a majority of the core in time")
 
-    async def _beat(self, beat: Beat) -> Answer:
+    async def _beat(self, beat: Heartbeat) -> Answer:
         now = self.loop.time()
-        state = State.DRAINING if beat.state == "draining" else State.READY
-        life = Life(
+        state = BackendState.DRAINING if beat.state == "draining" else BackendState.READY
+        life = BackendIncarnation(
             beat.id,
             beat.service,
             beat.address,
@@ -289,7 +302,7 @@
         if self.registry.hear(life, now):
             self.news.wake()
         self.peers.unsent[life.id] = self.registry.entries[life.id].life
-        if state is State.DRAINING and not await self.peers.make_sure(life.id):
+        if state is BackendState.DRAINING and not await self.peers.make_sure(life.id):
             return self._later("too few of the core were told")
         near = [
             control for ip, control in self.peers.controls.items() if self.peers.zones.get(ip) == beat.zone
@@ -297,11 +310,11 @@
         target = {"beat_target": near[0]} if near and beat.zone != self.settings.zone else {}
         return Answer(200, json.dumps(target).encode(), JSON)
 
-    async def _leave(self, leave: Leave) -> Answer:
+    async def _leave(self, leave: Deregister) -> Answer:
         """Also of a life that we do not know: others may, and what is acknowledged holds for all."""
         now = self.loop.time()
         if self.registry.leave(leave.id, now) is None:
-            self.registry.hear(Life(leave.id, "", "", "", 0, State.GONE, 0, now), now)
+            self.registry.hear(BackendIncarnation(leave.id, "", "", "", 0, BackendState.GONE, 0, now), now)
         self.news.wake()
         if not await self.peers.make_sure(leave.id):
             return self._later("too few of the core were told")
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -21,15 +21,15 @@
 
 from returns.result import Failure, Result
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp, Word
-from irisdeal.config_store.consensus.register import Outcome, Value
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
+from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import Members, ip_of, majority
-from irisdeal.config_store.storage.version_store import Arrivals, Have, Shelf
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState, VersionStore
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.runtime.errors import Trouble
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.errors import OperationError
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks, every
 from irisdeal.runtime.settings import Settings
 
@@ -49,7 +49,7 @@
 AT_ONCE = -2  # as `change` of a watch: no store has it, so it answers at once
 
 
-class Ear(Enum):
+class ProbeResult(Enum):
     """What an ask showed of a store."""
 
     GOOD = 0
@@ -57,14 +57,14 @@
     SILENT = 2
 
 
-class Follower:
+class StoreClient:
     """The store as this registry knows it. Times are s of the loop's clock."""
 
     def __init__(
         self,
         settings: Settings,
-        shelf: Shelf,
-        on_word: Callable[[Word], None],
+        shelf: VersionStore,
+        on_word: Callable[[ConfigVersion], None],
         changed: Callable[[], None],
     ) -> None:
         """`on_word`: a newer word is here; `changed`: it, the list, or whether there is contact is another."""
@@ -72,16 +72,16 @@
         self.on_word, self.changed = on_word, changed
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
-        self.arrivals = Arrivals(shelf)
-        self.value = Value(-1, NOTHING, Members.first(ports.seeds(settings)))  # -1: none was told
-        self.word: Word | None = None
+        self.arrivals = ChunkAssembler(shelf)
+        self.value = Value(-1, NO_VERSION, Members.first(ports.seeds(settings)))  # -1: none was told
+        self.word: ConfigVersion | None = None
         self.change = -1  # of the newest value whose body is here
         self.learners: frozenset[str] = frozenset()
         self.source = self.ip  # whose store is followed
         self.as_of = float("-inf")  # we know all that was decided by then
         self.has_contact = False  # as doors were told last
         self.older: set[str] = set()  # stores of which event 314 was told
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, RpcClient] = {}
         self.seeking: asyncio.Task[None] | None = None
         self.tasks = Tasks()
 
@@ -100,9 +100,9 @@
     # What is known
 
     @property
-    def stamp(self) -> Stamp:
+    def stamp(self) -> VersionId:
         """Of the newest word that is here."""
-        return self.word.stamp if self.word is not None else NOTHING
+        return self.word.stamp if self.word is not None else NO_VERSION
 
     @property
     def members(self) -> Members:
@@ -126,9 +126,9 @@
 
     # Following
 
-    def _link(self, ip: str) -> Link:
+    def _link(self, ip: str) -> RpcClient:
         if ip not in self.links:
-            self.links[ip] = Link(ports.at(self.settings, ip, ports.ALMANAC), f"gauge {self.ip}")
+            self.links[ip] = RpcClient(ports.at(self.settings, ip, ports.CONFIG_STORE), f"gauge {self.ip}")
         return self.links[ip]
 
     def _others(self) -> list[str]:
@@ -141,14 +141,14 @@
             ear = await self._ask(source, True)
             if source != self.source:
                 continue  # another one is followed by now
-            if ear is Ear.GOOD:
+            if ear is ProbeResult.GOOD:
                 self._found(source)
                 if before == self._progress() and self.loop.time() - sent < PAUSE:
                     await asyncio.sleep(PAUSE)
             else:
                 await self._seek()
 
-    def _progress(self) -> tuple[int, Have]:
+    def _progress(self) -> tuple[int, SyncState]:
         return self.value.change, self.arrivals.have(self.stamp)
 
     async def _pulse(self) -> None:
@@ -156,11 +156,11 @@
         if self.seeking is not None:
             return
         source = self.source
-        if source != self.ip and await self._ask(self.ip, False) is Ear.GOOD:
+        if source != self.ip and await self._ask(self.ip, False) is ProbeResult.GOOD:
             return self._found(self.ip)
         ear = await self._ask(source, False)
         if source == self.source:
-            await self._seek() if ear is not Ear.GOOD else self._found(source)
+            await self._seek() if ear is not ProbeResult.GOOD else self._found(source)
 
     async def _seek(self) -> None:
         """Find a store that has contact; both loops wait for the same search."""
@@ -176,25 +176,25 @@
                 asks = [self.tasks.start(self._ask_other(ip)) for ip in (self.ip, *others)]
                 for done in asyncio.as_completed(asks):
                     ip, ear = await done
-                    if ear is Ear.GOOD:
+                    if ear is ProbeResult.GOOD:
                         return self._found(ip)
                 self._lost()
                 again = self.loop.time() + SEEK * (0.75 + 0.5 * self.chance.random())
                 while self.loop.time() < again:  # at a start of all machines the own store is there first
                     await asyncio.sleep(OWN)
-                    if await self._ask(self.ip, False) is Ear.GOOD:
+                    if await self._ask(self.ip, False) is ProbeResult.GOOD:
                         return self._found(self.ip)
         finally:
             lost.cancel()
             self.seeking = None
 
-    async def _ask_other(self, ip: str) -> tuple[str, Ear]:
+    async def _ask_other(self, ip: str) -> tuple[str, ProbeResult]:
         return ip, await self._ask(ip, False)
 
     def _found(self, ip: str) -> None:
         """This store has contact: it is followed."""
         if ip != self.source:
-            tell(311 if ip == self.ip else 310, store=ip)
+            log_event(Event.LOCAL_STORE_FOLLOWED if ip == self.ip else Event.REMOTE_STORE_FOLLOWED, store=ip)
             self.source = ip
         self._have_contact(self.loop.time() - self.as_of <= STALE)
 
@@ -204,43 +204,47 @@
     def _have_contact(self, has_contact: bool) -> None:
         if has_contact != self.has_contact:
             self.has_contact = has_contact
-            tell(313 if has_contact else 312, store=self.source, age=round(self.loop.time() - self.as_of, 2))
+            log_event(
+                Event.STORE_CONTACT_REGAINED if has_contact else Event.STORE_CONTACT_LOST,
+                store=self.source,
+                age=round(self.loop.time() - self.as_of, 2),
+            )
             self.changed()
 
-    async def _ask(self, ip: str, held: bool) -> Ear:
+    async def _ask(self, ip: str, held: bool) -> ProbeResult:
         """One watch; `held`: until there is news."""
         have, sent = self.arrivals.have(self.stamp), self.loop.time()
         body = [have.tell(), self.value.change if held else AT_ONCE]
         answer = await self._link(ip).call("watch", body, HOLD + ANSWER if held else ANSWER)
         if isinstance(answer, Failure):
-            return Ear.SILENT
+            return ProbeResult.SILENT
         try:
             parcel, told, learners, age = answer.unwrap()
             return self._hear(
                 ip, have, sent, parcel, Value.hear(told), frozenset(map(str, learners)), int(age)
             )
         except (ValueError, TypeError, IndexError) as error:
-            tell(500, peer=ip, error=error)
-            return Ear.SILENT
+            log_event(Event.FRAME_INVALID, peer=ip, error=error)
+            return ProbeResult.SILENT
 
     def _hear(
         self,
         ip: str,
-        have: Have,
+        have: SyncState,
         sent: float,
         parcel: list[Any] | None,
         value: Value,
         learners: frozenset[str],
         age: int,
-    ) -> Ear:
+    ) -> ProbeResult:
         """`age`: ms, below 0 where the store has no contact."""
         if value.change < 0:  # its disk came empty: it knows nothing yet
-            return Ear.NO_CONTACT
+            return ProbeResult.NO_CONTACT
         if value.change < self.value.change and value.stamp.number <= self.value.stamp.number:
             if age >= 0 and sent - age / 1000 > self.as_of and ip not in self.older:
                 self.older.add(ip)
-                tell(314, store=ip, change=value.change, known=self.value.change)
-            return Ear.NO_CONTACT
+                log_event(Event.STORE_STATE_STALE, store=ip, change=value.change, known=self.value.change)
+            return ProbeResult.NO_CONTACT
         self.older.discard(ip)
         news = self._take_list(value, learners if age >= 0 else self.learners | learners)
         news |= self._take_word(have, parcel)
@@ -251,7 +255,7 @@
                 self.as_of = max(self.as_of, sent - age / 1000)
         if news:
             self.changed()
-        return Ear.GOOD if age >= 0 else Ear.NO_CONTACT
+        return ProbeResult.GOOD if age >= 0 else ProbeResult.NO_CONTACT
 
     def _take_list(self, value: Value, learners: frozenset[str]) -> bool:
         """Whether the list of the core is another."""
@@ -262,12 +266,15 @@
             if ip in self.links:
                 self.links.pop(ip).close()
         if value.members.number != number or gone:
-            tell(
-                315, list=value.members.number, members=len(value.members.ips()), left=",".join(sorted(gone))
+            log_event(
+                Event.CORE_MEMBERSHIP_CHANGED,
+                list=value.members.number,
+                members=len(value.members.ips()),
+                left=",".join(sorted(gone)),
             )
         return value.members.number != number
 
-    def _take_word(self, have: Have, parcel: list[Any] | None) -> bool:
+    def _take_word(self, have: SyncState, parcel: list[Any] | None) -> bool:
         """Whether a newer word is here; another answer may have brought the same parcel meanwhile."""
         if parcel is None or have != self.arrivals.have(self.stamp):
             return False
@@ -280,14 +287,14 @@
 
     # Orders
 
-    async def put(self, word: Word) -> Outcome:
+    async def put(self, word: ConfigVersion) -> PutOutcome:
         """Have it decided. LATER at once where no store has contact."""
         body = [word.stamp.number, word.stamp.digest, word.body]
-        answer = await self._order("put", body, lambda told: told != Outcome.LATER)
+        answer = await self._order("put", body, lambda told: told != PutOutcome.LATER)
         try:
-            return Outcome(answer.value_or(Outcome.LATER))
+            return PutOutcome(answer.value_or(PutOutcome.LATER))
         except ValueError:
-            return Outcome.LATER
+            return PutOutcome.LATER
 
     async def read(self) -> tuple[bool, bytes | None]:
         """Whether it is known what holds, and its body; None where nothing was ever put."""
@@ -295,9 +302,13 @@
         known, body = answer.value_or([False, None])
         return bool(known), bytes(body) if known and body is not None else None
 
-    async def _order(self, kind: str, body: Any, is_done: Callable[[Any], bool]) -> Result[Any, Trouble]:
+    async def _order(
+        self, kind: str, body: Any, is_done: Callable[[Any], bool]
+    ) -> Result[Any, OperationError]:
         """The first answer that is one; the last one where none is."""
-        answer: Result[Any, Trouble] = Failure(Trouble(kind, "store", "no contact", never_sent=True))
+        answer: Result[Any, OperationError] = Failure(
+            OperationError(kind, "store", "no contact", never_sent=True)
+        )
         until = self.loop.time() + PUT
         for ip in dict.fromkeys((self.source, self.ip, *self._others())):
             left = until - self.loop.time()
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -12,20 +12,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.config_store.storage.version_store import Have
-from irisdeal.registry.backend_table import Registry, tell_life
-from irisdeal.registry.store_client import Follower
+from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.registry.backend_table import BackendTable, encode_incarnation
+from irisdeal.registry.store_client import StoreClient
 
 HOLD = 1.0  # s that a door's ask may be held without news
 
 
-class News:
+class WatchService:
     """Answers doors' asks for news."""
 
     def __init__(
         self,
-        follower: Follower,
-        registry: Registry,
+        follower: StoreClient,
+        registry: BackendTable,
         life: int,
         zones: dict[str, str],
         is_full: Callable[[], bool],
@@ -52,7 +52,7 @@
         `age`: -1 where no store has contact, or we have just started and do not know the backends. `change`: of our
         newest word; -1 where the parcel is of an older one, which the door was in the middle of.
         """
-        came, has = self.loop.time(), Have.hear(have)
+        came, has = self.loop.time(), SyncState.hear(have)
         known = changes if life == self.life else 0
         if life == self.life and not self._has_news(has, known, change):
             try:
@@ -70,7 +70,7 @@
             parcel,
             self.life,
             self.registry.number,
-            [[tell_life(entry.life, now), entry.silent] for entry in self.registry.since(known)],
+            [[encode_incarnation(entry.life, now), entry.silent] for entry in self.registry.since(known)],
             {ip: self.zones.get(ip, "") for ip in sorted(follower.everyone())},
             self._age(came),
             follower.change if is_newest else -1,
@@ -82,7 +82,7 @@
             return -1
         return max(0, math.ceil((age - (self.loop.time() - came)) * 1000))
 
-    def _has_news(self, has: Have, known: int, change: int) -> bool:
+    def _has_news(self, has: SyncState, known: int, change: int) -> bool:
         """A door that knows more than we do has no news from us."""
         return (
             self.follower.stamp.number > has.stamp.number
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -26,8 +26,8 @@
 from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send
 from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.transport import tune
-from irisdeal.runtime.errors import Trouble
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.errors import OperationError
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Address
 
 CONNECT = 0.4  # s to come up: over a hundred times the delay within a region
@@ -43,7 +43,7 @@
     kind: str
     since: float
     until: float
-    answer: asyncio.Future[Result[Any, Trouble]]
+    answer: asyncio.Future[Result[Any, OperationError]]
 
 
 class _Calls(asyncio.Protocol):
@@ -72,7 +72,7 @@
                     return
                 self._take(item)
         except BadFrame as error:
-            tell(500, peer=self.peer, error=error)
+            log_event(Event.FRAME_INVALID, peer=self.peer, error=error)
             self.drop()
         self._rest()
 
@@ -83,19 +83,21 @@
         asked = self.asked.pop(number, None)
         if asked is not None and self.heard <= asked.until and not asked.answer.done():
             asked.answer.set_result(
-                Success(body) if good else Failure(Trouble(asked.kind, self.peer, str(body)))
+                Success(body) if good else Failure(OperationError(asked.kind, self.peer, str(body)))
             )
             return
         if asked is not None:  # its time is over, or its asker was cancelled, though that was not seen yet
             self._fail(asked)
         kind = asked.kind if asked is not None else self.late.pop(number, None)
         if kind is None:
-            tell(510, peer=self.peer, call=number, last=self.number)
+            log_event(Event.UNEXPECTED_ANSWER, peer=self.peer, call=number, last=self.number)
             return self.drop()
         if good:
             self.on_late(kind, body)
 
-    def ask(self, kind: str, body: Any, within: float) -> tuple[int, asyncio.Future[Result[Any, Trouble]]]:
+    def ask(
+        self, kind: str, body: Any, within: float
+    ) -> tuple[int, asyncio.Future[Result[Any, OperationError]]]:
         """Send a call. ValueError where it is too long."""
         assert self.transport is not None
         self.number += 1
@@ -129,7 +131,7 @@
         """It has no answer in its time."""
         if not asked.answer.done():
             asked.answer.set_result(
-                Failure(Trouble(asked.kind, self.peer, f"silent for {asked.until - asked.since:g} s"))
+                Failure(OperationError(asked.kind, self.peer, f"silent for {asked.until - asked.since:g} s"))
             )
 
     def retire(self) -> None:
@@ -146,7 +148,7 @@
         asked, self.asked = self.asked, {}
         for one in asked.values():
             if not one.answer.done():
-                one.answer.set_result(Failure(Trouble(one.kind, self.peer, "the connection ended")))
+                one.answer.set_result(Failure(OperationError(one.kind, self.peer, "the connection ended")))
 
     def drop(self) -> None:
         self.open = False
@@ -154,7 +156,7 @@
             self.transport.abort()
 
 
-class Link:
+class RpcClient:
     """One process as seen by another: `call` it, and hear its answer or the trouble."""
 
     def __init__(self, address: Address, name: str, on_late: OnLate | None = None) -> None:
@@ -197,7 +199,7 @@
             return "not connected: timed out"
         return connecting.result()
 
-    async def call(self, kind: str, body: Any, within: float) -> Result[Any, Trouble]:
+    async def call(self, kind: str, body: Any, within: float) -> Result[Any, OperationError]:
         """The answer to this call within so many s, or the trouble. It is sent once. KeyError: no such call."""
         if (why := may_send(kind, is_word=False)) is not None:
             raise KeyError(why)
@@ -206,11 +208,11 @@
         calls = await self._connected(within)
         if isinstance(calls, str) or not calls.open:
             why = calls if isinstance(calls, str) else "not connected: closed"
-            return Failure(Trouble(kind, self.peer, why, never_sent=True))
+            return Failure(OperationError(kind, self.peer, why, never_sent=True))
         try:
             number, answer = calls.ask(kind, body, max(0.0, until - loop.time()))
         except ValueError as error:
-            return Failure(Trouble(kind, self.peer, str(error), never_sent=True))
+            return Failure(OperationError(kind, self.peer, str(error), never_sent=True))
         timer = loop.call_at(until, calls.expire, number)
         try:
             return await answer
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -16,7 +16,7 @@
 from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send, name_of
 from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.transport import tune
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Address
 
@@ -25,14 +25,14 @@
 LEAVING = "this process ends"
 
 Handler = Callable[[str, str, Any], Awaitable[Any]]  # peer, kind, body
-Quick = Callable[[str, str, Any], Any]  # likewise, answered at once; `LATER` where it cannot be
-LATER = object()
+Quick = Callable[[str, str, Any], Any]  # likewise, answered at once; `DEFERRED` where it cannot be
+DEFERRED = object()
 
 
 class _Answers(asyncio.Protocol):
     """The answering end of one connection. `peer`: who calls and over which one, as `proxy 10.1.0.3#17`."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: RpcServer) -> None:
         self.server, self.reader, self.peer, self.last = server, Reader(), "", HELLO
         self.transport: asyncio.Transport | None = None
         self.at_work: dict[int, asyncio.Task[tuple[bool, Any]]] = {}
@@ -67,7 +67,7 @@
                     return
                 self._take(item)
         except BadFrame as error:
-            tell(500, peer=self.peer, error=error)
+            log_event(Event.FRAME_INVALID, peer=self.peer, error=error)
             if self.transport is not None:
                 self.transport.abort()
 
@@ -86,7 +86,7 @@
         is_word = number == ONE_WAY
         if not is_word:
             if number <= self.last:  # it came twice: what it takes would be taken twice
-                tell(511, peer=self.peer, kind=kind, call=number, last=self.last)
+                log_event(Event.DUPLICATE_CALL, peer=self.peer, kind=kind, call=number, last=self.last)
                 raise BadFrame("a call that was heard before")
             self.last = number
         if is_word and kind == CANCEL:
@@ -108,9 +108,9 @@
             try:
                 answer = self.server.quick(self.peer, kind, body)
             except Exception as error:  # as of a handler: the caller must hear of it, and the others go on
-                tell(105, call=kind, peer=self.peer, error=repr(error))
+                log_event(Event.TASK_FAILED, call=kind, peer=self.peer, error=repr(error))
                 return self._write(number, False, repr(error))
-            if answer is not LATER:
+            if answer is not DEFERRED:
                 return self._write(number, True, answer)
         if len(self.at_work) >= MOST_CALLS:
             return self._write(number, False, "too many calls at once")
@@ -129,7 +129,7 @@
         try:
             return True, await self.server.handler(self.peer, kind, body)
         except Exception as error:  # whatever it is, the caller must hear of it
-            tell(105, call=kind, peer=self.peer, error=repr(error))
+            log_event(Event.TASK_FAILED, call=kind, peer=self.peer, error=repr(error))
             return False, repr(error)
 
     def _answered(self, number: int, key: int, task: asyncio.Task[tuple[bool, Any]]) -> None:
@@ -159,7 +159,7 @@
             self.transport.abort()
 
 
-class Server:
+class RpcServer:
     """Answers the calls that come to an address. A handler that raises answers with the error.
 
     `quick` is asked first, and `lost` hears of each connection that ended, by the name under which its calls came;
--- a/irisdeal/runtime/errors.py
+++ b/irisdeal/runtime/errors.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class OperationError:
     """What went wrong, where, and with whom.
 
     `step` names the act ("connect", "keep", "settings"), `peer` whom it was with ("10.1.0.3:7340", a path, a
--- a/irisdeal/runtime/ports.py
+++ b/irisdeal/runtime/ports.py
@@ -4,7 +4,7 @@
 
 from irisdeal.runtime.settings import Address, Settings, address
 
-ALMANAC, GAUGE, VANE = 0, 1, 2  # offsets from the first port
+CONFIG_STORE, REGISTRY, PROXY = 0, 1, 2  # offsets from the first port
 
 
 def port(settings: Settings, program: int) -> int:
--- a/irisdeal/runtime/process.py
+++ b/irisdeal/runtime/process.py
@@ -13,7 +13,7 @@
 
 from returns.result import Failure
 
-from irisdeal.runtime.events import tell
+from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Settings, load
 
 T = TypeVar("T")
@@ -45,7 +45,7 @@
     def _ended(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            tell(105, error=repr(error))
+            log_event(Event.TASK_FAILED, error=repr(error))
 
     def cancel(self) -> None:
         for task in list(self.running):
@@ -65,14 +65,14 @@
     loop = asyncio.get_running_loop()
     program, ending = make(settings), asyncio.Event()
     await program.start()
-    tell(100, node=settings.node_name, role=settings.role, zone=settings.zone)
+    log_event(Event.STARTED, node=settings.node_name, role=settings.role, zone=settings.zone)
 
     def again() -> None:
         read = load(path)
         if isinstance(read, Failure):
-            tell(104, trouble=read.failure())
+            log_event(Event.SETTINGS_INVALID, trouble=read.failure())
         else:
-            tell(103)
+            log_event(Event.SETTINGS_RELOADED)
             program.reload(read.unwrap())
 
     loop.add_signal_handler(signal.SIGTERM, ending.set)
@@ -81,9 +81,9 @@
     gc.collect()
     gc.freeze()
     await ending.wait()
-    tell(101)
+    log_event(Event.STOP_REQUESTED)
     await program.stop()
-    tell(102)
+    log_event(Event.STOPPED)
 
 
 def main(make: Callable[[Settings], Program]) -> int:
@@ -95,7 +95,7 @@
     path = os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml")
     read = load(path)
     if isinstance(read, Failure):
-        tell(104, trouble=read.failure())
+        log_event(Event.SETTINGS_INVALID, trouble=read.failure())
         return 2
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(make, read.unwrap(), path))
