--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -14,9 +14,9 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import NOTHING, Word
-from irisdeal.config_store.storage.version_store import Arrivals, Shelf
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
+from irisdeal.config_store.storage.version_store import ChunkAssembler, VersionStore
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
 from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, Op
@@ -92,13 +92,13 @@
         """`readers`: callers that do nothing but read. `size`: bytes of padding in each body."""
         self.stage, self.size = stage, size
         self.record = Record()
-        self.links: dict[tuple[str, str], Link] = {}
+        self.links: dict[tuple[str, str], RpcClient] = {}
         self.number = 0
         self.pace = pace * operators
         self.quiet = False  # no new orders
         self.reading = True  # those that do nothing but read do so
         self.resting = 0  # operators that have stopped
-        self.sent: list[Word] = []
+        self.sent: list[ConfigVersion] = []
         self.waiting: list[asyncio.Future[str]] = []  # for the next acknowledgement; the member that gave it
         self.awaiting: list[asyncio.Future[str]] = []  # for the next order that is sent; whom to
         self.operators = operators
@@ -115,9 +115,9 @@
     def now(self) -> float:
         return self.stage.world.seconds()
 
-    def _link(self, machine: Machine, host: str) -> Link:
+    def _link(self, machine: Machine, host: str) -> RpcClient:
         if (machine.name, host) not in self.links:
-            self.links[machine.name, host] = Link((host, FIRST_PORT + ports.ALMANAC), machine.name)
+            self.links[machine.name, host] = RpcClient((host, FIRST_PORT + ports.CONFIG_STORE), machine.name)
         return self.links[machine.name, host]
 
     # Orders
@@ -126,15 +126,17 @@
         head = b"r%d %s %d " % (number, name.encode(), self.stage.chance.getrandbits(60))
         return head.ljust(HEAD, b".") + bytes(self.size)
 
-    def _next(self, name: str) -> Word:
+    def _next(self, name: str) -> ConfigVersion:
         chance = self.stage.chance
         if self.sent and chance.random() < OLD:
             return chance.choice(self.sent[-20:])
         if not (self.number and chance.random() < TWICE):
             self.number += chance.randint(1, 3)
-        return Word.of(f"r{self.number}", self._body(self.number, name))
+        return ConfigVersion.of(f"r{self.number}", self._body(self.number, name))
 
-    async def send(self, machine: Machine, host: str, word: Word, patience: float = PATIENCE) -> Kind:
+    async def send(
+        self, machine: Machine, host: str, word: ConfigVersion, patience: float = PATIENCE
+    ) -> Kind:
         """One call, and its place in the history."""
         link, begun = self._link(machine, host), self.now()
         wake(self.awaiting, host)
@@ -150,7 +152,7 @@
             wake(self.waiting, host)
         return kind
 
-    async def order(self, machine: Machine, word: Word) -> bool:
+    async def order(self, machine: Machine, word: ConfigVersion) -> bool:
         """Sent again until it has a clear answer; whether it has."""
         chance, begun = self.stage.chance, self.now()
         self.record.orders += 1
@@ -231,7 +233,7 @@
     # Watchers
 
     async def ask(
-        self, machine: Machine, link: Link, host: str, arrivals: Arrivals, have: Any, change: int
+        self, machine: Machine, link: RpcClient, host: str, arrivals: ChunkAssembler, have: Any, change: int
     ) -> Any:
         """One watch: the value told, and the word of it where it is whole now; None where there was no answer."""
         answer = await link.call("watch", [arrivals.have(have).tell(), change], HOLD)
@@ -244,8 +246,8 @@
     async def _watch(self, machine: Machine) -> int:
         """As a door: a source, left when it says nothing, and now and then for no reason."""
         chance = self.stage.chance
-        shelf, have, change = Shelf(), NOTHING, -1
-        arrivals = Arrivals(shelf)
+        shelf, have, change = VersionStore(), NO_VERSION, -1
+        arrivals = ChunkAssembler(shelf)
         while True:
             host = chance.choice(self.stage.hosts)
             link = self._link(machine, host)
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.replica import StoreReplica
 from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Core, Costs, Machine
@@ -31,7 +31,7 @@
 SEEDS = 3  # addresses in a settings file
 MOST_STEPS = 8  # steps of an act on the disk that may be done before power is gone
 BOUNDS = ("contact_ms=3000", "sync_s=4", "grace_s=6", "ack_ms=5000", "apply_ms=2500", "revert_slack_ms=250")
-MAKE = Callable[[Settings, MemoryDisk], Member]
+MAKE = Callable[[Settings, MemoryDisk], StoreReplica]
 
 
 class Host(Machine):
@@ -65,7 +65,7 @@
         self,
         count: int,
         seed: int,
-        make: MAKE = Member,
+        make: MAKE = StoreReplica,
         disk_times: tuple[int, ...] = DISK_TIMES,
     ) -> None:
         self.disk_times = disk_times
@@ -80,7 +80,7 @@
         self.ways: dict[tuple[str, str], Way] = {}
         self.disks: dict[str, MemoryDisk] = {}
         self.machines: dict[str, Host] = {}
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, StoreReplica] = {}
         self.ends: dict[str, asyncio.Event] = {}
         self.first = [self.new_host() for _ in range(count)][:SEEDS]  # what all are told at the first start
 
--- a/irisdeal/simulation/cluster/probes.py
+++ b/irisdeal/simulation/cluster/probes.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.replica import StoreReplica
 from irisdeal.simulation.cluster.callers import Callers, digest
 from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, SYNC, Stage, pause
 from irisdeal.simulation.cluster.linearizability import Kind, Op, check
@@ -56,10 +56,10 @@
         for host in self.stage.hosts:
             self.stage.start(host, True)
 
-    def word(self, number: int, text: str) -> Word:
-        return Word.of(f"r{number}", b"r%d %s" % (number, text.encode()))
+    def word(self, number: int, text: str) -> ConfigVersion:
+        return ConfigVersion.of(f"r{number}", b"r%d %s" % (number, text.encode()))
 
-    async def put(self, machine: Machine, after: float, host: str, word: Word) -> int:
+    async def put(self, machine: Machine, after: float, host: str, word: ConfigVersion) -> int:
         """One order after so many s, sent again to the same member for `ASKED` s at most."""
         await pause(machine, after)
         begun = self.callers.now()
@@ -81,7 +81,7 @@
             await pause(machine, 0.1)
         return False
 
-    def start(self, after: float, host: str, word: Word) -> None:
+    def start(self, after: float, host: str, word: ConfigVersion) -> None:
         self.left += 1
         machine = self.stage.new_caller(f"operator-{len(self.stage.callers)}")
         machine.start(self.put(machine, after, host, word))
@@ -92,7 +92,7 @@
         return self.probe
 
 
-def race(seed: int, make: MAKE = Member, count: int = 3) -> Probe:
+def race(seed: int, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """Two bodies under one number, put at two members at once."""
     run = _Run(count, seed, make)
     one, other = run.stage.chance.sample(run.stage.hosts, 2)
@@ -101,7 +101,7 @@
     return run.play()
 
 
-def replace_body(seed: int, make: MAKE = Member, count: int = 3) -> Probe:
+def replace_body(seed: int, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """A body of larger digest under a number, put 1 s after the other's confirmation; then a read."""
     run = _Run(count, seed, make)
     words = sorted(
@@ -124,7 +124,7 @@
     return run.play()
 
 
-def replace_members(seed: int, times: int, make: MAKE = Member, count: int = 3) -> Probe:
+def replace_members(seed: int, times: int, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """Members that fall silent, one after the other, each replaced by one at a new address, `APART` s apart."""
     run = _Run(count, seed, make)
 
@@ -152,7 +152,7 @@
     return run.probe
 
 
-def duels(seed: int, fault: str, make: MAKE = Member, count: int = 3) -> Probe:
+def duels(seed: int, fault: str, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """Orders under one or two numbers at all members at once, amid them a fault; readers and a watcher beside.
 
     `fault`: "blink" (killed, and back in 1 to 30 ms), "wipe" (its disk, too), "cut" (what it sends is held up for
@@ -200,7 +200,7 @@
     return run.play()
 
 
-def second_loss(seed: int, make: MAKE = Member, count: int = 3) -> Probe:
+def second_loss(seed: int, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """A member is replaced, its successor first; 0 to 4 s after it was told to end the next loss comes: one disk,
     while the others lose power. The successor had its `SYNC` s, so the one that went counts no more."""
     run = _Run(count, seed, make)
--- a/irisdeal/simulation/cluster/store_day.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.replica import StoreReplica
 from irisdeal.runtime.events import log
 from irisdeal.simulation.cluster.callers import PACE, Callers, Record
 from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, Stage, pause
@@ -59,7 +59,7 @@
         self,
         count: int,
         seed: int,
-        make: MAKE = Member,
+        make: MAKE = StoreReplica,
         length: float = LENGTH,
         operators: int = 2,
         only: tuple[str, ...] = (),
@@ -232,6 +232,6 @@
         log.propagate = usual
 
 
-def day_of(seed: int, make: MAKE = Member) -> CoreDay:
+def day_of(seed: int, make: MAKE = StoreReplica) -> CoreDay:
     """The day of a seed: 3, 4 or 5 members, two or eight operators, in one of twenty hundreds of changes."""
     return CoreDay(3 + seed % 3, seed, make, operators=8 if seed % 4 == 0 else 2, burst=seed % 20 == 7)
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -1,5 +1,5 @@
-"""A core and doors in virtual time, with cuts by direction: stand-in stores, the registries' own `Follower`
-and `News`, the doors' own `Sources`.
+"""A core and doors in virtual time, with cuts by direction: stand-in stores, the registries' own
+`StoreClient` and `WatchService`, the doors' own `Sources`.
 
 A stand-in store keeps the rule of the real one: it has contact while a majority answered asks that it sent
 within the lease, and merges what these answers tell before it counts them. What is decided is put on a
@@ -14,18 +14,18 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import NOTHING, Word
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.register import Value
 from irisdeal.config_store.membership.contact import LEASE, Contact
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SEEKING
-from irisdeal.config_store.storage.version_store import Have, Shelf
+from irisdeal.config_store.storage.version_store import SyncState, VersionStore
 from irisdeal.proxy.sources import Sources
-from irisdeal.registry.backend_table import Registry
-from irisdeal.registry.store_client import Follower
-from irisdeal.registry.watch import News
-from irisdeal.rpc.client import Link
-from irisdeal.rpc.server import Server
+from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.store_client import StoreClient
+from irisdeal.registry.watch import WatchService
+from irisdeal.rpc.client import RpcClient
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
 from irisdeal.runtime.settings import Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
@@ -89,17 +89,17 @@
         self.settings = rig.settings(ip)
         self.value, self.word = rig.first, rig.first_word
         self.learners: list[str] = []
-        self.shelf = Shelf()
+        self.shelf = VersionStore()
         self.contact = Contact()
         self.news = asyncio.Event()
-        self.links: dict[str, Link] = {}
-        self.server = Server(self.handle)
+        self.links: dict[str, RpcClient] = {}
+        self.server = RpcServer(self.handle)
         self.puts: list[int] = []
         self.outcome = 1
         self.put_s = 0.0  # that an order takes
 
     async def run(self) -> int:
-        await self.server.listen((self.ip, ports.port(self.settings, ports.ALMANAC)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.CONFIG_STORE)))
         loop = asyncio.get_running_loop()
         while True:
             self.contact.tick(loop.time())
@@ -114,16 +114,16 @@
 
     async def ask(self, ip: str) -> None:
         if ip not in self.links:
-            self.links[ip] = Link((ip, ports.port(self.settings, ports.ALMANAC)), self.ip)
+            self.links[ip] = RpcClient((ip, ports.port(self.settings, ports.CONFIG_STORE)), self.ip)
         sent = asyncio.get_running_loop().time()
         answer = await self.links[ip].call("state", None, ANSWER)
         if isinstance(answer, Success):
             told, body = answer.unwrap()
             value = Value.hear(told)
-            self.take(value, Word(value.stamp, bytes(body)))
+            self.take(value, ConfigVersion(value.stamp, bytes(body)))
             self.contact.heard(seat(ip, FIRST), sent)
 
-    def take(self, value: Value, word: Word) -> None:
+    def take(self, value: Value, word: ConfigVersion) -> None:
         if value.change > self.value.change:
             self.value, self.word = value, word
             self.shelf.hold(word)
@@ -135,7 +135,7 @@
             case "state":
                 return [self.value.tell(), self.word.body]
             case "watch":
-                return await self.watch(Have.hear(body[0]), body[1])
+                return await self.watch(SyncState.hear(body[0]), body[1])
             case "put":
                 self.puts.append(body[0])
                 if self.put_s:
@@ -145,7 +145,7 @@
                 return [self.has_contact(), self.word.body]
         raise ValueError(kind)
 
-    async def watch(self, have: Have, change: int) -> list[Any]:
+    async def watch(self, have: SyncState, change: int) -> list[Any]:
         if have.stamp == self.value.stamp and change == self.value.change:
             try:
                 async with asyncio.timeout(HOLD):
@@ -153,7 +153,7 @@
             except TimeoutError:
                 pass
         stamp = self.value.stamp
-        parcel = self.shelf.parcel(have, stamp) if stamp not in (have.stamp, NOTHING) else None
+        parcel = self.shelf.parcel(have, stamp) if stamp not in (have.stamp, NO_VERSION) else None
         age = int(self.age() * 1000) if self.has_contact() else -1
         return [parcel, self.value.tell(), self.learners, age]
 
@@ -164,14 +164,14 @@
     def __init__(self, rig: CoreRig, ip: str, life: int) -> None:
         self.settings = rig.settings(ip)
         self.ip, self.words, self.is_full = ip, list[int](), True
-        self.registry, self.waking = Registry(1.5), [0]
-        self.follower = Follower(self.settings, Shelf(), self.on_word, self.changed)
+        self.registry, self.waking = BackendTable(1.5), [0]
+        self.follower = StoreClient(self.settings, VersionStore(), self.on_word, self.changed)
         zones = {host: zone_of(host) for host in rig.hosts}
-        self.news = News(self.follower, self.registry, life, zones, lambda: self.is_full)
-        self.server = Server(self.handle)
+        self.news = WatchService(self.follower, self.registry, life, zones, lambda: self.is_full)
+        self.server = RpcServer(self.handle)
         self.ages: list[tuple[float, int]] = []
 
-    def on_word(self, word: Word) -> None:
+    def on_word(self, word: ConfigVersion) -> None:
         self.words.append(word.stamp.number)
 
     def changed(self) -> None:
@@ -179,7 +179,7 @@
         self.news.wake()
 
     async def run(self) -> int:
-        await self.server.listen((self.ip, ports.port(self.settings, ports.GAUGE)))
+        await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
         self.follower.start()
         await asyncio.get_running_loop().create_future()
         return 0
@@ -200,7 +200,7 @@
         self.words: list[tuple[float, int]] = []
         self.sources = Sources(rig.settings(ip), self.on_word, lambda life, silent: None)
 
-    def on_word(self, word: Word) -> None:
+    def on_word(self, word: ConfigVersion) -> None:
         self.words.append((self.rig.world.seconds(), word.stamp.number))
 
     async def run(self) -> int:
@@ -217,8 +217,8 @@
         self.world = World(seed)
         self.net = CutNetwork(self.world, Way(delay, jitter))
         self.hosts = [f"10.{number}.0.1" for number in range(count)]
-        self.first = Value(0, NOTHING, Members.first(self.hosts))
-        self.first_word = Word(NOTHING, b"")
+        self.first = Value(0, NO_VERSION, Members.first(self.hosts))
+        self.first_word = ConfigVersion(NO_VERSION, b"")
         self.machines: dict[str, list[Machine]] = {}
         self.stores: dict[str, StandIn] = {}
         self.posts: dict[str, Post] = {}
@@ -286,7 +286,7 @@
     def decide(self, number: int, holders: list[str], members: Members | None = None) -> None:
         """A majority holds this word now; all others hear of it in their rounds."""
         newest = max((store.value for store in self.stores.values()), key=lambda value: value.change)
-        word = Word.of(f"r{number}", b"r%d" % number)
+        word = ConfigVersion.of(f"r{number}", b"r%d" % number)
         value = Value(newest.change + 1, word.stamp, members or newest.members)
         for host in holders:
             self.stores[host].take(value, word)
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from irisdeal.config_store.configuration.version import NOTHING, Stamp
+from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.config_store.consensus.register import NO_BALLOT, Value, put, set_members
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.membership.reconfiguration import Wanted, Watch, may_go
+from irisdeal.config_store.membership.reconfiguration import MembershipMonitor, Wanted, may_go
 from irisdeal.config_store.membership.report import Report
 
-EMPTY = Value(-1, NOTHING, Members(-1, ()))  # what an empty disk knows
+EMPTY = Value(-1, NO_VERSION, Members(-1, ()))  # what an empty disk knows
 STEP = 0.1  # s
 ROUND = 5  # steps between two looks at the others: `member.ROUND`
 BOOT = 0.7  # s from a process's start until it listens
@@ -33,7 +33,7 @@
     known: Value
     held: int  # the newest change that its disk holds
     up_at: float  # when it listens
-    watch: Watch
+    watch: MembershipMonitor
     down: bool = False
     frozen: bool = False
     cut: bool = False
@@ -55,7 +55,7 @@
     zones: int = 3
     now: float = 0.0
     steps: int = 0
-    goes: Callable[[Value, Watch, str, float], bool] = lambda value, watch, own, now: may_go(
+    goes: Callable[[Value, MembershipMonitor, str, float], bool] = lambda value, watch, own, now: may_go(
         value, watch.reports, own, now, watch.since
     )
     counted: Callable[[Value, Value], tuple[Members, ...]] = lambda old, new: (old.members, new.members)
@@ -84,7 +84,7 @@
             known,
             held,
             self.now + BOOT,
-            Watch(self.now + BOOT),
+            MembershipMonitor(self.now + BOOT),
             well_at=self.now,
         )
         self.machines[made.ip] = made
@@ -99,7 +99,7 @@
             machine.disk, machine.held, machine.known = f"disk{self.steps}", -1, EMPTY
         machine.down, machine.term_at, machine.well_at = False, None, self.now
         machine.up_at = self.now + BOOT
-        machine.watch = Watch(machine.up_at)
+        machine.watch = MembershipMonitor(machine.up_at)
 
     def freeze(self, machine: Machine) -> None:
         machine.frozen = True
@@ -243,7 +243,7 @@
 
     def order(self, number: int, slow: frozenset[str] = frozenset()) -> bool:
         """An operator's order by whichever member gets it through; machines that are `slow` take it last."""
-        value = put(Stamp(number, b"body"))(self.value)
+        value = put(VersionId(number, b"body"))(self.value)
         for machine in self.machines.values():
             if machine.seat in self.value.members.voters() and self._decide(machine, value, slow):
                 machine.known = value
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -10,9 +10,9 @@
 
 from behave import given, then, when
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.acceptor import Acceptor
-from irisdeal.config_store.consensus.register import NO_BALLOT, Ballot, Kept, Value, put
+from irisdeal.config_store.consensus.register import NO_BALLOT, AcceptorState, Ballot, Value, put
 from irisdeal.config_store.membership.members import FIRST, Members
 from irisdeal.runtime.process import Tasks
 from irisdeal.simulation.disk import MemoryDisk
@@ -20,9 +20,9 @@
 START = Value.first(Members.first(["a", "b", "c"]))
 
 
-def word(number: int, size: int = 40) -> Word:
+def word(number: int, size: int = 40) -> ConfigVersion:
     body = json.dumps({"generation": f"r{number}", "text": "x" * size}).encode()
-    return Word.of(f"r{number}", body)
+    return ConfigVersion.of(f"r{number}", body)
 
 
 def after(count: int) -> Value:
@@ -38,7 +38,7 @@
     return acceptor
 
 
-async def vote(acceptor: Acceptor, number: int, answered: list[Kept]) -> None:
+async def vote(acceptor: Acceptor, number: int, answered: list[AcceptorState]) -> None:
     """A promise, a body and an accept; what was answered is noted."""
     ballot = Ballot(number, "a")
     good, _ = await acceptor.prepare(ballot)
@@ -53,12 +53,14 @@
 
 def interrupted(
     disk: MemoryDisk,
-    act: Callable[[MemoryDisk, list[Kept]], Any],
-) -> Iterator[tuple[MemoryDisk, list[Kept]]]:
-    """The disk and what was answered, with the act ended after each of its steps in turn; the last time whole."""
+    act: Callable[[MemoryDisk, list[AcceptorState]], Any],
+) -> Iterator[tuple[MemoryDisk, list[AcceptorState]]]:
+    """The disk and what was answered, with the act ended after each of its steps in turn; the last time
+    whole.
+    """
     step = 0
     while True:
-        copy, answered = disk.copy(), list[Kept]()
+        copy, answered = disk.copy(), list[AcceptorState]()
         copy.acts, copy.fail_at = 0, step
         done = True
         try:
@@ -89,7 +91,7 @@
     context.disk = MemoryDisk()
 
 
-def judge(context: Any, disk: MemoryDisk, least: Kept) -> None:
+def judge(context: Any, disk: MemoryDisk, least: AcceptorState) -> None:
     """What is on this disk must be what was answered, or a later act of the same kind."""
     context.looked += 1
 
@@ -109,12 +111,12 @@
     asyncio.run(run())
 
 
-def least(context: Any, answered: list[Kept]) -> Kept:
+def least(context: Any, answered: list[AcceptorState]) -> AcceptorState:
     before = Ballot(context.count, "a") if context.count else NO_BALLOT
-    return answered[-1] if answered else Kept(before, before, after(context.count))
+    return answered[-1] if answered else AcceptorState(before, before, after(context.count))
 
 
-async def one_more(disk: MemoryDisk, answered: list[Kept], number: int) -> None:
+async def one_more(disk: MemoryDisk, answered: list[AcceptorState], number: int) -> None:
     await vote(await opened(disk), number, answered)
 
 
@@ -146,7 +148,7 @@
     context.looked, context.found = 0, []
     told: set[str] = set()
 
-    async def start(disk: MemoryDisk, answered: list[Kept]) -> None:
+    async def start(disk: MemoryDisk, answered: list[AcceptorState]) -> None:
         acceptor = await opened(disk, START)
         answered.append(acceptor.kept)
 
--- a/tests/features/steps/place_steps.py
+++ b/tests/features/steps/place_steps.py
@@ -9,8 +9,8 @@
 from behave import given, then, when
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
-from irisdeal.placement.attempt_end import How
-from irisdeal.placement.load_reports import TELL, Loads
+from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.load_reports import TELL, LoadReports
 from irisdeal.placement.placer import Placer
 
 WORK = 0.09  # s, mean
@@ -23,7 +23,7 @@
         self.chance = random.Random(seed)
         self.zones = [f"z{number}" for number in range(4)]
         self.placers = {zone: Placer(dict.fromkeys(self.zones, "r"), self.chance) for zone in self.zones}
-        self.loads = {zone: Loads() for zone in self.zones}
+        self.loads = {zone: LoadReports() for zone in self.zones}
         self.doors = [(f"d{number}", self.zones[number % 4]) for number in range(doors)]
         self.lives = [(f"i{number}", self.zones[number % 4]) for number in range(37)]
         self.winds = {door: BackendChoice(self.chance) for door, _ in self.doors}
@@ -74,7 +74,11 @@
 
         def ended(then_: float) -> None:
             self.there[backend.id] -= 1
-            how = How.POOR if backend.id in self.poor and self.chance.random() < 0.5 else How.GOOD
+            how = (
+                AttemptResult.POOR
+                if backend.id in self.poor and self.chance.random() < 0.5
+                else AttemptResult.GOOD
+            )
             self.placers[zone].ended(door, number, how, (then_ - now) / WORK, then_)
 
         return [(self._work(backend.id, now), ended)]
@@ -157,7 +161,7 @@
     for step in range(count):
         placed = placer.place("d0", "z0", "s", WORK, (), step * 0.01, 99.0, False)
         assert placed is not None
-        placer.ended("d0", placed[0], How.FAILED, 1.0, step * 0.01)
+        placer.ended("d0", placed[0], AttemptResult.FAILED, 1.0, step * 0.01)
 
 
 @then("at most {count:d} backends are left out for it")
--- a/tests/planted/store.py
+++ b/tests/planted/store.py
@@ -1,4 +1,5 @@
-"""Bugs planted in the store, each as one method put in place of another. `squall` days must find every one of them.
+"""Bugs planted in the store, each as one method put in place of another. `squall` days must find every one of
+them.
 
 `planted(name)` is the program with that bug while it lasts. Beside each stands what is wrong.
 """
@@ -13,19 +14,26 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import Proposer
-from irisdeal.config_store.consensus.register import Ballot, Kept, Outcome, Value, on_accept, on_prepare
+from irisdeal.config_store.consensus.register import (
+    AcceptorState,
+    Ballot,
+    PutOutcome,
+    Value,
+    on_accept,
+    on_prepare,
+)
 from irisdeal.config_store.membership.contact import Contact
 from irisdeal.config_store.membership.members import Members, ip_of, majority
 from irisdeal.config_store.membership.report import Report
-from irisdeal.config_store.membership.rounds import Rounds
+from irisdeal.config_store.membership.rounds import StatusRounds
 from irisdeal.config_store.peers import now
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.replica import StoreReplica
 
 
-async def promise_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, Kept]:
+async def promise_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, AcceptorState]:
     """A promise is kept in memory alone."""
     async with self.lock:
         good, self.kept = on_prepare(self.kept, ballot)
@@ -47,7 +55,7 @@
     async with self.lock:
         if not self.holds(value.stamp):
             return None
-        await self._write(Kept(max(ballot, self.kept.promised), ballot, value))
+        await self._write(AcceptorState(max(ballot, self.kept.promised), ballot, value))
         return True, self.kept.promised
 
 
@@ -65,12 +73,14 @@
     )
 
 
-async def any_disk_answers(self: Member, seat: str, ballot: list[Any], value: list[Any] | None = None) -> Any:
+async def any_disk_answers(
+    self: StoreReplica, seat: str, ballot: list[Any], value: list[Any] | None = None
+) -> Any:
     """A prepare or accept for the disk that was here before is answered by the new one."""
     return await VOTE(self, self.acceptor.seat, ballot, value)
 
 
-async def lease_from_answer(self: Rounds, ip: str) -> Report | None:
+async def lease_from_answer(self: StatusRounds, ip: str) -> Report | None:
     """Contact counts from when the answer came."""
     answer = await self.peers.call(ip, "state", self.report().tell(), MOST_ANSWER)
     if not isinstance(answer, Success):
@@ -81,7 +91,7 @@
     return report
 
 
-async def value_unsafe(self: Member) -> Value | None:
+async def value_unsafe(self: StoreReplica) -> Value | None:
     """The highest value that a majority tells of, decided or not."""
     known, own = self.rounds.members, self.rounds.report()
     heard = await asyncio.gather(*(self.rounds.ask(ip) for ip in sorted(known.ips() - {self.ip})))
@@ -90,13 +100,15 @@
     return max(reports, key=lambda report: report.accepted).value if is_enough else None
 
 
-async def read_alone(self: Member) -> list[Any]:
+async def read_alone(self: StoreReplica) -> list[Any]:
     """What this member knows."""
     word = self.acceptor.word(self.force.stamp)
     return [True, word.body if word is not None else None]
 
 
-async def force_undecided(self: Member, seat: str, ballot: list[Any], value: list[Any] | None = None) -> Any:
+async def force_undecided(
+    self: StoreReplica, seat: str, ballot: list[Any], value: list[Any] | None = None
+) -> Any:
     """What was accepted is in force, before a majority has it."""
     given = await VOTE(self, seat, ballot, value)
     if value is not None and given is not None and given[0]:
@@ -106,18 +118,20 @@
     return given
 
 
-def again_refused(self: Proposer, stamp: Stamp) -> Outcome | None:
+def again_refused(self: Proposer, stamp: VersionId) -> PutOutcome | None:
     """An order that holds is refused when it comes again."""
     held = self.acceptor.decided.stamp
     if held.number < stamp.number:
         return None
-    return Outcome.OTHER if held.number == stamp.number and stamp not in self.orders else Outcome.CONFIRMED
+    return (
+        PutOutcome.OTHER if held.number == stamp.number and stamp not in self.orders else PutOutcome.CONFIRMED
+    )
 
 
-async def alone_confirmed(self: Proposer, word: Word, within: float) -> Outcome:
+async def alone_confirmed(self: Proposer, word: ConfigVersion, within: float) -> PutOutcome:
     """An order is confirmed once it is held here."""
     self.tasks.start(PUT(self, word, within))
-    return Outcome.CONFIRMED if await self.acceptor.hold(word) else Outcome.LATER
+    return PutOutcome.CONFIRMED if await self.acceptor.hold(word) else PutOutcome.LATER
 
 
 def never_woke(self: Contact, moment: float) -> bool:
@@ -126,18 +140,18 @@
 
 
 MOST_ANSWER = 10.0  # s: an answer may come after a freeze
-VOTE, PUT = Member._vote, Proposer.put
+VOTE, PUT = StoreReplica._vote, Proposer.put
 
 PLANTED: dict[str, list[tuple[Any, str, Any]]] = {
     "promise not synced": [(Acceptor, "prepare", promise_not_synced)],
     "accept not synced": [(Acceptor, "accept", accept_not_synced)],
     "accept after a higher promise": [(Acceptor, "accept", accept_after_higher)],
     "list changed with the old majority alone": [(Members, "is_quorum", old_majority_alone)],
-    "learner counted": [(Members, "is_quorum", learner_counted), (Member, "_vote", any_disk_answers)],
-    "lease from the answer": [(Rounds, "ask", lease_from_answer), (Contact, "tick", never_woke)],
-    "read without making safe": [(Member, "_heard_value", value_unsafe)],
-    "read alone": [(Member, "read", read_alone)],
-    "body in force before decided": [(Member, "_vote", force_undecided)],
+    "learner counted": [(Members, "is_quorum", learner_counted), (StoreReplica, "_vote", any_disk_answers)],
+    "lease from the answer": [(StatusRounds, "ask", lease_from_answer), (Contact, "tick", never_woke)],
+    "read without making safe": [(StoreReplica, "_heard_value", value_unsafe)],
+    "read alone": [(StoreReplica, "read", read_alone)],
+    "body in force before decided": [(StoreReplica, "_vote", force_undecided)],
     "an order again refused": [(Proposer, "settled", again_refused)],
     "confirmed alone": [(Proposer, "put", alone_confirmed)],
 }
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -15,13 +15,13 @@
 from typing import Any
 from unittest import mock
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
-from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.registry.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.rpc.server import LATER, Server
+from irisdeal.rpc.server import DEFERRED, RpcServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network, Way
@@ -213,7 +213,7 @@
         self.world, self.hold_s, self.number = world, 0.0, 0
         self.waiting = 0
         self.open: dict[int, str] = {}  # places that were given and whose end was not told, and over what
-        self.server = Server(self.handle, self.quick, self.lost)
+        self.server = RpcServer(self.handle, self.quick, self.lost)
 
     def lost(self, peer: str) -> None:
         """A connection ended, and what was given over it is free."""
@@ -223,7 +223,7 @@
         if kind == "ended":
             self.open.pop(int(body[0]), None)
             return None
-        return LATER
+        return DEFERRED
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
@@ -314,8 +314,12 @@
             door.registries._by_nearness = lambda: [REGISTRY]  # type: ignore[method-assign]
         door._on_word(self.configuration(1))
         door.gate.slots = SLOTS
-        door._on_life(Life("i-0", "s", f"{BACKEND}:80", "z", 500, State.READY, 1, 0.0), False)
-        door._on_life(Life("i-1", "s", f"{BACKEND}:81", "z", 500, State.READY, 1, 0.0), False)
+        door._on_life(
+            BackendIncarnation("i-0", "s", f"{BACKEND}:80", "z", 500, BackendState.READY, 1, 0.0), False
+        )
+        door._on_life(
+            BackendIncarnation("i-1", "s", f"{BACKEND}:81", "z", 500, BackendState.READY, 1, 0.0), False
+        )
         self.prepare(door)
         await door.start()
         await self.ending.wait()
@@ -329,7 +333,7 @@
             self.proxy.call_soon(door._on_word, self.configuration(number, idle_ms))
             self.proxy.call_soon(door.reload, door.settings)
 
-    def configuration(self, number: int, idle_ms: int = 15_000) -> Word:
+    def configuration(self, number: int, idle_ms: int = 15_000) -> ConfigVersion:
         """Two routes, one of which may be repeated."""
 
         def rule(name: str, kind: str, prefix: str) -> dict[str, Any]:
@@ -359,7 +363,7 @@
                 }
             ],
         }
-        return Word.of(f"r{number}", json.dumps(body).encode())
+        return ConfigVersion.of(f"r{number}", json.dumps(body).encode())
 
     async def _serve_backend(self) -> int:
         loop = asyncio.get_running_loop()
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -1,8 +1,8 @@
 """Folders on disk in every form that the store and the registry leave, and what a start reads of each.
 
 `python -m tests.support.disk_formats --write` makes `tests/data/folders/` anew: a folder a case, and
-`expected.json` with what a start reads of it. Both were made before the packages were renamed: whoever needs to
-make them anew changes what is on users' disks.
+`expected.json` with what a start reads of it. Both were made before the packages were renamed: whoever needs
+to make them anew changes what is on users' disks.
 
 The adapters at the top of each part are all that knows the program's own names; readings are plain JSON.
 """
@@ -21,17 +21,17 @@
 from typing import Any, TypeVar
 from unittest import mock
 
-from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.register import Ballot, Value
 from irisdeal.config_store.membership import adoption
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.storage.acceptor_state import Keeper
+from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile
 from irisdeal.config_store.storage.folder import DiskFolder
 from irisdeal.config_store.storage.inspection import look
 from irisdeal.config_store.storage.version_files import Files
 from irisdeal.permits.authority import IssuerList
-from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.list_record import ListRecord
 from irisdeal.runtime.process import Tasks
@@ -70,15 +70,17 @@
     return Value.first(Members.first(MACHINES))
 
 
-def word(number: int, text: str = "body") -> Word:
-    return Word.of(f"r{number}", f"{text} {number}\n".encode() * 3)
+def word(number: int, text: str = "body") -> ConfigVersion:
+    return ConfigVersion.of(f"r{number}", f"{text} {number}\n".encode() * 3)
 
 
 def ballot(count: int, ip: str = IP) -> Ballot:
     return Ballot(count, seat(ip, FIRST))
 
 
-async def accepted(acceptor: Acceptor, count: int, value: Value, body: Word | None, ip: str = IP) -> None:
+async def accepted(
+    acceptor: Acceptor, count: int, value: Value, body: ConfigVersion | None, ip: str = IP
+) -> None:
     """A ballot of that machine gets its promise, its body and its accept here."""
     good, _ = await acceptor.prepare(ballot(count, ip))
     assert good
@@ -93,7 +95,7 @@
     await acceptor.save()
 
 
-def next_value(value: Value, body: Word) -> Value:
+def next_value(value: Value, body: ConfigVersion) -> Value:
     return Value(value.change + 1, body.stamp, value.members)
 
 
@@ -107,7 +109,7 @@
     }
 
 
-def body_told(body: Word) -> dict[str, Any]:
+def body_told(body: ConfigVersion) -> dict[str, Any]:
     return {
         "number": body.stamp.number,
         "digest": body.stamp.digest.hex(),
@@ -121,7 +123,7 @@
     with fixed_identities("5a"):
         acceptor = await opened(path)
     kept = acceptor.kept
-    stamps: list[Stamp] = sorted(acceptor.files.stamps.values())
+    stamps: list[VersionId] = sorted(acceptor.files.stamps.values())
     bodies = [acceptor.word(stamp) for stamp in stamps]
     return {
         "identity": acceptor.disk,
@@ -139,9 +141,9 @@
 
 def store_copied(source: Path, to: Path) -> None:
     """Write the state that is read here anew, with its bodies."""
-    state = Keeper(DiskFolder(str(source))).open()
+    state = AcceptorStateFile(DiskFolder(str(source))).open()
     assert state is not None
-    Keeper(DiskFolder(str(to))).write(state)
+    AcceptorStateFile(DiskFolder(str(to))).write(state)
     files = Files(DiskFolder(str(to)))
     bodies = Files(DiskFolder(str(source))).open()
     for body in bodies:
@@ -151,18 +153,18 @@
 # The registry: adapters
 
 
-def lives() -> list[Life]:
+def lives() -> list[BackendIncarnation]:
     """One that drains and is not warm yet, one that is gone, one of which nothing but the end is known."""
     return [
-        Life("i-1", "checkout", "10.9.0.1:8080", "z1", 40, State.DRAINING, 12, 3.25),
-        Life("i-2", "search", "10.9.0.2:8080", "z2", 8, State.GONE, 903, 0.0),
-        Life("i-3", "", "", "", 0, State.GONE, 0, 0.0),
+        BackendIncarnation("i-1", "checkout", "10.9.0.1:8080", "z1", 40, BackendState.DRAINING, 12, 3.25),
+        BackendIncarnation("i-2", "search", "10.9.0.2:8080", "z2", 8, BackendState.GONE, 903, 0.0),
+        BackendIncarnation("i-3", "", "", "", 0, BackendState.GONE, 0, 0.0),
     ]
 
 
-def ready_life() -> Life:
+def ready_life() -> BackendIncarnation:
     """Which has no place on the disk."""
-    return Life("i-4", "search", "10.9.0.4:8080", "z2", 8, State.READY, 4, 0.0)
+    return BackendIncarnation("i-4", "search", "10.9.0.4:8080", "z2", 8, BackendState.READY, 4, 0.0)
 
 
 def issuers() -> IssuerList:
@@ -173,7 +175,7 @@
     return EndedRecord(DiskFolder(str(path / REGISTRY)))
 
 
-async def ended_written(path: Path, ended: list[Life]) -> None:
+async def ended_written(path: Path, ended: list[BackendIncarnation]) -> None:
     record = ended_record(path)
     if ended:
         assert await record.keep(ended, [*ended, ready_life()])
@@ -185,7 +187,7 @@
     assert ListRecord(str(path)).save(told)
 
 
-def life_told(life: Life) -> dict[str, Any]:
+def life_told(life: BackendIncarnation) -> dict[str, Any]:
     return {
         "id": life.id,
         "service": life.service,
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -1,8 +1,9 @@
-"""A real exchange in virtual time: stores, registries and a proxy, and every call between them as it was made.
+"""A real exchange in virtual time: stores, registries and a proxy, and every call between them as it was
+made.
 
-It is the same to the last byte in each play: chance, lives and identities come from seeds. Orders, a backend's
-beats and its end come from outside, and a store and a registry are lost amid it, so that each call of the table is
-made, most of them with several kinds of bodies.
+It is the same to the last byte in each play: chance, lives and identities come from seeds. Orders, a
+backend's beats and its end come from outside, and a store and a registry are lost amid it, so that each call
+of the table is made, most of them with several kinds of bodies.
 """
 
 from __future__ import annotations
@@ -21,19 +22,19 @@
 from returns.result import Result, Success
 
 from irisdeal.config_store.membership.survey import ask as survey_one
-from irisdeal.config_store.replica import Member
+from irisdeal.config_store.replica import StoreReplica
 from irisdeal.http1.messages import Request
 from irisdeal.permits.held import HeldPermits
-from irisdeal.placement.attempt_end import How
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest
-from irisdeal.registry.server import Station
-from irisdeal.rpc.client import Link
+from irisdeal.registry.server import RegistryServer
+from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import ONE_WAY, encode
 from irisdeal.runtime import ports
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import Bind, Settings, Tolerance
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Costs, Machine
@@ -50,7 +51,8 @@
 class Call:
     """One call and its good answer as frames, numbered 1; no `answer` to a word, which wants none.
 
-    `sender`: the name that it told as its connection came up; `shape`: of its bodies, apart from their values.
+    `sender`: the name that it told as its connection came up; `shape`: of its bodies, apart from their
+    values.
     """
 
     kind: str
@@ -79,9 +81,11 @@
 
     @contextmanager
     def hearing(self) -> Iterator[None]:
-        call, tell = Link.call, Link.tell
+        call, tell = RpcClient.call, RpcClient.tell
 
-        async def heard_call(link: Link, kind: str, body: Any, within: float) -> Result[Any, Trouble]:
+        async def heard_call(
+            link: RpcClient, kind: str, body: Any, within: float
+        ) -> Result[Any, OperationError]:
             ask, shape = encode([1, kind, body]), shape_of(body)
             answer = await call(link, kind, body, within)
             if isinstance(answer, Success):
@@ -90,14 +94,17 @@
                 self.calls.append(Call(kind, link.name, link.peer, ask, encode([1, True, told]), shape))
             return answer
 
-        def heard_word(link: Link, kind: str, body: Any) -> bool:
+        def heard_word(link: RpcClient, kind: str, body: Any) -> bool:
             is_sent = tell(link, kind, body)
             if is_sent:
                 frame = encode([ONE_WAY, kind, body])
                 self.calls.append(Call(kind, link.name, link.peer, frame, None, shape_of(body)))
             return is_sent
 
-        with mock.patch.object(Link, "call", heard_call), mock.patch.object(Link, "tell", heard_word):
+        with (
+            mock.patch.object(RpcClient, "call", heard_call),
+            mock.patch.object(RpcClient, "tell", heard_word),
+        ):
             yield
 
 
@@ -144,8 +151,8 @@
     def __init__(self) -> None:
         self.disks: dict[tuple[str, str], MemoryDisk] = {}
         self.started: set[tuple[str, str]] = set()
-        self.members: dict[str, Member] = {}
-        self.stations: dict[str, Station] = {}
+        self.members: dict[str, StoreReplica] = {}
+        self.stations: dict[str, RegistryServer] = {}
         self.processes: dict[tuple[str, str], Machine] = {}
         self.sources: Sources | None = None
         self.client: RegistryClient | None = None
@@ -193,7 +200,9 @@
 
     def start_store(self, host: str) -> Machine:
         async def program() -> None:
-            member = self.members[host] = Member(self.settings_for(host, "store"), self.disk(host, "store"))
+            member = self.members[host] = StoreReplica(
+                self.settings_for(host, "store"), self.disk(host, "store")
+            )
             await member.start()
 
         return self.launch(host, "store", program)
@@ -201,7 +210,7 @@
     def start_post(self, host: str) -> Machine:
         async def program() -> None:
             settings = self.settings_for(host, "registry")
-            station = self.stations[host] = Station(settings, self.disk(host, "registry"))
+            station = self.stations[host] = RegistryServer(settings, self.disk(host, "registry"))
             await station.start()
 
         return self.launch(host, "registry", program)
@@ -298,20 +307,20 @@
     async def end_places(self) -> None:
         assert self.client is not None
         for number, (registry, place) in enumerate(self.numbers):
-            how = How.GOOD if number % 2 else How.FAILED
+            how = AttemptResult.GOOD if number % 2 else AttemptResult.FAILED
             self.client.end_place(registry, PlaceEnd(place, int(how), 1.25 + number))
         self.numbers.clear()
 
     async def ask_as_before(self) -> None:
         """A call of the table that is answered and that this version makes no more."""
         host = self.hosts[1]
-        link = Link((host, ports.port(self.settings(host), ports.GAUGE)), "gauge 10.7.0.1")
+        link = RpcClient((host, ports.port(self.settings(host), ports.REGISTRY)), "gauge 10.7.0.1")
         await link.call("all", None, 0.4)
         link.close()
 
     async def survey(self) -> None:
         host = self.hosts[1]
-        await survey_one((host, ports.port(self.settings(host), ports.ALMANAC)))
+        await survey_one((host, ports.port(self.settings(host), ports.CONFIG_STORE)))
 
 
 def script(rig: ExchangeRig) -> None:
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -4,8 +4,9 @@
 `tests/test_run_digests.py` plays them again and compares. A refactoring must leave every digest as it is.
 
 Digested are the bytes sent on the simulated network with sender, receiver and instant, the acts on disks in
-memory, the answers to callers and the judge's figures. No name of a class, function or module is, nor the text
-of a log line or an exception. All names of the program stand in the imports and in references to attributes.
+memory, the answers to callers and the judge's figures. No name of a class, function or module is, nor the
+text of a log line or an exception. All names of the program stand in the imports and in references to
+attributes.
 """
 
 from __future__ import annotations
@@ -64,7 +65,9 @@
 
 
 def encode(value: Any) -> bytes:
-    """An encoding of plain values that tells any two apart; of an enum its ordinal, of a dataclass its values."""
+    """An encoding of plain values that tells any two apart; of an enum its ordinal, of a dataclass its
+    values.
+    """
     match value:
         case None:
             return b"n"
@@ -181,7 +184,8 @@
 def numbered_hashes() -> Iterator[None]:
     """Objects that the program keeps in sets hash by the order in which they were made, not by their address.
 
-    Servers and pools go through such sets where they end, so that else the order of their last acts is chance.
+    Servers and pools go through such sets where they end, so that else the order of their last acts is
+    chance.
     """
     numbers = itertools.count(1)
 
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -1,11 +1,11 @@
 """Frames of every call between the processes, and the messages of a handover, as they were on the wire.
 
-`python -m tests.support.wire_formats --write` makes `tests/data/frames.json` anew: sample bodies of each call, the
-frames of a real exchange (`exchange.py`), and a handover. It was made before the packages were renamed: whoever
-needs to make it anew has processes of two versions that do not understand each other.
+`python -m tests.support.wire_formats --write` makes `tests/data/frames.json` anew: sample bodies of each
+call, the frames of a real exchange (`exchange.py`), and a handover. It was made before the packages were
+renamed: whoever needs to make it anew has processes of two versions that do not understand each other.
 
-The tables here are all that knows the program's own names. A reader takes a body by the program's decoder and gives
-it as its encoder writes it.
+The tables here are all that knows the program's own names. A reader takes a body by the program's decoder and
+gives it as its encoder writes it.
 """
 
 from __future__ import annotations
@@ -18,11 +18,18 @@
 from pathlib import Path
 from typing import Any
 
-from irisdeal.config_store.configuration.version import NOTHING, Word
-from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Ballot, Kept, Outcome, Value
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    UNKNOWN,
+    AcceptorState,
+    Ballot,
+    PutOutcome,
+    Value,
+)
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.report import Report
-from irisdeal.config_store.storage.version_store import PIECE, Arrivals, Have, Shelf
+from irisdeal.config_store.storage.version_store import PIECE, ChunkAssembler, SyncState, VersionStore
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import Barred, ListKind, ServerList, Shared
 from irisdeal.front_door.handover.message import (
@@ -37,15 +44,20 @@
 from irisdeal.front_door.handover.roles import HALF
 from irisdeal.front_door.handover.state import pack, unpack
 from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
-from irisdeal.placement.attempt_end import How
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.registry.backend_table import Life, State, hear_life, tell_life
+from irisdeal.registry.backend_table import (
+    BackendIncarnation,
+    BackendState,
+    decode_incarnation,
+    encode_incarnation,
+)
 from irisdeal.registry.messages import (
-    AllLives,
+    BackendSnapshot,
+    BackendUpdate,
     IntervalReply,
     IntervalReport,
     IntervalSum,
-    LivesTold,
     PlaceEnd,
     PlaceReply,
     PlaceRequest,
@@ -96,7 +108,7 @@
 
 
 def kept(told: Any) -> Any:
-    return Kept.hear(told).tell()
+    return AcceptorState.hear(told).tell()
 
 
 def value(told: Any) -> Any:
@@ -108,15 +120,15 @@
 
 
 def have(told: Any) -> Any:
-    return Have.hear(told).tell()
+    return SyncState.hear(told).tell()
 
 
 def outcome(told: Any) -> int:
-    return int(Outcome(told))
+    return int(PutOutcome(told))
 
 
 def life(told: Any) -> Any:
-    return tell_life(hear_life(told, 0.0), 0.0)
+    return encode_incarnation(decode_incarnation(told, 0.0), 0.0)
 
 
 def accepted(told: Any) -> Any:
@@ -147,9 +159,9 @@
     "place": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
     "wait": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
     "ended": (lambda told: PlaceEnd.decode(told).encode(), nothing),
-    "told": (lambda told: LivesTold.decode(told).encode(), nothing),
+    "told": (lambda told: BackendUpdate.decode(told).encode(), nothing),
     "all": (nothing, AGED),
-    "all_lives": (nothing, lambda told: AllLives.decode(told).encode()),
+    "all_lives": (nothing, lambda told: BackendSnapshot.decode(told).encode()),
     "sums": (lambda told: IntervalSum.decode(told).encode(), nothing),
     "loads": (each(str, as_is), nothing),
     "lend": (lambda told: LendRequest.decode(told).encode(), number),
@@ -176,27 +188,27 @@
         return [frame.hex() for frame in frames]
 
 
-def words() -> tuple[Word, Word, Word]:
+def words() -> tuple[ConfigVersion, ConfigVersion, ConfigVersion]:
     """Two versions that differ by little, and one of several pieces."""
     lines = [hashlib.sha256(b"%d" % at).hexdigest().encode() for at in range(200)]
     first, second = b"\n".join(lines), b"\n".join([*lines[:100], b"another", *lines[101:]])
     long = b"".join(b"%08d;" % (at // 900) for at in range((2 * PIECE) // 9 + 900))
-    return Word.of("r1", first), Word.of("r2", second), Word.of("r3", long)
+    return ConfigVersion.of("r1", first), ConfigVersion.of("r2", second), ConfigVersion.of("r3", long)
 
 
 def parcels() -> dict[str, Any]:
     """Each kind of a parcel: a whole body, a difference, the first piece and the one after it."""
     first, second, long = words()
-    shelf, arrivals = Shelf(), Arrivals(Shelf())
+    shelf, arrivals = VersionStore(), ChunkAssembler(VersionStore())
     shelf.hold(first)
-    whole = shelf.parcel(Have(), first.stamp)
+    whole = shelf.parcel(SyncState(), first.stamp)
     shelf.hold(second)
-    difference = shelf.parcel(Have(first.stamp), second.stamp)
+    difference = shelf.parcel(SyncState(first.stamp), second.stamp)
     shelf.hold(long)
-    piece = shelf.parcel(Have(), long.stamp)
+    piece = shelf.parcel(SyncState(), long.stamp)
     assert piece is not None
     arrivals.take(piece)
-    goes_on = shelf.parcel(arrivals.have(NOTHING), long.stamp)
+    goes_on = shelf.parcel(arrivals.have(NO_VERSION), long.stamp)
     return {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
 
 
@@ -208,29 +220,34 @@
     joint = Value(301, second.stamp, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
     here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
     low, high = Ballot(3, here), Ballot(70_000, there)
-    arriving = Have(first.stamp, long.stamp, PIECE).tell()
+    arriving = SyncState(first.stamp, long.stamp, PIECE).tell()
     told = Report(here, "z0", low, now, now, True).tell()
     samples = [
         Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).tell()),
         Sample("state", "of nobody", None, Report(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).tell()),
-        Sample("prepare", "promised", [there, high.tell()], [True, Kept(high, low, now).tell()]),
-        Sample("prepare", "refused", [there, low.tell()], [False, Kept(high, NO_BALLOT, begun).tell()]),
+        Sample("prepare", "promised", [there, high.tell()], [True, AcceptorState(high, low, now).tell()]),
+        Sample(
+            "prepare", "refused", [there, low.tell()], [False, AcceptorState(high, NO_BALLOT, begun).tell()]
+        ),
         Sample("prepare", "of a disk that is gone", [there, low.tell()]),
         Sample("accept", "accepted", [there, high.tell(), joint.tell()], [True, high.tell()]),
         Sample("accept", "refused", [there, low.tell(), now.tell()], [False, high.tell()]),
         Sample(
-            "accept", "without the body", [there, low.tell(), now.tell()], [None, Have(first.stamp).tell()]
+            "accept",
+            "without the body",
+            [there, low.tell(), now.tell()],
+            [None, SyncState(first.stamp).tell()],
         ),
         Sample("decided", "a value", [high.tell(), now.tell()]),
-        Sample("watch", "held", [Have(second.stamp).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]),
-        Sample("watch", "without contact", [Have().tell(), -2], [None, begun.tell(), [], -1]),
+        Sample("watch", "held", [SyncState(second.stamp).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]),
+        Sample("watch", "without contact", [SyncState().tell(), -2], [None, begun.tell(), [], -1]),
         Sample("read", "what holds", None, [True, first.body]),
         Sample("read", "nothing yet", None, [True, None]),
         Sample("read", "not known", None, [False, None]),
     ]
     order = [first.stamp.number, first.stamp.digest, first.body]
-    samples += [Sample("put", end.name.lower(), order, int(end)) for end in Outcome]
-    asked = [Have(first.stamp).tell(), second.stamp.number, second.stamp.digest]
+    samples += [Sample("put", end.name.lower(), order, int(end)) for end in PutOutcome]
+    asked = [SyncState(first.stamp).tell(), second.stamp.number, second.stamp.digest]
     samples += [Sample("fetch", "not here", asked)]
     for name, parcel in parcels().items():
         samples += [
@@ -244,9 +261,13 @@
 
 def _registry_samples() -> list[Sample]:
     lives = [
-        tell_life(Life("i-1", "s", "10.9.0.1:80", "z0", 40, State.READY, 12, 3.25), 0.0),
-        tell_life(Life("i-2", "s", "10.9.0.2:80", "z1", 8, State.DRAINING, 70_000, 0.0), 1.0),
-        tell_life(Life("i-3", "", "", "", 0, State.GONE, 0, 0.0), 0.0),
+        encode_incarnation(
+            BackendIncarnation("i-1", "s", "10.9.0.1:80", "z0", 40, BackendState.READY, 12, 3.25), 0.0
+        ),
+        encode_incarnation(
+            BackendIncarnation("i-2", "s", "10.9.0.2:80", "z1", 8, BackendState.DRAINING, 70_000, 0.0), 1.0
+        ),
+        encode_incarnation(BackendIncarnation("i-3", "", "", "", 0, BackendState.GONE, 0, 0.0), 0.0),
     ]
     aged = [(told, 30 * at) for at, told in enumerate(lives)]
     zones = {"10.0.0.1": "z0", "10.1.0.1": ""}
@@ -260,7 +281,7 @@
         Sample(
             "news",
             "lives",
-            [Have().tell(), 0, 0, -1],
+            [SyncState().tell(), 0, 0, -1],
             [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(lives)], zones, 1100, 300],
         ),
         Sample("lives", "all kinds", [[told, 0] for told in lives]),
@@ -280,18 +301,19 @@
         Sample("place", "placed", asked.encode(), placed.encode()),
         Sample("wait", "placed", asked.encode(), placed.encode()),
         Sample("wait", "no place", full.encode(), PlaceReply(PlaceResult.NO_PLACE).encode()),
-        Sample("told", "lives", LivesTold("10.0.0.1", "z0", "10.0.0.1:8000", aged).encode()),
-        Sample("told", "none", LivesTold("10.0.0.1", "", "", []).encode()),
+        Sample("told", "lives", BackendUpdate("10.0.0.1", "z0", "10.0.0.1:8000", aged).encode()),
+        Sample("told", "none", BackendUpdate("10.0.0.1", "", "", []).encode()),
         Sample("all", "lives", None, [[told, age] for told, age in aged]),
-        Sample("all_lives", "remembers", None, AllLives(True, aged).encode()),
-        Sample("all_lives", "forgot", None, AllLives(False, []).encode()),
+        Sample("all_lives", "remembers", None, BackendSnapshot(True, aged).encode()),
+        Sample("all_lives", "forgot", None, BackendSnapshot(False, []).encode()),
         Sample("sums", "a sum", IntervalSum("10.0.0.1", 15.0019, 13, usages, (4, 5)).encode()),
         Sample("loads", "some", ["10.0.0.1", {1 << 23: 4, 7: 1}]),
         Sample("loads", "none", ["10.0.0.1", {}]),
         Sample("lend", "a loan", LendRequest("t-1", 64).encode(), 4),
     ]
     samples += [
-        Sample("ended", how.name.lower(), PlaceEnd(1_579_233_161, int(how), 1.25).encode()) for how in How
+        Sample("ended", how.name.lower(), PlaceEnd(1_579_233_161, int(how), 1.25).encode())
+        for how in AttemptResult
     ]
     answers = [end for end in PlaceResult if end not in (PlaceResult.PLACED, PlaceResult.NO_REGISTRY)]
     samples += [Sample("place", end.name.lower(), full.encode(), PlaceReply(end).encode()) for end in answers]
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -13,10 +13,10 @@
 
 from irisdeal.config_store.storage.version_files import put
 from irisdeal.registry import ended_record
-from irisdeal.registry.backend_table import Life, State, tell_life
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, encode_incarnation
 from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.peers import ANSWER_S, RegistryPeers
-from irisdeal.registry.server import Station
+from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.cluster.cluster import Host, Stage
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
@@ -34,8 +34,8 @@
     def __init__(self, count: int, seed: int) -> None:
         self.chance = random.Random(seed)
         self.disks = {f"10.{number}.0.1": MemoryDisk() for number in range(count)}
-        self.asked: list[tuple[str, State, str, Caller]] = []
-        self.acknowledged: dict[str, State] = {}
+        self.asked: list[tuple[str, BackendState, str, Caller]] = []
+        self.acknowledged: dict[str, BackendState] = {}
         self.struck_at = 0.0
         super().__init__(count, seed)
 
@@ -45,7 +45,7 @@
         self.machines.setdefault(host, []).append(machine)
 
         async def run() -> int:
-            station = self.stations[host] = Station(self.settings(host), self.disks[host])
+            station = self.stations[host] = RegistryServer(self.settings(host), self.disks[host])
             await station.start()
             await station.loop.create_future()
             return 0
@@ -54,9 +54,9 @@
         machine.start(work)
         return machine
 
-    def end(self, id_: str, state: State, host: str) -> None:
+    def end(self, id_: str, state: BackendState, host: str) -> None:
         """A backend says that it leaves."""
-        if state is State.DRAINING:
+        if state is BackendState.DRAINING:
             self.call(host, "POST", f"/backends/{id_}/heartbeat", beat("draining", 5))
         else:
             self.call(host, "POST", f"/backends/{id_}/deregister", b"")
@@ -93,7 +93,7 @@
     ids = [f"i-{number}" for number in range(BACKENDS)]
     for id_ in ids:
         rig.at(2.0, partial(rig.call, rig.hosts[0], "POST", f"/backends/{id_}/heartbeat", beat()))
-        state = chance.choice((State.DRAINING, State.GONE))
+        state = chance.choice((BackendState.DRAINING, BackendState.GONE))
         when = chance.choice((LAST_S, chance.uniform(3.0, LAST_S)))
         rig.at(when, partial(rig.end, id_, state, chance.choice(rig.hosts)))
     rig.at(LAST_S + chance.uniform(0.002, 0.03), partial(rig.strike, how))  # amid acknowledgements
@@ -140,8 +140,8 @@
 
 
 def test_the_judge_finds_an_acknowledgement_by_one_machine_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def alone(self: RegistryPeers, life: Life) -> bool:
-        body = self._message([(tell_life(life, 0.0), 0)]).encode()
+    async def alone(self: RegistryPeers, life: BackendIncarnation) -> bool:
+        body = self._message([(encode_incarnation(life, 0.0), 0)]).encode()
         for ip in self.others():
             self.tasks.start(self.link(ip).call("told", body, ANSWER_S))
         return await self._keep([life])
@@ -154,8 +154,8 @@
 
 
 LIVES = [
-    Life("i-1", "s", "10.0.0.1:80", "z", 2, State.DRAINING, 7, 0.0),
-    Life("i-2", "", "", "", 0, State.GONE, 0, 0.0),
+    BackendIncarnation("i-1", "s", "10.0.0.1:80", "z", 2, BackendState.DRAINING, 7, 0.0),
+    BackendIncarnation("i-2", "", "", "", 0, BackendState.GONE, 0, 0.0),
 ]
 
 
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -16,13 +16,13 @@
 
 from irisdeal.cli.main import main
 from irisdeal.cli.store import store
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
     UNKNOWN,
+    AcceptorState,
     Ballot,
     Change,
-    Kept,
     Round,
     Step,
     Value,
@@ -37,11 +37,11 @@
 from irisdeal.config_store.membership.report import Report
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.membership.survey import survey as ask_all
-from irisdeal.config_store.storage.acceptor_state import NAME, Keeper, State
+from irisdeal.config_store.storage.acceptor_state import NAME, AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.inspection import look, named, newest, verify
 from irisdeal.config_store.storage.version_files import Files
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime.settings import Address
 from irisdeal.simulation.disk import MemoryDisk
 
@@ -50,8 +50,8 @@
 LIST = Members.first(IPS)
 
 
-def word(number: int) -> Word:
-    return Word.of(f"r{number}", b'{"generation": "r%d"}' % number)
+def word(number: int) -> ConfigVersion:
+    return ConfigVersion.of(f"r{number}", b'{"generation": "r%d"}' % number)
 
 
 def value(change: int, number: int, members: Members = LIST) -> Value:
@@ -64,7 +64,7 @@
     files = Files(folder)
     for number in bodies:
         files.keep(word(number))
-    Keeper(folder).write(State("first", Kept(ballot, ballot, accepted), decided))
+    AcceptorStateFile(folder).write(PersistedState("first", AcceptorState(ballot, ballot, accepted), decided))
     return folder
 
 
@@ -94,7 +94,7 @@
 
 def test_of_two_bodies_under_one_number_the_accepted_one_is_exported() -> None:
     folder = filled(MemoryDisk(), value(1, 1), value(1, 1), (1,))
-    other = Word.of("r1", b'{"generation": "r1", "limits": {}}')
+    other = ConfigVersion.of("r1", b'{"generation": "r1", "limits": {}}')
     Files(folder).keep(other)
     disk = look(folder)
     assert len(disk.words) == 2 and named(disk, "r1") == word(1)
@@ -133,7 +133,7 @@
                 assert (kind, body) == ("state", None)
                 return report(ip, decided).tell()
 
-            servers.append(Server(answers))
+            servers.append(RpcServer(answers))
             await servers[-1].listen((ip, port))
         try:
             return await ask_all([(ips[0], port), (ips[3], port)])
@@ -210,13 +210,13 @@
     folder = filled(MemoryDisk(), *DISK)
     planned = adoption.plan(look(folder), IPS[0])
     adoption.adopt(folder, planned)
-    state = Keeper(folder).open()
+    state = AcceptorStateFile(folder).open()
     assert state is not None and state.disk != "first" and not verify(look(folder))
     assert state.decided.members.seats == (seat(IPS[0], state.disk),) and state.decided.stamp == word(3).stamp
     assert state.kept.accepted > Ballot(900_000, "z") and state.decided.change > 900_000
 
 
-def decide(known: Members, change: Change, kept: dict[str, Kept], own: str) -> Value | None:
+def decide(known: Members, change: Change, kept: dict[str, AcceptorState], own: str) -> Value | None:
     """Ballots of a proposer among those that answer, until one gets through; None where none does in ten."""
     count = kept[own].promised.count
     for _ in range(10):
@@ -246,8 +246,8 @@
     old = Ballot(200, late)
     kept = {
         own: planned.state.kept,
-        "10.0.0.2/new": Kept(NO_BALLOT, NO_BALLOT, UNKNOWN),
-        late: Kept(old, old, value(9, 9)),
+        "10.0.0.2/new": AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN),
+        late: AcceptorState(old, old, value(9, 9)),
     }
     now = planned.state.decided
     for seats in ([own, "10.0.0.2/new"], [own, "10.0.0.2/new", late]):
--- a/tests/test_call_lifetime.py
+++ b/tests/test_call_lifetime.py
@@ -9,12 +9,12 @@
 import pytest
 from returns.result import Failure, Success
 
-from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
 from irisdeal.registry.messages import PlaceRequest, PlaceResult
 from irisdeal.registry.placement_service import PlacementService
 from irisdeal.rpc.calls import CALLS, ends_with_asker
-from irisdeal.rpc.client import Link
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.client import RpcClient
+from irisdeal.rpc.server import RpcServer
 from irisdeal.simulation.machine import Machine
 from tests.test_calls import Two
 
@@ -28,10 +28,10 @@
     def __init__(self) -> None:
         self.begun: list[str] = []
         self.ended: list[tuple[str, str, float]] = []
-        self.server: Server | None = None
+        self.server: RpcServer | None = None
 
-    def make(self) -> Server:
-        self.server = Server(self.handle)
+    def make(self) -> RpcServer:
+        self.server = RpcServer(self.handle)
         return self.server
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
@@ -58,7 +58,7 @@
     assert not ends_with_asker("no such call")
 
 
-def gone(two: Two, act: Callable[[Link, list[asyncio.Task[Any]]], None]) -> tuple[Answering, float]:
+def gone(two: Two, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]) -> tuple[Answering, float]:
     """Calls of each kind, whose asker goes 0.2 s later; when he did."""
     answering = Answering()
     two.serve(answering.make)
@@ -76,18 +76,18 @@
     return answering, two.play(scenario())
 
 
-def cancel_all(link: Link, tasks: list[asyncio.Task[Any]]) -> None:
+def cancel_all(link: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
     for task in tasks:
         task.cancel()
 
 
-def close(link: Link, tasks: list[asyncio.Task[Any]]) -> None:
+def close(link: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
     link.close()
 
 
 @pytest.mark.parametrize("act", [cancel_all, close], ids=["cancelled", "connection ended"])
 def test_calls_that_are_held_for_an_asker_end_with_him_and_others_go_to_their_end(
-    act: Callable[[Link, list[asyncio.Task[Any]]], None],
+    act: Callable[[RpcClient, list[asyncio.Task[Any]]], None],
 ) -> None:
     answering, at = gone(Two(), act)
     assert answering.how() == {kind: "cancelled" if kind in HELD else "done" for kind in KINDS}
@@ -225,8 +225,8 @@
 def test_who_gives_up_waiting_for_a_place_leaves_the_queue_and_hands_on_his_turn() -> None:
     async def main() -> tuple[list[str], int]:
         loop = asyncio.get_running_loop()
-        registry = Registry(1.5)
-        registry.hear(Life("i-1", "s", "a:1", "z", 1, State.READY, 1, 0.0), loop.time())
+        registry = BackendTable(1.5)
+        registry.hear(BackendIncarnation("i-1", "s", "a:1", "z", 1, BackendState.READY, 1, 0.0), loop.time())
         places = PlacementService({"z": "r"}, registry, loop)
         ask = PlaceRequest("z", "s", 0.1, [], 0, 1.5, 2.0)
         taken = places.place("proxy 1#1", ask)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,17 +19,17 @@
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import HeldReport
-from irisdeal.placement.attempt_end import How
+from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.registry.admission import AdmissionService
-from irisdeal.registry.backend_table import Life, Registry, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
 from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
 from irisdeal.rpc import calls as table
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
-from irisdeal.rpc.server import LATER, Server
+from irisdeal.rpc.server import DEFERRED, RpcServer
 from irisdeal.runtime import events
 from irisdeal.runtime.settings import Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
@@ -57,10 +57,10 @@
     def start_host(self) -> Machine:
         return Machine(self.world, self.net, HOST, Core(), Costs())
 
-    def link(self) -> Link:
-        return Link((HOST, PORT), "proxy 10.0.0.1", lambda kind, body: self.late.append((kind, body)))
+    def link(self) -> RpcClient:
+        return RpcClient((HOST, PORT), "proxy 10.0.0.1", lambda kind, body: self.late.append((kind, body)))
 
-    def serve(self, server: Callable[[], Server], host: Machine | None = None) -> None:
+    def serve(self, server: Callable[[], RpcServer], host: Machine | None = None) -> None:
         async def run() -> int:
             await server().listen((HOST, PORT))
             await asyncio.get_running_loop().create_future()
@@ -94,7 +94,7 @@
         return result
 
 
-def answering(times: dict[str, float], ran: list[Any] | None = None) -> Callable[[], Server]:
+def answering(times: dict[str, float], ran: list[Any] | None = None) -> Callable[[], RpcServer]:
     """A server that answers each call with its body, after so many s for its kind."""
 
     async def handle(peer: str, kind: str, body: Any) -> Any:
@@ -103,7 +103,7 @@
         await asyncio.sleep(times.get(kind, 0.0))
         return body
 
-    return lambda: Server(handle)
+    return lambda: RpcServer(handle)
 
 
 def told(monkeypatch: pytest.MonkeyPatch) -> list[int]:
@@ -361,7 +361,7 @@
     told(monkeypatch)
 
     def quick(peer: str, kind: str, body: Any) -> Any:
-        return body["no such"] if kind == "place" else LATER
+        return body["no such"] if kind == "place" else DEFERRED
 
     async def handle(peer: str, kind: str, body: Any) -> Any:
         await asyncio.sleep(0.1)
@@ -369,7 +369,7 @@
             return bytes(MOST_FRAME)
         return body
 
-    two.serve(lambda: Server(handle, quick))
+    two.serve(lambda: RpcServer(handle, quick))
 
     async def scenario() -> Any:
         link = two.link()
@@ -395,7 +395,7 @@
         await asyncio.sleep(0.3)
         return peer
 
-    two.serve(lambda: Server(handle, None, lost.append))
+    two.serve(lambda: RpcServer(handle, None, lost.append))
 
     async def scenario() -> Any:
         link = two.link()
@@ -498,9 +498,9 @@
 def test_what_may_be_taken_twice_is_named_and_what_may_not_is_sent_once() -> None:
     for call in table.CALLS.values():
         assert call.reset and call.silence
-        assert call.again is not table.Again.ASKER or call.named != "-"
-        assert not (call.word and call.again is table.Again.NEVER)
-    never = {kind for kind, call in table.CALLS.items() if call.again is table.Again.NEVER}
+        assert call.again is not table.RetryRule.ASKER or call.named != "-"
+        assert not (call.word and call.again is table.RetryRule.NEVER)
+    never = {kind for kind, call in table.CALLS.items() if call.again is table.RetryRule.NEVER}
     assert never == {"place", "wait", "lend"}
 
 
@@ -516,10 +516,10 @@
         settings = Settings(
             node_name="g", role="registry", ip="g", zone="z", port_range=(1, 9), seed_peers=()
         )
-        registry = Registry(1.5)
+        registry = BackendTable(1.5)
         self.desk = AdmissionService(settings, registry, loop, 1, lambda: 0.0, lambda *_: asyncio.sleep(0, 0))
         self.places = self.desk.places
-        registry.hear(Life("i", "s", "10.9.0.1:80", "z", 8, State.READY, 1, 0.0), 0.0)
+        registry.hear(BackendIncarnation("i", "s", "10.9.0.1:80", "z", 8, BackendState.READY, 1, 0.0), 0.0)
 
     def place(self, peer: str) -> int:
         ask = PlaceRequest("z", "s", 0.1, [], 0, 0.0, 1.0)
@@ -528,7 +528,7 @@
         return reply.number
 
     def end(self, peer: str, number: int) -> None:
-        self.desk.quick(peer, "ended", PlaceEnd(number, int(How.GOOD), 1.0).encode())
+        self.desk.quick(peer, "ended", PlaceEnd(number, int(AttemptResult.GOOD), 1.0).encode())
 
     def out(self) -> int:
         return self.places.placer.backends["i"].out
@@ -590,13 +590,13 @@
     ended: list[Any] = []
 
     def quick(peer: str, kind: str, body: Any) -> Any:
-        return ended.append(body) if kind == "ended" else LATER
+        return ended.append(body) if kind == "ended" else DEFERRED
 
     async def handle(peer: str, kind: str, body: Any) -> Any:
         await asyncio.sleep(0.09)
         return [7, "i", 1.0]
 
-    two.serve(lambda: Server(handle, quick))
+    two.serve(lambda: RpcServer(handle, quick))
 
     async def scenario() -> Any:
         settings = Settings(
@@ -611,14 +611,14 @@
         sources.has_heard.set()
         sources.answering.add(HOST)
         client = RegistryClient(settings, sources)
-        client.links[HOST] = Link((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late)
+        client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late)
         placement = await client.place(PlaceRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
         await asyncio.sleep(0.2)
         return placement, client.silent_until
 
     placement, silent = two.play(scenario())
     assert placement.reply.result is PlaceResult.NO_REGISTRY and placement.is_counted
-    assert HOST in silent and ended == [[7, int(How.UNKNOWN), 0.0]]
+    assert HOST in silent and ended == [[7, int(AttemptResult.UNKNOWN), 0.0]]
 
 
 # Lives: told late, twice, in any order
@@ -628,13 +628,16 @@
 @given(st.integers(0, 100_000))
 def test_beats_drains_and_ends_told_late_twice_and_in_any_order_lead_to_the_same(seed: int) -> None:
     chance = random.Random(seed)
-    words = [Life("i", "s", f"10.9.0.{count}:80", "z", 2, State.READY, count, 0.0) for count in range(1, 5)]
-    ends = chance.choice((None, State.DRAINING, State.GONE))
+    words = [
+        BackendIncarnation("i", "s", f"10.9.0.{count}:80", "z", 2, BackendState.READY, count, 0.0)
+        for count in range(1, 5)
+    ]
+    ends = chance.choice((None, BackendState.DRAINING, BackendState.GONE))
     if ends is not None:
-        words.append(Life("i", "s", "10.9.0.5:80", "z", 2, ends, 5, 0.0))
+        words.append(BackendIncarnation("i", "s", "10.9.0.5:80", "z", 2, ends, 5, 0.0))
     known = []
     for _ in range(3):
-        registry, told = Registry(1.5), words * 2
+        registry, told = BackendTable(1.5), words * 2
         chance.shuffle(told)
         for life in told:
             registry.hear(life, 1.0)
@@ -644,16 +647,16 @@
         for late in words:  # each once more: no news
             assert not registry.hear(late, 1.5)
         assert registry.number == number
-    assert set(known) == {(ends or State.READY, len(words), f"10.9.0.{len(words)}:80")}
+    assert set(known) == {(ends or BackendState.READY, len(words), f"10.9.0.{len(words)}:80")}
 
 
 def test_a_late_beat_brings_no_life_back_and_a_new_life_at_its_address_is_another() -> None:
-    registry = Registry(1.5)
-    registry.hear(Life("i-1", "s", "10.9.0.1:80", "z", 2, State.READY, 7, 0.0), 0.0)
+    registry = BackendTable(1.5)
+    registry.hear(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 0.0)
     assert registry.leave("i-1", 1.0) is not None and registry.leave("i-1", 1.1) is not None
-    registry.hear(Life("i-1", "s", "10.9.0.1:80", "z", 2, State.READY, 99, 0.0), 2.0)
-    registry.hear(Life("i-2", "s", "10.9.0.1:80", "z", 2, State.READY, 7, 0.0), 2.0)
+    registry.hear(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 99, 0.0), 2.0)
+    registry.hear(BackendIncarnation("i-2", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 2.0)
     assert {id_: entry.life.state for id_, entry in registry.entries.items()} == {
-        "i-1": State.GONE,
-        "i-2": State.READY,
+        "i-1": BackendState.GONE,
+        "i-2": BackendState.READY,
     }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,21 +23,21 @@
 from benchmarks.capacity.size import DOOR_BYTES, WHOLE, Size, part
 from benchmarks.capacity.tally import Tally
 from irisdeal.config_store.configuration.cached_reading import read
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.storage.version_store import Have, Shelf
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.storage.version_store import SyncState, VersionStore
 from irisdeal.proxy.sources import Sources
-from irisdeal.registry.backend_table import Life
+from irisdeal.registry.backend_table import BackendIncarnation
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc import server
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import encode
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime.settings import Settings
 
 PATIENCE = 5.0  # s: only a test that hangs meets it
 IPS = [f"127.{100 + os.getpid() % 100}.{os.getpid() >> 8 & 255}.{at}" for at in (1, 2)]
 PORTS = (7340, 7355)
-WORD = Word.of("r3", b'{"generation":"r3"}')
+WORD = ConfigVersion.of("r3", b'{"generation":"r3"}')
 
 
 def told(number: int) -> list[Any]:
@@ -46,9 +46,9 @@
 
 def parcel() -> list[Any]:
     """The word, for one that has nothing."""
-    shelf = Shelf()
+    shelf = VersionStore()
     shelf.hold(WORD)
-    whole = shelf.parcel(Have(), WORD.stamp)
+    whole = shelf.parcel(SyncState(), WORD.stamp)
     assert whole is not None
     return whole
 
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         self.heard: list[tuple[str, Any]] = []
         self.script: asyncio.Queue[list[Any]] = asyncio.Queue()
-        self.server = Server(self.answer)
+        self.server = RpcServer(self.answer)
 
     async def answer(self, peer: str, kind: str, body: Any) -> Any:
         self.heard.append((kind, body))
@@ -101,11 +101,11 @@
     return [registry.heard for registry in registries]
 
 
-def ignore_word(word: Word) -> None:
+def ignore_word(word: ConfigVersion) -> None:
     pass
 
 
-def ignore_life(life: Life, silent: bool) -> None:
+def ignore_life(life: BackendIncarnation, silent: bool) -> None:
     pass
 
 
@@ -176,9 +176,9 @@
         async def answer(peer: str, kind: str, body: Any) -> Any:
             return body * 2
 
-        server = Server(answer)
+        server = RpcServer(answer)
         await server.listen((IPS[0], PORTS[0]))
-        client = Link((IPS[0], PORTS[0]), "me")
+        client = RpcClient((IPS[0], PORTS[0]), "me")
         for _ in range(3):
             assert await client.call("lend", "word", PATIENCE) == Success("wordword")
         assert client.tell("loads", [1])
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from irisdeal.permits.allowance import Limit
-from irisdeal.ratelimit.interval_clock import LENGTH, Edge
+from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import IntervalCounter, Usage
 from irisdeal.ratelimit.rate_companion import RateCompanion
 
@@ -62,7 +62,7 @@
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 4), st.floats(0.0, 0.05)), min_size=1, max_size=60)
 )
 def test_an_edge_never_goes_back_nor_ahead_of_the_first(words: list[tuple[int, int, float]]) -> None:
-    edges = [Edge(0.3 * number) for number in range(5)]
+    edges = [SharedIntervalClock(0.3 * number) for number in range(5)]
     now, last = 2.0, [0.0] * 5
     for teller, hearer, way in words:
         told = edges[teller].position(now)
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.consensus.register import Outcome, Value
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.storage.version_store import Have
+from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.registry import store_client
-from irisdeal.registry.store_client import Follower
-from irisdeal.rpc.client import Link
+from irisdeal.registry.store_client import StoreClient
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.simulation.machine import Core, Costs, Machine
 from tests.core_rig import CoreRig
@@ -50,7 +50,7 @@
         self.rig, self.host = rig, host
         self.done: list[tuple[float, Any]] = []
 
-    def at(self, seconds: float, act: Callable[[Follower], Awaitable[Any]]) -> None:
+    def at(self, seconds: float, act: Callable[[StoreClient], Awaitable[Any]]) -> None:
         def begin() -> None:
             post, machine = self.rig.posts[self.host], self.rig.machines[self.host][-1]
 
@@ -64,14 +64,14 @@
         self.rig.at(seconds, begin)
 
 
-WORD = Word.of("r9", b"nine")
+WORD = ConfigVersion.of("r9", b"nine")
 
 
-def put(follower: Follower) -> Awaitable[Outcome]:
+def put(follower: StoreClient) -> Awaitable[PutOutcome]:
     return follower.put(WORD)
 
 
-def read(follower: Follower) -> Awaitable[tuple[bool, bytes | None]]:
+def read(follower: StoreClient) -> Awaitable[tuple[bool, bytes | None]]:
     return follower.read()
 
 
@@ -92,7 +92,7 @@
     def count() -> None:
         kept = rig.stores[host].watch
 
-        def watch(have: Have, change: int) -> Any:
+        def watch(have: SyncState, change: int) -> Any:
             asks[change != store_client.AT_ONCE] += 1
             return kept(have, change)
 
@@ -185,7 +185,7 @@
     orders.at(8.0, put)
     orders.at(8.5, read)
     rig.play(10.0)
-    assert orders.done == [(0.0, Outcome.LATER), (0.0, (False, None))]
+    assert orders.done == [(0.0, PutOutcome.LATER), (0.0, (False, None))]
 
 
 def test_an_order_goes_to_the_own_store_and_to_another_where_that_is_gone() -> None:
@@ -197,7 +197,7 @@
     orders.at(4.0001, put)  # it has not been seen yet that it is gone
     orders.at(5.0, read)
     rig.play(6.0)
-    assert [answer for _, answer in orders.done] == [Outcome.CONFIRMED, Outcome.CONFIRMED, (True, b"")]
+    assert [answer for _, answer in orders.done] == [PutOutcome.CONFIRMED, PutOutcome.CONFIRMED, (True, b"")]
     assert all(took <= WAY for took, _ in orders.done)
     assert rig.stores[host].puts == [9]
     assert sum(len(rig.stores[other].puts) for other in rig.hosts[1:]) == 1
@@ -215,7 +215,7 @@
         rig.at(at, partial(answer, outcome))
         orders.at(at + 0.1, put)
     rig.play(6.0)
-    assert [told for _, told in orders.done] == [Outcome.OTHER, Outcome.LATER]
+    assert [told for _, told in orders.done] == [PutOutcome.OTHER, PutOutcome.LATER]
 
 
 def test_an_order_at_a_store_that_stands_still_ends_in_time() -> None:
@@ -227,14 +227,14 @@
     orders.at(5.0, put)  # by then another one is followed
     rig.play(9.0)
     (second, confirmed), (first, later) = sorted(orders.done, key=lambda done: done[0])
-    assert later in (Outcome.LATER, Outcome.CONFIRMED) and first <= store_client.PUT + WAY
-    assert confirmed is Outcome.CONFIRMED and second <= WAY
+    assert later in (PutOutcome.LATER, PutOutcome.CONFIRMED) and first <= store_client.PUT + WAY
+    assert confirmed is PutOutcome.CONFIRMED and second <= WAY
 
 
 # The list
 
 
-def follower_of(rig: CoreRig) -> Follower:
+def follower_of(rig: CoreRig) -> StoreClient:
     rig.play(3.0)
     return rig.posts[rig.hosts[0]].follower
 
@@ -262,8 +262,8 @@
     rig.at(2.0, partial(rig.decide, 4, rig.hosts, Members(1, seats(*rig.hosts[:2]))))
     follower = follower_of(rig)
     older = Value(0, rig.first.stamp, rig.first.members)
-    ear = follower._hear(rig.hosts[1], Have(), 1003.0, None, older, frozenset(), 10)
-    assert ear is store_client.Ear.NO_CONTACT
+    ear = follower._hear(rig.hosts[1], SyncState(), 1003.0, None, older, frozenset(), 10)
+    assert ear is store_client.ProbeResult.NO_CONTACT
     assert follower.members.number == 1 and follower.stamp.number == 4
 
 
@@ -271,8 +271,8 @@
     rig = CoreRig(3, 0)
     follower = follower_of(rig)
     unknown = Value(-1, rig.first.stamp, Members(-1, ()))
-    ear = follower._hear(rig.hosts[1], Have(), 1003.0, None, unknown, frozenset(), -1)
-    assert ear is store_client.Ear.NO_CONTACT
+    ear = follower._hear(rig.hosts[1], SyncState(), 1003.0, None, unknown, frozenset(), -1)
+    assert ear is store_client.ProbeResult.NO_CONTACT
     assert follower.members == rig.first.members
 
 
@@ -280,7 +280,7 @@
     rig = CoreRig(3, 0)
     host = rig.hosts[0]
 
-    async def strange(have: Have, change: int) -> list[Any]:
+    async def strange(have: SyncState, change: int) -> list[Any]:
         await asyncio.sleep(0)
         return [None, ["x"], 3]
 
@@ -295,8 +295,8 @@
 
 def ask_news(rig: CoreRig, host: str, at: float, change: int, life: int = 0) -> list[tuple[float, Any]]:
     async def ask() -> Any:
-        link = Link((host, 7000 + ports.GAUGE), "proxy 10.9.9.9")
-        answer = await link.call("news", [Have().tell(), life, 0, change], 2.0)
+        link = RpcClient((host, 7000 + ports.REGISTRY), "proxy 10.9.9.9")
+        answer = await link.call("news", [SyncState().tell(), life, 0, change], 2.0)
         link.close()
         return answer.unwrap()
 
@@ -333,17 +333,20 @@
     follower = follower_of(rig)
     follower.as_of = 0.0
     host, value = rig.hosts[0], follower.value
-    ear = follower._hear(host, Have(), 1002.0, None, value, frozenset(), 300)
-    assert ear is store_client.Ear.GOOD
+    ear = follower._hear(host, SyncState(), 1002.0, None, value, frozenset(), 300)
+    assert ear is store_client.ProbeResult.GOOD
     assert follower.as_of == pytest.approx(1001.7), "however late the answer came"
-    ear = follower._hear(host, Have(), 1002.5, None, value, frozenset(), -1)
-    assert ear is store_client.Ear.NO_CONTACT and follower.as_of == pytest.approx(1001.7)
+    ear = follower._hear(host, SyncState(), 1002.5, None, value, frozenset(), -1)
+    assert ear is store_client.ProbeResult.NO_CONTACT and follower.as_of == pytest.approx(1001.7)
 
 
 def test_an_age_counts_only_once_the_body_of_what_is_decided_is_here() -> None:
     rig = CoreRig(3, 0)
     follower = follower_of(rig)
     follower.as_of, host = 900.0, rig.hosts[0]
-    newer = Value(5, Word.of("r5", b"five").stamp, rig.first.members)
-    assert follower._hear(host, Have(), 1003.0, None, newer, frozenset(), 0) is store_client.Ear.GOOD
+    newer = Value(5, ConfigVersion.of("r5", b"five").stamp, rig.first.members)
+    assert (
+        follower._hear(host, SyncState(), 1003.0, None, newer, frozenset(), 0)
+        is store_client.ProbeResult.GOOD
+    )
     assert follower.as_of == 900.0 and follower.change == 0 and follower.value.change == 5
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.config_store.consensus.register import Ballot, Outcome, Value
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.consensus.register import Ballot, PutOutcome, Value
 from irisdeal.config_store.membership.rounds import ROUND, SETTLE, SOON
-from irisdeal.config_store.replica import Member
-from irisdeal.config_store.storage.version_store import Have
+from irisdeal.config_store.replica import StoreReplica
+from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Core, Costs, Machine
@@ -34,7 +34,7 @@
         self.world = World(seed)
         self.net = CutNetwork(self.world, Way(700, 300))
         self.hosts = [f"10.{number}.0.1" for number in range(count)]
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, StoreReplica] = {}
         self.machines: dict[str, Machine] = {}
         for host in self.hosts:
             self._start(host)
@@ -53,7 +53,7 @@
         )
 
         async def run() -> int:
-            member = self.members[host] = Member(settings, MemoryDisk())
+            member = self.members[host] = StoreReplica(settings, MemoryDisk())
             await member.start()
             await machine.create_future()
             return 0
@@ -63,7 +63,7 @@
     def at(self, seconds: float, act: Callable[[], None]) -> None:
         self.world.at(START + round(seconds * 1e6), "test", act)
 
-    def on(self, host: str, act: Callable[[Member], Any], done: Callable[[Any], None]) -> None:
+    def on(self, host: str, act: Callable[[StoreReplica], Any], done: Callable[[Any], None]) -> None:
         async def run() -> None:
             done(await act(self.members[host]))
 
@@ -79,7 +79,7 @@
         self.world.run(lambda: bool(over), START + round((until + 1) * 1e6))
 
 
-WORD = Word.of("r7", b"seven")
+WORD = ConfigVersion.of("r7", b"seven")
 
 
 def confirmed_then_cut(stores: Stores, hears: int) -> dict[str, float]:
@@ -135,12 +135,12 @@
                 if age >= 0 and value.stamp.number < 7 and known_by > when.get("confirmed", 99.0):
                     wrong.append(f"{asked:.2f}: {host} tells r{value.stamp.number}, {age} ms old")
 
-            stores.on(host, lambda one: one.watch(Have(), -2), hear)
+            stores.on(host, lambda one: one.watch(SyncState(), -2), hear)
 
     for number in range(100):
         stores.at(2.9 + number * 0.03, ask)
     stores.play(6.0)
-    assert when["outcome"] == Outcome.CONFIRMED and not wrong, wrong[:3]
+    assert when["outcome"] == PutOutcome.CONFIRMED and not wrong, wrong[:3]
     for host in rest:
         in_force = min(at for at, number in told[host] if number == 7)
         assert in_force - when["confirmed"] <= SETTLED + 0.03, host
@@ -172,7 +172,7 @@
 
     def decided(outcome: Any) -> None:
         when["decided"] = stores.world.seconds()
-        assert outcome == Outcome.CONFIRMED
+        assert outcome == PutOutcome.CONFIRMED
 
     wrong: list[str] = []
 
@@ -184,7 +184,7 @@
             if answer[3] >= 0 and answer[1][1] < 7 and known_by > when.get("decided", 99.0):
                 wrong.append(f"{asked:.2f}: r{answer[1][1]}, {answer[3]} ms old")
 
-        stores.on(late, lambda one: one.watch(Have(), -2), hear)
+        stores.on(late, lambda one: one.watch(SyncState(), -2), hear)
 
     stores.at(2.9, prepare)
     stores.at(begun, lambda: stores.net.cuts.update((other, late) for other in others))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -16,8 +16,8 @@
     DEAD,
     MOST_HEARD,
     Heard,
+    MembershipMonitor,
     Wanted,
-    Watch,
     is_proposer,
     next_members,
 )
@@ -123,7 +123,7 @@
 
 
 def test_what_begins_to_hold_is_told_once() -> None:
-    watch, value = Watch(0.0), first("a", "b", "c")
+    watch, value = MembershipMonitor(0.0), first("a", "b", "c")
     for name in ("a/first", "b/first", "d/x"):
         watch.heard(Report(name, "z", NO_BALLOT, value, value, True), 10.0)
     assert watch.news(value, "a/first", 10.0) == [(222, "c/first"), (223, "d/x")]
@@ -134,7 +134,7 @@
 
 
 def test_all_disks_lost_is_told_once_every_start_is_over() -> None:
-    watch, nothing = Watch(0.0), Value(-1, first("a").stamp, Members(-1, ()))
+    watch, nothing = MembershipMonitor(0.0), Value(-1, first("a").stamp, Members(-1, ()))
     watch.heard(Report("b/y", "z", NO_BALLOT, nothing, nothing, False), 14.0)
     assert watch.news(nothing, "a/x", 14.9) == []
     assert watch.news(nothing, "a/x", 15.0) == [(226, "a/x")]
@@ -143,7 +143,7 @@
 
 
 def test_what_is_remembered_is_bounded() -> None:
-    watch, value = Watch(0.0), first("a")
+    watch, value = MembershipMonitor(0.0), first("a")
     for number in range(3 * MOST_HEARD):
         watch.heard(Report(f"l{number}/x", "z", NO_BALLOT, value, value, True), number / 100)
     watch.next(value, "a/first", 10.0, Wanted())
@@ -253,7 +253,7 @@
 
 
 def test_a_member_that_only_a_dead_one_heard_is_not_kept_for_ever() -> None:
-    watch, old = Watch(0.0), first("a", "b", "c")
+    watch, old = MembershipMonitor(0.0), first("a", "b", "c")
     new = Value(2, old.stamp, Members(1, ("b/first", "c/first", "d/x")))
     for value, at in ((old, 10.0), (new, 10.5), (new, 69.0), (new, 71.0)):
         for name in ("b/first", "c/first", "e/x"):
--- a/tests/test_members_counting.py
+++ b/tests/test_members_counting.py
@@ -13,8 +13,16 @@
 import pytest
 import z3
 
-from irisdeal.config_store.configuration.version import NOTHING
-from irisdeal.config_store.consensus.register import NO_BALLOT, Ballot, Kept, Round, Step, Value, set_members
+from irisdeal.config_store.configuration.version import NO_VERSION
+from irisdeal.config_store.consensus.register import (
+    NO_BALLOT,
+    AcceptorState,
+    Ballot,
+    Round,
+    Step,
+    Value,
+    set_members,
+)
 from irisdeal.config_store.membership.members import Members
 
 LARGEST = 9  # members of a list
@@ -259,15 +267,15 @@
 )
 def test_a_round_counts_as_these_histories_do(known: Members, newer: Members) -> None:
     """Whoever promises, in whatever order, and whoever of them accepted the newer list."""
-    old, accepted = Value(0, NOTHING, LISTS[0]), Value(3, NOTHING, newer)
+    old, accepted = Value(0, NO_VERSION, LISTS[0]), Value(3, NO_VERSION, newer)
     for order in permutations("abcd"):
         for takers in ("", "b", "cd"):
             ballot, heard = Round(Ballot(9, "a"), known, NEXT), set[str]()
             for name in order:
                 kept = (
-                    Kept(Ballot(9, "a"), Ballot(5, "b"), accepted)
+                    AcceptorState(Ballot(9, "a"), Ballot(5, "b"), accepted)
                     if name in takers
-                    else Kept(Ballot(9, "a"), NO_BALLOT, old)
+                    else AcceptorState(Ballot(9, "a"), NO_BALLOT, old)
                 )
                 heard.add(name)
                 base = accepted if heard & set(takers) else old
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,8 +23,8 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import Word
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.rpc.client import RpcClient
 from irisdeal.simulation.cluster.linearizability import NONE, Kind, Op, check
 from tests.fault_proxy import Gate
 
@@ -116,8 +116,8 @@
     number: int = 0
     over: bool = False
 
-    async def put(self, member: int, word: Word, who: str) -> Kind:
-        link, begun = Link(Store.address(member), who), time.monotonic()
+    async def put(self, member: int, word: ConfigVersion, who: str) -> Kind:
+        link, begun = RpcClient(Store.address(member), who), time.monotonic()
         answer = await link.call("put", [word.stamp.number, word.stamp.digest, word.body], 1.0)
         link.close()
         told = int(answer.unwrap()) if isinstance(answer, Success) else 0
@@ -135,7 +135,7 @@
         return kind
 
     async def read(self, member: int, who: str) -> bool:
-        link, begun = Link(Store.address(member), who), time.monotonic()
+        link, begun = RpcClient(Store.address(member), who), time.monotonic()
         answer = await link.call("read", None, 1.0)
         link.close()
         if not isinstance(answer, Success) or not answer.unwrap()[0]:
@@ -150,7 +150,7 @@
             if self.chance.random() < 0.6:
                 self.number += 1
             body = b"r%d %s %d" % (self.number, who.encode(), self.chance.getrandbits(60))
-            word = Word.of(f"r{self.number}", body)
+            word = ConfigVersion.of(f"r{self.number}", body)
             for _ in range(8):
                 if await self.put(self.chance.randrange(COUNT), word, who) is not Kind.UNCLEAR:
                     break
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.permits.messages import ReserveReply
 from irisdeal.proxy.backend_message import BackendRequest
-from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.table import Route
-from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
@@ -34,12 +34,12 @@
     bounds=("retry_slack=56",),
     bind=Bind(front="10.1.0.3:80", readiness="10.1.0.3:81"),
 )
-GOOD = Outcome(End.ANSWER, "", 200, [(b"X-Irisdeal-Backend-Seal", b"s")], b"body")
-OWN_500 = Outcome(End.ANSWER, "", 500, [], b"")
-LOST, UNSENT = Outcome(End.LOST, "cut"), Outcome(End.UNSENT, "refused")
-PROMISE = Outcome(End.PROMISE, "full", 503)
-LATE = Outcome(End.LOST, "no answer in time", late=True)
-Script = list[tuple[float, Outcome]]  # s, and the end of each attempt in turn
+GOOD = AttemptOutcome(End.ANSWER, "", 200, [(b"X-Irisdeal-Backend-Seal", b"s")], b"body")
+OWN_500 = AttemptOutcome(End.ANSWER, "", 500, [], b"")
+LOST, UNSENT = AttemptOutcome(End.LOST, "cut"), AttemptOutcome(End.UNSENT, "refused")
+PROMISE = AttemptOutcome(End.PROMISE, "full", 503)
+LATE = AttemptOutcome(End.LOST, "no answer in time", late=True)
+Script = list[tuple[float, AttemptOutcome]]  # s, and the end of each attempt in turn
 
 
 class Play:
@@ -78,11 +78,16 @@
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": [{"hostname": "h", "rules": [rule]}]}
         if self.keys:
             body["tenants"] = [{"name": "t", "api_keys": ["k"], "priority": 1, "rate_per_s": self.rate}]
-        door._on_word(Word.of("r1", json.dumps(body).encode()))
+        door._on_word(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(3):
-            door._on_life(Life(f"i-{number}", "s", f"10.9.0.{number}:80", "z", 2, State.READY, 1, 0.0), False)
-
-        async def send(backend: Any, request: BackendRequest) -> Outcome:
+            door._on_life(
+                BackendIncarnation(
+                    f"i-{number}", "s", f"10.9.0.{number}:80", "z", 2, BackendState.READY, 1, 0.0
+                ),
+                False,
+            )
+
+        async def send(backend: Any, request: BackendRequest) -> AttemptOutcome:
             self.sent.append((backend.id, self.machine.time()))
             self.messages.append(request.message)
             request.is_sent = True
@@ -145,7 +150,9 @@
         (UNSENT, 1, 200, 2),
     ],
 )
-def test_each_run_takes_a_permit_of_its_own(first: Outcome, held: int, status: int, attempts: int) -> None:
+def test_each_run_takes_a_permit_of_its_own(
+    first: AttemptOutcome, held: int, status: int, attempts: int
+) -> None:
     play = Play("idempotent", [(0.01, first), (0.01, GOOD)], rate=5.0, held=held)
     assert play.ask(**KEY).status == status and len(play.sent) == attempts
 
@@ -165,7 +172,7 @@
     ],
 )
 def test_a_mutating_request_goes_on_only_where_it_has_not_run(
-    first: Outcome,
+    first: AttemptOutcome,
     status: int,
     attempts: int,
 ) -> None:
@@ -175,7 +182,7 @@
 
 
 @pytest.mark.parametrize("first", [LOST, OWN_500, PROMISE, UNSENT])
-def test_an_idempotent_one_goes_on_after_any_failure(first: Outcome) -> None:
+def test_an_idempotent_one_goes_on_after_any_failure(first: AttemptOutcome) -> None:
     play = Play("idempotent", [(0.01, first), (0.01, GOOD)])
     assert play.ask().status == 200 and len(play.sent) == 2
 
@@ -291,8 +298,10 @@
     def drain(door: Proxy) -> None:
         for number in range(3):
             if number != 1:
-                for state in (State.DRAINING, State.READY):
-                    door._on_life(Life(f"i-{number}", "s", "10.9.0.1:80", "z", 2, state, 9, 0.0), False)
+                for state in (BackendState.DRAINING, BackendState.READY):
+                    door._on_life(
+                        BackendIncarnation(f"i-{number}", "s", "10.9.0.1:80", "z", 2, state, 9, 0.0), False
+                    )
 
     play.prepare = drain
     assert play.ask().status == 200 and [id_ for id_, _ in play.sent] == ["i-1"]
--- a/tests/test_proxy_backends.py
+++ b/tests/test_proxy_backends.py
@@ -12,7 +12,7 @@
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.backend_message import BackendRequest
 from irisdeal.proxy.connection_pool import ConnectionPool
-from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.proxy.outcome import AttemptOutcome, End
 
 ID, SEAL = b"X-Irisdeal-Attempt-Id: a1\r\n", b"X-Irisdeal-Backend-Seal: s\r\n"
 WHOLE = b"HTTP/1.1 200 OK\r\n" + ID + SEAL + b"Content-Length: 4\r\n\r\nbody"
@@ -55,10 +55,10 @@
     return BackendRequest(b"POST / HTTP/1.1\r\n\r\n", id_, False, is_mutating, until, send_by)
 
 
-def played(pieces: list[bytes], closes: bool = False) -> tuple[Outcome | None, bool]:
+def played(pieces: list[bytes], closes: bool = False) -> tuple[AttemptOutcome | None, bool]:
     """The outcome of one request whose connection brings these pieces; whether it is done with."""
 
-    async def play() -> tuple[Outcome | None, bool]:
+    async def play() -> tuple[AttemptOutcome | None, bool]:
         pool = ConnectionPool(asyncio.get_running_loop(), 8)
         connection = BackendConnection(pool, Backend("i", "s", ("127.0.0.1", 1), "z", 0, 2, 0.0))
         wire = Wire()
@@ -138,10 +138,10 @@
     assert outcome is not None and outcome.end is End.LOST
 
 
-def second(first: bytes, then: bytes, id_: bytes = b"b2") -> Outcome:
+def second(first: bytes, then: bytes, id_: bytes = b"b2") -> AttemptOutcome:
     """The outcome of another request on a connection that was kept."""
 
-    async def play() -> Outcome:
+    async def play() -> AttemptOutcome:
         pool = ConnectionPool(asyncio.get_running_loop(), 8)
         connection = BackendConnection(pool, Backend("i", "s", ("127.0.0.1", 1), "z", 0, 2, 0.0))
         connection.connection_made(Wire())  # type: ignore[arg-type]
@@ -183,14 +183,14 @@
     id_: bytes,
     left: float,
     send_left: float = 9.0,
-) -> tuple[Outcome, Wire]:
+) -> tuple[AttemptOutcome, Wire]:
     """The outcome of a request for which a connection rests, and what was written to that one.
 
     `left`, `send_left`: s of its time, and until when it may be sent.
     """
     monkeypatch.setattr(connection_pool, "has_bytes", lambda _: False)
 
-    async def play() -> tuple[Outcome, Wire]:
+    async def play() -> tuple[AttemptOutcome, Wire]:
         loop = asyncio.get_running_loop()
         pool, wire = ConnectionPool(loop, 8), Wire()
         backend = Backend("i", "s", ("127.0.0.1", 1), "z", 0, 2, 0.0)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -13,14 +13,14 @@
 from returns.result import Success
 
 from benchmarks.register_states import PLANS, Plan, Search, orders
-from irisdeal.config_store.configuration.version import Stamp, Word
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.consensus.proposer import Proposer
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
     UNKNOWN,
+    AcceptorState,
     Ballot,
-    Kept,
-    Outcome,
+    PutOutcome,
     Round,
     Step,
     Value,
@@ -29,8 +29,8 @@
 )
 from irisdeal.config_store.membership.members import Members
 from irisdeal.config_store.membership.report import Report, decided_among, read_from
-from irisdeal.config_store.replica import Member
-from irisdeal.rpc.client import Link
+from irisdeal.config_store.replica import StoreReplica
+from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
 from irisdeal.simulation.disk import MemoryDisk
@@ -46,7 +46,7 @@
 @given(st.integers(0, 2**32), st.sampled_from(sorted(PLANS)))
 def test_long_random_ways_break_no_rule(seed: int, name: str) -> None:
     chance, plan = random.Random(seed), PLANS[name]
-    stamps = [Stamp(number, bytes([number])) for number in range(1, 5)]
+    stamps = [VersionId(number, bytes([number])) for number in range(1, 5)]
     programs = (*plan.programs[:-1], orders(*stamps))
     more = Plan(
         plan.seats,
@@ -71,14 +71,14 @@
 
 def test_a_base_with_another_list_is_finished_as_it_is() -> None:
     joint = FIRST.members.change(("a", "b", "d"))
-    accepted = Kept(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.stamp, joint))
-    ballot = Round(Ballot(2, "b"), FIRST.members, put(Stamp(1, b"x")))
-    empty = Kept(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
+    accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.stamp, joint))
+    ballot = Round(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
+    empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
     ballot.on_promise("a", True, accepted)
     ballot.on_promise("d", True, empty)
     assert ballot.step is Step.PREPARING  # a and d are no old quorum
     assert ballot.targets() == {"a", "b", "c", "d"}
-    assert ballot.on_promise("b", True, Kept(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.ACCEPTING
+    assert ballot.on_promise("b", True, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.ACCEPTING
     assert ballot.value == accepted.value
     for seat in ("b", "d"):
         assert ballot.on_accept(seat, True, ballot.ballot) is Step.ACCEPTING
@@ -87,22 +87,22 @@
 
 def test_an_empty_disk_is_never_what_a_ballot_begins_from() -> None:
     ballot = Round(Ballot(1, "a"), FIRST.members, same)
-    ballot.on_promise("a", True, Kept(ballot.ballot, NO_BALLOT, UNKNOWN))
-    ballot.on_promise("b", True, Kept(ballot.ballot, NO_BALLOT, FIRST))
+    ballot.on_promise("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN))
+    ballot.on_promise("b", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
     assert ballot.value == FIRST
 
 
 def test_a_promise_whose_answer_was_lost_counts_when_asked_again() -> None:
     ballot = Round(Ballot(1, "a"), FIRST.members, same)
-    ballot.on_promise("a", True, Kept(ballot.ballot, NO_BALLOT, FIRST))
-    assert ballot.on_promise("b", False, Kept(ballot.ballot, NO_BALLOT, FIRST)) is Step.ACCEPTING
+    ballot.on_promise("a", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
+    assert ballot.on_promise("b", False, AcceptorState(ballot.ballot, NO_BALLOT, FIRST)) is Step.ACCEPTING
     other = Round(Ballot(1, "a"), FIRST.members, same)
-    assert other.on_promise("b", False, Kept(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.LOST
+    assert other.on_promise("b", False, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.LOST
     assert other.above == Ballot(2, "b")
 
 
 def test_what_is_read_is_decided_and_of_a_quorum() -> None:
-    new = put(Stamp(1, b"x"))(FIRST)
+    new = put(VersionId(1, b"x"))(FIRST)
 
     def report(seat: str, ballot: Ballot, value: Value) -> Report:
         return Report(seat, "z", ballot, value, FIRST, True)
@@ -120,8 +120,8 @@
 # The program
 
 
-def word(number: int, text: str = "") -> Word:
-    return Word.of(f"r{number}", b"r%d %s" % (number, text.encode()))
+def word(number: int, text: str = "") -> ConfigVersion:
+    return ConfigVersion.of(f"r{number}", b"r%d %s" % (number, text.encode()))
 
 
 Act = Callable[[Machine], Coroutine[Any, Any, None]]
@@ -130,11 +130,11 @@
 class Play:
     """A store in virtual time, and callers of it."""
 
-    def __init__(self, count: int, seed: int, make: Callable[..., Member] = Member) -> None:
+    def __init__(self, count: int, seed: int, make: Callable[..., StoreReplica] = StoreReplica) -> None:
         self.stage, self.left = Stage(count, seed, make), 0
         self.hosts = list(self.stage.hosts)
         self.failed: list[AssertionError] = []
-        self.links: dict[tuple[str, str], Link] = {}
+        self.links: dict[tuple[str, str], RpcClient] = {}
         for host in self.hosts:
             self.stage.start(host, True)
 
@@ -142,22 +142,22 @@
         """The answer, or None."""
         key = machine.name, host
         if key not in self.links:
-            self.links[key] = Link((host, FIRST_PORT + ports.ALMANAC), machine.name)
+            self.links[key] = RpcClient((host, FIRST_PORT + ports.CONFIG_STORE), machine.name)
         answer = await self.links[key].call(kind, body, within)
         return answer.unwrap() if isinstance(answer, Success) else None
 
-    async def put(self, machine: Machine, host: str, order: Word) -> Outcome:
+    async def put(self, machine: Machine, host: str, order: ConfigVersion) -> PutOutcome:
         told = await self.call(machine, host, "put", [order.stamp.number, order.stamp.digest, order.body])
-        return Outcome.LATER if told is None else Outcome(told)
+        return PutOutcome.LATER if told is None else PutOutcome(told)
 
-    async def until_taken(self, machine: Machine, hosts: list[str], order: Word) -> Outcome:
+    async def until_taken(self, machine: Machine, hosts: list[str], order: ConfigVersion) -> PutOutcome:
         """As the operator does: to any of them, with a pause that grows."""
         for attempt in range(60):
             outcome = await self.put(machine, self.stage.chance.choice(hosts), order)
-            if outcome is not Outcome.LATER:
+            if outcome is not PutOutcome.LATER:
                 return outcome
             await pause(machine, min(0.5, 0.05 * 2**attempt))
-        return Outcome.LATER
+        return PutOutcome.LATER
 
     def caller(self, act: Act, after: float = 2.0) -> None:
         self.left += 1
@@ -188,7 +188,7 @@
     """No two ballots chase each other: all end within half of what a site gives, whatever the disks."""
     play = Play(count, seed)
     took: list[float] = []
-    outcomes: list[Outcome] = []
+    outcomes: list[PutOutcome] = []
 
     def order(number: int) -> Act:
         async def act(machine: Machine) -> None:
@@ -202,7 +202,7 @@
         play.caller(order(number))
     play.play()
     print(f"{count} members, seed {seed}: {sorted(round(1000 * one) for one in took)} ms")
-    assert outcomes == [Outcome.CONFIRMED] * 8
+    assert outcomes == [PutOutcome.CONFIRMED] * 8
     assert max(took) < 2.5
 
 
@@ -219,30 +219,30 @@
         return act
 
     async def again(machine: Machine) -> None:
-        decided = next(text for outcome, text in found if outcome is Outcome.CONFIRMED)
+        decided = next(text for outcome, text in found if outcome is PutOutcome.CONFIRMED)
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], word(1, decided)) is Outcome.CONFIRMED
+            assert await play.until_taken(machine, [host], word(1, decided)) is PutOutcome.CONFIRMED
             assert await play.call(machine, host, "read", None) == [True, word(1, decided).body]
-        assert await play.until_taken(machine, play.hosts, word(2)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, word(2)) is PutOutcome.CONFIRMED
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], word(1, decided)) is Outcome.CONFIRMED
+            assert await play.until_taken(machine, [host], word(1, decided)) is PutOutcome.CONFIRMED
         found.append([])
 
     play.caller(order("one", play.hosts[0]))
     play.caller(order("other", play.hosts[1]))
     play.caller(again, 6.0)
     play.play()
-    assert sorted(one[0] for one in found if one) == [Outcome.CONFIRMED, Outcome.OTHER]
+    assert sorted(one[0] for one in found if one) == [PutOutcome.CONFIRMED, PutOutcome.OTHER]
     assert found[-1] == []
 
 
 class RefusesAgain(Proposer):
     """Planted: an order that is not above what holds is told to be another."""
 
-    def settled(self, stamp: Stamp) -> Outcome | None:
+    def settled(self, stamp: VersionId) -> PutOutcome | None:
         found = super().settled(stamp)
         is_above = self.acceptor.decided.stamp.number > stamp.number
-        return Outcome.OTHER if found is not None and is_above else found
+        return PutOutcome.OTHER if found is not None and is_above else found
 
 
 def test_an_order_that_is_refused_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -257,17 +257,17 @@
 
     async def act(machine: Machine) -> None:
         host = play.hosts[0]
-        assert await play.until_taken(machine, play.hosts, word(1)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, word(1)) is PutOutcome.CONFIRMED
         play.stage.cut(host, True)
         await pause(machine, 3.0)
         begun = machine.time()
-        assert await play.put(machine, host, word(2)) is Outcome.LATER
-        assert await play.put(machine, host, word(1)) is Outcome.LATER
-        assert await play.put(machine, host, word(1, "another")) is Outcome.LATER
+        assert await play.put(machine, host, word(2)) is PutOutcome.LATER
+        assert await play.put(machine, host, word(1)) is PutOutcome.LATER
+        assert await play.put(machine, host, word(1, "another")) is PutOutcome.LATER
         assert await play.call(machine, host, "read", None) == [False, None]
         assert (await play.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
         assert machine.time() - begun < 0.1
-        assert await play.until_taken(machine, play.hosts[1:], word(2)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts[1:], word(2)) is PutOutcome.CONFIRMED
         play.stage.cut(host, False)
         begun = machine.time()
         while await play.call(machine, host, "read", None) != [True, word(2).body]:
@@ -294,8 +294,8 @@
             await pause(machine, 0.05)
 
     async def orders_there(machine: Machine) -> None:
-        assert await play.until_taken(machine, play.hosts, word(1)) is Outcome.CONFIRMED
-        assert await play.put(machine, play.hosts[1], word(2)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, word(1)) is PutOutcome.CONFIRMED
+        assert await play.put(machine, play.hosts[1], word(2)) is PutOutcome.CONFIRMED
 
     play.caller(asks, 3.0)
     play.play()
@@ -312,11 +312,11 @@
     play.stage.disks[host] = MemoryDisk()
 
     async def act(machine: Machine) -> None:
-        assert await play.until_taken(machine, others, word(1)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, others, word(1)) is PutOutcome.CONFIRMED
         play.stage.start(host)
         await pause(machine, 4.0)
         play.stage.kill(others[0])
-        assert await play.until_taken(machine, [host], word(2)) is Outcome.CONFIRMED
+        assert await play.until_taken(machine, [host], word(2)) is PutOutcome.CONFIRMED
         assert await play.call(machine, others[1], "read", None) == [True, word(2).body]
 
     play.caller(act)
--- a/tests/test_register_states.py
+++ b/tests/test_register_states.py
@@ -10,7 +10,7 @@
 
 from benchmarks.register_states import PLANS, THREE, A, B, orders, search
 from irisdeal.config_store.consensus import register
-from irisdeal.config_store.consensus.register import Ballot, Kept, Step, Value
+from irisdeal.config_store.consensus.register import AcceptorState, Ballot, Step, Value
 from irisdeal.config_store.membership import report
 from irisdeal.config_store.membership.members import Members, majority
 from irisdeal.config_store.membership.report import Report
@@ -34,16 +34,16 @@
 
 
 def _accepts_after_a_higher_promise(patch: pytest.MonkeyPatch) -> None:
-    def on_accept(kept: Kept, ballot: Ballot, value: Value) -> tuple[bool, Kept]:
+    def on_accept(kept: AcceptorState, ballot: Ballot, value: Value) -> tuple[bool, AcceptorState]:
         good = ballot >= kept.accepted
-        return good, Kept(max(ballot, kept.promised), ballot, value) if good else kept
+        return good, AcceptorState(max(ballot, kept.promised), ballot, value) if good else kept
 
     patch.setattr(register, "on_accept", on_accept)
 
 
 def _promises_a_lower_one(patch: pytest.MonkeyPatch) -> None:
-    def on_prepare(kept: Kept, ballot: Ballot) -> tuple[bool, Kept]:
-        return True, Kept(ballot, kept.accepted, kept.value)
+    def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
+        return True, AcceptorState(ballot, kept.accepted, kept.value)
 
     patch.setattr(register, "on_prepare", on_prepare)
 
@@ -57,7 +57,7 @@
     def set_members(members: Members) -> register.Change:
         return lambda value: replace(value, change=value.change + 1, members=members)
 
-    def on_promise(self: register.Round, seat: str, good: bool, kept: Kept) -> Step:
+    def on_promise(self: register.Round, seat: str, good: bool, kept: AcceptorState) -> Step:
         self.promised[seat] = kept
         if self.step is Step.PREPARING and good and self.known.is_quorum(self.promised):
             self.base = max(self.promised.values(), key=lambda kept: (kept.accepted, kept.value.change)).value
@@ -73,7 +73,7 @@
 def _promises_one_ballot_twice(patch: pytest.MonkeyPatch) -> None:
     """What makes a ballot that is used again harmful: it gets a quorum again."""
 
-    def on_prepare(kept: Kept, ballot: Ballot) -> tuple[bool, Kept]:
+    def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
         return (False, kept) if ballot < kept.promised else (True, replace(kept, promised=ballot))
 
     patch.setattr(register, "on_prepare", on_prepare)
@@ -88,10 +88,10 @@
     """The proposer does not take over what others accepted."""
     taken = register.Round._highest
 
-    def highest(self: register.Round) -> Kept | None:
+    def highest(self: register.Round) -> AcceptorState | None:
         found = taken(self)
         first = Value.first(Members(0, THREE))
-        return Kept(found.promised, found.accepted, first) if found is not None else None
+        return AcceptorState(found.promised, found.accepted, first) if found is not None else None
 
     patch.setattr(register.Round, "_highest", highest)
 
--- a/tests/test_registry_drain.py
+++ b/tests/test_registry_drain.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from irisdeal.registry.server import Station
+from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.machine import Core, Costs, Machine
 from tests.test_station import StationRig, beat
 
@@ -45,7 +45,7 @@
 
     def start_post(self, host: str) -> Machine:
         async def run() -> int:
-            station = self.stations[host] = Station(self.settings(host))
+            station = self.stations[host] = RegistryServer(self.settings(host))
             self.ending[host] = asyncio.Event()
             await station.start()
             await self.ending[host].wait()
--- a/tests/test_request_lifetime.py
+++ b/tests/test_request_lifetime.py
@@ -15,7 +15,7 @@
 from irisdeal.permits.allowance import Limit
 from irisdeal.proxy.attempts import Attempt, RequestAttempts
 from irisdeal.proxy.drain_plan import DrainPlan
-from irisdeal.proxy.outcome import Outcome
+from irisdeal.proxy.outcome import AttemptOutcome
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.registry_client import RegistryClient
 from tests.request_runs import RandomRun
@@ -253,7 +253,7 @@
 def promised_after_sending(patch: pytest.MonkeyPatch) -> None:
     take = RequestAttempts._take
 
-    def forgetful(self: RequestAttempts, outcome: Outcome) -> Answer | None:
+    def forgetful(self: RequestAttempts, outcome: AttemptOutcome) -> Answer | None:
         answer = take(self, outcome)
         self.may_have_run = False
         return answer
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SETTLE, SOON
-from irisdeal.config_store.storage.version_store import PIECE, Have, Shelf
+from irisdeal.config_store.storage.version_store import PIECE, SyncState, VersionStore
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
 from irisdeal.registry import store_client, watch
@@ -329,23 +329,25 @@
 
 def test_while_a_word_comes_in_pieces_from_one_source_the_other_does_not_bring_it() -> None:
     told: list[object] = []
-    one, shelf, chance = alone(told), Shelf(), random.Random(1)
-    word = Word.of("r7", chance.randbytes(3 * PIECE))
+    one, shelf, chance = alone(told), VersionStore(), random.Random(1)
+    word = ConfigVersion.of("r7", chance.randbytes(3 * PIECE))
     shelf.hold(word)
     for piece in range(3):
         have = one._have("10.0.0.1")
-        assert one._have("10.1.0.1") == (Have(ENOUGH) if piece else have)
+        assert one._have("10.1.0.1") == (SyncState(ENOUGH) if piece else have)
         one._hear_word("10.0.0.1", have, shelf.parcel(have, word.stamp), 4)
         assert one.change == (4 if piece == 2 else -1)
     assert told == [word]
     assert one._have("10.1.0.1").stamp == word.stamp
-    one._hear_word("10.1.0.1", Have(ENOUGH), shelf.parcel(Have(), word.stamp), 4)  # one that was on its way
+    one._hear_word(
+        "10.1.0.1", SyncState(ENOUGH), shelf.parcel(SyncState(), word.stamp), 4
+    )  # one that was on its way
     assert told == [word]
 
 
 def test_an_older_word_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
-    one, shelf = alone([]), Shelf()
-    word = Word.of("r7", b"seven")
+    one, shelf = alone([]), VersionStore()
+    word = ConfigVersion.of("r7", b"seven")
     shelf.hold(word)
     have = one._have("10.0.0.1")
     one._hear_word("10.0.0.1", have, shelf.parcel(have, word.stamp), -1)  # the source has r8 by now
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from irisdeal.config_store.storage.version_store import Have
+from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.registry import store_client
-from irisdeal.registry.backend_table import Life, State, hear_life
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, decode_incarnation
 from irisdeal.registry.peers import LEARN_S
-from irisdeal.registry.server import Station
+from irisdeal.registry.server import RegistryServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Machine
 from tests.core_rig import CoreRig, settings_of
@@ -27,7 +27,7 @@
     """With whole registries in place of those that only tell news."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
-        self.stations: dict[str, Station] = {}
+        self.stations: dict[str, RegistryServer] = {}
         self.heard: list[tuple[float, Any]] = []
         super().__init__(count, 0, seed)
 
@@ -46,7 +46,7 @@
 
     def start_post(self, host: str) -> Machine:
         async def run() -> int:
-            station = self.stations[host] = Station(self.settings(host))
+            station = self.stations[host] = RegistryServer(self.settings(host))
             await station.start()
             await station.loop.create_future()
             return 0
@@ -59,7 +59,7 @@
     def start_registry(self, host: str) -> None:
         self.start_post(host)
 
-    def on(self, seconds: float, host: str, act: Callable[[Station], Awaitable[Any]]) -> None:
+    def on(self, seconds: float, host: str, act: Callable[[RegistryServer], Awaitable[Any]]) -> None:
         """At this second in this registry's process; what it gives is in `heard`, with when."""
 
         def begin() -> None:
@@ -74,7 +74,7 @@
         self.at(seconds, begin)
 
     def ask(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
-        def act(station: Station) -> Awaitable[Answer]:
+        def act(station: RegistryServer) -> Awaitable[Answer]:
             return station.outside(Request(method, target, [], body, station.loop.time()))
 
         self.on(seconds, host, act)
@@ -95,13 +95,13 @@
     ).encode()
 
 
-def news_of(station: Station) -> Awaitable[list[Any]]:
+def news_of(station: RegistryServer) -> Awaitable[list[Any]]:
     """What a door that knows nothing is told."""
-    return station.news.answer(Have().tell(), 0, 0, -1)
+    return station.news.answer(SyncState().tell(), 0, 0, -1)
 
 
-def states(told: list[Any]) -> dict[str, State]:
-    lives = (hear_life(life, 0.0) for life, _ in told[3])
+def states(told: list[Any]) -> dict[str, BackendState]:
+    lives = (decode_incarnation(life, 0.0) for life, _ in told[3])
     return {life.id: life.state for life in lives}
 
 
@@ -143,7 +143,7 @@
     told = shown(rig, 8.0)
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
     full = [(at, states(one)) for at, one in told if one[5] >= 0]
-    assert full and all(lives == {"i-1": State.DRAINING} for _, lives in full), full[0]
+    assert full and all(lives == {"i-1": BackendState.DRAINING} for _, lives in full), full[0]
     assert full[0][0] <= 8.0 + 1.25 * store_client.SEEK + store_client.ANSWER + 10 * WAY
 
 
@@ -225,4 +225,6 @@
     first, second = (json.loads(answer.body) for _, answer in rig.heard)
     assert first == {"beat_target": f"{gone}:8000"} and second == {}
     assert gone not in peers.links and gone not in peers.zones
-    assert station.registry.hear(Life("i-3", "s", "a:1", "z0", 1, State.READY, 1, 0.0), 1.0)
+    assert station.registry.hear(
+        BackendIncarnation("i-3", "s", "a:1", "z0", 1, BackendState.READY, 1, 0.0), 1.0
+    )
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -13,11 +13,11 @@
 
 from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.proxy.table import Table
-from irisdeal.ratelimit.concurrency_limit import Gate
+from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
 from irisdeal.ratelimit.demand_split import bound, part
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
-from irisdeal.registry.backend_table import Life, Registry, State
-from irisdeal.registry.commands import Beat, Leave, Put, decode
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
+from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
 from irisdeal.rpc.frames import BadFrame, Reader, encode
 from irisdeal.runtime import settings
 
@@ -107,15 +107,19 @@
 @trying(deadline=None, max_examples=50)
 @given(st.integers(0, 2**32), st.integers(1, 30))
 def test_a_life_that_ended_never_comes_back(seed: int, length: int) -> None:
-    chance, here, there = random.Random(seed), Registry(1.5), Registry(1.5)
+    chance, here, there = random.Random(seed), BackendTable(1.5), BackendTable(1.5)
     words = []
     for count in range(length):
-        state = State.READY if count < length // 2 else chance.choice((State.DRAINING, State.GONE))
-        words.append(Life("i", "s", "10.0.0.1:1", "z", 2, state, count, 0.0))
+        state = (
+            BackendState.READY
+            if count < length // 2
+            else chance.choice((BackendState.DRAINING, BackendState.GONE))
+        )
+        words.append(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, state, count, 0.0))
     for registry in (here, there):
         order = words * 2
         chance.shuffle(order)
-        reached = State.READY
+        reached = BackendState.READY
         for number, life in enumerate(order):
             registry.hear(life, float(number))
             reached = max(reached, life.state)
@@ -124,11 +128,11 @@
 
 
 def test_an_end_of_an_unknown_life_is_remembered() -> None:
-    registry = Registry(1.5)
+    registry = BackendTable(1.5)
     assert registry.leave("i", 1.0) is None
-    registry.hear(Life("i", "", "", "", 0, State.GONE, 0, 1.0), 1.0)
-    registry.hear(Life("i", "s", "10.0.0.1:1", "z", 2, State.READY, 5, 1.0), 2.0)
-    assert registry.entries["i"].life.state is State.GONE
+    registry.hear(BackendIncarnation("i", "", "", "", 0, BackendState.GONE, 0, 1.0), 1.0)
+    registry.hear(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, BackendState.READY, 5, 1.0), 2.0)
+    assert registry.entries["i"].life.state is BackendState.GONE
 
 
 @trying(deadline=None, max_examples=50)
@@ -173,7 +177,7 @@
 
 
 def test_past_the_bound_the_least_rank_goes_first_and_places_are_kept() -> None:
-    gate = Gate(slots=2)
+    gate = ConcurrencyLimit(slots=2)
     assert gate.enter("t", 5, "a", 0.0) is True and gate.enter("t", 5, "b", 0.0) is True
     assert gate.enter("t", 9, "late", 0.1) is False and gate.enter("t", 1, "first", 0.2) is False
     assert gate.leave("t", 0.3) == ["first"]
@@ -194,10 +198,10 @@
         "call_count": 4,
     }
     made = decode(b"POST", b"/backends/i-1/heartbeat", json.dumps(beat).encode()).unwrap()
-    assert isinstance(made, Beat) and (made.id, made.call_count) == ("i-1", 4)
-    assert isinstance(decode(b"POST", b"/backends/i-1/deregister", b"").unwrap(), Leave)
+    assert isinstance(made, Heartbeat) and (made.id, made.call_count) == ("i-1", 4)
+    assert isinstance(decode(b"POST", b"/backends/i-1/deregister", b"").unwrap(), Deregister)
     put = decode(b"POST", b"/config/replace", json.dumps(configuration()).encode()).unwrap()
-    assert isinstance(put, Put) and put.word.stamp.number == 7 and put.word.is_whole()
+    assert isinstance(put, PutConfiguration) and put.word.stamp.number == 7 and put.word.is_whole()
     for wrong in ({**beat, "state": "gone"}, {**beat, "address": "x"}, {**beat, "capacity": "2"}):
         refused = decode(b"POST", b"/backends/i-1/heartbeat", json.dumps(wrong).encode())
         assert isinstance(refused, Failure) and refused.failure().status == 400
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -15,11 +15,11 @@
 
 from irisdeal.config_store.configuration.incremental_reading import Reading, reading
 from irisdeal.config_store.configuration.index import run
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.proxy import config_apply
 from irisdeal.proxy.config_apply import PACE, ConfigApply
 from irisdeal.proxy.table import Route, Table
-from irisdeal.runtime.errors import Trouble
+from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.process import Tasks
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
@@ -139,11 +139,11 @@
 # Taking into force
 
 
-def words(count: int) -> list[Word]:
+def words(count: int) -> list[ConfigVersion]:
     chance, data, made = Random(3), configuration(10), []
     for number in range(1, count + 1):
         data = change(data, chance, f"r{number}")
-        made.append(Word.of(f"r{number}", json.dumps(data).encode()))
+        made.append(ConfigVersion.of(f"r{number}", json.dumps(data).encode()))
     return made
 
 
@@ -173,7 +173,9 @@
         self.begun, self.monkeypatch = 0, monkeypatch
         self.clock: Clock | None = None
 
-        def slow(body: bytes, before: Reading | None) -> Generator[None, None, Result[Reading, Trouble]]:
+        def slow(
+            body: bytes, before: Reading | None
+        ) -> Generator[None, None, Result[Reading, OperationError]]:
             self.begun += 1
             for _ in range(steps):
                 assert self.clock is not None
@@ -282,7 +284,7 @@
 
     async def act(made: ConfigApply) -> None:
         made.take(words(1)[0])
-        made.take(Word.of("r2", b"{"))
+        made.take(ConfigVersion.of("r2", b"{"))
         await asyncio.sleep(1)
         assert made.table is not None and made.table.generation == "r1" and not made.working
         made.take(words(3)[2])
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -9,9 +9,9 @@
 
 from irisdeal.front_door.handover.message import body
 from irisdeal.rpc.calls import CALLS
-from irisdeal.rpc.client import Link
+from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import encode
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.server import RpcServer
 from tests.support import wire_formats as forms
 from tests.support.exchange import Call, recorded
 
@@ -89,7 +89,7 @@
         writer.write(encode([1, good, given]))
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    link = Link(server.sockets[0].getsockname()[:2], "proxy 10.1.0.9")
+    link = RpcClient(server.sockets[0].getsockname()[:2], "proxy 10.1.0.9")
     given = await link.call(kind_of(name), told, LIMIT)
     assert heard == [hello, first] and number == 7
     assert given.unwrap() == forms.read_frame(bytes.fromhex(answer))[2]
@@ -106,7 +106,7 @@
         heard.append((peer, kind, asked))
         return forms.read_frame(bytes.fromhex(answer))[2]
 
-    server = Server(handle)
+    server = RpcServer(handle)
     await server.listen(("127.0.0.1", 0))
     assert server.listening is not None
     reader, writer = await asyncio.open_connection(*server.listening.sockets[0].getsockname()[:2])
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -16,16 +16,16 @@
 import pytest
 from returns.result import Success
 
-from irisdeal.config_store.configuration.version import Word
+from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.proxy import backend_connection, connection_pool
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.connection_pool import ConnectionPool
-from irisdeal.proxy.outcome import End, Outcome
+from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
-from irisdeal.registry.backend_table import Life, State
+from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.rpc import client as telegraph
-from irisdeal.rpc.client import Link
-from irisdeal.rpc.server import Server
+from irisdeal.rpc.client import RpcClient
+from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network, Way
@@ -309,9 +309,14 @@
         ]
         sockets = [{"hostname": "h", "rules": rules}]
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": sockets}
-        door._on_word(Word.of("r1", json.dumps(body).encode()))
+        door._on_word(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(BACKENDS):
-            door._on_life(Life(f"i-{number}", "s", f"10.9.0.{number}:80", "z", 4, State.READY, 1, 0.0), False)
+            door._on_life(
+                BackendIncarnation(
+                    f"i-{number}", "s", f"10.9.0.{number}:80", "z", 4, BackendState.READY, 1, 0.0
+                ),
+                False,
+            )
         await door.front.listen(DOOR)
         self.made = door
         await self.loop().create_future()
@@ -380,16 +385,16 @@
             def unsent(self: BackendConnection, exc: Exception | None) -> None:
                 done, self.done = self.done, None
                 if done is not None and not done.done():
-                    done.set_result(Outcome(End.UNSENT, "reset"))
+                    done.set_result(AttemptOutcome(End.UNSENT, "reset"))
                 lost(self, exc)
 
             monkeypatch.setattr(BackendConnection, "connection_lost", unsent)
         case "a silence is taken for unsent":
             send = ConnectionPool.send
 
-            async def again(self: ConnectionPool, *given: Any) -> Outcome:
+            async def again(self: ConnectionPool, *given: Any) -> AttemptOutcome:
                 outcome = await send(self, *given)
-                return Outcome(End.UNSENT, "silence") if outcome.late else outcome
+                return AttemptOutcome(End.UNSENT, "silence") if outcome.late else outcome
 
             monkeypatch.setattr(ConnectionPool, "send", again)
         case "its own 503 is passed on":
@@ -398,7 +403,7 @@
 
 def _any_answer(self: BackendConnection, spoilt: bool) -> None:
     headers = [field for field in self.headers if field[0].lower() != b"content-length"]
-    self._finish(Outcome(End.ANSWER, "", self.status, headers, b"".join(self.parts)), True)
+    self._finish(AttemptOutcome(End.ANSWER, "", self.status, headers, b"".join(self.parts)), True)
 
 
 def _whoever_waits(self: BackendConnection, data: bytes) -> None:
@@ -463,7 +468,7 @@
             return ["did", body]
 
         async def run() -> int:
-            await Server(handle).listen(("10.0.0.2", 7000))
+            await RpcServer(handle).listen(("10.0.0.2", 7000))
             await asyncio.get_running_loop().create_future()
             return 0
 
@@ -490,7 +495,7 @@
         self.way.cut = self.way.silent = False
         self.net.release(self.way)
 
-    async def one(self, link: Link, number: int) -> None:
+    async def one(self, link: RpcClient, number: int) -> None:
         await asyncio.sleep(self.chance.uniform(0.0, 10.0))
         answer = await link.call("lend", number, self.chance.choice((0.04, 0.06, 0.4, 1.5)))
         if isinstance(answer, Success):
@@ -503,7 +508,7 @@
             self.breaches.append(f"{number} ran and was told as never sent")
 
     async def talk(self) -> int:
-        link = Link(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
+        link = RpcClient(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
         await asyncio.gather(*(self.one(link, number) for number in range(400)))
         await asyncio.sleep(5.0)
         self.over = True
@@ -568,11 +573,11 @@
 
             monkeypatch.setattr(calls, "_take", first)
         case "sent again":
-            call = Link.call
+            call = RpcClient.call
 
-            async def again(self: Link, kind: str, body: Any, within: float) -> Any:
+            async def again(self: RpcClient, kind: str, body: Any, within: float) -> Any:
                 answer = await call(self, kind, body, within)
                 return answer if isinstance(answer, Success) else await call(self, kind, body, within)
 
-            monkeypatch.setattr(Link, "call", again)
+            monkeypatch.setattr(RpcClient, "call", again)
     assert any(breach in found for seed in range(6) for found in Talk(seed).play())
