--- a/benchmarks/capacity/crowd.py
+++ b/benchmarks/capacity/crowd.py
@@ -76,17 +76,17 @@
 
     def report(self) -> dict[str, Any]:
         """Counts until now, and the newest configuration's number that all doors have."""
-        words = [door.sources.word for door in self.doors]
+        versions = [door.sources.version for door in self.doors]
         told: dict[str, Any] = {
             "tally": self.tally.counts,
             "doors": len(self.doors),
             "unsettled": sum(not door.settled for door in self.doors),
-            "lives": len(self.shared.lives),
-            "number": min((word.stamp.number if word else -1 for word in words), default=-1),
+            "lives": len(self.shared.incarnations),
+            "number": min((version.version_id.number if version else -1 for version in versions), default=-1),
             "asked": sum(door.asked for door in self.doors),
             "placed": sum(door.placed for door in self.doors),
             "lost": sum(door.lost for door in self.doors),
-            "words": sum(door.words for door in self.doors),
+            "words": sum(door.versions for door in self.doors),
             "news": self.shared.news,
         }
         if self.backends is not None:
--- a/benchmarks/capacity/events.py
+++ b/benchmarks/capacity/events.py
@@ -20,12 +20,12 @@
 MOST_DOORS = 20_000  # beyond which a break is not looked for
 
 
-def news(size: Size, lives: float, one: float, cpu: float) -> tuple[float, float, float]:
+def news(size: Size, incarnations: float, one: float, cpu: float) -> tuple[float, float, float]:
     """Bytes at one door, bytes out of one registry, its processor s: so many lives change at once.
 
     `one`: bytes that one news of a life costs a door; `cpu`: s of a registry for one life told to one door.
     """
-    return lives * one, lives * one * near(size), lives * cpu * near(size)
+    return incarnations * one, incarnations * one * near(size), incarnations * cpu * near(size)
 
 
 def loss_rows(
@@ -37,30 +37,30 @@
     """`start`, `bytes_`: a registry's processor s and bytes when all its doors start."""
     rows = []
     zone = WHOLE.backends / WHOLE.zones
-    for name, lives, seconds, note in (
+    for name, incarnations, seconds, note in (
         ("one backend fails", 1.0, SILENCE, "silent, then gone after 60 s"),
         ("one rack or switch", zone / RACKS, SILENCE, f"its doors' words stand for {DOOR_KEPT:g} s"),
         ("one zone", zone, SILENCE, "two or three registries go with it: their doors move to others"),
         ("one region", WHOLE.backends / REGIONS, SILENCE, "a quarter of the core goes; a quorum stands"),
     ):
-        door, out, busy = news(WHOLE, lives, one, cpu)
+        door, out, busy = news(WHOLE, incarnations, one, cpu)
         rows.append(
             (
                 name,
                 f"{seconds + busy:,.1f}",
-                f"{lives * SOURCES:,.0f}",
+                f"{incarnations * SOURCES:,.0f}",
                 f"{door:,.0f}",
                 f"{out / 1e6:,.2f}",
                 f"{busy:,.2f}; {note}",
             )
         )
-    lives = WHOLE.backends / REGIONS
-    door, out, busy = news(WHOLE, 2 * lives, one, cpu)
+    incarnations = WHOLE.backends / REGIONS
+    door, out, busy = news(WHOLE, 2 * incarnations, one, cpu)
     rows.append(
         (
             "a region cut off for an hour",
             f"{SILENCE + LOST:,.0f}",
-            f"{2 * lives * SOURCES:,.0f}",
+            f"{2 * incarnations * SOURCES:,.0f}",
             f"{door:,.0f}",
             f"{out / 1e6:,.2f}",
             f"{busy:,.2f}; silent, then gone after {LOST:g} s, on both sides; heard anew on return",
@@ -104,7 +104,7 @@
 
 def breaks_rows(
     place: float,
-    word: float,
+    version: float,
     sums: Callable[[Size], float],
     cpu: Callable[[Size], float],
     start: Callable[[Size], float],
@@ -112,7 +112,7 @@
 ) -> list[tuple[str, str, str, int]]:
     """Each mechanism, its limit, what carries it on, and at how many doors it breaks, the first first.
 
-    `place`: bytes of an ask; `word`: B/s of a door's word; `sums`, `cpu`: of one registry; `start`: s when all
+    `place`: bytes of an ask; `version`: B/s of a door's word; `sums`, `cpu`: of one registry; `start`: s when all
     doors start; `read`: s of a registry for one MB of configuration.
     """
     whole_word = SOURCES / 86_400 * 1e6
@@ -151,7 +151,7 @@
             "a door's word of all its tenants",
             f"{DOOR_BYTES:,.0f} B/s at a door",
             "none yet: words of what moved",
-            breaks_at(lambda s: word > DOOR_BYTES),
+            breaks_at(lambda s: version > DOOR_BYTES),
         ),
         (
             "each registry's sums to each other",
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -35,9 +35,9 @@
     """What the hollow doors of one process know together."""
 
     def __init__(self) -> None:
-        self.lives: dict[str, BackendIncarnation] = {}
+        self.incarnations: dict[str, BackendIncarnation] = {}
         self.ids: dict[str, list[str]] = {}  # by service
-        self.words: dict[bytes, ConfigVersion] = {}
+        self.versions: dict[bytes, ConfigVersion] = {}
         self.news = 0  # lives that were told to us, each as often as it was
 
 
@@ -48,28 +48,30 @@
         super().__init__(settings, self._ignore_word, self._ignore_life)
         self.shared = shared
 
-    def _ignore_word(self, word: ConfigVersion) -> None:
+    def _ignore_word(self, version: ConfigVersion) -> None:
         pass
 
-    def _ignore_life(self, life: BackendIncarnation, silent: bool) -> None:
+    def _ignore_life(self, incarnation: BackendIncarnation, silent: bool) -> None:
         pass
 
-    def _hear_lives(self, ip: str, lives: list[Any]) -> None:
+    def _hear_lives(self, ip: str, incarnations: list[Any]) -> None:
         shared, now = self.shared, self.loop.time()
-        shared.news += len(lives)
-        for told, _ in lives:
-            if told[0] not in shared.lives or int(shared.lives[told[0]].state) < told[5]:
-                shared.lives[told[0]] = decode_incarnation(told, now)
+        shared.news += len(incarnations)
+        for told, _ in incarnations:
+            if told[0] not in shared.incarnations or int(shared.incarnations[told[0]].state) < told[5]:
+                shared.incarnations[told[0]] = decode_incarnation(told, now)
 
-    def _hear_word(self, ip: str, have: SyncState, parcel: list[Any] | None, change: int) -> None:
-        super()._hear_word(ip, have, parcel, change)
-        if self.word is not None:  # one body for all doors of this process
-            self.word = self.shared.words.setdefault(self.word.stamp.digest, self.word)
+    def _hear_word(self, ip: str, sync_state: SyncState, chunk: list[Any] | None, change: int) -> None:
+        super()._hear_word(ip, sync_state, chunk, change)
+        if self.version is not None:  # one body for all doors of this process
+            self.version = self.shared.versions.setdefault(self.version.version_id.digest, self.version)
 
     async def _tell_again(self, link: RpcClient) -> None:
         now = self.loop.time()
         await link.call(
-            "lives", [[encode_incarnation(life, now), 0] for life in self.shared.lives.values()], ASK
+            "lives",
+            [[encode_incarnation(incarnation, now), 0] for incarnation in self.shared.incarnations.values()],
+            ASK,
         )
 
 
@@ -83,7 +85,7 @@
         self.held = HeldPermits(self.chance.getrandbits(48))
         self.active, self.tenants = active, tenants
         self.edge = SharedIntervalClock(self.sources.loop.time())
-        self.asked = self.placed = self.lost = self.words = 0
+        self.asked = self.placed = self.lost = self.versions = 0
 
     def start(self) -> None:
         self.sources.start()
@@ -92,7 +94,7 @@
     @property
     def settled(self) -> bool:
         """Whether it has heard as many sources as a door asks at once, and has a configuration."""
-        return len(self.sources.answering) >= 2 and self.sources.word is not None
+        return len(self.sources.answering) >= 2 and self.sources.version is not None
 
     async def _counting(self) -> None:
         spread = LENGTH * (0.04 + 0.24 * self.chance.random())
@@ -108,7 +110,7 @@
                 self.held.note_demand(tenant, asked.get(tenant, 0), LENGTH)
             reported = await self.client.report(partial(self._report, asked))
             if reported is not None:
-                self.words += 1
+                self.versions += 1
                 now = self.sources.loop.time()
                 self.edge.hear(reported.reply.position, now)
                 self.held.hear(reported.registry, reported.reply.reserve, reported.sent_at, now)
@@ -155,7 +157,7 @@
     def __init__(self, first: int, count: int, controls: list[str], services: int, zones: list[str]) -> None:
         self.controls, self.services, self.zones = controls, services, zones
         self.chance, self.tasks = random.Random(first), Tasks()
-        self.lives = [self._life(first + n, 0) for n in range(count)]
+        self.incarnations = [self._life(first + n, 0) for n in range(count)]
         self.born = self.sent = self.bytes_out = self.bytes_in = self.good = self.broken = 0
         self.calls: list[asyncio.Queue[bytes]] = [asyncio.Queue() for _ in controls]
 
@@ -204,36 +206,36 @@
     async def _beats(self) -> None:
         loop, at, due = asyncio.get_running_loop(), 0, asyncio.get_running_loop().time()
         while True:
-            due += BEAT / max(1, len(self.lives))
+            due += BEAT / max(1, len(self.incarnations))
             if due - loop.time() > 0.002:
                 await asyncio.sleep(due - loop.time())
-            self.beat(self.lives[at % len(self.lives)])
+            self.heartbeat(self.incarnations[at % len(self.incarnations)])
             at += 1
 
-    def beat(self, life: dict[str, Any]) -> None:
+    def heartbeat(self, incarnation: dict[str, Any]) -> None:
         """One beat, to the registry that this backend keeps to."""
-        life["calls"] += 1
+        incarnation["calls"] += 1
         self._send(
-            life,
+            incarnation,
             "heartbeat",
             json.dumps(
                 {
-                    "service": life["service"],
-                    "address": life["address"],
-                    "zone": life["zone"],
+                    "service": incarnation["service"],
+                    "address": incarnation["address"],
+                    "zone": incarnation["zone"],
                     "generation": "v1",
                     "capacity": 2,
-                    "state": life["state"],
+                    "state": incarnation["state"],
                     "warmup_left_ms": 0,
-                    "call_count": life["calls"],
+                    "call_count": incarnation["calls"],
                 }
             ).encode(),
         )
 
-    def _send(self, life: dict[str, Any], call: str, body: bytes) -> None:
-        self.calls[life["number"] % len(self.calls)].put_nowait(
+    def _send(self, incarnation: dict[str, Any], call: str, body: bytes) -> None:
+        self.calls[incarnation["number"] % len(self.calls)].put_nowait(
             (
-                f"POST /backends/{life['id']}/{call} HTTP/1.1\r\nHost: core\r\n"
+                f"POST /backends/{incarnation['id']}/{call} HTTP/1.1\r\nHost: core\r\n"
                 f"Content-Type: application/json\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n"
             ).encode()
@@ -243,12 +245,12 @@
     async def restart(self, count: int, seconds: float) -> None:
         """So many backends, evenly over this time, drain, end and start anew: three news each."""
         for _ in range(count):
-            at = self.chance.randrange(len(self.lives))
-            old = self.lives[at]
+            at = self.chance.randrange(len(self.incarnations))
+            old = self.incarnations[at]
             old["state"] = "draining"
-            self.beat(old)
+            self.heartbeat(old)
             self._send(old, "deregister", b"")
             self.born += 1
-            self.lives[at] = self._life(old["number"], self.born)
-            self.beat(self.lives[at])
+            self.incarnations[at] = self._life(old["number"], self.born)
+            self.heartbeat(self.incarnations[at])
             await asyncio.sleep(seconds / count)
--- a/benchmarks/capacity/laws.py
+++ b/benchmarks/capacity/laws.py
@@ -21,7 +21,7 @@
 Terms = dict[str, Callable[[Size], float]]
 
 
-def beats(size: Size) -> float:
+def heartbeats(size: Size) -> float:
     """Beats a second at one registry."""
     return size.backends / size.registries / BEAT
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -301,10 +301,10 @@
 
 def breaks_table(runs: Runs) -> str:
     """Today's mechanisms by the number of doors, in the shape of the size, at which they break."""
-    words = grows(law("registry", "doors' words (count)"), runs)(WHOLE) / near(WHOLE)
+    versions = grows(law("registry", "doors' words (count)"), runs)(WHOLE) / near(WHOLE)
     rows = events.breaks_rows(
         asked(runs)[0],
-        words,
+        versions,
         grows(law("registry", "sums of tenants and doors"), runs),
         lambda size: sum(
             grows(law("registry", name), runs)(size)
--- a/benchmarks/capacity/play.py
+++ b/benchmarks/capacity/play.py
@@ -279,16 +279,16 @@
             time.sleep(1.5)
         self.phases["change"] = self.change()
         self.phases["all doors at once"] = self.starting("again", AT_ONCE)
-        beats = [report["beats"] for report in self.reports(self.backends)]
-        sent = sum(told[0] for told in beats)
+        heartbeats = [report["beats"] for report in self.reports(self.backends)]
+        sent = sum(told[0] for told in heartbeats)
         return {
             "size": asdict(self.size),
             "phases": self.phases,
             "beats": {
                 "sent": sent,
-                "bytes": round(sum(told[1] + told[2] for told in beats) / sent, 1),
-                "good": round(sum(told[3] for told in beats) / sent, 4),
-                "broken": sum(told[4] for told in beats),
+                "bytes": round(sum(told[1] + told[2] for told in heartbeats) / sent, 1),
+                "good": round(sum(told[3] for told in heartbeats) / sent, 4),
+                "broken": sum(told[4] for told in heartbeats),
             },
             "processes": len(self.all),
         }
--- a/benchmarks/capacity/sweep.py
+++ b/benchmarks/capacity/sweep.py
@@ -40,9 +40,9 @@
     laws: Callable[[str], Callable[[Size], float]],
     news: float,
     place: float,
-    beat: float,
+    heartbeat: float,
 ) -> dict[str, float]:
-    """kB/s by kind. `news`, `place`, `beat`: B of a news of a life at a door, of a place, of a beat."""
+    """kB/s by kind. `news`, `place`, `heartbeat`: B of a news of a life at a door, of a place, of a beat."""
     size = day.size
     released = RELEASED * size.backends * NEWS_OF_RESTART * news * near(size) / day.seconds
     told = {
@@ -50,7 +50,7 @@
         "news of released lives": released if day.is_released else 0.0,
         "sums": laws("sums of tenants and doors")(size),
         "beats told on": laws("lives told on (beats)")(size),
-        "beats themselves": size.backends / size.registries / BEAT * beat,
+        "beats themselves": size.backends / size.registries / BEAT * heartbeat,
         "words of doors": laws("doors' words (count)")(size),
         "quiet asks for news": laws("quiet asks for news")(size),
         "places": size.each * near(size) * place,
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -63,58 +63,62 @@
         most = max(most, (time.process_time() - begun) * 1000)
 
 
-def telling(shelf: VersionStore, arrivals: ChunkAssembler, held: ConfigVersion, word: ConfigVersion) -> None:
+def telling(
+    version_store: VersionStore, assembler: ChunkAssembler, held: ConfigVersion, version: ConfigVersion
+) -> None:
     """A new word at its holder, and the first who asks for it."""
-    shelf.hold(word)
-    shelf.parcel(arrivals.have(held.stamp), word.stamp)
+    version_store.hold(version)
+    version_store.chunk(assembler.sync_state(held.version_id), version.version_id)
 
 
 def taking(
-    shelf: VersionStore, arrivals: ChunkAssembler, held: ConfigVersion | None, want: ConfigVersion
+    version_store: VersionStore, assembler: ChunkAssembler, held: ConfigVersion | None, want: ConfigVersion
 ) -> tuple[int, int]:
     """Bytes and parcels until the word is whole."""
-    size = parcels = 0
+    size = chunks = 0
     while True:
-        parcel = shelf.parcel(arrivals.have(held.stamp if held else NO_VERSION), want.stamp)
-        assert parcel is not None
-        size, parcels = size + len(cbor2.dumps(parcel)), parcels + 1
-        if arrivals.take(parcel) is not None:
-            return size, parcels
+        chunk = version_store.chunk(
+            assembler.sync_state(held.version_id if held else NO_VERSION), want.version_id
+        )
+        assert chunk is not None
+        size, chunks = size + len(cbor2.dumps(chunk)), chunks + 1
+        if assembler.take(chunk) is not None:
+            return size, chunks
 
 
 def measure(share: float, changes: int) -> dict[str, Any]:
     """One size."""
     chance, data = Random("differences"), configuration(round(ROUTES * share))
-    words = [ConfigVersion.of("r1", encoded(data))]
+    versions = [ConfigVersion.of("r1", encoded(data))]
     times: dict[str, list[float]] = {
         name: []
         for name in ("whole read", "whole table", "tell", "take", "read", "table", "slice", "snapshot")
     }
     for number in range(2, changes + 2):
         data = change(data, chance, f"r{number}")
-        words.append(ConfigVersion.of(f"r{number}", encoded(data)))
+        versions.append(ConfigVersion.of(f"r{number}", encoded(data)))
     timed(
-        partial(Table, timed(partial(read_whole, words[0].body), times["whole read"]).unwrap()),
+        partial(Table, timed(partial(read_whole, versions[0].body), times["whole read"]).unwrap()),
         times["whole table"],
     )
-    shelf, arrivals = VersionStore(), ChunkAssembler(VersionStore(kept=0))
-    shelf.hold(words[0])
-    snapshot, pieces = timed(partial(taking, shelf, arrivals, None, words[0]), times["snapshot"])
-    before: Reading = run(reading(words[0].body, None)).unwrap()
+    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(kept=0))
+    version_store.hold(versions[0])
+    snapshot, pieces = timed(partial(taking, version_store, assembler, None, versions[0]), times["snapshot"])
+    before: Reading = run(reading(versions[0].body, None)).unwrap()
     table, bytes_told = run(Table.building(before, None)), []
-    for held, word in pairwise(words):
-        timed(partial(telling, shelf, arrivals, held, word), times["tell"])
-        size, parcels = timed(partial(taking, shelf, arrivals, held, word), times["take"])
-        assert parcels == 1
+    for held, version in pairwise(versions):
+        timed(partial(telling, version_store, assembler, held, version), times["tell"])
+        size, chunks = timed(partial(taking, version_store, assembler, held, version), times["take"])
+        assert chunks == 1
         bytes_told.append(size)
-        after = timed(partial(run, reading(word.body, before)), times["read"]).unwrap()
+        after = timed(partial(run, reading(version.body, before)), times["read"]).unwrap()
         table = timed(partial(run, Table.building(after, table)), times["table"])
-        sliced(reading(word.body, before), times["slice"])
+        sliced(reading(version.body, before), times["slice"])
         before = after
     ms = {name: round(statistics.median(values), 2) for name, values in times.items()}
     return {
         "share": share,
-        "bytes": len(words[-1].body),
+        "bytes": len(versions[-1].body),
         "snapshot_bytes": snapshot,
         "pieces": pieces,
         "difference_bytes": round(statistics.median(bytes_told)),
--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -46,11 +46,11 @@
 GONE = -1  # an acceptor that is not there (any more)
 
 
-def orders(*stamps: VersionId) -> Program:
+def orders(*version_ids: VersionId) -> Program:
     """One order after the other."""
 
     def program(decided: Value) -> Change | None:
-        waiting = [stamp for stamp in stamps if stamp.number > decided.stamp.number]
+        waiting = [version_id for version_id in version_ids if version_id.number > decided.version_id.number]
         return register.put(waiting[0]) if waiting else None
 
     return program
@@ -498,8 +498,11 @@
             old: Proposal = self.table.things[other]
             if old.value.change == new.value.change and old.value != new.value:
                 self.broken = f"change {new.value.change} is {old.value.tell()} and {new.value.tell()}"
-            if old.value.stamp.number == new.value.stamp.number and old.value.stamp != new.value.stamp:
-                self.broken = f"number {new.value.stamp.number} has two bodies"
+            if (
+                old.value.version_id.number == new.value.version_id.number
+                and old.value.version_id != new.value.version_id
+            ):
+                self.broken = f"number {new.value.version_id.number} has two bodies"
         return state._replace(told=state.told | {number})
 
     def _takes_over(self, told: Proposal, other: Proposal) -> None:
--- a/irisdeal/cli/store.py
+++ b/irisdeal/cli/store.py
@@ -172,7 +172,7 @@
 
 def _generation(value: Value) -> str:
     """`r12`, or `none` before the operator's first order."""
-    return f"r{value.stamp.number}" if value.stamp.number >= 0 else "none"
+    return f"r{value.version_id.number}" if value.version_id.number >= 0 else "none"
 
 
 def _yes(holds: bool) -> str:
@@ -264,16 +264,16 @@
     Example: irisdeal store history /var/lib/irisdeal
     """
     disk = _look(folder)
-    words = sorted(disk.words.items(), key=lambda item: item[1].stamp, reverse=True)
+    versions = sorted(disk.versions.items(), key=lambda item: item[1].version_id, reverse=True)
     rows = [
         {
-            "generation": f"r{word.stamp.number}",
-            "stands": disk.standing(word.stamp),
-            "bytes": len(word.body),
-            "digest": word.stamp.digest.hex(),
+            "generation": f"r{version.version_id.number}",
+            "stands": disk.standing(version.version_id),
+            "bytes": len(version.body),
+            "digest": version.version_id.digest.hex(),
             "file": name,
         }
-        for name, word in words
+        for name, version in versions
     ]
     state = disk.state
     if as_json:
@@ -306,7 +306,7 @@
     return {
         "change": value.change,
         "generation": _generation(value),
-        "digest": value.stamp.digest.hex(),
+        "digest": value.version_id.digest.hex(),
         "list": value.members.number,
         "seats": list(value.members.seats),
         "former": list(value.members.former),
@@ -329,7 +329,7 @@
         click.echo(
             json.dumps(
                 {
-                    "versions": len(disk.words),
+                    "versions": len(disk.versions),
                     "good": not troubles,
                     "troubles": [{"file": trouble.peer, "detail": trouble.detail} for trouble in troubles],
                 },
@@ -340,7 +340,7 @@
         for trouble in troubles:
             click.echo(str(trouble))
         click.echo(
-            f"{len(disk.words)} versions are whole" + (f", {len(troubles)} troubles" if troubles else "")
+            f"{len(disk.versions)} versions are whole" + (f", {len(troubles)} troubles" if troubles else "")
         )
     sys.exit(1 if troubles else 0)
 
@@ -369,21 +369,21 @@
     if as_json and out is None:
         raise Unusable("--json: wanted with --to, as standard output is the configuration")
     disk = _look(folder)
-    word = newest(disk) if generation is None else named(disk, generation)
-    if word is None:
+    version = newest(disk) if generation is None else named(disk, generation)
+    if version is None:
         click.echo(f"irisdeal: {generation or 'a decided configuration'} is not in {folder}", err=True)
         sys.exit(1)
     told = {
-        "generation": f"r{word.stamp.number}",
-        "stands": disk.standing(word.stamp),
-        "bytes": len(word.body),
-        "digest": word.stamp.digest.hex(),
+        "generation": f"r{version.version_id.number}",
+        "stands": disk.standing(version.version_id),
+        "bytes": len(version.body),
+        "digest": version.version_id.digest.hex(),
     }
     if out is None:
-        click.echo(word.body, nl=False)
+        click.echo(version.body, nl=False)
     else:
         try:
-            out.write_bytes(word.body)
+            out.write_bytes(version.body)
         except OSError as error:
             raise Unusable(f"--to {out}: {error.strerror}") from None
         click.echo(
--- a/irisdeal/config_store/configuration/version.py
+++ b/irisdeal/config_store/configuration/version.py
@@ -37,7 +37,7 @@
 class ConfigVersion:
     """A whole configuration, byte for byte as the operator sent it."""
 
-    stamp: VersionId
+    version_id: VersionId
     body: bytes
 
     @staticmethod
@@ -46,4 +46,4 @@
         return ConfigVersion(VersionId(number(generation), hashlib.sha256(body).digest()), body)
 
     def is_whole(self) -> bool:
-        return hashlib.sha256(self.body).digest() == self.stamp.digest
+        return hashlib.sha256(self.body).digest() == self.version_id.digest
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -43,7 +43,7 @@
         self.ip, self.tasks = ip, tasks
         self.folder = folder or DiskFolder(path)
         self.thread = ThreadPoolExecutor(1, "disk") if folder is None else None
-        self.files, self.keeper, self.shelf = (
+        self.files, self.keeper, self.version_store = (
             Files(self.folder),
             AcceptorStateFile(self.folder),
             VersionStore(),
@@ -68,7 +68,7 @@
         except ValueError as error:
             log_event(Event.ACCEPTOR_STATE_DAMAGED, ip=self.ip, error=error)
             first = None
-        words = await self._on_disk(self.files.open)
+        versions = await self._on_disk(self.files.open)
         if state is None:
             value = first or UNKNOWN
             state = PersistedState(
@@ -82,9 +82,9 @@
             state.decided,
             state.decided,
         )
-        for word in words:
-            if word.stamp in (self.kept.value.stamp, self.decided.stamp):
-                self.shelf.hold(word)
+        for version in versions:
+            if version.version_id in (self.kept.value.version_id, self.decided.version_id):
+                self.version_store.hold(version)
         self._need()
 
     async def _on_disk(self, act: Callable[..., T], *given: Any) -> T:
@@ -124,7 +124,7 @@
 
     async def _accept(self, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
         async with self.lock:
-            if not self.holds(value.stamp):
+            if not self.holds(value.version_id):
                 return None
             good, kept = on_accept(self.kept, ballot, value)
             if good and kept != self.kept:
@@ -159,32 +159,42 @@
     # Bodies
 
     def _need(self) -> None:
-        stamps = {self.kept.value.stamp, self.decided.stamp} - {NO_VERSION}
-        self.needed = {stamp: word for stamp in stamps if (word := self.word(stamp)) is not None}
-
-    def word(self, stamp: VersionId) -> ConfigVersion | None:
+        version_ids = {self.kept.value.version_id, self.decided.version_id} - {NO_VERSION}
+        self.needed = {
+            version_id: version
+            for version_id in version_ids
+            if (version := self.version(version_id)) is not None
+        }
+
+    def version(self, version_id: VersionId) -> ConfigVersion | None:
         """This body, where it is here."""
-        return self.needed.get(stamp) or self.shelf.get(stamp.digest)
+        return self.needed.get(version_id) or self.version_store.get(version_id.digest)
 
-    def holds(self, stamp: VersionId) -> bool:
+    def holds(self, version_id: VersionId) -> bool:
         """Whether this body is here, synced; nothing is always held."""
-        return stamp == NO_VERSION or (self.files.has(stamp) and self.word(stamp) is not None)
+        return version_id == NO_VERSION or (
+            self.files.has(version_id) and self.version(version_id) is not None
+        )
 
-    async def hold(self, word: ConfigVersion) -> bool:
+    async def hold(self, version: ConfigVersion) -> bool:
         """Hold this body, synced; False where the disk refuses."""
-        if not invariant(word.is_whole(), "a word is kept whole", number=word.stamp.number):
+        if not invariant(version.is_whole(), "a word is kept whole", number=version.version_id.number):
             return False
-        return await self._whole(self._hold(word))
+        return await self._whole(self._hold(version))
 
-    async def _hold(self, word: ConfigVersion) -> bool:
-        self.shelf.hold(word)
+    async def _hold(self, version: ConfigVersion) -> bool:
+        self.version_store.hold(version)
         async with self.lock:
-            if not self.files.has(word.stamp):
+            if not self.files.has(version.version_id):
                 try:
-                    await self._on_disk(self.files.keep, word, {self.kept.value.stamp, self.decided.stamp})
+                    await self._on_disk(
+                        self.files.keep, version, {self.kept.value.version_id, self.decided.version_id}
+                    )
                 except OSError as error:
                     log_event(Event.DISK_WRITE_FAILED, error=error)
                     return False
-                log_event(Event.VERSION_STORED, generation=f"r{word.stamp.number}", bytes=len(word.body))
+                log_event(
+                    Event.VERSION_STORED, generation=f"r{version.version_id.number}", bytes=len(version.body)
+                )
             self._need()
         return True
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -68,17 +68,17 @@
 
     # Orders
 
-    async def put(self, word: ConfigVersion, within: float) -> PutOutcome:
+    async def put(self, version: ConfigVersion, within: float) -> PutOutcome:
         """What became of this order, as far as it is known in so many seconds."""
-        settled = self.settled(word.stamp)
+        settled = self.settled(version.version_id)
         if settled is not None:
             return settled
         if len(self.orders) >= MOST_ORDERS:
-            log_event(Event.PUT_BACKLOG_FULL, generation=f"r{word.stamp.number}")
+            log_event(Event.PUT_BACKLOG_FULL, generation=f"r{version.version_id.number}")
             return PutOutcome.LATER
-        if word.stamp not in self.orders:
-            self.orders[word.stamp] = word, asyncio.get_running_loop().create_future()
-        done = self.orders[word.stamp][1]
+        if version.version_id not in self.orders:
+            self.orders[version.version_id] = version, asyncio.get_running_loop().create_future()
+        done = self.orders[version.version_id][1]
         if not self.working:
             self.working = True
             self.tasks.start(self._work())
@@ -88,12 +88,12 @@
         except TimeoutError:
             return PutOutcome.LATER
 
-    def settled(self, stamp: VersionId) -> PutOutcome | None:
+    def settled(self, version_id: VersionId) -> PutOutcome | None:
         """The outcome by what is decided; None where it is under this order."""
-        held = self.acceptor.decided.stamp
-        if held.number < stamp.number:
+        held = self.acceptor.decided.version_id
+        if held.number < version_id.number:
             return None
-        is_other = self.compares and held.number == stamp.number and held.digest != stamp.digest
+        is_other = self.compares and held.number == version_id.number and held.digest != version_id.digest
         return PutOutcome.OTHER if is_other else PutOutcome.CONFIRMED
 
     def meet(self, ballot: Ballot) -> None:
@@ -104,32 +104,34 @@
         """Something was decided, here or elsewhere: orders that it answers are answered."""
         self.news.set()
         self.news = asyncio.Event()
-        for stamp in list(self.orders):
-            settled = self.settled(stamp)
+        for version_id in list(self.orders):
+            settled = self.settled(version_id)
             if settled is not None:
-                self._answer(stamp, settled)
+                self._answer(version_id, settled)
 
-    def _answer(self, stamp: VersionId, outcome: PutOutcome) -> None:
-        _, done = self.orders.pop(stamp)
+    def _answer(self, version_id: VersionId, outcome: PutOutcome) -> None:
+        _, done = self.orders.pop(version_id)
         if not done.done():
             done.set_result(outcome)
 
     async def _work(self) -> None:
         try:
             while self.orders:
-                stamp = max(self.orders)
-                word = self.orders[stamp][0]
-                self.peers.offer(word, self.acceptor.decided.members.ips())
-                good = await self.acceptor.hold(word) and await self.decide(put(stamp), self._over(stamp))
-                if not good and stamp in self.orders:
-                    log_event(Event.VERSION_NOT_REPLICATED, generation=f"r{stamp.number}")
-                    self._answer(stamp, PutOutcome.LATER)
+                version_id = max(self.orders)
+                version = self.orders[version_id][0]
+                self.peers.offer(version, self.acceptor.decided.members.ips())
+                good = await self.acceptor.hold(version) and await self.decide(
+                    put(version_id), self._over(version_id)
+                )
+                if not good and version_id in self.orders:
+                    log_event(Event.VERSION_NOT_REPLICATED, generation=f"r{version_id.number}")
+                    self._answer(version_id, PutOutcome.LATER)
         finally:
             self.working = False
 
     @staticmethod
-    def _over(stamp: VersionId) -> Callable[[Value], bool]:
-        return lambda value: value.stamp.number >= stamp.number
+    def _over(version_id: VersionId) -> Callable[[Value], bool]:
+        return lambda value: value.version_id.number >= version_id.number
 
     # Ballots
 
@@ -198,20 +200,22 @@
             holders = [
                 ip_of(seat)
                 for seat, kept in ballot.promised.items()
-                if kept.value.stamp == ballot.value.stamp
+                if kept.value.version_id == ballot.value.version_id
             ]
-            if ballot.value.stamp == NO_VERSION or await self._body(ballot.value.stamp, holders, until):
+            if ballot.value.version_id == NO_VERSION or await self._body(
+                ballot.value.version_id, holders, until
+            ):
                 await self._phase(ballot, Step.ACCEPTING, self._ask_accept, until)
         if ballot.step is Step.DECIDED:
             self.lasted = now() - begun
             self.on_decided(len(ballot.accepted))
         return ballot
 
-    async def _body(self, stamp: VersionId, holders: list[str], until: float) -> bool:
+    async def _body(self, version_id: VersionId, holders: list[str], until: float) -> bool:
         """Whether the body that is to be proposed is here in time."""
         try:
             async with asyncio.timeout(max(0.0, until - now())):
-                return await self.peers.body(stamp, holders) is not None
+                return await self.peers.body(version_id, holders) is not None
         except TimeoutError:
             return False
 
@@ -273,7 +277,7 @@
                 if good is not None:
                     ballot.on_accept(seat, bool(good), Ballot.hear(told))
                     return news.set()
-                word = self.acceptor.word(value.stamp)
-                if word is not None and await self.peers.bring(ip_of(seat), word, SyncState.hear(told)):
+                version = self.acceptor.version(value.version_id)
+                if version is not None and await self.peers.bring(ip_of(seat), version, SyncState.hear(told)):
                     continue
             await asyncio.sleep(AGAIN)
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -61,7 +61,7 @@
     """What the register holds. `change` rises by one with each change that is decided: the term of all control."""
 
     change: int
-    stamp: VersionId
+    version_id: VersionId
     members: Members
 
     @staticmethod
@@ -69,7 +69,7 @@
         return Value(0, NO_VERSION, members)
 
     def tell(self) -> list[Any]:
-        return [self.change, self.stamp.number, self.stamp.digest, self.members.tell()]
+        return [self.change, self.version_id.number, self.version_id.digest, self.members.tell()]
 
     @staticmethod
     def hear(told: list[Any]) -> Value:
@@ -113,13 +113,13 @@
 Change = Callable[[Value], Value]  # the value that holds -> the one wanted; itself where nothing is to change
 
 
-def put(stamp: VersionId) -> Change:
+def put(version_id: VersionId) -> Change:
     """The operator's word under its number, where that is above the one that holds; else nothing changes."""
 
     def change(value: Value) -> Value:
         return (
-            replace(value, change=value.change + 1, stamp=stamp)
-            if stamp.number > value.stamp.number
+            replace(value, change=value.change + 1, version_id=version_id)
+            if version_id.number > value.version_id.number
             else value
         )
 
--- a/irisdeal/config_store/membership/adoption.py
+++ b/irisdeal/config_store/membership/adoption.py
@@ -41,12 +41,12 @@
     known = [*disk.values, UNKNOWN]
     base = max(filter(disk.holds, known), key=lambda value: value.change)
     machines = sorted({ip_of(other) for value in known for other in value.members.voters()} - {ip})
-    newer = sorted({f"r{value.stamp.number}" for value in known if value.change > base.change})
+    newer = sorted({f"r{value.version_id.number}" for value in known if value.change > base.change})
     promised = disk.state.kept.promised.count if disk.state is not None else 0
     identity = secrets.token_hex(ID)
     ballot = Ballot(promised + LEAP, seat(ip, identity))
     members = Members(max(value.members.number for value in known) + LEAP, (ballot.seat,))
-    value = Value(max(value.change for value in known) + LEAP, base.stamp, members)
+    value = Value(max(value.change for value in known) + LEAP, base.version_id, members)
     return Adoption(
         PersistedState(identity, AcceptorState(ballot, ballot, value), value),
         base,
@@ -72,7 +72,7 @@
             return [f"a quorum of list {value.members.number} can still be had: start the store of {ip}"]
     silent = set(adoption.machines) - {report.ip for report in survey.reports.values()}
     newer = {
-        f"r{report.decided.stamp.number}"
+        f"r{report.decided.version_id.number}"
         for report in survey.reports.values()
         if report.decided.change > adoption.base.change
     }  # known there, held by nobody who answers
--- a/irisdeal/config_store/membership/reconfiguration.py
+++ b/irisdeal/config_store/membership/reconfiguration.py
@@ -178,7 +178,7 @@
         return (
             report.holds
             and known.change >= max(0, self.value.change - LAG)
-            and (known.stamp != NO_VERSION or self.value.stamp == NO_VERSION)
+            and (known.version_id != NO_VERSION or self.value.version_id == NO_VERSION)
         )
 
     def others_ready(self) -> list[str]:
--- a/irisdeal/config_store/membership/rounds.py
+++ b/irisdeal/config_store/membership/rounds.py
@@ -91,7 +91,7 @@
             kept.accepted,
             kept.value,
             decided,
-            decided != UNKNOWN and self.acceptor.holds(decided.stamp),
+            decided != UNKNOWN and self.acceptor.holds(decided.version_id),
             self.leaving,
         )
 
@@ -101,7 +101,7 @@
         """A machine's word of itself, asked for or not."""
         self.heard.heard(report, now())
         if report.holds:
-            self.peers.newest[report.ip] = report.decided.stamp
+            self.peers.newest[report.ip] = report.decided.version_id
         self.proposer.meet(report.accepted)
         self.learn(report.decided, [report.ip])
 
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -51,82 +51,84 @@
 
     def base(self) -> VersionId:
         """The newest body that is here: what a difference may be told against."""
-        newest = self.acceptor.shelf.newest
-        return newest.stamp if newest is not None else NO_VERSION
+        newest = self.acceptor.version_store.newest
+        return newest.version_id if newest is not None else NO_VERSION
 
-    async def bring(self, ip: str, word: ConfigVersion, have: SyncState) -> bool:
-        """Whether this body is there now, synced, in as many parcels as it takes. `have`: what it said last."""
+    async def bring(self, ip: str, version: ConfigVersion, sync_state: SyncState) -> bool:
+        """Whether this body is there now, synced, in as many chunks as it takes. `sync_state`: its last."""
         for _ in range(MOST_PARCELS):
-            parcel = self._parcel(have, word)
-            if parcel is None:
+            chunk = self._parcel(sync_state, version)
+            if chunk is None:
                 return False
-            answer = await self.call(ip, "bring", parcel, PARCEL)
+            answer = await self.call(ip, "bring", chunk, PARCEL)
             if not isinstance(answer, Success):
                 return False
             whole, told = answer.unwrap()
             if whole:
                 return True
-            before, have = have, SyncState.hear(told)
-            if have == before:
+            before, sync_state = sync_state, SyncState.hear(told)
+            if sync_state == before:
                 return False
         return False
 
-    def offer(self, word: ConfigVersion, ips: Iterable[str]) -> None:
+    def offer(self, version: ConfigVersion, ips: Iterable[str]) -> None:
         """Bring this body to all of them, without waiting for it."""
         for ip in sorted(set(ips) - {self.settings.ip}):
-            self.tasks.start(self.bring(ip, word, SyncState(self.newest.get(ip, NO_VERSION))))
+            self.tasks.start(self.bring(ip, version, SyncState(self.newest.get(ip, NO_VERSION))))
 
-    async def brought(self, peer: str, parcel: list[Any]) -> list[Any]:
+    async def brought(self, peer: str, chunk: list[Any]) -> list[Any]:
         """The other side: `[whole, what we have]`."""
-        key = peer, bytes(parcel[1])
-        arrivals = self.arriving.pop(key, None) or ChunkAssembler(self.acceptor.shelf)
-        word = arrivals.take(parcel)
-        if word is None:
-            self.arriving[key] = arrivals
+        key = peer, bytes(chunk[1])
+        assembler = self.arriving.pop(key, None) or ChunkAssembler(self.acceptor.version_store)
+        version = assembler.take(chunk)
+        if version is None:
+            self.arriving[key] = assembler
             while len(self.arriving) > MOST_ARRIVING:
                 del self.arriving[next(iter(self.arriving))]
-        whole = word is not None and await self.acceptor.hold(word)
-        return [whole, arrivals.have(self.base()).tell()]
+        whole = version is not None and await self.acceptor.hold(version)
+        return [whole, assembler.sync_state(self.base()).tell()]
 
-    async def fetch(self, ip: str, stamp: VersionId) -> ConfigVersion | None:
+    async def fetch(self, ip: str, version_id: VersionId) -> ConfigVersion | None:
         """This body from there, synced here; None where it is not there or our disk refuses."""
-        arrivals = ChunkAssembler(self.acceptor.shelf)
+        assembler = ChunkAssembler(self.acceptor.version_store)
         for _ in range(MOST_PARCELS):
-            have = arrivals.have(self.base())
-            answer = await self.call(ip, "fetch", [have.tell(), stamp.number, stamp.digest], PARCEL)
+            sync_state = assembler.sync_state(self.base())
+            answer = await self.call(
+                ip, "fetch", [sync_state.tell(), version_id.number, version_id.digest], PARCEL
+            )
             if not isinstance(answer, Success) or answer.unwrap() is None:
                 return None
-            word = arrivals.take(answer.unwrap())
-            if word is not None and word.stamp == stamp:
-                return word if await self.acceptor.hold(word) else None
-            if word is None and arrivals.have(self.base()) == have:
+            version = assembler.take(answer.unwrap())
+            if version is not None and version.version_id == version_id:
+                return version if await self.acceptor.hold(version) else None
+            if version is None and assembler.sync_state(self.base()) == sync_state:
                 return None
         return None
 
-    def fetched(self, have: list[Any], number: int, digest: bytes) -> list[Any] | None:
+    def fetched(self, sync_state: list[Any], number: int, digest: bytes) -> list[Any] | None:
         """The other side: the next parcel."""
-        stamp = VersionId(number, digest)
-        word = self.acceptor.word(stamp)
-        if word is None:
+        version_id = VersionId(number, digest)
+        version = self.acceptor.version(version_id)
+        if version is None:
             return None
-        return self._parcel(SyncState.hear(have), word)
+        return self._parcel(SyncState.hear(sync_state), version)
 
-    def _parcel(self, have: SyncState, word: ConfigVersion) -> list[Any] | None:
+    def _parcel(self, sync_state: SyncState, version: ConfigVersion) -> list[Any] | None:
         """The next parcel; None where the body is over the bound of a frame."""
-        shelf = self.acceptor.shelf
-        if not shelf.has(word.stamp.digest):
-            shelf.hold(word)  # ones that are needed may have been put off the shelf
-        return shelf.parcel(have, word.stamp)
+        version_store = self.acceptor.version_store
+        if not version_store.has(version.version_id.digest):
+            version_store.hold(version)  # ones that are needed may have been put off the shelf
+        return version_store.chunk(sync_state, version.version_id)
 
-    async def body(self, stamp: VersionId, ips: list[str]) -> ConfigVersion | None:
+    async def body(self, version_id: VersionId, ips: list[str]) -> ConfigVersion | None:
         """This body: from here, or from the first of these machines that has it."""
-        if self.acceptor.holds(stamp):
-            return self.acceptor.word(stamp)
-        if (word := self.acceptor.word(stamp)) is not None and await self.acceptor.hold(word):
-            return word
+        if self.acceptor.holds(version_id):
+            return self.acceptor.version(version_id)
+        if (version := self.acceptor.version(version_id)) is not None and await self.acceptor.hold(version):
+            return version
         for ip in ips:
-            if ip != self.settings.ip and (word := await self.fetch(ip, stamp)) is not None:
-                return word
+            if ip != self.settings.ip and (version := await self.fetch(ip, version_id)) is not None:
+                return version
         return None
 
     def close(self) -> None:
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -107,7 +107,10 @@
             return
         members = value.members
         log_event(
-            Event.VALUE_DECIDED, change=value.change, generation=f"r{value.stamp.number}", list=members.number
+            Event.VALUE_DECIDED,
+            change=value.change,
+            generation=f"r{value.version_id.number}",
+            list=members.number,
         )
         if members != before:
             log_event(
@@ -140,10 +143,10 @@
             held = [
                 heard.report.ip
                 for heard in reports  # those first that answered last
-                if heard.report.holds and heard.report.decided.stamp == value.stamp
+                if heard.report.holds and heard.report.decided.version_id == value.version_id
             ]
             if await self.peers.body(
-                value.stamp, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
+                value.version_id, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
             ):
                 self._enforce()
             else:
@@ -152,7 +155,7 @@
     def _enforce(self) -> None:
         """What is decided is in force here once its body is here."""
         decided = self.acceptor.decided
-        if decided.change > self.force.change and self.acceptor.holds(decided.stamp):
+        if decided.change > self.force.change and self.acceptor.holds(decided.version_id):
             self.force = decided
             log_event(Event.DECIDED_VERSION_STORED, change=decided.change)
             self.news.set()
@@ -199,12 +202,12 @@
     def has_contact(self) -> bool:
         return self.rounds.has_contact()
 
-    async def put(self, word: ConfigVersion) -> PutOutcome:
+    async def put(self, version: ConfigVersion) -> PutOutcome:
         """What became of an order. It may come to be decided after a LATER."""
         if not self.has_contact():
-            log_event(Event.REQUEST_WITHOUT_CONTACT, call="put", generation=f"r{word.stamp.number}")
+            log_event(Event.REQUEST_WITHOUT_CONTACT, call="put", generation=f"r{version.version_id.number}")
             return PutOutcome.LATER
-        return await self.proposer.put(word, PUT)
+        return await self.proposer.put(version, PUT)
 
     async def read(self) -> list[Any]:
         """`[known, body]`: what is decided now, body None where nothing is; not known without a quorum."""
@@ -216,10 +219,10 @@
         if value is None:
             return [False, None]
         self.learn(value, [])
-        if value.stamp == NO_VERSION:
+        if value.version_id == NO_VERSION:
             return [True, None]
-        word = await self.peers.body(value.stamp, sorted(value.members.ips()))
-        return [word is not None, word.body if word is not None else None]
+        version = await self.peers.body(value.version_id, sorted(value.members.ips()))
+        return [version is not None, version.body if version is not None else None]
 
     async def _heard_value(self) -> Value | None:
         """What a quorum shows to be decided, asked now; None where a ballot is needed."""
@@ -231,19 +234,22 @@
             reports += [report for task in answered if (report := task.result()) is not None]
         return value
 
-    async def watch(self, have: SyncState, change: int) -> list[Any]:
+    async def watch(self, sync_state: SyncState, change: int) -> list[Any]:
         """`[parcel or None, value in force, learners, age in ms of our contact or -1]`, soon or in HOLD s.
 
         A caller that knows more than we do has no news from us.
         """
-        if self.force.change < change or (have.stamp, change) == (self.force.stamp, self.force.change):
+        if self.force.change < change or (sync_state.version_id, change) == (
+            self.force.version_id,
+            self.force.change,
+        ):
             try:
                 async with asyncio.timeout(HOLD):
                     await self.news.wait()
             except TimeoutError:
                 pass
-        force, parcel = self.force, None
-        if force.change >= change and force.stamp not in (have.stamp, NO_VERSION):
-            parcel = self.peers.fetched(have.tell(), force.stamp.number, force.stamp.digest)
+        force, chunk = self.force, None
+        if force.change >= change and force.version_id not in (sync_state.version_id, NO_VERSION):
+            chunk = self.peers.fetched(sync_state.tell(), force.version_id.number, force.version_id.digest)
         age = self.rounds.known_age(force.change)
-        return [parcel, force.tell(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
+        return [chunk, force.tell(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
--- a/irisdeal/config_store/storage/inspection.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -17,11 +17,11 @@
     """What was found. `state` is None where the disk has no identity yet or `kept` is damaged."""
 
     state: PersistedState | None = None
-    words: dict[str, ConfigVersion] = field(default_factory=dict)  # file -> body
+    versions: dict[str, ConfigVersion] = field(default_factory=dict)  # file -> body
     troubles: list[OperationError] = field(default_factory=list)
 
-    def body(self, stamp: VersionId) -> ConfigVersion | None:
-        return next((word for word in self.words.values() if word.stamp == stamp), None)
+    def body(self, version_id: VersionId) -> ConfigVersion | None:
+        return next((version for version in self.versions.values() if version.version_id == version_id), None)
 
     @property
     def values(self) -> list[Value]:
@@ -29,13 +29,17 @@
         return [self.state.decided, self.state.kept.value] if self.state is not None else []
 
     def holds(self, value: Value) -> bool:
-        return value.stamp == NO_VERSION or self.body(value.stamp) is not None
+        return value.version_id == NO_VERSION or self.body(value.version_id) is not None
 
-    def standing(self, stamp: VersionId) -> str:
+    def standing(self, version_id: VersionId) -> str:
         """`decided`, `accepted` (perhaps not decided) or `kept` (an older one, or one that was never decided)."""
-        if self.state is not None and stamp == self.state.decided.stamp:
+        if self.state is not None and version_id == self.state.decided.version_id:
             return "decided"
-        return "accepted" if self.state is not None and stamp == self.state.kept.value.stamp else "kept"
+        return (
+            "accepted"
+            if self.state is not None and version_id == self.state.kept.value.version_id
+            else "kept"
+        )
 
 
 def look(folder: Folder) -> Disk:
@@ -46,7 +50,7 @@
             if name == acceptor_state.NAME:
                 disk.state = acceptor_state.decode(folder.read(name))
             elif name.endswith(".word"):
-                disk.words[name] = version_files.decode(folder.read(name))
+                disk.versions[name] = version_files.decode(folder.read(name))
         except ValueError as error:
             disk.troubles.append(OperationError("read", name, str(error)))
     return disk
@@ -68,17 +72,23 @@
     if not disk.holds(value):
         return [
             *disk.troubles,
-            OperationError("check", f"r{value.stamp.number}", "accepted, but its body is not here"),
+            OperationError("check", f"r{value.version_id.number}", "accepted, but its body is not here"),
         ]
     return disk.troubles
 
 
 def newest(disk: Disk) -> ConfigVersion | None:
     """The body to be exported: that of the newest decided value, else of the one accepted, that is here."""
-    return next((word for value in disk.values if (word := disk.body(value.stamp)) is not None), None)
+    return next(
+        (version for value in disk.values if (version := disk.body(value.version_id)) is not None), None
+    )
 
 
 def named(disk: Disk, generation: str) -> ConfigVersion | None:
     """The body of `r12`; where two have this number, the one that was decided or accepted."""
-    found = [word for word in disk.words.values() if f"r{word.stamp.number}" == generation]
-    return min(found, key=lambda word: (disk.standing(word.stamp) == "kept", word.stamp.digest), default=None)
+    found = [version for version in disk.versions.values() if f"r{version.version_id.number}" == generation]
+    return min(
+        found,
+        key=lambda version: (disk.standing(version.version_id) == "kept", version.version_id.digest),
+        default=None,
+    )
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -27,10 +27,10 @@
     folder.sync_names()
 
 
-def encode(word: ConfigVersion) -> bytes:
+def encode(version: ConfigVersion) -> bytes:
     """A line with magic, number, digest, length and a check of these, then the body as it came."""
-    told = f"{MAGIC} {word.stamp.number} {word.stamp.digest.hex()} {len(word.body)}"
-    return f"{told} {_check(told)}\n".encode() + word.body
+    told = f"{MAGIC} {version.version_id.number} {version.version_id.digest.hex()} {len(version.body)}"
+    return f"{told} {_check(told)}\n".encode() + version.body
 
 
 def _check(told: str) -> str:
@@ -44,10 +44,10 @@
     parts = told.split(" ")
     if not line or check != _check(told) or len(parts) != 4 or parts[0] != MAGIC:
         raise ValueError("no word")
-    word = ConfigVersion(VersionId(int(parts[1]), bytes.fromhex(parts[2])), body)
-    if str(len(body)) != parts[3] or not word.is_whole():
+    version = ConfigVersion(VersionId(int(parts[1]), bytes.fromhex(parts[2])), body)
+    if str(len(body)) != parts[3] or not version.is_whole():
         raise ValueError("torn")
-    return word
+    return version
 
 
 class Files:
@@ -55,39 +55,45 @@
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
-        self.stamps: dict[str, VersionId] = {}  # file -> what is in it, synced; the one kept last is the last
+        self.version_ids: dict[
+            str, VersionId
+        ] = {}  # file -> what is in it, synced; the one kept last is the last
 
     def open(self) -> list[ConfigVersion]:
         """All whole words, synced, by number. OSError where the disk refuses."""
-        words = []
+        versions = []
         for name in self.folder.names():
             if name.endswith(NEW):
                 self.folder.remove(name)  # of a process that was killed in the act
             if not (name.startswith("r") and name.endswith(".word")):
                 continue
             try:
-                word = decode(self.folder.read(name))
+                version = decode(self.folder.read(name))
             except (OSError, ValueError) as error:
                 log_event(Event.FILE_DAMAGED, file=name, error=error)
                 continue
             self.folder.sync(name)  # the process that wrote it may have been killed before it synced
-            self.stamps[name] = word.stamp
-            words.append(word)
-        if words:
+            self.version_ids[name] = version.version_id
+            versions.append(version)
+        if versions:
             self.folder.sync_names()
-        return words
+        return versions
 
-    def has(self, stamp: VersionId) -> bool:
+    def has(self, version_id: VersionId) -> bool:
         """Whether this body is on the disk, synced."""
-        return stamp in self.stamps.values()
+        return version_id in self.version_ids.values()
 
-    def keep(self, word: ConfigVersion, needed: Collection[VersionId] = ()) -> None:
+    def keep(self, version: ConfigVersion, needed: Collection[VersionId] = ()) -> None:
         """Synced when it returns. `needed`: what must stay. OSError where the disk refuses."""
-        name = f"r{word.stamp.number:018d}-{word.stamp.digest.hex()[:16]}.word"
-        if name not in self.stamps:
-            put(self.folder, name, encode(word))
-            self.stamps[name] = word.stamp
-        spare = [other for other, stamp in self.stamps.items() if stamp not in needed and other != name]
+        name = f"r{version.version_id.number:018d}-{version.version_id.digest.hex()[:16]}.word"
+        if name not in self.version_ids:
+            put(self.folder, name, encode(version))
+            self.version_ids[name] = version.version_id
+        spare = [
+            other
+            for other, version_id in self.version_ids.items()
+            if version_id not in needed and other != name
+        ]
         for other in spare[:-KEPT]:
-            del self.stamps[other]
+            del self.version_ids[other]
             self.folder.remove(other)  # needs no sync: one that is back is only an older version
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -47,15 +47,21 @@
 class SyncState:
     """What a caller has: its newest word, and how much of another it has got so far.
 
-    `offset` counts bytes of the other's body, or, below nought, those of a packed difference against `stamp`.
+    `offset` counts bytes of the other's body, or, below nought, those of a packed difference against `version_id`.
     """
 
-    stamp: VersionId = NO_VERSION
+    version_id: VersionId = NO_VERSION
     arriving: VersionId = NO_VERSION
     offset: int = 0
 
     def tell(self) -> list[Any]:
-        return [self.stamp.number, self.stamp.digest, self.arriving.number, self.arriving.digest, self.offset]
+        return [
+            self.version_id.number,
+            self.version_id.digest,
+            self.arriving.number,
+            self.arriving.digest,
+            self.offset,
+        ]
 
     @staticmethod
     def hear(told: list[Any]) -> SyncState:
@@ -88,27 +94,27 @@
         self.packed: OrderedDict[tuple[bytes, bytes, int], bytes] = OrderedDict()  # digest, base, place
         self.packed_bytes = 0
 
-    def hold(self, word: ConfigVersion) -> None:
+    def hold(self, version: ConfigVersion) -> None:
         """Keep it as the newest; the oldest goes."""
-        if self.newest is None or word.stamp.digest == self.newest.stamp.digest:
-            self.newest = word
+        if self.newest is None or version.version_id.digest == self.newest.version_id.digest:
+            self.newest = version
             return
-        before, self.newest = self.newest, word
+        before, self.newest = self.newest, version
         if self.kept == 0:
             return
         try:
-            back = difference(word.body, before.body)
+            back = difference(version.body, before.body)
         except NoDifference:
             self.older.clear()  # those before can be made of it alone
             self._keep_whole(before)
             return
-        self.older.insert(0, (before.stamp, back, len(before.body)))
+        self.older.insert(0, (before.version_id, back, len(before.body)))
         while len(self.older) > self.kept or sum(len(packed) for _, packed, _ in self.older) > MOST_KEPT:
             self.older.pop()
 
-    def _keep_whole(self, word: ConfigVersion) -> None:
-        self.whole[word.stamp.digest] = word
-        self.whole.move_to_end(word.stamp.digest)
+    def _keep_whole(self, version: ConfigVersion) -> None:
+        self.whole[version.version_id.digest] = version
+        self.whole.move_to_end(version.version_id.digest)
         while len(self.whole) > MOST_WHOLE:
             self.whole.popitem(last=False)
 
@@ -117,101 +123,114 @@
             digest in self.whole
             or self._is(self.snapshot, digest)
             or self._is(self.newest, digest)
-            or any(stamp.digest == digest for stamp, _, _ in self.older)
+            or any(version_id.digest == digest for version_id, _, _ in self.older)
         )
 
     @staticmethod
-    def _is(word: ConfigVersion | None, digest: bytes) -> bool:
-        return word is not None and word.stamp.digest == digest
+    def _is(version: ConfigVersion | None, digest: bytes) -> bool:
+        return version is not None and version.version_id.digest == digest
 
     def get(self, digest: bytes) -> ConfigVersion | None:
-        for word in (self.newest, self.snapshot):
-            if word is not None and word.stamp.digest == digest:
-                return word
+        for version in (self.newest, self.snapshot):
+            if version is not None and version.version_id.digest == digest:
+                return version
         if digest in self.whole:
             self.whole.move_to_end(digest)
             return self.whole[digest]
         if self.newest is None or not self.has(digest):
             return None
         body = self.newest.body
-        for stamp, packed, length in self.older:
+        for version_id, packed, length in self.older:
             body = apply(body, packed, length)
-            if stamp.digest == digest:
-                word = ConfigVersion(stamp, body)
-                self._keep_whole(word)
-                return word
+            if version_id.digest == digest:
+                version = ConfigVersion(version_id, body)
+                self._keep_whole(version)
+                return version
         return None
 
-    def parcel(self, have: SyncState, want: VersionId, by_snapshot: bool = False) -> list[Any] | None:
+    def chunk(self, sync_state: SyncState, want: VersionId, by_snapshot: bool = False) -> list[Any] | None:
         """The next parcel of this word for a caller that has that; None where the body is not here.
 
         A caller that is in the middle of another, newer than what it has, may get the next piece of that one: its
         difference to what is wanted comes after it, and is short. `by_snapshot`: it may begin with an older one.
         """
-        word = self.get(want.digest)
-        if word is None or len(word.body) > MOST_BODY:
+        version = self.get(want.digest)
+        if version is None or len(version.body) > MOST_BODY:
             return None
-        going_on = have.arriving != NO_VERSION and have.offset > 0
-        if not (going_on and have.arriving == want):
-            packed = self._difference(have.stamp.digest, word)
+        going_on = sync_state.arriving != NO_VERSION and sync_state.offset > 0
+        if not (going_on and sync_state.arriving == want):
+            packed = self._difference(sync_state.version_id.digest, version)
             if packed is not None:
-                offset = -have.offset if have.arriving == want and have.offset < 0 else 0
-                return self._difference_parcel(word, have.stamp.digest, packed, offset)
-        if going_on and have.stamp < have.arriving < want:
-            other = self.get(have.arriving.digest)
-            if other is not None and 0 < have.offset < len(other.body):
-                return self._piece(other, have.offset)
-        if going_on and have.arriving == want:
-            return self._piece(word, have.offset)
-        return self._piece(self._snapshot(word, have.stamp) if by_snapshot else word, 0)
-
-    def _snapshot(self, word: ConfigVersion, above: VersionId) -> ConfigVersion:
+                offset = -sync_state.offset if sync_state.arriving == want and sync_state.offset < 0 else 0
+                return self._difference_chunk(version, sync_state.version_id.digest, packed, offset)
+        if going_on and sync_state.version_id < sync_state.arriving < want:
+            other = self.get(sync_state.arriving.digest)
+            if other is not None and 0 < sync_state.offset < len(other.body):
+                return self._piece(other, sync_state.offset)
+        if going_on and sync_state.arriving == want:
+            return self._piece(version, sync_state.offset)
+        return self._piece(self._snapshot(version, sync_state.version_id) if by_snapshot else version, 0)
+
+    def _snapshot(self, version: ConfigVersion, above: VersionId) -> ConfigVersion:
         """What a caller begins with that wants this word and has nothing near it: the snapshot, above what it has;
         renewed where it is far from the word by now."""
         before = self.snapshot
-        if before is not None and above < before.stamp < word.stamp:
-            packed = self._difference(before.stamp.digest, word)
-            if packed is not None and len(packed) * FRESH <= len(word.body):
+        if before is not None and above < before.version_id < version.version_id:
+            packed = self._difference(before.version_id.digest, version)
+            if packed is not None and len(packed) * FRESH <= len(version.body):
                 return before
-        if before is not None and before.stamp < word.stamp:
+        if before is not None and before.version_id < version.version_id:
             self._keep_whole(before)  # some may be in the middle of it
-        self.snapshot = word
-        return word
+        self.snapshot = version
+        return version
 
-    def _piece(self, word: ConfigVersion, offset: int) -> list[Any]:
-        length, digest = len(word.body), word.stamp.digest
+    def _piece(self, version: ConfigVersion, offset: int) -> list[Any]:
+        length, digest = len(version.body), version.version_id.digest
         if offset >= length:
             offset = 0
         packed = self._packed(digest, b"", offset)
         if packed is None:
-            packed = self._pack(digest, b"", offset, zlib.compress(word.body[offset : offset + PIECE], LEVEL))
-        check = _check(word.stamp.number, digest, length, b"", length, offset, packed)
-        return [word.stamp.number, digest, length, b"", length, offset, check, packed]
-
-    def _difference_parcel(self, word: ConfigVersion, base: bytes, packed: bytes, offset: int) -> list[Any]:
-        length, size = len(word.body), len(packed)
+            packed = self._pack(
+                digest, b"", offset, zlib.compress(version.body[offset : offset + PIECE], LEVEL)
+            )
+        check = _check(version.version_id.number, digest, length, b"", length, offset, packed)
+        return [version.version_id.number, digest, length, b"", length, offset, check, packed]
+
+    def _difference_chunk(self, version: ConfigVersion, base: bytes, packed: bytes, offset: int) -> list[Any]:
+        length, size = len(version.body), len(packed)
         if offset >= size:
             offset = 0
         piece = packed[offset : offset + MOST_DIFFERENCE]
-        check = _check(word.stamp.number, word.stamp.digest, length, base, size, offset, piece)
-        return [word.stamp.number, word.stamp.digest, length, base, size, offset, check, piece]
-
-    def _difference(self, base: bytes, word: ConfigVersion) -> bytes | None:
+        check = _check(
+            version.version_id.number, version.version_id.digest, length, base, size, offset, piece
+        )
+        return [
+            version.version_id.number,
+            version.version_id.digest,
+            length,
+            base,
+            size,
+            offset,
+            check,
+            piece,
+        ]
+
+    def _difference(self, base: bytes, version: ConfigVersion) -> bytes | None:
         """Packed once for all callers that have this base; None where the whole is told instead."""
-        if not base or base == word.stamp.digest:
+        if not base or base == version.version_id.digest:
             return None
-        packed = self._packed(word.stamp.digest, base, -1)
+        packed = self._packed(version.version_id.digest, base, -1)
         if packed is None:
             other = self.get(base)
             if other is None:
                 return None
             try:
-                packed = difference(other.body, word.body)
+                packed = difference(other.body, version.body)
             except NoDifference:
                 packed = b""
-            if len(packed) * SMALLER > len(word.body):
+            if len(packed) * SMALLER > len(version.body):
                 packed = b""  # kept as well: it is not worked out again
-            self._pack(word.stamp.digest, base, -1, packed)
+            self._pack(version.version_id.digest, base, -1, packed)
         return packed or None
 
     def _packed(self, digest: bytes, base: bytes, offset: int) -> bytes | None:
@@ -236,28 +255,28 @@
 class ChunkAssembler:
     """Words on their way to this process. Holds at most one that is not whole, so `MOST_BODY` bytes."""
 
-    def __init__(self, shelf: VersionStore) -> None:
-        self.shelf = shelf
+    def __init__(self, version_store: VersionStore) -> None:
+        self.version_store = version_store
         self.held = NO_VERSION  # the newest word that is held, as last told
         self.last = NO_VERSION  # the last one that came whole: a base, also before it holds
         self.from_nothing = False  # something could not be used: the whole is asked for
         self.no_use = 0  # parcels in a row
         self._begin(NO_VERSION, 0, b"", 0)
 
-    def _begin(self, stamp: VersionId, length: int, base: bytes, size: int) -> None:
+    def _begin(self, version_id: VersionId, length: int, base: bytes, size: int) -> None:
         """Forget what was got so far."""
-        self.stamp, self.length, self.base, self.size = stamp, length, base, size
+        self.version_id, self.length, self.base, self.size = version_id, length, base, size
         self.got, self.hash = bytearray(), hashlib.sha256()
 
-    def have(self, stamp: VersionId) -> SyncState:
-        """What to say when asking; `stamp`: the newest word that is held."""
-        self.held = stamp
-        base = self.last if self.from_nothing else max(stamp, self.last)
-        if self.shelf.has(self.stamp.digest) or (self.base and self.base != base.digest):
+    def sync_state(self, version_id: VersionId) -> SyncState:
+        """What to say when asking; `version_id`: the newest word that is held."""
+        self.held = version_id
+        base = self.last if self.from_nothing else max(version_id, self.last)
+        if self.version_store.has(self.version_id.digest) or (self.base and self.base != base.digest):
             self._begin(NO_VERSION, 0, b"", 0)
-        return SyncState(base, self.stamp, -len(self.got) if self.base else len(self.got))
+        return SyncState(base, self.version_id, -len(self.got) if self.base else len(self.got))
 
-    def take(self, parcel: list[Any]) -> ConfigVersion | None:
+    def take(self, chunk: list[Any]) -> ConfigVersion | None:
         """The word, where it is whole and proves itself (it is on the shelf then).
 
         None where more is to come, or where the parcel was no use. One that came before, or is of another word
@@ -265,7 +284,7 @@
         by its length is another by its digest, what was got so far is forgotten and the whole is asked for.
         """
         try:
-            number, digest, length, base, size, offset, check, piece = parcel
+            number, digest, length, base, size, offset, check, piece = chunk
             if not (
                 all(type(figure) is int for figure in (number, length, size, offset, check))
                 and all(type(data) is bytes for data in (digest, base, piece))
@@ -289,20 +308,22 @@
             return None
 
     def _take(
-        self, stamp: VersionId, length: int, base: bytes, size: int, offset: int, piece: bytes
+        self, version_id: VersionId, length: int, base: bytes, size: int, offset: int, piece: bytes
     ) -> ConfigVersion | None:
-        if self.shelf.has(stamp.digest):  # from another source, a moment ago
-            self._came(stamp)
-            return self.shelf.get(stamp.digest)
-        if (stamp, length, base, size) != (self.stamp, self.length, self.base, self.size):
-            goes_on = bool(self.got) and not self.base and self.stamp > self.held and self.no_use < STUBBORN
+        if self.version_store.has(version_id.digest):  # from another source, a moment ago
+            self._came(version_id)
+            return self.version_store.get(version_id.digest)
+        if (version_id, length, base, size) != (self.version_id, self.length, self.base, self.size):
+            goes_on = (
+                bool(self.got) and not self.base and self.version_id > self.held and self.no_use < STUBBORN
+            )
             if offset > 0 or goes_on:
                 raise NoDifference("of another word than the one on its way")
-            if base and not self.shelf.has(base):
+            if base and not self.version_store.has(base):
                 raise VersionMismatch("the base is not here")
             if not base:
                 self.last = NO_VERSION  # told as a base, it was none to this source
-            self._begin(stamp, length, base, size)
+            self._begin(version_id, length, base, size)
         if offset != len(self.got):
             raise NoDifference("doubled, or out of order")
         more = piece if base else unpack(piece, min(PIECE, size - offset))
@@ -317,7 +338,7 @@
         """What was got is all there is: the word. AnotherWord where it is not the one that was announced."""
         body, proof = bytes(self.got), self.hash
         if self.base:
-            held = self.shelf.get(self.base)
+            held = self.version_store.get(self.base)
             if held is None:
                 raise VersionMismatch("the base is here no more")
             try:
@@ -325,17 +346,17 @@
             except NoDifference as error:
                 raise VersionMismatch(str(error)) from error
             proof = hashlib.sha256(body)
-        if proof.digest() != self.stamp.digest:
+        if proof.digest() != self.version_id.digest:
             raise VersionMismatch("whole by its length, another by its digest")
-        word = ConfigVersion(self.stamp, body)
+        version = ConfigVersion(self.version_id, body)
         self._begin(NO_VERSION, 0, b"", 0)
-        self._came(word.stamp)
-        self.shelf.hold(word)
-        return word
+        self._came(version.version_id)
+        self.version_store.hold(version)
+        return version
 
-    def _came(self, stamp: VersionId) -> None:
+    def _came(self, version_id: VersionId) -> None:
         """It is whole here: a base, the only one told after something could not be used, until a word is as new as
         the one that is held."""
-        self.last = stamp
-        if stamp >= self.held:
+        self.last = version_id
+        if version_id >= self.held:
             self.from_nothing = False
--- a/irisdeal/permits/held.py
+++ b/irisdeal/permits/held.py
@@ -35,7 +35,7 @@
     def __init__(self, holder: int) -> None:
         self.holder, self.sequence = holder, 0
         self.batches: dict[Issuer, Batch] = {}
-        self.lives: dict[str, int] = {}  # registry -> its life, as it told last
+        self.incarnations: dict[str, int] = {}  # registry -> its life, as it told last
         self.demand: dict[str, float] = {}  # tenant -> requests a second, smoothed
 
     def note_demand(self, tenant: str, asked: int, interval_s: float) -> None:
@@ -80,15 +80,15 @@
         self.sequence += 1
         self.batches = {issuer: batch for issuer, batch in self.batches.items() if batch.until > now}
         self.drop(lambda tenant: tenant not in self.demand)
-        life = self.lives.get(registry, 0)
-        batch = self.batches.get((registry, life))
+        incarnation = self.incarnations.get(registry, 0)
+        batch = self.batches.get((registry, incarnation))
         held = dict(batch.permits) if batch is not None else {}
         wanted = {}
         for tenant, demand in self.demand.items():
             aim = min(MOST_WANTED, math.ceil(RESERVE_S * demand))
             if aim > held.get(tenant, 0):
                 wanted[tenant] = aim
-        return HeldReport(self.holder, self.sequence, life, held, wanted)
+        return HeldReport(self.holder, self.sequence, incarnation, held, wanted)
 
     def hear(self, registry: str, reply: ReserveReply, sent_at: float, now: float) -> None:
         """What the registry answered to the report that was sent at `sent_at`.
@@ -96,12 +96,12 @@
         A reply of the life that the report was for renews what was held; one of another life begins a batch.
         """
         until = sent_at + LEASE_S
-        self.lives[registry] = reply.life
+        self.incarnations[registry] = reply.incarnation
         if not reply.is_issuing or now >= until:
             return
-        batch = self.batches.get((registry, reply.life))
+        batch = self.batches.get((registry, reply.incarnation))
         if batch is None or batch.until <= now:  # what is over is not renewed
-            batch = self.batches[registry, reply.life] = Batch(until)
+            batch = self.batches[registry, reply.incarnation] = Batch(until)
         batch.until = until
         for tenant, change in reply.changes.items():
             if change > 0:
--- a/irisdeal/permits/issuer.py
+++ b/irisdeal/permits/issuer.py
@@ -22,10 +22,10 @@
 
 
 class PermitIssuer:
-    """The permits of one registry's process. `life`: of the process; times are s of its steady clock."""
+    """The permits of one registry's process. `incarnation`: of the process; times are s of its steady clock."""
 
-    def __init__(self, life: int, rule: QuotaRule, authority: IssuingAuthority, now: float) -> None:
-        self.life, self.rule, self.authority, self.born = life, rule, authority, now
+    def __init__(self, incarnation: int, rule: QuotaRule, authority: IssuingAuthority, now: float) -> None:
+        self.incarnation, self.rule, self.authority, self.born = incarnation, rule, authority, now
         self.limits: Mapping[str, Limit] = {}
         self.buckets: dict[str, PermitBucket] = {}
         self.outstanding = OutstandingPermits()
@@ -109,16 +109,16 @@
 
     def report(self, report: HeldReport, age_s: float | None, now: float) -> ReserveReply:
         """A proxy's report of what it holds; what it may hold from now on."""
-        held = report.held if report.life == self.life else {}
+        held = report.held if report.incarnation == self.incarnation else {}
         is_newest = self.outstanding.report(report.holder, report.sequence, held, now)
         if not is_newest or not self.may_issue(age_s, now) or now < self.reserves_from:
-            return ReserveReply(self.life)
+            return ReserveReply(self.incarnation)
         changes: dict[str, int] = {}
         for tenant in held.keys() | report.wanted.keys():
             change = self._adjust(report.holder, tenant, report.wanted.get(tenant, 0), now)
             if change:
                 changes[tenant] = change
-        return ReserveReply(self.life, True, changes)
+        return ReserveReply(self.incarnation, True, changes)
 
     def _adjust(self, holder: int, tenant: str, wanted: int, now: float) -> int:
         """Renew what is held where all that is outstanding has room, and grant more. The change of what is held."""
--- a/irisdeal/permits/messages.py
+++ b/irisdeal/permits/messages.py
@@ -15,25 +15,25 @@
 class HeldReport:
     """A proxy's word of the permits that it holds of one registry.
 
-    `holder`: the proxy's process; `sequence`: rises with each report; `life`: of the registry that granted them;
-    `held`: what it holds, by tenant; `wanted`: how many it wants to hold in all, where that is more.
+    `holder`: the proxy's process; `sequence`: rises with each report; `incarnation`: of the registry that granted
+    them; `held`: what it holds, by tenant; `wanted`: how many it wants to hold in all, where that is more.
     """
 
     holder: int
     sequence: int
-    life: int
+    incarnation: int
     held: Mapping[str, int] = field(default_factory=dict)
     wanted: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
         """For the wire."""
-        return [self.holder, self.sequence, self.life, dict(self.held), dict(self.wanted)]
+        return [self.holder, self.sequence, self.incarnation, dict(self.held), dict(self.wanted)]
 
     @staticmethod
     def decode(told: Any) -> HeldReport:
         """ValueError, TypeError where it is none."""
-        holder, sequence, life, held, wanted = told
-        return HeldReport(int(holder), int(sequence), int(life), _counts(held), _counts(wanted))
+        holder, sequence, incarnation, held, wanted = told
+        return HeldReport(int(holder), int(sequence), int(incarnation), _counts(held), _counts(wanted))
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,19 +43,19 @@
     `is_issuing`: whether what is held is renewed; where it is not, it stands until its lease is over.
     """
 
-    life: int
+    incarnation: int
     is_issuing: bool = False
     changes: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
         """For the wire."""
-        return [self.life, self.is_issuing, dict(self.changes)]
+        return [self.incarnation, self.is_issuing, dict(self.changes)]
 
     @staticmethod
     def decode(told: Any) -> ReserveReply:
         """ValueError, TypeError where it is none."""
-        life, is_issuing, changes = told
-        return ReserveReply(int(life), bool(is_issuing), _counts(changes))
+        incarnation, is_issuing, changes = told
+        return ReserveReply(int(incarnation), bool(is_issuing), _counts(changes))
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/placement/load_reports.py
+++ b/irisdeal/placement/load_reports.py
@@ -33,6 +33,6 @@
             if now - at > KEPT:
                 del self.others[who]
                 continue
-            for life, count in out.items():
-                total[life] = total.get(life, 0) + count
+            for incarnation, count in out.items():
+                total[incarnation] = total.get(incarnation, 0) + count
         return total
--- a/irisdeal/proxy/config_apply.py
+++ b/irisdeal/proxy/config_apply.py
@@ -39,11 +39,11 @@
         self.begun = -PACE
         self.dropped = 0
 
-    def take(self, word: ConfigVersion) -> None:
+    def take(self, version: ConfigVersion) -> None:
         """A word to be in force. A short one, not too soon after the one before, is so when this returns."""
-        if self.newest is not None and word.stamp <= self.newest:
+        if self.newest is not None and version.version_id <= self.newest:
             return
-        self.newest, self.waiting = word.stamp, word
+        self.newest, self.waiting = version.version_id, version
         if self.working:
             return
         if self.loop.time() - self.begun < PACE:
@@ -56,13 +56,13 @@
             self.tasks.start(self._work(steps))
 
     def _begin(self) -> Steps:
-        word, self.waiting = self.waiting, None
-        assert word is not None
+        version, self.waiting = self.waiting, None
+        assert version is not None
         self.begun = self.loop.time()
-        return self._steps(word)
+        return self._steps(version)
 
-    def _steps(self, word: ConfigVersion) -> Steps:
-        found = yield from reading(word.body, self.reading)
+    def _steps(self, version: ConfigVersion) -> Steps:
+        found = yield from reading(version.body, self.reading)
         if isinstance(found, Failure):
             log_event(Event.CONFIGURATION_UNREADABLE, trouble=found.failure())
             return None
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -63,7 +63,7 @@
         self.has_table = asyncio.Event()
         self.tasks = Tasks()
         self.config_apply = ConfigApply(self._in_force, self.tasks)
-        self.sources = Sources(settings, self._on_word, self._on_life)
+        self.sources = Sources(settings, self._on_version, self._on_incarnation)
         self.choice = BackendChoice(self.chance)
         self.backends: dict[str, Backend] = {}
         self.services: dict[str, dict[str, Backend]] = {}
@@ -165,8 +165,8 @@
 
     # News
 
-    def _on_word(self, word: ConfigVersion) -> None:
-        self.config_apply.take(word)
+    def _on_version(self, version: ConfigVersion) -> None:
+        self.config_apply.take(version)
 
     def _in_force(self, table: Table) -> None:
         """Requests that come from now on run by this table."""
@@ -178,41 +178,41 @@
         bounds.head_time, bounds.idle_time = limits.header_timeout_ms / 1000, limits.idle_timeout_ms / 1000
         log_event(Event.CONFIGURATION_APPLIED, generation=table.generation)
 
-    def _on_life(self, life: BackendIncarnation, silent: bool) -> None:
-        backend = self.backends.get(life.id)
-        if life.state is BackendState.GONE:
+    def _on_incarnation(self, incarnation: BackendIncarnation, silent: bool) -> None:
+        backend = self.backends.get(incarnation.id)
+        if incarnation.state is BackendState.GONE:
             if backend is not None:
                 backend.draining = True
-                del self.backends[life.id]
-                self.services[life.service].pop(life.id, None)
-                self.pool.retire(life.id)
+                del self.backends[incarnation.id]
+                self.services[incarnation.service].pop(incarnation.id, None)
+                self.pool.retire(incarnation.id)
             return
         if backend is None:
             near = (
                 0
-                if life.zone == self.settings.zone
-                else (1 if self.settings.zones.get(life.zone) == self.settings.region else 2)
+                if incarnation.zone == self.settings.zone
+                else (1 if self.settings.zones.get(incarnation.zone) == self.settings.region else 2)
             )
             backend = Backend(
-                life.id,
-                life.service,
-                address(life.address),
-                life.zone,
+                incarnation.id,
+                incarnation.service,
+                address(incarnation.address),
+                incarnation.zone,
                 near,
-                max(1, life.capacity),
-                life.warm_at,
-                key=key(life.id),
+                max(1, incarnation.capacity),
+                incarnation.warm_at,
+                key=key(incarnation.id),
             )
-            self.backends[life.id] = backend
-            self.services.setdefault(life.service, {})[life.id] = backend
+            self.backends[incarnation.id] = backend
+            self.services.setdefault(incarnation.service, {})[incarnation.id] = backend
             # the starting bound, until there is a total: a door that starts is not idle
             if not self.admission.has_reported:
                 self.gate.slots = self._slots()
-        backend.warm_at = life.warm_at
+        backend.warm_at = incarnation.warm_at
         backend.silent = silent
-        backend.draining = backend.draining or life.state is BackendState.DRAINING
+        backend.draining = backend.draining or incarnation.state is BackendState.DRAINING
         if backend.draining:
-            self.pool.retire(life.id)
+            self.pool.retire(incarnation.id)
 
     def _limit_of(self, tenant: str) -> Limit | None:
         known = self.table.tenants.get(tenant) if self.table is not None else None
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -60,19 +60,19 @@
     def __init__(
         self,
         settings: Settings,
-        on_word: Callable[[ConfigVersion], None],
-        on_life: Callable[[BackendIncarnation, bool], None],
+        on_version: Callable[[ConfigVersion], None],
+        on_incarnation: Callable[[BackendIncarnation, bool], None],
     ) -> None:
-        self.settings, self.on_word, self.on_life = settings, on_word, on_life
+        self.settings, self.on_version, self.on_incarnation = settings, on_version, on_incarnation
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
-        self.arrivals = ChunkAssembler(VersionStore(kept=0))
-        self.word: ConfigVersion | None = None
+        self.assembler = ChunkAssembler(VersionStore(kept=0))
+        self.version: ConfigVersion | None = None
         self.change = -1  # of the newest word that is here
         self.as_of = float("-inf")  # we know all that was decided by then
         self.born = self.loop.time()
         self.has_contact: bool | None = None  # as was told last; None before any
-        self.lives: dict[str, BackendIncarnation] = {}
+        self.incarnations: dict[str, BackendIncarnation] = {}
         self.ended: dict[str, float] = {}
         self.silent: dict[str, dict[str, bool]] = {}  # life -> source -> whether it says silent
         self.using: list[str] = []
@@ -106,9 +106,9 @@
     # How old what we know may be
 
     @property
-    def stamp(self) -> VersionId:
+    def version_id(self) -> VersionId:
         """Of the word that is here."""
-        return self.word.stamp if self.word is not None else NO_VERSION
+        return self.version.version_id if self.version is not None else NO_VERSION
 
     def age(self, now: float) -> float:
         """s since the moment by which we know all that was decided; inf where no source in contact told any."""
@@ -150,7 +150,7 @@
     def _is_left(self, ip: str, now: float) -> bool:
         return self.left.get(ip, (0.0, 0.0))[0] > now
 
-    def _leave(self, ip: str) -> None:
+    def _deregister(self, ip: str) -> None:
         """Do not prefer it for a while, of another length at each door: they do not come back as one."""
         _, before = self.left.get(ip, (0.0, 0.0))
         lasts = min(MOST_LEFT, max(LEFT, 2 * before))
@@ -203,54 +203,56 @@
 
     async def _ask(self, ip: str, link: RpcClient) -> None:
         """Ask one source until it is silent, out of contact, or another one is better."""
-        life = number = 0
+        incarnation = number = 0
         while True:
-            have, sent = self._have(ip), self.loop.time()
-            answer = await link.call("news", [have.tell(), life, number, self.change], ASK)
+            sync_state, sent = self._have(ip), self.loop.time()
+            answer = await link.call("news", [sync_state.tell(), incarnation, number, self.change], ASK)
             if isinstance(answer, Failure):
                 log_event(Event.SOURCE_SILENT, source=ip, trouble=answer.failure())
-                return self._leave(ip)
-            parcel, now_life, number, lives, zones, age, change = answer.unwrap()
+                return self._deregister(ip)
+            chunk, now_life, number, incarnations, zones, age, change = answer.unwrap()
             self.answering.add(ip)
             self.has_heard.set()
-            is_first = now_life != life
+            is_first = now_life != incarnation
             if is_first:
-                life = now_life
-                if self.known.get(ip) != life:
-                    self.known[ip] = life
+                incarnation = now_life
+                if self.known.get(ip) != incarnation:
+                    self.known[ip] = incarnation
                     self.tasks.start(self._tell_again(link))
             before = self.change, self._have(ip)
-            self._hear_word(ip, have, parcel, change)
-            self._hear_lives(ip, lives)
+            self._hear_word(ip, sync_state, chunk, change)
+            self._hear_lives(ip, incarnations)
             is_good = self._hear_age(ip, sent, age, change)
             self._hear_zones(ip, zones, is_good)
             self._judge()
             if not is_good and not self._is_left(ip, self.loop.time()) and not self._waits():
                 log_event(Event.SOURCE_WITHOUT_CONTACT, source=ip, age=age)
-                self._leave(ip)
+                self._deregister(ip)
             if self._better(ip, is_good):
                 return
-            is_idle = not (is_first or lives) and (self.change, self._have(ip)) == before
+            is_idle = not (is_first or incarnations) and (self.change, self._have(ip)) == before
             if is_idle and self.loop.time() - sent < IDLE:
                 await asyncio.sleep(MOST_PAUSE)
 
     def _have(self, ip: str) -> SyncState:
         """What we have, for this source: while a word comes in pieces from another one, this is to bring none."""
-        return self.arrivals.have(self.stamp) if self.arriving in ("", ip) else SyncState(ENOUGH)
+        return self.assembler.sync_state(self.version_id) if self.arriving in ("", ip) else SyncState(ENOUGH)
 
-    def _hear_word(self, ip: str, have: SyncState, parcel: list[Any] | None, change: int) -> None:
+    def _hear_word(self, ip: str, sync_state: SyncState, chunk: list[Any] | None, change: int) -> None:
         """`change`: of the source's newest word; below 0 where this parcel is of an older one."""
-        if parcel is None:
+        if chunk is None:
             if self.arriving == ip:
                 self.arriving = ""
-            if have.stamp == self.stamp:
+            if sync_state.version_id == self.version_id:
                 self.change = max(self.change, change)
-        elif have == self._have(ip):  # else the other one has brought it meanwhile
-            word = self.arrivals.take(parcel)
-            self.arriving = ip if word is None and self.arrivals.have(self.stamp).offset != 0 else ""
-            if word is not None and word.stamp.number > self.stamp.number:
-                self.word, self.change = word, max(self.change, change)
-                self.on_word(word)
+        elif sync_state == self._have(ip):  # else the other one has brought it meanwhile
+            version = self.assembler.take(chunk)
+            self.arriving = (
+                ip if version is None and self.assembler.sync_state(self.version_id).offset != 0 else ""
+            )
+            if version is not None and version.version_id.number > self.version_id.number:
+                self.version, self.change = version, max(self.change, change)
+                self.on_version(version)
 
     def _hear_age(self, ip: str, sent: float, age: int, change: int) -> bool:
         """Whether the source has contact. `age`: ms, below 0 where it has none; `change`: as above."""
@@ -286,48 +288,52 @@
     async def _tell_again(self, link: RpcClient) -> None:
         """A source that is new, or has started again, may have forgotten: tell it what we know."""
         now = self.loop.time()
-        await link.call("lives", [[encode_incarnation(life, now), 0] for life in self.lives.values()], ASK)
+        await link.call(
+            "lives",
+            [[encode_incarnation(incarnation, now), 0] for incarnation in self.incarnations.values()],
+            ASK,
+        )
 
-    def _hear_lives(self, ip: str, lives: list[Any]) -> None:
+    def _hear_lives(self, ip: str, incarnations: list[Any]) -> None:
         now = self.loop.time()
-        for told, silent in lives:
+        for told, silent in incarnations:
             self._hear_life(ip, decode_incarnation(told, now), bool(silent))
         for id_, at in list(self.ended.items()):
             if now - at > GONE_KEPT:
                 del self.ended[id_]
-                self.lives.pop(id_, None)
+                self.incarnations.pop(id_, None)
                 self.silent.pop(id_, None)
 
-    def _hear_life(self, ip: str, life: BackendIncarnation, silent: bool) -> None:
-        known = self.lives.get(life.id)
+    def _hear_life(self, ip: str, incarnation: BackendIncarnation, silent: bool) -> None:
+        known = self.incarnations.get(incarnation.id)
         if known is not None:
-            older = life.count < known.count and life.state == known.state
-            if older or known.state > life.state:  # it never goes back
-                life = known
-        self.lives[life.id] = life
-        if life.state is BackendState.GONE:
-            self.ended.setdefault(life.id, self.loop.time())
-        told = self.silent.setdefault(life.id, {})
+            older = incarnation.count < known.count and incarnation.state == known.state
+            if older or known.state > incarnation.state:  # it never goes back
+                incarnation = known
+        self.incarnations[incarnation.id] = incarnation
+        if incarnation.state is BackendState.GONE:
+            self.ended.setdefault(incarnation.id, self.loop.time())
+        told = self.silent.setdefault(incarnation.id, {})
         told[ip] = silent
-        self.on_life(life, all(told.values()))
+        self.on_incarnation(incarnation, all(told.values()))
 
     def end(self, id_: str) -> None:
         """The backend itself showed that this life is over."""
-        life = self.lives.get(id_)
-        if life is not None and life.state is not BackendState.GONE:
+        incarnation = self.incarnations.get(id_)
+        if incarnation is not None and incarnation.state is not BackendState.GONE:
             gone = BackendIncarnation(
-                life.id,
-                life.service,
-                life.address,
-                life.zone,
-                life.capacity,
+                incarnation.id,
+                incarnation.service,
+                incarnation.address,
+                incarnation.zone,
+                incarnation.capacity,
                 BackendState.GONE,
-                life.count,
-                life.warm_at,
+                incarnation.count,
+                incarnation.warm_at,
             )
-            self.lives[id_] = gone
+            self.incarnations[id_] = gone
             self.ended.setdefault(id_, self.loop.time())
-            self.on_life(gone, True)
+            self.on_incarnation(gone, True)
 
 
 def hash_of(*parts: str) -> int:
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -32,7 +32,7 @@
         settings: Settings,
         registry: BackendTable,
         loop: asyncio.AbstractEventLoop,
-        life: int,
+        incarnation: int,
         age: Age,
         lend_from: Lend,
     ) -> None:
@@ -40,7 +40,7 @@
         self.loop, self.age = loop, age
         self.authority = IssuingAuthority(settings.ip)
         self.places = PlacementService(settings.zones, registry, loop)
-        self.quotas = QuotaService(settings, loop, life, self.authority, age, lend_from)
+        self.quotas = QuotaService(settings, loop, incarnation, self.authority, age, lend_from)
         bound = settings.bound
         slack = REGISTRY_SLACK * bound("retry_slack", 50.0)
         self.repeats = RetryBudgets(
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -45,23 +45,23 @@
 class BackendEntry:
     """A life, when it was last heard, and under which number it last changed for those who watch."""
 
-    life: BackendIncarnation
+    incarnation: BackendIncarnation
     heard: float
     changed: int
     silent: bool = False
 
 
-def encode_incarnation(life: BackendIncarnation, now: float) -> list[Any]:
+def encode_incarnation(incarnation: BackendIncarnation, now: float) -> list[Any]:
     """A life for another process: clocks differ, so times go as what is left."""
     return [
-        life.id,
-        life.service,
-        life.address,
-        life.zone,
-        life.capacity,
-        int(life.state),
-        life.count,
-        max(0, round((life.warm_at - now) * 1000)),
+        incarnation.id,
+        incarnation.service,
+        incarnation.address,
+        incarnation.zone,
+        incarnation.capacity,
+        int(incarnation.state),
+        incarnation.count,
+        max(0, round((incarnation.warm_at - now) * 1000)),
     ]
 
 
@@ -83,48 +83,50 @@
 class BackendTable:
     """All lives, and what has changed since a number."""
 
-    def __init__(self, beat: float) -> None:
-        self.silence = beat * MISSED_HEARTBEATS
+    def __init__(self, heartbeat: float) -> None:
+        self.silence = heartbeat * MISSED_HEARTBEATS
         self.entries: dict[str, BackendEntry] = {}
         self.number = 0
 
-    def hear(self, life: BackendIncarnation, now: float, age: float = 0.0) -> bool:
+    def hear(self, incarnation: BackendIncarnation, now: float, age: float = 0.0) -> bool:
         """A beat, or another's word of one, `age` s old. True where it is news to those who watch."""
-        entry = self.entries.get(life.id)
+        entry = self.entries.get(incarnation.id)
         if entry is None:
             self.number += 1
-            self.entries[life.id] = BackendEntry(life, now - age, self.number)
+            self.entries[incarnation.id] = BackendEntry(incarnation, now - age, self.number)
             log_event(
                 {
                     BackendState.READY: Event.BACKEND_ADDED,
                     BackendState.DRAINING: Event.BACKEND_DRAINING,
                     BackendState.GONE: Event.BACKEND_GONE,
-                }[life.state],
-                id=life.id,
-                service=life.service,
-                address=life.address,
+                }[incarnation.state],
+                id=incarnation.id,
+                service=incarnation.service,
+                address=incarnation.address,
             )
             return True
-        known = entry.life
-        newer = life.count > known.count
+        known = entry.incarnation
+        newer = incarnation.count > known.count
         merged = replace(
-            life if newer else known, state=max(known.state, life.state), count=max(known.count, life.count)
+            incarnation if newer else known,
+            state=max(known.state, incarnation.state),
+            count=max(known.count, incarnation.count),
         )
-        invariant(merged.state >= known.state, "a life never goes back", id=life.id)
+        invariant(merged.state >= known.state, "a life never goes back", id=incarnation.id)
         if newer:
             entry.heard = max(entry.heard, now - age)
         news = merged.state != known.state or merged.address != known.address
         if entry.silent and now - entry.heard < self.silence:
             entry.silent, news = False, True
-        entry.life = merged
+        entry.incarnation = merged
         if news:
             self.number += 1
             entry.changed = self.number
             if merged.state != known.state:
                 log_event(
                     Event.BACKEND_DRAINING if merged.state is BackendState.DRAINING else Event.BACKEND_GONE,
-                    id=life.id,
-                    service=life.service,
+                    id=incarnation.id,
+                    service=incarnation.service,
                 )
         return news
 
@@ -133,20 +135,20 @@
         entry = self.entries.get(id_)
         if entry is None:
             return None
-        gone = replace(entry.life, state=BackendState.GONE, count=entry.life.count + 1)
+        gone = replace(entry.incarnation, state=BackendState.GONE, count=entry.incarnation.count + 1)
         self.hear(gone, now)
-        return entry.life
+        return entry.incarnation
 
     def look(self, now: float) -> bool:
         """Who is silent, who is forgotten. True where that is news."""
         news = False
         for entry in list(self.entries.values()):
             quiet = now - entry.heard
-            if entry.life.state is BackendState.GONE:
+            if entry.incarnation.state is BackendState.GONE:
                 if quiet > FORGET or len(self.entries) > MAX_INCARNATIONS:
-                    del self.entries[entry.life.id]
+                    del self.entries[entry.incarnation.id]
             elif quiet > LOST:
-                entry.life = replace(entry.life, state=BackendState.GONE)
+                entry.incarnation = replace(entry.incarnation, state=BackendState.GONE)
                 self.number += 1
                 entry.changed, news = self.number, True
             elif quiet > self.silence and not entry.silent:
@@ -154,8 +156,8 @@
                 entry.silent, entry.changed, news = True, self.number, True
                 log_event(
                     Event.BACKEND_SILENT,
-                    id=entry.life.id,
-                    service=entry.life.service,
+                    id=entry.incarnation.id,
+                    service=entry.incarnation.service,
                     seconds=round(quiet, 2),
                 )
         return news
@@ -163,7 +165,7 @@
     def void_silence(self, now: float) -> None:
         """We did not hear because of ourselves: nobody was silent."""
         for entry in self.entries.values():
-            if entry.life.state is not BackendState.GONE:
+            if entry.incarnation.state is not BackendState.GONE:
                 entry.heard = max(entry.heard, now - self.silence / 2)
 
     def since(self, number: int) -> Iterable[BackendEntry]:
@@ -173,6 +175,6 @@
     def all(self, now: float) -> list[tuple[list[Any], int]]:
         """Every life and how many ms ago it was heard, for another registry."""
         return [
-            (encode_incarnation(entry.life, now), round((now - entry.heard) * 1000))
+            (encode_incarnation(entry.incarnation, now), round((now - entry.heard) * 1000))
             for entry in self.entries.values()
         ]
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -45,7 +45,7 @@
 class PutConfiguration:
     """The operator gives a configuration, checked."""
 
-    word: ConfigVersion
+    version: ConfigVersion
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
     parts = path.strip("/").split("/")
     match method, parts:
         case b"POST", ["backends", id_, "heartbeat"]:
-            return _beat(id_, body)
+            return _heartbeat(id_, body)
         case b"POST", ["backends", id_, "deregister"]:
             if ID.fullmatch(id_):
                 return Success(Deregister(id_))
@@ -89,18 +89,18 @@
     return Failure(Refusal(404, OperationError("call", path, "nothing is served here")))
 
 
-def _beat(id_: str, body: bytes) -> Result[Command, Refusal]:
+def _heartbeat(id_: str, body: bytes) -> Result[Command, Refusal]:
     try:
         data: Any = json.loads(body) if len(body) <= MOST_BEAT else None
         if not isinstance(data, dict) or not ID.fullmatch(id_):
             raise ValueError(f"wanted an object of at most {MOST_BEAT} bytes and a printable id")
-        beat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
-        if beat.state not in ("ready", "draining"):
-            raise ValueError(f"state: wanted ready or draining, got {beat.state!r}")
-        address(beat.address)
+        heartbeat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
+        if heartbeat.state not in ("ready", "draining"):
+            raise ValueError(f"state: wanted ready or draining, got {heartbeat.state!r}")
+        address(heartbeat.address)
     except (dacite.DaciteError, ValueError, TypeError) as error:
         return Failure(Refusal(400, OperationError("heartbeat", id_, str(error))))
-    return Success(beat)
+    return Success(heartbeat)
 
 
 def _put(body: bytes) -> Result[Command, Refusal]:
--- a/irisdeal/registry/ended_record.py
+++ b/irisdeal/registry/ended_record.py
@@ -29,9 +29,9 @@
 MAGIC = b"irisdeal-ended-1 "
 
 
-def encode(lives: Iterable[BackendIncarnation]) -> bytes:
+def encode(incarnations: Iterable[BackendIncarnation]) -> bytes:
     """A line with magic and a check of the rest, then the rest."""
-    body: bytes = cbor2.dumps([encode_incarnation(life, 0.0) for life in lives])
+    body: bytes = cbor2.dumps([encode_incarnation(incarnation, 0.0) for incarnation in incarnations])
     return MAGIC + hashlib.sha256(body).hexdigest().encode() + b"\n" + body
 
 
@@ -41,7 +41,7 @@
     if head != MAGIC + hashlib.sha256(body).hexdigest().encode():
         raise ValueError("damaged")
     told: list[list[Any]] = cbor2.loads(body)
-    return [decode_incarnation(life, 0.0) for life in told]
+    return [decode_incarnation(incarnation, 0.0) for incarnation in told]
 
 
 class EndedRecord:
@@ -64,37 +64,39 @@
     def _open(self) -> list[BackendIncarnation] | None:
         if NAME not in self.folder.names():
             return None
-        lives = decode(self.folder.read(NAME))
+        incarnations = decode(self.folder.read(NAME))
         put(
-            self.folder, NAME, encode(lives)
+            self.folder, NAME, encode(incarnations)
         )  # the process that wrote it may have been killed before it synced
-        self.kept = {life.id: life.state for life in lives}
-        return lives
+        self.kept = {incarnation.id: incarnation.state for incarnation in incarnations}
+        return incarnations
 
-    def has(self, life: BackendIncarnation) -> bool:
+    def has(self, incarnation: BackendIncarnation) -> bool:
         """Whether this state of a life is on the disk, or needs not be."""
-        return life.state <= self.kept.get(life.id, BackendState.READY)
+        return incarnation.state <= self.kept.get(incarnation.id, BackendState.READY)
 
-    async def keep(self, lives: Iterable[BackendIncarnation], known: Iterable[BackendIncarnation]) -> bool:
+    async def keep(
+        self, incarnations: Iterable[BackendIncarnation], known: Iterable[BackendIncarnation]
+    ) -> bool:
         """Whether these states are on the disk, synced. `known`: every life there is, read as a write begins."""
-        wanted = list(lives)
+        wanted = list(incarnations)
         if all(map(self.has, wanted)):
             return True
         async with self.lock:
             if all(map(self.has, wanted)):  # they went with the write before
                 return True
-            ended = [life for life in known if life.state > BackendState.READY]
+            ended = [incarnation for incarnation in known if incarnation.state > BackendState.READY]
             if not await self._write(ended):
                 return False
-            self.kept = {life.id: life.state for life in ended}
+            self.kept = {incarnation.id: incarnation.state for incarnation in ended}
             return all(map(self.has, wanted))
 
     async def begin(self, known: Iterable[BackendIncarnation]) -> bool:
         """Write the record though nothing may have ended: from now on an earlier process's word is in it."""
         async with self.lock:
-            ended = [life for life in known if life.state > BackendState.READY]
+            ended = [incarnation for incarnation in known if incarnation.state > BackendState.READY]
             if await self._write(ended):
-                self.kept = {life.id: life.state for life in ended}
+                self.kept = {incarnation.id: incarnation.state for incarnation in ended}
                 return True
             return False
 
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -205,23 +205,25 @@
 class BackendUpdate:
     """A registry tells another which backends it has heard, and where it is itself.
 
-    `control`: the address at which it takes beats; `lives`: each with how many ms ago it was heard.
+    `control`: the address at which it takes beats; `incarnations`: each with how many ms ago it was heard.
     """
 
     ip: str
     zone: str
     control: str
-    lives: Sequence[tuple[list[Any], int]]
+    incarnations: Sequence[tuple[list[Any], int]]
 
     def encode(self) -> list[Any]:
         """For the wire."""
-        return [[list(life) for life in self.lives], [self.ip, self.zone, self.control]]
+        return [[list(incarnation) for incarnation in self.incarnations], [self.ip, self.zone, self.control]]
 
     @staticmethod
     def decode(told: Any) -> BackendUpdate:
         """ValueError, TypeError where it is none."""
-        lives, (ip, zone, control) = told
-        return BackendUpdate(str(ip), str(zone), str(control), [(life, int(age)) for life, age in lives])
+        incarnations, (ip, zone, control) = told
+        return BackendUpdate(
+            str(ip), str(zone), str(control), [(incarnation, int(age)) for incarnation, age in incarnations]
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -232,14 +234,16 @@
     """
 
     remembers: bool
-    lives: Sequence[tuple[list[Any], int]]
+    incarnations: Sequence[tuple[list[Any], int]]
 
     def encode(self) -> list[Any]:
         """For the wire."""
-        return [self.remembers, [list(life) for life in self.lives]]
+        return [self.remembers, [list(incarnation) for incarnation in self.incarnations]]
 
     @staticmethod
     def decode(told: Any) -> BackendSnapshot:
         """ValueError, TypeError where it is none."""
-        remembers, lives = told
-        return BackendSnapshot(bool(remembers), [(life, int(age)) for life, age in lives])
+        remembers, incarnations = told
+        return BackendSnapshot(
+            bool(remembers), [(incarnation, int(age)) for incarnation, age in incarnations]
+        )
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: Settings,
-        follower: StoreClient,
+        store_client: StoreClient,
         registry: BackendTable,
         record: EndedRecord | None,
         metrics: RegistryMetrics,
@@ -54,7 +54,7 @@
     ) -> None:
         """`record`: None on a machine without a disk; `on_news`: called when backends are news to proxies."""
         self.settings, self.ip = settings, settings.ip
-        self.follower, self.registry, self.record = follower, registry, record
+        self.store_client, self.registry, self.record = store_client, registry, record
         self.metrics, self.tasks, self.on_news = metrics, tasks, on_news
         self.loop = asyncio.get_running_loop()
         self.zones: dict[str, str] = {self.ip: settings.zone}
@@ -73,7 +73,7 @@
 
     def others(self) -> list[str]:
         """The machines of the core but ours."""
-        return sorted(self.follower.everyone() - {self.ip})
+        return sorted(self.store_client.everyone() - {self.ip})
 
     def link(self, ip: str) -> RpcClient:
         """The registry of this machine."""
@@ -104,8 +104,8 @@
 
     async def _recall(self, record: EndedRecord) -> None:
         recorded = await record.open()
-        for life in recorded or ():
-            self.registry.hear(life, self.loop.time())
+        for incarnation in recorded or ():
+            self.registry.hear(incarnation, self.loop.time())
         self.remembers = self.remembers or recorded is not None
         if recorded is None and self.remembers:
             await record.begin(self._known())
@@ -123,15 +123,15 @@
         until = self.loop.time() + LEARN_S
         while True:
             await asyncio.gather(*(self._learn_from(ip, heard) for ip in self.others()))
-            missing = self.follower.members.ips() - heard - ({self.ip} if self.remembers else set())
-            is_enough = not self.follower.is_majority(missing) or not self.others()
+            missing = self.store_client.members.ips() - heard - ({self.ip} if self.remembers else set())
+            is_enough = not self.store_client.is_majority(missing) or not self.others()
             if is_enough or self.loop.time() > until:
                 break
             await asyncio.sleep(LEARN_PAUSE_S)
         log_event(
             Event.BACKENDS_LEARNED if is_enough else Event.BACKENDS_LEARNED_PARTIALLY,
             heard=len(heard),
-            lives=len(self.registry.entries),
+            incarnations=len(self.registry.entries),
         )
         await self._remember()
         self.is_learning, self.has_learned = False, True
@@ -143,7 +143,7 @@
             told = BackendSnapshot.decode(answer.unwrap())
             if told.remembers:
                 heard.add(ip)
-            self.hear(told.lives)
+            self.hear(told.incarnations)
 
     async def _remember(self) -> None:
         """What was to be learned is here: from now on it is kept."""
@@ -152,16 +152,16 @@
                 await self.record.begin(self._known())
             self.remembers = True
 
-    def hear(self, lives: Iterable[tuple[list[Any], int]]) -> None:
+    def hear(self, incarnations: Iterable[tuple[list[Any], int]]) -> None:
         """Lives and how many ms ago each was heard, as another process tells them."""
         now, news = self.loop.time(), False
-        for life, age in lives:
-            news |= self.registry.hear(decode_incarnation(life, now), now, age / 1000)
+        for incarnation, age in incarnations:
+            news |= self.registry.hear(decode_incarnation(incarnation, now), now, age / 1000)
         if news:
             self.on_news()
 
     def _known(self) -> Iterator[BackendIncarnation]:
-        return (entry.life for entry in self.registry.entries.values())
+        return (entry.incarnation for entry in self.registry.entries.values())
 
     # Calls of other registries
 
@@ -169,58 +169,60 @@
         """Another registry tells lives. OSError where an end is not on our disk: it is not to be counted then."""
         self.zones[message.ip] = message.zone
         self.controls[message.ip] = message.control
-        self.hear(message.lives)
-        ids = [str(life[0]) for life, _ in message.lives]
-        if not await self._keep(entry.life for id_ in ids if (entry := self.registry.entries.get(id_))):
+        self.hear(message.incarnations)
+        ids = [str(incarnation[0]) for incarnation, _ in message.incarnations]
+        if not await self._keep(
+            entry.incarnation for id_ in ids if (entry := self.registry.entries.get(id_))
+        ):
             raise OSError("an end is not on the disk")
 
     def all(self) -> BackendSnapshot:
         """All that we know, for one that learns."""
         return BackendSnapshot(self.remembers, self.registry.all(self.loop.time()))
 
-    async def _keep(self, lives: Iterable[BackendIncarnation]) -> bool:
+    async def _keep(self, incarnations: Iterable[BackendIncarnation]) -> bool:
         """Whether those of these that end are on our disk, synced."""
-        return self.record is None or await self.record.keep(lives, self._known())
+        return self.record is None or await self.record.keep(incarnations, self._known())
 
     # What we tell them
 
     async def flush(self) -> None:
         """Tell the others what was heard here since the last time."""
         now = self.loop.time()
-        lives = [(encode_incarnation(life, now), 0) for life in self.unsent.values()]
+        incarnations = [(encode_incarnation(incarnation, now), 0) for incarnation in self.unsent.values()]
         self.unsent = {}
-        if lives or self.follower.everyone() - self.zones.keys():
+        if incarnations or self.store_client.everyone() - self.zones.keys():
             for ip in self.others():
-                self.tasks.start(self.link(ip).call("told", self._message(lives).encode(), ANSWER_S))
+                self.tasks.start(self.link(ip).call("told", self._message(incarnations).encode(), ANSWER_S))
 
-    def _message(self, lives: list[tuple[list[Any], int]]) -> BackendUpdate:
-        return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, lives)
+    def _message(self, incarnations: list[tuple[list[Any], int]]) -> BackendUpdate:
+        return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, incarnations)
 
     async def make_sure(self, id_: str) -> bool:
         """Whether a majority has this life's end on its disk: only then may it be acknowledged."""
-        life = self.registry.entries[id_].life
-        if (id_, life.state) in self.sure:
+        incarnation = self.registry.entries[id_].incarnation
+        if (id_, incarnation.state) in self.sure:
             return True
-        if not await self._tell_now(life):
+        if not await self._tell_now(incarnation):
             return False
         if len(self.sure) >= MAX_INCARNATIONS:
             self.sure.clear()  # to be told once more is all that it costs
-        self.sure.add((id_, life.state))
+        self.sure.add((id_, incarnation.state))
         return True
 
-    async def _tell_now(self, life: BackendIncarnation) -> bool:
+    async def _tell_now(self, incarnation: BackendIncarnation) -> bool:
         """Whether a majority of the core has this end, this machine counted as any other."""
         known: set[str] = set()
         enough = asyncio.Event()
-        body = self._message([(encode_incarnation(life, self.loop.time()), 0)]).encode()
+        body = self._message([(encode_incarnation(incarnation, self.loop.time()), 0)]).encode()
 
         def note(ip: str) -> None:
             known.add(ip)
-            if self.follower.is_majority(known):
+            if self.store_client.is_majority(known):
                 enough.set()
 
         async def keep_here() -> None:
-            if await self._keep([life]):
+            if await self._keep([incarnation]):
                 note(self.ip)
 
         async def tell_one(ip: str) -> None:
@@ -236,9 +238,9 @@
         except TimeoutError:
             log_event(
                 Event.DRAIN_NOT_ACKNOWLEDGED,
-                id=life.id,
+                id=incarnation.id,
                 known=len(known),
-                members=len(self.follower.members.ips()),
+                members=len(self.store_client.members.ips()),
             )
             self.metrics.refused_ends.add()
             return False
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -123,10 +123,16 @@
         if self.synced == self.registry.number:
             return
         for entry in self.registry.since(self.synced):
-            life = entry.life
-            if life.state is BackendState.READY:
-                backend = self.placer.know(life.id, life.service, life.zone, life.capacity, life.warm_at)
+            incarnation = entry.incarnation
+            if incarnation.state is BackendState.READY:
+                backend = self.placer.know(
+                    incarnation.id,
+                    incarnation.service,
+                    incarnation.zone,
+                    incarnation.capacity,
+                    incarnation.warm_at,
+                )
                 backend.silent = entry.silent
             else:
-                self.placer.retire(life.id)
+                self.placer.retire(incarnation.id)
         self.synced = self.registry.number
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -41,14 +41,14 @@
         self,
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
-        life: int,
+        incarnation: int,
         authority: IssuingAuthority,
         age: Age,
         lend_from: Lend,
     ) -> None:
-        """`life`: of this process."""
+        """`incarnation`: of this process."""
         self.ip, self.loop, self.age, self.lend_from = settings.ip, loop, age, lend_from
-        self.issuer = PermitIssuer(life, quota_rule(settings), authority, loop.time())
+        self.issuer = PermitIssuer(incarnation, quota_rule(settings), authority, loop.time())
         self.edge = SharedIntervalClock(loop.time())
         self.counter = IntervalCounter(settings.ip)
         self.borrowing: dict[str, asyncio.Future[None]] = {}
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -65,24 +65,36 @@
         """`folder`: for what has ended, in place of the one that the settings name."""
         self.settings, self.ip = settings, settings.ip
         self.loop = asyncio.get_running_loop()
-        self.life = secrets.randbits(48)
+        self.incarnation = secrets.randbits(48)
         self.registry = BackendTable(settings.beat_interval_ms / 1000)
-        self.follower = StoreClient(settings, VersionStore(), self._on_word, self._changed)
+        self.store_client = StoreClient(settings, VersionStore(), self._on_version, self._changed)
         self.had_contact = False
         self.tasks, self.metrics = Tasks(), RegistryMetrics()
         disk = folder or (DiskFolder(f"{settings.data_path}/{FOLDER}") if settings.data_path else None)
         ended = EndedRecord(disk) if disk is not None else None
         self.peers = RegistryPeers(
-            settings, self.follower, self.registry, ended, self.metrics, self.tasks, lambda: self.news.wake()
+            settings,
+            self.store_client,
+            self.registry,
+            ended,
+            self.metrics,
+            self.tasks,
+            lambda: self.news.wake(),
         )
         self.news = WatchService(
-            self.follower, self.registry, self.life, self.peers.zones, lambda: self.peers.has_learned
+            self.store_client,
+            self.registry,
+            self.incarnation,
+            self.peers.zones,
+            lambda: self.peers.has_learned,
         )
         self.admission = AdmissionService(
-            settings, self.registry, self.loop, self.life, self.follower.age, self._lend_from
+            settings, self.registry, self.loop, self.incarnation, self.store_client.age, self._lend_from
         )
         record = ListRecord(settings.data_path) if settings.data_path else None
-        self.authority_watch = AuthorityWatch(self.admission.authority, record, self.follower.age, self.tasks)
+        self.authority_watch = AuthorityWatch(
+            self.admission.authority, record, self.store_client.age, self.tasks
+        )
         self.looked = self.loop.time()
         self.server = RpcServer(self.handle, self.admission.quick, self.admission.places.lost)
         self.http = HttpServer(self.outside, self.loop)
@@ -93,7 +105,7 @@
     async def start(self) -> None:
         await self.peers.recall()
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
-        self.follower.start()
+        self.store_client.start()
         self.tasks.start(self.peers.learn())
         self.tasks.start(every(FLUSH, self.peers.flush))
         self.tasks.start(every(LOOK, self._look))
@@ -118,29 +130,29 @@
                 unsent_bytes=unanswered.unsent_bytes,
                 internal=cut,
             )
-        self.follower.stop()
+        self.store_client.stop()
         self.tasks.cancel()
         self.metrics_server.close()
 
     def reload(self, settings: Settings) -> None:
         self.settings = settings
-        self.follower.reload(settings)
+        self.store_client.reload(settings)
 
     # The store
 
-    def _on_word(self, word: ConfigVersion) -> None:
-        checked = read(word.body)
+    def _on_version(self, version: ConfigVersion) -> None:
+        checked = read(version.body)
         if isinstance(checked, Success):
             self.admission.quotas.configure(checked.unwrap())
 
     def _changed(self) -> None:
         """The word, the list of the core, or whether there is contact is another."""
-        if self.follower.value.change >= 0:
-            members = self.follower.members
+        if self.store_client.value.change >= 0:
+            members = self.store_client.members
             self.admission.authority.hear(IssuerList(members.number, members.ips()), self.loop.time())
-        core = self.follower.everyone()
+        core = self.store_client.everyone()
         self.peers.forget_all_but(core)
-        has_contact = self.follower.has_contact
+        has_contact = self.store_client.has_contact
         if has_contact and not self.had_contact and self.peers.has_learned:
             self.tasks.start(
                 self.peers.learn()
@@ -199,7 +211,7 @@
             case "all_lives":
                 return self.peers.all().encode()
             case "all":  # of a registry of the version before: it does not ask who remembers
-                return [list(life) for life in self.peers.all().lives]
+                return [list(incarnation) for incarnation in self.peers.all().incarnations]
         raise ValueError(f"no call {kind!r}")
 
     # Calls from outside
@@ -217,13 +229,13 @@
         """Carry out a command."""
         match command:
             case Heartbeat():
-                return await self._beat(command)
+                return await self._heartbeat(command)
             case Deregister():
-                return await self._leave(command)
+                return await self._deregister(command)
             case PutConfiguration():  # goes to its end, whoever waits: what became of an order is known then
                 return await asyncio.shield(self.tasks.start(self._put(command)))
             case ReadConfiguration():
-                known, body = await self.follower.read()
+                known, body = await self.store_client.read()
                 if not known:
                     return self._later(
                         "no store has contact with a majority of the core, or none answered in time"
@@ -242,16 +254,16 @@
         quotas, authority = self.admission.quotas, self.admission.authority
         total = quotas.counter.total
         return {
-            "generation": f"r{self.follower.stamp.number}" if self.follower.word else None,
-            "change": self.follower.change,
-            "contact_age_s": self.follower.age(),
-            "store": self.follower.source,
-            "members": list(self.follower.members.seats),
-            "learners": sorted(self.follower.learners),
+            "generation": f"r{self.store_client.version_id.number}" if self.store_client.version else None,
+            "change": self.store_client.change,
+            "contact_age_s": self.store_client.age(),
+            "store": self.store_client.source,
+            "members": list(self.store_client.members.seats),
+            "learners": sorted(self.store_client.learners),
             "doors": total.proxies,
             "interval": total.number,
             "tenants": encode_usages(total.usages),
-            "issuing": authority.may_issue(self.follower.age(), now),
+            "issuing": authority.may_issue(self.store_client.age(), now),
             "issuers": authority.issuers(now),
             "permits": {
                 tenant: {"ready": round(count, 1), "held_ahead": quotas.issuer.outstanding.total(tenant)}
@@ -259,10 +271,10 @@
             },
             "backends": [
                 {
-                    "id": e.life.id,
-                    "service": e.life.service,
-                    "zone": e.life.zone,
-                    "state": e.life.state.name.lower(),
+                    "id": e.incarnation.id,
+                    "service": e.incarnation.service,
+                    "zone": e.incarnation.zone,
+                    "state": e.incarnation.state.name.lower(),
                     "silent": e.silent,
                     "heard_s": round(now - e.heard, 2),
                 }
@@ -276,41 +288,43 @@
         return answer
 
     async def _ordered(self, command: PutConfiguration) -> Answer:
-        match await self.follower.put(command.word):
+        match await self.store_client.put(command.version):
             case PutOutcome.CONFIRMED:
                 return Answer(200, b"{}", JSON)
             case PutOutcome.OTHER:
-                held = f"r{self.follower.stamp.number}"
+                held = f"r{self.store_client.version_id.number}"
                 return Answer(
                     409, json.dumps({"error": "another body holds this number", "held": held}).encode(), JSON
                 )
         return self._later("not decided by a majority of the core in time")
 
-    async def _beat(self, beat: Heartbeat) -> Answer:
+    async def _heartbeat(self, heartbeat: Heartbeat) -> Answer:
         now = self.loop.time()
-        state = BackendState.DRAINING if beat.state == "draining" else BackendState.READY
-        life = BackendIncarnation(
-            beat.id,
-            beat.service,
-            beat.address,
-            beat.zone,
-            beat.capacity,
+        state = BackendState.DRAINING if heartbeat.state == "draining" else BackendState.READY
+        incarnation = BackendIncarnation(
+            heartbeat.id,
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.zone,
+            heartbeat.capacity,
             state,
-            beat.call_count,
-            now + beat.warmup_left_ms / 1000,
+            heartbeat.call_count,
+            now + heartbeat.warmup_left_ms / 1000,
         )
-        if self.registry.hear(life, now):
+        if self.registry.hear(incarnation, now):
             self.news.wake()
-        self.peers.unsent[life.id] = self.registry.entries[life.id].life
-        if state is BackendState.DRAINING and not await self.peers.make_sure(life.id):
+        self.peers.unsent[incarnation.id] = self.registry.entries[incarnation.id].incarnation
+        if state is BackendState.DRAINING and not await self.peers.make_sure(incarnation.id):
             return self._later("too few of the core were told")
         near = [
-            control for ip, control in self.peers.controls.items() if self.peers.zones.get(ip) == beat.zone
+            control
+            for ip, control in self.peers.controls.items()
+            if self.peers.zones.get(ip) == heartbeat.zone
         ]
-        target = {"beat_target": near[0]} if near and beat.zone != self.settings.zone else {}
+        target = {"beat_target": near[0]} if near and heartbeat.zone != self.settings.zone else {}
         return Answer(200, json.dumps(target).encode(), JSON)
 
-    async def _leave(self, leave: Deregister) -> Answer:
+    async def _deregister(self, leave: Deregister) -> Answer:
         """Also of a life that we do not know: others may, and what is acknowledged holds for all."""
         now = self.loop.time()
         if self.registry.leave(leave.id, now) is None:
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -63,18 +63,18 @@
     def __init__(
         self,
         settings: Settings,
-        shelf: VersionStore,
-        on_word: Callable[[ConfigVersion], None],
+        version_store: VersionStore,
+        on_version: Callable[[ConfigVersion], None],
         changed: Callable[[], None],
     ) -> None:
-        """`on_word`: a newer word is here; `changed`: it, the list, or whether there is contact is another."""
-        self.settings, self.ip, self.shelf = settings, settings.ip, shelf
-        self.on_word, self.changed = on_word, changed
+        """`on_version`: a newer word is here; `changed`: it, the list, or whether there is contact is another."""
+        self.settings, self.ip, self.version_store = settings, settings.ip, version_store
+        self.on_version, self.changed = on_version, changed
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
-        self.arrivals = ChunkAssembler(shelf)
+        self.assembler = ChunkAssembler(version_store)
         self.value = Value(-1, NO_VERSION, Members.first(ports.seeds(settings)))  # -1: none was told
-        self.word: ConfigVersion | None = None
+        self.version: ConfigVersion | None = None
         self.change = -1  # of the newest value whose body is here
         self.learners: frozenset[str] = frozenset()
         self.source = self.ip  # whose store is followed
@@ -100,9 +100,9 @@
     # What is known
 
     @property
-    def stamp(self) -> VersionId:
+    def version_id(self) -> VersionId:
         """Of the newest word that is here."""
-        return self.word.stamp if self.word is not None else NO_VERSION
+        return self.version.version_id if self.version is not None else NO_VERSION
 
     @property
     def members(self) -> Members:
@@ -138,10 +138,10 @@
         """Ask for news, held while there is none."""
         while True:
             source, before, sent = self.source, self._progress(), self.loop.time()
-            ear = await self._ask(source, True)
+            probe_result = await self._ask(source, True)
             if source != self.source:
                 continue  # another one is followed by now
-            if ear is ProbeResult.GOOD:
+            if probe_result is ProbeResult.GOOD:
                 self._found(source)
                 if before == self._progress() and self.loop.time() - sent < PAUSE:
                     await asyncio.sleep(PAUSE)
@@ -149,7 +149,7 @@
                 await self._seek()
 
     def _progress(self) -> tuple[int, SyncState]:
-        return self.value.change, self.arrivals.have(self.stamp)
+        return self.value.change, self.assembler.sync_state(self.version_id)
 
     async def _pulse(self) -> None:
         """Ask how old our knowledge is, and whether our own store can be followed again."""
@@ -158,9 +158,9 @@
         source = self.source
         if source != self.ip and await self._ask(self.ip, False) is ProbeResult.GOOD:
             return self._found(self.ip)
-        ear = await self._ask(source, False)
+        probe_result = await self._ask(source, False)
         if source == self.source:
-            await self._seek() if ear is not ProbeResult.GOOD else self._found(source)
+            await self._seek() if probe_result is not ProbeResult.GOOD else self._found(source)
 
     async def _seek(self) -> None:
         """Find a store that has contact; both loops wait for the same search."""
@@ -175,8 +175,8 @@
                 others = self._others()
                 asks = [self.tasks.start(self._ask_other(ip)) for ip in (self.ip, *others)]
                 for done in asyncio.as_completed(asks):
-                    ip, ear = await done
-                    if ear is ProbeResult.GOOD:
+                    ip, probe_result = await done
+                    if probe_result is ProbeResult.GOOD:
                         return self._found(ip)
                 self._lost()
                 again = self.loop.time() + SEEK * (0.75 + 0.5 * self.chance.random())
@@ -213,15 +213,15 @@
 
     async def _ask(self, ip: str, held: bool) -> ProbeResult:
         """One watch; `held`: until there is news."""
-        have, sent = self.arrivals.have(self.stamp), self.loop.time()
-        body = [have.tell(), self.value.change if held else AT_ONCE]
+        sync_state, sent = self.assembler.sync_state(self.version_id), self.loop.time()
+        body = [sync_state.tell(), self.value.change if held else AT_ONCE]
         answer = await self._link(ip).call("watch", body, HOLD + ANSWER if held else ANSWER)
         if isinstance(answer, Failure):
             return ProbeResult.SILENT
         try:
-            parcel, told, learners, age = answer.unwrap()
+            chunk, told, learners, age = answer.unwrap()
             return self._hear(
-                ip, have, sent, parcel, Value.hear(told), frozenset(map(str, learners)), int(age)
+                ip, sync_state, sent, chunk, Value.hear(told), frozenset(map(str, learners)), int(age)
             )
         except (ValueError, TypeError, IndexError) as error:
             log_event(Event.FRAME_INVALID, peer=ip, error=error)
@@ -230,9 +230,9 @@
     def _hear(
         self,
         ip: str,
-        have: SyncState,
+        sync_state: SyncState,
         sent: float,
-        parcel: list[Any] | None,
+        chunk: list[Any] | None,
         value: Value,
         learners: frozenset[str],
         age: int,
@@ -240,15 +240,15 @@
         """`age`: ms, below 0 where the store has no contact."""
         if value.change < 0:  # its disk came empty: it knows nothing yet
             return ProbeResult.NO_CONTACT
-        if value.change < self.value.change and value.stamp.number <= self.value.stamp.number:
+        if value.change < self.value.change and value.version_id.number <= self.value.version_id.number:
             if age >= 0 and sent - age / 1000 > self.as_of and ip not in self.older:
                 self.older.add(ip)
                 log_event(Event.STORE_STATE_STALE, store=ip, change=value.change, known=self.value.change)
             return ProbeResult.NO_CONTACT
         self.older.discard(ip)
         news = self._take_list(value, learners if age >= 0 else self.learners | learners)
-        news |= self._take_word(have, parcel)
-        if self.stamp == self.value.stamp:
+        news |= self._take_version(sync_state, chunk)
+        if self.version_id == self.value.version_id:
             news |= self.change != self.value.change
             self.change = self.value.change
             if age >= 0:
@@ -274,22 +274,22 @@
             )
         return value.members.number != number
 
-    def _take_word(self, have: SyncState, parcel: list[Any] | None) -> bool:
+    def _take_version(self, sync_state: SyncState, chunk: list[Any] | None) -> bool:
         """Whether a newer word is here; another answer may have brought the same parcel meanwhile."""
-        if parcel is None or have != self.arrivals.have(self.stamp):
+        if chunk is None or sync_state != self.assembler.sync_state(self.version_id):
             return False
-        word = self.arrivals.take(parcel)
-        if word is None or word.stamp.number <= self.stamp.number:
+        version = self.assembler.take(chunk)
+        if version is None or version.version_id.number <= self.version_id.number:
             return False
-        self.word = word
-        self.on_word(word)
+        self.version = version
+        self.on_version(version)
         return True
 
     # Orders
 
-    async def put(self, word: ConfigVersion) -> PutOutcome:
+    async def put(self, version: ConfigVersion) -> PutOutcome:
         """Have it decided. LATER at once where no store has contact."""
-        body = [word.stamp.number, word.stamp.digest, word.body]
+        body = [version.version_id.number, version.version_id.digest, version.body]
         answer = await self._order("put", body, lambda told: told != PutOutcome.LATER)
         try:
             return PutOutcome(answer.value_or(PutOutcome.LATER))
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -24,17 +24,17 @@
 
     def __init__(
         self,
-        follower: StoreClient,
+        store_client: StoreClient,
         registry: BackendTable,
-        life: int,
+        incarnation: int,
         zones: dict[str, str],
         is_full: Callable[[], bool],
     ) -> None:
-        """`life`: of this registry; `is_full`: whether it has learned which backends there are."""
-        self.follower, self.registry, self.life, self.zones, self.is_full = (
-            follower,
+        """`incarnation`: of this registry; `is_full`: whether it has learned which backends there are."""
+        self.store_client, self.registry, self.incarnation, self.zones, self.is_full = (
+            store_client,
             registry,
-            life,
+            incarnation,
             zones,
             is_full,
         )
@@ -46,38 +46,43 @@
         self.waking.set()
         self.waking = asyncio.Event()
 
-    async def answer(self, have: list[Any], life: int, changes: int, change: int) -> list[Any]:
+    async def answer(self, sync_state: list[Any], incarnation: int, changes: int, change: int) -> list[Any]:
         """[parcel or None, our life, our number, changed lives, {ip: zone}, age in ms, change].
 
         `age`: -1 where no store has contact, or we have just started and do not know the backends. `change`: of our
         newest word; -1 where the parcel is of an older one, which the door was in the middle of.
         """
-        came, has = self.loop.time(), SyncState.hear(have)
-        known = changes if life == self.life else 0
-        if life == self.life and not self._has_news(has, known, change):
+        came, has = self.loop.time(), SyncState.hear(sync_state)
+        known = changes if incarnation == self.incarnation else 0
+        if incarnation == self.incarnation and not self._has_news(has, known, change):
             try:
                 async with asyncio.timeout(HOLD):
                     await self.waking.wait()
             except TimeoutError:
                 pass
-        now, follower = self.loop.time(), self.follower
-        stamp = follower.stamp
-        parcel = (
-            follower.shelf.parcel(has, stamp, by_snapshot=True) if stamp.number > has.stamp.number else None
+        now, store_client = self.loop.time(), self.store_client
+        version_id = store_client.version_id
+        chunk = (
+            store_client.version_store.chunk(has, version_id, by_snapshot=True)
+            if version_id.number > has.version_id.number
+            else None
         )
-        is_newest = parcel is None or (parcel[0], parcel[1]) == (stamp.number, stamp.digest)
+        is_newest = chunk is None or (chunk[0], chunk[1]) == (version_id.number, version_id.digest)
         return [
-            parcel,
-            self.life,
+            chunk,
+            self.incarnation,
             self.registry.number,
-            [[encode_incarnation(entry.life, now), entry.silent] for entry in self.registry.since(known)],
-            {ip: self.zones.get(ip, "") for ip in sorted(follower.everyone())},
+            [
+                [encode_incarnation(entry.incarnation, now), entry.silent]
+                for entry in self.registry.since(known)
+            ],
+            {ip: self.zones.get(ip, "") for ip in sorted(store_client.everyone())},
             self._age(came),
-            follower.change if is_newest else -1,
+            store_client.change if is_newest else -1,
         ]
 
     def _age(self, came: float) -> int:
-        age = self.follower.age()
+        age = self.store_client.age()
         if age is None or not self.is_full():
             return -1
         return max(0, math.ceil((age - (self.loop.time() - came)) * 1000))
@@ -85,7 +90,7 @@
     def _has_news(self, has: SyncState, known: int, change: int) -> bool:
         """A door that knows more than we do has no news from us."""
         return (
-            self.follower.stamp.number > has.stamp.number
+            self.store_client.version_id.number > has.version_id.number
             or self.registry.number > known
-            or self.follower.change > change
+            or self.store_client.change > change
         )
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One kind. `word`: may be told one way, without an answer."""
+    """One kind. `version`: may be told one way, without an answer."""
 
     kind: str
     asker: str
@@ -33,7 +33,7 @@
     named: str  # what names it, for whom it comes to twice
     reset: str  # what is known after a reset once the first byte was sent
     silence: str  # what whoever asked does after its time
-    word: bool = False
+    version: bool = False
     ends_with_asker: bool = False  # cancelled where who asked has given it up, or its connection has ended
 
 
@@ -103,7 +103,7 @@
             "the ballot, with its one value",
             _NOTHING,
             "the next `state` tells it",
-            word=True,
+            version=True,
         ),
         # The registry at the store
         Call(
@@ -190,7 +190,7 @@
             "the place's number, which begins elsewhere in each life",
             "the place may count until its time is over",
             "-",
-            word=True,
+            version=True,
         ),
         # Between registries
         Call(
@@ -212,7 +212,7 @@
             "the registry and the interval's number",
             "it may be heard",
             "the next one counts",
-            word=True,
+            version=True,
         ),
         Call(
             "loads",
@@ -222,7 +222,7 @@
             "the registry; the newest counts, for 1.5 s",
             "it may be heard",
             "the next one counts",
-            word=True,
+            version=True,
         ),
         Call(
             "lend",
@@ -309,12 +309,12 @@
     return call is not None and call.ends_with_asker
 
 
-def may_send(kind: str, is_word: bool) -> str | None:
+def may_send(kind: str, is_one_way: bool) -> str | None:
     """Why this cannot be sent, None where it can."""
     call = CALLS.get(kind)
     if call is None:
         return f"no call {kind!r}"
-    return f"{kind!r} wants an answer" if is_word and not call.word else None
+    return f"{kind!r} wants an answer" if is_one_way and not call.version else None
 
 
 def table(calls: Iterable[Call], matched: str) -> str:
@@ -330,8 +330,8 @@
     )
     lines = [f"| {' | '.join(heads)} |", "| --- " * len(heads) + "|"]
     lines += [
-        f"| `{call.kind}`{', a word' if call.word else ''} | {call.asker}, {call.answerer} "
-        f"| {call.again.value} | {call.named} | {'no answer' if call.word else matched} "
+        f"| `{call.kind}`{', a version' if call.version else ''} | {call.asker}, {call.answerer} "
+        f"| {call.again.value} | {call.named} | {'no answer' if call.version else matched} "
         f"| {call.reset} | {call.silence}{ENDS if call.ends_with_asker else ''} |"
         for call in calls
     ]
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -201,7 +201,7 @@
 
     async def call(self, kind: str, body: Any, within: float) -> Result[Any, OperationError]:
         """The answer to this call within so many s, or the trouble. It is sent once. KeyError: no such call."""
-        if (why := may_send(kind, is_word=False)) is not None:
+        if (why := may_send(kind, is_one_way=False)) is not None:
             raise KeyError(why)
         loop = asyncio.get_running_loop()
         until = loop.time() + within
@@ -226,7 +226,7 @@
 
     def tell(self, kind: str, body: Any) -> bool:
         """A word that wants no answer; False where it is not likely to come there: no connection, or a hung one."""
-        if (why := may_send(kind, is_word=True)) is not None:
+        if (why := may_send(kind, is_one_way=True)) is not None:
             raise KeyError(why)
         calls = self.calls
         if calls is None or not calls.open or calls.transport is None:
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -83,15 +83,15 @@
             return
         if not self.peer:
             raise BadFrame("a call before a name")
-        is_word = number == ONE_WAY
-        if not is_word:
+        is_one_way = number == ONE_WAY
+        if not is_one_way:
             if number <= self.last:  # it came twice: what it takes would be taken twice
                 log_event(Event.DUPLICATE_CALL, peer=self.peer, kind=kind, call=number, last=self.last)
                 raise BadFrame("a call that was heard before")
             self.last = number
-        if is_word and kind == CANCEL:
+        if is_one_way and kind == CANCEL:
             return self._cancel(body)
-        if (why := may_send(kind, is_word)) is not None:
+        if (why := may_send(kind, is_one_way)) is not None:
             return self._write(number, False, why)
         self._run(number, kind, body)
 
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -135,24 +135,33 @@
         return ConfigVersion.of(f"r{self.number}", self._body(self.number, name))
 
     async def send(
-        self, machine: Machine, host: str, word: ConfigVersion, patience: float = PATIENCE
+        self, machine: Machine, host: str, version: ConfigVersion, patience: float = PATIENCE
     ) -> Kind:
         """One call, and its place in the history."""
         link, begun = self._link(machine, host), self.now()
         wake(self.awaiting, host)
-        answer = await link.call("put", [word.stamp.number, word.stamp.digest, word.body], patience)
+        answer = await link.call(
+            "put", [version.version_id.number, version.version_id.digest, version.body], patience
+        )
         self.record.sends += 1
         told = int(answer.unwrap()) if isinstance(answer, Success) else 0
         kind = {0: Kind.UNCLEAR, 1: Kind.CONFIRMED, 2: Kind.CONFLICT}[told]
         self.record.ops.append(
-            Op(kind, word.stamp.number, digest(word.body), begun, self.now(), f"{machine.name} at {host}")
+            Op(
+                kind,
+                version.version_id.number,
+                digest(version.body),
+                begun,
+                self.now(),
+                f"{machine.name} at {host}",
+            )
         )
         if kind is Kind.CONFIRMED:
             self.record.answers.append((self.now(), host))
             wake(self.waiting, host)
         return kind
 
-    async def order(self, machine: Machine, word: ConfigVersion) -> bool:
+    async def order(self, machine: Machine, version: ConfigVersion) -> bool:
         """Sent again until it has a clear answer; whether it has."""
         chance, begun = self.stage.chance, self.now()
         self.record.orders += 1
@@ -161,7 +170,7 @@
             host = chance.choice([host for host in self.stage.hosts if host != last] or self.stage.hosts)
             last = host
             lost = chance.random() < GONE_QUICK
-            kind = await self.send(machine, host, word, chance.choice(LOSE_AFTER) if lost else PATIENCE)
+            kind = await self.send(machine, host, version, chance.choice(LOSE_AFTER) if lost else PATIENCE)
             if kind is not Kind.UNCLEAR:
                 self.record.times.append((begun, self.now() - begun))
                 self.record.acknowledged += 1
@@ -202,9 +211,9 @@
                 while self.quiet:
                     await pause(machine, 0.05)
                 self.resting -= 1
-            word = self._next(machine.name)
-            self.sent.append(word)
-            await self.order(machine, word)
+            version = self._next(machine.name)
+            self.sent.append(version)
+            await self.order(machine, version)
             if chance.random() < READS:
                 await self.read(machine, chance.choice(self.stage.hosts))
             await pause(machine, chance.uniform(0.0, self.pace))
@@ -233,32 +242,40 @@
     # Watchers
 
     async def ask(
-        self, machine: Machine, link: RpcClient, host: str, arrivals: ChunkAssembler, have: Any, change: int
+        self,
+        machine: Machine,
+        link: RpcClient,
+        host: str,
+        assembler: ChunkAssembler,
+        sync_state: Any,
+        change: int,
     ) -> Any:
         """One watch: the value told, and the word of it where it is whole now; None where there was no answer."""
-        answer = await link.call("watch", [arrivals.have(have).tell(), change], HOLD)
+        answer = await link.call("watch", [assembler.sync_state(sync_state).tell(), change], HOLD)
         if not isinstance(answer, Success):
             return None
-        parcel, (change, number, stamp, members), _, age = answer.unwrap()
-        self.record.seen.append(Seen(self.now(), host, change, number, bytes(stamp).hex(), age, members[0]))
-        return change, arrivals.take(parcel) if parcel is not None else None
+        chunk, (change, number, version_id, members), _, age = answer.unwrap()
+        self.record.seen.append(
+            Seen(self.now(), host, change, number, bytes(version_id).hex(), age, members[0])
+        )
+        return change, assembler.take(chunk) if chunk is not None else None
 
     async def _watch(self, machine: Machine) -> int:
         """As a door: a source, left when it says nothing, and now and then for no reason."""
         chance = self.stage.chance
-        shelf, have, change = VersionStore(), NO_VERSION, -1
-        arrivals = ChunkAssembler(shelf)
+        version_store, sync_state, change = VersionStore(), NO_VERSION, -1
+        assembler = ChunkAssembler(version_store)
         while True:
             host = chance.choice(self.stage.hosts)
             link = self._link(machine, host)
             while chance.random() < 0.95:
-                told = await self.ask(machine, link, host, arrivals, have, change)
+                told = await self.ask(machine, link, host, assembler, sync_state, change)
                 if told is None:
                     break
                 change = max(change, told[0])
-                if told[1] is not None and told[1].stamp > have:
-                    have = told[1].stamp
-                    self._in_force(machine, host, have.number, have.digest.hex())
+                if told[1] is not None and told[1].version_id > sync_state:
+                    sync_state = told[1].version_id
+                    self._in_force(machine, host, sync_state.number, sync_state.digest.hex())
             await pause(machine, 0.1)
 
     def _in_force(self, machine: Machine, host: str, number: int, body: str) -> None:
--- a/irisdeal/simulation/cluster/probes.py
+++ b/irisdeal/simulation/cluster/probes.py
@@ -56,18 +56,18 @@
         for host in self.stage.hosts:
             self.stage.start(host, True)
 
-    def word(self, number: int, text: str) -> ConfigVersion:
+    def version(self, number: int, text: str) -> ConfigVersion:
         return ConfigVersion.of(f"r{number}", b"r%d %s" % (number, text.encode()))
 
-    async def put(self, machine: Machine, after: float, host: str, word: ConfigVersion) -> int:
+    async def put(self, machine: Machine, after: float, host: str, version: ConfigVersion) -> int:
         """One order after so many s, sent again to the same member for `ASKED` s at most."""
         await pause(machine, after)
         begun = self.callers.now()
         while self.callers.now() - begun < ASKED:
-            kind = await self.callers.send(machine, host, word)
+            kind = await self.callers.send(machine, host, version)
             if kind is not Kind.UNCLEAR:
                 if kind is Kind.CONFIRMED:
-                    self.probe.confirmed.append(digest(word.body))
+                    self.probe.confirmed.append(digest(version.body))
                 break
             await pause(machine, self.stage.chance.uniform(0.02, 0.1))
         self.left -= 1
@@ -81,10 +81,10 @@
             await pause(machine, 0.1)
         return False
 
-    def start(self, after: float, host: str, word: ConfigVersion) -> None:
+    def start(self, after: float, host: str, version: ConfigVersion) -> None:
         self.left += 1
         machine = self.stage.new_caller(f"operator-{len(self.stage.callers)}")
-        machine.start(self.put(machine, after, host, word))
+        machine.start(self.put(machine, after, host, version))
 
     def play(self) -> Probe:
         self.stage.run(lambda: self.left == 0, MOST)
@@ -96,23 +96,24 @@
     """Two bodies under one number, put at two members at once."""
     run = _Run(count, seed, make)
     one, other = run.stage.chance.sample(run.stage.hosts, 2)
-    run.start(SETTLE, one, run.word(1, f"one {seed}"))
-    run.start(SETTLE, other, run.word(1, f"other {seed}"))
+    run.start(SETTLE, one, run.version(1, f"one {seed}"))
+    run.start(SETTLE, other, run.version(1, f"other {seed}"))
     return run.play()
 
 
 def replace_body(seed: int, make: MAKE = StoreReplica, count: int = 3) -> Probe:
     """A body of larger digest under a number, put 1 s after the other's confirmation; then a read."""
     run = _Run(count, seed, make)
-    words = sorted(
-        (run.word(1, f"{text} {seed}") for text in ("one", "other")), key=lambda word: word.stamp.digest
+    versions = sorted(
+        (run.version(1, f"{text} {seed}") for text in ("one", "other")),
+        key=lambda version: version.version_id.digest,
     )
 
     async def act(machine: Machine) -> int:
         run.left += 2
         one, other = run.stage.chance.sample(run.stage.hosts, 2)
-        await run.put(machine, SETTLE, one, words[0])
-        await run.put(machine, 1.0, other, words[1])
+        await run.put(machine, SETTLE, one, versions[0])
+        await run.put(machine, 1.0, other, versions[1])
         await run.read(machine, one)
         reads: list[Op] = [op for op in run.callers.record.ops if op.kind is Kind.READ]
         run.probe.read = reads[-1].body if reads else ""
@@ -138,7 +139,9 @@
             begun = run.callers.now()
             run.left += 1
             before = len(run.probe.confirmed)
-            await run.put(machine, 0.0, run.stage.chance.choice(run.stage.hosts), run.word(number, f"{seed}"))
+            await run.put(
+                machine, 0.0, run.stage.chance.choice(run.stage.hosts), run.version(number, f"{seed}")
+            )
             run.probe.puts += len(run.probe.confirmed) > before
             run.probe.reads += await run.read(machine, run.stage.chance.choice(run.stage.hosts))
             await pause(machine, max(0.0, APART - (run.callers.now() - begun)))
@@ -185,8 +188,8 @@
             for host, disk_time in zip(chance.sample(stage.hosts, count), DUEL_DISKS * count, strict=False):
                 stage.machines[host].disk_time = disk_time
             for index, host in enumerate(stage.hosts):
-                word = run.word(number + chance.randint(0, 1), f"{seed} {index}")
-                run.start(chance.uniform(0.0, TOGETHER), host, word)
+                version = run.version(number + chance.randint(0, 1), f"{seed} {index}")
+                run.start(chance.uniform(0.0, TOGETHER), host, version)
             run.callers.reading = True
             await befall(machine)
             await pause(machine, DUEL)
@@ -209,7 +212,7 @@
     async def act(machine: Machine) -> int:
         await pause(machine, SETTLE)
         run.left += 1
-        await run.put(machine, 0.0, chance.choice(stage.hosts), run.word(1, f"{seed}"))
+        await run.put(machine, 0.0, chance.choice(stage.hosts), run.version(1, f"{seed}"))
         old, new = chance.choice(stage.hosts), stage.new_host()
         stage.start(new)
         await pause(machine, SYNC + chance.uniform(0.1, 1.0))
--- a/irisdeal/simulation/cluster/store_day.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -222,13 +222,13 @@
 @contextlib.contextmanager
 def heard() -> Iterator[list[str]]:
     """The program's events of level ERROR: a task that failed, an invariant that does not hold."""
-    ear = _Ear()
-    log.addHandler(ear)
+    probe_result = _Ear()
+    log.addHandler(probe_result)
     usual, log.propagate = log.propagate, False
     try:
-        yield ear.events
+        yield probe_result.events
     finally:
-        log.removeHandler(ear)
+        log.removeHandler(probe_result)
         log.propagate = usual
 
 
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -50,7 +50,7 @@
     def __init__(
         self,
         ip: str,
-        life: int,
+        incarnation: int,
         clock: Clock,
         recorded: IssuerList | None,
         lend_from: Callable[[str, str, LendRequest], int],
@@ -66,7 +66,7 @@
         self.authority = IssuingAuthority(ip)
         if recorded is not None:
             self.authority.recall(recorded, clock.now())
-        self.service = QuotaService(settings, _loop(clock), life, self.authority, self.age, lend)
+        self.service = QuotaService(settings, _loop(clock), incarnation, self.authority, self.age, lend)
 
     def age(self) -> float | None:
         """Of its knowledge of what is decided, as the program counts it."""
@@ -96,9 +96,9 @@
 class ProxyNode:
     """One life of a proxy's process."""
 
-    def __init__(self, name: str, life: int, home: int, clock: Clock, limit: Limit) -> None:
+    def __init__(self, name: str, incarnation: int, home: int, clock: Clock, limit: Limit) -> None:
         self.name, self.home, self.clock = name, home, clock
-        self.held = HeldPermits(life)
+        self.held = HeldPermits(incarnation)
         self.companion = RateCompanion(TENANT, limit)
         self.silent_until: dict[str, float] = {}  # registries that did not answer, by the world's clock
         self.without_permits_until: dict[str, float] = {}
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -50,7 +50,7 @@
         self.limit = Limit(rate, rate if burst is None else burst)
         self.judge = QuotaJudge(self.limit.rate_per_s, self.limit.burst)
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.number = self.lives = 0
+        self.number = self.incarnations = 0
         self.asked = self.refused = 0
         self.lend_lost = self.lend_doubled = self.loss = 0.0
         self.run_delay_s = 0.002  # the mean, from a permit to the run
@@ -70,8 +70,8 @@
             self.at(0.02 + self.chance.random() * 0.12, self._report, number)
 
     def _life(self) -> int:
-        self.lives += 1
-        return self.lives
+        self.incarnations += 1
+        return self.incarnations
 
     def _clock(self) -> Clock:
         speed = 1 + self.drift * (2 * self.chance.random() - 1)
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -87,9 +87,9 @@
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip, self.seat = rig, ip, seat(ip, FIRST)
         self.settings = rig.settings(ip)
-        self.value, self.word = rig.first, rig.first_word
+        self.value, self.version = rig.first, rig.first_word
         self.learners: list[str] = []
-        self.shelf = VersionStore()
+        self.version_store = VersionStore()
         self.contact = Contact()
         self.news = asyncio.Event()
         self.links: dict[str, RpcClient] = {}
@@ -120,20 +120,20 @@
         if isinstance(answer, Success):
             told, body = answer.unwrap()
             value = Value.hear(told)
-            self.take(value, ConfigVersion(value.stamp, bytes(body)))
+            self.take(value, ConfigVersion(value.version_id, bytes(body)))
             self.contact.heard(seat(ip, FIRST), sent)
 
-    def take(self, value: Value, word: ConfigVersion) -> None:
+    def take(self, value: Value, version: ConfigVersion) -> None:
         if value.change > self.value.change:
-            self.value, self.word = value, word
-            self.shelf.hold(word)
+            self.value, self.version = value, version
+            self.version_store.hold(version)
             self.news.set()
             self.news = asyncio.Event()
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
             case "state":
-                return [self.value.tell(), self.word.body]
+                return [self.value.tell(), self.version.body]
             case "watch":
                 return await self.watch(SyncState.hear(body[0]), body[1])
             case "put":
@@ -142,37 +142,41 @@
                     await asyncio.sleep(self.put_s)
                 return self.outcome if self.has_contact() else 0
             case "read":
-                return [self.has_contact(), self.word.body]
+                return [self.has_contact(), self.version.body]
         raise ValueError(kind)
 
-    async def watch(self, have: SyncState, change: int) -> list[Any]:
-        if have.stamp == self.value.stamp and change == self.value.change:
+    async def watch(self, sync_state: SyncState, change: int) -> list[Any]:
+        if sync_state.version_id == self.value.version_id and change == self.value.change:
             try:
                 async with asyncio.timeout(HOLD):
                     await self.news.wait()
             except TimeoutError:
                 pass
-        stamp = self.value.stamp
-        parcel = self.shelf.parcel(have, stamp) if stamp not in (have.stamp, NO_VERSION) else None
+        version_id = self.value.version_id
+        chunk = (
+            self.version_store.chunk(sync_state, version_id)
+            if version_id not in (sync_state.version_id, NO_VERSION)
+            else None
+        )
         age = int(self.age() * 1000) if self.has_contact() else -1
-        return [parcel, self.value.tell(), self.learners, age]
+        return [chunk, self.value.tell(), self.learners, age]
 
 
 class Post:
     """One registry: what it knows of the store, and what it tells doors."""
 
-    def __init__(self, rig: CoreRig, ip: str, life: int) -> None:
+    def __init__(self, rig: CoreRig, ip: str, incarnation: int) -> None:
         self.settings = rig.settings(ip)
-        self.ip, self.words, self.is_full = ip, list[int](), True
+        self.ip, self.versions, self.is_full = ip, list[int](), True
         self.registry, self.waking = BackendTable(1.5), [0]
-        self.follower = StoreClient(self.settings, VersionStore(), self.on_word, self.changed)
+        self.store_client = StoreClient(self.settings, VersionStore(), self.on_version, self.changed)
         zones = {host: zone_of(host) for host in rig.hosts}
-        self.news = WatchService(self.follower, self.registry, life, zones, lambda: self.is_full)
+        self.news = WatchService(self.store_client, self.registry, incarnation, zones, lambda: self.is_full)
         self.server = RpcServer(self.handle)
         self.ages: list[tuple[float, int]] = []
 
-    def on_word(self, word: ConfigVersion) -> None:
-        self.words.append(word.stamp.number)
+    def on_version(self, version: ConfigVersion) -> None:
+        self.versions.append(version.version_id.number)
 
     def changed(self) -> None:
         self.waking[0] += 1
@@ -180,7 +184,7 @@
 
     async def run(self) -> int:
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
-        self.follower.start()
+        self.store_client.start()
         await asyncio.get_running_loop().create_future()
         return 0
 
@@ -197,11 +201,11 @@
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip = rig, ip
-        self.words: list[tuple[float, int]] = []
-        self.sources = Sources(rig.settings(ip), self.on_word, lambda life, silent: None)
+        self.versions: list[tuple[float, int]] = []
+        self.sources = Sources(rig.settings(ip), self.on_version, lambda incarnation, silent: None)
 
-    def on_word(self, word: ConfigVersion) -> None:
-        self.words.append((self.rig.world.seconds(), word.stamp.number))
+    def on_version(self, version: ConfigVersion) -> None:
+        self.versions.append((self.rig.world.seconds(), version.version_id.number))
 
     async def run(self) -> int:
         self.sources.start()
@@ -224,7 +228,7 @@
         self.posts: dict[str, Post] = {}
         self.doors: list[DoorPost] = []
         self.decided: list[tuple[float, int]] = []
-        self.lives = 100
+        self.incarnations = 100
         for host in self.hosts:
             self.start(host)
         for number in range(doors):
@@ -256,11 +260,11 @@
         return self.process(host, store)
 
     def start_post(self, host: str) -> Machine:
-        self.lives += 1
-        life = self.lives
+        self.incarnations += 1
+        incarnation = self.incarnations
 
         def post() -> Coroutine[Any, Any, int]:
-            self.posts[host] = Post(self, host, life)
+            self.posts[host] = Post(self, host, incarnation)
             return self.posts[host].run()
 
         return self.process(host, post)
@@ -286,10 +290,10 @@
     def decide(self, number: int, holders: list[str], members: Members | None = None) -> None:
         """A majority holds this word now; all others hear of it in their rounds."""
         newest = max((store.value for store in self.stores.values()), key=lambda value: value.change)
-        word = ConfigVersion.of(f"r{number}", b"r%d" % number)
-        value = Value(newest.change + 1, word.stamp, members or newest.members)
+        version = ConfigVersion.of(f"r{number}", b"r%d" % number)
+        value = Value(newest.change + 1, version.version_id, members or newest.members)
         for host in holders:
-            self.stores[host].take(value, word)
+            self.stores[host].take(value, version)
         self.decided.append((self.world.seconds(), number))
 
     def cut(self, host: str, away: bool = True, here: bool = True, from_doors: bool = False) -> None:
@@ -323,7 +327,7 @@
 
     def in_force(self, door: DoorPost, at: float) -> int:
         """The number in force at a door at this second."""
-        return max((number for when, number in door.words if when <= at), default=-1)
+        return max((number for when, number in door.versions if when <= at), default=-1)
 
     def late(self, bound: float, since: float = 0.0) -> list[tuple[str, int, float]]:
         """Doors at which a word decided after `since` was not in force `bound` s later."""
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -20,7 +20,7 @@
 START = Value.first(Members.first(["a", "b", "c"]))
 
 
-def word(number: int, size: int = 40) -> ConfigVersion:
+def version(number: int, size: int = 40) -> ConfigVersion:
     body = json.dumps({"generation": f"r{number}", "text": "x" * size}).encode()
     return ConfigVersion.of(f"r{number}", body)
 
@@ -28,7 +28,7 @@
 def after(count: int) -> Value:
     value = START
     for number in range(1, count + 1):
-        value = put(word(number).stamp)(value)
+        value = put(version(number).version_id)(value)
     return value
 
 
@@ -44,7 +44,7 @@
     good, _ = await acceptor.prepare(ballot)
     assert good
     answered.append(acceptor.kept)
-    if not await acceptor.hold(word(number)):
+    if not await acceptor.hold(version(number)):
         raise OSError("refused")
     given = await acceptor.accept(ballot, after(number))
     assert given == (True, ballot)
@@ -103,7 +103,7 @@
             and kept.promised >= least.promised
             and kept.accepted >= least.accepted
             and kept.value.change >= least.value.change
-            and acceptor.holds(kept.value.stamp)
+            and acceptor.holds(kept.value.version_id)
         )
         if not good:
             context.found.append((least, kept, acceptor.disk))
@@ -198,8 +198,8 @@
 @then("the body is not held and the ones before it are")
 def _(context: Any) -> None:
     for acceptor in context.acceptors:
-        held = [acceptor.files.has(word(number).stamp) for number in range(1, context.count + 1)]
-        assert not acceptor.holds(word(context.count).stamp)
+        held = [acceptor.files.has(version(number).version_id) for number in range(1, context.count + 1)]
+        assert not acceptor.holds(version(context.count).version_id)
         assert held == [True] * (context.count - 1) + [False], held
 
 
@@ -216,7 +216,7 @@
             await acceptor.prepare(Ballot(99, "b"))
         except OSError:
             context.refused.append("promise")
-        if not await acceptor.hold(word(99)):
+        if not await acceptor.hold(version(99)):
             context.refused.append("body")
         assert acceptor.kept == before
         context.disk.full = False
@@ -228,7 +228,7 @@
 def _(context: Any) -> None:
     assert context.refused == ["promise", "body"], context.refused
     acceptor = asyncio.run(opened(context.disk))
-    assert acceptor.kept.value == after(context.count) and acceptor.holds(acceptor.kept.value.stamp)
+    assert acceptor.kept.value == after(context.count) and acceptor.holds(acceptor.kept.value.version_id)
 
 
 @then("at most {most:d} files are on it")
--- a/tests/features/steps/place_steps.py
+++ b/tests/features/steps/place_steps.py
@@ -25,20 +25,21 @@
         self.placers = {zone: Placer(dict.fromkeys(self.zones, "r"), self.chance) for zone in self.zones}
         self.loads = {zone: LoadReports() for zone in self.zones}
         self.doors = [(f"d{number}", self.zones[number % 4]) for number in range(doors)]
-        self.lives = [(f"i{number}", self.zones[number % 4]) for number in range(37)]
+        self.incarnations = [(f"i{number}", self.zones[number % 4]) for number in range(37)]
         self.winds = {door: BackendChoice(self.chance) for door, _ in self.doors}
         self.views = {
             door: {
-                id_: Backend(id_, "s", ("", 0), zone, int(zone != home), 2, 0.0) for id_, zone in self.lives
+                id_: Backend(id_, "s", ("", 0), zone, int(zone != home), 2, 0.0)
+                for id_, zone in self.incarnations
             }
             for door, home in self.doors
         }
         for placer in self.placers.values():
-            for id_, zone in self.lives:
+            for id_, zone in self.incarnations:
                 placer.know(id_, "s", zone, 2, 0.0)
         self.rate = asked * 37 * 2 / WORK
-        self.there = {id_: 0 for id_, _ in self.lives}
-        self.free_at = {id_: [0.0, 0.0] for id_, _ in self.lives}
+        self.there = {id_: 0 for id_, _ in self.incarnations}
+        self.free_at = {id_: [0.0, 0.0] for id_, _ in self.incarnations}
         self.poor: set[str] = set()
         self.got: list[tuple[float, str]] = []
         self.queued = 0
@@ -180,7 +181,7 @@
 def _(context: Any, seconds: float) -> None:
     ground = context.ground
     late = [id_ for at, id_ in ground.got if at > 20 - seconds]
-    others = [id_ for id_, zone in ground.lives if zone == "z0" and id_ != "i0"]
+    others = [id_ for id_, zone in ground.incarnations if zone == "z0" and id_ != "i0"]
     assert late.count("i0") < sum(map(late.count, others)) / len(others) / 3, late.count("i0")
 
 
--- a/tests/planted/store.py
+++ b/tests/planted/store.py
@@ -43,7 +43,7 @@
 async def accept_not_synced(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
     """What was accepted is kept in memory alone."""
     async with self.lock:
-        if not self.holds(value.stamp):
+        if not self.holds(value.version_id):
             return None
         good, self.kept = on_accept(self.kept, ballot, value)
         self._need()
@@ -53,7 +53,7 @@
 async def accept_after_higher(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
     """A ballot is accepted though a higher one was promised."""
     async with self.lock:
-        if not self.holds(value.stamp):
+        if not self.holds(value.version_id):
             return None
         await self._write(AcceptorState(max(ballot, self.kept.promised), ballot, value))
         return True, self.kept.promised
@@ -102,8 +102,8 @@
 
 async def read_alone(self: StoreReplica) -> list[Any]:
     """What this member knows."""
-    word = self.acceptor.word(self.force.stamp)
-    return [True, word.body if word is not None else None]
+    version = self.acceptor.version(self.force.version_id)
+    return [True, version.body if version is not None else None]
 
 
 async def force_undecided(
@@ -118,20 +118,22 @@
     return given
 
 
-def again_refused(self: Proposer, stamp: VersionId) -> PutOutcome | None:
+def again_refused(self: Proposer, version_id: VersionId) -> PutOutcome | None:
     """An order that holds is refused when it comes again."""
-    held = self.acceptor.decided.stamp
-    if held.number < stamp.number:
+    held = self.acceptor.decided.version_id
+    if held.number < version_id.number:
         return None
     return (
-        PutOutcome.OTHER if held.number == stamp.number and stamp not in self.orders else PutOutcome.CONFIRMED
+        PutOutcome.OTHER
+        if held.number == version_id.number and version_id not in self.orders
+        else PutOutcome.CONFIRMED
     )
 
 
-async def alone_confirmed(self: Proposer, word: ConfigVersion, within: float) -> PutOutcome:
+async def alone_confirmed(self: Proposer, version: ConfigVersion, within: float) -> PutOutcome:
     """An order is confirmed once it is held here."""
-    self.tasks.start(PUT(self, word, within))
-    return PutOutcome.CONFIRMED if await self.acceptor.hold(word) else PutOutcome.LATER
+    self.tasks.start(PUT(self, version, within))
+    return PutOutcome.CONFIRMED if await self.acceptor.hold(version) else PutOutcome.LATER
 
 
 def never_woke(self: Contact, moment: float) -> bool:
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -312,12 +312,12 @@
         door.admission.most_proxies, door.admission.has_reported, door.repeats.slack_from = 8, True, 0.0
         if self.registry is not None:
             door.registries._by_nearness = lambda: [REGISTRY]  # type: ignore[method-assign]
-        door._on_word(self.configuration(1))
+        door._on_version(self.configuration(1))
         door.gate.slots = SLOTS
-        door._on_life(
+        door._on_incarnation(
             BackendIncarnation("i-0", "s", f"{BACKEND}:80", "z", 500, BackendState.READY, 1, 0.0), False
         )
-        door._on_life(
+        door._on_incarnation(
             BackendIncarnation("i-1", "s", f"{BACKEND}:81", "z", 500, BackendState.READY, 1, 0.0), False
         )
         self.prepare(door)
@@ -330,7 +330,7 @@
         """Another configuration comes into force, and SIGHUP says that the settings have changed."""
         door = self.door
         if door is not None and not self.proxy.dead:
-            self.proxy.call_soon(door._on_word, self.configuration(number, idle_ms))
+            self.proxy.call_soon(door._on_version, self.configuration(number, idle_ms))
             self.proxy.call_soon(door.reload, door.settings)
 
     def configuration(self, number: int, idle_ms: int = 15_000) -> ConfigVersion:
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -70,7 +70,7 @@
     return Value.first(Members.first(MACHINES))
 
 
-def word(number: int, text: str = "body") -> ConfigVersion:
+def version(number: int, text: str = "body") -> ConfigVersion:
     return ConfigVersion.of(f"r{number}", f"{text} {number}\n".encode() * 3)
 
 
@@ -96,23 +96,23 @@
 
 
 def next_value(value: Value, body: ConfigVersion) -> Value:
-    return Value(value.change + 1, body.stamp, value.members)
+    return Value(value.change + 1, body.version_id, value.members)
 
 
 def value_told(value: Value) -> dict[str, Any]:
     members = value.members
     return {
         "change": value.change,
-        "number": value.stamp.number,
-        "digest": value.stamp.digest.hex(),
+        "number": value.version_id.number,
+        "digest": value.version_id.digest.hex(),
         "list": {"number": members.number, "seats": list(members.seats), "former": list(members.former)},
     }
 
 
 def body_told(body: ConfigVersion) -> dict[str, Any]:
     return {
-        "number": body.stamp.number,
-        "digest": body.stamp.digest.hex(),
+        "number": body.version_id.number,
+        "digest": body.version_id.digest.hex(),
         "length": len(body.body),
         "sha256": hashlib.sha256(body.body).hexdigest(),
     }
@@ -123,8 +123,8 @@
     with fixed_identities("5a"):
         acceptor = await opened(path)
     kept = acceptor.kept
-    stamps: list[VersionId] = sorted(acceptor.files.stamps.values())
-    bodies = [acceptor.word(stamp) for stamp in stamps]
+    version_ids: list[VersionId] = sorted(acceptor.files.version_ids.values())
+    bodies = [acceptor.version(version_id) for version_id in version_ids]
     return {
         "identity": acceptor.disk,
         "seat": acceptor.seat,
@@ -132,9 +132,9 @@
         "accepted": [kept.accepted.count, kept.accepted.seat],
         "value": value_told(kept.value),
         "decided": value_told(acceptor.decided),
-        "holds_value": acceptor.holds(kept.value.stamp),
-        "holds_decided": acceptor.holds(acceptor.decided.stamp),
-        "on_disk": [[stamp.number, stamp.digest.hex()] for stamp in stamps],
+        "holds_value": acceptor.holds(kept.value.version_id),
+        "holds_decided": acceptor.holds(acceptor.decided.version_id),
+        "on_disk": [[version_id.number, version_id.digest.hex()] for version_id in version_ids],
         "bodies": [body_told(body) for body in bodies if body is not None],
     }
 
@@ -147,13 +147,13 @@
     files = Files(DiskFolder(str(to)))
     bodies = Files(DiskFolder(str(source))).open()
     for body in bodies:
-        files.keep(body, [other.stamp for other in bodies])
+        files.keep(body, [other.version_id for other in bodies])
 
 
 # The registry: adapters
 
 
-def lives() -> list[BackendIncarnation]:
+def incarnations() -> list[BackendIncarnation]:
     """One that drains and is not warm yet, one that is gone, one of which nothing but the end is known."""
     return [
         BackendIncarnation("i-1", "checkout", "10.9.0.1:8080", "z1", 40, BackendState.DRAINING, 12, 3.25),
@@ -187,16 +187,16 @@
     assert ListRecord(str(path)).save(told)
 
 
-def life_told(life: BackendIncarnation) -> dict[str, Any]:
+def life_told(incarnation: BackendIncarnation) -> dict[str, Any]:
     return {
-        "id": life.id,
-        "service": life.service,
-        "address": life.address,
-        "zone": life.zone,
-        "capacity": life.capacity,
-        "state": int(life.state),
-        "count": life.count,
-        "warm_ms": round(life.warm_at * 1000),
+        "id": incarnation.id,
+        "service": incarnation.service,
+        "address": incarnation.address,
+        "zone": incarnation.zone,
+        "capacity": incarnation.capacity,
+        "state": int(incarnation.state),
+        "count": incarnation.count,
+        "warm_ms": round(incarnation.warm_at * 1000),
     }
 
 
@@ -206,7 +206,7 @@
     ended = await record.open()
     listed = ListRecord(str(path)).load()
     return {
-        "ended": [life_told(life) for life in ended] if ended is not None else None,
+        "ended": [life_told(incarnation) for incarnation in ended] if ended is not None else None,
         "on_disk": {id_: int(state) for id_, state in sorted(record.kept.items())},
         "issuers": [listed.number, sorted(listed.machines)] if listed is not None else None,
     }
@@ -239,7 +239,7 @@
     """After six orders, one of another proposer: bodies that are not needed have gone."""
     acceptor, value = await opened(path, first_value()), first_value()
     for number in range(1, 7):
-        body = word(number)
+        body = version(number)
         value = next_value(value, body)
         await accepted(acceptor, 3 * number, value, body, MACHINES[number % 3])
         await decided(acceptor, value)
@@ -248,10 +248,10 @@
 async def store_ahead(path: Path) -> None:
     """r2 is accepted and not known as decided, and a ballot over it is promised."""
     acceptor = await opened(path, first_value())
-    one = next_value(first_value(), word(1))
-    await accepted(acceptor, 1, one, word(1))
+    one = next_value(first_value(), version(1))
+    await accepted(acceptor, 1, one, version(1))
     await decided(acceptor, one)
-    await accepted(acceptor, 4, next_value(one, word(2)), word(2), MACHINES[1])
+    await accepted(acceptor, 4, next_value(one, version(2)), version(2), MACHINES[1])
     good, _ = await acceptor.prepare(ballot(9, MACHINES[2]))
     assert good
 
@@ -260,7 +260,7 @@
     """A change of the list is under way."""
     acceptor, first = await opened(path, first_value()), first_value()
     joint = first.members.change([*first.members.seats[:2], seat("10.3.0.1", "5b" * 8)])
-    value = Value(first.change + 1, first.stamp, joint)
+    value = Value(first.change + 1, first.version_id, joint)
     await accepted(acceptor, 2, value, None)
     await decided(acceptor, value)
 
@@ -275,7 +275,7 @@
 
 async def registry_whole(path: Path) -> None:
     """Ends and a list."""
-    await ended_written(path, lives())
+    await ended_written(path, incarnations())
     issuers_written(path, issuers())
 
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -218,7 +218,7 @@
     def start_proxy(self) -> None:
         async def program() -> None:
             settings = self.settings_for(PROXY, "proxy")
-            self.sources = Sources(settings, lambda word: None, lambda life, silent: None)
+            self.sources = Sources(settings, lambda version: None, lambda incarnation, silent: None)
             self.client = RegistryClient(settings, self.sources)
             self.sources.start()
 
@@ -250,7 +250,9 @@
 
         self.on(seconds, host, "registry", act)
 
-    def beat(self, seconds: float, host: str, count: int, state: str = "ready", id_: str = "i-1") -> None:
+    def heartbeat(
+        self, seconds: float, host: str, count: int, state: str = "ready", id_: str = "i-1"
+    ) -> None:
         told = {
             "service": SERVICE,
             "address": "10.9.0.1:80",
@@ -330,8 +332,8 @@
     rig.outside(STARTED + 0.5, one, b"POST", b"/config/replace", configuration(1))
     rig.outside(STARTED + 0.8, two, b"GET", b"/config/read")
     for number in range(1, 28):
-        rig.beat(STARTED + 0.4 * number, two, number)
-    rig.beat(STARTED + 1.1, three, 1, id_="i-2")
+        rig.heartbeat(STARTED + 0.4 * number, two, number)
+    rig.heartbeat(STARTED + 1.1, three, 1, id_="i-2")
     rig.outside(STARTED + 3.6, one, b"POST", b"/config/replace", configuration(2))
     for number in range(14):
         rig.on(STARTED + 1.0 + 0.5 * number, PROXY, "proxy", partial(rig.report, number))
@@ -346,7 +348,7 @@
     rig.on(STARTED + 5.6, PROXY, "proxy", rig.end_places)
     rig.on(STARTED + 5.8, PROXY, "proxy", rig.ask_as_before)
     rig.on(STARTED + 5.9, PROXY, "proxy", rig.survey)
-    rig.beat(STARTED + 6.1, two, 2, "draining", "i-2")
+    rig.heartbeat(STARTED + 6.1, two, 2, "draining", "i-2")
     rig.at(STARTED + 6.5, partial(rig.lose, three, "store", True))
     rig.at(STARTED + 7.0, partial(rig.start_again, three, "store"))
     rig.at(STARTED + 8.0, partial(rig.lose, one, "registry"))
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -410,9 +410,15 @@
     recorder.note(
         books.told, books.lives, books.fallen, books.holds, books.pauses, list(books.strangers.values())
     )
-    for life in books.doors:
+    for incarnation in books.doors:
         recorder.note(
-            life.door, life.started, life.ready, life.terminated, life.killed, life.ended, life.code
+            incarnation.door,
+            incarnation.started,
+            incarnation.ready,
+            incarnation.terminated,
+            incarnation.killed,
+            incarnation.ended,
+            incarnation.code,
         )
     recorder.note([at for at, _ in books.faults])
     recorder.note([(breach.rule, breach.times) for breach in played.verdict.breaches])
