--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -119,7 +119,7 @@
     return Report.hear(told).tell()
 
 
-def have(told: Any) -> Any:
+def sync_state(told: Any) -> Any:
     return SyncState.hear(told).tell()
 
 
@@ -127,29 +127,29 @@
     return int(PutOutcome(told))
 
 
-def life(told: Any) -> Any:
+def incarnation(told: Any) -> Any:
     return encode_incarnation(decode_incarnation(told, 0.0), 0.0)
 
 
 def accepted(told: Any) -> Any:
     """Whether it is accepted, with what is promised; None, with what is there, where the body is missing."""
-    return [told[0], (have if told[0] is None else ballot)(told[1])]
+    return [told[0], (sync_state if told[0] is None else ballot)(told[1])]
 
 
-AGED = every(each(life, number))  # lives, and how many ms ago each was heard
+AGED = every(each(incarnation, number))  # lives, and how many ms ago each was heard
 READERS: dict[str, tuple[Again, Again]] = {
     "state": (maybe(report), report),
     "prepare": (each(str, ballot), maybe(each(bool, kept))),
     "accept": (each(str, ballot, value), maybe(accepted)),
-    "bring": (as_is, each(bool, have)),
-    "fetch": (each(have, number, bytes), maybe(as_is)),
+    "bring": (as_is, each(bool, sync_state)),
+    "fetch": (each(sync_state, number, bytes), maybe(as_is)),
     "decided": (each(ballot, value), nothing),
-    "watch": (each(have, number), each(as_is, value, every(str), number)),
+    "watch": (each(sync_state, number), each(as_is, value, every(str), number)),
     "put": (each(number, bytes, bytes), outcome),
     "read": (nothing, each(bool, maybe(bytes))),
     "news": (
-        each(have, number, number, number),
-        each(as_is, number, number, every(each(life, bool)), as_is, number, number),
+        each(sync_state, number, number, number),
+        each(as_is, number, number, every(each(incarnation, bool)), as_is, number, number),
     ),
     "lives": (AGED, nothing),
     "count": (
@@ -183,12 +183,12 @@
     def frames(self) -> list[str]:
         """In hex: the call, its answer, and the call as a word where it may be one."""
         frames = [encode([7, self.kind, self.ask]), encode([7, True, self.answer])]
-        if CALLS[self.kind].word:
+        if CALLS[self.kind].version:
             frames.append(encode([ONE_WAY, self.kind, self.ask]))
         return [frame.hex() for frame in frames]
 
 
-def words() -> tuple[ConfigVersion, ConfigVersion, ConfigVersion]:
+def versions() -> tuple[ConfigVersion, ConfigVersion, ConfigVersion]:
     """Two versions that differ by little, and one of several pieces."""
     lines = [hashlib.sha256(b"%d" % at).hexdigest().encode() for at in range(200)]
     first, second = b"\n".join(lines), b"\n".join([*lines[:100], b"another", *lines[101:]])
@@ -196,31 +196,31 @@
     return ConfigVersion.of("r1", first), ConfigVersion.of("r2", second), ConfigVersion.of("r3", long)
 
 
-def parcels() -> dict[str, Any]:
+def chunks() -> dict[str, Any]:
     """Each kind of a parcel: a whole body, a difference, the first piece and the one after it."""
-    first, second, long = words()
-    shelf, arrivals = VersionStore(), ChunkAssembler(VersionStore())
-    shelf.hold(first)
-    whole = shelf.parcel(SyncState(), first.stamp)
-    shelf.hold(second)
-    difference = shelf.parcel(SyncState(first.stamp), second.stamp)
-    shelf.hold(long)
-    piece = shelf.parcel(SyncState(), long.stamp)
+    first, second, long = versions()
+    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore())
+    version_store.hold(first)
+    whole = version_store.chunk(SyncState(), first.version_id)
+    version_store.hold(second)
+    difference = version_store.chunk(SyncState(first.version_id), second.version_id)
+    version_store.hold(long)
+    piece = version_store.chunk(SyncState(), long.version_id)
     assert piece is not None
-    arrivals.take(piece)
-    goes_on = shelf.parcel(arrivals.have(NO_VERSION), long.stamp)
+    assembler.take(piece)
+    goes_on = version_store.chunk(assembler.sync_state(NO_VERSION), long.version_id)
     return {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
 
 
 def _store_samples() -> list[Sample]:
     ips = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
-    first, second, long = words()
+    first, second, long = versions()
     members = Members.first(ips)
-    begun, now = Value.first(members), Value(300, second.stamp, members)
-    joint = Value(301, second.stamp, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
+    begun, now = Value.first(members), Value(300, second.version_id, members)
+    joint = Value(301, second.version_id, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
     here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
     low, high = Ballot(3, here), Ballot(70_000, there)
-    arriving = SyncState(first.stamp, long.stamp, PIECE).tell()
+    arriving = SyncState(first.version_id, long.version_id, PIECE).tell()
     told = Report(here, "z0", low, now, now, True).tell()
     samples = [
         Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).tell()),
@@ -236,31 +236,33 @@
             "accept",
             "without the body",
             [there, low.tell(), now.tell()],
-            [None, SyncState(first.stamp).tell()],
+            [None, SyncState(first.version_id).tell()],
         ),
         Sample("decided", "a value", [high.tell(), now.tell()]),
-        Sample("watch", "held", [SyncState(second.stamp).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]),
+        Sample(
+            "watch", "held", [SyncState(second.version_id).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]
+        ),
         Sample("watch", "without contact", [SyncState().tell(), -2], [None, begun.tell(), [], -1]),
         Sample("read", "what holds", None, [True, first.body]),
         Sample("read", "nothing yet", None, [True, None]),
         Sample("read", "not known", None, [False, None]),
     ]
-    order = [first.stamp.number, first.stamp.digest, first.body]
+    order = [first.version_id.number, first.version_id.digest, first.body]
     samples += [Sample("put", end.name.lower(), order, int(end)) for end in PutOutcome]
-    asked = [SyncState(first.stamp).tell(), second.stamp.number, second.stamp.digest]
+    asked = [SyncState(first.version_id).tell(), second.version_id.number, second.version_id.digest]
     samples += [Sample("fetch", "not here", asked)]
-    for name, parcel in parcels().items():
+    for name, chunk in chunks().items():
         samples += [
-            Sample("bring", name, parcel, [name != "first piece", arriving]),
-            Sample("fetch", name, asked, parcel),
-            Sample("watch", name, [arriving, 7], [parcel, joint.tell(), [], 0]),
-            Sample("news", name, [arriving, 1 << 40, 9, 300], [parcel, 1 << 40, 9, [], {}, -1, -1]),
+            Sample("bring", name, chunk, [name != "first piece", arriving]),
+            Sample("fetch", name, asked, chunk),
+            Sample("watch", name, [arriving, 7], [chunk, joint.tell(), [], 0]),
+            Sample("news", name, [arriving, 1 << 40, 9, 300], [chunk, 1 << 40, 9, [], {}, -1, -1]),
         ]
     return samples
 
 
 def _registry_samples() -> list[Sample]:
-    lives = [
+    incarnations = [
         encode_incarnation(
             BackendIncarnation("i-1", "s", "10.9.0.1:80", "z0", 40, BackendState.READY, 12, 3.25), 0.0
         ),
@@ -269,7 +271,7 @@
         ),
         encode_incarnation(BackendIncarnation("i-3", "", "", "", 0, BackendState.GONE, 0, 0.0), 0.0),
     ]
-    aged = [(told, 30 * at) for at, told in enumerate(lives)]
+    aged = [(told, 30 * at) for at, told in enumerate(incarnations)]
     zones = {"10.0.0.1": "z0", "10.1.0.1": ""}
     usages = {"t-1": Usage(17.1234, 1.25, 0.0, 2.0), "t-2": Usage()}
     held = HeldReport(77, 5, 1 << 47, {"t-1": 6}, {"t-1": 64, "t-2": 1})
@@ -282,9 +284,9 @@
             "news",
             "lives",
             [SyncState().tell(), 0, 0, -1],
-            [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(lives)], zones, 1100, 300],
+            [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(incarnations)], zones, 1100, 300],
         ),
-        Sample("lives", "all kinds", [[told, 0] for told in lives]),
+        Sample("lives", "all kinds", [[told, 0] for told in incarnations]),
         Sample("lives", "none", []),
         Sample(
             "count",
--- a/tests/test_acknowledged_ends.py
+++ b/tests/test_acknowledged_ends.py
@@ -21,7 +21,7 @@
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 from tests.test_registry_drain import Caller, DrainRig
-from tests.test_station import beat, news_of, states
+from tests.test_station import heartbeat, news_of, states
 
 BACKENDS = 8
 FOUND_BY = (16, 30, 39)  # seeds: all that do of the first 40
@@ -57,7 +57,7 @@
     def end(self, id_: str, state: BackendState, host: str) -> None:
         """A backend says that it leaves."""
         if state is BackendState.DRAINING:
-            self.call(host, "POST", f"/backends/{id_}/heartbeat", beat("draining", 5))
+            self.call(host, "POST", f"/backends/{id_}/heartbeat", heartbeat("draining", 5))
         else:
             self.call(host, "POST", f"/backends/{id_}/deregister", b"")
         self.asked.append((id_, state, host, self.callers[-1]))
@@ -92,7 +92,7 @@
     rig = ClosingRig(chance.choice((3, 4, 5)), seed)
     ids = [f"i-{number}" for number in range(BACKENDS)]
     for id_ in ids:
-        rig.at(2.0, partial(rig.call, rig.hosts[0], "POST", f"/backends/{id_}/heartbeat", beat()))
+        rig.at(2.0, partial(rig.call, rig.hosts[0], "POST", f"/backends/{id_}/heartbeat", heartbeat()))
         state = chance.choice((BackendState.DRAINING, BackendState.GONE))
         when = chance.choice((LAST_S, chance.uniform(3.0, LAST_S)))
         rig.at(when, partial(rig.end, id_, state, chance.choice(rig.hosts)))
@@ -104,16 +104,16 @@
         for id_ in ids:  # beats that come late: they were sent before
             if chance.random() < 0.05:
                 target = f"/backends/{id_}/heartbeat"
-                rig.at(at, partial(rig.call, chance.choice(rig.hosts), "POST", target, beat()))
+                rig.at(at, partial(rig.call, chance.choice(rig.hosts), "POST", target, heartbeat()))
         at += 0.1
     rig.play(LAST_S + WATCH_S + 0.5)
     sources = [(when, states(told)) for when, told in rig.heard if told[5] >= 0 and when > rig.struck_at]
     assert rig.acknowledged and sources, "nothing was seen"
     return [
-        f"{when:.3f}: {id_} is {lives[id_].name}, {state.name} was acknowledged"
-        for when, lives in sources
+        f"{when:.3f}: {id_} is {incarnations[id_].name}, {state.name} was acknowledged"
+        for when, incarnations in sources
         for id_, state in rig.acknowledged.items()
-        if id_ in lives and lives[id_] < state
+        if id_ in incarnations and incarnations[id_] < state
     ]
 
 
@@ -132,7 +132,7 @@
 
 
 def test_the_judge_finds_an_acknowledgement_before_the_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def too_early(self: EndedRecord, lives: Any, known: Any) -> bool:
+    async def too_early(self: EndedRecord, incarnations: Any, known: Any) -> bool:
         return True  # nothing is written
 
     monkeypatch.setattr(EndedRecord, "keep", too_early)
@@ -140,11 +140,11 @@
 
 
 def test_the_judge_finds_an_acknowledgement_by_one_machine_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def alone(self: RegistryPeers, life: BackendIncarnation) -> bool:
-        body = self._message([(encode_incarnation(life, 0.0), 0)]).encode()
+    async def alone(self: RegistryPeers, incarnation: BackendIncarnation) -> bool:
+        body = self._message([(encode_incarnation(incarnation, 0.0), 0)]).encode()
         for ip in self.others():
             self.tasks.start(self.link(ip).call("told", body, ANSWER_S))
-        return await self._keep([life])
+        return await self._keep([incarnation])
 
     monkeypatch.setattr(RegistryPeers, "_tell_now", alone)
     assert any(closed(seed, "wipe") for seed in FOUND_BY)
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -50,12 +50,12 @@
 LIST = Members.first(IPS)
 
 
-def word(number: int) -> ConfigVersion:
+def version(number: int) -> ConfigVersion:
     return ConfigVersion.of(f"r{number}", b'{"generation": "r%d"}' % number)
 
 
 def value(change: int, number: int, members: Members = LIST) -> Value:
-    return Value(change, word(number).stamp, members)
+    return Value(change, version(number).version_id, members)
 
 
 def filled(folder: Folder, accepted: Value, decided: Value, bodies: Iterable[int]) -> Folder:
@@ -63,7 +63,7 @@
     ballot = Ballot(accepted.change, seat(IPS[0], "first"))
     files = Files(folder)
     for number in bodies:
-        files.keep(word(number))
+        files.keep(version(number))
     AcceptorStateFile(folder).write(PersistedState("first", AcceptorState(ballot, ballot, accepted), decided))
     return folder
 
@@ -88,8 +88,12 @@
 def test_a_whole_folder_verifies_and_says_how_each_version_stands() -> None:
     disk = look(filled(MemoryDisk(), value(3, 3), value(2, 2), (1, 2, 3)))
     assert not verify(disk)
-    assert [disk.standing(word(number).stamp) for number in (1, 2, 3)] == ["kept", "decided", "accepted"]
-    assert newest(disk) == word(2) and named(disk, "r3") == word(3) and named(disk, "r4") is None
+    assert [disk.standing(version(number).version_id) for number in (1, 2, 3)] == [
+        "kept",
+        "decided",
+        "accepted",
+    ]
+    assert newest(disk) == version(2) and named(disk, "r3") == version(3) and named(disk, "r4") is None
 
 
 def test_of_two_bodies_under_one_number_the_accepted_one_is_exported() -> None:
@@ -97,7 +101,7 @@
     other = ConfigVersion.of("r1", b'{"generation": "r1", "limits": {}}')
     Files(folder).keep(other)
     disk = look(folder)
-    assert len(disk.words) == 2 and named(disk, "r1") == word(1)
+    assert len(disk.versions) == 2 and named(disk, "r1") == version(1)
 
 
 @pytest.mark.parametrize("harm", ["torn-body", "torn-kept", "no-body", "no-kept"])
@@ -212,7 +216,10 @@
     adoption.adopt(folder, planned)
     state = AcceptorStateFile(folder).open()
     assert state is not None and state.disk != "first" and not verify(look(folder))
-    assert state.decided.members.seats == (seat(IPS[0], state.disk),) and state.decided.stamp == word(3).stamp
+    assert (
+        state.decided.members.seats == (seat(IPS[0], state.disk),)
+        and state.decided.version_id == version(3).version_id
+    )
     assert state.kept.accepted > Ballot(900_000, "z") and state.decided.change > 900_000
 
 
@@ -257,9 +264,9 @@
             now = decided
     for proposer in (late, own, "10.0.0.2/new"):
         decided = decide(now.members, same, kept, proposer)
-        assert decided is not None and decided.stamp == word(3).stamp
-    decided = decide(now.members, put(word(4).stamp), kept, late)
-    assert decided is not None and decided.stamp == word(4).stamp
+        assert decided is not None and decided.version_id == version(3).version_id
+    decided = decide(now.members, put(version(4).version_id), kept, late)
+    assert decided is not None and decided.version_id == version(4).version_id
 
 
 # Commands
@@ -324,11 +331,11 @@
     assert [one["stands"] for one in told["versions"]] == ["decided", "kept"]
     assert told["kept"]["disk"] == "first"
     assert run("verify", "FOLDER").exit_code == 0
-    assert run("export", "FOLDER").stdout_bytes == word(3).body
+    assert run("export", "FOLDER").stdout_bytes == version(3).body
     out = tmp_path / "out.json"
     written = run("export", "FOLDER", "--generation", "r2", "--to", str(out), "--json")
-    assert json.loads(written.output)["bytes"] == len(word(2).body)
-    assert out.read_bytes() == word(2).body
+    assert json.loads(written.output)["bytes"] == len(version(2).body)
+    assert out.read_bytes() == version(2).body
     assert run("export", "FOLDER", "--generation", "r9").exit_code == 1
     assert run("export", "FOLDER", "--json").exit_code == 2
     (tmp_path / "data" / NAME).write_bytes(b"?")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -473,8 +473,8 @@
 def test_each_kind_that_is_sent_or_served_is_in_the_table_and_none_is_there_for_nothing() -> None:
     sent = list(_kinds_sent())
     assert len(sent) >= 15
-    for file, kind, is_word in sent:
-        assert table.may_send(kind, is_word) is None, (file, kind)
+    for file, kind, is_one_way in sent:
+        assert table.may_send(kind, is_one_way) is None, (file, kind)
     assert set(table.CALLS) == _kinds_served()
 
 
@@ -499,7 +499,7 @@
     for call in table.CALLS.values():
         assert call.reset and call.silence
         assert call.again is not table.RetryRule.ASKER or call.named != "-"
-        assert not (call.word and call.again is table.RetryRule.NEVER)
+        assert not (call.version and call.again is table.RetryRule.NEVER)
     never = {kind for kind, call in table.CALLS.items() if call.again is table.RetryRule.NEVER}
     assert never == {"place", "wait", "lend"}
 
@@ -607,7 +607,7 @@
             port_range=(6998, 7010),
             seed_peers=(f"{HOST}:1",),
         )
-        sources = Sources(settings, lambda word: None, lambda life, silent: None)
+        sources = Sources(settings, lambda version: None, lambda incarnation, silent: None)
         sources.has_heard.set()
         sources.answering.add(HOST)
         client = RegistryClient(settings, sources)
@@ -628,26 +628,26 @@
 @given(st.integers(0, 100_000))
 def test_beats_drains_and_ends_told_late_twice_and_in_any_order_lead_to_the_same(seed: int) -> None:
     chance = random.Random(seed)
-    words = [
+    versions = [
         BackendIncarnation("i", "s", f"10.9.0.{count}:80", "z", 2, BackendState.READY, count, 0.0)
         for count in range(1, 5)
     ]
     ends = chance.choice((None, BackendState.DRAINING, BackendState.GONE))
     if ends is not None:
-        words.append(BackendIncarnation("i", "s", "10.9.0.5:80", "z", 2, ends, 5, 0.0))
+        versions.append(BackendIncarnation("i", "s", "10.9.0.5:80", "z", 2, ends, 5, 0.0))
     known = []
     for _ in range(3):
-        registry, told = BackendTable(1.5), words * 2
+        registry, told = BackendTable(1.5), versions * 2
         chance.shuffle(told)
-        for life in told:
-            registry.hear(life, 1.0)
-        life = registry.entries["i"].life
-        known.append((life.state, life.count, life.address))
+        for incarnation in told:
+            registry.hear(incarnation, 1.0)
+        incarnation = registry.entries["i"].incarnation
+        known.append((incarnation.state, incarnation.count, incarnation.address))
         number = registry.number
-        for late in words:  # each once more: no news
+        for late in versions:  # each once more: no news
             assert not registry.hear(late, 1.5)
         assert registry.number == number
-    assert set(known) == {(ends or BackendState.READY, len(words), f"10.9.0.{len(words)}:80")}
+    assert set(known) == {(ends or BackendState.READY, len(versions), f"10.9.0.{len(versions)}:80")}
 
 
 def test_a_late_beat_brings_no_life_back_and_a_new_life_at_its_address_is_another() -> None:
@@ -656,7 +656,7 @@
     assert registry.leave("i-1", 1.0) is not None and registry.leave("i-1", 1.1) is not None
     registry.hear(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 99, 0.0), 2.0)
     registry.hear(BackendIncarnation("i-2", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 2.0)
-    assert {id_: entry.life.state for id_, entry in registry.entries.items()} == {
+    assert {id_: entry.incarnation.state for id_, entry in registry.entries.items()} == {
         "i-1": BackendState.GONE,
         "i-2": BackendState.READY,
     }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -44,11 +44,11 @@
     return [f"i-{number}", "svc", f"10.0.0.{number}:8080", "zone0", 2, 0, 1, 0]
 
 
-def parcel() -> list[Any]:
+def chunk() -> list[Any]:
     """The word, for one that has nothing."""
-    shelf = VersionStore()
-    shelf.hold(WORD)
-    whole = shelf.parcel(SyncState(), WORD.stamp)
+    version_store = VersionStore()
+    version_store.hold(WORD)
+    whole = version_store.chunk(SyncState(), WORD.version_id)
     assert whole is not None
     return whole
 
@@ -87,7 +87,7 @@
     try:
         for at, registry in enumerate(registries):  # in turn, so that both doors know the same
             await until(lambda registry=registry: len(registry.heard) >= 1)  # type: ignore[misc]
-            whole = parcel() if at == 0 else None
+            whole = chunk() if at == 0 else None
             registry.script.put_nowait([whole, 7 + at, 2, [[told(1), False], [told(2), False]], roster, 0, 1])
             await until(lambda registry=registry: len(registry.heard) >= 3)  # type: ignore[misc]
         for registry in registries:
@@ -101,11 +101,11 @@
     return [registry.heard for registry in registries]
 
 
-def ignore_word(word: ConfigVersion) -> None:
+def ignore_word(version: ConfigVersion) -> None:
     pass
 
 
-def ignore_life(life: BackendIncarnation, silent: bool) -> None:
+def ignore_life(incarnation: BackendIncarnation, silent: bool) -> None:
     pass
 
 
@@ -156,10 +156,10 @@
         shared = Shared()
         doors = [HollowSources(settings(), shared) for _ in range(3)]
         for door in doors:
-            door._hear_word(IPS[0], door._have(IPS[0]), parcel(), 1)
+            door._hear_word(IPS[0], door._have(IPS[0]), chunk(), 1)
             door._hear_lives(IPS[0], [[told(1), False]])
-        assert len(shared.lives) == 1 and len(shared.words) == 1
-        assert all(door.word is doors[0].word and not door.lives for door in doors)
+        assert len(shared.incarnations) == 1 and len(shared.versions) == 1
+        assert all(door.version is doors[0].version and not door.incarnations for door in doors)
 
     asyncio.run(main())
 
@@ -189,7 +189,7 @@
     asyncio.run(main())
     asks = sum(len(encode([number, "lend", "word"])) for number in (1, 2, 3))
     answers = sum(len(encode([number, True, "wordword"])) for number in (1, 2, 3))
-    word = len(encode([-1, "loads", [1]]))
+    version = len(encode([-1, "loads", [1]]))
     hello = len(encode([0, "hello", "me"]))
     assert tally.counts == {
         "out hello": [1, hello],
@@ -198,8 +198,8 @@
         "in lend": [3, asks],
         "answer lend": [3, answers],
         "in answer": [3, answers],
-        "out loads": [1, word],
-        "in loads": [1, word],
+        "out loads": [1, version],
+        "in loads": [1, version],
     }
 
 
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -61,10 +61,10 @@
 @given(
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 4), st.floats(0.0, 0.05)), min_size=1, max_size=60)
 )
-def test_an_edge_never_goes_back_nor_ahead_of_the_first(words: list[tuple[int, int, float]]) -> None:
+def test_an_edge_never_goes_back_nor_ahead_of_the_first(versions: list[tuple[int, int, float]]) -> None:
     edges = [SharedIntervalClock(0.3 * number) for number in range(5)]
     now, last = 2.0, [0.0] * 5
-    for teller, hearer, way in words:
+    for teller, hearer, way in versions:
         told = edges[teller].position(now)
         now += way
         edges[hearer].hear(told, now)
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -14,7 +14,7 @@
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.storage.version_store import SyncState
-from irisdeal.registry import store_client
+from irisdeal.registry import store_client as store_client_module
 from irisdeal.registry.store_client import StoreClient
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
@@ -56,10 +56,10 @@
 
             async def run() -> None:
                 begun = self.rig.world.seconds()
-                answer = await act(post.follower)
+                answer = await act(post.store_client)
                 self.done.append((self.rig.world.seconds() - begun, answer))
 
-            machine.call_soon(lambda: post.follower.tasks.start(run()))
+            machine.call_soon(lambda: post.store_client.tasks.start(run()))
 
         self.rig.at(seconds, begin)
 
@@ -67,12 +67,12 @@
 WORD = ConfigVersion.of("r9", b"nine")
 
 
-def put(follower: StoreClient) -> Awaitable[PutOutcome]:
-    return follower.put(WORD)
+def put(store_client: StoreClient) -> Awaitable[PutOutcome]:
+    return store_client.put(WORD)
 
 
-def read(follower: StoreClient) -> Awaitable[tuple[bool, bytes | None]]:
-    return follower.read()
+def read(store_client: StoreClient) -> Awaitable[tuple[bool, bytes | None]]:
+    return store_client.read()
 
 
 def test_its_own_store_is_followed_and_a_change_is_here_at_once() -> None:
@@ -80,9 +80,9 @@
     rig.at(3.0, partial(rig.decide, 1, rig.hosts))
     rig.play(3.0 + WAY)
     for host in rig.hosts:
-        follower = rig.posts[host].follower
-        assert follower.source == host and follower.has_contact
-        assert follower.change == 1 and rig.posts[host].words == [1]
+        store_client = rig.posts[host].store_client
+        assert store_client.source == host and store_client.has_contact
+        assert store_client.change == 1 and rig.posts[host].versions == [1]
 
 
 def test_asks_of_a_store_are_few() -> None:
@@ -92,16 +92,16 @@
     def count() -> None:
         kept = rig.stores[host].watch
 
-        def watch(have: SyncState, change: int) -> Any:
-            asks[change != store_client.AT_ONCE] += 1
-            return kept(have, change)
+        def watch(sync_state: SyncState, change: int) -> Any:
+            asks[change != store_client_module.AT_ONCE] += 1
+            return kept(sync_state, change)
 
         rig.stores[host].watch = watch  # type: ignore[method-assign]
 
     rig.at(3.0, count)
     rig.play(13.0)
-    assert asks[0] <= 10 / store_client.PULSE + 2 and asks[1] <= 10 / store_client.HOLD + 2
-    assert asks[0] >= 10 / (store_client.PULSE + WAY) - 2
+    assert asks[0] <= 10 / store_client_module.PULSE + 2 and asks[1] <= 10 / store_client_module.HOLD + 2
+    assert asks[0] >= 10 / (store_client_module.PULSE + WAY) - 2
 
 
 def test_without_its_own_store_it_follows_another_and_returns() -> None:
@@ -111,11 +111,11 @@
     seen: list[tuple[str, bool]] = []
 
     def look() -> None:
-        seen.append((rig.posts[host].follower.source, rig.posts[host].follower.has_contact))
+        seen.append((rig.posts[host].store_client.source, rig.posts[host].store_client.has_contact))
 
-    rig.at(3.0 + store_client.GRACE + WAY, look)
+    rig.at(3.0 + store_client_module.GRACE + WAY, look)
     rig.at(4.0, partial(rig.decide, 1, rig.hosts[1:]))
-    rig.at(4.0 + WAY, lambda: seen.append((str(rig.posts[host].words), True)))
+    rig.at(4.0 + WAY, lambda: seen.append((str(rig.posts[host].versions), True)))
     rig.at(6.0, lambda: rig.machines[host].insert(0, rig.start_store(host)))
     rig.at(8.0, look)
     rig.play(8.1)
@@ -136,14 +136,14 @@
 
     def go_back() -> None:
         one = rig.stores[host]
-        one.value, one.word = rig.first, rig.first_word
-        one.take = lambda value, word: None  # type: ignore[method-assign]
+        one.value, one.version = rig.first, rig.first_word
+        one.take = lambda value, version: None  # type: ignore[method-assign]
 
     rig.at(5.0, go_back)
     rig.play(8.0)
-    follower = rig.posts[host].follower
-    assert follower.source != host and follower.has_contact
-    assert rig.posts[host].words == [1, 2] and follower.change == 2
+    store_client = rig.posts[host].store_client
+    assert store_client.source != host and store_client.has_contact
+    assert rig.posts[host].versions == [1, 2] and store_client.change == 2
     assert sum("E314" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -157,7 +157,7 @@
         9.0,
         lambda: (
             lost.append(rig.world.seconds())
-            if (rig.world.seconds() > 5 and rig.posts[host].follower.age() is None)
+            if (rig.world.seconds() > 5 and rig.posts[host].store_client.age() is None)
             else None
         ),
     )
@@ -168,13 +168,13 @@
         12.0,
         lambda: (
             back.append(rig.world.seconds())
-            if (rig.world.seconds() > 9 and rig.posts[host].follower.age() is not None)
+            if (rig.world.seconds() > 9 and rig.posts[host].store_client.age() is not None)
             else None
         ),
     )
     rig.play(12.0)
-    assert 5.0 < lost[0] <= 5.0 + LEASE + store_client.PULSE + store_client.GRACE + WAY
-    assert back[0] <= 9.0 + 1.25 * store_client.SEEK + store_client.ANSWER + WAY
+    assert 5.0 < lost[0] <= 5.0 + LEASE + store_client_module.PULSE + store_client_module.GRACE + WAY
+    assert back[0] <= 9.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + WAY
 
 
 def test_an_order_without_contact_is_answered_at_once_and_not_refused_for_good() -> None:
@@ -227,7 +227,7 @@
     orders.at(5.0, put)  # by then another one is followed
     rig.play(9.0)
     (second, confirmed), (first, later) = sorted(orders.done, key=lambda done: done[0])
-    assert later in (PutOutcome.LATER, PutOutcome.CONFIRMED) and first <= store_client.PUT + WAY
+    assert later in (PutOutcome.LATER, PutOutcome.CONFIRMED) and first <= store_client_module.PUT + WAY
     assert confirmed is PutOutcome.CONFIRMED and second <= WAY
 
 
@@ -236,7 +236,7 @@
 
 def follower_of(rig: CoreRig) -> StoreClient:
     rig.play(3.0)
-    return rig.posts[rig.hosts[0]].follower
+    return rig.posts[rig.hosts[0]].store_client
 
 
 def seats(*hosts: str) -> tuple[str, ...]:
@@ -245,58 +245,62 @@
 
 def test_a_majority_is_one_of_both_lists_and_learners_count_for_none() -> None:
     rig = CoreRig(4, 0)
-    follower = follower_of(rig)
+    store_client = follower_of(rig)
     a, b, c, d = rig.hosts
-    assert follower.is_majority({a, b, c}) and not follower.is_majority({a, b})
-    follower.learners = frozenset({"10.7.0.1"})
-    assert not follower.is_majority({a, b, "10.7.0.1"})
-    follower.value = Value(5, follower.stamp, Members(2, seats(b, c, "10.8.0.1"), seats(a, b, c, d)))
-    assert not follower.is_majority({b, c})
-    assert not follower.is_majority({a, b, d})
-    assert follower.is_majority({a, b, c})
-    assert follower.everyone() == {a, b, c, d, "10.7.0.1", "10.8.0.1"}
+    assert store_client.is_majority({a, b, c}) and not store_client.is_majority({a, b})
+    store_client.learners = frozenset({"10.7.0.1"})
+    assert not store_client.is_majority({a, b, "10.7.0.1"})
+    store_client.value = Value(
+        5, store_client.version_id, Members(2, seats(b, c, "10.8.0.1"), seats(a, b, c, d))
+    )
+    assert not store_client.is_majority({b, c})
+    assert not store_client.is_majority({a, b, d})
+    assert store_client.is_majority({a, b, c})
+    assert store_client.everyone() == {a, b, c, d, "10.7.0.1", "10.8.0.1"}
 
 
 def test_an_older_list_takes_nothing_back() -> None:
     rig = CoreRig(3, 0)
     rig.at(2.0, partial(rig.decide, 4, rig.hosts, Members(1, seats(*rig.hosts[:2]))))
-    follower = follower_of(rig)
-    older = Value(0, rig.first.stamp, rig.first.members)
-    ear = follower._hear(rig.hosts[1], SyncState(), 1003.0, None, older, frozenset(), 10)
-    assert ear is store_client.ProbeResult.NO_CONTACT
-    assert follower.members.number == 1 and follower.stamp.number == 4
+    store_client = follower_of(rig)
+    older = Value(0, rig.first.version_id, rig.first.members)
+    probe_result = store_client._hear(rig.hosts[1], SyncState(), 1003.0, None, older, frozenset(), 10)
+    assert probe_result is store_client_module.ProbeResult.NO_CONTACT
+    assert store_client.members.number == 1 and store_client.version_id.number == 4
 
 
 def test_what_a_store_without_knowledge_tells_changes_nothing() -> None:
     rig = CoreRig(3, 0)
-    follower = follower_of(rig)
-    unknown = Value(-1, rig.first.stamp, Members(-1, ()))
-    ear = follower._hear(rig.hosts[1], SyncState(), 1003.0, None, unknown, frozenset(), -1)
-    assert ear is store_client.ProbeResult.NO_CONTACT
-    assert follower.members == rig.first.members
+    store_client = follower_of(rig)
+    unknown = Value(-1, rig.first.version_id, Members(-1, ()))
+    probe_result = store_client._hear(rig.hosts[1], SyncState(), 1003.0, None, unknown, frozenset(), -1)
+    assert probe_result is store_client_module.ProbeResult.NO_CONTACT
+    assert store_client.members == rig.first.members
 
 
 def test_an_answer_that_cannot_be_read_is_as_none(caplog: pytest.LogCaptureFixture) -> None:
     rig = CoreRig(3, 0)
     host = rig.hosts[0]
 
-    async def strange(have: SyncState, change: int) -> list[Any]:
+    async def strange(sync_state: SyncState, change: int) -> list[Any]:
         await asyncio.sleep(0)
         return [None, ["x"], 3]
 
     rig.at(3.0, lambda: setattr(rig.stores[host], "watch", strange))
     rig.play(6.0)
-    assert rig.posts[host].follower.source != host and rig.posts[host].follower.has_contact
-    assert rig.posts[host].follower.tasks.running
+    assert rig.posts[host].store_client.source != host and rig.posts[host].store_client.has_contact
+    assert rig.posts[host].store_client.tasks.running
 
 
 # What doors are told
 
 
-def ask_news(rig: CoreRig, host: str, at: float, change: int, life: int = 0) -> list[tuple[float, Any]]:
+def ask_news(
+    rig: CoreRig, host: str, at: float, change: int, incarnation: int = 0
+) -> list[tuple[float, Any]]:
     async def ask() -> Any:
         link = RpcClient((host, 7000 + ports.REGISTRY), "proxy 10.9.9.9")
-        answer = await link.call("news", [SyncState().tell(), life, 0, change], 2.0)
+        answer = await link.call("news", [SyncState().tell(), incarnation, 0, change], 2.0)
         link.close()
         return answer.unwrap()
 
@@ -308,11 +312,11 @@
     host = rig.hosts[0]
     at_once = ask_news(rig, host, 4.0, 0)
     rig.play(4.5)
-    life = at_once[0][1][1]
-    held = ask_news(rig, host, 5.0, 0, life)
+    incarnation = at_once[0][1][1]
+    held = ask_news(rig, host, 5.0, 0, incarnation)
     rig.play(7.0)
     took, told = at_once[0]
-    assert took <= WAY and 0 <= told[5] <= (0.9 + store_client.PULSE) * 1000
+    assert took <= WAY and 0 <= told[5] <= (0.9 + store_client_module.PULSE) * 1000
     took, told = held[0]
     assert 1.0 <= took <= 1.0 + WAY
     # The ask lasted 1 s: the door makes of it 1 s and the ways, or what the registry knew if that is more.
@@ -330,23 +334,25 @@
 
 def test_what_is_known_is_as_of_the_asking() -> None:
     rig = CoreRig(3, 0)
-    follower = follower_of(rig)
-    follower.as_of = 0.0
-    host, value = rig.hosts[0], follower.value
-    ear = follower._hear(host, SyncState(), 1002.0, None, value, frozenset(), 300)
-    assert ear is store_client.ProbeResult.GOOD
-    assert follower.as_of == pytest.approx(1001.7), "however late the answer came"
-    ear = follower._hear(host, SyncState(), 1002.5, None, value, frozenset(), -1)
-    assert ear is store_client.ProbeResult.NO_CONTACT and follower.as_of == pytest.approx(1001.7)
+    store_client = follower_of(rig)
+    store_client.as_of = 0.0
+    host, value = rig.hosts[0], store_client.value
+    probe_result = store_client._hear(host, SyncState(), 1002.0, None, value, frozenset(), 300)
+    assert probe_result is store_client_module.ProbeResult.GOOD
+    assert store_client.as_of == pytest.approx(1001.7), "however late the answer came"
+    probe_result = store_client._hear(host, SyncState(), 1002.5, None, value, frozenset(), -1)
+    assert probe_result is store_client_module.ProbeResult.NO_CONTACT and store_client.as_of == pytest.approx(
+        1001.7
+    )
 
 
 def test_an_age_counts_only_once_the_body_of_what_is_decided_is_here() -> None:
     rig = CoreRig(3, 0)
-    follower = follower_of(rig)
-    follower.as_of, host = 900.0, rig.hosts[0]
-    newer = Value(5, ConfigVersion.of("r5", b"five").stamp, rig.first.members)
+    store_client = follower_of(rig)
+    store_client.as_of, host = 900.0, rig.hosts[0]
+    newer = Value(5, ConfigVersion.of("r5", b"five").version_id, rig.first.members)
     assert (
-        follower._hear(host, SyncState(), 1003.0, None, newer, frozenset(), 0)
-        is store_client.ProbeResult.GOOD
+        store_client._hear(host, SyncState(), 1003.0, None, newer, frozenset(), 0)
+        is store_client_module.ProbeResult.GOOD
     )
-    assert follower.as_of == 900.0 and follower.change == 0 and follower.value.change == 5
+    assert store_client.as_of == 900.0 and store_client.change == 0 and store_client.value.change == 5
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -130,10 +130,10 @@
 
             def hear(answer: list[Any], host: str = host, asked: float = asked) -> None:
                 value, age = Value.hear(answer[1]), answer[3]
-                told[host].append((stores.world.seconds(), value.stamp.number))
+                told[host].append((stores.world.seconds(), value.version_id.number))
                 known_by = asked - age / 1000
-                if age >= 0 and value.stamp.number < 7 and known_by > when.get("confirmed", 99.0):
-                    wrong.append(f"{asked:.2f}: {host} tells r{value.stamp.number}, {age} ms old")
+                if age >= 0 and value.version_id.number < 7 and known_by > when.get("confirmed", 99.0):
+                    wrong.append(f"{asked:.2f}: {host} tells r{value.version_id.number}, {age} ms old")
 
             stores.on(host, lambda one: one.watch(SyncState(), -2), hear)
 
@@ -194,4 +194,4 @@
         stores.at(begun + number * 0.02, ask)
     stores.play(begun + 2.0)
     assert when["decided"] < begun + 0.3 and not wrong, wrong[:3]
-    assert stores.members[late].force.stamp.number == 7
+    assert stores.members[late].force.version_id.number == 7
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -64,7 +64,7 @@
 
 
 def test_an_unsettled_list_is_settled_first() -> None:
-    value = Value(1, first("a").stamp, Members.first("abc").change(["a/first", "b/first", "d/x"]))
+    value = Value(1, first("a").version_id, Members.first("abc").change(["a/first", "b/first", "d/x"]))
     heard = reports(*value.members.voters(), "e/x", value=value)
     found = next_members(value, heard, "a/first", 10.0, Wanted())
     assert found == value.members.settled()
@@ -101,9 +101,9 @@
     [(100, True, True), (96, True, True), (95, True, False), (100, False, False), (-1, True, False)],
 )
 def test_a_learner_is_ready_when_it_holds_one_of_the_newest(change: int, holds: bool, goes: bool) -> None:
-    value = Value(100, first("a").stamp, Members.first("abc"))
+    value = Value(100, first("a").version_id, Members.first("abc"))
     heard = reports("a/first", "b/first", value=value)
-    behind = Value(change, value.stamp, value.members)
+    behind = Value(change, value.version_id, value.members)
     heard["d/x"] = Heard(10.0, Report("d/x", "z", NO_BALLOT, behind, behind, holds), 0.0)
     assert (next_members(value, heard, "a/first", 10.0, Wanted()) is not None) is goes
 
@@ -134,7 +134,7 @@
 
 
 def test_all_disks_lost_is_told_once_every_start_is_over() -> None:
-    watch, nothing = MembershipMonitor(0.0), Value(-1, first("a").stamp, Members(-1, ()))
+    watch, nothing = MembershipMonitor(0.0), Value(-1, first("a").version_id, Members(-1, ()))
     watch.heard(Report("b/y", "z", NO_BALLOT, nothing, nothing, False), 14.0)
     assert watch.news(nothing, "a/x", 14.9) == []
     assert watch.news(nothing, "a/x", 15.0) == [(226, "a/x")]
@@ -254,7 +254,7 @@
 
 def test_a_member_that_only_a_dead_one_heard_is_not_kept_for_ever() -> None:
     watch, old = MembershipMonitor(0.0), first("a", "b", "c")
-    new = Value(2, old.stamp, Members(1, ("b/first", "c/first", "d/x")))
+    new = Value(2, old.version_id, Members(1, ("b/first", "c/first", "d/x")))
     for value, at in ((old, 10.0), (new, 10.5), (new, 69.0), (new, 71.0)):
         for name in ("b/first", "c/first", "e/x"):
             watch.heard(Report(name, "z", NO_BALLOT, value, value, True), at)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -30,12 +30,12 @@
 KNOWN_S = 0.1  # age of what is known of the list
 
 
-def issuer(now: float = 0.0, own: str = "a", life: int = 1) -> PermitIssuer:
+def issuer(now: float = 0.0, own: str = "a", incarnation: int = 1) -> PermitIssuer:
     """One that was in the list all along."""
     authority = IssuingAuthority(own)
     authority.recall(LISTED, now)
     authority.hear(LISTED, now)
-    made = PermitIssuer(life, RULE, authority, now)
+    made = PermitIssuer(incarnation, RULE, authority, now)
     made.configure({"t": LIMIT})
     return made
 
@@ -161,7 +161,7 @@
     made, held = issuer(), holder()
     grant(made, held, 9.0)
     count = held.count("t", 9.0)
-    after = issuer(9.5, life=2)
+    after = issuer(9.5, incarnation=2)
     assert not grant(after, held, 9.6).is_issuing
     assert held.count("t", 9.6) == count, "of the former life, until its lease is over"
     assert held.count("t", 9.0 + LEASE_S) == 0
@@ -182,12 +182,12 @@
     chance = random.Random(seed)
     made, holders = issuer(), [holder(chance.uniform(0.5, 6), number) for number in range(5)]
     speeds = [chance.uniform(0.98, 1.02) for _ in holders]
-    now, life = 5.0, 1
+    now, incarnation = 5.0, 1
     for _ in range(300):
         now += chance.expovariate(8)
         if chance.random() < 0.01:
-            life += 1
-            made = issuer(now, life=life)
+            incarnation += 1
+            made = issuer(now, incarnation=incarnation)
         number = chance.randrange(len(holders))
         held, own = holders[number], now * speeds[number]
         if chance.random() < 0.3:
@@ -200,7 +200,7 @@
         made.not_full(now)
         share = made._share("t", now)
         usable = sum(one.count("t", now * speed) for one, speed in zip(holders, speeds, strict=True))
-        if life == 1:
+        if incarnation == 1:
             assert usable <= made.outstanding.total("t")
         assert usable + made.bucket("t", now).ready(now) <= share.ready + share.reserved + 1e-6
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -116,17 +116,19 @@
     number: int = 0
     over: bool = False
 
-    async def put(self, member: int, word: ConfigVersion, who: str) -> Kind:
+    async def put(self, member: int, version: ConfigVersion, who: str) -> Kind:
         link, begun = RpcClient(Store.address(member), who), time.monotonic()
-        answer = await link.call("put", [word.stamp.number, word.stamp.digest, word.body], 1.0)
+        answer = await link.call(
+            "put", [version.version_id.number, version.version_id.digest, version.body], 1.0
+        )
         link.close()
         told = int(answer.unwrap()) if isinstance(answer, Success) else 0
         kind = (Kind.UNCLEAR, Kind.CONFIRMED, Kind.CONFLICT)[told]
         self.ops.append(
             Op(
                 kind,
-                word.stamp.number,
-                word.stamp.digest.hex(),
+                version.version_id.number,
+                version.version_id.digest.hex(),
                 begun,
                 time.monotonic(),
                 f"{who} at {member}",
@@ -150,9 +152,9 @@
             if self.chance.random() < 0.6:
                 self.number += 1
             body = b"r%d %s %d" % (self.number, who.encode(), self.chance.getrandbits(60))
-            word = ConfigVersion.of(f"r{self.number}", body)
+            version = ConfigVersion.of(f"r{self.number}", body)
             for _ in range(8):
-                if await self.put(self.chance.randrange(COUNT), word, who) is not Kind.UNCLEAR:
+                if await self.put(self.chance.randrange(COUNT), version, who) is not Kind.UNCLEAR:
                     break
             await self.read(self.chance.randrange(COUNT), who)
             await asyncio.sleep(self.chance.uniform(0.0, 0.1))
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -78,9 +78,9 @@
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": [{"hostname": "h", "rules": [rule]}]}
         if self.keys:
             body["tenants"] = [{"name": "t", "api_keys": ["k"], "priority": 1, "rate_per_s": self.rate}]
-        door._on_word(ConfigVersion.of("r1", json.dumps(body).encode()))
+        door._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(3):
-            door._on_life(
+            door._on_incarnation(
                 BackendIncarnation(
                     f"i-{number}", "s", f"10.9.0.{number}:80", "z", 2, BackendState.READY, 1, 0.0
                 ),
@@ -299,7 +299,7 @@
         for number in range(3):
             if number != 1:
                 for state in (BackendState.DRAINING, BackendState.READY):
-                    door._on_life(
+                    door._on_incarnation(
                         BackendIncarnation(f"i-{number}", "s", "10.9.0.1:80", "z", 2, state, 9, 0.0), False
                     )
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -46,8 +46,8 @@
 @given(st.integers(0, 2**32), st.sampled_from(sorted(PLANS)))
 def test_long_random_ways_break_no_rule(seed: int, name: str) -> None:
     chance, plan = random.Random(seed), PLANS[name]
-    stamps = [VersionId(number, bytes([number])) for number in range(1, 5)]
-    programs = (*plan.programs[:-1], orders(*stamps))
+    version_ids = [VersionId(number, bytes([number])) for number in range(1, 5)]
+    programs = (*plan.programs[:-1], orders(*version_ids))
     more = Plan(
         plan.seats,
         plan.first,
@@ -71,7 +71,7 @@
 
 def test_a_base_with_another_list_is_finished_as_it_is() -> None:
     joint = FIRST.members.change(("a", "b", "d"))
-    accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.stamp, joint))
+    accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.version_id, joint))
     ballot = Round(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
     empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
     ballot.on_promise("a", True, accepted)
@@ -120,7 +120,7 @@
 # The program
 
 
-def word(number: int, text: str = "") -> ConfigVersion:
+def version(number: int, text: str = "") -> ConfigVersion:
     return ConfigVersion.of(f"r{number}", b"r%d %s" % (number, text.encode()))
 
 
@@ -147,7 +147,9 @@
         return answer.unwrap() if isinstance(answer, Success) else None
 
     async def put(self, machine: Machine, host: str, order: ConfigVersion) -> PutOutcome:
-        told = await self.call(machine, host, "put", [order.stamp.number, order.stamp.digest, order.body])
+        told = await self.call(
+            machine, host, "put", [order.version_id.number, order.version_id.digest, order.body]
+        )
         return PutOutcome.LATER if told is None else PutOutcome(told)
 
     async def until_taken(self, machine: Machine, hosts: list[str], order: ConfigVersion) -> PutOutcome:
@@ -193,7 +195,7 @@
     def order(number: int) -> Act:
         async def act(machine: Machine) -> None:
             begun = machine.time()
-            outcomes.append(await play.until_taken(machine, [play.hosts[number % count]], word(number)))
+            outcomes.append(await play.until_taken(machine, [play.hosts[number % count]], version(number)))
             took.append(machine.time() - begun)
 
         return act
@@ -214,18 +216,18 @@
 
     def order(text: str, host: str) -> Act:
         async def act(machine: Machine) -> None:
-            found.append([await play.until_taken(machine, [host], word(1, text)), text])
+            found.append([await play.until_taken(machine, [host], version(1, text)), text])
 
         return act
 
     async def again(machine: Machine) -> None:
         decided = next(text for outcome, text in found if outcome is PutOutcome.CONFIRMED)
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], word(1, decided)) is PutOutcome.CONFIRMED
-            assert await play.call(machine, host, "read", None) == [True, word(1, decided).body]
-        assert await play.until_taken(machine, play.hosts, word(2)) is PutOutcome.CONFIRMED
+            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.CONFIRMED
+            assert await play.call(machine, host, "read", None) == [True, version(1, decided).body]
+        assert await play.until_taken(machine, play.hosts, version(2)) is PutOutcome.CONFIRMED
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], word(1, decided)) is PutOutcome.CONFIRMED
+            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.CONFIRMED
         found.append([])
 
     play.caller(order("one", play.hosts[0]))
@@ -239,9 +241,9 @@
 class RefusesAgain(Proposer):
     """Planted: an order that is not above what holds is told to be another."""
 
-    def settled(self, stamp: VersionId) -> PutOutcome | None:
-        found = super().settled(stamp)
-        is_above = self.acceptor.decided.stamp.number > stamp.number
+    def settled(self, version_id: VersionId) -> PutOutcome | None:
+        found = super().settled(version_id)
+        is_above = self.acceptor.decided.version_id.number > version_id.number
         return PutOutcome.OTHER if found is not None and is_above else found
 
 
@@ -257,20 +259,20 @@
 
     async def act(machine: Machine) -> None:
         host = play.hosts[0]
-        assert await play.until_taken(machine, play.hosts, word(1)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.CONFIRMED
         play.stage.cut(host, True)
         await pause(machine, 3.0)
         begun = machine.time()
-        assert await play.put(machine, host, word(2)) is PutOutcome.LATER
-        assert await play.put(machine, host, word(1)) is PutOutcome.LATER
-        assert await play.put(machine, host, word(1, "another")) is PutOutcome.LATER
+        assert await play.put(machine, host, version(2)) is PutOutcome.LATER
+        assert await play.put(machine, host, version(1)) is PutOutcome.LATER
+        assert await play.put(machine, host, version(1, "another")) is PutOutcome.LATER
         assert await play.call(machine, host, "read", None) == [False, None]
         assert (await play.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
         assert machine.time() - begun < 0.1
-        assert await play.until_taken(machine, play.hosts[1:], word(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts[1:], version(2)) is PutOutcome.CONFIRMED
         play.stage.cut(host, False)
         begun = machine.time()
-        while await play.call(machine, host, "read", None) != [True, word(2).body]:
+        while await play.call(machine, host, "read", None) != [True, version(2).body]:
             await pause(machine, 0.05)
         done.append(machine.time() - begun)
 
@@ -294,8 +296,8 @@
             await pause(machine, 0.05)
 
     async def orders_there(machine: Machine) -> None:
-        assert await play.until_taken(machine, play.hosts, word(1)) is PutOutcome.CONFIRMED
-        assert await play.put(machine, play.hosts[1], word(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.CONFIRMED
+        assert await play.put(machine, play.hosts[1], version(2)) is PutOutcome.CONFIRMED
 
     play.caller(asks, 3.0)
     play.play()
@@ -312,12 +314,12 @@
     play.stage.disks[host] = MemoryDisk()
 
     async def act(machine: Machine) -> None:
-        assert await play.until_taken(machine, others, word(1)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, others, version(1)) is PutOutcome.CONFIRMED
         play.stage.start(host)
         await pause(machine, 4.0)
         play.stage.kill(others[0])
-        assert await play.until_taken(machine, [host], word(2)) is PutOutcome.CONFIRMED
-        assert await play.call(machine, others[1], "read", None) == [True, word(2).body]
+        assert await play.until_taken(machine, [host], version(2)) is PutOutcome.CONFIRMED
+        assert await play.call(machine, others[1], "read", None) == [True, version(2).body]
 
     play.caller(act)
     play.play()
--- a/tests/test_registry_drain.py
+++ b/tests/test_registry_drain.py
@@ -11,7 +11,7 @@
 
 from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.machine import Core, Costs, Machine
-from tests.test_station import StationRig, beat
+from tests.test_station import StationRig, heartbeat
 
 ORDER = b'{"generation": "r9", "sockets": [], "pools": []}'
 
@@ -102,10 +102,10 @@
 def test_drains_and_deregistrations_are_answered_amid_the_end_of_a_registry(after_s: float) -> None:
     rig = DrainRig(3)
     host, other, _ = rig.hosts
-    rig.call(host, "POST", "/backends/i-1/heartbeat", beat())
-    rig.call(host, "POST", "/backends/i-2/heartbeat", beat())
+    rig.call(host, "POST", "/backends/i-1/heartbeat", heartbeat())
+    rig.call(host, "POST", "/backends/i-2/heartbeat", heartbeat())
     rig.at(3.0, partial(rig.cut, other))  # one is not heard: a majority takes the other's answer
-    rig.at(4.0, partial(rig.call, host, "POST", "/backends/i-1/heartbeat", beat("draining", 2)))
+    rig.at(4.0, partial(rig.call, host, "POST", "/backends/i-1/heartbeat", heartbeat("draining", 2)))
     rig.at(4.0, partial(rig.call, host, "POST", "/backends/i-2/deregister", b""))
     rig.at(4.002 + after_s, partial(rig.terminate, host))
     rig.play(12.0)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -22,7 +22,8 @@
 from irisdeal.config_store.storage.version_store import PIECE, SyncState, VersionStore
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
-from irisdeal.registry import store_client, watch
+from irisdeal.registry import store_client as store_client_module
+from irisdeal.registry import watch
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.world import World
@@ -40,7 +41,7 @@
 # Between two asks that a quorum answers: the oldest that a store in order is, with a dead member beside it.
 STORE = ROUND + ANSWER + WAY
 # What a registry tells, and what a door makes of it when it comes and just before the next answer does.
-REGISTRY = STORE + store_client.PULSE + WAY
+REGISTRY = STORE + store_client_module.PULSE + WAY
 DOOR = max(REGISTRY, watch.HOLD) + WAY + watch.HOLD + WAY
 # A decided word whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
@@ -48,7 +49,7 @@
 # a ballot at the next look.
 OPEN = 2 * (ROUND + SOON) + 2 * SETTLE + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
-LEAVE_CUT = LEASE + store_client.PULSE + store_client.GRACE + WAY
+LEAVE_CUT = LEASE + store_client_module.PULSE + store_client_module.GRACE + WAY
 # One that says nothing: an ask that was sent just before.
 LEAVE_SILENT = sources.ASK
 # To another one, where all that was used was of no use.
@@ -68,15 +69,15 @@
     assert apply >= LEAVE_CUT + TURN + TAKEN  # also where both sources are cut off
     assert apply >= LEAVE_SILENT + TURN + TAKEN
     # a store alone is silent: another's is asked
-    assert apply >= store_client.ANSWER + store_client.PULSE + TURN + TAKEN
+    assert apply >= store_client_module.ANSWER + store_client_module.PULSE + TURN + TAKEN
 
 
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert ROUND + SOON <= STORE < LEASE
-    assert REGISTRY < store_client.STALE
+    assert REGISTRY < store_client_module.STALE
     assert max(REGISTRY, watch.HOLD) + WAY < sources.OLD
     assert DOOR < sources.LOST
-    assert watch.HOLD == sources.HOLD == store_client.HOLD
+    assert watch.HOLD == sources.HOLD == store_client_module.HOLD
 
 
 # Days
@@ -92,7 +93,7 @@
         for door in rig.doors:
             number = rig.in_force(door, now)
             if number < newest.get(door.ip, -1) or any(
-                after[1] <= before[1] for before, after in pairwise(door.words)
+                after[1] <= before[1] for before, after in pairwise(door.versions)
             ):
                 wrong.append(f"{now:.2f}: {door.ip} went back to r{number}")
             newest[door.ip] = number
@@ -101,9 +102,9 @@
             if number < known:
                 wrong.append(f"{now:.2f}: {door.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
         for host, post in rig.posts.items():
-            age_ = post.follower.age()
+            age_ = post.store_client.age()
             known = max((n for at, n in rig.decided if age_ is not None and at <= now - age_), default=-1)
-            if post.follower.stamp.number < known:
+            if post.store_client.version_id.number < known:
                 wrong.append(f"{now:.2f}: registry {host} as of {age_} s ago has not r{known}")
 
     rig.every(0.07, until, look)
@@ -200,7 +201,9 @@
     assert not rig.late(APPLY)
     silent = [at for at, age in rig.posts[lost].ages if age < 0 and at > 1003]
     assert all(
-        1004 <= at <= 1004 + store_client.ANSWER + store_client.PULSE + store_client.GRACE + 1
+        1004
+        <= at
+        <= 1004 + store_client_module.ANSWER + store_client_module.PULSE + store_client_module.GRACE + 1
         for at in silent
     )
 
@@ -284,7 +287,7 @@
         assert lost not in door.sources.fresh
         assert rig.in_force(door, 20.0) == 50
     for host in rest:
-        assert lost not in rig.posts[host].follower.links
+        assert lost not in rig.posts[host].store_client.links
 
 
 # What one answer does
@@ -298,7 +301,7 @@
 
     async def run() -> int:
         settings = settings_of("10.1.9.1", ["10.0.0.1", "10.1.0.1", "10.2.0.1"])
-        made.append(Sources(settings, told.append, lambda life, silent: None))
+        made.append(Sources(settings, told.append, lambda incarnation, silent: None))
         return 0
 
     machine.start(run())
@@ -329,29 +332,31 @@
 
 def test_while_a_word_comes_in_pieces_from_one_source_the_other_does_not_bring_it() -> None:
     told: list[object] = []
-    one, shelf, chance = alone(told), VersionStore(), random.Random(1)
-    word = ConfigVersion.of("r7", chance.randbytes(3 * PIECE))
-    shelf.hold(word)
+    one, version_store, chance = alone(told), VersionStore(), random.Random(1)
+    version = ConfigVersion.of("r7", chance.randbytes(3 * PIECE))
+    version_store.hold(version)
     for piece in range(3):
-        have = one._have("10.0.0.1")
-        assert one._have("10.1.0.1") == (SyncState(ENOUGH) if piece else have)
-        one._hear_word("10.0.0.1", have, shelf.parcel(have, word.stamp), 4)
+        sync_state = one._have("10.0.0.1")
+        assert one._have("10.1.0.1") == (SyncState(ENOUGH) if piece else sync_state)
+        one._hear_word("10.0.0.1", sync_state, version_store.chunk(sync_state, version.version_id), 4)
         assert one.change == (4 if piece == 2 else -1)
-    assert told == [word]
-    assert one._have("10.1.0.1").stamp == word.stamp
+    assert told == [version]
+    assert one._have("10.1.0.1").version_id == version.version_id
     one._hear_word(
-        "10.1.0.1", SyncState(ENOUGH), shelf.parcel(SyncState(), word.stamp), 4
+        "10.1.0.1", SyncState(ENOUGH), version_store.chunk(SyncState(), version.version_id), 4
     )  # one that was on its way
-    assert told == [word]
+    assert told == [version]
 
 
 def test_an_older_word_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
-    one, shelf = alone([]), VersionStore()
-    word = ConfigVersion.of("r7", b"seven")
-    shelf.hold(word)
-    have = one._have("10.0.0.1")
-    one._hear_word("10.0.0.1", have, shelf.parcel(have, word.stamp), -1)  # the source has r8 by now
-    assert one.stamp == word.stamp
+    one, version_store = alone([]), VersionStore()
+    version = ConfigVersion.of("r7", b"seven")
+    version_store.hold(version)
+    sync_state = one._have("10.0.0.1")
+    one._hear_word(
+        "10.0.0.1", sync_state, version_store.chunk(sync_state, version.version_id), -1
+    )  # the source has r8 by now
+    assert one.version_id == version.version_id
     one._hear_age("10.0.0.1", 1000.0, 300, -1)
     assert one.age(1001.0) == float("inf")
 
@@ -360,11 +365,11 @@
     one = alone([])
     one.zones = {"10.0.0.1": "z0", "10.1.0.1": "z1", "10.2.0.1": "z2"}
     assert one._candidates()[0] == "10.1.0.1"
-    one._leave("10.1.0.1")
+    one._deregister("10.1.0.1")
     assert one._candidates()[-1] == "10.1.0.1"
     first = one._candidates()[0]
     one.fresh[first] = one.loop.time() - 30.0
     assert one._candidates()[1] == first
     before = one.left["10.1.0.1"]
-    one._leave("10.1.0.1")
+    one._deregister("10.1.0.1")
     assert one.left["10.1.0.1"][1] == 2 * before[1]
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -12,7 +12,7 @@
 
 from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.http1.messages import Answer, Request
-from irisdeal.registry import store_client
+from irisdeal.registry import store_client as store_client_module
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState, decode_incarnation
 from irisdeal.registry.peers import LEARN_S
 from irisdeal.registry.server import RegistryServer
@@ -80,7 +80,7 @@
         self.on(seconds, host, act)
 
 
-def beat(state: str = "ready", count: int = 1) -> bytes:
+def heartbeat(state: str = "ready", count: int = 1) -> bytes:
     return json.dumps(
         {
             "service": "s",
@@ -101,8 +101,8 @@
 
 
 def states(told: list[Any]) -> dict[str, BackendState]:
-    lives = (decode_incarnation(life, 0.0) for life, _ in told[3])
-    return {life.id: life.state for life in lives}
+    incarnations = (decode_incarnation(incarnation, 0.0) for incarnation, _ in told[3])
+    return {incarnation.id: incarnation.state for incarnation in incarnations}
 
 
 def watch_news(rig: StationRig, host: str, since: float, until: float) -> None:
@@ -114,8 +114,8 @@
 
 def drained_and_then(rig: StationRig, at: float) -> None:
     """A backend beats, and says at this second that it drains; which is acknowledged."""
-    rig.ask(2.0, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", beat())
-    rig.ask(at, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", beat("draining", 2))
+    rig.ask(2.0, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", heartbeat())
+    rig.ask(at, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", heartbeat("draining", 2))
 
 
 def shown(rig: StationRig, since: float) -> list[tuple[float, list[Any]]]:
@@ -143,8 +143,8 @@
     told = shown(rig, 8.0)
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
     full = [(at, states(one)) for at, one in told if one[5] >= 0]
-    assert full and all(lives == {"i-1": BackendState.DRAINING} for _, lives in full), full[0]
-    assert full[0][0] <= 8.0 + 1.25 * store_client.SEEK + store_client.ANSWER + 10 * WAY
+    assert full and all(incarnations == {"i-1": BackendState.DRAINING} for _, incarnations in full), full[0]
+    assert full[0][0] <= 8.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + 10 * WAY
 
 
 def test_a_registry_that_can_hear_too_few_goes_on_after_a_while(caplog: pytest.LogCaptureFixture) -> None:
@@ -159,7 +159,7 @@
     watch_news(rig, away, 5.1, 9.0)
     rig.play(9.1)
     full = [at for at, told in shown(rig, 5.0) if told[5] >= 0]
-    assert 5.0 + LEARN_S - 0.1 <= full[0] <= 5.0 + LEARN_S + 3 * store_client.ANSWER
+    assert 5.0 + LEARN_S - 0.1 <= full[0] <= 5.0 + LEARN_S + 3 * store_client_module.ANSWER
     assert sum("E317" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -191,8 +191,8 @@
     put, read, invalid, status, again = (answer for _, answer in rig.heard)
     for answer in (put, read):
         assert answer.status == 503
-        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % store_client.AGAIN
-        assert json.loads(answer.body)["retry_after_s"] == store_client.AGAIN
+        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % store_client_module.AGAIN
+        assert json.loads(answer.body)["retry_after_s"] == store_client_module.AGAIN
     assert [at for at, _ in rig.heard[:2]] == pytest.approx([7.0, 7.1]), "it is said at once"
     assert invalid.status == 400
     assert json.loads(status.body)["contact_age_s"] is None
@@ -215,12 +215,12 @@
     station = rig.stations[one]
     peers = station.peers
     assert peers.zones.keys() == set(rig.hosts) and gone in peers.links
-    rig.ask(2.1, one, b"POST", b"/backends/i-2/heartbeat", beat().replace(b'"z0"', b'"z2"'))
+    rig.ask(2.1, one, b"POST", b"/backends/i-2/heartbeat", heartbeat().replace(b'"z0"', b'"z2"'))
     before = rig.first.members
     members = before.change([seat for seat in before.seats if gone not in seat]).settled()
     rig.at(3.0, partial(rig.decide, 1, [one, other], members))
     rig.at(3.0, partial(rig.kill, gone))
-    rig.ask(4.0, one, b"POST", b"/backends/i-2/heartbeat", beat(count=2).replace(b'"z0"', b'"z2"'))
+    rig.ask(4.0, one, b"POST", b"/backends/i-2/heartbeat", heartbeat(count=2).replace(b'"z0"', b'"z2"'))
     rig.play(5.0)
     first, second = (json.loads(answer.body) for _, answer in rig.heard)
     assert first == {"beat_target": f"{gone}:8000"} and second == {}
--- a/tests/test_system_rules.py
+++ b/tests/test_system_rules.py
@@ -108,23 +108,23 @@
 @given(st.integers(0, 2**32), st.integers(1, 30))
 def test_a_life_that_ended_never_comes_back(seed: int, length: int) -> None:
     chance, here, there = random.Random(seed), BackendTable(1.5), BackendTable(1.5)
-    words = []
+    versions = []
     for count in range(length):
         state = (
             BackendState.READY
             if count < length // 2
             else chance.choice((BackendState.DRAINING, BackendState.GONE))
         )
-        words.append(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, state, count, 0.0))
+        versions.append(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, state, count, 0.0))
     for registry in (here, there):
-        order = words * 2
+        order = versions * 2
         chance.shuffle(order)
         reached = BackendState.READY
-        for number, life in enumerate(order):
-            registry.hear(life, float(number))
-            reached = max(reached, life.state)
-            assert registry.entries["i"].life.state is reached
-    assert here.entries["i"].life == there.entries["i"].life
+        for number, incarnation in enumerate(order):
+            registry.hear(incarnation, float(number))
+            reached = max(reached, incarnation.state)
+            assert registry.entries["i"].incarnation.state is reached
+    assert here.entries["i"].incarnation == there.entries["i"].incarnation
 
 
 def test_an_end_of_an_unknown_life_is_remembered() -> None:
@@ -132,7 +132,7 @@
     assert registry.leave("i", 1.0) is None
     registry.hear(BackendIncarnation("i", "", "", "", 0, BackendState.GONE, 0, 1.0), 1.0)
     registry.hear(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, BackendState.READY, 5, 1.0), 2.0)
-    assert registry.entries["i"].life.state is BackendState.GONE
+    assert registry.entries["i"].incarnation.state is BackendState.GONE
 
 
 @trying(deadline=None, max_examples=50)
@@ -187,7 +187,7 @@
 
 
 def test_calls_become_commands_or_one_clear_refusal() -> None:
-    beat = {
+    heartbeat = {
         "service": "s",
         "address": "10.0.0.9:80",
         "zone": "z",
@@ -197,12 +197,16 @@
         "warmup_left_ms": 0,
         "call_count": 4,
     }
-    made = decode(b"POST", b"/backends/i-1/heartbeat", json.dumps(beat).encode()).unwrap()
+    made = decode(b"POST", b"/backends/i-1/heartbeat", json.dumps(heartbeat).encode()).unwrap()
     assert isinstance(made, Heartbeat) and (made.id, made.call_count) == ("i-1", 4)
     assert isinstance(decode(b"POST", b"/backends/i-1/deregister", b"").unwrap(), Deregister)
     put = decode(b"POST", b"/config/replace", json.dumps(configuration()).encode()).unwrap()
-    assert isinstance(put, PutConfiguration) and put.word.stamp.number == 7 and put.word.is_whole()
-    for wrong in ({**beat, "state": "gone"}, {**beat, "address": "x"}, {**beat, "capacity": "2"}):
+    assert isinstance(put, PutConfiguration) and put.version.version_id.number == 7 and put.version.is_whole()
+    for wrong in (
+        {**heartbeat, "state": "gone"},
+        {**heartbeat, "address": "x"},
+        {**heartbeat, "capacity": "2"},
+    ):
         refused = decode(b"POST", b"/backends/i-1/heartbeat", json.dumps(wrong).encode())
         assert isinstance(refused, Failure) and refused.failure().status == 400
     assert decode(b"GET", b"/nothing", b"").failure().status == 404
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -139,7 +139,7 @@
 # Taking into force
 
 
-def words(count: int) -> list[ConfigVersion]:
+def versions(count: int) -> list[ConfigVersion]:
     chance, data, made = Random(3), configuration(10), []
     for number in range(1, count + 1):
         data = change(data, chance, f"r{number}")
@@ -211,7 +211,7 @@
     play = Play(monkeypatch)
 
     async def act(made: ConfigApply) -> None:
-        made.take(words(1)[0])
+        made.take(versions(1)[0])
         assert [generation for _, generation in play.in_force] == ["r1"]
 
     play.run(act)
@@ -223,8 +223,8 @@
     play = Play(monkeypatch)
 
     async def act(made: ConfigApply) -> None:
-        for word in words(160):
-            made.take(word)
+        for version in versions(160):
+            made.take(version)
             await asyncio.sleep(22 / 160)
         await asyncio.sleep(PACE)
 
@@ -238,9 +238,9 @@
     play = Play(monkeypatch)
 
     async def act(made: ConfigApply) -> None:
-        one, two, three = words(3)
-        for word in (two, one, three, two, one):
-            made.take(word)
+        one, two, three = versions(3)
+        for version in (two, one, three, two, one):
+            made.take(version)
         await asyncio.sleep(1)
 
     play.run(act)
@@ -253,7 +253,7 @@
     turns: list[int] = []
 
     async def act(made: ConfigApply) -> None:
-        made.take(words(1)[0])
+        made.take(versions(1)[0])
         while not play.in_force:
             turns.append(1)
             await asyncio.sleep(0.005)
@@ -269,8 +269,8 @@
     play = Play(monkeypatch, steps=100, cost=0.005)
 
     async def act(made: ConfigApply) -> None:
-        for word in words(40):
-            made.take(word)
+        for version in versions(40):
+            made.take(version)
             await asyncio.sleep(0.3)
         await asyncio.sleep(2)
 
@@ -283,11 +283,11 @@
     play = Play(monkeypatch)
 
     async def act(made: ConfigApply) -> None:
-        made.take(words(1)[0])
+        made.take(versions(1)[0])
         made.take(ConfigVersion.of("r2", b"{"))
         await asyncio.sleep(1)
         assert made.table is not None and made.table.generation == "r1" and not made.working
-        made.take(words(3)[2])
+        made.take(versions(3)[2])
 
     play.run(act)
     assert [generation for _, generation in play.in_force] == ["r1", "r3"]
--- a/tests/test_wire_judge.py
+++ b/tests/test_wire_judge.py
@@ -122,8 +122,8 @@
 class Backend(asyncio.Protocol):
     """One connection to a scripted backend; what it does with each request is drawn."""
 
-    def __init__(self, day: Day, life: bytes) -> None:
-        self.day, self.life, self.rest, self.last, self.extra = day, life, b"", b"m0", b""
+    def __init__(self, day: Day, incarnation: bytes) -> None:
+        self.day, self.incarnation, self.rest, self.last, self.extra = day, incarnation, b"", b"m0", b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -149,7 +149,7 @@
     def serve(self, line: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         id_, day = fields[b"x-irisdeal-attempt-id"], self.day
         line = line.rpartition(b" ")[0]
-        if fields.get(b"x-irisdeal-target-backend") != self.life:
+        if fields.get(b"x-irisdeal-target-backend") != self.incarnation:
             return self.say(self.text(id_, 421))
         how = day.chance.choice(FAULTS) if day.now() < LENGTH else "good"
         last, self.last = self.last, id_
@@ -282,11 +282,13 @@
     def loop() -> asyncio.AbstractEventLoop:
         return asyncio.get_running_loop()
 
-    def backend(self, number: int, life: str) -> Machine:
-        machine = Machine(self.world, self.net, life, Core(), Costs())
+    def backend(self, number: int, incarnation: str) -> Machine:
+        machine = Machine(self.world, self.net, incarnation, Core(), Costs())
 
         async def run() -> int:
-            await self.loop().create_server(lambda: Backend(self, life.encode()), f"10.9.0.{number}", 80)
+            await self.loop().create_server(
+                lambda: Backend(self, incarnation.encode()), f"10.9.0.{number}", 80
+            )
             await self.loop().create_future()
             return 0
 
@@ -309,9 +311,9 @@
         ]
         sockets = [{"hostname": "h", "rules": rules}]
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": sockets}
-        door._on_word(ConfigVersion.of("r1", json.dumps(body).encode()))
+        door._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(BACKENDS):
-            door._on_life(
+            door._on_incarnation(
                 BackendIncarnation(
                     f"i-{number}", "s", f"10.9.0.{number}:80", "z", 4, BackendState.READY, 1, 0.0
                 ),
@@ -452,15 +454,15 @@
         self.net.pair("caller", "10.0.0.2", self.way)
         self.caller = Machine(self.world, self.net, "caller", Core(), Costs())
         self.ran: Counter[int] = Counter()
-        self.good = self.lives = 0
+        self.good = self.incarnations = 0
         self.late: list[int] = []
         self.breaches: list[str] = []
         self.over = False
         self.host = self.start()
 
     def start(self) -> Machine:
-        machine = Machine(self.world, self.net, f"host {self.lives}", Core(), Costs())
-        self.lives += 1
+        machine = Machine(self.world, self.net, f"host {self.incarnations}", Core(), Costs())
+        self.incarnations += 1
 
         async def handle(peer: str, kind: str, body: Any) -> Any:
             self.ran[body] += 1
