--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -352,7 +352,7 @@
                     self.steps[key] = self._accepts(kept, proposal.ballot, proposal.value)
                 good, then = self.steps[key]
                 if good and then != kept:
-                    yield f"{seat} hears {proposal.ballot.tell()} late", self._write(state, seat, then)
+                    yield f"{seat} hears {proposal.ballot.encode()} late", self._write(state, seat, then)
 
     def _write(self, state: State, seat: int, kept: int) -> State:
         if state.now[seat] == kept:
@@ -469,7 +469,7 @@
         if value is None:
             return
         if value.change < reading.least:
-            self.broken = f"a read answers {value.tell()} after change {reading.least} was decided"
+            self.broken = f"a read answers {value.encode()} after change {reading.least} was decided"
         state = state._replace(reading=None)
         found = [n for n in state.proposed if self.table.things[n][:2] == (highest, value)]
         yield f"the read answers {value.change}", self._tell(state, found[0]) if found else state
@@ -486,7 +486,7 @@
             self._takes_over(self.table.things[told], new)
         for other in state.proposed:
             if self.table.things[other].ballot == new.ballot and self.table.things[other].value != new.value:
-                self.broken = f"{new.ballot.tell()} proposes two values"
+                self.broken = f"{new.ballot.encode()} proposes two values"
         return state._replace(proposed=state.proposed | {number})
 
     def _tell(self, state: State, number: int) -> State:
@@ -497,7 +497,7 @@
         for other in state.told:
             old: Proposal = self.table.things[other]
             if old.value.change == new.value.change and old.value != new.value:
-                self.broken = f"change {new.value.change} is {old.value.tell()} and {new.value.tell()}"
+                self.broken = f"change {new.value.change} is {old.value.encode()} and {new.value.encode()}"
             if (
                 old.value.version_id.number == new.value.version_id.number
                 and old.value.version_id != new.value.version_id
@@ -507,7 +507,9 @@
 
     def _takes_over(self, told: Proposal, other: Proposal) -> None:
         if other.ballot > told.ballot and other.base < told.ballot:
-            self.broken = f"{other.ballot.tell()} does not take over {told.ballot.tell()}, which was decided"
+            self.broken = (
+                f"{other.ballot.encode()} does not take over {told.ballot.encode()}, which was decided"
+            )
 
 
 def _set(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -246,12 +246,12 @@
         if seat == self.acceptor.seat:
             return  # asked before
         while True:
-            answer = await self.peers.call(ip_of(seat), "prepare", [seat, ballot.ballot.tell()], CALL)
+            answer = await self.peers.call(ip_of(seat), "prepare", [seat, ballot.ballot.encode()], CALL)
             if isinstance(answer, Success):
                 if answer.unwrap() is None:
                     return  # that disk is gone
                 good, kept = answer.unwrap()
-                ballot.on_promise(seat, bool(good), AcceptorState.hear(kept))
+                ballot.on_promise(seat, bool(good), AcceptorState.decode(kept))
                 return news.set()
             await asyncio.sleep(AGAIN)
 
@@ -268,16 +268,18 @@
             return news.set()
         while True:
             answer = await self.peers.call(
-                ip_of(seat), "accept", [seat, ballot.ballot.tell(), value.tell()], CALL
+                ip_of(seat), "accept", [seat, ballot.ballot.encode(), value.encode()], CALL
             )
             if isinstance(answer, Success):
                 if answer.unwrap() is None:
                     return
                 good, told = answer.unwrap()
                 if good is not None:
-                    ballot.on_accept(seat, bool(good), Ballot.hear(told))
+                    ballot.on_accept(seat, bool(good), Ballot.decode(told))
                     return news.set()
                 version = self.acceptor.version(value.version_id)
-                if version is not None and await self.peers.bring(ip_of(seat), version, SyncState.hear(told)):
+                if version is not None and await self.peers.bring(
+                    ip_of(seat), version, SyncState.decode(told)
+                ):
                     continue
             await asyncio.sleep(AGAIN)
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -37,11 +37,11 @@
     count: int
     seat: str
 
-    def tell(self) -> list[Any]:
+    def encode(self) -> list[Any]:
         return [self.count, self.seat]
 
     @staticmethod
-    def hear(told: list[Any]) -> Ballot:
+    def decode(told: list[Any]) -> Ballot:
         return Ballot(int(told[0]), str(told[1]))
 
 
@@ -68,13 +68,13 @@
     def first(members: Members) -> Value:
         return Value(0, NO_VERSION, members)
 
-    def tell(self) -> list[Any]:
-        return [self.change, self.version_id.number, self.version_id.digest, self.members.tell()]
+    def encode(self) -> list[Any]:
+        return [self.change, self.version_id.number, self.version_id.digest, self.members.encode()]
 
     @staticmethod
-    def hear(told: list[Any]) -> Value:
+    def decode(told: list[Any]) -> Value:
         change, number, digest, members = told
-        return Value(int(change), VersionId(int(number), bytes(digest)), Members.hear(members))
+        return Value(int(change), VersionId(int(number), bytes(digest)), Members.decode(members))
 
 
 UNKNOWN = Value(-1, NO_VERSION, Members(-1, ()))  # of a disk that came empty: under all that may be decided
@@ -88,12 +88,12 @@
     accepted: Ballot
     value: Value
 
-    def tell(self) -> list[Any]:
-        return [self.promised.tell(), self.accepted.tell(), self.value.tell()]
+    def encode(self) -> list[Any]:
+        return [self.promised.encode(), self.accepted.encode(), self.value.encode()]
 
     @staticmethod
-    def hear(told: list[Any]) -> AcceptorState:
-        return AcceptorState(Ballot.hear(told[0]), Ballot.hear(told[1]), Value.hear(told[2]))
+    def decode(told: list[Any]) -> AcceptorState:
+        return AcceptorState(Ballot.decode(told[0]), Ballot.decode(told[1]), Value.decode(told[2]))
 
 
 def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
--- a/irisdeal/config_store/membership/members.py
+++ b/irisdeal/config_store/membership/members.py
@@ -69,11 +69,11 @@
         """The same list alone."""
         return Members(self.number, self.seats)
 
-    def tell(self) -> list[Any]:
+    def encode(self) -> list[Any]:
         return [self.number, list(self.seats), list(self.former)]
 
     @staticmethod
-    def hear(told: list[Any]) -> Members:
+    def decode(told: list[Any]) -> Members:
         """ValueError, TypeError where it is none."""
         number, seats, former = told
         return Members(int(number), tuple(map(str, seats)), tuple(map(str, former)))
--- a/irisdeal/config_store/membership/report.py
+++ b/irisdeal/config_store/membership/report.py
@@ -26,27 +26,27 @@
     def ip(self) -> str:
         return ip_of(self.seat)
 
-    def tell(self) -> list[Any]:
+    def encode(self) -> list[Any]:
         return [
             self.seat,
             self.zone,
-            self.accepted.tell(),
-            self.value.tell(),
-            self.decided.tell(),
+            self.accepted.encode(),
+            self.value.encode(),
+            self.decided.encode(),
             self.holds,
             self.leaving,
         ]
 
     @staticmethod
-    def hear(told: list[Any]) -> Report:
+    def decode(told: list[Any]) -> Report:
         """ValueError, TypeError where it is none."""
         seat, zone, accepted, value, decided, holds, leaving = told
         return Report(
             str(seat),
             str(zone),
-            Ballot.hear(accepted),
-            Value.hear(value),
-            Value.hear(decided),
+            Ballot.decode(accepted),
+            Value.decode(value),
+            Value.decode(decided),
             bool(holds),
             bool(leaving),
         )
--- a/irisdeal/config_store/membership/rounds.py
+++ b/irisdeal/config_store/membership/rounds.py
@@ -108,10 +108,10 @@
     async def ask(self, ip: str) -> Report | None:
         """Its report, as of now; only this shows that we reach it."""
         asked_at = now()
-        answer = await self.peers.call(ip, "state", self.report().tell(), ANSWER)
+        answer = await self.peers.call(ip, "state", self.report().encode(), ANSWER)
         if not isinstance(answer, Success):
             return None
-        report = Report.hear(answer.unwrap())
+        report = Report.decode(answer.unwrap())
         self.hear(report)
         self.contact.heard(report.seat, asked_at, report.value.change)
         return report
--- a/irisdeal/config_store/membership/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -61,7 +61,7 @@
     link = RpcClient(address, "irisdeal almanac")
     try:
         answer = await link.call("state", None, WITHIN)
-        return Report.hear(answer.unwrap()) if isinstance(answer, Success) else answer.failure().detail
+        return Report.decode(answer.unwrap()) if isinstance(answer, Success) else answer.failure().detail
     except (ValueError, TypeError) as error:
         return f"its answer is no report: {error}"
     finally:
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -41,10 +41,10 @@
     async def call(self, ip: str, kind: str, body: Any, within: float) -> Result[Any, OperationError]:
         return await self.link(ip).call(kind, body, within)
 
-    def tell(self, ip: str, kind: str, body: Any) -> None:
+    def notify(self, ip: str, kind: str, body: Any) -> None:
         """One way: who misses it hears of it in the next round."""
         link = self.link(ip)
-        if not link.tell(kind, body):
+        if not link.notify(kind, body):
             self.tasks.start(link.call(kind, body, PARCEL))
 
     # Bodies
@@ -66,7 +66,7 @@
             whole, told = answer.unwrap()
             if whole:
                 return True
-            before, sync_state = sync_state, SyncState.hear(told)
+            before, sync_state = sync_state, SyncState.decode(told)
             if sync_state == before:
                 return False
         return False
@@ -86,7 +86,7 @@
             while len(self.arriving) > MOST_ARRIVING:
                 del self.arriving[next(iter(self.arriving))]
         whole = version is not None and await self.acceptor.hold(version)
-        return [whole, assembler.sync_state(self.base()).tell()]
+        return [whole, assembler.sync_state(self.base()).encode()]
 
     async def fetch(self, ip: str, version_id: VersionId) -> ConfigVersion | None:
         """This body from there, synced here; None where it is not there or our disk refuses."""
@@ -94,7 +94,7 @@
         for _ in range(MOST_PARCELS):
             sync_state = assembler.sync_state(self.base())
             answer = await self.call(
-                ip, "fetch", [sync_state.tell(), version_id.number, version_id.digest], PARCEL
+                ip, "fetch", [sync_state.encode(), version_id.number, version_id.digest], PARCEL
             )
             if not isinstance(answer, Success) or answer.unwrap() is None:
                 return None
@@ -111,7 +111,7 @@
         version = self.acceptor.version(version_id)
         if version is None:
             return None
-        return self._parcel(SyncState.hear(sync_state), version)
+        return self._parcel(SyncState.decode(sync_state), version)
 
     def _parcel(self, sync_state: SyncState, version: ConfigVersion) -> list[Any] | None:
         """The next parcel; None where the body is over the bound of a frame."""
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -133,7 +133,7 @@
         """We decided this: all hear of it."""
         self.learn(value, [])
         for ip in self.rounds.others():
-            self.peers.tell(ip, "decided", [ballot.tell(), value.tell()])
+            self.peers.notify(ip, "decided", [ballot.encode(), value.encode()])
 
     async def _take_over(self, ips: list[str]) -> None:
         """The body of what is decided, of the newest where there are several by then."""
@@ -167,8 +167,8 @@
         match kind:
             case "state":
                 if body is not None:  # else it is asked by somebody who is no part of the core
-                    self.rounds.hear(Report.hear(body))
-                return self.rounds.report().tell()
+                    self.rounds.hear(Report.decode(body))
+                return self.rounds.report().encode()
             case "prepare" | "accept":
                 return await self._vote(*body)
             case "bring":
@@ -176,14 +176,14 @@
             case "fetch":
                 return self.peers.fetched(*body)
             case "decided":
-                self.proposer.meet(Ballot.hear(body[0]))
-                return self.learn(Value.hear(body[1]), [peer.rpartition(" ")[2]])
+                self.proposer.meet(Ballot.decode(body[0]))
+                return self.learn(Value.decode(body[1]), [peer.rpartition(" ")[2]])
             case "put":
                 return int(await self.put(ConfigVersion(VersionId(body[0], bytes(body[1])), bytes(body[2]))))
             case "read":
                 return await self.read()
             case "watch":
-                return await self.watch(SyncState.hear(body[0]), int(body[1]))
+                return await self.watch(SyncState.decode(body[0]), int(body[1]))
         raise ValueError(f"no call {kind!r}")
 
     async def _vote(self, seat: str, ballot: list[Any], value: list[Any] | None = None) -> Any:
@@ -192,12 +192,12 @@
             return None
         try:
             if value is None:
-                good, kept = await self.acceptor.prepare(Ballot.hear(ballot))
-                return [good, kept.tell()]
-            given = await self.acceptor.accept(Ballot.hear(ballot), Value.hear(value))
+                good, kept = await self.acceptor.prepare(Ballot.decode(ballot))
+                return [good, kept.encode()]
+            given = await self.acceptor.accept(Ballot.decode(ballot), Value.decode(value))
         except OSError:
             return None
-        return [given[0], given[1].tell()] if given else [None, SyncState(self.peers.base()).tell()]
+        return [given[0], given[1].encode()] if given else [None, SyncState(self.peers.base()).encode()]
 
     def has_contact(self) -> bool:
         return self.rounds.has_contact()
@@ -250,6 +250,6 @@
                 pass
         force, chunk = self.force, None
         if force.change >= change and force.version_id not in (sync_state.version_id, NO_VERSION):
-            chunk = self.peers.fetched(sync_state.tell(), force.version_id.number, force.version_id.digest)
+            chunk = self.peers.fetched(sync_state.encode(), force.version_id.number, force.version_id.digest)
         age = self.rounds.known_age(force.change)
-        return [chunk, force.tell(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
+        return [chunk, force.encode(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
--- a/irisdeal/config_store/storage/acceptor_state.py
+++ b/irisdeal/config_store/storage/acceptor_state.py
@@ -31,7 +31,7 @@
 
 def encode(state: PersistedState) -> bytes:
     """A line with magic and a check of the rest, then the rest."""
-    told = cbor2.dumps([state.disk, state.kept.tell(), state.decided.tell()])
+    told = cbor2.dumps([state.disk, state.kept.encode(), state.decided.encode()])
     return MAGIC + hashlib.sha256(told).hexdigest().encode() + b"\n" + told
 
 
@@ -41,7 +41,7 @@
     if head != MAGIC + hashlib.sha256(told).hexdigest().encode():
         raise ValueError("damaged")
     disk, kept, decided = cbor2.loads(told)
-    return PersistedState(str(disk), AcceptorState.hear(kept), Value.hear(decided))
+    return PersistedState(str(disk), AcceptorState.decode(kept), Value.decode(decided))
 
 
 class AcceptorStateFile:
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -54,7 +54,7 @@
     arriving: VersionId = NO_VERSION
     offset: int = 0
 
-    def tell(self) -> list[Any]:
+    def encode(self) -> list[Any]:
         return [
             self.version_id.number,
             self.version_id.digest,
@@ -64,7 +64,7 @@
         ]
 
     @staticmethod
-    def hear(told: list[Any]) -> SyncState:
+    def decode(told: list[Any]) -> SyncState:
         number, digest, other, other_digest, offset = told
         return SyncState(
             VersionId(int(number), bytes(digest)), VersionId(int(other), bytes(other_digest)), int(offset)
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -175,4 +175,4 @@
 
     def end_place(self, registry: str, end: PlaceEnd) -> None:
         """Tell a registry the end of a place that it gave."""
-        self._link(registry).tell("ended", end.encode())
+        self._link(registry).notify("ended", end.encode())
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -206,7 +206,7 @@
         incarnation = number = 0
         while True:
             sync_state, sent = self._have(ip), self.loop.time()
-            answer = await link.call("news", [sync_state.tell(), incarnation, number, self.change], ASK)
+            answer = await link.call("news", [sync_state.encode(), incarnation, number, self.change], ASK)
             if isinstance(answer, Failure):
                 log_event(Event.SOURCE_SILENT, source=ip, trouble=answer.failure())
                 return self._deregister(ip)
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -88,11 +88,11 @@
         for ip in self.zones.keys() - core:
             del self.zones[ip], self.controls[ip]
 
-    def tell(self, kind: str, body: list[Any]) -> None:
+    def notify(self, kind: str, body: list[Any]) -> None:
         """To all other registries; who misses it hears the next."""
         for ip in self.others():
             link = self.link(ip)
-            if not link.tell(kind, body):
+            if not link.notify(kind, body):
                 self.tasks.start(link.call(kind, body, ANSWER_S))
 
     # What the others know
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -166,13 +166,13 @@
         return int((await self.peers.link(ip).call("lend", request.encode(), LEND_S)).value_or(0))
 
     def _tell_sum(self, told: IntervalSum) -> None:
-        self.peers.tell("sums", told.encode())
+        self.peers.notify("sums", told.encode())
 
     def _tell_loads(self) -> None:
         """What our doors have out at each backend, to the other registries."""
         sums = self.admission.places.sums()
         if sums is not None:
-            self.peers.tell("loads", [self.ip, sums])
+            self.peers.notify("loads", [self.ip, sums])
 
     def _look(self) -> None:
         now = self.loop.time()
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -214,14 +214,14 @@
     async def _ask(self, ip: str, held: bool) -> ProbeResult:
         """One watch; `held`: until there is news."""
         sync_state, sent = self.assembler.sync_state(self.version_id), self.loop.time()
-        body = [sync_state.tell(), self.value.change if held else AT_ONCE]
+        body = [sync_state.encode(), self.value.change if held else AT_ONCE]
         answer = await self._link(ip).call("watch", body, HOLD + ANSWER if held else ANSWER)
         if isinstance(answer, Failure):
             return ProbeResult.SILENT
         try:
             chunk, told, learners, age = answer.unwrap()
             return self._hear(
-                ip, sync_state, sent, chunk, Value.hear(told), frozenset(map(str, learners)), int(age)
+                ip, sync_state, sent, chunk, Value.decode(told), frozenset(map(str, learners)), int(age)
             )
         except (ValueError, TypeError, IndexError) as error:
             log_event(Event.FRAME_INVALID, peer=ip, error=error)
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -52,7 +52,7 @@
         `age`: -1 where no store has contact, or we have just started and do not know the backends. `change`: of our
         newest word; -1 where the parcel is of an older one, which the door was in the middle of.
         """
-        came, has = self.loop.time(), SyncState.hear(sync_state)
+        came, has = self.loop.time(), SyncState.decode(sync_state)
         known = changes if incarnation == self.incarnation else 0
         if incarnation == self.incarnation and not self._has_news(has, known, change):
             try:
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -224,7 +224,7 @@
         finally:
             timer.cancel()
 
-    def tell(self, kind: str, body: Any) -> bool:
+    def notify(self, kind: str, body: Any) -> bool:
         """A word that wants no answer; False where it is not likely to come there: no connection, or a hung one."""
         if (why := may_send(kind, is_one_way=True)) is not None:
             raise KeyError(why)
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -251,7 +251,7 @@
         change: int,
     ) -> Any:
         """One watch: the value told, and the word of it where it is whole now; None where there was no answer."""
-        answer = await link.call("watch", [assembler.sync_state(sync_state).tell(), change], HOLD)
+        answer = await link.call("watch", [assembler.sync_state(sync_state).encode(), change], HOLD)
         if not isinstance(answer, Success):
             return None
         chunk, (change, number, version_id, members), _, age = answer.unwrap()
--- a/tests/core_rig.py
+++ b/tests/core_rig.py
@@ -119,7 +119,7 @@
         answer = await self.links[ip].call("state", None, ANSWER)
         if isinstance(answer, Success):
             told, body = answer.unwrap()
-            value = Value.hear(told)
+            value = Value.decode(told)
             self.take(value, ConfigVersion(value.version_id, bytes(body)))
             self.contact.heard(seat(ip, FIRST), sent)
 
@@ -133,9 +133,9 @@
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
             case "state":
-                return [self.value.tell(), self.version.body]
+                return [self.value.encode(), self.version.body]
             case "watch":
-                return await self.watch(SyncState.hear(body[0]), body[1])
+                return await self.watch(SyncState.decode(body[0]), body[1])
             case "put":
                 self.puts.append(body[0])
                 if self.put_s:
@@ -159,7 +159,7 @@
             else None
         )
         age = int(self.age() * 1000) if self.has_contact() else -1
-        return [chunk, self.value.tell(), self.learners, age]
+        return [chunk, self.value.encode(), self.learners, age]
 
 
 class Post:
--- a/tests/planted/store.py
+++ b/tests/planted/store.py
@@ -82,10 +82,10 @@
 
 async def lease_from_answer(self: StatusRounds, ip: str) -> Report | None:
     """Contact counts from when the answer came."""
-    answer = await self.peers.call(ip, "state", self.report().tell(), MOST_ANSWER)
+    answer = await self.peers.call(ip, "state", self.report().encode(), MOST_ANSWER)
     if not isinstance(answer, Success):
         return None
-    report = Report.hear(answer.unwrap())
+    report = Report.decode(answer.unwrap())
     self.hear(report)
     self.contact.heard(report.seat, now(), report.value.change)
     return report
@@ -112,7 +112,7 @@
     """What was accepted is in force, before a majority has it."""
     given = await VOTE(self, seat, ballot, value)
     if value is not None and given is not None and given[0]:
-        self.force = Value.hear(value)
+        self.force = Value.decode(value)
         self.news.set()
         self.news = asyncio.Event()
     return given
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -81,7 +81,7 @@
 
     @contextmanager
     def hearing(self) -> Iterator[None]:
-        call, tell = RpcClient.call, RpcClient.tell
+        call, tell = RpcClient.call, RpcClient.notify
 
         async def heard_call(
             link: RpcClient, kind: str, body: Any, within: float
@@ -103,7 +103,7 @@
 
         with (
             mock.patch.object(RpcClient, "call", heard_call),
-            mock.patch.object(RpcClient, "tell", heard_word),
+            mock.patch.object(RpcClient, "notify", heard_word),
         ):
             yield
 
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -104,23 +104,23 @@
 
 
 def ballot(told: Any) -> Any:
-    return Ballot.hear(told).tell()
+    return Ballot.decode(told).encode()
 
 
 def kept(told: Any) -> Any:
-    return AcceptorState.hear(told).tell()
+    return AcceptorState.decode(told).encode()
 
 
 def value(told: Any) -> Any:
-    return Value.hear(told).tell()
+    return Value.decode(told).encode()
 
 
 def report(told: Any) -> Any:
-    return Report.hear(told).tell()
+    return Report.decode(told).encode()
 
 
 def sync_state(told: Any) -> Any:
-    return SyncState.hear(told).tell()
+    return SyncState.decode(told).encode()
 
 
 def outcome(told: Any) -> int:
@@ -220,42 +220,48 @@
     joint = Value(301, second.version_id, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
     here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
     low, high = Ballot(3, here), Ballot(70_000, there)
-    arriving = SyncState(first.version_id, long.version_id, PIECE).tell()
-    told = Report(here, "z0", low, now, now, True).tell()
+    arriving = SyncState(first.version_id, long.version_id, PIECE).encode()
+    told = Report(here, "z0", low, now, now, True).encode()
     samples = [
-        Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).tell()),
-        Sample("state", "of nobody", None, Report(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).tell()),
-        Sample("prepare", "promised", [there, high.tell()], [True, AcceptorState(high, low, now).tell()]),
+        Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).encode()),
+        Sample("state", "of nobody", None, Report(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).encode()),
+        Sample("prepare", "promised", [there, high.encode()], [True, AcceptorState(high, low, now).encode()]),
         Sample(
-            "prepare", "refused", [there, low.tell()], [False, AcceptorState(high, NO_BALLOT, begun).tell()]
+            "prepare",
+            "refused",
+            [there, low.encode()],
+            [False, AcceptorState(high, NO_BALLOT, begun).encode()],
         ),
-        Sample("prepare", "of a disk that is gone", [there, low.tell()]),
-        Sample("accept", "accepted", [there, high.tell(), joint.tell()], [True, high.tell()]),
-        Sample("accept", "refused", [there, low.tell(), now.tell()], [False, high.tell()]),
+        Sample("prepare", "of a disk that is gone", [there, low.encode()]),
+        Sample("accept", "accepted", [there, high.encode(), joint.encode()], [True, high.encode()]),
+        Sample("accept", "refused", [there, low.encode(), now.encode()], [False, high.encode()]),
         Sample(
             "accept",
             "without the body",
-            [there, low.tell(), now.tell()],
-            [None, SyncState(first.version_id).tell()],
+            [there, low.encode(), now.encode()],
+            [None, SyncState(first.version_id).encode()],
         ),
-        Sample("decided", "a value", [high.tell(), now.tell()]),
+        Sample("decided", "a value", [high.encode(), now.encode()]),
         Sample(
-            "watch", "held", [SyncState(second.version_id).tell(), 300], [None, now.tell(), ["10.4.0.1"], 125]
+            "watch",
+            "held",
+            [SyncState(second.version_id).encode(), 300],
+            [None, now.encode(), ["10.4.0.1"], 125],
         ),
-        Sample("watch", "without contact", [SyncState().tell(), -2], [None, begun.tell(), [], -1]),
+        Sample("watch", "without contact", [SyncState().encode(), -2], [None, begun.encode(), [], -1]),
         Sample("read", "what holds", None, [True, first.body]),
         Sample("read", "nothing yet", None, [True, None]),
         Sample("read", "not known", None, [False, None]),
     ]
     order = [first.version_id.number, first.version_id.digest, first.body]
     samples += [Sample("put", end.name.lower(), order, int(end)) for end in PutOutcome]
-    asked = [SyncState(first.version_id).tell(), second.version_id.number, second.version_id.digest]
+    asked = [SyncState(first.version_id).encode(), second.version_id.number, second.version_id.digest]
     samples += [Sample("fetch", "not here", asked)]
     for name, chunk in chunks().items():
         samples += [
             Sample("bring", name, chunk, [name != "first piece", arriving]),
             Sample("fetch", name, asked, chunk),
-            Sample("watch", name, [arriving, 7], [chunk, joint.tell(), [], 0]),
+            Sample("watch", name, [arriving, 7], [chunk, joint.encode(), [], 0]),
             Sample("news", name, [arriving, 1 << 40, 9, 300], [chunk, 1 << 40, 9, [], {}, -1, -1]),
         ]
     return samples
@@ -283,7 +289,7 @@
         Sample(
             "news",
             "lives",
-            [SyncState().tell(), 0, 0, -1],
+            [SyncState().encode(), 0, 0, -1],
             [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(incarnations)], zones, 1100, 300],
         ),
         Sample("lives", "all kinds", [[told, 0] for told in incarnations]),
--- a/tests/test_almanac_tool.py
+++ b/tests/test_almanac_tool.py
@@ -135,7 +135,7 @@
 
             async def answers(peer: str, kind: str, body: Any, ip: str = ip) -> Any:
                 assert (kind, body) == ("state", None)
-                return report(ip, decided).tell()
+                return report(ip, decided).encode()
 
             servers.append(RpcServer(answers))
             await servers[-1].listen((ip, port))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -415,12 +415,12 @@
 
     async def scenario() -> Any:
         link = two.link()
-        none = link.tell("sums", [])
+        none = link.notify("sums", [])
         await link.call("sums", [], 0.4)
-        good = link.tell("sums", [])
+        good = link.notify("sums", [])
         two.host.pause(two.world.now + 1_000_000)
         await link.call("sums", [], 0.1)
-        return none, good, link.tell("sums", [])
+        return none, good, link.notify("sums", [])
 
     assert two.play(scenario()) == (False, True, False)
 
@@ -485,7 +485,7 @@
         with pytest.raises(KeyError):
             await two.link().call("borrow", None, 0.1)
         with pytest.raises(KeyError):
-            two.link().tell("lend", None)
+            two.link().notify("lend", None)
         return True
 
     assert two.play(scenario())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -181,7 +181,7 @@
         client = RpcClient((IPS[0], PORTS[0]), "me")
         for _ in range(3):
             assert await client.call("lend", "word", PATIENCE) == Success("wordword")
-        assert client.tell("loads", [1])
+        assert client.notify("loads", [1])
         await until(lambda: "in loads" in tally.counts)
         client.close()
         server.close()
--- a/tests/test_gauge_store.py
+++ b/tests/test_gauge_store.py
@@ -300,7 +300,7 @@
 ) -> list[tuple[float, Any]]:
     async def ask() -> Any:
         link = RpcClient((host, 7000 + ports.REGISTRY), "proxy 10.9.9.9")
-        answer = await link.call("news", [SyncState().tell(), incarnation, 0, change], 2.0)
+        answer = await link.call("news", [SyncState().encode(), incarnation, 0, change], 2.0)
         link.close()
         return answer.unwrap()
 
--- a/tests/test_known_age.py
+++ b/tests/test_known_age.py
@@ -129,7 +129,7 @@
         for host in rest:
 
             def hear(answer: list[Any], host: str = host, asked: float = asked) -> None:
-                value, age = Value.hear(answer[1]), answer[3]
+                value, age = Value.decode(answer[1]), answer[3]
                 told[host].append((stores.world.seconds(), value.version_id.number))
                 known_by = asked - age / 1000
                 if age >= 0 and value.version_id.number < 7 and known_by > when.get("confirmed", 99.0):
@@ -156,7 +156,7 @@
 
     def prepare() -> None:
         one = stores.members[others[0]]
-        one.peers.tell = lambda ip, kind, body: None  # type: ignore[method-assign]
+        one.peers.notify = lambda ip, kind, body: None  # type: ignore[method-assign]
         promise, accept = one.proposer._ask_promise, one.proposer._ask_accept
 
         async def ask_promise(ballot: Any, seat: str, news: Any) -> None:
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -97,7 +97,7 @@
 
 def news_of(station: RegistryServer) -> Awaitable[list[Any]]:
     """What a door that knows nothing is told."""
-    return station.news.answer(SyncState().tell(), 0, 0, -1)
+    return station.news.answer(SyncState().encode(), 0, 0, -1)
 
 
 def states(told: list[Any]) -> dict[str, BackendState]:
