--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -31,7 +31,7 @@
 from irisdeal.config_store.storage.version_store import ChunkAssembler, VersionStore
 from irisdeal.proxy.config_apply import SLICE
 from irisdeal.proxy.table import Table
-from tests.words import change, configuration
+from tests.support.configurations import change, configuration
 
 ROUTES = 19_000  # of the size aimed at
 T = TypeVar("T")
--- a/irisdeal/simulation/cluster/linearizability.py
+++ b/irisdeal/simulation/cluster/linearizability.py
@@ -10,8 +10,8 @@
 number came to hold: a read of r5 wants that r5 came before the read's end, and what is above r5 after its start.
 These are lower and upper bounds on moments that rise with the numbers, and the earliest moments that keep the
 lower bounds keep the upper bounds if any do. What a number that was never read holds is free; a confirmed put of
-it holds it where nothing higher can have come before the put's end, and only then. `tests/test_history.py`
-compares the answers with the general search.
+it holds it where nothing higher can have come before the put's end, and only then.
+`tests/simulation/test_linearizability.py` compares the answers with the general search.
 """
 
 from __future__ import annotations
--- a/tests/test_queues.py
+++ b/tests/cli/test_queues.py
@@ -20,7 +20,17 @@
 from irisdeal.front_door.queueing.top import BadReport, merge, read
 from irisdeal.front_door.server.config import ConfigError
 from irisdeal.front_door.server.report import MOST_READERS
-from tests.peers import Peer, answer, ask, config, member, read_message, running, socket_test, whole_list
+from tests.support.fake_peers import (
+    Peer,
+    answer,
+    ask,
+    config,
+    member,
+    read_message,
+    running,
+    socket_test,
+    whole_list,
+)
 
 
 def report(name: str = "n0", asked: int = 10, **stores: float) -> dict[str, Any]:
--- a/tests/test_almanac_tool.py
+++ b/tests/cli/test_store.py
@@ -360,7 +360,7 @@
 
 
 def test_every_command_of_the_pages_can_be_given() -> None:
-    pages = Path(__file__).parent.parent / "docs" / "operate"
+    pages = Path(__file__).parents[2] / "docs" / "operate"
     text = "\n".join((pages / name).read_text("utf-8") for name in ("control.md", "control-runbook.md"))
     lines = [line.strip() for line in text.splitlines() if line.strip().startswith("irisdeal ")]
     assert len(lines) > 10
--- a/tests/test_model.py
+++ b/tests/config_store/test_incremental_reading.py
@@ -17,7 +17,7 @@
 from irisdeal.config_store.configuration.cached_reading import read, read_whole
 from irisdeal.config_store.configuration.incremental_reading import Reading, reading
 from irisdeal.config_store.configuration.index import Index, run
-from tests.words import change, configuration
+from tests.support.configurations import change, configuration
 
 DUMPS: list[dict[str, Any]] = [{"separators": (",", ":")}, {}, {"indent": 1}, {"ensure_ascii": False}]
 
--- a/tests/test_known_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -22,7 +22,7 @@
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Way
 from irisdeal.simulation.world import START, World
-from tests.core_rig import CutNetwork, zone_of
+from tests.support.core_rig import CutNetwork, zone_of
 
 SETTLED = 2 * (ROUND + SOON) + 2 * SETTLE + 0.08  # s: until it is seen, left so, seen again; and a ballot
 
--- a/tests/test_members.py
+++ b/tests/config_store/test_reconfiguration.py
@@ -22,7 +22,7 @@
     next_members,
 )
 from irisdeal.config_store.membership.report import Report
-from tests.core_world import Machine, World
+from tests.support.membership_world import Machine, World
 
 CORES = (3, 4, 5)
 BEGUN = 10.0  # s until a core is whole: the fourth machine is a member `sync` after its start, the fifth next
--- a/tests/test_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -26,9 +26,9 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.rpc.client import RpcClient
 from irisdeal.simulation.cluster.linearizability import NONE, Kind, Op, check
-from tests.fault_proxy import Gate
+from tests.support.fault_proxy import Gate
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 COUNT = 5
 FIRST_PORT, APART = 17_400, 20  # each member's own range
 NET = "127.7.0"
--- a/tests/test_shelf.py
+++ b/tests/config_store/test_version_store.py
@@ -25,7 +25,7 @@
     SyncState,
     VersionStore,
 )
-from tests.words import change, configuration
+from tests.support.configurations import change, configuration
 
 SPLIT = {"separators": (",", ":")}
 
--- a/tests/features/steps/core_steps.py
+++ b/tests/features/steps/core_steps.py
@@ -8,7 +8,7 @@
 
 from irisdeal.simulation.cluster.probes import duels, race, replace_body, replace_members
 from irisdeal.simulation.cluster.store_day import CoreDay, day_of
-from tests.planted.store import planted
+from tests.support.planted_store_bugs import planted
 
 SHORT = 4.0  # s of faults in a day for a planted bug
 
--- a/tests/features/steps/place_steps.py
+++ b/tests/features/steps/place_steps.py
@@ -1,4 +1,7 @@
-"""Doors, registries and backends on one clock; the queue at a backend is reckoned here, not by the program."""
+"""Proxies, registries and backends on one clock.
+
+The queue at a backend is computed here, not by the program.
+"""
 
 from __future__ import annotations
 
@@ -106,7 +109,8 @@
 
 
 @given(
-    "{doors:d} doors in 4 zones with a registry each, 37 backends of 2 slots, {percent:g} percent of them asked "
+    "{doors:d} doors in 4 zones with a registry each, 37 backends of 2 slots, "
+    "{percent:g} percent of them asked "
     "for, seed {seed:d}"
 )
 def _(context: Any, doors: int, percent: float, seed: int) -> None:
--- a/tests/test_backends.py
+++ b/tests/front_door/test_backends.py
@@ -24,7 +24,7 @@
     Send,
 )
 from irisdeal.front_door.server.backends import Attempt, Pool
-from tests.peers import (
+from tests.support.fake_peers import (
     Peer,
     Script,
     answer,
--- a/tests/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -18,9 +18,9 @@
     ServerState,
 )
 from irisdeal.front_door.operator.bans import Bans
-from tests.desk import MS, SECOND, Desk, entry, name, of
-from tests.peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
-from tests.test_operator import OPERATOR, figures, operate
+from tests.front_door.test_operator import OPERATOR, figures, operate
+from tests.support.decisions_rig import MS, SECOND, Desk, entry, name, of
+from tests.support.fake_peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 
 
 def test_an_id_that_was_never_listed_is_not_known_and_repeats_change_nothing() -> None:
--- a/tests/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -7,7 +7,7 @@
 
 from irisdeal.front_door.decisions.interface import Arrival, Refuse
 from irisdeal.front_door.server.clients import ClientRequest
-from tests.peers import Script, answer, ask, read_message, running, socket_test
+from tests.support.fake_peers import Script, answer, ask, read_message, running, socket_test
 
 GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
 
--- a/tests/test_counter.py
+++ b/tests/front_door/test_counter.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result
-from tests.peers import Peer, Script, running, settings, socket_test
+from tests.support.fake_peers import Peer, Script, running, settings, socket_test
 
 
 def counting(peer: Peer, **family: Any) -> dict[str, Any]:
--- a/tests/test_discovery.py
+++ b/tests/front_door/test_discovery.py
@@ -4,7 +4,7 @@
 
 from irisdeal.front_door.decisions.interface import ListKind, ServerList, ServerState
 from irisdeal.front_door.server.discovery_client import MOST_NAMES, Reader
-from tests.peers import (
+from tests.support.fake_peers import (
     Peer,
     Script,
     answer,
--- a/tests/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -41,9 +41,19 @@
 from irisdeal.front_door.handover.state import pack, unpack
 from irisdeal.front_door.server.host import Host
 from irisdeal.front_door.server.program import Program
-from tests.desk import CEILED, MS, SECOND, Desk, entry, name
-from tests.peers import Peer, Running, answer, ask, config, member, read_message, socket_test, whole_list
-from tests.test_operator import operate
+from tests.front_door.test_operator import operate
+from tests.support.decisions_rig import CEILED, MS, SECOND, Desk, entry, name
+from tests.support.fake_peers import (
+    Peer,
+    Running,
+    answer,
+    ask,
+    config,
+    member,
+    read_message,
+    socket_test,
+    whole_list,
+)
 
 # Messages
 
--- a/tests/test_layout.py
+++ b/tests/front_door/test_layout.py
@@ -4,7 +4,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 CONTROL = ROOT / "irisdeal/front_door/decisions" / "gateway.py"
 POLICY = [ROOT / path for path in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
 
@@ -26,7 +26,7 @@
 
 
 def test_no_line_is_long() -> None:
-    for path in [*ROOT.glob("irisdeal/front_door/decisions/*.py"), *ROOT.glob("tests/*.py")]:
+    for path in [*ROOT.glob("irisdeal/front_door/decisions/*.py"), *(ROOT / "tests").rglob("*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
--- a/tests/test_door.py
+++ b/tests/front_door/test_loop.py
@@ -13,7 +13,7 @@
 
 from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send, Wake, Woken
 from irisdeal.front_door.server.config import ConfigError, load
-from tests.peers import (
+from tests.support.fake_peers import (
     Peer,
     Script,
     answer,
--- a/tests/test_mechanism.py
+++ b/tests/front_door/test_mechanism.py
@@ -17,7 +17,7 @@
 )
 from irisdeal.front_door.decisions.tenant import FEW_WAYS, Customer
 from irisdeal.front_door.quota.account import DRAWN_FULL
-from tests.desk import CAPPED, CEILED, FREE, MS, RATED, SAFE, SECOND, Desk, name, of, plan
+from tests.support.decisions_rig import CAPPED, CEILED, FREE, MS, RATED, SAFE, SECOND, Desk, name, of, plan
 
 
 def customer_of(desk: Desk, key: int, plan: int) -> Customer:
--- a/tests/test_openapi.py
+++ b/tests/front_door/test_openapi.py
@@ -16,7 +16,7 @@
 from irisdeal.front_door.sources.openapi import Description, DescriptionError, lines, read
 from irisdeal.front_door.sources.yamljson import Malformed, load_json, load_yaml
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 HEAD = "openapi: 3.1.0\ninfo: {title: t, version: '1'}\n"
 
 
--- a/tests/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -14,7 +14,7 @@
 from irisdeal.front_door.server.limits import CALLERS, OWN, share
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.platform import Platform
-from tests.peers import (
+from tests.support.fake_peers import (
     Peer,
     Running,
     Script,
@@ -28,7 +28,7 @@
     socket_test,
     whole_list,
 )
-from tests.rig import SMALL, play
+from tests.support.front_door_rig import SMALL, play
 
 DAY_OF_ALL_ENDINGS = (
     SMALL
--- a/tests/test_off.py
+++ b/tests/front_door/test_optional_parts.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from tests.peers import settings
+from tests.support.fake_peers import settings
 
 ASK = """
 import json, sys
@@ -36,7 +36,7 @@
         capture_output=True,
         text=True,
         check=True,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[2],
         env={"TMPDIR": "/nowhere"},
     )
     found: list[str] = json.loads(done.stdout)
--- a/tests/test_patience.py
+++ b/tests/front_door/test_patience.py
@@ -13,7 +13,7 @@
 from irisdeal.front_door.server.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
 from irisdeal.front_door.server.limits import OWN, share
 from irisdeal.front_door.server.listener import Listener
-from tests.peers import (
+from tests.support.fake_peers import (
     Peer,
     Running,
     Script,
--- a/tests/test_property.py
+++ b/tests/front_door/test_property.py
@@ -19,7 +19,7 @@
     ServerState,
     Wake,
 )
-from tests.desk import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, Desk, entry
+from tests.support.decisions_rig import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, Desk, entry
 
 PROOF = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
 FAILURES = (*PROOF, Result.ERROR, Result.TIMED_OUT, Result.CONNECTION_LOST)
--- a/tests/test_reload.py
+++ b/tests/front_door/test_reload.py
@@ -10,7 +10,8 @@
 import pytest
 
 from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result, ServerList
-from tests.peers import (
+from tests.front_door.test_loop import free_port, start
+from tests.support.fake_peers import (
     Peer,
     Script,
     answer,
@@ -22,7 +23,6 @@
     socket_test,
     whole_list,
 )
-from tests.test_door import free_port, start
 
 COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
--- a/tests/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -34,9 +34,10 @@
 from irisdeal.testbed.fault_proxy import Relay
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Attempt, End
-from tests.desk import KEYED, UNSAFE, entry
-from tests.desk import settings as desk_settings
-from tests.peers import (
+from tests.front_door.test_loop import free_port, start
+from tests.support.decisions_rig import KEYED, UNSAFE, entry
+from tests.support.decisions_rig import settings as desk_settings
+from tests.support.fake_peers import (
     LIMIT,
     Peer,
     Running,
@@ -49,8 +50,7 @@
     settings,
     whole_list,
 )
-from tests.rig import SMALL, play
-from tests.test_door import free_port, start
+from tests.support.front_door_rig import SMALL, play
 
 HEAD = "openapi: 3.1.0\ninfo: {title: refund, version: '1'}\n"
 PATHS = (
--- a/tests/test_rules.py
+++ b/tests/front_door/test_rules.py
@@ -14,7 +14,7 @@
     ServerList,
     ServerState,
 )
-from tests.desk import CEILED, KEYED, MS, SAFE, SECOND, UNSAFE, Desk, entry, name, of, plan
+from tests.support.decisions_rig import CEILED, KEYED, MS, SAFE, SECOND, UNSAFE, Desk, entry, name, of, plan
 
 
 def final(actions: list[Action]) -> list[Action]:
--- a/tests/test_serving.py
+++ b/tests/front_door/test_serving.py
@@ -2,7 +2,17 @@
 
 import asyncio
 
-from tests.peers import Peer, answer, as_json, ask, member, read_message, running, socket_test, whole_list
+from tests.support.fake_peers import (
+    Peer,
+    answer,
+    as_json,
+    ask,
+    member,
+    read_message,
+    running,
+    socket_test,
+    whole_list,
+)
 
 
 @socket_test
--- a/tests/test_settings.py
+++ b/tests/front_door/test_settings.py
@@ -8,7 +8,7 @@
 from irisdeal.front_door.decisions import simulator
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import Arrival, AttemptEnded, Result
-from tests.desk import CLASSES, PLANS, Desk, name, settings
+from tests.support.decisions_rig import CLASSES, PLANS, Desk, name, settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -22,8 +22,9 @@
 )
 from irisdeal.front_door.streaming.budget import LEAST, READ, Budget, Loan
 from irisdeal.front_door.streaming.pace import HEAD, RATE, STAND, Pace
-from tests.desk import CEILED, MS, SECOND, Desk, of
-from tests.peers import (
+from tests.front_door.test_operator import OPERATOR, figures
+from tests.support.decisions_rig import CEILED, MS, SECOND, Desk, of
+from tests.support.fake_peers import (
     Peer,
     Running,
     answer,
@@ -35,7 +36,6 @@
     socket_test,
     whole_list,
 )
-from tests.test_operator import OPERATOR, figures
 
 LONG = 1_000_000
 
--- a/tests/test_upgrade.py
+++ b/tests/front_door/test_upgrade.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from irisdeal.front_door.overload.backlog import Backlog
-from tests.peers import answer, ask, member, read_message, settings, socket_test, whole_list
+from tests.support.fake_peers import answer, ask, member, read_message, settings, socket_test, whole_list
 
 CLIENTS = 12
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def free_port() -> int:
--- a/tests/test_waiting.py
+++ b/tests/front_door/test_waiting.py
@@ -7,7 +7,20 @@
 from irisdeal.front_door.decisions import gateway as gateway_module
 from irisdeal.front_door.decisions.interface import Arrival, Refuse, RequestEnded, Result, Send, Woken
 from irisdeal.front_door.queueing.fair import FairQueue
-from tests.desk import CAPPED, CEILED, FREE, KEYED, MS, RATED, SAFE, SECOND, Desk, name, of, plan
+from tests.support.decisions_rig import (
+    CAPPED,
+    CEILED,
+    FREE,
+    KEYED,
+    MS,
+    RATED,
+    SAFE,
+    SECOND,
+    Desk,
+    name,
+    of,
+    plan,
+)
 
 
 def full_window(desk: Desk) -> None:
--- a/tests/test_zones.py
+++ b/tests/front_door/test_zones.py
@@ -36,7 +36,7 @@
 )
 from irisdeal.front_door.zones.evidence import ALARM, Evidence
 from irisdeal.front_door.zones.fleet import AFTER, BAD, CUT, FAULTS, LOST_AT, Fleet, calm, cut, figures, part
-from tests.desk import CAPPED, KEYED, MS, SAFE, Desk, entry, name, of
+from tests.support.decisions_rig import CAPPED, KEYED, MS, SAFE, Desk, entry, name, of
 
 NOW = 100 * EPOCH
 
--- a/tests/test_http1_server.py
+++ b/tests/http1/test_server.py
@@ -12,7 +12,7 @@
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.world import START, World
-from tests.request_world import reset
+from tests.support.request_world import reset
 
 ADDRESS = ("10.0.0.2", 80)
 BODIED = b"POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
--- a/tests/test_quota_processes.py
+++ b/tests/permits/test_quota_processes.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 
 from irisdeal.simulation.quota.judge import QuotaJudge
-from tests.fault_proxy import Gate
+from tests.support.fault_proxy import Gate
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 CORE, DOORS = "127.8.0.1", ("127.8.0.2", "127.8.0.3", "127.8.0.4")
 CORE_PORT, APART = 17_600, 20  # of the first port range, and between two
 CONTROL, FRONT, BACKEND = 17_700, 17_701, 17_702
--- /dev/null
+++ b/tests/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `irisdeal.proxy`."""
--- a/tests/test_request_drain.py
+++ b/tests/proxy/test_request_drain.py
@@ -8,7 +8,7 @@
 import pytest
 
 from irisdeal.proxy.drain_plan import MOST_QUIET_S, DrainPlan
-from tests.request_world import GRACE_S, Client, RequestWorld
+from tests.support.request_world import GRACE_S, Client, RequestWorld
 
 KEPT = 200  # connections
 STEP_S = 0.05  # of a drain's looks, and of requests one after the other
--- a/tests/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -18,8 +18,8 @@
 from irisdeal.proxy.outcome import AttemptOutcome
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.registry_client import RegistryClient
-from tests.request_runs import RandomRun
-from tests.request_world import Client, Leaving, RequestWorld
+from tests.support.random_request_runs import RandomRun
+from tests.support.request_world import Client, Leaving, RequestWorld
 
 MOMENTS = 100  # at which clients leave in each phase
 
--- a/tests/test_table.py
+++ b/tests/proxy/test_routing_table.py
@@ -24,7 +24,7 @@
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.world import START, World
-from tests.words import change, configuration, route
+from tests.support.configurations import change, configuration, route
 
 
 def read(data: dict[str, Any], before: Reading | None = None) -> Reading:
--- a/tests/test_sources.py
+++ b/tests/proxy/test_sources.py
@@ -27,7 +27,7 @@
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.world import World
-from tests.core_rig import CoreRig, DoorPost, settings_of
+from tests.support.core_rig import CoreRig, DoorPost, settings_of
 
 DEPLOYMENTS = {  # s: contact_ms, apply_ms, revert_slack_ms
     "cmpsu-gateway": (3.0, 2.5, 0.25),
--- a/tests/test_acknowledged_ends.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -20,8 +20,8 @@
 from irisdeal.simulation.cluster.cluster import Host, Stage
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
-from tests.test_registry_drain import Caller, DrainRig
-from tests.test_station import heartbeat, news_of, states
+from tests.registry.test_drain import Caller, DrainRig
+from tests.registry.test_server import heartbeat, news_of, states
 
 BACKENDS = 8
 FOUND_BY = (16, 30, 39)  # seeds: all that do of the first 40
--- a/tests/test_registry_drain.py
+++ b/tests/registry/test_drain.py
@@ -11,7 +11,7 @@
 
 from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.machine import Core, Costs, Machine
-from tests.test_station import StationRig, heartbeat
+from tests.registry.test_server import StationRig, heartbeat
 
 ORDER = b'{"generation": "r9", "sockets": [], "pools": []}'
 
--- a/tests/test_station.py
+++ b/tests/registry/test_server.py
@@ -18,7 +18,7 @@
 from irisdeal.registry.server import RegistryServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Machine
-from tests.core_rig import CoreRig, settings_of
+from tests.support.core_rig import CoreRig, settings_of
 
 WAY = 0.04  # s there and back with the work at both ends
 
--- a/tests/test_gauge_store.py
+++ b/tests/registry/test_store_client.py
@@ -19,7 +19,7 @@
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.simulation.machine import Core, Costs, Machine
-from tests.core_rig import CoreRig
+from tests.support.core_rig import CoreRig
 
 WAY = 0.04  # s there and back with the work at both ends
 
--- a/tests/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -16,7 +16,7 @@
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.server import RpcServer
 from irisdeal.simulation.machine import Machine
-from tests.test_calls import Two
+from tests.rpc.test_calls import Two
 
 HELD_S = 1.0  # that each call takes
 WAY_S = 0.01  # some ways there and back
--- a/tests/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -36,7 +36,7 @@
 from irisdeal.simulation.network import Network, Way
 from irisdeal.simulation.world import START, World
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 HOST, PORT = "10.0.0.2", 7000
 PROGRAMS = ("config_store", "registry", "proxy")
 WAITING: Any = object()
@@ -110,7 +110,7 @@
     """The numbers of events that are told from now on."""
     numbers: list[int] = []
     for module in ("irisdeal.rpc.client", "irisdeal.rpc.server"):
-        monkeypatch.setattr(f"{module}.tell", lambda number, **fields: numbers.append(number))
+        monkeypatch.setattr(f"{module}.log_event", lambda number, **fields: numbers.append(number))
     assert events.CATALOGUE
     return numbers
 
@@ -430,13 +430,13 @@
 
 def _kinds_sent() -> Iterator[tuple[str, str, bool]]:
     """File, kind and whether as a word, of all that the programs send."""
-    for program in (*PROGRAMS, "squall"):
-        for path in sorted((ROOT / "irisdeal" / program).glob("*.py")):
+    for program in (*PROGRAMS, "simulation"):
+        for path in sorted((ROOT / "irisdeal" / program).rglob("*.py")):
             for node in ast.walk(ast.parse(path.read_text("utf-8"))):
                 if (
                     isinstance(node, ast.Call)
                     and isinstance(node.func, ast.Attribute)
-                    and node.func.attr in ("call", "tell", "_tell")
+                    and node.func.attr in ("call", "notify", "_notify")
                     and node.args
                     and isinstance(node.args[0], ast.Constant)
                     and isinstance(node.args[0].value, str)
@@ -447,7 +447,7 @@
 def _kinds_served() -> set[Any]:
     served = set()
     for program in PROGRAMS:
-        for path in sorted((ROOT / "irisdeal" / program).glob("*.py")):
+        for path in sorted((ROOT / "irisdeal" / program).rglob("*.py")):
             for node in ast.walk(ast.parse(path.read_text("utf-8"))):
                 if (
                     isinstance(node, ast.Match)
--- a/tests/test_chaos.py
+++ b/tests/simulation/test_search.py
@@ -41,7 +41,7 @@
 from irisdeal.testbed.scenario import parse
 from irisdeal.testbed.workload import draw
 
-HERE = Path(__file__).parent
+HERE = Path(__file__).parents[1] / "data"
 FOUND = sorted((HERE / "found").glob("*.toml"))
 PLANTED = sorted((HERE / "planted").glob("*.toml"))
 FIXED = 200  # days that CI plays
@@ -110,7 +110,7 @@
             check=True,
             capture_output=True,
             text=True,
-            cwd=HERE.parent,
+            cwd=HERE.parents[1],
             env={**os.environ, "PYTHONHASHSEED": seed},
         ).stdout
         for seed in ("1", "999")
--- a/tests/test_sim.py
+++ b/tests/simulation/test_world.py
@@ -184,7 +184,7 @@
     async def forever() -> None:
         await asyncio.get_running_loop().create_future()
 
-    waits = r"nothing is due.*(?s:.*)client: Task-\d+ in .*forever \(test_sim.py:\d+\)"
+    waits = r"nothing is due.*(?s:.*)client: Task-\d+ in .*forever \(test_world.py:\d+\)"
     with pytest.raises(Stuck, match=waits):
         rig.run(forever())
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -38,7 +38,7 @@
 from irisdeal.runtime.settings import Bind, Settings, Tolerance
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Costs, Machine
-from tests.core_rig import CoreRig, zone_of
+from tests.support.core_rig import CoreRig, zone_of
 
 PROXY = "10.0.9.1"
 TENANT, SERVICE = "t-1", "s"
--- a/tests/request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -1,6 +1,7 @@
 """Short random runs of requests, departures, troubles and ends of a proxy, each by one seed.
 
-`python -m tests.request_runs FIRST LAST` plays many and prints each seed with what the judge found.
+`python -m tests.support.random_request_runs FIRST LAST` plays many and prints each seed with what the judge
+found.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.request_world import GRACE_S, Client, Leaving, RequestWorld, Sent
+from tests.support.request_world import GRACE_S, Client, Leaving, RequestWorld, Sent
 
 LENGTH_S = 3.0  # in which requests are begun
 SETTLE_S = 9.0  # after the last act, by when all is over: deadlines are 5 s, a grace 6
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -50,8 +50,8 @@
 from irisdeal.simulation.search import schedule as door_schedule
 from irisdeal.simulation.world import World
 from irisdeal.testbed.workload import draw as draw_day
-from tests import core_world
-from tests.request_runs import RandomRun
+from tests.support import membership_world as core_world
+from tests.support.random_request_runs import RandomRun
 
 FILE = Path(__file__).parent.parent / "data" / "run_digests.json"
 SEEDS = 20  # of each kind of run
@@ -437,7 +437,8 @@
 WIRE_SECONDS, ARRIVALS = 6, 700
 DOOR_CLASSES = (
     {"repeat": "free", "slo_us": 200_000, "deadline_us": 900_000, "worth": 1.0, "late_value": 0.2},
-    {"repeat": "guarded", "group": "zone", "window_us": 2_000_000, "slo_us": 300_000, "deadline_us": 1_500_000,
+    {"repeat": "guarded", "group": "zone", "window_us": 2_000_000, "slo_us": 300_000,
+     "deadline_us": 1_500_000,
      "worth": 2.0, "late_value": 0.5},
     {"repeat": "single_shot", "slo_us": 500_000, "deadline_us": 2_000_000, "worth": 3.0},
 )  # fmt: skip
@@ -451,7 +452,8 @@
     values: dict[str, object] = {
         "discovery": "pushed" if seed % 2 else "on_request", "peers_total": DOORS, "rank": rank,
         "locality": rank % 3, "round_us": 1000, "profiles.count": len(DOOR_CLASSES),
-        "packages.count": len(DOOR_PLANS), "safety.grace_to_answer_us": 5000, "safety.drain_grace_us": 1_000_000,
+        "packages.count": len(DOOR_PLANS), "safety.grace_to_answer_us": 5000,
+        "safety.drain_grace_us": 1_000_000,
         "safety.start_capacity": 0.2, "safety.warm_up_us": 3_000_000, "safety.tip_multiple": 3.0,
         "safety.fall_us": 1_000_000, "permissions.max_attempts": 3,
         "permissions.parallel_tries": "true" if seed % 3 else "false", "permissions.cancel": "true",
@@ -525,7 +527,8 @@
         rows = b"".join(
             struct.pack(
                 "<fQHHBH6s", 1.0 + number % 2, self.now if changes else 0, number % 3, 0,
-                self.chance.choice((0, 1, 2)) if changes else 1, number % 4, b"\x0a\0\0%c\x50\0" % (number + 1),
+                self.chance.choice((0, 1, 2)) if changes else 1, number % 4,
+                b"\x0a\0\0%c\x50\0" % (number + 1),
             )
             for number in numbers
         )  # fmt: skip
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -65,8 +65,8 @@
 )
 from irisdeal.rpc.calls import CALLS, CANCEL
 from irisdeal.rpc.frames import HELLO, ONE_WAY, Reader, encode
+from tests.front_door.test_handover import worked
 from tests.support.exchange import Call, recorded
-from tests.test_handover import worked
 
 DATA = Path(__file__).parent.parent / "data" / "frames.json"
 DOOR = ("n0", "127.0.0.1:9000")  # name and address of the door whose state is handed over
@@ -393,7 +393,7 @@
 
 
 def handover() -> dict[str, str]:
-    """What is told, in hex, by a gateway that has served for a while; and by the one that took over from it."""
+    """The state, in hex, of a gateway that has served for a while; and of the one that took over from it."""
     old = worked()
     told = pack(old.gateway, old.now, HALF)
     old.give(Shared(HALF, False))
--- /dev/null
+++ b/tests/system/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the three programs together, of their pages and their deploy file."""
--- a/tests/test_system_pages.py
+++ b/tests/system/test_pages.py
@@ -6,7 +6,7 @@
 
 from irisdeal.runtime.event_catalogue import page
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_catalogue_of_events_is_the_codes() -> None:
--- a/tests/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -22,7 +22,7 @@
 from irisdeal.front_door.server.loop import Door
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.audit import Rule
-from tests.rig import DAY, SMALL, played
+from tests.support.front_door_rig import DAY, SMALL, played
 
 UNSAFE = 2  # the class `file`
 
--- a/tests/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -20,9 +20,9 @@
 from irisdeal.testbed.request_log import Attempt, End
 from irisdeal.testbed.scenario import parse
 from irisdeal.testbed.workload import draw
-from tests.rig import SMALL
+from tests.support.front_door_rig import SMALL
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 HERE = Deploy(ROOT, f"exec {sys.executable} -m irisdeal")
 
 
--- a/tests/test_crowd.py
+++ b/tests/testbed/test_load_processes.py
@@ -16,9 +16,9 @@
 from irisdeal.testbed.request_log import SECOND, Books, Clock, Life, Taken, lay_together
 from irisdeal.testbed.scenario import ScenarioError, parse
 from irisdeal.testbed.workload import draw
-from tests.rig import SMALL
+from tests.support.front_door_rig import SMALL
 
-HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
+HERE = Deploy(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
 CROWDED = (
     SMALL.replace("use = 0.25", "use = 0.25\nprocesses = 2")
     + """
--- a/tests/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -12,7 +12,7 @@
 
 from irisdeal.testbed.scenario import FAULTS, Scenario, ScenarioError, load, names, parse
 from irisdeal.testbed.workload import draw, mean_work, weights, work
-from tests.rig import SMALL
+from tests.support.front_door_rig import SMALL
 
 TOP, _, REST = SMALL.partition("[fleet]")
 REST = "[fleet]" + REST
--- a/tests/test_sites.py
+++ b/tests/testbed/test_site_processes.py
@@ -14,9 +14,9 @@
 from irisdeal.testbed.scenario import load, parse
 from irisdeal.testbed.site_processes import KEEPER, SiteError, Sites, _SharedMeter
 from irisdeal.testbed.workload import draw
-from tests.rig import SMALL
+from tests.support.front_door_rig import SMALL
 
-HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
+HERE = Deploy(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
 APART = (
     SMALL.replace("[fleet]", "[fleet]\napart = true")
     + """
--- a/tests/test_standin_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -21,8 +21,8 @@
 from irisdeal.testbed.request_log import Books, Clock, End, Told
 from irisdeal.testbed.scenario import KeeperSpec, RosterSpec, parse
 from irisdeal.testbed.workload import draw
-from tests.peers import ask, read_message, socket_test
-from tests.rig import SMALL, play
+from tests.support.fake_peers import ask, read_message, socket_test
+from tests.support.front_door_rig import SMALL, play
 
 ONE = range(1)
 
