--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 test: .venv-dev/installed.txt
 	.venv-dev/bin/ruff check .
 	.venv-dev/bin/ruff format --check -q .
+	.venv-dev/bin/ruff check --config ruff-strict.toml irisdeal
 	.venv-dev/bin/mypy
 	.venv-dev/bin/lint-imports --no-cache
 	.venv-dev/bin/behave tests/features -q --no-capture --logging-level ERROR --format progress
