--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -26,7 +26,14 @@
 from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send
 from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
 from irisdeal.rpc.transport import tune
-from irisdeal.runtime.errors import OperationError
+from irisdeal.runtime.errors import (
+    CallTimeoutError,
+    ConnectError,
+    ConnectionLostError,
+    MessageTooLongError,
+    OperationError,
+    RemoteError,
+)
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Address
 
@@ -83,7 +90,7 @@
         asked = self.asked.pop(number, None)
         if asked is not None and self.heard <= asked.until and not asked.answer.done():
             asked.answer.set_result(
-                Success(body) if good else Failure(OperationError(asked.kind, self.peer, str(body)))
+                Success(body) if good else Failure(RemoteError(asked.kind, self.peer, str(body)))
             )
             return
         if asked is not None:  # its time is over, or its asker was cancelled, though that was not seen yet
@@ -131,7 +138,9 @@
         """It has no answer in its time."""
         if not asked.answer.done():
             asked.answer.set_result(
-                Failure(OperationError(asked.kind, self.peer, f"silent for {asked.until - asked.since:g} s"))
+                Failure(
+                    CallTimeoutError(asked.kind, self.peer, f"silent for {asked.until - asked.since:g} s")
+                )
             )
 
     def retire(self) -> None:
@@ -148,7 +157,9 @@
         asked, self.asked = self.asked, {}
         for one in asked.values():
             if not one.answer.done():
-                one.answer.set_result(Failure(OperationError(one.kind, self.peer, "the connection ended")))
+                one.answer.set_result(
+                    Failure(ConnectionLostError(one.kind, self.peer, "the connection ended"))
+                )
 
     def drop(self) -> None:
         self.open = False
@@ -208,11 +219,11 @@
         calls = await self._connected(within)
         if isinstance(calls, str) or not calls.open:
             why = calls if isinstance(calls, str) else "not connected: closed"
-            return Failure(OperationError(kind, self.peer, why, never_sent=True))
+            return Failure(ConnectError(kind, self.peer, why, never_sent=True))
         try:
             number, answer = calls.ask(kind, body, max(0.0, until - loop.time()))
         except ValueError as error:
-            return Failure(OperationError(kind, self.peer, str(error), never_sent=True))
+            return Failure(MessageTooLongError(kind, self.peer, str(error), never_sent=True))
         timer = loop.call_at(until, calls.expire, number)
         try:
             return await answer
--- a/irisdeal/runtime/settings.py
+++ b/irisdeal/runtime/settings.py
@@ -10,7 +10,7 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.runtime.errors import OperationError
+from irisdeal.runtime.errors import SettingsError
 from irisdeal.runtime.metrics import parse_address
 
 Address = tuple[str, int]
@@ -91,7 +91,7 @@
     return host, int(port)
 
 
-def read(data: dict[str, Any]) -> Result[Settings, OperationError]:
+def read(data: dict[str, Any]) -> Result[Settings, SettingsError]:
     """The checked settings, or which key is wrong and what was wanted."""
     given = dict(data)
     if isinstance(given.get("bounds"), str):  # one line, separated by commas
@@ -112,16 +112,16 @@
         if settings.metrics:
             parse_address(settings.metrics)
     except dacite.DaciteError as error:
-        return Failure(OperationError("settings", getattr(error, "field_path", None) or "file", str(error)))
+        return Failure(SettingsError("settings", getattr(error, "field_path", None) or "file", str(error)))
     except (ValueError, TypeError) as error:
-        return Failure(OperationError("settings", "file", str(error)))
+        return Failure(SettingsError("settings", "file", str(error)))
     return Success(settings)
 
 
-def load(path: str) -> Result[Settings, OperationError]:
+def load(path: str) -> Result[Settings, SettingsError]:
     """The settings in this file."""
     try:
         data = tomllib.loads(Path(path).read_text("utf-8"))
     except (OSError, ValueError) as error:
-        return Failure(OperationError("settings", path, str(error)))
+        return Failure(SettingsError("settings", path, str(error)))
     return read(data)
