--- a/irisdeal/load_balancing/__init__.py
+++ b/irisdeal/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend a request goes to, and when it goes to another zone. No input or output."""
+"""Choice of a backend for a request: latency estimates, distance, outlier ejection. No input or output."""
--- a/irisdeal/load_balancing/backend_choice.py
+++ b/irisdeal/load_balancing/backend_choice.py
@@ -1,7 +1,8 @@
-"""The choice of a backend by the time an answer is expected to take, by this door's own measure.
+"""Least-expected-latency choice of a backend, from what this process has measured itself.
 
-A backend's pace is its answers' times over what such requests usually take here; what is out there from here
-counts as a queue; another zone costs what the bytes between zones are worth, in time. Times are s.
+A backend's slowdown is the latency of its responses over the typical latency of such requests. Requests in flight
+count as a queue; another zone or region, and a new connection, cost a share of the typical latency. A backend that
+fails is ejected for a while (passive outlier detection). Times are s on the caller's clock; no input or output.
 """
 
 from __future__ import annotations
@@ -10,169 +11,212 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-FIRST_PACE = 1.0
-MOST_THERE = 2.0  # requests for each slot, work and queue, beyond which a request stays at the door
-BUSY = 0.15  # of its work that an answer takes longer where all slots are taken: words of others are late
-COLD_PACE = 2.0  # a backend that is warming up
-PACE_WEIGHT = 0.2  # of the newest answer in a backend's pace
-USUAL_WEIGHT = 0.05  # of the newest answer in what a kind usually takes
-FIRST_USUAL = 0.15  # s
-LEAST_SEEN = 32  # answers, of which the longest tells how long others may take
-LONGEST_KEPT = 0.995  # of the longest time of late, with each answer: half of it after 140
-CROSSING = 0.3  # of a request's usual time, that another zone must be quicker by
-CONNECTING = 0.15  # likewise a new connection: it is dear, and takes its time
-REGION = 2.0  # likewise another region
-REST = (0.5, 1.0, 2.0, 4.0)  # s that a backend is left out after failures in a row
-SUSPICION, LEAST_SUSPICION = 3.0, 0.25  # times the usual, s, without any answer to what is out
-MOST_PACE, LEAST_PACE = 6.0, 0.3
+INITIAL_SLOWDOWN = 1.0
+SATURATION_FACTOR = (
+    2.0  # requests for each slot, in service and queued, beyond which a request waits at the proxy
+)
+STALE_LOAD_COST = (
+    0.15  # of its service time that a response takes longer with all slots taken: load reports lag
+)
+SLOW_START_SLOWDOWN = 2.0  # of a backend that is warming up
+SLOWDOWN_WEIGHT = 0.2  # of the newest response in a backend's moving average
+LATENCY_WEIGHT = 0.05  # of the newest response in the typical latency
+INITIAL_LATENCY_S = 0.15  # until a first response: of the order of a short model call
+MIN_SAMPLES = 32  # responses before the slowest recent one says how long others may take
+SLOWEST_DECAY = 0.995  # of the slowest recent latency, with each response: half of it after 140
+ZONE_COST = 0.3  # of the typical latency, that a backend in another zone must be faster by
+REGION_COST = 2.0  # likewise in another region
+CONNECT_COST = 0.15  # likewise where a new connection must be opened first
+COST_BY_DISTANCE = (0.0, ZONE_COST, REGION_COST)
+CHOICE_JITTER = 0.1  # of a backend's cost: proxies with the same view do not all choose alike
+EJECTION_S = (0.5, 1.0, 2.0, 4.0)  # that a backend is ejected after so many failures in a row
+SUSPICION_FACTOR = 3.0  # times the expected latency without any response, after which a backend is suspect
+MIN_SUSPICION_S = 0.25  # likewise at least: a pause of the garbage collector is no failure
+MAX_SLOWDOWN, MIN_SLOWDOWN = 6.0, 0.3  # bounds of one sample: a single response decides little
+MIN_LATENCY_S = 0.001  # of a typical latency that others are divided by
 
 
 @dataclass(slots=True)
 class Backend:
-    """One life as this door sees it."""
+    """One incarnation of a backend as this process sees it."""
 
     id: str
     service: str
     address: tuple[str, int]
     zone: str
-    near: float  # 0 in our zone, 1 in our region, 2 elsewhere
-    capacity: int
+    zone_distance: float  # 0 in our zone, 1 in our region, 2 elsewhere
+    capacity: int  # requests that it serves at once
     warm_at: float
-    out: int = 0  # sent from here and not answered
-    resting: int = 0  # connections to it that are free
-    others: float = 0.0  # likewise from all other doors, as told a moment ago
-    pace: float = FIRST_PACE
-    failures: int = 0
-    rests_until: float = -1e9
-    draining: bool = False
-    silent: bool = False
-    full_until: float = -1e9
-    answers: int = 0
-    key: int = 0  # short for `id`, between processes
-    ill: float = 0.0  # share of the answers of late that were poor: failures, its own 5xx
-    began: list[float] = field(default_factory=list)  # when what is out was sent, oldest first
-    heard: float = -1e9  # when it last answered
+    in_flight: int = 0  # sent from here and not answered
+    idle_connections: int = 0  # from here
+    in_flight_elsewhere: float = 0.0  # from all other proxies, as of the last load report
+    slowdown: float = INITIAL_SLOWDOWN
+    consecutive_failures: int = 0
+    ejected_until: float = -1e9
+    is_draining: bool = False
+    is_unresponsive: bool = False  # its heartbeats are overdue at every registry in use
+    saturated_until: float = -1e9  # it rejected a request as its queue was full
+    response_count: int = 0
+    key: int = 0  # short form of `id`, between processes
+    error_rate: float = 0.0  # moving average of failures and 5xx responses among its attempts
+    started_at: list[float] = field(
+        default_factory=list
+    )  # when each request in flight was sent, oldest first
+    last_response_at: float = -1e9
 
 
 @dataclass(slots=True)
 class LatencyEstimate:
-    """What a kind of request usually takes at a service, s."""
+    """How long requests of one route take at one service.
 
-    time: float = FIRST_USUAL
-    seen: int = 0
-    longest: float = 0.0  # of late, as it came to clients: queues at the backend counted
+    `typical_latency_s`: moving average of the service time, without queueing at the backend; `slowest_recent_s`: of
+    late, as clients saw it, with the queueing.
+    """
+
+    typical_latency_s: float = INITIAL_LATENCY_S
+    sample_count: int = 0
+    slowest_recent_s: float = 0.0
 
     @property
-    def slowest(self) -> float:
-        """s of the slowest answers of late; 0 where too few were seen to tell."""
-        return self.longest if self.seen >= LEAST_SEEN else 0.0
+    def slowest_s(self) -> float:
+        """The slowest latency of late, s; 0 where there are too few samples."""
+        return self.slowest_recent_s if self.sample_count >= MIN_SAMPLES else 0.0
 
-    def took(self, seconds: float, in_all: float) -> None:
-        """An answer came. `seconds`: less what was there already; `in_all`: as it was."""
-        self.seen += 1
-        self.longest = max(in_all, LONGEST_KEPT * self.longest)
-        self.time += max(USUAL_WEIGHT, 1 / self.seen) * (seconds - self.time)
+    def record(self, service_s: float, latency_s: float) -> None:
+        """Add a response. `service_s`: without the queueing at the backend; `latency_s`: with it."""
+        self.sample_count += 1
+        self.slowest_recent_s = max(latency_s, SLOWEST_DECAY * self.slowest_recent_s)
+        weight = max(LATENCY_WEIGHT, 1 / self.sample_count)
+        self.typical_latency_s += weight * (service_s - self.typical_latency_s)
 
 
 @dataclass(slots=True)
 class BackendChoice:
-    """The choices of one door."""
+    """The choice among backends, and what responses teach it. `chance`: source of the random jitter."""
 
     chance: random.Random = field(default_factory=random.Random)
 
-    def sent(self, backend: Backend, now: float) -> None:
-        backend.out += 1
-        backend.began.append(now)
-
-    def ended(self, backend: Backend, begun: float) -> None:
-        backend.out -= 1
-        backend.began.remove(begun)
+    # Choice
 
-    def is_suspect(self, backend: Backend, usual: float, now: float) -> bool:
-        """Nothing of what is out there came back for long: it may be dark. Others go first meanwhile."""
-        if not backend.began:
+    def is_suspect(self, backend: Backend, typical_latency_s: float, now: float) -> bool:
+        """Return whether nothing in flight there was answered for so long that it may be unreachable."""
+        if not backend.started_at:
             return False
-        quiet = now - max(backend.began[0], backend.heard)
-        return quiet > max(LEAST_SUSPICION, SUSPICION * usual * max(1.0, backend.pace))
+        quiet_s = now - max(backend.started_at[0], backend.last_response_at)
+        return quiet_s > max(
+            MIN_SUSPICION_S, SUSPICION_FACTOR * typical_latency_s * max(1.0, backend.slowdown)
+        )
 
-    def crowd(self, backend: Backend) -> float:
-        """How many times its work an answer takes by what is there already."""
-        there = backend.out + backend.others
+    def load_factor(self, backend: Backend) -> float:
+        """Return by what factor the requests that are there already lengthen one more."""
+        there = backend.in_flight + backend.in_flight_elsewhere
         return (
-            1.0 + max(0.0, there + 1 - backend.capacity) / backend.capacity + BUSY * there / backend.capacity
+            1.0
+            + max(0.0, there + 1 - backend.capacity) / backend.capacity
+            + STALE_LOAD_COST * there / backend.capacity
         )
 
-    def expected(self, backend: Backend, usual: float, now: float) -> float:
-        """s until an answer, were it sent there now."""
-        pace = backend.pace * (COLD_PACE if backend.warm_at > now else 1.0)
-        return usual * pace * self.crowd(backend)
+    def expected_latency(self, backend: Backend, typical_latency_s: float, now: float) -> float:
+        """Return the time to the response of a request that is sent there now, s."""
+        slowdown = backend.slowdown * (SLOW_START_SLOWDOWN if backend.warm_at > now else 1.0)
+        return typical_latency_s * slowdown * self.load_factor(backend)
+
+    def choose(self, backends: Iterable[Backend], typical_latency_s: float, now: float) -> Backend | None:
+        """Choose the backend with the least expected latency, distance and connecting counted.
 
-    def choose(self, backends: Iterable[Backend], usual: float, now: float) -> Backend | None:
-        """The one with the least expected time, crossings counted; None where there is none at all."""
-        best, least, spare = None, 0.0, None
+        Where all are unhealthy: the one whose ejection ends first. None where there is none at all.
+        """
+        best, least, fallback = None, 0.0, None
         for backend in backends:
-            if backend.draining:
+            if backend.is_draining:
                 continue
-            cost = self.expected(backend, usual, now)
-            cost += usual * (0.0, CROSSING, REGION)[int(backend.near)]
-            if not backend.resting:
-                cost += usual * CONNECTING
-            cost *= 1.0 + 0.1 * self.chance.random()
-            if (
-                backend.silent
-                or backend.rests_until > now
-                or backend.full_until > now
-                or self.is_suspect(backend, usual, now)
-            ):
-                if spare is None or backend.rests_until < spare.rests_until:
-                    spare = backend
+            cost = self._cost(backend, typical_latency_s, now)
+            if self._is_unhealthy(backend, typical_latency_s, now):
+                if fallback is None or backend.ejected_until < fallback.ejected_until:
+                    fallback = backend
             elif best is None or cost < least:
                 best, least = backend, cost
-        return best or spare
+        return best or fallback
+
+    def _cost(self, backend: Backend, typical_latency_s: float, now: float) -> float:
+        """Return the expected latency with the costs of distance and connecting, and a jitter."""
+        cost = self.expected_latency(backend, typical_latency_s, now)
+        cost += typical_latency_s * COST_BY_DISTANCE[int(backend.zone_distance)]
+        if not backend.idle_connections:
+            cost += typical_latency_s * CONNECT_COST
+        return cost * (1.0 + CHOICE_JITTER * self.chance.random())
+
+    def _is_unhealthy(self, backend: Backend, typical_latency_s: float, now: float) -> bool:
+        return (
+            backend.is_unresponsive
+            or backend.ejected_until > now
+            or backend.saturated_until > now
+            or self.is_suspect(backend, typical_latency_s, now)
+        )
+
+    def has_free_slot(self, backend: Backend) -> bool:
+        """Return whether one more request would be served there at once."""
+        return backend.in_flight + backend.in_flight_elsewhere < backend.capacity
+
+    def is_saturated(self, backend: Backend) -> bool:
+        """Return whether one more would queue there behind others, so that it had better wait at the proxy."""
+        return backend.in_flight + backend.in_flight_elsewhere >= backend.capacity * SATURATION_FACTOR
 
-    def is_free(self, backend: Backend) -> bool:
-        """Whether one more would be begun there at once."""
-        return backend.out + backend.others < backend.capacity
+    # Feedback
 
-    def is_full(self, backend: Backend) -> bool:
-        """Whether one more would wait there behind a request for each slot: better it waits here, for any."""
-        return backend.out + backend.others >= backend.capacity * MOST_THERE
+    def record_start(self, backend: Backend, now: float) -> None:
+        """Record that an attempt is sent."""
+        backend.in_flight += 1
+        backend.started_at.append(now)
+
+    def record_end(self, backend: Backend, started_at: float) -> None:
+        """Record that the attempt which was sent at `started_at` is over, however it ended."""
+        backend.in_flight -= 1
+        backend.started_at.remove(started_at)
+
+    def record_response(
+        self, backend: Backend, latency: LatencyEstimate, seconds: float, load_factor: float, now: float
+    ) -> None:
+        """Record a complete response after `seconds`, sent when the backend's load was `load_factor`."""
+        service_s = seconds / load_factor
+        self.record_slowdown(backend, service_s / max(MIN_LATENCY_S, latency.typical_latency_s), now)
+        latency.record(service_s, seconds)
 
-    def answered(
-        self, backend: Backend, usual: LatencyEstimate, seconds: float, crowd: float, now: float
+    def record_slowdown(
+        self, backend: Backend, ratio: float, now: float, weight: float = SLOWDOWN_WEIGHT
     ) -> None:
-        """A whole answer after so long, where it was `crowd` times its work by what was there."""
-        alone = seconds / crowd
-        self.paced(backend, alone / max(0.001, usual.time), now)
-        usual.took(alone, seconds)
-
-    def paced(self, backend: Backend, ratio: float, now: float, weight: float = PACE_WEIGHT) -> None:
-        """A whole answer that took `ratio` times what such requests usually take where nothing else is."""
-        ratio = min(MOST_PACE, max(LEAST_PACE, ratio))
-        backend.pace += max(weight, 1 / (backend.answers + 2)) * (ratio - backend.pace)
-        backend.answers += 1
-        backend.failures, backend.heard = 0, now
-
-    def abandoned(
-        self, backend: Backend, begun: float, ratio: float, now: float, weight: float = PACE_WEIGHT
+        """Record a complete response that took `ratio` times the typical latency, queueing taken out."""
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, ratio))
+        backend.slowdown += max(weight, 1 / (backend.response_count + 2)) * (ratio - backend.slowdown)
+        backend.response_count += 1
+        backend.consecutive_failures, backend.last_response_at = 0, now
+
+    def record_abandoned(
+        self,
+        backend: Backend,
+        started_at: float,
+        ratio: float,
+        now: float,
+        weight: float = SLOWDOWN_WEIGHT,
     ) -> None:
-        """An attempt was given up after `ratio` times the usual: its answer takes that long at least.
+        """Record an attempt that was given up after `ratio` times the typical latency.
 
-        Where nothing has come from this backend since it was sent, for as long as is suspect, it counts as failed.
+        Its response would have taken at least that long. Where the backend has answered nothing since the attempt
+        was sent, for as long as makes it suspect, this counts as a failure.
         """
-        if ratio > backend.pace:
-            backend.pace += weight * (min(MOST_PACE, ratio) - backend.pace)
-        is_quiet = backend.heard < begun and now - begun > LEAST_SUSPICION
-        if is_quiet and ratio > SUSPICION * max(1.0, backend.pace):
-            self.failed(backend, now)
-
-    def failed(self, backend: Backend, now: float) -> float:
-        """No answer, or none that can be used: left out for so many s."""
-        rest = REST[min(backend.failures, len(REST) - 1)]
-        backend.failures += 1
-        backend.rests_until = now + rest
-        return rest
-
-    def full(self, backend: Backend, now: float, usual: float) -> None:
-        """It turned a request away: its queue needs a while."""
-        backend.full_until = now + usual
+        if ratio > backend.slowdown:
+            backend.slowdown += weight * (min(MAX_SLOWDOWN, ratio) - backend.slowdown)
+        is_quiet = backend.last_response_at < started_at and now - started_at > MIN_SUSPICION_S
+        if is_quiet and ratio > SUSPICION_FACTOR * max(1.0, backend.slowdown):
+            self.record_failure(backend, now)
+
+    def record_failure(self, backend: Backend, now: float) -> float:
+        """Record a failure: no usable response. Return for how long the backend is ejected, s."""
+        ejection_s = EJECTION_S[min(backend.consecutive_failures, len(EJECTION_S) - 1)]
+        backend.consecutive_failures += 1
+        backend.ejected_until = now + ejection_s
+        return ejection_s
+
+    def record_rejection(self, backend: Backend, now: float, pause_s: float) -> None:
+        """Record a rejection as full: nothing is sent there for `pause_s`, so that its queue can empty."""
+        backend.saturated_until = now + pause_s
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -93,7 +93,7 @@
         """A life that drains or is gone: nothing more goes there."""
         backend = self.backends.pop(id_, None)
         if backend is not None:
-            backend.draining = True
+            backend.is_draining = True
             self.keys.pop(backend.key, None)
             zones = self.services[backend.service]
             zones[backend.zone].remove(backend)
@@ -123,8 +123,8 @@
         backend = self._choose(zone, service, usual, frozenset(avoid), frozenset(connected), now, only_free)
         if backend is None:
             return None
-        crowd = self.choice.crowd(backend)
-        self.choice.sent(backend, now)
+        crowd = self.choice.load_factor(backend)
+        self.choice.record_start(backend, now)
         self.number += 1
         self.places[self.number] = Place(door, backend, now, crowd, until)
         self.doors.setdefault(door, set()).add(self.number)
@@ -173,22 +173,22 @@
         best, least = None, 0.0
         choice = self.choice
         for backend in backends:
-            there = backend.out + backend.others
+            there = backend.in_flight + backend.in_flight_elsewhere
             if (only_free and there >= backend.capacity * FREE) or backend.key in avoid:
                 continue
             shunned = (
-                backend.silent
-                or backend.rests_until > now
-                or backend.full_until > now
-                or (backend.out and choice.is_suspect(backend, usual, now))
+                backend.is_unresponsive
+                or backend.ejected_until > now
+                or backend.saturated_until > now
+                or (backend.in_flight and choice.is_suspect(backend, usual, now))
             )
             if shunned and only_free:
                 continue
             cost = (
-                choice.expected(backend, 1.0, now)
+                choice.expected_latency(backend, 1.0, now)
                 - 1.0
                 + crossing
-                + ILL_COST * backend.ill
+                + ILL_COST * backend.error_rate
                 + JITTER * self.chance.random()
                 + (10.0 if shunned else 0.0)
             )
@@ -207,7 +207,7 @@
         del self.places[number]
         self._freed(place.door, number)
         backend, choice = place.backend, self.choice
-        choice.ended(backend, place.begun)
+        choice.record_end(backend, place.begun)
         bad = how in (AttemptResult.FAILED, AttemptResult.POOR)
         if how not in (AttemptResult.UNKNOWN, AttemptResult.ABANDONED):
             share = self.failing.get(name, 0.0)
@@ -216,20 +216,20 @@
                 how in (AttemptResult.GOOD, AttemptResult.POOR, AttemptResult.FAILED)
                 and self.failing[name] < ILL_DOOR
             ):
-                backend.ill += ILL_WEIGHT * (bad - backend.ill)
+                backend.error_rate += ILL_WEIGHT * (bad - backend.error_rate)
         match how:
             case AttemptResult.GOOD:
-                choice.paced(backend, ratio / place.crowd, now, PACE_WEIGHT)
+                choice.record_slowdown(backend, ratio / place.crowd, now, PACE_WEIGHT)
             case AttemptResult.POOR:  # as quick as it may be, it is no better for it
-                backend.heard = now
+                backend.last_response_at = now
             case AttemptResult.FULL:
-                choice.full(backend, now, 0.1)
+                choice.record_rejection(backend, now, 0.1)
             case AttemptResult.ENDED:
                 self.retire(backend.id)
             case AttemptResult.FAILED if self.failing[name] < ILL_DOOR:
-                choice.failed(backend, now)
+                choice.record_failure(backend, now)
             case AttemptResult.ABANDONED if self.failing.get(name, 0.0) < ILL_DOOR:
-                choice.abandoned(backend, place.begun, ratio / place.crowd, now, PACE_WEIGHT)
+                choice.record_abandoned(backend, place.begun, ratio / place.crowd, now, PACE_WEIGHT)
         return backend.service
 
     def _freed(self, door: str, number: int) -> None:
@@ -243,7 +243,7 @@
         services = set()
         for number in self.doors.pop(door, set()):
             place = self.places.pop(number)
-            self.choice.ended(place.backend, place.begun)
+            self.choice.record_end(place.backend, place.begun)
             services.add(place.backend.service)
         self.failing.pop(name_of(door), None)
         return services
@@ -254,7 +254,7 @@
         for number, place in [(n, p) for n, p in self.places.items() if p.until < now]:
             del self.places[number]
             self._freed(place.door, number)
-            self.choice.ended(place.backend, place.begun)
+            self.choice.record_end(place.backend, place.begun)
             services.add(place.backend.service)
         return services
 
@@ -292,9 +292,9 @@
 
     def sums(self) -> dict[int, int]:
         """What our doors have at each backend, by its key."""
-        return {short: backend.out for short, backend in self.keys.items() if backend.out}
+        return {short: backend.in_flight for short, backend in self.keys.items() if backend.in_flight}
 
     def others(self, sums: dict[int, int]) -> None:
         """What the doors of all other registries have there."""
         for short, backend in self.keys.items():
-            backend.others = sums.get(short, 0)
+            backend.in_flight_elsewhere = sums.get(short, 0)
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -103,7 +103,7 @@
         now, permit = self.loop.time(), needs.permit
         known = self.services.get(needs.service, {})
         avoid = [
-            backend.key for id_, backend in known.items() if id_ in needs.tried or backend.rests_until > now
+            backend.key for id_, backend in known.items() if id_ in needs.tried or backend.ejected_until > now
         ]
         connected = [known[id_].key for id_ in self.pool.connected(now, needs.is_mutating) if id_ in known]
         is_limited = permit is not None and permit.companion.limit.is_limited
@@ -111,7 +111,7 @@
         return PlaceRequest(
             self.zone,
             needs.service,
-            round(needs.usual.time, 4),
+            round(needs.usual.typical_latency_s, 4),
             avoid,
             needs.rank,
             round(hold, 4),
@@ -165,26 +165,26 @@
         if reply.result is PlaceResult.OVER_BUDGET or (not has_place and needs.hold_s <= 0):
             return None
         backend = self.services.get(needs.service, {}).get(reply.backend)
-        if backend is not None and not backend.draining and reply.backend not in needs.tried:
+        if backend is not None and not backend.is_draining and reply.backend not in needs.tried:
             return Placed(backend, reply.crowd, placement.registry, reply.number)
         if has_place:
             self.registries.end_place(placement.registry, PlaceEnd(reply.number, int(AttemptResult.UNKNOWN)))
         own = self._choose(needs)
-        return Placed(own, self.choice.crowd(own)) if own is not None else None
+        return Placed(own, self.choice.load_factor(own)) if own is not None else None
 
     def _place_alone(self, needs: AttemptNeeds, is_counted: bool) -> Placed | None:
         """Our own choice, and a repeat from what the requests that no registry counted allow."""
         now, backend = self.loop.time(), self._choose(needs)
-        if backend is None or (needs.hold_s <= 0 and not self.choice.is_free(backend)):
+        if backend is None or (needs.hold_s <= 0 and not self.choice.has_free_slot(backend)):
             return None
         if needs.is_repeat:
             if not self.repeats.spend(needs.service, now, self.admission.sharers()):
                 return None
         elif not is_counted:
             self.repeats.request(needs.service, now)
-        return Placed(backend, self.choice.crowd(backend))
+        return Placed(backend, self.choice.load_factor(backend))
 
     def _choose(self, needs: AttemptNeeds) -> Backend | None:
         known = self.services.get(needs.service, {})
         untried = [backend for backend in known.values() if backend.id not in needs.tried]
-        return self.choice.choose(untried, needs.usual.time, self.loop.time())
+        return self.choice.choose(untried, needs.usual.typical_latency_s, self.loop.time())
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -95,7 +95,7 @@
             admitted.until - MARGIN_S,
             permit.use() if permit is not None else float("inf"),
         )
-        services.choice.sent(placed.backend, self.begun)
+        services.choice.record_start(placed.backend, self.begun)
         self.task = services.tasks.start(services.pool.send(placed.backend, self.sent))
         self.task.add_done_callback(self._ended)
 
@@ -119,8 +119,8 @@
                 task.result() if task.exception() is None else AttemptOutcome(End.LOST, "a fault of our own")
             )
             how = reported_as(outcome)
-        ratio = (now - self.begun) / max(0.001, usual.time)
-        services.choice.ended(backend, self.begun)
+        ratio = (now - self.begun) / max(0.001, usual.typical_latency_s)
+        services.choice.record_end(backend, self.begun)
         if self.placed.number:
             end = PlaceEnd(self.placed.number, int(how), round(ratio, 2))
             services.registries.end_place(self.placed.source, end)
@@ -136,15 +136,15 @@
         choice, backend, usual = self.services.choice, self.placed.backend, self.admitted.usual
         match how:
             case AttemptResult.GOOD:
-                choice.answered(backend, usual, now - self.begun, self.placed.crowd, now)
+                choice.record_response(backend, usual, now - self.begun, self.placed.crowd, now)
             case AttemptResult.FULL:
-                choice.full(backend, now, usual.time)
+                choice.record_rejection(backend, now, usual.typical_latency_s)
             case AttemptResult.ENDED:
                 self.services.on_ended(backend.id)
             case AttemptResult.ABANDONED if self.sent.is_sent:
-                choice.abandoned(backend, self.begun, ratio / self.placed.crowd, now)
+                choice.record_abandoned(backend, self.begun, ratio / self.placed.crowd, now)
             case AttemptResult.FAILED:
-                rest = choice.failed(backend, now)
+                rest = choice.record_failure(backend, now)
                 why = outcome.why if outcome is not None else ""
                 log_event(
                     Event.BACKEND_EJECTED, backend=backend.id, service=backend.service, why=why, seconds=rest
@@ -249,7 +249,7 @@
         drain = self.services.drain()
         if drain is None:
             return True
-        return drain.may_begin(self.loop.time(), self.admitted.until, self.admitted.usual.slowest)
+        return drain.may_begin(self.loop.time(), self.admitted.until, self.admitted.usual.slowest_s)
 
     async def _begin_another(self) -> None:
         admitted, request = self.admitted, self.admitted.request
@@ -271,7 +271,9 @@
         hold = 0.0
         if not self.running:
             patient_until = admitted.request.arrived + HOLD_SHARE * admitted.route.target
-            hold = max(LEAST_HOLD_S, min(patient_until, admitted.until - admitted.usual.time) - now)
+            hold = max(
+                LEAST_HOLD_S, min(patient_until, admitted.until - admitted.usual.typical_latency_s) - now
+            )
         return AttemptNeeds(
             admitted.service,
             self.tried,
@@ -322,7 +324,7 @@
         route = self.admitted.route
         if route.mutating or len(self.running) != 1 or self.sent + 1 >= route.max_tries:
             return None
-        return max(LEAST_PATIENCE_S, PATIENCE * self.admitted.usual.time)
+        return max(LEAST_PATIENCE_S, PATIENCE * self.admitted.usual.typical_latency_s)
 
     def _take(self, outcome: AttemptOutcome) -> Answer | None:
         """One attempt has ended."""
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -91,9 +91,9 @@
             if has_bytes(connection.file) or (id_ and connection.id == id_):
                 connection.drop()
                 continue
-            backend.resting = len(resting)
+            backend.idle_connections = len(resting)
             return connection
-        backend.resting = 0
+        backend.idle_connections = 0
         return None
 
     def connected(self, now: float, mutating: bool) -> Iterable[str]:
@@ -109,7 +109,7 @@
         connection.idle_since = self.loop.time()
         resting = self.resting.setdefault(connection.backend.id, [])
         resting.append(connection)
-        connection.backend.resting = len(resting)
+        connection.backend.idle_connections = len(resting)
         if len(resting) > MOST_RESTING:
             resting[0].drop()
 
@@ -126,7 +126,7 @@
         resting = self.resting.get(connection.backend.id)
         if resting and connection in resting:
             resting.remove(connection)
-            connection.backend.resting = len(resting)
+            connection.backend.idle_connections = len(resting)
         if not resting:
             self.resting.pop(connection.backend.id, None)
 
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -182,7 +182,7 @@
         backend = self.backends.get(incarnation.id)
         if incarnation.state is BackendState.GONE:
             if backend is not None:
-                backend.draining = True
+                backend.is_draining = True
                 del self.backends[incarnation.id]
                 self.services[incarnation.service].pop(incarnation.id, None)
                 self.pool.retire(incarnation.id)
@@ -209,9 +209,9 @@
             if not self.admission.has_reported:
                 self.gate.slots = self._slots()
         backend.warm_at = incarnation.warm_at
-        backend.silent = silent
-        backend.draining = backend.draining or incarnation.state is BackendState.DRAINING
-        if backend.draining:
+        backend.is_unresponsive = silent
+        backend.is_draining = backend.is_draining or incarnation.state is BackendState.DRAINING
+        if backend.is_draining:
             self.pool.retire(incarnation.id)
 
     def _limit_of(self, tenant: str) -> Limit | None:
@@ -220,7 +220,7 @@
 
     def _slots(self) -> int:
         """Requests that all backends work on at once."""
-        return sum(b.capacity for b in self.backends.values() if not (b.draining or b.silent))
+        return sum(b.capacity for b in self.backends.values() if not (b.is_draining or b.is_unresponsive))
 
     # A request
 
@@ -306,7 +306,7 @@
         until = request.arrived + min(given, route.timeout, MOST_WAIT)
         service = self._service(route)
         usual = self.usual.setdefault((service, route.name), LatencyEstimate())
-        if self.drain is not None and not self.drain.may_take(self.loop.time(), until, usual.slowest):
+        if self.drain is not None and not self.drain.may_take(self.loop.time(), until, usual.slowest_s):
             raise leaving()
         if not tenant:
             admitted = AdmittedRequest(request, id_, route, service, "", route.priority, until, usual, None)
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -132,7 +132,7 @@
                     incarnation.capacity,
                     incarnation.warm_at,
                 )
-                backend.silent = entry.silent
+                backend.is_unresponsive = entry.silent
             else:
                 self.placer.retire(incarnation.id)
         self.synced = self.registry.number
--- a/tests/features/steps/place_steps.py
+++ b/tests/features/steps/place_steps.py
@@ -29,7 +29,7 @@
         self.loads = {zone: LoadReports() for zone in self.zones}
         self.doors = [(f"d{number}", self.zones[number % 4]) for number in range(doors)]
         self.incarnations = [(f"i{number}", self.zones[number % 4]) for number in range(37)]
-        self.winds = {door: BackendChoice(self.chance) for door, _ in self.doors}
+        self.own_choices = {door: BackendChoice(self.chance) for door, _ in self.doors}
         self.views = {
             door: {
                 id_: Backend(id_, "s", ("", 0), zone, int(zone != home), 2, 0.0)
@@ -89,14 +89,14 @@
 
     def _alone(self, now: float) -> list[tuple[float, Any]]:
         door, _ = self.chance.choice(self.doors)
-        wind, view = self.winds[door], self.views[door]
-        backend = wind.choose(view.values(), WORK, now)
+        own_choice, view = self.own_choices[door], self.views[door]
+        backend = own_choice.choose(view.values(), WORK, now)
         assert backend is not None
-        wind.sent(backend, now)
+        own_choice.record_start(backend, now)
 
         def ended(then_: float) -> None:
             self.there[backend.id] -= 1
-            wind.ended(backend, now)
+            own_choice.record_end(backend, now)
 
         return [(self._work(backend.id, now), ended)]
 
@@ -171,7 +171,7 @@
 
 @then("at most {count:d} backends are left out for it")
 def _(context: Any, count: int) -> None:
-    left = [b for b in context.ground.placers["z0"].backends.values() if b.rests_until > 0.3]
+    left = [b for b in context.ground.placers["z0"].backends.values() if b.ejected_until > 0.3]
     assert 1 <= len(left) <= count, len(left)
 
 
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -215,7 +215,7 @@
 
     def busy(door: Proxy) -> None:
         for backend in door.backends.values():
-            backend.others = 2.0
+            backend.in_flight_elsewhere = 2.0
 
     play.prepare = busy
     assert play.ask().status == 200 and len(play.sent) == 1
@@ -225,7 +225,7 @@
     play = Play("mutating", [(0.2, LATE)])
     play.ask()
     assert play.made is not None
-    assert all(backend.rests_until < 0 for backend in play.made.backends.values())
+    assert all(backend.ejected_until < 0 for backend in play.made.backends.values())
 
 
 def test_nothing_is_sent_for_a_client_that_has_left() -> None:
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -531,7 +531,7 @@
         self.desk.quick(peer, "ended", PlaceEnd(number, int(AttemptResult.GOOD), 1.0).encode())
 
     def out(self) -> int:
-        return self.places.placer.backends["i"].out
+        return self.places.placer.backends["i"].in_flight
 
 
 def test_the_end_of_one_connection_frees_what_was_given_over_it_alone() -> None:
--- a/tests/support/random_request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -199,7 +199,7 @@
         if self.term_at is not None and not world.proxy.dead:
             found.append("the proxy does not end")
         if not world.proxy.dead:
-            out = sum(backend.out for backend in door.backends.values())
+            out = sum(backend.in_flight for backend in door.backends.values())
             held = sum(held.out + len(held.waiting) for held in door.gate.tenants.values())
             if out or held or door.attempts or door.front.serving:
                 found.append(f"{out} attempts, {held} places within bounds are left")
