--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity.size import BEAT
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.permits.held import HeldPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -28,7 +28,8 @@
 from irisdeal.config_store.configuration.index import run
 from irisdeal.config_store.configuration.schema import read_whole
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
-from irisdeal.config_store.storage.version_store import ChunkAssembler, VersionStore
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.config_apply import SLICE
 from irisdeal.proxy.table import Table
 from tests.support.configurations import change, configuration
@@ -67,8 +68,8 @@
     version_store: VersionStore, assembler: ChunkAssembler, held: ConfigVersion, version: ConfigVersion
 ) -> None:
     """A new word at its holder, and the first who asks for it."""
-    version_store.hold(version)
-    version_store.chunk(assembler.sync_state(held.version_id), version.version_id)
+    version_store.add(version)
+    version_store.next_chunk(assembler.sync_state(held.version_id), version.version_id)
 
 
 def taking(
@@ -77,12 +78,13 @@
     """Bytes and parcels until the word is whole."""
     size = chunks = 0
     while True:
-        chunk = version_store.chunk(
+        chunk = version_store.next_chunk(
             assembler.sync_state(held.version_id if held else NO_VERSION), want.version_id
         )
         assert chunk is not None
-        size, chunks = size + len(cbor2.dumps(chunk)), chunks + 1
-        if assembler.take(chunk) is not None:
+        encoded = chunk.encode()
+        size, chunks = size + len(cbor2.dumps(encoded)), chunks + 1
+        if assembler.take(encoded) is not None:
             return size, chunks
 
 
@@ -101,8 +103,8 @@
         partial(Table, timed(partial(read_whole, versions[0].body), times["whole read"]).unwrap()),
         times["whole table"],
     )
-    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(kept=0))
-    version_store.hold(versions[0])
+    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(max_older=0))
+    version_store.add(versions[0])
     snapshot, pieces = timed(partial(taking, version_store, assembler, None, versions[0]), times["snapshot"])
     before: Reading = run(reading(versions[0].body, None)).unwrap()
     table, bytes_told = run(Table.building(before, None)), []
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -84,7 +84,7 @@
         )
         for version in versions:
             if version.version_id in (self.kept.value.version_id, self.decided.version_id):
-                self.version_store.hold(version)
+                self.version_store.add(version)
         self._need()
 
     async def _on_disk(self, act: Callable[..., T], *given: Any) -> T:
@@ -176,14 +176,14 @@
             self.files.has(version_id) and self.version(version_id) is not None
         )
 
-    async def hold(self, version: ConfigVersion) -> bool:
+    async def save_version(self, version: ConfigVersion) -> bool:
         """Hold this body, synced; False where the disk refuses."""
         if not invariant(version.is_whole(), "a word is kept whole", number=version.version_id.number):
             return False
-        return await self._whole(self._hold(version))
+        return await self._whole(self._save_version(version))
 
-    async def _hold(self, version: ConfigVersion) -> bool:
-        self.version_store.hold(version)
+    async def _save_version(self, version: ConfigVersion) -> bool:
+        self.version_store.add(version)
         async with self.lock:
             if not self.files.has(version.version_id):
                 try:
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -30,7 +30,7 @@
 )
 from irisdeal.config_store.membership.members import ip_of
 from irisdeal.config_store.peers import Peers, now
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
@@ -119,8 +119,8 @@
             while self.orders:
                 version_id = max(self.orders)
                 version = self.orders[version_id][0]
-                self.peers.offer(version, self.acceptor.decided.members.ips())
-                good = await self.acceptor.hold(version) and await self.decide(
+                self.peers.push_to_all(version, self.acceptor.decided.members.ips())
+                good = await self.acceptor.save_version(version) and await self.decide(
                     put(version_id), self._over(version_id)
                 )
                 if not good and version_id in self.orders:
@@ -215,7 +215,7 @@
         """Whether the body that is to be proposed is here in time."""
         try:
             async with asyncio.timeout(max(0.0, until - now())):
-                return await self.peers.body(version_id, holders) is not None
+                return await self.peers.version(version_id, holders) is not None
         except TimeoutError:
             return False
 
@@ -278,7 +278,7 @@
                     ballot.on_accept(seat, bool(good), Ballot.decode(told))
                     return news.set()
                 version = self.acceptor.version(value.version_id)
-                if version is not None and await self.peers.bring(
+                if version is not None and await self.peers.push_state(
                     ip_of(seat), version, SyncState.decode(told)
                 ):
                     continue
--- a/irisdeal/config_store/messages.py
+++ b/irisdeal/config_store/messages.py
@@ -12,7 +12,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import AcceptorState, Ballot, Value
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 
 # Names of the calls on the wire: fixed, as releases run side by side.
 STATE = "state"
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -1,4 +1,4 @@
-"""The other machines of the core, as a member calls them."""
+"""Calls to the other replicas, and the transfer of configuration versions to and from them."""
 
 from __future__ import annotations
 
@@ -10,132 +10,147 @@
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
-from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState
+from irisdeal.config_store.messages import FETCH, PUSH_STATE, FetchRequest, PushReply
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.chunks import SyncState, VersionChunk
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-PARCEL = 2.0  # s for one parcel: 64 KB on a link of 2 Mbit/s take 0.3, and the other's disk may be in trouble
-MOST_PARCELS = 400  # of one body: over 20 MB of pieces
-MOST_ARRIVING = 6  # bodies that are brought at once: of up to 16 MB each
+CHUNK_TIMEOUT_S = (
+    2.0  # for one chunk: 64 KB on a link of 2 Mbit/s take 0.3 s, and the peer's disk may be slow
+)
+MAX_CHUNKS = 400  # of one version: over 20 MB
+MAX_ARRIVING = 6  # versions pushed to us at once: of up to 16 MB each
+HELLO_NAME = (
+    "almanac"  # of a replica that connects, followed by its address: peers of other releases parse it
+)
 
 
 class Peers:
-    """Links to all machines of the core, and bodies to and from them."""
+    """Links to all replicas, and configuration versions to and from them."""
 
     def __init__(self, settings: Settings, acceptor: Acceptor, tasks: Tasks) -> None:
+        """`acceptor`: where versions are kept; `tasks`: where work in the background is started."""
         self.settings, self.acceptor, self.tasks = settings, acceptor, tasks
         self.links: dict[str, RpcClient] = {}
-        self.newest: dict[str, VersionId] = {}  # machine -> the newest body that it said to hold
-        self.arriving: dict[tuple[str, bytes], ChunkAssembler] = {}  # (caller, digest) -> what came so far
+        self.newest: dict[str, VersionId] = {}  # address -> the newest version that it reported to have
+        self.arriving: dict[tuple[str, bytes], ChunkAssembler] = {}  # (caller, digest) -> its chunks so far
 
     def link(self, ip: str) -> RpcClient:
+        """Return the link to this replica, made with the first call to it."""
         if ip not in self.links:
-            self.links[ip] = RpcClient(
-                ports.at(self.settings, ip, ports.CONFIG_STORE), f"almanac {self.settings.ip}"
-            )
+            address = ports.at(self.settings, ip, ports.CONFIG_STORE)
+            self.links[ip] = RpcClient(address, f"{HELLO_NAME} {self.settings.ip}")
         return self.links[ip]
 
-    async def call(self, ip: str, kind: str, body: Any, within: float) -> Result[Any, OperationError]:
-        return await self.link(ip).call(kind, body, within)
+    async def call(self, ip: str, kind: str, body: object, timeout_s: float) -> Result[Any, OperationError]:
+        """Call this replica and return its answer, as decoded from CBOR, or the error."""
+        return await self.link(ip).call(kind, body, timeout_s)
 
-    def notify(self, ip: str, kind: str, body: Any) -> None:
-        """One way: who misses it hears of it in the next round."""
+    def notify(self, ip: str, kind: str, body: object) -> None:
+        """Send a message without an answer; a replica that misses it learns of it in the next status round."""
         link = self.link(ip)
         if not link.notify(kind, body):
-            self.tasks.start(link.call(kind, body, PARCEL))
+            self.tasks.start(link.call(kind, body, CHUNK_TIMEOUT_S))
 
-    # Bodies
+    # Transfer of versions
 
-    def base(self) -> VersionId:
-        """The newest body that is here: what a difference may be told against."""
+    def newest_id(self) -> VersionId:
+        """The newest version that is here: what a difference can be sent against."""
         newest = self.acceptor.version_store.newest
         return newest.version_id if newest is not None else NO_VERSION
 
-    async def bring(self, ip: str, version: ConfigVersion, sync_state: SyncState) -> bool:
-        """Whether this body is there now, synced, in as many chunks as it takes. `sync_state`: its last."""
-        for _ in range(MOST_PARCELS):
-            chunk = self._parcel(sync_state, version)
+    async def push_state(self, ip: str, version: ConfigVersion, sync_state: SyncState) -> bool:
+        """Push this version chunk by chunk; return whether the replica has it then, synced.
+
+        `sync_state`: what the replica reported last.
+        """
+        for _ in range(MAX_CHUNKS):
+            chunk = self._next_chunk(sync_state, version)
             if chunk is None:
                 return False
-            answer = await self.call(ip, "bring", chunk, PARCEL)
+            answer = await self.call(ip, PUSH_STATE, chunk.encode(), CHUNK_TIMEOUT_S)
             if not isinstance(answer, Success):
                 return False
-            whole, told = answer.unwrap()
-            if whole:
+            reply = PushReply.decode(answer.unwrap())
+            if reply.is_complete:
                 return True
-            before, sync_state = sync_state, SyncState.decode(told)
-            if sync_state == before:
-                return False
+            if reply.sync_state == sync_state:
+                return False  # the chunk was of no use
+            sync_state = reply.sync_state
         return False
 
-    def offer(self, version: ConfigVersion, ips: Iterable[str]) -> None:
-        """Bring this body to all of them, without waiting for it."""
+    def push_to_all(self, version: ConfigVersion, ips: Iterable[str]) -> None:
+        """Push this version to all these replicas in the background."""
         for ip in sorted(set(ips) - {self.settings.ip}):
-            self.tasks.start(self.bring(ip, version, SyncState(self.newest.get(ip, NO_VERSION))))
-
-    async def brought(self, peer: str, chunk: list[Any]) -> list[Any]:
-        """The other side: `[whole, what we have]`."""
-        key = peer, bytes(chunk[1])
-        assembler = self.arriving.pop(key, None) or ChunkAssembler(self.acceptor.version_store)
-        version = assembler.take(chunk)
+            sync_state = SyncState(self.newest.get(ip, NO_VERSION))
+            self.tasks.start(self.push_state(ip, version, sync_state))
+
+    async def on_push(self, peer: str, encoded_chunk: list[object]) -> PushReply:
+        """Answer a pushed chunk. `peer`: the caller's name, which tells transfers apart."""
+        digest = encoded_chunk[1]
+        if not isinstance(digest, bytes):
+            raise TypeError(f"chunk: wanted a digest in bytes, got {type(digest).__name__}")
+        assembler = self.arriving.pop((peer, digest), None) or ChunkAssembler(self.acceptor.version_store)
+        version = assembler.take(encoded_chunk)
         if version is None:
-            self.arriving[key] = assembler
-            while len(self.arriving) > MOST_ARRIVING:
+            self.arriving[peer, digest] = assembler
+            while len(self.arriving) > MAX_ARRIVING:
                 del self.arriving[next(iter(self.arriving))]
-        whole = version is not None and await self.acceptor.hold(version)
-        return [whole, assembler.sync_state(self.base()).encode()]
+        is_complete = version is not None and await self.acceptor.save_version(version)
+        return PushReply(is_complete, assembler.sync_state(self.newest_id()))
 
     async def fetch(self, ip: str, version_id: VersionId) -> ConfigVersion | None:
-        """This body from there, synced here; None where it is not there or our disk refuses."""
+        """Fetch this version and sync it; None where it is not there or our disk refuses."""
         assembler = ChunkAssembler(self.acceptor.version_store)
-        for _ in range(MOST_PARCELS):
-            sync_state = assembler.sync_state(self.base())
-            answer = await self.call(
-                ip, "fetch", [sync_state.encode(), version_id.number, version_id.digest], PARCEL
-            )
+        for _ in range(MAX_CHUNKS):
+            sync_state = assembler.sync_state(self.newest_id())
+            request = FetchRequest(sync_state, version_id)
+            answer = await self.call(ip, FETCH, request.encode(), CHUNK_TIMEOUT_S)
             if not isinstance(answer, Success) or answer.unwrap() is None:
                 return None
             version = assembler.take(answer.unwrap())
             if version is not None and version.version_id == version_id:
-                return version if await self.acceptor.hold(version) else None
-            if version is None and assembler.sync_state(self.base()) == sync_state:
-                return None
+                return version if await self.acceptor.save_version(version) else None
+            if version is None and assembler.sync_state(self.newest_id()) == sync_state:
+                return None  # the chunk was of no use
         return None
 
-    def fetched(self, sync_state: list[Any], number: int, digest: bytes) -> list[Any] | None:
-        """The other side: the next parcel."""
-        version_id = VersionId(number, digest)
+    def chunk_for(self, sync_state: SyncState, version_id: VersionId) -> VersionChunk | None:
+        """Return the next chunk for a peer that has this; None where the version is not here."""
         version = self.acceptor.version(version_id)
         if version is None:
             return None
-        return self._parcel(SyncState.decode(sync_state), version)
+        return self._next_chunk(sync_state, version)
 
-    def _parcel(self, sync_state: SyncState, version: ConfigVersion) -> list[Any] | None:
-        """The next parcel; None where the body is over the bound of a frame."""
+    def _next_chunk(self, sync_state: SyncState, version: ConfigVersion) -> VersionChunk | None:
+        """Return the next chunk; None where the body is too long for a frame."""
         version_store = self.acceptor.version_store
         if not version_store.has(version.version_id.digest):
-            version_store.hold(version)  # ones that are needed may have been put off the shelf
-        return version_store.chunk(sync_state, version.version_id)
+            version_store.add(version)  # the acceptor needs it, and the store may have dropped it
+        return version_store.next_chunk(sync_state, version.version_id)
 
-    async def body(self, version_id: VersionId, ips: list[str]) -> ConfigVersion | None:
-        """This body: from here, or from the first of these machines that has it."""
+    async def version(self, version_id: VersionId, ips: list[str]) -> ConfigVersion | None:
+        """Return this version, synced: from here, or from the first of these replicas that has it."""
         if self.acceptor.holds(version_id):
             return self.acceptor.version(version_id)
-        if (version := self.acceptor.version(version_id)) is not None and await self.acceptor.hold(version):
-            return version
+        unsynced = self.acceptor.version(version_id)
+        if unsynced is not None and await self.acceptor.save_version(unsynced):
+            return unsynced
         for ip in ips:
             if ip != self.settings.ip and (version := await self.fetch(ip, version_id)) is not None:
                 return version
         return None
 
     def close(self) -> None:
+        """Close all links."""
         for link in self.links.values():
             link.close()
 
 
 def now() -> float:
-    """s of the steady clock."""
+    """Return s of the loop's monotonic clock."""
     return asyncio.get_running_loop().time()
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -19,10 +19,11 @@
 from irisdeal.config_store.membership.reconfiguration import may_go
 from irisdeal.config_store.membership.report import Report, read_from
 from irisdeal.config_store.membership.rounds import StatusRounds
+from irisdeal.config_store.messages import FetchRequest
 from irisdeal.config_store.metrics import StoreMetrics
 from irisdeal.config_store.peers import Peers, now
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.config_store.storage.version_store import SyncState
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
@@ -145,7 +146,7 @@
                 for heard in reports  # those first that answered last
                 if heard.report.holds and heard.report.decided.version_id == value.version_id
             ]
-            if await self.peers.body(
+            if await self.peers.version(
                 value.version_id, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
             ):
                 self._enforce()
@@ -172,9 +173,11 @@
             case "prepare" | "accept":
                 return await self._vote(*body)
             case "bring":
-                return await self.peers.brought(peer, body)
+                return (await self.peers.on_push(peer, body)).encode()
             case "fetch":
-                return self.peers.fetched(*body)
+                request = FetchRequest.decode(body)
+                chunk = self.peers.chunk_for(request.sync_state, request.version_id)
+                return chunk.encode() if chunk is not None else None
             case "decided":
                 self.proposer.meet(Ballot.decode(body[0]))
                 return self.learn(Value.decode(body[1]), [peer.rpartition(" ")[2]])
@@ -197,7 +200,7 @@
             given = await self.acceptor.accept(Ballot.decode(ballot), Value.decode(value))
         except OSError:
             return None
-        return [given[0], given[1].encode()] if given else [None, SyncState(self.peers.base()).encode()]
+        return [given[0], given[1].encode()] if given else [None, SyncState(self.peers.newest_id()).encode()]
 
     def has_contact(self) -> bool:
         return self.rounds.has_contact()
@@ -221,7 +224,7 @@
         self.learn(value, [])
         if value.version_id == NO_VERSION:
             return [True, None]
-        version = await self.peers.body(value.version_id, sorted(value.members.ips()))
+        version = await self.peers.version(value.version_id, sorted(value.members.ips()))
         return [version is not None, version.body if version is not None else None]
 
     async def _heard_value(self) -> Value | None:
@@ -250,6 +253,11 @@
                 pass
         force, chunk = self.force, None
         if force.change >= change and force.version_id not in (sync_state.version_id, NO_VERSION):
-            chunk = self.peers.fetched(sync_state.encode(), force.version_id.number, force.version_id.digest)
+            chunk = self.peers.chunk_for(sync_state, force.version_id)
         age = self.rounds.known_age(force.change)
-        return [chunk, force.encode(), self.rounds.learners(), math.ceil(age * 1000) if age <= LEASE else -1]
+        return [
+            chunk.encode() if chunk is not None else None,
+            force.encode(),
+            self.rounds.learners(),
+            math.ceil(age * 1000) if age <= LEASE else -1,
+        ]
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -22,7 +22,9 @@
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.membership.contact import LEASE
-from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState, VersionStore
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.chunks import SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.registry.backend_table import (
     BackendIncarnation,
     BackendState,
@@ -66,7 +68,7 @@
         self.settings, self.on_version, self.on_incarnation = settings, on_version, on_incarnation
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
-        self.assembler = ChunkAssembler(VersionStore(kept=0))
+        self.assembler = ChunkAssembler(VersionStore(max_older=0))
         self.version: ConfigVersion | None = None
         self.change = -1  # of the newest word that is here
         self.as_of = float("-inf")  # we know all that was decided by then
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -25,7 +25,9 @@
 from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import Members, ip_of, majority
-from irisdeal.config_store.storage.version_store import ChunkAssembler, SyncState, VersionStore
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.chunks import SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import OperationError
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.registry.backend_table import BackendTable, encode_incarnation
 from irisdeal.registry.store_client import StoreClient
 
@@ -63,13 +63,13 @@
         now, store_client = self.loop.time(), self.store_client
         version_id = store_client.version_id
         chunk = (
-            store_client.version_store.chunk(has, version_id, by_snapshot=True)
+            store_client.version_store.next_chunk(has, version_id, by_snapshot=True)
             if version_id.number > has.version_id.number
             else None
         )
-        is_newest = chunk is None or (chunk[0], chunk[1]) == (version_id.number, version_id.digest)
+        is_newest = chunk is None or chunk.version_id == version_id
         return [
-            chunk,
+            chunk.encode() if chunk is not None else None,
             self.incarnation,
             self.registry.number,
             [
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -15,7 +15,8 @@
 from returns.result import Success
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
-from irisdeal.config_store.storage.version_store import ChunkAssembler, VersionStore
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -24,7 +24,8 @@
 from benchmarks.capacity.tally import Tally
 from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.config_store.storage.version_store import SyncState, VersionStore
+from irisdeal.config_store.storage.chunks import SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.sources import Sources
 from irisdeal.registry.backend_table import BackendIncarnation
 from irisdeal.rpc import client as rpc_client
@@ -47,10 +48,10 @@
 def chunk() -> list[Any]:
     """The word, for one that has nothing."""
     version_store = VersionStore()
-    version_store.hold(WORD)
-    whole = version_store.chunk(SyncState(), WORD.version_id)
+    version_store.add(WORD)
+    whole = version_store.next_chunk(SyncState(), WORD.version_id)
     assert whole is not None
-    return whole
+    return whole.encode()
 
 
 class Registry:
--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -16,7 +16,7 @@
 from irisdeal.config_store.consensus.register import Ballot, PutOutcome, Value
 from irisdeal.config_store.membership.rounds import ROUND, SETTLE, SOON
 from irisdeal.config_store.replica import StoreReplica
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.runtime.settings import Settings, Tolerance
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Core, Costs, Machine
--- a/tests/config_store/test_messages.py
+++ b/tests/config_store/test_messages.py
@@ -24,7 +24,7 @@
     WatchRequest,
     decode_accept_reply,
 )
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 
 VERSION = ConfigVersion.of("r7", b"{}")
 DIGEST = VERSION.version_id.digest
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -13,16 +13,15 @@
 from hypothesis import given, settings, strategies
 
 from irisdeal.config_store.configuration.difference import MOST_TOLD, NoDifference, apply, difference, unpack
-from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
-from irisdeal.config_store.storage import version_store as shelves
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
+from irisdeal.config_store.storage import chunk_assembler, chunk_cache, chunks
+from irisdeal.config_store.storage import version_store as version_store_module
+from irisdeal.config_store.storage.chunk_assembler import MAX_REJECTED_CHUNKS, ChunkAssembler
+from irisdeal.config_store.storage.chunk_cache import CacheKey
+from irisdeal.config_store.storage.chunks import CHUNK_BYTES, MAX_BODY_BYTES, SyncState
 from irisdeal.config_store.storage.version_store import (
-    KEPT,
-    MOST_BODY,
-    MOST_WHOLE,
-    PIECE,
-    STUBBORN,
-    ChunkAssembler,
-    SyncState,
+    MAX_OLDER_VERSIONS,
+    MAX_UNPACKED_VERSIONS,
     VersionStore,
 )
 from tests.support.configurations import change, configuration
@@ -30,6 +29,15 @@
 SPLIT = {"separators": (",", ":")}
 
 
+def next_chunk(
+    version_store: VersionStore, sync_state: SyncState, wanted: VersionId, by_snapshot: bool = False
+) -> list[Any]:
+    """The next chunk as it stands on the wire."""
+    chunk = version_store.next_chunk(sync_state, wanted, by_snapshot)
+    assert chunk is not None
+    return chunk.encode()
+
+
 def version(data: dict[str, Any], **spaced: Any) -> ConfigVersion:
     return ConfigVersion.of(data["generation"], json.dumps(data, **(spaced or SPLIT)).encode())
 
@@ -51,7 +59,7 @@
 def holding(*words: ConfigVersion) -> VersionStore:
     version_store = VersionStore()
     for held in words:
-        version_store.hold(held)
+        version_store.add(held)
     return version_store
 
 
@@ -66,8 +74,8 @@
     """The word, and the bytes of all parcels; `twist` is what the way makes of each."""
     size = 0
     for _ in range(most):
-        chunk = version_store.chunk(
-            assembler.sync_state(held.version_id if held else NO_VERSION), want.version_id
+        chunk = next_chunk(
+            version_store, assembler.sync_state(held.version_id if held else NO_VERSION), want.version_id
         )
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
@@ -130,11 +138,11 @@
 
 
 def test_what_unfolds_to_too_much_is_refused_before_it_does() -> None:
-    bomb = zlib.compress(b"\0" * (MOST_BODY * 4), 9)
+    bomb = zlib.compress(b"\0" * (MAX_BODY_BYTES * 4), 9)
     with pytest.raises(NoDifference, match="over"):
-        unpack(bomb, PIECE)
+        unpack(bomb, CHUNK_BYTES)
     with pytest.raises(NoDifference):
-        apply(b"", bomb, MOST_BODY)
+        apply(b"", bomb, MAX_BODY_BYTES)
     with pytest.raises(NoDifference, match="torn"):
         unpack(zlib.compress(b"abc")[:-1], 10)
 
@@ -143,12 +151,15 @@
 
 
 def test_the_last_words_are_kept_small_and_come_out_whole() -> None:
-    words = versions(KEPT + 6)
+    words = versions(MAX_OLDER_VERSIONS + 6)
     version_store = holding(*words)
-    for held in words[-KEPT - 1 :]:
+    for held in words[-MAX_OLDER_VERSIONS - 1 :]:
         assert version_store.get(held.version_id.digest) == held
     assert version_store.get(words[0].version_id.digest) is None
-    assert len(version_store.older) == KEPT and len(version_store.whole) <= MOST_WHOLE
+    assert (
+        len(version_store.older) == MAX_OLDER_VERSIONS
+        and len(version_store.unpacked) <= MAX_UNPACKED_VERSIONS
+    )
     assert sum(len(packed) for _, packed, _ in version_store.older) < len(words[0].body)
 
 
@@ -156,8 +167,8 @@
     words = [noise(number, 3 << 20) for number in range(1, 6)]
     version_store = holding(*words)
     packed = sum(len(packed) for _, packed, _ in version_store.older)
-    whole = sum(len(version.body) for version in version_store.whole.values())
-    assert packed + whole <= shelves.MOST_KEPT + MOST_WHOLE * (3 << 20)
+    whole = sum(len(version.body) for version in version_store.unpacked.values())
+    assert packed + whole <= version_store_module.MAX_OLDER_BYTES + MAX_UNPACKED_VERSIONS * (3 << 20)
     assert version_store.get(words[-1].version_id.digest) == words[-1]
 
 
@@ -180,23 +191,25 @@
 
     one, two = versions(2)
     version_store = holding(one, two)
-    monkeypatch.setattr(shelves, "difference", counting)
+    monkeypatch.setattr(version_store_module, "difference", counting)
     for _ in range(85):
-        assert version_store.chunk(SyncState(one.version_id), two.version_id) is not None
+        assert next_chunk(version_store, SyncState(one.version_id), two.version_id) is not None
     assert len(counted) == 1
 
 
 def test_packed_parcels_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shelves, "MOST_PACKED", 1 << 20)
+    monkeypatch.setattr(chunk_cache, "MAX_CACHE_BYTES", 1 << 20)
     body = noise(1, 3 << 20)
     version_store = holding(body)
-    for offset in range(0, len(body.body), PIECE):
+    for offset in range(0, len(body.body), CHUNK_BYTES):
         assert (
-            version_store.chunk(SyncState(NO_VERSION, body.version_id, offset), body.version_id) is not None
+            next_chunk(version_store, SyncState(NO_VERSION, body.version_id, offset), body.version_id)
+            is not None
         )
-        assert version_store.packed_bytes <= 1 << 20
-    assert version_store.packed_bytes == sum(
-        len(packed) + len(digest) + len(base) for (digest, base, _), packed in version_store.packed.items()
+        assert version_store.cache.total_bytes <= 1 << 20
+    assert version_store.cache.total_bytes == sum(
+        len(packed) + len(digest) + len(base)
+        for (digest, base, _), packed in version_store.cache.entries.items()
     )
 
 
@@ -204,7 +217,7 @@
 
 
 def test_a_caller_with_one_of_the_last_words_gets_the_difference() -> None:
-    words = versions(KEPT)
+    words = versions(MAX_OLDER_VERSIONS)
     version_store = holding(*words)
     for held in words[:-1]:
         assembler = ChunkAssembler(holding(held))
@@ -213,12 +226,12 @@
 
 
 def test_the_whole_comes_in_bounded_pieces_and_goes_on_at_another_holder() -> None:
-    body = noise(4, 5 * PIECE + 7)
+    body = noise(4, 5 * CHUNK_BYTES + 7)
     assembler, holders = ChunkAssembler(VersionStore()), [holding(body), holding(body)]
     for turn in range(6):
-        chunk = holders[turn % 2].chunk(assembler.sync_state(NO_VERSION), body.version_id)
-        assert chunk is not None and len(cbor2.dumps(chunk)) < PIECE + 400
-        assert assembler.sync_state(NO_VERSION).offset == turn * PIECE
+        chunk = next_chunk(holders[turn % 2], assembler.sync_state(NO_VERSION), body.version_id)
+        assert chunk is not None and len(cbor2.dumps(chunk)) < CHUNK_BYTES + 400
+        assert assembler.sync_state(NO_VERSION).offset == turn * CHUNK_BYTES
         got = assembler.take(chunk)
     assert got == body
 
@@ -233,14 +246,14 @@
 
 def test_what_is_begun_goes_on_while_changes_do(monkeypatch: pytest.MonkeyPatch) -> None:
     """A caller with nothing, a piece at a time, while each ask finds a newer word."""
-    monkeypatch.setattr(shelves, "PIECE", 12 << 10)
+    monkeypatch.setattr(version_store_module, "CHUNK_BYTES", 12 << 10)
     words = versions(60, routes=400)
     begun = len(words[0].body) // (12 << 10) + 1
     assert begun > 6
     version_store, assembler, held, size = VersionStore(), ChunkAssembler(VersionStore()), NO_VERSION, 0
     for number, newest in enumerate(words):
-        version_store.hold(newest)
-        chunk = version_store.chunk(assembler.sync_state(held), newest.version_id)
+        version_store.add(newest)
+        chunk = next_chunk(version_store, assembler.sync_state(held), newest.version_id)
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
         got = assembler.take(chunk)
@@ -253,22 +266,21 @@
 
 def test_callers_that_begin_while_changes_go_on_share_one_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
     """One more caller with each change, a piece at a time for each: all are done soon, packed once."""
-    monkeypatch.setattr(shelves, "PIECE", 12 << 10)
+    monkeypatch.setattr(version_store_module, "CHUNK_BYTES", 12 << 10)
     words = versions(50, routes=400)
     pieces = -(-len(words[0].body) // (12 << 10))
     version_store, callers = VersionStore(), list[tuple[ChunkAssembler, int]]()
     held: dict[int, ConfigVersion] = {}
     packed = set()
     for number, newest in enumerate(words):
-        version_store.hold(newest)
+        version_store.add(newest)
         if number < 20:
-            callers.append((ChunkAssembler(VersionStore(kept=0)), number))
+            callers.append((ChunkAssembler(VersionStore(max_older=0)), number))
         for assembler, begun in callers:
             version_id = held[begun].version_id if begun in held else NO_VERSION
             if version_id != newest.version_id:
-                chunk = (
-                    version_store.chunk(assembler.sync_state(version_id), newest.version_id, by_snapshot=True)
-                    or []
+                chunk = next_chunk(
+                    version_store, assembler.sync_state(version_id), newest.version_id, by_snapshot=True
                 )
                 packed |= {chunk[1]} if not chunk[3] else set()
                 got = assembler.take(chunk)
@@ -279,30 +291,30 @@
 
 
 def test_a_snapshot_far_from_the_newest_is_renewed_and_who_is_in_its_middle_ends_it() -> None:
-    one, two = noise(1, 3 * PIECE), noise(2, 3 * PIECE)
+    one, two = noise(1, 3 * CHUNK_BYTES), noise(2, 3 * CHUNK_BYTES)
     version_store, early, late = holding(one), ChunkAssembler(VersionStore()), ChunkAssembler(VersionStore())
-    early.take(version_store.chunk(early.sync_state(NO_VERSION), one.version_id, by_snapshot=True) or [])
-    version_store.hold(two)
-    chunk = version_store.chunk(late.sync_state(NO_VERSION), two.version_id, by_snapshot=True) or []
+    early.take(next_chunk(version_store, early.sync_state(NO_VERSION), one.version_id, by_snapshot=True))
+    version_store.add(two)
+    chunk = next_chunk(version_store, late.sync_state(NO_VERSION), two.version_id, by_snapshot=True)
     assert chunk[1] == two.version_id.digest
-    chunk = version_store.chunk(early.sync_state(NO_VERSION), two.version_id, by_snapshot=True) or []
-    assert chunk[1] == one.version_id.digest and chunk[5] == PIECE
-    assert len(version_store.whole) <= MOST_WHOLE
+    chunk = next_chunk(version_store, early.sync_state(NO_VERSION), two.version_id, by_snapshot=True)
+    assert chunk[1] == one.version_id.digest and chunk[5] == CHUNK_BYTES
+    assert len(version_store.unpacked) <= MAX_UNPACKED_VERSIONS
 
 
 def test_who_tells_no_others_keeps_the_newest_alone() -> None:
     one, two = versions(2)
-    assembler, version_store = ChunkAssembler(VersionStore(kept=0)), holding(one, two)
-    assembler.version_store.hold(one)
+    assembler, version_store = ChunkAssembler(VersionStore(max_older=0)), holding(one, two)
+    assembler.version_store.add(one)
     assert carry(version_store, assembler, one, two, most=1)[0] == two
-    assert assembler.version_store.get(one.version_id.digest) is None and not assembler.version_store.whole
+    assert assembler.version_store.get(one.version_id.digest) is None and not assembler.version_store.unpacked
 
 
 def test_who_is_behind_is_told_the_newest_only() -> None:
     words = versions(12)
     version_store, assembler = holding(*words), ChunkAssembler(holding(words[0]))
     got = assembler.take(
-        version_store.chunk(assembler.sync_state(words[0].version_id), words[-1].version_id) or []
+        next_chunk(version_store, assembler.sync_state(words[0].version_id), words[-1].version_id)
     )
     assert got == words[-1]
 
@@ -312,8 +324,14 @@
 def test_parcels_torn_doubled_swapped_and_spliced_never_make_another_word(seed: int, known: bool) -> None:
     """Two words and two ways; what comes out whole is the word, and after the last fault it comes."""
     chance = Random(seed)
-    one, two, three = noise(1, 3 * PIECE + 5), noise(2, 3 * PIECE + 5), noise(3, 2 * PIECE)
-    three = ConfigVersion.of("r3", two.body[: 2 * PIECE] + three.body[:9000] + two.body[2 * PIECE :])
+    one, two, three = (
+        noise(1, 3 * CHUNK_BYTES + 5),
+        noise(2, 3 * CHUNK_BYTES + 5),
+        noise(3, 2 * CHUNK_BYTES),
+    )
+    three = ConfigVersion.of(
+        "r3", two.body[: 2 * CHUNK_BYTES] + three.body[:9000] + two.body[2 * CHUNK_BYTES :]
+    )
     version_store, faults = holding(one, two, three), [20]
     old: list[list[Any]] = [[]]
 
@@ -326,13 +344,12 @@
         field = chance.randrange(6)
         wrong = list(chunk)
         wrong[field] = (
-            two.version_id.digest if field in (1, 3) else wrong[field] + chance.choice([-1, 1, PIECE])
+            two.version_id.digest if field in (1, 3) else wrong[field] + chance.choice([-1, 1, CHUNK_BYTES])
         )
-        other = (
-            version_store.chunk(
-                SyncState(NO_VERSION, one.version_id, PIECE * chance.randrange(3)), one.version_id
-            )
-            or []
+        other = next_chunk(
+            version_store,
+            SyncState(NO_VERSION, one.version_id, CHUNK_BYTES * chance.randrange(3)),
+            one.version_id,
         )
         spliced = [*chunk[:7], other[7]]
         return chance.choice(
@@ -369,10 +386,10 @@
     ],
 )
 def test_what_is_no_parcel_changes_nothing(strange: Any) -> None:
-    body = noise(1, 2 * PIECE)
+    body = noise(1, 2 * CHUNK_BYTES)
     version_store, assembler = holding(body), ChunkAssembler(VersionStore())
-    assembler.take(version_store.chunk(assembler.sync_state(NO_VERSION), body.version_id) or [])
-    assert assembler.take(strange) is None and assembler.sync_state(NO_VERSION).offset == PIECE
+    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id))
+    assert assembler.take(strange) is None and assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
 
 
 def checked(
@@ -385,15 +402,23 @@
     piece: bytes,
 ) -> list[Any]:
     """A parcel whose check is right, whatever else is not."""
-    check = shelves._check(number, digest, length, base, size, offset, piece)
+    check = chunks.checksum(VersionId(number, digest), length, base, size, offset, piece)
     return [number, digest, length, base, size, offset, check, piece]
 
 
 @pytest.mark.parametrize(
     "chunk",
     [
-        checked(9, b"d" * 32, MOST_BODY + 1, b"", MOST_BODY + 1, 0, b"x"),
-        checked(9, b"d" * 32, PIECE, b"", PIECE, 0, zlib.compress(b"\0" * MOST_BODY)),
+        checked(9, b"d" * 32, MAX_BODY_BYTES + 1, b"", MAX_BODY_BYTES + 1, 0, b"x"),
+        checked(
+            9,
+            b"d" * 32,
+            CHUNK_BYTES,
+            b"",
+            CHUNK_BYTES,
+            0,
+            zlib.compress(b"\0" * MAX_BODY_BYTES),
+        ),
         checked(9, b"d" * 32, 10, b"", 10, 0, zlib.compress(b"")),
         checked(9, b"d" * 32, 10, b"", 11, 0, zlib.compress(b"0123456789a")),
         checked(9, b"d" * 32, 10, b"", 10, -1, zlib.compress(b"0123456789")),
@@ -401,11 +426,11 @@
     ],
 )
 def test_announced_lengths_are_bounded_and_checked(chunk: list[Any]) -> None:
-    body = noise(1, 3 * PIECE)
+    body = noise(1, 3 * CHUNK_BYTES)
     version_store, assembler = holding(body), ChunkAssembler(VersionStore())
-    for _ in range(2 * STUBBORN):
+    for _ in range(2 * MAX_REJECTED_CHUNKS):
         assert assembler.take(chunk) is None
-        assert len(assembler.got) <= PIECE
+        assert len(assembler.transfer.data) <= CHUNK_BYTES
     assert carry(version_store, assembler, None, body)[0] == body
 
 
@@ -427,17 +452,17 @@
     """A holder whose difference between two words is wrong each time."""
     one, two, three = versions(3)
     version_store = holding(one)
-    version_store.chunk(SyncState(), one.version_id, by_snapshot=True)
-    version_store.hold(two)
-    version_store.hold(three)
+    next_chunk(version_store, SyncState(), one.version_id, by_snapshot=True)
+    version_store.add(two)
+    version_store.add(three)
     wrong = difference(b"", bytes(len(three.body)))
-    version_store._pack(three.version_id.digest, two.version_id.digest, -1, wrong)
+    version_store.cache.add(CacheKey.of_difference(three.version_id.digest, two.version_id.digest), wrong)
     assembler = ChunkAssembler(holding(two))
     told = []
     for _ in range(4):
         sync_state = assembler.sync_state(two.version_id)
         told.append(sync_state.version_id)
-        if assembler.take(version_store.chunk(sync_state, three.version_id, by_snapshot=True) or []) == three:
+        if assembler.take(next_chunk(version_store, sync_state, three.version_id, by_snapshot=True)) == three:
             break
     assert told == [two.version_id, NO_VERSION, one.version_id] and assembler.version_store.newest == three
     assert assembler.sync_state(three.version_id) == SyncState(three.version_id)
@@ -455,43 +480,45 @@
 def test_a_word_from_two_sources_is_worked_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
     one, two = versions(2)
     version_store, assembler = holding(one, two), ChunkAssembler(holding(one))
-    chunk = version_store.chunk(assembler.sync_state(one.version_id), two.version_id) or []
+    chunk = next_chunk(version_store, assembler.sync_state(one.version_id), two.version_id)
     assert assembler.take(chunk) == two
-    monkeypatch.setattr(shelves, "apply", None)
+    monkeypatch.setattr(chunk_assembler, "apply", None)
     assert assembler.take(chunk) == two
 
 
 def test_a_source_that_begins_anew_takes_over_only_when_the_first_is_gone() -> None:
-    one, two = noise(1, 4 * PIECE), noise(2, 4 * PIECE)
+    one, two = noise(1, 4 * CHUNK_BYTES), noise(2, 4 * CHUNK_BYTES)
     first, second, assembler = holding(one), holding(two), ChunkAssembler(VersionStore())
-    assembler.take(first.chunk(assembler.sync_state(NO_VERSION), one.version_id) or [])
-    assembler.take(second.chunk(assembler.sync_state(NO_VERSION), two.version_id) or [])
+    assembler.take(next_chunk(first, assembler.sync_state(NO_VERSION), one.version_id))
+    assembler.take(next_chunk(second, assembler.sync_state(NO_VERSION), two.version_id))
     assert assembler.sync_state(NO_VERSION).arriving == one.version_id
-    assert carry(second, assembler, None, two, most=4 + STUBBORN)[0] == two
+    assert carry(second, assembler, None, two, most=4 + MAX_REJECTED_CHUNKS)[0] == two
 
 
 def test_who_lied_about_the_length_and_is_gone_does_not_keep_the_word_away() -> None:
-    body = noise(1, 4 * PIECE)
+    body = noise(1, 4 * CHUNK_BYTES)
     honest, assembler = holding(body), ChunkAssembler(VersionStore())
-    piece = zlib.compress(body.body[:PIECE])
-    assembler.take(checked(1, body.version_id.digest, 9 * PIECE, b"", 9 * PIECE, 0, piece))
-    assert assembler.sync_state(NO_VERSION).offset == PIECE
-    assert carry(honest, assembler, None, body, most=5 + STUBBORN)[0] == body
+    piece = zlib.compress(body.body[:CHUNK_BYTES])
+    assembler.take(checked(1, body.version_id.digest, 9 * CHUNK_BYTES, b"", 9 * CHUNK_BYTES, 0, piece))
+    assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
+    assert carry(honest, assembler, None, body, most=5 + MAX_REJECTED_CHUNKS)[0] == body
 
 
 def test_a_long_difference_without_its_base_is_refused_at_its_first_piece() -> None:
     assembler = ChunkAssembler(VersionStore())
     assert assembler.take(checked(9, b"d" * 32, 10, b"none", 3, 0, b"a")) is None
-    assert not assembler.got
+    assert not assembler.transfer.data
     assert assembler.sync_state(NO_VERSION) == SyncState()
 
 
 def test_the_next_piece_of_another_word_changes_nothing() -> None:
-    one, two = noise(1, 3 * PIECE), noise(2, 3 * PIECE)
+    one, two = noise(1, 3 * CHUNK_BYTES), noise(2, 3 * CHUNK_BYTES)
     version_store, assembler = holding(one, two), ChunkAssembler(VersionStore())
-    assembler.take(version_store.chunk(assembler.sync_state(NO_VERSION), two.version_id) or [])
-    assembler.take(version_store.chunk(SyncState(NO_VERSION, one.version_id, PIECE), one.version_id) or [])
-    assert assembler.sync_state(NO_VERSION) == SyncState(NO_VERSION, two.version_id, PIECE)
+    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
+    assembler.take(
+        next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
+    )
+    assert assembler.sync_state(NO_VERSION) == SyncState(NO_VERSION, two.version_id, CHUNK_BYTES)
     assert carry(version_store, assembler, None, two, most=2)[0] == two
 
 
@@ -508,7 +535,7 @@
         return real(self, words[2].version_id.digest if digest == words[0].version_id.digest else digest)
 
     monkeypatch.setattr(VersionStore, "get", wrong)
-    chunk = version_store.chunk(SyncState(words[0].version_id), words[3].version_id) or []
+    chunk = next_chunk(version_store, SyncState(words[0].version_id), words[3].version_id)
     monkeypatch.undo()
     assert chunk[3] == words[0].version_id.digest
     assembler = ChunkAssembler(holding(words[0]))
@@ -518,22 +545,33 @@
 
 def test_a_piece_of_another_word_spliced_in_is_found() -> None:
     """Its head and check are made right, so only the digest can tell."""
-    one, two = noise(1, 2 * PIECE), noise(2, 2 * PIECE)
+    one, two = noise(1, 2 * CHUNK_BYTES), noise(2, 2 * CHUNK_BYTES)
     version_store, assembler = holding(one, two), ChunkAssembler(VersionStore())
-    assembler.take(version_store.chunk(assembler.sync_state(NO_VERSION), two.version_id) or [])
-    other = version_store.chunk(SyncState(NO_VERSION, one.version_id, PIECE), one.version_id) or []
+    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
+    other = next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
     assert (
-        assembler.take(checked(2, two.version_id.digest, 2 * PIECE, b"", 2 * PIECE, PIECE, other[7])) is None
+        assembler.take(
+            checked(
+                2,
+                two.version_id.digest,
+                2 * CHUNK_BYTES,
+                b"",
+                2 * CHUNK_BYTES,
+                CHUNK_BYTES,
+                other[7],
+            )
+        )
+        is None
     )
     assert assembler.sync_state(NO_VERSION) == SyncState()
     assert carry(version_store, assembler, None, two)[0] == two
 
 
 def test_a_piece_taken_twice_is_found() -> None:
-    body = noise(1, 3 * PIECE)
+    body = noise(1, 3 * CHUNK_BYTES)
     version_store, assembler = holding(body), ChunkAssembler(VersionStore())
-    chunk = version_store.chunk(assembler.sync_state(NO_VERSION), body.version_id) or []
+    chunk = next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id)
     for _ in range(3):
         assert assembler.take(chunk) is None
-    assert assembler.sync_state(NO_VERSION).offset == PIECE
+    assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
     assert carry(version_store, assembler, None, body, most=2)[0] == body
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -44,7 +44,7 @@
     good, _ = await acceptor.prepare(ballot)
     assert good
     answered.append(acceptor.kept)
-    if not await acceptor.hold(version(number)):
+    if not await acceptor.save_version(version(number)):
         raise OSError("refused")
     given = await acceptor.accept(ballot, after(number))
     assert given == (True, ballot)
@@ -216,7 +216,7 @@
             await acceptor.prepare(Ballot(99, "b"))
         except OSError:
             context.refused.append("promise")
-        if not await acceptor.hold(version(99)):
+        if not await acceptor.save_version(version(99)):
             context.refused.append("body")
         assert acceptor.kept == before
         context.disk.full = False
--- a/tests/proxy/test_sources.py
+++ b/tests/proxy/test_sources.py
@@ -12,14 +12,16 @@
 from collections import Counter
 from functools import partial
 from itertools import pairwise
+from typing import Any
 
 import pytest
 
-from irisdeal.config_store.configuration.version import ConfigVersion
+from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SETTLE, SOON
-from irisdeal.config_store.storage.version_store import PIECE, SyncState, VersionStore
+from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
 from irisdeal.registry import store_client as store_client_module
@@ -330,20 +332,27 @@
     assert not one._hear_age("10.0.0.1", now - 0.1, int(sources.OLD * 1000), 0)
 
 
+def next_chunk(version_store: VersionStore, sync_state: SyncState, wanted: VersionId) -> list[Any]:
+    """The next chunk as it stands on the wire."""
+    chunk = version_store.next_chunk(sync_state, wanted)
+    assert chunk is not None
+    return chunk.encode()
+
+
 def test_while_a_word_comes_in_pieces_from_one_source_the_other_does_not_bring_it() -> None:
     told: list[object] = []
     one, version_store, chance = alone(told), VersionStore(), random.Random(1)
-    version = ConfigVersion.of("r7", chance.randbytes(3 * PIECE))
-    version_store.hold(version)
+    version = ConfigVersion.of("r7", chance.randbytes(3 * CHUNK_BYTES))
+    version_store.add(version)
     for piece in range(3):
         sync_state = one._have("10.0.0.1")
         assert one._have("10.1.0.1") == (SyncState(ENOUGH) if piece else sync_state)
-        one._hear_word("10.0.0.1", sync_state, version_store.chunk(sync_state, version.version_id), 4)
+        one._hear_word("10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), 4)
         assert one.change == (4 if piece == 2 else -1)
     assert told == [version]
     assert one._have("10.1.0.1").version_id == version.version_id
     one._hear_word(
-        "10.1.0.1", SyncState(ENOUGH), version_store.chunk(SyncState(), version.version_id), 4
+        "10.1.0.1", SyncState(ENOUGH), next_chunk(version_store, SyncState(), version.version_id), 4
     )  # one that was on its way
     assert told == [version]
 
@@ -351,10 +360,10 @@
 def test_an_older_word_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
     one, version_store = alone([]), VersionStore()
     version = ConfigVersion.of("r7", b"seven")
-    version_store.hold(version)
+    version_store.add(version)
     sync_state = one._have("10.0.0.1")
     one._hear_word(
-        "10.0.0.1", sync_state, version_store.chunk(sync_state, version.version_id), -1
+        "10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), -1
     )  # the source has r8 by now
     assert one.version_id == version.version_id
     one._hear_age("10.0.0.1", 1000.0, 300, -1)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.registry import store_client as store_client_module
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState, decode_incarnation
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -13,7 +13,7 @@
 from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import LEASE
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.storage.version_store import SyncState
+from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.registry import store_client as store_client_module
 from irisdeal.registry.store_client import StoreClient
 from irisdeal.rpc.client import RpcClient
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -19,7 +19,8 @@
 from irisdeal.config_store.membership.contact import LEASE, Contact
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SEEKING
-from irisdeal.config_store.storage.version_store import SyncState, VersionStore
+from irisdeal.config_store.storage.chunks import SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.sources import Sources
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.store_client import StoreClient
@@ -126,7 +127,7 @@
     def take(self, value: Value, version: ConfigVersion) -> None:
         if value.change > self.value.change:
             self.value, self.version = value, version
-            self.version_store.hold(version)
+            self.version_store.add(version)
             self.news.set()
             self.news = asyncio.Event()
 
@@ -154,12 +155,12 @@
                 pass
         version_id = self.value.version_id
         chunk = (
-            self.version_store.chunk(sync_state, version_id)
+            self.version_store.next_chunk(sync_state, version_id)
             if version_id not in (sync_state.version_id, NO_VERSION)
             else None
         )
         age = int(self.age() * 1000) if self.has_contact() else -1
-        return [chunk, self.value.encode(), self.learners, age]
+        return [chunk.encode() if chunk else None, self.value.encode(), self.learners, age]
 
 
 class Post:
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -84,7 +84,7 @@
     """A ballot of that machine gets its promise, its body and its accept here."""
     good, _ = await acceptor.prepare(ballot(count, ip))
     assert good
-    assert body is None or await acceptor.hold(body)
+    assert body is None or await acceptor.save_version(body)
     given = await acceptor.accept(ballot(count, ip), value)
     assert given is not None and given[0]
 
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -133,7 +133,7 @@
 async def alone_confirmed(self: Proposer, version: ConfigVersion, within: float) -> PutOutcome:
     """An order is confirmed once it is held here."""
     self.tasks.start(PUT(self, version, within))
-    return PutOutcome.CONFIRMED if await self.acceptor.hold(version) else PutOutcome.LATER
+    return PutOutcome.CONFIRMED if await self.acceptor.save_version(version) else PutOutcome.LATER
 
 
 def never_woke(self: Contact, moment: float) -> bool:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -29,7 +29,9 @@
 )
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.membership.report import Report
-from irisdeal.config_store.storage.version_store import PIECE, ChunkAssembler, SyncState, VersionStore
+from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
+from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
+from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import Barred, ListKind, ServerList, Shared
 from irisdeal.front_door.handover.message import (
@@ -192,7 +194,7 @@
     """Two versions that differ by little, and one of several pieces."""
     lines = [hashlib.sha256(b"%d" % at).hexdigest().encode() for at in range(200)]
     first, second = b"\n".join(lines), b"\n".join([*lines[:100], b"another", *lines[101:]])
-    long = b"".join(b"%08d;" % (at // 900) for at in range((2 * PIECE) // 9 + 900))
+    long = b"".join(b"%08d;" % (at // 900) for at in range((2 * CHUNK_BYTES) // 9 + 900))
     return ConfigVersion.of("r1", first), ConfigVersion.of("r2", second), ConfigVersion.of("r3", long)
 
 
@@ -200,16 +202,17 @@
     """Each kind of a parcel: a whole body, a difference, the first piece and the one after it."""
     first, second, long = versions()
     version_store, assembler = VersionStore(), ChunkAssembler(VersionStore())
-    version_store.hold(first)
-    whole = version_store.chunk(SyncState(), first.version_id)
-    version_store.hold(second)
-    difference = version_store.chunk(SyncState(first.version_id), second.version_id)
-    version_store.hold(long)
-    piece = version_store.chunk(SyncState(), long.version_id)
+    version_store.add(first)
+    whole = version_store.next_chunk(SyncState(), first.version_id)
+    version_store.add(second)
+    difference = version_store.next_chunk(SyncState(first.version_id), second.version_id)
+    version_store.add(long)
+    piece = version_store.next_chunk(SyncState(), long.version_id)
     assert piece is not None
-    assembler.take(piece)
-    goes_on = version_store.chunk(assembler.sync_state(NO_VERSION), long.version_id)
-    return {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
+    assembler.take(piece.encode())
+    goes_on = version_store.next_chunk(assembler.sync_state(NO_VERSION), long.version_id)
+    made = {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
+    return {name: chunk.encode() if chunk is not None else None for name, chunk in made.items()}
 
 
 def _store_samples() -> list[Sample]:
@@ -220,7 +223,7 @@
     joint = Value(301, second.version_id, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
     here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
     low, high = Ballot(3, here), Ballot(70_000, there)
-    arriving = SyncState(first.version_id, long.version_id, PIECE).encode()
+    arriving = SyncState(first.version_id, long.version_id, CHUNK_BYTES).encode()
     told = Report(here, "z0", low, now, now, True).encode()
     samples = [
         Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).encode()),
