--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -313,7 +313,7 @@
     async def _read(self) -> None:
         """Read, build and take the next generation, or raise `Refused`."""
         self.signature = self._sign()
-        root = Path(__file__).resolve().parents[2]
+        root = Path(__file__).resolve().parents[3]
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
