--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -16,7 +16,7 @@
 from benchmarks.capacity.size import BEAT
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.storage.chunks import SyncState
-from irisdeal.permits.held import HeldPermits
+from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
@@ -82,7 +82,7 @@
         """`active`: tenants that ask here in an interval, of so many `tenants`."""
         self.sources, self.chance = HollowSources(settings, shared), random.Random(settings.ip)
         self.client = RegistryClient(settings, self.sources)
-        self.held = HeldPermits(self.chance.getrandbits(48))
+        self.held = PrefetchedPermits(self.chance.getrandbits(48))
         self.active, self.tenants = active, tenants
         self.edge = SharedIntervalClock(self.sources.loop.time())
         self.asked = self.placed = self.lost = self.versions = 0
@@ -107,13 +107,13 @@
                 for _ in range(min(self.active, self.tenants))
             }
             for tenant in asked.keys() | self.held.demand.keys():
-                self.held.note_demand(tenant, asked.get(tenant, 0), LENGTH)
+                self.held.record_demand(tenant, asked.get(tenant, 0), LENGTH)
             reported = await self.client.report(partial(self._report, asked))
             if reported is not None:
                 self.versions += 1
                 now = self.sources.loop.time()
                 self.edge.hear(reported.reply.position, now)
-                self.held.hear(reported.registry, reported.reply.reserve, reported.sent_at, now)
+                self.held.receive_reply(reported.registry, reported.reply.reserve, reported.sent_at, now)
 
     def _report(self, asked: dict[str, int], registry: str) -> IntervalReport:
         now = self.sources.loop.time()
@@ -124,7 +124,7 @@
             round(self.edge.position(now), 4),
             self.edge.number(now) - 1,
             usages,
-            self.held.report(registry, now),
+            self.held.build_report(registry, now),
         )
 
     async def ask(self, per_s: float, seconds: float, service: str, work: float) -> None:
--- a/irisdeal/permits/__init__.py
+++ b/irisdeal/permits/__init__.py
@@ -1,2 +1,6 @@
-"""Permits: a tenant's quota held by conservation. An admission consumes a permit that was issued once. No I/O
-here."""
+"""Permits enforce rate limits: an admitted request consumes a permit that was issued exactly once.
+
+Modules: `allowance` (how a limit is divided), `bucket` (token bucket of one tenant), `authority` (which
+registries may issue), `outstanding` (permits leased to proxies), `issuer` (one registry), `prefetched` (one
+proxy) and `messages`. None of them does input or output; time is an argument everywhere.
+"""
--- a/irisdeal/permits/bucket.py
+++ b/irisdeal/permits/bucket.py
@@ -1,28 +1,34 @@
-"""One tenant's bucket of permits at one registry. Time is an argument.
+"""Token bucket of one tenant's permits at one registry. Time is an argument.
 
-A permit leaves the bucket once: to a request that is admitted now (`claim`), to a proxy that holds it ahead
-(`take_ahead`) or to another registry (`lend`). The bucket starts empty, so a registry that forgot what it issued
-issues nothing twice.
+A permit leaves the bucket exactly once: to a request that is admitted now (`claim`), to a proxy that
+prefetches it (`prefetch`) or to another registry (`lend`). The bucket starts empty, so a registry that has
+lost its state cannot issue a permit twice.
 """
 
 from __future__ import annotations
 
 import math
 
-FRESH_SHARE = 0.35  # of a bucket that is kept for requests which can still be answered inside their aim
+# Share of a bucket that is reserved for requests which can still be answered within their latency target.
+FRESH_SHARE = 0.35
+# Permits: absorbs rounding errors of the level before it is rounded up.
+ROUNDING_TOLERANCE = 1e-9
 
 
 class PermitBucket:
-    """The permits that are ready here."""
+    """The permits of one tenant that are ready at this registry."""
 
     def __init__(self, refill_per_s: float, capacity: float, since: float) -> None:
-        """`since`: when it began to fill, from nothing: nothing was issued by this process before."""
+        """`since`: s, when it started to fill from empty; this process has issued nothing before."""
         self.refill_per_s, self.capacity = refill_per_s, capacity
         self.permits = 0.0
         self.filled_at = since
 
     def change(self, refill_per_s: float, capacity: float, now: float) -> None:
-        """Another limit or number of issuers, or proxies hold more: what a smaller bucket cannot hold is gone."""
+        """Apply a changed limit, number of issuers or count of prefetched permits.
+
+        Permits over `capacity` are lost.
+        """
         if refill_per_s == self.refill_per_s and capacity == self.capacity:
             return
         self._refill(now)
@@ -35,43 +41,48 @@
         self.filled_at = now
 
     def ready(self, now: float) -> float:
-        """Permits that are here."""
+        """Return the permits that are available now."""
         self._refill(now)
         return self.permits
 
     def claim(self, now: float, is_late: bool = False, cost: float = 1.0) -> bool:
-        """Whether a request of `cost` permits may run; they are gone if so.
+        """Consume `cost` permits for one request; False, and nothing consumed, where too few are left.
 
-        `is_late`: it came back when its aim was past already, and is worth a tenth or a third of a fresh one: in a
-        flood permits are short, and a part of them is kept from such requests.
+        `is_late`: the request was retried after its latency target had passed, and is worth a tenth to a
+        third of a fresh one. Permits are scarce in a flood, so `FRESH_SHARE` of the bucket is withheld from
+        such requests.
         """
-        kept = FRESH_SHARE * self.capacity if is_late else 0.0
-        if self.ready(now) < cost + kept:
+        withheld = FRESH_SHARE * self.capacity if is_late else 0.0
+        if self.ready(now) < cost + withheld:
             return False
         self.permits -= cost
         return True
 
-    def take_ahead(self, wanted: int, now: float) -> int:
-        """Permits for a proxy to hold ahead: of what is more than half of a bucket, so that direct claims go on."""
-        given = max(0, min(wanted, int(self.ready(now) - self.capacity / 2)))
-        self.permits -= given
-        return given
+    def prefetch(self, wanted: int, now: float) -> int:
+        """Take up to `wanted` permits for a proxy to hold, of the upper half only, so that direct claims go on."""
+        granted = max(0, min(wanted, int(self.ready(now) - self.capacity / 2)))
+        self.permits -= granted
+        return granted
 
-    def lend(self, wanted: int, kept: float, now: float) -> int:
-        """Permits for another registry, gone here: all but `kept`, which is at most half of what there is."""
+    def lend(self, wanted: int, retained: float, now: float) -> int:
+        """Take up to `wanted` permits for another registry; `retained`, at most half of the level, stay."""
         ready = self.ready(now)
-        given = max(0, min(wanted, math.ceil(ready - min(kept, ready / 2) - 1e-9), int(ready)))
-        self.permits -= given
-        return given
+        spare = ready - min(retained, ready / 2)
+        granted = max(0, min(wanted, math.ceil(spare - ROUNDING_TOLERANCE), int(ready)))
+        self.permits -= granted
+        return granted
 
     def is_full(self, now: float) -> bool:
-        """Whether it holds all that it may."""
+        """Whether it holds as many permits as it may."""
         return self.ready(now) >= self.capacity
 
-    def room(self, now: float) -> float:
-        """Permits that may be added without going over what this bucket may hold."""
+    def free_capacity(self, now: float) -> float:
+        """Return the permits that may be added without exceeding the capacity."""
         return max(0.0, self.capacity - self.ready(now))
 
     def add_borrowed(self, count: int, now: float) -> None:
-        """Permits of another registry; what finds no room is gone, so that all stocks stay within the whole."""
-        self.permits += min(float(count), self.room(now))
+        """Add permits of another registry.
+
+        Those over the capacity are lost, so that all stocks stay within the rule.
+        """
+        self.permits += min(float(count), self.free_capacity(now))
--- a/irisdeal/permits/issuer.py
+++ b/irisdeal/permits/issuer.py
@@ -1,5 +1,7 @@
-"""One registry's issuing of permits: all tenants' buckets, what proxies hold, and the right to issue. No I/O
-here."""
+"""One registry's issuing of permits: all tenants' buckets, prefetched permits and the right to issue.
+
+There is no input or output here; times are s of the process's steady clock.
+"""
 
 from __future__ import annotations
 
@@ -9,50 +11,54 @@
 from irisdeal.permits.allowance import Allowance, Limit, QuotaRule, allowance
 from irisdeal.permits.authority import RESERVE_GUARD_S, IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
-from irisdeal.permits.messages import HeldReport, ReserveReply
+from irisdeal.permits.messages import PrefetchReply, PrefetchReport
 from irisdeal.permits.outstanding import LEASE_GUARD_S, OutstandingPermits
 
 
-class Claim(Enum):
-    """What came of an ask for a permit."""
+class ClaimResult(Enum):
+    """The result of a claim of a permit."""
 
     GRANTED = 0
-    EXHAUSTED = 1  # the tenant has none left here
-    NOT_ISSUING = 2  # another registry has to be asked: this one may not issue, or does not know the tenant
+    EXHAUSTED = 1  # the tenant has no permit left at this registry
+    NOT_ISSUING = 2  # try another registry: this one may not issue, or does not know the tenant
 
 
 class PermitIssuer:
-    """The permits of one registry's process. `incarnation`: of the process; times are s of its steady clock."""
+    """The permits of one registry's process."""
 
     def __init__(self, incarnation: int, rule: QuotaRule, authority: IssuingAuthority, now: float) -> None:
-        self.incarnation, self.rule, self.authority, self.born = incarnation, rule, authority, now
+        """`incarnation`: of this process, which no other process of any registry has."""
+        self.incarnation, self.rule, self.authority, self.started_at = incarnation, rule, authority, now
         self.limits: Mapping[str, Limit] = {}
         self.buckets: dict[str, PermitBucket] = {}
         self.outstanding = OutstandingPermits()
-        self.reserves_from = now + LEASE_GUARD_S  # a former life's grants may be used until then
+        self.reserves_from = now + LEASE_GUARD_S  # proxies may use grants of a former incarnation until then
         self.epoch = authority.epochs
         self._shares: dict[tuple[str, int, int], Allowance] = {}
 
     def configure(self, limits: Mapping[str, Limit]) -> None:
-        """The tenants' limits of the newest configuration."""
+        """Apply the tenants' limits of the newest configuration."""
         self.limits = limits
         self._shares.clear()
         for tenant in [tenant for tenant in self.buckets if tenant not in limits]:
             del self.buckets[tenant]
 
     def may_issue(self, age_s: float | None, now: float) -> bool:
-        """Whether this registry may issue. `age_s`: of its knowledge of what is decided."""
-        if self.epoch != self.authority.epochs:  # what an earlier entitlement issued is not known to be over
+        """Whether this registry may issue permits.
+
+        `age_s`: age of its knowledge of the decisions, None without any.
+        """
+        if self.epoch != self.authority.epochs:
+            # Permits issued under an earlier entitlement may still be in use.
             self.epoch = self.authority.epochs
             self.buckets.clear()
-            if (
-                self.authority.entitled_at > self.born
-            ):  # not all along: the former list's grants are to be over
+            if self.authority.entitled_at > self.started_at:
+                # Not a member all along: leases granted by the former members have to expire first.
                 self.reserves_from = max(self.reserves_from, now + RESERVE_GUARD_S)
         return self.authority.may_issue(age_s, now)
 
     def bucket(self, tenant: str, now: float) -> PermitBucket:
-        """The tenant's bucket, by its limit, the number of issuers and what proxies hold now."""
+        """Return the tenant's bucket, adjusted to its limit, the number of issuers and the prefetched permits."""
         bucket = self.buckets.get(tenant)
         if bucket is None:
             bucket = self.buckets[tenant] = self._filled_since_start(tenant, now)
@@ -61,21 +67,23 @@
         return bucket
 
     def _filled_since_start(self, tenant: str, now: float) -> PermitBucket:
-        """A bucket from which nothing was taken since this process may issue, and of which proxies hold nothing."""
+        """Return a bucket that has filled since this process may issue, with no permit claimed or prefetched."""
         share = self._share(tenant, now)
-        since = min(now, max(self.born, self.authority.entitled_at))
+        since = min(now, max(self.started_at, self.authority.entitled_at))
         bucket = PermitBucket(share.refill_per_s, share.ready, since)
-        if (
-            now > self.reserves_from
-        ):  # the part that a former life's holders might have used fills from then on
+        if now > self.reserves_from:
+            # The share that proxies may have held of a former incarnation fills only from then on.
             bucket.change(share.refill_per_s, share.ready + share.reserved, self.reserves_from)
         return bucket
 
     def _capacity(self, tenant: str, share: Allowance, now: float) -> float:
-        return share.ready + self._reserve_left(tenant, share, now)
+        return share.ready + self._free_reserve(tenant, share, now)
+
+    def _free_reserve(self, tenant: str, share: Allowance, now: float) -> float:
+        """Permits that proxies might prefetch and have not.
 
-    def _reserve_left(self, tenant: str, share: Allowance, now: float) -> float:
-        """What proxies might hold and do not; none before a former life's grants are over."""
+        None before a former incarnation's grants expired.
+        """
         if now < self.reserves_from:
             return 0.0
         return max(0.0, share.reserved - self.outstanding.total(tenant))
@@ -85,73 +93,80 @@
         key = (tenant, issuers, reserve_issuers)
         share = self._shares.get(key)
         if share is None:
-            whole = allowance(self.rule, self.limits[tenant], issuers)
+            total = allowance(self.rule, self.limits[tenant], issuers)
             share = self._shares[key] = Allowance(
-                whole.refill_per_s / issuers,
-                whole.ready / issuers,
-                whole.reserved / reserve_issuers,
+                total.refill_per_s / issuers,
+                total.ready / issuers,
+                total.reserved / reserve_issuers,
             )
         return share
 
     def is_limited(self, tenant: str) -> bool:
-        """Whether this tenant has a limit by what is known here."""
+        """Whether this tenant has a limit, by the configuration that is known here."""
         limit = self.limits.get(tenant)
         return limit is not None and limit.is_limited
 
-    def claim(self, tenant: str, age_s: float | None, now: float, is_late: bool = False) -> Claim:
-        """A permit for one request of a tenant that has a limit, as its proxy knows."""
+    def claim(self, tenant: str, age_s: float | None, now: float, is_late: bool = False) -> ClaimResult:
+        """Claim a permit for one request of a tenant that has a limit by its proxy's configuration.
+
+        `age_s`: as in `may_issue`; `is_late`: the request's latency target has passed.
+        """
         limit = self.limits.get(tenant)
         if limit is None or not self.may_issue(age_s, now):
-            return Claim.NOT_ISSUING
-        if not limit.is_limited:  # no more: the proxy has not heard it yet
-            return Claim.GRANTED
-        return Claim.GRANTED if self.bucket(tenant, now).claim(now, is_late) else Claim.EXHAUSTED
-
-    def report(self, report: HeldReport, age_s: float | None, now: float) -> ReserveReply:
-        """A proxy's report of what it holds; what it may hold from now on."""
-        held = report.held if report.incarnation == self.incarnation else {}
-        is_newest = self.outstanding.report(report.holder, report.sequence, held, now)
+            return ClaimResult.NOT_ISSUING
+        if (
+            not limit.is_limited
+        ):  # the limit was removed, and the proxy has not received that configuration yet
+            return ClaimResult.GRANTED
+        return ClaimResult.GRANTED if self.bucket(tenant, now).claim(now, is_late) else ClaimResult.EXHAUSTED
+
+    def handle_report(self, report: PrefetchReport, age_s: float | None, now: float) -> PrefetchReply:
+        """Take in a proxy's report of its prefetched permits; return what it may hold from now on."""
+        unused = report.unused if report.incarnation == self.incarnation else {}
+        is_newest = self.outstanding.record_report(report.proxy, report.sequence, unused, now)
         if not is_newest or not self.may_issue(age_s, now) or now < self.reserves_from:
-            return ReserveReply(self.incarnation)
+            return PrefetchReply(self.incarnation)
         changes: dict[str, int] = {}
-        for tenant in held.keys() | report.wanted.keys():
-            change = self._adjust(report.holder, tenant, report.wanted.get(tenant, 0), now)
+        for tenant in unused.keys() | report.wanted.keys():
+            change = self._adjust(report.proxy, tenant, report.wanted.get(tenant, 0), now)
             if change:
                 changes[tenant] = change
-        return ReserveReply(self.incarnation, True, changes)
+        return PrefetchReply(self.incarnation, True, changes)
 
-    def _adjust(self, holder: int, tenant: str, wanted: int, now: float) -> int:
-        """Renew what is held where all that is outstanding has room, and grant more. The change of what is held."""
-        held = self.outstanding.held(holder, tenant)
+    def _adjust(self, proxy: int, tenant: str, wanted: int, now: float) -> int:
+        """Renew the proxy's permits and grant more, as far as the reserve allows.
+
+        Return the change of its count.
+        """
+        count = self.outstanding.count(proxy, tenant)
         if not self.is_limited(tenant):
-            return -held
+            return -count
         bucket = self.bucket(tenant, now)
         share = self._share(tenant, now)
-        room = int(share.reserved) - self.outstanding.total(tenant)
-        if (
-            room < 0
-        ):  # the reserve has become smaller: this part is given up, and is over with its lease at last
-            return -held
-        more = bucket.take_ahead(min(wanted - held, room), now) if wanted > held else 0
-        if held or more:
-            self.outstanding.renew(holder, tenant, held + more, now)
+        free = int(share.reserved) - self.outstanding.total(tenant)
+        if free < 0:
+            # The reserve has shrunk: these permits are revoked, and expire with their lease at the latest.
+            return -count
+        more = bucket.prefetch(min(wanted - count, free), now) if wanted > count else 0
+        if count or more:
+            self.outstanding.renew(proxy, tenant, count + more, now)
         return more
 
-    def lend(self, tenant: str, wanted: int, kept: float, age_s: float | None, now: float) -> int:
-        """Permits for another registry, gone here. `kept`: what our own proxies are likely to ask for soon."""
+    def lend(self, tenant: str, wanted: int, retained: float, age_s: float | None, now: float) -> int:
+        """Give up to `wanted` permits to another registry; `retained`: expected claims of our own proxies."""
         if not self.is_limited(tenant) or not self.may_issue(age_s, now):
             return 0
-        return self.bucket(tenant, now).lend(wanted, kept, now)
+        return self.bucket(tenant, now).lend(wanted, retained, now)
 
     def ready(self, tenant: str, now: float) -> float:
-        """Permits of a tenant with a limit that are ready here."""
+        """Return the permits that are ready here, of a tenant with a limit."""
         bucket = self.buckets.get(tenant) or self._filled_since_start(tenant, now)
         return bucket.ready(now)
 
-    def not_full(self, now: float) -> dict[str, float]:
-        """Permits that are ready in buckets that are not full.
+    def partly_used(self, now: float) -> dict[str, float]:
+        """Return the ready permits of buckets that are not full, by tenant.
 
-        Full ones of which proxies hold nothing are forgotten: a new one is as full.
+        Full buckets without prefetched permits are forgotten: a new one would be as full.
         """
         self.outstanding.expire(now)
         levels = {}
--- a/irisdeal/permits/messages.py
+++ b/irisdeal/permits/messages.py
@@ -1,4 +1,7 @@
-"""What proxies and registries tell each other of permits, and how it is written on the wire."""
+"""Messages on permits between proxies and registries, and their form on the wire.
+
+They are lists of values in a fixed order, as peers of other versions read them by position.
+"""
 
 from __future__ import annotations
 
@@ -7,40 +10,45 @@
 from typing import Any
 
 
-def _counts(told: Any) -> dict[str, int]:
-    return {str(tenant): int(count) for tenant, count in dict(told).items()}
+def _decode_counts(body: Any) -> dict[str, int]:
+    return {str(tenant): int(count) for tenant, count in dict(body).items()}
 
 
 @dataclass(frozen=True, slots=True)
-class HeldReport:
-    """A proxy's word of the permits that it holds of one registry.
+class PrefetchReport:
+    """A proxy's report of the permits that it holds of one registry.
 
-    `holder`: the proxy's process; `sequence`: rises with each report; `incarnation`: of the registry that granted
-    them; `held`: what it holds, by tenant; `wanted`: how many it wants to hold in all, where that is more.
+    `proxy`: number of the proxy's process; `sequence`: increases with each report; `incarnation`: of the
+    registry's process that granted the permits; `unused`: permits still held, by tenant; `wanted`: how many
+    it wants to hold in total, by tenant, where that is more.
     """
 
-    holder: int
+    proxy: int
     sequence: int
     incarnation: int
-    held: Mapping[str, int] = field(default_factory=dict)
+    unused: Mapping[str, int] = field(default_factory=dict)
     wanted: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """For the wire."""
-        return [self.holder, self.sequence, self.incarnation, dict(self.held), dict(self.wanted)]
+        """Return the form on the wire."""
+        return [self.proxy, self.sequence, self.incarnation, dict(self.unused), dict(self.wanted)]
 
     @staticmethod
-    def decode(told: Any) -> HeldReport:
-        """ValueError, TypeError where it is none."""
-        holder, sequence, incarnation, held, wanted = told
-        return HeldReport(int(holder), int(sequence), int(incarnation), _counts(held), _counts(wanted))
+    def decode(body: Any) -> PrefetchReport:
+        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        proxy, sequence, incarnation, unused, wanted = body
+        return PrefetchReport(
+            int(proxy), int(sequence), int(incarnation), _decode_counts(unused), _decode_counts(wanted)
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class ReserveReply:
-    """A registry's answer to a `HeldReport`: its life, and by how many permits the holder has more, or fewer.
+class PrefetchReply:
+    """A registry's answer to a `PrefetchReport`.
 
-    `is_issuing`: whether what is held is renewed; where it is not, it stands until its lease is over.
+    `incarnation`: of the registry's process; `is_issuing`: whether the lease of the held permits is renewed
+    (if not, they remain usable until it expires); `changes`: permits granted (positive) or revoked
+    (negative), by tenant.
     """
 
     incarnation: int
@@ -48,29 +56,29 @@
     changes: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """For the wire."""
+        """Return the form on the wire."""
         return [self.incarnation, self.is_issuing, dict(self.changes)]
 
     @staticmethod
-    def decode(told: Any) -> ReserveReply:
-        """ValueError, TypeError where it is none."""
-        incarnation, is_issuing, changes = told
-        return ReserveReply(int(incarnation), bool(is_issuing), _counts(changes))
+    def decode(body: Any) -> PrefetchReply:
+        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        incarnation, is_issuing, changes = body
+        return PrefetchReply(int(incarnation), bool(is_issuing), _decode_counts(changes))
 
 
 @dataclass(frozen=True, slots=True)
 class LendRequest:
-    """A registry asks another for permits of a tenant."""
+    """A registry's request to another one for `wanted` permits of a tenant."""
 
     tenant: str
     wanted: int
 
     def encode(self) -> list[Any]:
-        """For the wire."""
+        """Return the form on the wire."""
         return [self.tenant, self.wanted]
 
     @staticmethod
-    def decode(told: Any) -> LendRequest:
-        """ValueError, TypeError where it is none."""
-        tenant, wanted = told
+    def decode(body: Any) -> LendRequest:
+        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        tenant, wanted = body
         return LendRequest(str(tenant), int(wanted))
--- a/irisdeal/permits/outstanding.py
+++ b/irisdeal/permits/outstanding.py
@@ -1,8 +1,8 @@
-"""What proxies hold ahead, as their registry knows it. Time is an argument.
+"""A registry's record of the permits that proxies have prefetched from it. Time is an argument.
 
-A permit that was granted counts until its holder has told that it holds it no more, or until the lease is over
-on the slowest clock. Whether the holder's connection stands plays no part: a proxy that is cut off may still
-use what it holds.
+A granted permit counts as outstanding until its proxy has reported that it no longer holds it, or until the
+lease has expired on the slowest clock. The state of the proxy's connection plays no part: a partitioned proxy
+may still use what it holds.
 """
 
 from __future__ import annotations
@@ -10,70 +10,79 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-LEASE_S = 4.0  # s from its last report that a proxy may use what it holds, on its own steady clock
-LEASE_GUARD_S = 4.3  # s likewise on the issuer's: both clocks 2% off, and what is on its way
-MOST_HOLDERS = 8192  # the largest deployment planned for has 1,500 proxies
+# s after sending its last answered report that a proxy may use what it holds, on its own steady clock.
+LEASE_S = 4.0
+# s likewise on the issuer's clock: both clocks 2% off, and messages in flight.
+LEASE_GUARD_S = 4.3
+# Processes; the largest deployment planned for has 1,500 proxies.
+MAX_PROXIES = 8192
 
 
 @dataclass(slots=True)
 class Grant:
-    """Permits of one tenant at one holder; `until`: s on our clock."""
+    """`count` permits of one tenant at one proxy; `expires_at`: s on our clock."""
 
     count: int
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
-class Holder:
-    """One proxy's process, and the number of the newest report that counted."""
+class ProxyGrants:
+    """The grants of one proxy's process, by tenant.
+
+    `sequence`: of the newest report that was accepted; `reported_at`: s, when that was.
+    """
 
     sequence: int
-    heard_at: float
+    reported_at: float
     grants: dict[str, Grant] = field(default_factory=dict)
 
 
 class OutstandingPermits:
-    """All permits that this registry granted ahead and that may still be used."""
+    """All permits that proxies have prefetched from this registry and may still use."""
 
     def __init__(self) -> None:
-        self.holders: dict[int, Holder] = {}
+        self.proxies: dict[int, ProxyGrants] = {}
         self.totals: dict[str, int] = {}  # tenant -> permits
 
     def total(self, tenant: str) -> int:
-        """Permits of a tenant that may still be used."""
+        """Return the permits of a tenant that may still be used, over all proxies."""
         return self.totals.get(tenant, 0)
 
-    def report(self, holder: int, sequence: int, held: Mapping[str, int], now: float) -> bool:
-        """A proxy's own word of what it holds. False where a newer one was heard, or there is no room."""
-        known = self.holders.get(holder)
+    def record_report(self, proxy: int, sequence: int, unused: Mapping[str, int], now: float) -> bool:
+        """Take in a proxy's report of what it holds.
+
+        False where it is outdated, or there are too many proxies.
+        """
+        known = self.proxies.get(proxy)
         if known is None:
-            if len(self.holders) >= MOST_HOLDERS:
+            if len(self.proxies) >= MAX_PROXIES:
                 return False
-            known = self.holders[holder] = Holder(-1, now)
+            known = self.proxies[proxy] = ProxyGrants(-1, now)
         if sequence <= known.sequence:
             return False
-        known.sequence, known.heard_at = sequence, now
+        known.sequence, known.reported_at = sequence, now
         for tenant, grant in list(known.grants.items()):
-            count = min(grant.count, held.get(tenant, 0)) if grant.until > now else 0
-            self._set(known, tenant, count, grant.until)
+            count = min(grant.count, unused.get(tenant, 0)) if grant.expires_at > now else 0
+            self._set(known, tenant, count, grant.expires_at)
         return True
 
-    def renew(self, holder: int, tenant: str, count: int, now: float) -> None:
-        """From now on the holder has `count` permits, for a whole lease."""
-        self._set(self.holders[holder], tenant, count, now + LEASE_GUARD_S)
+    def renew(self, proxy: int, tenant: str, count: int, now: float) -> None:
+        """Grant `count` permits to the proxy, in place of what it had, for a complete lease."""
+        self._set(self.proxies[proxy], tenant, count, now + LEASE_GUARD_S)
 
-    def held(self, holder: int, tenant: str) -> int:
-        """Permits that this holder may have."""
-        grant = self.holders[holder].grants.get(tenant)
+    def count(self, proxy: int, tenant: str) -> int:
+        """Return the permits that this proxy may hold."""
+        grant = self.proxies[proxy].grants.get(tenant)
         return grant.count if grant is not None else 0
 
-    def _set(self, holder: Holder, tenant: str, count: int, until: float) -> None:
-        before = holder.grants.get(tenant)
+    def _set(self, proxy: ProxyGrants, tenant: str, count: int, expires_at: float) -> None:
+        before = proxy.grants.get(tenant)
         change = count - (before.count if before is not None else 0)
         if count > 0:
-            holder.grants[tenant] = Grant(count, until)
+            proxy.grants[tenant] = Grant(count, expires_at)
         else:
-            holder.grants.pop(tenant, None)
+            proxy.grants.pop(tenant, None)
         total = self.totals.get(tenant, 0) + change
         if total > 0:
             self.totals[tenant] = total
@@ -81,10 +90,13 @@
             self.totals.pop(tenant, None)
 
     def expire(self, now: float) -> None:
-        """Forget holders that are silent for a whole lease. Until then what they had counts, on the safe side."""
-        for number, holder in list(self.holders.items()):
-            if now < holder.heard_at + LEASE_GUARD_S:
+        """Forget proxies that have not reported for a complete lease.
+
+        Until then their grants count as usable.
+        """
+        for number, proxy in list(self.proxies.items()):
+            if now < proxy.reported_at + LEASE_GUARD_S:
                 continue
-            for tenant in list(holder.grants):
-                self._set(holder, tenant, 0, now)
-            del self.holders[number]
+            for tenant in list(proxy.grants):
+                self._set(proxy, tenant, 0, now)
+            del self.proxies[number]
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -15,7 +15,7 @@
 from functools import partial
 
 from irisdeal.permits.allowance import Limit
-from irisdeal.permits.held import HeldPermits
+from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.proxy.refusal import Refused, over_quota
 from irisdeal.proxy.registry_client import RegistryClient, Reported
 from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
@@ -80,7 +80,7 @@
         """`slots`: requests that all backends work on at once."""
         self.client, self.loop, self.chance, self.slots = client, loop, chance, slots
         self.companions: dict[str, RateCompanion] = {}
-        self.held = HeldPermits(secrets.randbits(48))
+        self.held = PrefetchedPermits(secrets.randbits(48))
         self.returned: dict[
             str, list[float]
         ] = {}  # permits of requests that ended unsent: until when each serves
@@ -171,7 +171,7 @@
     def take_held(self, permit: RequestPermit) -> bool:
         """Whether a permit that was held ahead is in hand now."""
         now = self.loop.time()
-        if not self.held.take(permit.tenant, now):
+        if not self.held.consume(permit.tenant, now):
             return False
         permit.give(now)
         return True
@@ -210,7 +210,7 @@
             round(self.edge.position(now), 4),
             number if self.has_reported else -1,
             self.reports[number],
-            self.held.report(registry, now),
+            self.held.build_report(registry, now),
         )
 
     def _close(self, now: float) -> Usages:
@@ -220,7 +220,7 @@
         for name, companion in list(self.companions.items()):
             asked, late = companion.close()
             if companion.limit.is_limited:
-                self.held.note_demand(name, asked, LENGTH)
+                self.held.record_demand(name, asked, LENGTH)
             if asked or name in held or companion.refusal_late > 0:
                 usages[name] = Usage(asked, round(held.get(name, 0.0), 3), 0.0, late)
             elif name not in self.held.demand:
@@ -232,7 +232,7 @@
         self.edge.hear(reply.position, now)
         self.proxies, self.has_reported = max(1, reply.proxies), True
         self.most_proxies = max(self.most_proxies, self.proxies)
-        self.held.hear(reported.registry, reply.reserve, reported.sent_at, now)
+        self.held.receive_reply(reported.registry, reply.reserve, reported.sent_at, now)
         if reply.number > self.newest_total:  # a registry that lags, or stood still, tells an older one
             self.newest_total, self.total_at = reply.number, now
             self._hear_totals(self.reports.get(reply.number, {}), reply.totals)
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from irisdeal.permits.authority import IssuingAuthority
-from irisdeal.permits.issuer import Claim
+from irisdeal.permits.issuer import ClaimResult
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
@@ -62,9 +62,9 @@
         if not request.tenant:
             return self._admitted(peer, request)
         match self.quotas.claim(request.tenant, request.is_late):
-            case Claim.GRANTED:
+            case ClaimResult.GRANTED:
                 return self._admitted(peer, request)
-            case Claim.NOT_ISSUING:
+            case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         if request.is_late or not self.quotas.can_borrow(request.tenant):
             return OVER_QUOTA
@@ -75,9 +75,9 @@
         request = PlaceRequest.decode(body)
         await self.quotas.borrow(request.tenant)
         match self.quotas.claim(request.tenant, request.is_late):
-            case Claim.GRANTED:
+            case ClaimResult.GRANTED:
                 return self._admitted(peer, request).encode()
-            case Claim.NOT_ISSUING:
+            case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING.encode()
         return OVER_QUOTA.encode()
 
--- a/irisdeal/registry/authority_watch.py
+++ b/irisdeal/registry/authority_watch.py
@@ -32,7 +32,7 @@
             return
         recorded = await self.loop.run_in_executor(None, self.record.load)
         if recorded is not None:
-            self.authority.recall(recorded, self.loop.time())
+            self.authority.restore_recorded(recorded, self.loop.time())
 
     def look(self) -> None:
         """Once in a while: tell when the right came or went, and record the list once it has stood."""
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from typing import Any
 
-from irisdeal.permits.messages import HeldReport, ReserveReply
+from irisdeal.permits.messages import PrefetchReply, PrefetchReport
 from irisdeal.ratelimit.interval_counter import Usages, decode_usages, encode_usages
 
 IS_REPEAT, IS_COUNTED, IS_LATE = 1, 2, 4  # flags of a `PlaceRequest` on the wire
@@ -137,7 +137,7 @@
     position: float
     number: int
     usages: Usages
-    held: HeldReport
+    held: PrefetchReport
 
     def encode(self) -> list[Any]:
         """For the wire."""
@@ -147,7 +147,9 @@
     def decode(told: Any) -> IntervalReport:
         """ValueError, TypeError where it is none."""
         position, number, usages, held = told
-        return IntervalReport(float(position), int(number), decode_usages(usages), HeldReport.decode(held))
+        return IntervalReport(
+            float(position), int(number), decode_usages(usages), PrefetchReport.decode(held)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,7 +160,7 @@
     position: float
     proxies: int
     number: int
-    reserve: ReserveReply
+    reserve: PrefetchReply
     totals: Usages = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
@@ -170,7 +172,7 @@
         """ValueError, TypeError where it is none."""
         position, proxies, number, reserve, totals = told
         return IntervalReply(
-            float(position), int(proxies), int(number), ReserveReply.decode(reserve), decode_usages(totals)
+            float(position), int(proxies), int(number), PrefetchReply.decode(reserve), decode_usages(totals)
         )
 
 
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -8,7 +8,7 @@
 from irisdeal.config_store.configuration.cached_reading import Configuration
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
-from irisdeal.permits.issuer import Claim, PermitIssuer
+from irisdeal.permits.issuer import ClaimResult, PermitIssuer
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import key
 from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
@@ -64,7 +64,7 @@
 
     # Permits
 
-    def claim(self, tenant: str, is_late: bool) -> Claim:
+    def claim(self, tenant: str, is_late: bool) -> ClaimResult:
         """A permit for a request that is to run now."""
         return self.issuer.claim(tenant, self.age(), self.loop.time(), is_late)
 
@@ -114,7 +114,7 @@
     async def _borrow_from(self, lender: str, tenant: str) -> None:
         asked_at = self.loop.time()
         self.asked_for_loan[tenant, lender] = asked_at
-        room = int(self.issuer.bucket(tenant, asked_at).room(asked_at))
+        room = int(self.issuer.bucket(tenant, asked_at).free_capacity(asked_at))
         wanted = max(1, min(MOST_LENT, room))
         lent = await self.lend_from(lender, LendRequest(tenant, wanted))
         now = self.loop.time()
@@ -144,7 +144,7 @@
         self.edge.hear(report.position, now)
         if report.number >= 0:
             self.counter.hear(key(name_of(peer)), report.number, report.usages, now)
-        reserve = self.issuer.report(report.held, self.age(), now)
+        reserve = self.issuer.handle_report(report.held, self.age(), now)
         total = self.counter.total
         told = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
         return IntervalReply(round(self.edge.position(now), 4), total.proxies, total.number, reserve, told)
@@ -182,7 +182,7 @@
     def _ready_to_tell(self, asked: Iterable[str], now: float) -> dict[str, float]:
         """Permits that are ready here, of tenants that were asked for; and of others whose buckets are not
         full, as a registry that says nothing of a tenant is taken to have a full one."""
-        ready = self.issuer.not_full(now)
+        ready = self.issuer.partly_used(now)
         for tenant in asked:
             if self.issuer.is_limited(tenant):
                 ready[tenant] = self.issuer.ready(tenant, now)
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -149,7 +149,7 @@
         """The word, the list of the core, or whether there is contact is another."""
         if self.store_client.value.change >= 0:
             members = self.store_client.members
-            self.admission.authority.hear(IssuerList(members.number, members.ips()), self.loop.time())
+            self.admission.authority.observe_list(IssuerList(members.number, members.ips()), self.loop.time())
         core = self.store_client.everyone()
         self.peers.forget_all_but(core)
         has_contact = self.store_client.has_contact
@@ -267,7 +267,7 @@
             "issuers": authority.issuers(now),
             "permits": {
                 tenant: {"ready": round(count, 1), "held_ahead": quotas.issuer.outstanding.total(tenant)}
-                for tenant, count in quotas.issuer.not_full(now).items()
+                for tenant, count in quotas.issuer.partly_used(now).items()
             },
             "backends": [
                 {
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -10,9 +10,9 @@
 
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList, IssuingAuthority
-from irisdeal.permits.held import HeldPermits
-from irisdeal.permits.issuer import Claim
+from irisdeal.permits.issuer import ClaimResult
 from irisdeal.permits.messages import LendRequest
+from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.ratelimit.interval_clock import LENGTH
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.ratelimit.rate_companion import RateCompanion
@@ -65,7 +65,7 @@
         settings = Settings(node_name=ip, role="registry", ip=ip, zone="z", port_range=(1, 9), seed_peers=())
         self.authority = IssuingAuthority(ip)
         if recorded is not None:
-            self.authority.recall(recorded, clock.now())
+            self.authority.restore_recorded(recorded, clock.now())
         self.service = QuotaService(settings, _loop(clock), incarnation, self.authority, self.age, lend)
 
     def age(self) -> float | None:
@@ -76,15 +76,15 @@
     def have_contact(self, machines: IssuerList, limits: dict[str, Limit]) -> None:
         """It knows all that is decided by now."""
         now = self.clock.now()
-        self.authority.hear(machines, now)
+        self.authority.observe_list(machines, now)
         if limits != self.service.issuer.limits:
             self.service.issuer.configure(limits)
         self.contact_at = now
 
-    def claim(self) -> Claim:
+    def claim(self) -> ClaimResult:
         """A permit for one request; borrowed where there is none here."""
         result = self.service.claim(TENANT, False)
-        if result is not Claim.EXHAUSTED or not self.service.can_borrow(TENANT):
+        if result is not ClaimResult.EXHAUSTED or not self.service.can_borrow(TENANT):
             return result
         try:
             self.service.borrow(TENANT).send(None)
@@ -98,7 +98,7 @@
 
     def __init__(self, name: str, incarnation: int, home: int, clock: Clock, limit: Limit) -> None:
         self.name, self.home, self.clock = name, home, clock
-        self.held = HeldPermits(incarnation)
+        self.held = PrefetchedPermits(incarnation)
         self.companion = RateCompanion(TENANT, limit)
         self.silent_until: dict[str, float] = {}  # registries that did not answer, by the world's clock
         self.without_permits_until: dict[str, float] = {}
@@ -114,9 +114,11 @@
     def close(self) -> Usage:
         """What was asked here in the interval that ends."""
         asked, late = self.companion.close()
-        self.held.note_demand(TENANT, asked, LENGTH)
+        self.held.record_demand(TENANT, asked, LENGTH)
         return Usage(asked, 0.0, 0.0, late)
 
     def report(self, registry: str, number: int, usage: Usage) -> IntervalReport:
         """For this registry."""
-        return IntervalReport(0.0, number, {TENANT: usage}, self.held.report(registry, self.clock.now()))
+        return IntervalReport(
+            0.0, number, {TENANT: usage}, self.held.build_report(registry, self.clock.now())
+        )
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -14,7 +14,7 @@
 
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
-from irisdeal.permits.issuer import Claim
+from irisdeal.permits.issuer import ClaimResult
 from irisdeal.permits.messages import LendRequest
 from irisdeal.ratelimit.interval_clock import LENGTH
 from irisdeal.registry.messages import IntervalReport, IntervalSum
@@ -230,7 +230,7 @@
             )
             if not is_left and ip not in self.down:
                 return self._ask_one(number, proxy, ip, left, begun)
-        if proxy is self.proxies[number] and proxy.held.take(TENANT, proxy.clock.now()):
+        if proxy is self.proxies[number] and proxy.held.consume(TENANT, proxy.clock.now()):
             return self._run(self.time)
         self.refused += 1
 
@@ -250,23 +250,23 @@
             )
             return
         match claim:
-            case Claim.GRANTED:
+            case ClaimResult.GRANTED:
                 self.at(asked_at + took, self._deliver, proxy.name, self._run, asked_at)
-            case Claim.NOT_ISSUING:
+            case ClaimResult.NOT_ISSUING:
                 proxy.without_permits_until[ip] = self.time + LEFT_S
                 self.at(
                     self.time + took, self._deliver, proxy.name, self._ask_next, number, proxy, left, begun
                 )
-            case _ if proxy.held.take(TENANT, proxy.clock.now()):
+            case _ if proxy.held.consume(TENANT, proxy.clock.now()):
                 self.at(self.time + took, self._deliver, proxy.name, self._run, asked_at)
             case _:
                 self.refused += 1
 
-    def _claim(self, ip: str) -> Claim:
+    def _claim(self, ip: str) -> ClaimResult:
         """What the registry does with an ask, answered or not."""
         if ip in self.frozen:
             self.frozen[ip].append((self._claim_late, (ip,)))
-            return Claim.NOT_ISSUING
+            return ClaimResult.NOT_ISSUING
         return self.registries[ip].claim()
 
     def _claim_late(self, ip: str) -> None:
@@ -311,7 +311,7 @@
             or proxy.name in self.frozen
         ):
             return  # its answer is lost, or too late to count
-        proxy.held.hear(ip, reply.reserve, sent_at, proxy.clock.now())
+        proxy.held.receive_reply(ip, reply.reserve, sent_at, proxy.clock.now())
         if reply.number > proxy.newest_total and TENANT in reply.totals:
             proxy.newest_total = reply.number
             proxy.companion.hear_total(reply.totals[TENANT])
--- a/tests/features/steps/quota_steps.py
+++ b/tests/features/steps/quota_steps.py
@@ -133,7 +133,7 @@
             def all_at_once(self: PermitIssuer, tenant: str, now: float) -> PermitBucket:
                 is_new = tenant not in self.buckets
                 made = bucket(self, tenant, now)
-                if is_new and now - self.born < 5.0:
+                if is_new and now - self.started_at < 5.0:
                     made.permits = 0.35 * self.rule.allowed(self.limits[tenant])
                 return made
 
--- a/tests/permits/test_quota_world.py
+++ b/tests/permits/test_quota_world.py
@@ -1,4 +1,4 @@
-"""No tenant over its limit, whatever fails: what our users saw, random days, and planted bugs."""
+"""No tenant exceeds its limit under any fault: incidents of the past, random fault schedules, planted bugs."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from irisdeal.simulation.quota.faults import QuotaDayPlayer, draw, play
 from irisdeal.simulation.quota.world import QuotaWorld
 
-FLOOD, END = 12.0, 25.0  # s: a usual time up to the first, a flood at nine times up to the second
+FLOOD, END = 12.0, 25.0  # s: normal load until FLOOD, nine times the rate until END
 Fault = Callable[[QuotaWorld], None]
 
 
 def day(proxies: int, rate: float, seed: int, fault: Fault, until: float = END) -> QuotaWorld:
-    """A usual time, a flood at nine times, and a fault in it."""
+    """Play normal load, then a flood at nine times the rate with a fault in it."""
     world = QuotaWorld(proxies, 4, rate, seed)
     world.load(0, FLOOD, 0.62)
     world.load(FLOOD, until, 9)
@@ -28,8 +28,8 @@
     return world
 
 
-def cut(world: QuotaWorld, name: str, since: float, until: float) -> None:
-    """One proxy hears no registry, and none hears it."""
+def partition(world: QuotaWorld, name: str, since: float, until: float) -> None:
+    """Partition one proxy from all registries, in both directions."""
     for ip in world.registries:
         for pair in ((name, ip), (ip, name)):
             world.at(since, world.cut.add, pair)
@@ -37,39 +37,39 @@
 
 
 def flapping(turn: float) -> Fault:
-    """All proxies hear the registries and do not in turns."""
+    """Partition all proxies from the registries and reconnect them in turns of `turn` seconds."""
 
     def fault(world: QuotaWorld) -> None:
         for proxy in world.proxies:
             since = 11.5 + world.chance.random() * 2 * turn
             while since < 22.0:
-                cut(world, proxy.name, since, since + turn)
+                partition(world, proxy.name, since, since + turn)
                 since += 2 * turn
 
     return fault
 
 
-def cut_for(until: float) -> Fault:
-    """Six in ten proxies hear no registry from the flood's second second on."""
+def partitioned_until(until: float) -> Fault:
+    """Partition six in ten proxies from all registries, from 2 s into the flood."""
 
     def fault(world: QuotaWorld) -> None:
         for proxy in world.proxies:
             if world.chance.random() < 0.6:
-                cut(world, proxy.name, 14.0, until)
+                partition(world, proxy.name, 14.0, until)
 
     return fault
 
 
 def restarts(world: QuotaWorld) -> None:
-    """All registries start again eight times, a second apart, and know nothing of what they issued."""
+    """Restart all registries eight times, a second apart, without their state."""
     for number in range(8):
         for ip in list(world.registries):
             world.at(13.0 + number, world.kill_registry, ip)
             world.at(13.5 + number, world.start_registry, ip)
 
 
-def registries_cut(world: QuotaWorld) -> None:
-    """One of the registries hears no other for over a minute; proxies reach all."""
+def registry_partitioned(world: QuotaWorld) -> None:
+    """Partition one registry from the others for over a minute; proxies reach all."""
     for other in ("g1", "g2", "g3"):
         for pair in (("g0", other), (other, "g0")):
             world.at(14.0, world.cut.add, pair)
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("proxies", [8, 85])
 @pytest.mark.parametrize("rate", [5.0, 30.0, 150.0])
 @pytest.mark.parametrize("turn", [0.1, 0.5, 1.0])
-def test_proxies_that_hear_and_miss_in_turns_have_nothing_on_top(
+def test_proxies_partitioned_in_turns_stay_within_the_limit(
     proxies: int,
     rate: float,
     turn: float,
@@ -92,9 +92,15 @@
 @pytest.mark.parametrize("proxies", [8, 85])
 @pytest.mark.parametrize("rate", [30.0, 150.0])
 @pytest.mark.parametrize(
-    ("fault", "until"), [(cut_for(24.0), END), (cut_for(80.0), 82.0), (restarts, END), (registries_cut, 82.0)]
+    ("fault", "until"),
+    [
+        (partitioned_until(24.0), END),
+        (partitioned_until(80.0), 82.0),
+        (restarts, END),
+        (registry_partitioned, 82.0),
+    ],
 )
-def test_cuts_however_long_and_registries_that_forget_give_nothing_on_top(
+def test_long_partitions_and_restarted_registries_stay_within_the_limit(
     proxies: int,
     rate: float,
     fault: Fault,
@@ -104,15 +110,18 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [lambda world: world.at(14.0, world.kill_registry, "g1"), registries_cut, cut_for(24.0)]
+    "fault",
+    [lambda world: world.at(14.0, world.kill_registry, "g1"), registry_partitioned, partitioned_until(24.0)],
 )
-def test_a_flood_is_served_beside_any_single_fault(fault: Fault) -> None:
+def test_a_flood_is_served_despite_any_single_fault(fault: Fault) -> None:
     world = day(85, 30.0, 3, fault)
     assert world.judge.served(14, 24) >= 0.6 * 10 * 30 and world.judge.worst() <= 1.0
 
 
 @pytest.mark.parametrize("proxies", [8, 85, 188])
-def test_a_flood_in_calm_is_served_at_the_rate_and_a_usual_time_refuses_next_to_nothing(proxies: int) -> None:
+def test_a_flood_without_faults_is_served_at_the_rate_and_normal_load_is_hardly_rejected(
+    proxies: int,
+) -> None:
     world = QuotaWorld(proxies, 4, 30.0, 4)
     world.load(4, 34, 0.9)
     world.play(34)
@@ -122,7 +131,7 @@
     assert world.judge.served(35, 44) >= 9 * 30 and world.judge.worst() <= 1.0
 
 
-def test_a_lower_limit_binds_though_proxies_hold_permits_of_the_higher_one() -> None:
+def test_a_lowered_limit_binds_despite_prefetched_permits() -> None:
     def fault(world: QuotaWorld) -> None:
         world.at(16.0, world.set_limit, 10.0, 10.0)
 
@@ -132,13 +141,13 @@
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
-def test_random_days_keep_the_rule(first: int) -> None:
+def test_random_fault_schedules_keep_the_rule(first: int) -> None:
     for seed in range(first, first + 10):
         worst, played = play(seed)
         assert worst <= 1.0, (worst, played)
 
 
-# Planted bugs: each is found by the same days
+# Planted bugs: each is found by the same schedules
 
 
 def _claim_free(self: PermitBucket, now: float, is_late: bool = False, cost: float = 1.0) -> bool:
@@ -166,9 +175,13 @@
     ("owner", "name", "planted"),
     [
         (PermitBucket, "claim", _claim_free),  # a permit is not deducted
-        (QuotaWorld, "_ask_next", _admit),  # a proxy admits where nobody answers in time
-        (IssuingAuthority, "may_issue", _always),  # one that is out of the list, or new in it, issues
-        (QuotaService, "lend", _freely),  # what is lent is not gone at the lender
+        (QuotaWorld, "_ask_next", _admit),  # a proxy admits a request where no registry answers in time
+        (
+            IssuingAuthority,
+            "may_issue",
+            _always,
+        ),  # a registry that was removed, or is new in the list, issues
+        (QuotaService, "lend", _freely),  # lent permits are not deducted at the lender
     ],
     ids=["not deducted", "admit on time-out", "no authority", "lends freely"],
 )
@@ -182,6 +195,6 @@
     assert any(play(seed)[0] > 1.0 for seed in range(200))
 
 
-def test_a_day_is_the_same_each_time() -> None:
+def test_a_schedule_replays_identically() -> None:
     first, second = (QuotaDayPlayer(draw(17)) for _ in range(2))
     assert first.play() == second.play() and first.world.judge.ran == second.world.judge.ran
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -11,7 +11,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.http1.messages import Answer, Request
-from irisdeal.permits.messages import ReserveReply
+from irisdeal.permits.messages import PrefetchReply
 from irisdeal.proxy.backend_message import BackendRequest
 from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
@@ -96,8 +96,8 @@
             return outcome
 
         if self.held:
-            reply = ReserveReply(1, True, {"t": self.held})
-            door.admission.held.hear("g", reply, self.machine.time(), self.machine.time())
+            reply = PrefetchReply(1, True, {"t": self.held})
+            door.admission.held.receive_reply("g", reply, self.machine.time(), self.machine.time())
         door.pool.send = send  # type: ignore[method-assign]
         self.prepare(door)
         return door
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -18,7 +18,7 @@
 
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
-from irisdeal.permits.messages import HeldReport
+from irisdeal.permits.messages import PrefetchReport
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
@@ -551,10 +551,10 @@
     quotas = there.desk.quotas
     quotas.issuer.configure({"t": Limit(30.0, 30.0)})
     listed = IssuerList(1, frozenset({"g"}))
-    there.desk.authority.recall(listed, 0.0)
+    there.desk.authority.restore_recorded(listed, 0.0)
     there.now = 99.0
-    there.desk.authority.hear(listed, there.now)
-    report = IntervalReport(1.0, 0, {"t": Usage(5.0)}, HeldReport(7, 1, 0, {}, {"t": 3}))
+    there.desk.authority.observe_list(listed, there.now)
+    report = IntervalReport(1.0, 0, {"t": Usage(5.0)}, PrefetchReport(7, 1, 0, {}, {"t": 3}))
     granted = quotas.report("proxy d#3", report).reserve.changes["t"]
     there.places.lost("proxy d#3")
     assert granted > 0 and quotas.issuer.outstanding.total("t") == granted
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -24,7 +24,7 @@
 from irisdeal.config_store.membership.survey import ask as survey_one
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.http1.messages import Request
-from irisdeal.permits.held import HeldPermits
+from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
@@ -156,7 +156,7 @@
         self.processes: dict[tuple[str, str], Machine] = {}
         self.sources: Sources | None = None
         self.client: RegistryClient | None = None
-        self.held = HeldPermits(77)
+        self.held = PrefetchedPermits(77)
         self.numbers: list[tuple[str, int]] = []  # places that are held: registry and number
         super().__init__(3, 0)
         self.start_proxy()
@@ -279,15 +279,15 @@
     async def report(self, number: int) -> None:
         assert self.client is not None
         now = asyncio.get_running_loop().time()
-        self.held.note_demand(TENANT, 40, 0.5)
+        self.held.record_demand(TENANT, 40, 0.5)
 
         def make(registry: str) -> IntervalReport:
             usages = {TENANT: Usage(7.0 + number, 1.25, 0.0, 1.0)}
-            return IntervalReport(0.25, number, usages, self.held.report(registry, now))
+            return IntervalReport(0.25, number, usages, self.held.build_report(registry, now))
 
         reported = await self.client.report(make)
         if reported is not None:
-            self.held.hear(reported.registry, reported.reply.reserve, reported.sent_at, now)
+            self.held.receive_reply(reported.registry, reported.reply.reserve, reported.sent_at, now)
 
     async def place(self, **changes: Any) -> None:
         assert self.client is not None
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.permits.messages import ReserveReply
+from irisdeal.permits.messages import PrefetchReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState
@@ -239,7 +239,7 @@
                     self.waiting -= 1
                 return self._place(peer)
             case "count":  # no total is told here
-                return IntervalReply(0.0, 8, -1, ReserveReply(1)).encode()
+                return IntervalReply(0.0, 8, -1, PrefetchReply(1)).encode()
         raise ValueError(kind)
 
     def _place(self, peer: str) -> Any:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -45,7 +45,7 @@
 )
 from irisdeal.front_door.handover.roles import HALF
 from irisdeal.front_door.handover.state import pack, unpack
-from irisdeal.permits.messages import HeldReport, LendRequest, ReserveReply
+from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.registry.backend_table import (
@@ -283,8 +283,8 @@
     aged = [(told, 30 * at) for at, told in enumerate(incarnations)]
     zones = {"10.0.0.1": "z0", "10.1.0.1": ""}
     usages = {"t-1": Usage(17.1234, 1.25, 0.0, 2.0), "t-2": Usage()}
-    held = HeldReport(77, 5, 1 << 47, {"t-1": 6}, {"t-1": 64, "t-2": 1})
-    reserve = ReserveReply(1 << 47, True, {"t-1": -3})
+    held = PrefetchReport(77, 5, 1 << 47, {"t-1": 6}, {"t-1": 64, "t-2": 1})
+    reserve = PrefetchReply(1 << 47, True, {"t-1": -3})
     asked = PlaceRequest("z0", "s", 0.05, (3, 1 << 23), 2, 0.25, 1.5)
     full = PlaceRequest("z0", "s", 0.05, (), -1, 0.0, 1.5, "t-1", True, True, True, (5, 6))
     placed = PlaceReply(PlaceResult.PLACED, 1_579_233_161, "i-1", 2.15)
@@ -306,8 +306,8 @@
         Sample(
             "count",
             "the first",
-            IntervalReport(0.0, -1, {}, HeldReport(77, 1, 0)).encode(),
-            IntervalReply(0.5, 1, -1, ReserveReply(9)).encode(),
+            IntervalReport(0.0, -1, {}, PrefetchReport(77, 1, 0)).encode(),
+            IntervalReply(0.5, 1, -1, PrefetchReply(9)).encode(),
         ),
         Sample("place", "placed", asked.encode(), placed.encode()),
         Sample("wait", "placed", asked.encode(), placed.encode()),
