--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -2,13 +2,13 @@
 
     python -m benchmarks.register_states [--most 2000000] [NAME ...]
 
-A breadth-first search of the real core (`irisdeal.config_store.consensus.register`, `members`, `report`), no model
-of it. A step is one of: a proposer begins a ballot; an acceptor gets a ballot's prepare or accept, and its answer
-arrives or is lost; an accept comes late, again, or to a learner; a proposer hears what another decided; a process
-is killed and loses what it had not synced; a machine's disk is lost, and an empty one with another identity comes
-in its place; a read begins, asks one seat, ends. Messages that are lost for good, doubled, late or out of order,
-and cuts of any one way, are all of these: no step has to come. That an answer arrives at once or never leaves out
-nothing: a proposer that hears it later does what one does whose accepts are late.
+A breadth-first search of the real core (`irisdeal.config_store.consensus.register`, `members`, `decided_value`), no
+model of it. A step is one of: a proposer begins a ballot; an acceptor gets a ballot's prepare or accept, and its
+answer arrives or is lost; an accept comes late, again, or to a learner; a proposer hears what another decided; a
+process is killed and loses what it had not synced; a machine's disk is lost, and an empty one with another identity
+comes in its place; a read begins, asks one seat, ends. Messages that are lost for good, doubled, late or out of
+order, and cuts of any one way, are all of these: no step has to come. That an answer arrives at once or never
+leaves out nothing: a proposer that hears it later does what one does whose accepts are late.
 
 Rules: (1) a ballot over one whose value was told as decided takes that one over, or one over it; (2) one body for
 each number, and one value for each change, are told as decided; (3) a read answers no less than what was told as
@@ -36,9 +36,9 @@
     Step,
     Value,
 )
-from irisdeal.config_store.membership import report
+from irisdeal.config_store.membership import decided_value
 from irisdeal.config_store.membership.members import Members
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
 
 Program = Callable[
     [Value], Change | None
@@ -62,8 +62,8 @@
     def program(decided: Value) -> Change | None:
         members = decided.members
         if members.former:
-            return register.set_members(members.settled())
-        return register.set_members(members.change(seats)) if set(members.seats) != set(seats) else None
+            return register.set_members(members.leave_joint())
+        return register.set_members(members.enter_joint(seats)) if set(members.seats) != set(seats) else None
 
     return program
 
@@ -462,7 +462,7 @@
         if key not in self.steps:
             heard = [self._report(seat, kept) for seat, kept in reading.reports]
             known: Value = self.table.things[state.known[-1]]
-            value = report.read_from(heard, known.members) if heard else None
+            value = decided_value.value_for_read(heard, known.members) if heard else None
             highest = max((one.accepted for one in heard), default=NO_BALLOT)
             self.steps[key] = value, highest
         value, highest = self.steps[key]
@@ -474,9 +474,9 @@
         found = [n for n in state.proposed if self.table.things[n][:2] == (highest, value)]
         yield f"the read answers {value.change}", self._tell(state, found[0]) if found else state
 
-    def _report(self, seat: int, kept: int) -> Report:
+    def _report(self, seat: int, kept: int) -> ReplicaStatus:
         has: AcceptorState = self.table.things[kept]
-        return Report(self.plan.seats[seat], "", has.accepted, has.value, has.value, True)
+        return ReplicaStatus(self.plan.seats[seat], "", has.accepted, has.value, has.value, True)
 
     # Rules
 
--- a/irisdeal/cli/store.py
+++ b/irisdeal/cli/store.py
@@ -107,7 +107,7 @@
 
 
 def _verdict(survey: Survey) -> str:
-    spare = survey.can_lose()
+    spare = survey.spare_members()
     if spare < 0:
         return "no quorum: nothing is confirmed or read"
     return f"a quorum lives; it bears the loss of {spare} more"
@@ -115,7 +115,7 @@
 
 def _end(survey: Survey) -> None:
     """Exit code 0 with a quorum, 1 without, 2 where nobody answered."""
-    sys.exit(2 if not survey.reports else 0 if survey.has_quorum else 1)
+    sys.exit(2 if not survey.statuses else 0 if survey.has_quorum else 1)
 
 
 @store.command()
@@ -139,9 +139,9 @@
                     "generation": _generation(found.decided),
                     "list": found.members.number,
                     "quorum": found.has_quorum,
-                    "bears": found.can_lose(),
-                    "stores": [_plain(found, at) for at in sorted(found.reports)],
-                    "silent": {f"{ip}:{port}": why for (ip, port), why in sorted(found.silent.items())},
+                    "bears": found.spare_members(),
+                    "stores": [_plain(found, at) for at in sorted(found.statuses)],
+                    "silent": {f"{ip}:{port}": why for (ip, port), why in sorted(found.failures.items())},
                 },
                 indent=1,
             )
@@ -150,7 +150,7 @@
     table = _grid(
         "store", "seat", "zone", "counts", "change", "generation", "holds", "list", "ballot", "leaving"
     )
-    for at, report in sorted(found.reports.items()):
+    for at, report in sorted(found.statuses.items()):
         table.add_row(
             f"{at[0]}:{at[1]}",
             report.seat,
@@ -158,13 +158,13 @@
             _role(found, report.seat),
             str(report.decided.change),
             _generation(report.decided),
-            _yes(report.holds),
+            _yes(report.has_body),
             str(report.decided.members.number),
             str(report.accepted.count),
             _yes(report.leaving),
         )
     _print(table)
-    for (ip, port), why in sorted(found.silent.items()):
+    for (ip, port), why in sorted(found.failures.items()):
         click.echo(f"{ip}:{port}: {why}")
     click.echo(_verdict(found))
     _end(found)
@@ -185,7 +185,7 @@
 
 
 def _plain(survey: Survey, at: Address) -> dict[str, object]:
-    report = survey.reports[at]
+    report = survey.statuses[at]
     return {
         "store": f"{at[0]}:{at[1]}",
         "seat": report.seat,
@@ -193,7 +193,7 @@
         "counts": _role(survey, report.seat),
         "change": report.decided.change,
         "generation": _generation(report.decided),
-        "holds": report.holds,
+        "holds": report.has_body,
         "list": report.decided.members.number,
         "ballot": report.accepted.count,
         "leaving": report.leaving,
@@ -213,7 +213,7 @@
     """
     found = _survey(stores, settings_file)
     seats = [*sorted(found.members.voters()), *found.learners()]
-    heard = found.heard()
+    heard = found.answered()
     if as_json:
         click.echo(
             json.dumps(
@@ -221,7 +221,7 @@
                     "list": found.members.number,
                     "settled": not found.members.former,
                     "quorum": found.has_quorum,
-                    "bears": found.can_lose(),
+                    "bears": found.spare_members(),
                     "seats": [
                         {"seat": seat, "counts": _role(found, seat), "answers": seat in heard}
                         for seat in seats
@@ -446,7 +446,7 @@
                     "refused": refused,
                     "begins_from": _value(planned.base),
                     "becomes": _value(planned.state.decided),
-                    "gives_up": [*planned.machines, *planned.others],
+                    "gives_up": [*planned.machines, *planned.versions],
                 },
                 indent=1,
             )
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -132,7 +132,7 @@
     def change(value: Value) -> Value:
         now = value.members
         follows = (members.number == now.number + 1 and members.former == now.seats and not now.former) or (
-            members == now.settled() and bool(now.former)
+            members == now.leave_joint() and bool(now.former)
         )
         return replace(value, change=value.change + 1, members=members) if follows else value
 
--- a/irisdeal/config_store/membership/__init__.py
+++ b/irisdeal/config_store/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which machines are members of the store, and how that list changes."""
+"""Members of the configuration store: how their list changes, and who is in contact with a quorum."""
--- a/irisdeal/config_store/membership/contact.py
+++ b/irisdeal/config_store/membership/contact.py
@@ -1,102 +1,126 @@
-"""Contact with a majority, counted from when it was asked. No input or output here.
-
-A member answers for the core (a read, a watch, an order) only while it has contact: within `lease` of a moment
-at which it asked and then heard a quorum of the list that it knows. What holds, and why:
-
-1. The moment of the *asking* counts, never that of the answer: what a quorum says is true as of some moment
-   after it was asked, so whoever is in contact knows of all that was decided `lease` ago. An answer that comes
-   late, after a silent link or a freeze, brings an old moment with it.
-2. Only answers to asks of ours count. What others ask of us shows that they reach us, not that we reach them:
-   in a one-way cut the two differ.
-3. Only the steady clock decides; a step of the time of day moves nothing here.
-4. The list that is known *now* decides: seats that left count no more, those that came count from their first
-   answer, and while a change is under way both lists must be heard.
-5. A process that stood still (`tick`, `woke`) has no contact until it has asked anew: answers to asks from
-   before are dropped, also where they come later.
-6. A slow disk does not end contact, since asks wait for no disk; what needs the disk has its own time.
-
-Contact alone does not make knowledge: what a seat accepted may be decided, and confirmed, by a member that is cut
-off now, and nobody else has seen that. So what is told on (`known_age`) is as old as the asking of a quorum of
-seats that had accepted nothing beyond what is in force here. Each change that was decided before that asking was
-accepted by a quorum, which shares a seat with this one: it is in force here. Whoever hears the age adds the time
-since its own ask.
+"""Contact with a quorum, counted from when the quorum was asked. No input or output here.
+
+A replica answers for the store (a read, a watch, a put) only while it has contact: within the lease of a moment at
+which it sent status requests that a quorum of the list it knows has answered. What must hold, and why:
+
+1. The moment of the *request* counts, never that of the answer: what a quorum answers is true as of some moment
+   after it was asked, so a replica in contact knows of all that was decided a lease ago. An answer that comes late,
+   after a partition or a freeze, counts from its old request.
+2. Only answers to requests of our own count. Requests from others show that they reach us, not that we reach them:
+   in a one-way partition the two differ.
+3. Only the monotonic clock decides; a step of the time of day changes nothing here.
+4. The list that is known *now* decides: seats that left no longer count, new ones count from their first answer,
+   and while a change is under way both lists must have answered.
+5. A process that was stalled (`tick`, `reset_after_stall`) has no contact until it has asked anew: answers to
+   requests from before are dropped, also where they come later.
+6. A slow disk does not end contact, since status requests wait for no disk; what needs the disk has its own limit.
+
+Contact alone does not give knowledge: what a seat accepted may be decided, and confirmed, by a member that is
+partitioned now, unseen by all others. So the age of our knowledge (`known_age`) counts from a request to a quorum
+of seats that had accepted nothing beyond what is in force here. Each change that was decided before that request
+was accepted by a quorum, which shares a seat with this one: it is in force here. Whoever is sent the age adds the
+time since its own request.
 """
 
 from __future__ import annotations
 
 from irisdeal.config_store.membership.members import Members
 
-LEASE = 1.2  # s: a round of 0.5, 0.35 for a dead member in it, and as much again for a slow processor
-STILL = 1.2  # s between two ticks from which the process stood still: two rounds never are so far apart
-MOST_SEATS = 64  # that are remembered: seven times the largest core
+CONTACT_LEASE_S = 1.2  # an interval of 0.5, 0.35 for a dead member, and as much again for a slow processor
+STALL_S = (
+    1.2  # between two ticks from which the process was stalled: two status rounds are never so far apart
+)
+MAX_TRACKED_SEATS = 64  # seven times the largest core
 
 
-class Contact:
-    """One process's contact. Times are s of the steady clock."""
+class QuorumContact:
+    """When one process last reached which seats. Times are in s of the monotonic clock.
 
-    def __init__(self, lease: float = LEASE) -> None:
-        self.lease = lease
-        self.asked: dict[str, float] = {}  # seat -> when the newest ask that it answered was sent
+    Args:
+        lease_s: how long contact lasts after the request that proves it.
+    """
+
+    def __init__(self, lease_s: float = CONTACT_LEASE_S) -> None:
+        self.lease_s = lease_s
+        self.asked_at: dict[str, float] = {}  # seat -> when the newest request that it answered was sent
         self.accepted: dict[str, int] = {}  # seat -> the change that it had accepted, by that answer
-        self.since = float("-inf")  # asks sent before count no more
-        self.ticked: float | None = None
+        self.valid_from = float("-inf")  # requests that were sent before no longer count
+        self.ticked_at: float | None = None
+
+    def record_answer(self, seat: str, asked_at: float, accepted: int = -1) -> None:
+        """Take an answer to a request of ours.
 
-    def heard(self, seat: str, asked_at: float, accepted: int = -1) -> None:
-        """A seat answered an ask of ours that was sent then; `accepted`: the change that it had accepted last."""
-        if asked_at < self.since or asked_at < self.asked.get(seat, asked_at):
+        Args:
+            seat: who answered.
+            asked_at: when the request was sent.
+            accepted: the change that the seat had accepted last.
+        """
+        if asked_at < self.valid_from or asked_at < self.asked_at.get(seat, asked_at):
             return
-        self.asked[seat], self.accepted[seat] = asked_at, accepted
-        if len(self.asked) > MOST_SEATS:
-            oldest = min(self.asked, key=self.asked.__getitem__)
-            del self.asked[oldest], self.accepted[oldest]
+        self.asked_at[seat], self.accepted[seat] = asked_at, accepted
+        if len(self.asked_at) > MAX_TRACKED_SEATS:
+            oldest = min(self.asked_at, key=self.asked_at.__getitem__)
+            del self.asked_at[oldest], self.accepted[oldest]
 
     def tick(self, now: float) -> bool:
-        """To be called in each round; True where the process stood still since the last one (see `woke`)."""
-        last, self.ticked = self.ticked, now
-        if last is None or now - last < STILL:
+        """Note that the process runs; to be called in each status round.
+
+        Returns:
+            True where it was stalled since the last tick (see `reset_after_stall`).
+        """
+        last, self.ticked_at = self.ticked_at, now
+        if last is None or now - last < STALL_S:
             return False
-        self.woke(now)
+        self.reset_after_stall(now)
         return True
 
-    def woke(self, now: float = float("-inf")) -> None:
-        """The process stood still until now: what was asked before counts no more."""
-        self.asked.clear()
+    def reset_after_stall(self, now: float = float("-inf")) -> None:
+        """Forget all answers, and those to come to requests that were sent before `now`."""
+        self.asked_at.clear()
         self.accepted.clear()
-        self.since = max(self.since, now)
+        self.valid_from = max(self.valid_from, now)
 
     def age(self, members: Members, own: str, now: float) -> float:
-        """s since the latest moment by which a quorum, this seat counted if a member, was asked and answered.
+        """Return the s since the latest moment from which on a quorum was asked, and answered; inf for none.
 
-        inf where there was none.
+        Args:
+            members: the list that is known now.
+            own: the seat of this process, which counts where it is a member.
+            now: s of the monotonic clock.
         """
-        return _age(members, {**self.asked, own: now}, now)
+        return _quorum_age(members, {**self.asked_at, own: now}, now)
 
     def known_age(self, members: Members, own: str, now: float, change: int, accepted: int) -> float:
-        """s since a moment by which all that was decided is in force here; inf where there was none.
-
-        `change`: of what is in force here; `accepted`: of what this seat accepted last.
+        """Return the s since a moment by which all that was decided is in force here; inf where there was none.
+
+        Args:
+            members: the list that is known now.
+            own: the seat of this process.
+            now: s of the monotonic clock.
+            change: number of the change that is in force here.
+            accepted: number of the change that this seat accepted last.
         """
-        asked = {seat: at for seat, at in self.asked.items() if self.accepted[seat] <= change}
+        asked_at = {seat: at for seat, at in self.asked_at.items() if self.accepted[seat] <= change}
         if accepted <= change:
-            asked[own] = now
+            asked_at[own] = now
         else:
-            asked.pop(own, None)
-        return _age(members, asked, now)
+            asked_at.pop(own, None)
+        return _quorum_age(members, asked_at, now)
 
-    def is_held(self, members: Members, own: str, now: float) -> bool:
-        """Whether this process may answer for the core."""
-        return self.age(members, own, now) <= self.lease
+    def has_lease(self, members: Members, own: str, now: float) -> bool:
+        """Whether this process may answer for the store."""
+        return self.age(members, own, now) <= self.lease_s
 
-    def left(self, members: Members, own: str, now: float) -> float:
-        """s until contact ends if nobody answers any more; 0 where there is none."""
-        return max(0.0, self.lease - self.age(members, own, now))
+    def remaining_s(self, members: Members, own: str, now: float) -> float:
+        """Return the s until contact ends if nobody answers any more; 0 where there is none."""
+        return max(0.0, self.lease_s - self.age(members, own, now))
 
 
-def _age(members: Members, asked: dict[str, float], now: float) -> float:
-    """s since the latest moment from which on a quorum was asked."""
+def _quorum_age(members: Members, asked_at: dict[str, float], now: float) -> float:
+    """Return the s since the latest moment from which on a quorum was asked; inf where there was none."""
     voters = members.voters()
-    times = sorted({at for seat, at in asked.items() if seat in voters and at < now}, reverse=True)
-    for at in (now, *times):
-        if members.is_quorum({seat for seat, sent in asked.items() if sent >= at}):
-            return now - at
+    moments = sorted({at for seat, at in asked_at.items() if seat in voters and at < now}, reverse=True)
+    for moment in (now, *moments):
+        if members.is_quorum({seat for seat, at in asked_at.items() if at >= moment}):
+            return now - moment
     return float("inf")
--- a/irisdeal/config_store/membership/members.py
+++ b/irisdeal/config_store/membership/members.py
@@ -1,11 +1,20 @@
-"""Who decides: the list of members, its number, and which sets of members are a quorum. No input or output here.
-
-Rules that must hold here:
-1. A seat is a machine's address and the identity of its disk. A disk that came back empty is another seat,
-   which has promised nothing; it is no member until a change of the list says so.
-2. The list is part of the register's value. A change is decided by majorities of the list before it and of the
-   list after it, and the next change begins only when `former` is empty again: one change at a time.
-3. A seat that is not in the list or in `former` is a learner: it may hold all, and never counts.
+"""The list of members, its number, and which sets of members are a quorum. No input or output here.
+
+Terms:
+
+- A *seat* identifies a replica: the address of its machine and the identity of its disk, as `10.0.0.1/9f3c`. A disk
+  that came back empty gets a new identity, so it is another seat, which has promised nothing; it is no member until
+  a change of the list makes it one.
+- A *member*, or *voter*, is a seat that counts towards a quorum.
+- A *learner* is a seat outside the list. It may have every version, and never counts.
+- A *joint* list is one with `former`: the change from the former list to the new one is under way, and both lists
+  must agree (joint consensus, as in the Raft dissertation, section 4.3).
+
+Rules that must hold:
+
+1. The list is part of the value that the replicas agree on. A change is decided by majorities of the list before it
+   and of the list after it.
+2. The next change begins only when `former` is empty again: one change at a time.
 """
 
 from __future__ import annotations
@@ -14,27 +23,35 @@
 from dataclasses import dataclass
 from typing import Any
 
-FIRST = "first"  # the disk's identity of a machine that starts with `bootstrap`
+FIRST = (
+    "first"  # identity of the disk of a machine that starts with `bootstrap`; peers and disks have this text
+)
 
 
 def seat(ip: str, disk: str) -> str:
-    """`10.0.0.1/9f3c…`."""
+    """Return the seat of this disk at this address, as `10.0.0.1/9f3c`."""
     return f"{ip}/{disk}"
 
 
 def ip_of(seat_: str) -> str:
-    """The machine of a seat."""
+    """Return the address of a seat's machine."""
     return seat_.partition("/")[0]
 
 
 def majority(seats: Iterable[str]) -> int:
-    """How many of them are enough."""
+    """Return how many of these seats are a majority."""
     return len(set(seats)) // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The list under its number, and while a change is under way the list before it."""
+    """A numbered list of members.
+
+    Attributes:
+        number: rises by one with each change of the list.
+        seats: the members.
+        former: the members before, while a change is under way; else empty.
+    """
 
     number: int
     seats: tuple[str, ...]
@@ -42,38 +59,43 @@
 
     @staticmethod
     def first(ips: Iterable[str]) -> Members:
-        """The list with which the whole system begins: the seeds, each with its first disk."""
+        """Return the list with which a system starts: the seed machines, each with its first disk."""
         return Members(0, tuple(sorted(seat(ip, FIRST) for ip in set(ips))))
 
     def voters(self) -> frozenset[str]:
-        """All that may count."""
+        """Return all seats that may count towards a quorum."""
         return frozenset(self.seats) | frozenset(self.former)
 
-    def is_quorum(self, heard: Iterable[str]) -> bool:
-        """Whether these are a majority of the list, and of the list before it while a change is under way."""
-        heard = set(heard)
-        lists = [seats for seats in (self.seats, self.former) if seats]
-        return bool(lists) and all(len(heard & set(seats)) >= majority(seats) for seats in lists)
+    def is_quorum(self, seats: Iterable[str]) -> bool:
+        """Whether these seats are a majority of the list, and of the former list while a change is under way."""
+        present = set(seats)
+        lists = [members for members in (self.seats, self.former) if members]
+        return bool(lists) and all(len(present & set(members)) >= majority(members) for members in lists)
 
     def ips(self) -> frozenset[str]:
-        """The machines of all that may count."""
+        """Return the addresses of the machines of all voters."""
         return frozenset(map(ip_of, self.voters()))
 
-    def change(self, seats: Iterable[str]) -> Members:
-        """The next list, joint with this one. ValueError where a change is under way."""
+    def enter_joint(self, seats: Iterable[str]) -> Members:
+        """Return the next list, joint with this one.
+
+        Raises:
+            ValueError: a change is under way already.
+        """
         if self.former:
             raise ValueError(f"list {self.number} is not settled")
         return Members(self.number + 1, tuple(sorted(set(seats))), self.seats)
 
-    def settled(self) -> Members:
-        """The same list alone."""
+    def leave_joint(self) -> Members:
+        """Return the same list without the former one: the change is complete."""
         return Members(self.number, self.seats)
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> list[object]:
+        """Return the form on the wire and on disk: number, seats, former seats."""
         return [self.number, list(self.seats), list(self.former)]
 
     @staticmethod
-    def decode(told: list[Any]) -> Members:
-        """ValueError, TypeError where it is none."""
-        number, seats, former = told
+    def decode(fields: list[Any]) -> Members:
+        """Read what `encode` made. Raises ValueError or TypeError where it is no list of members."""
+        number, seats, former = fields
         return Members(int(number), tuple(map(str, seats)), tuple(map(str, former)))
--- a/irisdeal/config_store/membership/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -1,4 +1,4 @@
-"""What the stores that run say of themselves, asked once by somebody who is no part of the core."""
+"""The status of all stores that run, requested once by somebody who is no replica."""
 
 from __future__ import annotations
 
@@ -6,84 +6,94 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from returns.result import Success
+from returns.result import Failure, Result, Success
 
 from irisdeal.config_store.consensus.register import UNKNOWN, Value
-from irisdeal.config_store.membership.members import Members
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.members import Members, majority
+from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime.settings import Address
 
-WITHIN = 1.0  # s for an answer: hundreds of times the way there and back
+TIMEOUT_S = 1.0  # for an answer: hundreds of round trips
+CLIENT_NAME = "irisdeal almanac"  # what stores of all releases are told of who asks
 
 
 @dataclass(frozen=True)
 class Survey:
-    """Reports by address, and why there is none."""
+    """Answers of stores.
 
-    reports: dict[Address, Report]
-    silent: dict[Address, str]
+    Attributes:
+        statuses: the status of each store that answered, by address.
+        failures: why there is none of each other store, by address.
+    """
+
+    statuses: dict[Address, ReplicaStatus]
+    failures: dict[Address, str]
 
     @property
     def decided(self) -> Value:
-        """The newest value that anyone knows to be decided; `UNKNOWN` where nobody does."""
+        """The newest value that any store knows to be decided; `UNKNOWN` where none does."""
         return max(
-            (report.decided for report in self.reports.values()),
+            (status.decided for status in self.statuses.values()),
             key=lambda value: value.change,
             default=UNKNOWN,
         )
 
     @property
     def members(self) -> Members:
+        """The newest list of members that any store knows."""
         return self.decided.members
 
-    def heard(self) -> frozenset[str]:
-        """The seats that answered."""
-        return frozenset(report.seat for report in self.reports.values())
+    def answered(self) -> frozenset[str]:
+        """Return the seats that answered."""
+        return frozenset(status.seat for status in self.statuses.values())
 
     @property
     def has_quorum(self) -> bool:
-        return self.members.is_quorum(self.heard())
+        """Whether a quorum of the newest list answered."""
+        return self.members.is_quorum(self.answered())
 
-    def can_lose(self) -> int:
-        """How many more members may be lost before no quorum lives; -1 where none does."""
+    def spare_members(self) -> int:
+        """Return how many more members may be lost before there is no quorum; -1 where there is none now."""
+        answered = self.answered()
         lists = [seats for seats in (self.members.seats, self.members.former) if seats]
-        return max(
-            -1, min((len(self.heard() & set(seats)) - len(seats) // 2 - 1 for seats in lists), default=-1)
-        )
+        spare = min((len(answered & set(seats)) - majority(seats) for seats in lists), default=-1)
+        return max(-1, spare)
 
     def learners(self) -> list[str]:
-        return sorted(self.heard() - self.members.voters())
+        """Return the seats that answered and are no members."""
+        return sorted(self.answered() - self.members.voters())
 
 
-async def ask(address: Address) -> Report | str:
-    """One store's report, or in words why there is none."""
-    link = RpcClient(address, "irisdeal almanac")
+async def request_status(address: Address) -> Result[ReplicaStatus, str]:
+    """Request one store's status. A failure says why there is none."""
+    client = RpcClient(address, CLIENT_NAME)
     try:
-        answer = await link.call("state", None, WITHIN)
-        return Report.decode(answer.unwrap()) if isinstance(answer, Success) else answer.failure().detail
+        answer = await client.call("state", None, TIMEOUT_S)
+        if isinstance(answer, Success):
+            return Success(ReplicaStatus.decode(answer.unwrap()))
+        return Failure(answer.failure().detail)
     except (ValueError, TypeError) as error:
-        return f"its answer is no report: {error}"
+        return Failure(f"its answer is no report: {error}")
     finally:
-        link.close()
+        client.close()
 
 
 async def survey(addresses: Iterable[Address]) -> Survey:
-    """These stores, and at the same ports all members that they name."""
-    asked: dict[Address, Report | str] = {}
+    """Ask these stores, and at the same ports all members that they name."""
+    statuses: dict[Address, ReplicaStatus] = {}
+    failures: dict[Address, str] = {}
     waiting = set(addresses)
     ports = {port for _, port in waiting}
     while waiting:
-        answers = await asyncio.gather(*(ask(address) for address in sorted(waiting)))
-        asked.update(zip(sorted(waiting), answers, strict=True))
-        ips = {
-            ip
-            for report in asked.values()
-            if isinstance(report, Report)
-            for ip in report.decided.members.ips() | {report.ip}
-        }
-        waiting = {(ip, port) for ip in ips for port in ports} - set(asked)
-    return Survey(
-        {address: report for address, report in asked.items() if isinstance(report, Report)},
-        {address: why for address, why in asked.items() if isinstance(why, str)},
-    )
+        asked = sorted(waiting)
+        answers = await asyncio.gather(*map(request_status, asked))
+        for address, answer in zip(asked, answers, strict=True):
+            if isinstance(answer, Success):
+                statuses[address] = answer.unwrap()
+            else:
+                failures[address] = answer.failure()
+        ips = {ip for status in statuses.values() for ip in status.decided.members.ips() | {status.ip}}
+        named = {(ip, port) for ip in ips for port in ports}
+        waiting = named - set(statuses) - set(failures)
+    return Survey(statuses, failures)
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -14,11 +14,12 @@
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import Proposer
 from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, PutOutcome, Value
-from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
+from irisdeal.config_store.membership.decided_value import value_for_read
 from irisdeal.config_store.membership.members import Members
-from irisdeal.config_store.membership.reconfiguration import may_go
-from irisdeal.config_store.membership.report import Report, read_from
-from irisdeal.config_store.membership.rounds import StatusRounds
+from irisdeal.config_store.membership.messages import ReplicaStatus
+from irisdeal.config_store.membership.reconfiguration import may_leave
+from irisdeal.config_store.membership.status_rounds import StatusRounds
 from irisdeal.config_store.messages import FetchRequest
 from irisdeal.config_store.metrics import StoreMetrics
 from irisdeal.config_store.peers import Peers, now
@@ -75,7 +76,7 @@
     async def stop(self) -> None:
         """End in order: hand over what is held, answer what is at work."""
         begun = now()
-        self.rounds.tell_leaving()
+        self.rounds.announce_leaving()
         await asyncio.sleep(PARTING)
         while not self._may_go() and now() < begun + HANDOVER:
             await asyncio.sleep(PARTING)
@@ -91,9 +92,9 @@
         self.peers.close()
 
     def _may_go(self) -> bool:
-        heard = self.rounds.heard
-        return not self.proposer.turn.locked() and may_go(
-            self.acceptor.decided, heard.reports, self.acceptor.seat, now(), heard.since
+        monitor = self.rounds.monitor
+        return not self.proposer.turn.locked() and may_leave(
+            self.acceptor.decided, monitor.statuses, self.acceptor.seat, now(), monitor.listening_since
         )
 
     def reload(self, settings: Settings) -> None:
@@ -133,18 +134,18 @@
     def announce(self, ballot: Ballot, value: Value) -> None:
         """We decided this: all hear of it."""
         self.learn(value, [])
-        for ip in self.rounds.others():
+        for ip in self.rounds.other_ips():
             self.peers.notify(ip, "decided", [ballot.encode(), value.encode()])
 
     async def _take_over(self, ips: list[str]) -> None:
         """The body of what is decided, of the newest where there are several by then."""
         while self.force.change < self.acceptor.decided.change:
             value = self.acceptor.decided
-            reports = sorted(self.rounds.heard.reports.values(), key=lambda heard: heard.at, reverse=True)
+            peers = sorted(self.rounds.monitor.statuses.values(), key=lambda peer: peer.at, reverse=True)
             held = [
-                heard.report.ip
-                for heard in reports  # those first that answered last
-                if heard.report.holds and heard.report.decided.version_id == value.version_id
+                peer.status.ip
+                for peer in peers  # those first that answered last
+                if peer.status.has_body and peer.status.decided.version_id == value.version_id
             ]
             if await self.peers.version(
                 value.version_id, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
@@ -168,8 +169,8 @@
         match kind:
             case "state":
                 if body is not None:  # else it is asked by somebody who is no part of the core
-                    self.rounds.hear(Report.decode(body))
-                return self.rounds.report().encode()
+                    self.rounds.record_status(ReplicaStatus.decode(body))
+                return self.rounds.own_status().encode()
             case "prepare" | "accept":
                 return await self._vote(*body)
             case "bring":
@@ -229,10 +230,10 @@
 
     async def _heard_value(self) -> Value | None:
         """What a quorum shows to be decided, asked now; None where a ballot is needed."""
-        known, own = self.rounds.members, self.rounds.report()
-        waiting = {self.tasks.start(self.rounds.ask(ip)) for ip in sorted(known.ips() - {self.ip})}
+        known, own = self.rounds.members, self.rounds.own_status()
+        waiting = {self.tasks.start(self.rounds.request_status(ip)) for ip in sorted(known.ips() - {self.ip})}
         reports = [own]
-        while (value := read_from(reports, known)) is None and waiting:
+        while (value := value_for_read(reports, known)) is None and waiting:
             answered, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             reports += [report for task in answered if (report := task.result()) is not None]
         return value
@@ -255,9 +256,6 @@
         if force.change >= change and force.version_id not in (sync_state.version_id, NO_VERSION):
             chunk = self.peers.chunk_for(sync_state, force.version_id)
         age = self.rounds.known_age(force.change)
-        return [
-            chunk.encode() if chunk is not None else None,
-            force.encode(),
-            self.rounds.learners(),
-            math.ceil(age * 1000) if age <= LEASE else -1,
-        ]
+        age_ms = math.ceil(age * 1000) if age <= CONTACT_LEASE_S else -1
+        encoded = chunk.encode() if chunk is not None else None
+        return [encoded, force.encode(), self.rounds.learners(), age_ms]
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -21,7 +21,7 @@
 from returns.result import Failure
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
-from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -42,7 +42,7 @@
 HOLD = 1.0  # s that a source holds an ask without news
 ASK = HOLD + 0.5  # s for news
 OLD = (
-    LEASE + HOLD
+    CONTACT_LEASE_S + HOLD
 )  # s: knowledge that is older when it comes is no contact; sources in order tell 1.1 at most
 LOST = (
     OLD + ASK
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -23,7 +23,7 @@
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import PutOutcome, Value
-from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.members import Members, ip_of, majority
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import SyncState
@@ -38,7 +38,7 @@
 HOLD = 1.0  # s that a store may hold a watch without news
 ANSWER = 0.4  # s for a short answer of a store
 PULSE = 0.2  # s between two asks for the age of what we know; on the same machine, so they cost no bytes on a link
-STALE = LEASE + PULSE + ANSWER  # s: knowledge that is older is no contact, whatever was said
+STALE = CONTACT_LEASE_S + PULSE + ANSWER  # s: knowledge that is older is no contact, whatever was said
 GRACE = 0.15  # s that another store is looked for before doors are told that there is no contact
 SEEK = (
     0.5  # s between two looks for a store that has contact, times 0.75 to 1.25: registries do not ask as one
--- a/tests/cli/test_store.py
+++ b/tests/cli/test_store.py
@@ -34,7 +34,7 @@
 )
 from irisdeal.config_store.membership import adoption, survey
 from irisdeal.config_store.membership.members import Members, ip_of, seat
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.membership.survey import survey as ask_all
 from irisdeal.config_store.storage.acceptor_state import NAME, AcceptorStateFile, PersistedState
@@ -74,11 +74,11 @@
     disk: str = "first",
     accepted: Value | None = None,
     holds: bool = True,
-) -> Report:
-    return Report(seat(ip, disk), "z", NO_BALLOT, accepted or decided, decided, holds)
+) -> ReplicaStatus:
+    return ReplicaStatus(seat(ip, disk), "z", NO_BALLOT, accepted or decided, decided, holds)
 
 
-def surveyed(*reports: Report, silent: Iterable[str] = ()) -> Survey:
+def surveyed(*reports: ReplicaStatus, silent: Iterable[str] = ()) -> Survey:
     return Survey({(told.ip, PORT): told for told in reports}, {(ip, PORT): "silent" for ip in silent})
 
 
@@ -146,15 +146,15 @@
                 server.close()
 
     found = asyncio.run(go())
-    assert found.has_quorum and found.can_lose() == 0 and found.decided == decided
-    assert list(found.silent) == [(ips[1], port)] and found.learners() == [f"{ips[3]}/first"]
+    assert found.has_quorum and found.spare_members() == 0 and found.decided == decided
+    assert list(found.failures) == [(ips[1], port)] and found.learners() == [f"{ips[3]}/first"]
 
 
 def test_no_quorum_is_told_also_while_a_change_is_under_way() -> None:
-    joint = value(5, 5, LIST.change([*LIST.seats, "10.0.0.4/x", "10.0.0.5/x"]))
-    assert surveyed(*(report(ip, joint) for ip in IPS)).can_lose() == 0
-    assert surveyed(*(report(ip, joint) for ip in IPS[:2])).can_lose() == -1
-    assert surveyed().can_lose() == -1 and not surveyed().has_quorum
+    joint = value(5, 5, LIST.enter_joint([*LIST.seats, "10.0.0.4/x", "10.0.0.5/x"]))
+    assert surveyed(*(report(ip, joint) for ip in IPS)).spare_members() == 0
+    assert surveyed(*(report(ip, joint) for ip in IPS[:2])).spare_members() == -1
+    assert surveyed().spare_members() == -1 and not surveyed().has_quorum
 
 
 # A new first list
@@ -258,7 +258,7 @@
     }
     now = planned.state.decided
     for seats in ([own, "10.0.0.2/new"], [own, "10.0.0.2/new", late]):
-        for wanted in (now.members.change(seats), now.members.change(seats).settled()):
+        for wanted in (now.members.enter_joint(seats), now.members.enter_joint(seats).leave_joint()):
             decided = decide(now.members, set_members(wanted), kept, own)
             assert decided is not None and decided.members == wanted
             now = decided
--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -14,7 +14,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import Ballot, PutOutcome, Value
-from irisdeal.config_store.membership.rounds import ROUND, SETTLE, SOON
+from irisdeal.config_store.membership.status_rounds import STATUS_INTERVAL_S, STATUS_WAIT_S, UNDECIDED_WAIT_S
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.runtime.settings import Settings, Tolerance
@@ -24,7 +24,8 @@
 from irisdeal.simulation.world import START, World
 from tests.support.core_rig import CutNetwork, zone_of
 
-SETTLED = 2 * (ROUND + SOON) + 2 * SETTLE + 0.08  # s: until it is seen, left so, seen again; and a ballot
+# s: until it is seen, is left undecided, is seen again; and a ballot
+DECIDED_WITHIN_S = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 0.08
 
 
 class Stores:
@@ -143,7 +144,7 @@
     assert when["outcome"] == PutOutcome.CONFIRMED and not wrong, wrong[:3]
     for host in rest:
         in_force = min(at for at, number in told[host] if number == 7)
-        assert in_force - when["confirmed"] <= SETTLED + 0.03, host
+        assert in_force - when["confirmed"] <= DECIDED_WITHIN_S + 0.03, host
 
 
 @pytest.mark.parametrize("offset", range(0, 13))
--- a/tests/config_store/test_reconfiguration.py
+++ b/tests/config_store/test_reconfiguration.py
@@ -11,17 +11,12 @@
 
 from irisdeal.config_store.consensus.register import NO_BALLOT, Value
 from irisdeal.config_store.membership import reconfiguration
+from irisdeal.config_store.membership.goals import ReconfigurationGoals
 from irisdeal.config_store.membership.members import FIRST, Members, majority, seat
-from irisdeal.config_store.membership.reconfiguration import (
-    DEAD,
-    MOST_HEARD,
-    Heard,
-    MembershipMonitor,
-    Wanted,
-    is_proposer,
-    next_members,
-)
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
+from irisdeal.config_store.membership.monitor import MAX_TRACKED_LEARNERS, MembershipMonitor
+from irisdeal.config_store.membership.reconfiguration import is_proposer, next_members
+from irisdeal.config_store.membership.view import DEAD_AFTER_S, MembershipView, PeerStatus
 from tests.support.membership_world import Machine, World
 
 CORES = (3, 4, 5)
@@ -52,8 +47,10 @@
     world.run(seconds, check)
 
 
-def reports(*seats: str, at: float = 10.0, value: Value) -> dict[str, Heard]:
-    return {name: Heard(at, Report(name, "z", NO_BALLOT, value, value, True), 0.0) for name in seats}
+def statuses_of(*seats: str, at: float = 10.0, value: Value) -> dict[str, PeerStatus]:
+    return {
+        name: PeerStatus(at, ReplicaStatus(name, "z", NO_BALLOT, value, value, True), 0.0) for name in seats
+    }
 
 
 # The policy by itself
@@ -64,10 +61,10 @@
 
 
 def test_an_unsettled_list_is_settled_first() -> None:
-    value = Value(1, first("a").version_id, Members.first("abc").change(["a/first", "b/first", "d/x"]))
-    heard = reports(*value.members.voters(), "e/x", value=value)
-    found = next_members(value, heard, "a/first", 10.0, Wanted())
-    assert found == value.members.settled()
+    value = Value(1, first("a").version_id, Members.first("abc").enter_joint(["a/first", "b/first", "d/x"]))
+    statuses = statuses_of(*value.members.voters(), "e/x", value=value)
+    found = next_members(value, statuses, "a/first", 10.0, ReconfigurationGoals())
+    assert found == value.members.leave_joint()
 
 
 def test_an_empty_list_has_no_quorum() -> None:
@@ -76,24 +73,25 @@
 
 def test_a_learner_never_proposes() -> None:
     value = first("a", "b", "c")
-    heard = reports("a/first", "b/first", "d/x", value=value)
-    assert next_members(value, heard, "d/x", 10.0, Wanted()) is None
-    assert not is_proposer(value, heard, "d/x", 10.0, 60.0)
+    statuses = statuses_of("a/first", "b/first", "d/x", value=value)
+    assert next_members(value, statuses, "d/x", 10.0, ReconfigurationGoals()) is None
+    assert not is_proposer(value, statuses, "d/x", 10.0, 60.0)
 
 
 def test_the_first_live_member_proposes_and_the_next_after_a_pause() -> None:
     value = first("a", "b", "c")
-    heard = reports("b/first", "c/first", value=value)
-    assert is_proposer(value, heard, "b/first", 10.0, 0.0)  # a is silent
-    assert not is_proposer(value, heard, "c/first", 10.0, 0.9)
-    assert is_proposer(value, heard, "c/first", 10.0, 1.0)
+    statuses = statuses_of("b/first", "c/first", value=value)
+    assert is_proposer(value, statuses, "b/first", 10.0, 0.0)  # a is silent
+    assert not is_proposer(value, statuses, "c/first", 10.0, 0.9)
+    assert is_proposer(value, statuses, "c/first", 10.0, 1.0)
 
 
 def test_silence_counts_from_when_this_process_listens() -> None:
     value = first("a", "b", "c")
-    heard = reports("a/first", "b/first", "d/x", at=100.0, value=value)
-    assert next_members(value, heard, "a/first", 100.0, Wanted(), since=100.0 - DEAD / 2) is None
-    assert next_members(value, heard, "a/first", 100.0, Wanted(), since=100.0 - DEAD) is not None
+    statuses = statuses_of("a/first", "b/first", "d/x", at=100.0, value=value)
+    goals, now = ReconfigurationGoals(), 100.0
+    assert next_members(value, statuses, "a/first", now, goals, now - DEAD_AFTER_S / 2) is None
+    assert next_members(value, statuses, "a/first", now, goals, now - DEAD_AFTER_S) is not None
 
 
 @pytest.mark.parametrize(
@@ -102,54 +100,54 @@
 )
 def test_a_learner_is_ready_when_it_holds_one_of_the_newest(change: int, holds: bool, goes: bool) -> None:
     value = Value(100, first("a").version_id, Members.first("abc"))
-    heard = reports("a/first", "b/first", value=value)
+    statuses = statuses_of("a/first", "b/first", value=value)
     behind = Value(change, value.version_id, value.members)
-    heard["d/x"] = Heard(10.0, Report("d/x", "z", NO_BALLOT, behind, behind, holds), 0.0)
-    assert (next_members(value, heard, "a/first", 10.0, Wanted()) is not None) is goes
+    statuses["d/x"] = PeerStatus(10.0, ReplicaStatus("d/x", "z", NO_BALLOT, behind, behind, holds), 0.0)
+    assert (next_members(value, statuses, "a/first", 10.0, ReconfigurationGoals()) is not None) is goes
 
 
 def test_no_change_without_a_live_majority_of_both_lists() -> None:
     value = first("a", "b", "c")
-    heard = reports("a/first", "d/x", "e/x", value=value)
-    assert next_members(value, heard, "a/first", 10.0, Wanted()) is None
+    statuses = statuses_of("a/first", "d/x", "e/x", value=value)
+    assert next_members(value, statuses, "a/first", 10.0, ReconfigurationGoals()) is None
 
 
 def test_a_lost_disk_is_replaced_by_the_new_one_of_its_machine_though_another_is_ready() -> None:
     value = first("a", "b", "c")
-    heard = reports("a/first", "b/first", "c/new", value=value)
-    heard.update(reports("c/first", "d/x", at=9.0, value=value))
-    found = next_members(value, heard, "a/first", 10.0, Wanted())
+    statuses = statuses_of("a/first", "b/first", "c/new", value=value)
+    statuses.update(statuses_of("c/first", "d/x", at=9.0, value=value))
+    found = next_members(value, statuses, "a/first", 10.0, ReconfigurationGoals())
     assert found is not None and found.seats == ("a/first", "b/first", "c/new")
 
 
 def test_what_begins_to_hold_is_told_once() -> None:
-    watch, value = MembershipMonitor(0.0), first("a", "b", "c")
+    monitor, value = MembershipMonitor(0.0), first("a", "b", "c")
     for name in ("a/first", "b/first", "d/x"):
-        watch.heard(Report(name, "z", NO_BALLOT, value, value, True), 10.0)
-    assert watch.news(value, "a/first", 10.0) == [(222, "c/first"), (223, "d/x")]
-    assert watch.news(value, "a/first", 10.1) == []
+        monitor.record_status(ReplicaStatus(name, "z", NO_BALLOT, value, value, True), 10.0)
+    assert monitor.new_events(value, "a/first", 10.0) == [(222, "c/first"), (223, "d/x")]
+    assert monitor.new_events(value, "a/first", 10.1) == []
     for name in ("b/y", "c/z"):
-        watch.heard(Report(name, "z", NO_BALLOT, value, value, False), 10.2)
-    assert watch.news(value, "a/first", 10.3) == [(222, "b/first"), (226, "a/first")]
+        monitor.record_status(ReplicaStatus(name, "z", NO_BALLOT, value, value, False), 10.2)
+    assert monitor.new_events(value, "a/first", 10.3) == [(222, "b/first"), (226, "a/first")]
 
 
 def test_all_disks_lost_is_told_once_every_start_is_over() -> None:
-    watch, nothing = MembershipMonitor(0.0), Value(-1, first("a").version_id, Members(-1, ()))
-    watch.heard(Report("b/y", "z", NO_BALLOT, nothing, nothing, False), 14.0)
-    assert watch.news(nothing, "a/x", 14.9) == []
-    assert watch.news(nothing, "a/x", 15.0) == [(226, "a/x")]
-    watch.heard(Report("c/z", "z", NO_BALLOT, nothing, first("c"), False), 15.0)
-    assert watch.news(nothing, "a/x", 15.1) == []
+    monitor, nothing = MembershipMonitor(0.0), Value(-1, first("a").version_id, Members(-1, ()))
+    monitor.record_status(ReplicaStatus("b/y", "z", NO_BALLOT, nothing, nothing, False), 14.0)
+    assert monitor.new_events(nothing, "a/x", 14.9) == []
+    assert monitor.new_events(nothing, "a/x", 15.0) == [(226, "a/x")]
+    monitor.record_status(ReplicaStatus("c/z", "z", NO_BALLOT, nothing, first("c"), False), 15.0)
+    assert monitor.new_events(nothing, "a/x", 15.1) == []
 
 
 def test_what_is_remembered_is_bounded() -> None:
-    watch, value = MembershipMonitor(0.0), first("a")
-    for number in range(3 * MOST_HEARD):
-        watch.heard(Report(f"l{number}/x", "z", NO_BALLOT, value, value, True), number / 100)
-    watch.next(value, "a/first", 10.0, Wanted())
-    assert len(watch.reports) == MOST_HEARD
-    watch.next(value, "a/first", 90.0, Wanted())
-    assert not watch.reports
+    monitor, value = MembershipMonitor(0.0), first("a")
+    for number in range(3 * MAX_TRACKED_LEARNERS):
+        monitor.record_status(ReplicaStatus(f"l{number}/x", "z", NO_BALLOT, value, value, True), number / 100)
+    monitor.next_proposal(value, "a/first", 10.0, ReconfigurationGoals())
+    assert len(monitor.statuses) == MAX_TRACKED_LEARNERS
+    monitor.next_proposal(value, "a/first", 90.0, ReconfigurationGoals())
+    assert not monitor.statuses
 
 
 # A core in virtual time
@@ -253,12 +251,12 @@
 
 
 def test_a_member_that_only_a_dead_one_heard_is_not_kept_for_ever() -> None:
-    watch, old = MembershipMonitor(0.0), first("a", "b", "c")
+    monitor, old = MembershipMonitor(0.0), first("a", "b", "c")
     new = Value(2, old.version_id, Members(1, ("b/first", "c/first", "d/x")))
     for value, at in ((old, 10.0), (new, 10.5), (new, 69.0), (new, 71.0)):
         for name in ("b/first", "c/first", "e/x"):
-            watch.heard(Report(name, "z", NO_BALLOT, value, value, True), at)
-        found = watch.next(value, "b/first", at, Wanted())
+            monitor.record_status(ReplicaStatus(name, "z", NO_BALLOT, value, value, True), at)
+        found = monitor.next_proposal(value, "b/first", at, ReconfigurationGoals())
         if value is new:
             assert (found is not None) is (at > 70.5)
 
@@ -312,8 +310,8 @@
 
 def test_a_large_core_spreads_its_members_and_loses_a_zone() -> None:
     """23 machines in 10 zones and 4 regions: five vote, in five zones; two zones are lost in turn."""
-    wanted = Wanted(1, 1, 0, {f"z{number}": f"r{number % 4}" for number in range(10)})
-    world = World(23, wanted, zones=10)
+    goals = ReconfigurationGoals(1, 1, 0, {f"z{number}": f"r{number % 4}" for number in range(10)})
+    world = World(23, goals, zones=10)
     world.run(20.0)
     seats = world.value.members.seats
     zones = {machine.seat: machine.zone for machine in world.machines.values()}
@@ -332,13 +330,13 @@
 
 
 def test_members_of_one_zone_are_changed_for_some_elsewhere() -> None:
-    wanted = Wanted(1, 1)
-    world = World(3, wanted, zones=1)
+    goals = ReconfigurationGoals(1, 1)
+    world = World(3, goals, zones=1)
     for number in range(6):
         world.add(zone=f"y{number % 3}")
     world.run(30.0)
     zones = {machine.seat: machine.zone for machine in world.machines.values()}
-    assert wanted.worst(zones[name] for name in world.value.members.seats) <= 2 and world.settled()
+    assert goals.largest_loss(zones[name] for name in world.value.members.seats) <= 2 and world.settled()
 
 
 @pytest.mark.parametrize("late", [0, 1, 2])
@@ -451,15 +449,15 @@
 # Planted bugs, each of which the days above must find
 
 
-def learners_count(self: Members, heard: Iterable[str]) -> bool:
-    return all(len(set(heard)) >= majority(seats) for seats in (self.seats, self.former) if seats)
+def learners_count(self: Members, present: Iterable[str]) -> bool:
+    return all(len(set(present)) >= majority(seats) for seats in (self.seats, self.former) if seats)
 
 
 def old_majority_alone(old: Value, new: Value) -> tuple[Members, ...]:
     return (Members(0, old.members.former or old.members.seats),)
 
 
-def drops_all_dead(view: reconfiguration._View) -> frozenset[str] | None:
+def drops_all_dead(view: MembershipView) -> frozenset[str] | None:
     dead = view.seats - view.live(view.seats)
     return view.seats - dead if dead else None
 
@@ -507,7 +505,7 @@
 
 def test_a_leaver_that_goes_first_is_found() -> None:
     with pytest.raises(Breach):
-        leave_while_another_is_away(begun(3, goes=lambda value, watch, own, now: True))
+        leave_while_another_is_away(begun(3, goes=lambda value, monitor, own, now: True))
 
 
 def test_a_removal_below_tolerance_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -27,8 +27,9 @@
     put,
     same,
 )
+from irisdeal.config_store.membership.decided_value import decided_among, value_for_read
 from irisdeal.config_store.membership.members import Members
-from irisdeal.config_store.membership.report import Report, decided_among, read_from
+from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
@@ -70,7 +71,7 @@
 
 
 def test_a_base_with_another_list_is_finished_as_it_is() -> None:
-    joint = FIRST.members.change(("a", "b", "d"))
+    joint = FIRST.members.enter_joint(("a", "b", "d"))
     accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.version_id, joint))
     ballot = Round(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
     empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
@@ -104,17 +105,17 @@
 def test_what_is_read_is_decided_and_of_a_quorum() -> None:
     new = put(VersionId(1, b"x"))(FIRST)
 
-    def report(seat: str, ballot: Ballot, value: Value) -> Report:
-        return Report(seat, "z", ballot, value, FIRST, True)
+    def report(seat: str, ballot: Ballot, value: Value) -> ReplicaStatus:
+        return ReplicaStatus(seat, "z", ballot, value, FIRST, True)
 
     one, old = report("a", Ballot(1, "a"), new), report("b", NO_BALLOT, FIRST)
-    assert read_from([one], FIRST.members) is None
-    assert read_from([one, old], FIRST.members) is None  # may be decided by a and c, or be lost
-    assert read_from([one, report("c", Ballot(1, "a"), new), old], FIRST.members) == new
-    assert read_from([old, report("c", NO_BALLOT, FIRST)], FIRST.members) == FIRST
+    assert value_for_read([one], FIRST.members) is None
+    assert value_for_read([one, old], FIRST.members) is None  # may be decided by a and c, or be lost
+    assert value_for_read([one, report("c", Ballot(1, "a"), new), old], FIRST.members) == new
+    assert value_for_read([old, report("c", NO_BALLOT, FIRST)], FIRST.members) == FIRST
     assert decided_among([one, old]) is None
     empty = report("d", NO_BALLOT, UNKNOWN)
-    assert decided_among([empty]) is None and read_from([empty], UNKNOWN.members) is None
+    assert decided_among([empty]) is None and value_for_read([empty], UNKNOWN.members) is None
 
 
 # The program
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -11,9 +11,9 @@
 from benchmarks.register_states import PLANS, THREE, A, B, orders, search
 from irisdeal.config_store.consensus import register
 from irisdeal.config_store.consensus.register import AcceptorState, Ballot, Step, Value
-from irisdeal.config_store.membership import report
+from irisdeal.config_store.membership import decided_value
 from irisdeal.config_store.membership.members import Members, majority
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
 
 ONE_READ = {"ballots": (1, 1), "reads": 1}
 FEW = 12_000  # states of each plan here; `python -m benchmarks.register_states` looks at millions
@@ -51,7 +51,7 @@
 def _old_majority_alone(patch: pytest.MonkeyPatch) -> None:
     """No joint list: the next one is decided by the one before it, and holds at once."""
 
-    def change(self: Members, seats: Iterable[str]) -> Members:
+    def enter_joint(self: Members, seats: Iterable[str]) -> Members:
         return Members(self.number + 1, tuple(sorted(set(seats))))
 
     def set_members(members: Members) -> register.Change:
@@ -64,7 +64,7 @@
             self.value, self.step = self.change(self.base), Step.ACCEPTING
         return self.step
 
-    patch.setattr(Members, "change", change)
+    patch.setattr(Members, "enter_joint", enter_joint)
     patch.setattr(register, "set_members", set_members)
     patch.setattr(register.Round, "on_promise", on_promise)
     patch.setattr(register.Round, "lists", lambda self: [self.known])
@@ -97,20 +97,20 @@
 
 
 def _reads_what_is_not_safe(patch: pytest.MonkeyPatch) -> None:
-    def read_from(reports: Iterable[Report], known: Members) -> Value | None:
+    def value_for_read(reports: Iterable[ReplicaStatus], known: Members) -> Value | None:
         heard = list(reports)
         if not known.is_quorum(one.seat for one in heard):
             return None
         return max(heard, key=lambda one: one.accepted).value
 
-    patch.setattr(report, "read_from", read_from)
+    patch.setattr(decided_value, "value_for_read", value_for_read)
 
 
 def _in_force_before_decided(patch: pytest.MonkeyPatch) -> None:
-    def decided_among(reports: Iterable[Report]) -> Value | None:
+    def decided_among(reports: Iterable[ReplicaStatus]) -> Value | None:
         return max((one.value for one in reports), key=lambda value: value.change, default=None)
 
-    patch.setattr(report, "decided_among", decided_among)
+    patch.setattr(decided_value, "decided_among", decided_among)
 
 
 def _nothing(patch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_sources.py
+++ b/tests/proxy/test_sources.py
@@ -17,9 +17,14 @@
 import pytest
 
 from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
-from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SETTLE, SOON
+from irisdeal.config_store.membership.status_rounds import (
+    STATUS_INTERVAL_S,
+    STATUS_TIMEOUT_S,
+    STATUS_WAIT_S,
+    UNDECIDED_WAIT_S,
+)
 from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy import config_apply, sources
@@ -41,7 +46,7 @@
 SLACK = 0.02  # s of the grain at which the tests look
 
 # Between two asks that a quorum answers: the oldest that a store in order is, with a dead member beside it.
-STORE = ROUND + ANSWER + WAY
+STORE = STATUS_INTERVAL_S + STATUS_TIMEOUT_S + WAY
 # What a registry tells, and what a door makes of it when it comes and just before the next answer does.
 REGISTRY = STORE + store_client_module.PULSE + WAY
 DOOR = max(REGISTRY, watch.HOLD) + WAY + watch.HOLD + WAY
@@ -49,9 +54,9 @@
 APPLY = STORE + 2 * WAY
 # Confirmed by a member that is cut off before anybody heard: seen open in a round, left so for a while, then
 # a ballot at the next look.
-OPEN = 2 * (ROUND + SOON) + 2 * SETTLE + 2 * WAY
+OPEN = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
-LEAVE_CUT = LEASE + store_client_module.PULSE + store_client_module.GRACE + WAY
+LEAVE_CUT = CONTACT_LEASE_S + store_client_module.PULSE + store_client_module.GRACE + WAY
 # One that says nothing: an ask that was sent just before.
 LEAVE_SILENT = sources.ASK
 # To another one, where all that was used was of no use.
@@ -75,7 +80,7 @@
 
 
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
-    assert ROUND + SOON <= STORE < LEASE
+    assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
     assert REGISTRY < store_client_module.STALE
     assert max(REGISTRY, watch.HOLD) + WAY < sources.OLD
     assert DOOR < sources.LOST
@@ -226,7 +231,7 @@
     assert both
     assert not wrong, wrong[:3]
     assert not rig.late(LEAVE_CUT + TURN)
-    assert rig.late(LEASE / 2, since=8.0), "nobody had to wait for the turn: nothing is shown"
+    assert rig.late(CONTACT_LEASE_S / 2, since=8.0), "nobody had to wait for the turn: nothing is shown"
 
 
 def test_without_any_contact_doors_keep_what_they_have_say_so_once_and_do_not_press(
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -217,7 +217,7 @@
     assert peers.zones.keys() == set(rig.hosts) and gone in peers.links
     rig.ask(2.1, one, b"POST", b"/backends/i-2/heartbeat", heartbeat().replace(b'"z0"', b'"z2"'))
     before = rig.first.members
-    members = before.change([seat for seat in before.seats if gone not in seat]).settled()
+    members = before.enter_joint([seat for seat in before.seats if gone not in seat]).leave_joint()
     rig.at(3.0, partial(rig.decide, 1, [one, other], members))
     rig.at(3.0, partial(rig.kill, gone))
     rig.ask(4.0, one, b"POST", b"/backends/i-2/heartbeat", heartbeat(count=2).replace(b'"z0"', b'"z2"'))
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -11,7 +11,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import PutOutcome, Value
-from irisdeal.config_store.membership.contact import LEASE
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.registry import store_client as store_client_module
@@ -173,7 +173,9 @@
         ),
     )
     rig.play(12.0)
-    assert 5.0 < lost[0] <= 5.0 + LEASE + store_client_module.PULSE + store_client_module.GRACE + WAY
+    assert (
+        5.0 < lost[0] <= 5.0 + CONTACT_LEASE_S + store_client_module.PULSE + store_client_module.GRACE + WAY
+    )
     assert back[0] <= 9.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + WAY
 
 
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -16,9 +16,13 @@
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.register import Value
-from irisdeal.config_store.membership.contact import LEASE, Contact
+from irisdeal.config_store.membership.contact import CONTACT_LEASE_S, QuorumContact
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.membership.rounds import ANSWER, ROUND, SEEKING
+from irisdeal.config_store.membership.status_rounds import (
+    SEARCH_INTERVAL_S,
+    STATUS_INTERVAL_S,
+    STATUS_TIMEOUT_S,
+)
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.sources import Sources
@@ -83,7 +87,7 @@
 
 
 class StandIn:
-    """One store. It shares nothing with the real one but `Contact`, `Value` and the parcels."""
+    """One store. It shares nothing with the real one but `QuorumContact`, `Value` and the parcels."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip, self.seat = rig, ip, seat(ip, FIRST)
@@ -91,7 +95,7 @@
         self.value, self.version = rig.first, rig.first_word
         self.learners: list[str] = []
         self.version_store = VersionStore()
-        self.contact = Contact()
+        self.contact = QuorumContact()
         self.news = asyncio.Event()
         self.links: dict[str, RpcClient] = {}
         self.server = RpcServer(self.handle)
@@ -105,24 +109,24 @@
         while True:
             self.contact.tick(loop.time())
             await asyncio.gather(*(self.ask(ip) for ip in self.value.members.ips() - {self.ip}))
-            await asyncio.sleep(ROUND if self.has_contact() else SEEKING)
+            await asyncio.sleep(STATUS_INTERVAL_S if self.has_contact() else SEARCH_INTERVAL_S)
 
     def age(self) -> float:
         return self.contact.age(self.value.members, self.seat, asyncio.get_running_loop().time())
 
     def has_contact(self) -> bool:
-        return self.age() <= LEASE
+        return self.age() <= CONTACT_LEASE_S
 
     async def ask(self, ip: str) -> None:
         if ip not in self.links:
             self.links[ip] = RpcClient((ip, ports.port(self.settings, ports.CONFIG_STORE)), self.ip)
         sent = asyncio.get_running_loop().time()
-        answer = await self.links[ip].call("state", None, ANSWER)
+        answer = await self.links[ip].call("state", None, STATUS_TIMEOUT_S)
         if isinstance(answer, Success):
             told, body = answer.unwrap()
             value = Value.decode(told)
             self.take(value, ConfigVersion(value.version_id, bytes(body)))
-            self.contact.heard(seat(ip, FIRST), sent)
+            self.contact.record_answer(seat(ip, FIRST), sent)
 
     def take(self, value: Value, version: ConfigVersion) -> None:
         if value.change > self.value.change:
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -259,7 +259,7 @@
 async def store_joint(path: Path) -> None:
     """A change of the list is under way."""
     acceptor, first = await opened(path, first_value()), first_value()
-    joint = first.members.change([*first.members.seats[:2], seat("10.3.0.1", "5b" * 8)])
+    joint = first.members.enter_joint([*first.members.seats[:2], seat("10.3.0.1", "5b" * 8)])
     value = Value(first.change + 1, first.version_id, joint)
     await accepted(acceptor, 2, value, None)
     await decided(acceptor, value)
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -21,7 +21,7 @@
 
 from returns.result import Result, Success
 
-from irisdeal.config_store.membership.survey import ask as survey_one
+from irisdeal.config_store.membership.survey import request_status as survey_one
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.http1.messages import Request
 from irisdeal.permits.prefetched import PrefetchedPermits
--- a/tests/support/membership_world.py
+++ b/tests/support/membership_world.py
@@ -11,9 +11,11 @@
 
 from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.config_store.consensus.register import NO_BALLOT, Value, put, set_members
+from irisdeal.config_store.membership.goals import ReconfigurationGoals
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.membership.reconfiguration import MembershipMonitor, Wanted, may_go
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
+from irisdeal.config_store.membership.monitor import MembershipMonitor
+from irisdeal.config_store.membership.reconfiguration import may_leave
 
 EMPTY = Value(-1, NO_VERSION, Members(-1, ()))  # what an empty disk knows
 STEP = 0.1  # s
@@ -33,7 +35,7 @@
     known: Value
     held: int  # the newest change that its disk holds
     up_at: float  # when it listens
-    watch: MembershipMonitor
+    monitor: MembershipMonitor
     down: bool = False
     frozen: bool = False
     cut: bool = False
@@ -51,12 +53,12 @@
     """`now` in s. `lists`: each list that was decided, with its time."""
 
     cores: int
-    wanted: Wanted = field(default_factory=Wanted)
+    goals: ReconfigurationGoals = field(default_factory=ReconfigurationGoals)
     zones: int = 3
     now: float = 0.0
     steps: int = 0
-    goes: Callable[[Value, MembershipMonitor, str, float], bool] = lambda value, watch, own, now: may_go(
-        value, watch.reports, own, now, watch.since
+    goes: Callable[[Value, MembershipMonitor, str, float], bool] = lambda value, monitor, own, now: may_leave(
+        value, monitor.statuses, own, now, monitor.listening_since
     )
     counted: Callable[[Value, Value], tuple[Members, ...]] = lambda old, new: (old.members, new.members)
     machines: dict[str, Machine] = field(default_factory=dict)
@@ -99,14 +101,14 @@
             machine.disk, machine.held, machine.known = f"disk{self.steps}", -1, EMPTY
         machine.down, machine.term_at, machine.well_at = False, None, self.now
         machine.up_at = self.now + BOOT
-        machine.watch = MembershipMonitor(machine.up_at)
+        machine.monitor = MembershipMonitor(machine.up_at)
 
     def freeze(self, machine: Machine) -> None:
         machine.frozen = True
 
     def thaw(self, machine: Machine) -> None:
         machine.frozen, machine.well_at = False, self.now
-        machine.watch.woke(self.now)
+        machine.monitor.reset_after_stall(self.now)
 
     def cut(self, machine: Machine) -> None:
         machine.cut = True
@@ -157,7 +159,7 @@
             or last.cut
             or last.term_at is not None
             or any(last.ip in pair for pair in self.apart)
-            or self.now < last.well_at + self.wanted.sync
+            or self.now < last.well_at + self.goals.sync_s
         )
 
     def live_seats(self) -> set[str]:
@@ -202,11 +204,11 @@
         """Whether it was told to end and goes now."""
         since = -1.0 if machine.term_at is None else self.now - machine.term_at
         return since >= GRACE or (
-            since >= 1.0 and self.goes(machine.known, machine.watch, machine.seat, self.now)
+            since >= 1.0 and self.goes(machine.known, machine.monitor, machine.seat, self.now)
         )
 
-    def _report(self, machine: Machine) -> Report:
-        return Report(
+    def _report(self, machine: Machine) -> ReplicaStatus:
+        return ReplicaStatus(
             machine.seat,
             machine.zone,
             NO_BALLOT,
@@ -220,14 +222,14 @@
         """Ask all, fetch what is newer, and propose where it is our turn."""
         reached = self.reached(machine)
         for other in reached:
-            machine.watch.heard(self._report(other), self.now)
+            machine.monitor.record_status(self._report(other), self.now)
         newest = max((other.known for other in reached), key=lambda value: value.change)
         if machine.known.change < newest.change:
             machine.known = newest
         machine.held = max(machine.held, *(other.held for other in reached))
-        machine.watch.heard(self._report(machine), self.now)
+        machine.monitor.record_status(self._report(machine), self.now)
         if machine.known.members.is_quorum(other.seat for other in reached):  # in contact
-            wanted = machine.watch.next(machine.known, machine.seat, self.now, self.wanted)
+            wanted = machine.monitor.next_proposal(machine.known, machine.seat, self.now, self.goals)
             if wanted is not None:
                 self.propose(machine, wanted)
 
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -25,10 +25,10 @@
     on_accept,
     on_prepare,
 )
-from irisdeal.config_store.membership.contact import Contact
+from irisdeal.config_store.membership.contact import QuorumContact
 from irisdeal.config_store.membership.members import Members, ip_of, majority
-from irisdeal.config_store.membership.report import Report
-from irisdeal.config_store.membership.rounds import StatusRounds
+from irisdeal.config_store.membership.messages import ReplicaStatus
+from irisdeal.config_store.membership.status_rounds import StatusRounds
 from irisdeal.config_store.peers import now
 from irisdeal.config_store.replica import StoreReplica
 
@@ -80,21 +80,21 @@
     return await VOTE(self, self.acceptor.seat, ballot, value)
 
 
-async def lease_from_answer(self: StatusRounds, ip: str) -> Report | None:
+async def lease_from_answer(self: StatusRounds, ip: str) -> ReplicaStatus | None:
     """Contact counts from when the answer came."""
-    answer = await self.peers.call(ip, "state", self.report().encode(), MOST_ANSWER)
+    answer = await self.peers.call(ip, "state", self.own_status().encode(), MOST_ANSWER)
     if not isinstance(answer, Success):
         return None
-    report = Report.decode(answer.unwrap())
-    self.hear(report)
-    self.contact.heard(report.seat, now(), report.value.change)
+    report = ReplicaStatus.decode(answer.unwrap())
+    self.record_status(report)
+    self.contact.record_answer(report.seat, now(), report.value.change)
     return report
 
 
 async def value_unsafe(self: StoreReplica) -> Value | None:
     """The highest value that a majority tells of, decided or not."""
-    known, own = self.rounds.members, self.rounds.report()
-    heard = await asyncio.gather(*(self.rounds.ask(ip) for ip in sorted(known.ips() - {self.ip})))
+    known, own = self.rounds.members, self.rounds.own_status()
+    heard = await asyncio.gather(*(self.rounds.request_status(ip) for ip in sorted(known.ips() - {self.ip})))
     reports = [own, *(report for report in heard if report)]
     is_enough = known.is_quorum(report.seat for report in reports)
     return max(reports, key=lambda report: report.accepted).value if is_enough else None
@@ -136,7 +136,7 @@
     return PutOutcome.CONFIRMED if await self.acceptor.save_version(version) else PutOutcome.LATER
 
 
-def never_woke(self: Contact, moment: float) -> bool:
+def never_woke(self: QuorumContact, moment: float) -> bool:
     """A process that stood still goes on as before."""
     return False
 
@@ -150,7 +150,10 @@
     "accept after a higher promise": [(Acceptor, "accept", accept_after_higher)],
     "list changed with the old majority alone": [(Members, "is_quorum", old_majority_alone)],
     "learner counted": [(Members, "is_quorum", learner_counted), (StoreReplica, "_vote", any_disk_answers)],
-    "lease from the answer": [(StatusRounds, "ask", lease_from_answer), (Contact, "tick", never_woke)],
+    "lease from the answer": [
+        (StatusRounds, "request_status", lease_from_answer),
+        (QuorumContact, "tick", never_woke),
+    ],
     "read without making safe": [(StoreReplica, "_heard_value", value_unsafe)],
     "read alone": [(StoreReplica, "read", read_alone)],
     "body in force before decided": [(StoreReplica, "_vote", force_undecided)],
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -28,7 +28,7 @@
     Value,
 )
 from irisdeal.config_store.membership.members import FIRST, Members, seat
-from irisdeal.config_store.membership.report import Report
+from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -118,7 +118,7 @@
 
 
 def report(told: Any) -> Any:
-    return Report.decode(told).encode()
+    return ReplicaStatus.decode(told).encode()
 
 
 def sync_state(told: Any) -> Any:
@@ -220,14 +220,20 @@
     first, second, long = versions()
     members = Members.first(ips)
     begun, now = Value.first(members), Value(300, second.version_id, members)
-    joint = Value(301, second.version_id, members.change([*members.seats[:2], seat("10.3.0.1", "5b" * 8)]))
+    joint = Value(
+        301, second.version_id, members.enter_joint([*members.seats[:2], seat("10.3.0.1", "5b" * 8)])
+    )
     here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
     low, high = Ballot(3, here), Ballot(70_000, there)
     arriving = SyncState(first.version_id, long.version_id, CHUNK_BYTES).encode()
-    told = Report(here, "z0", low, now, now, True).encode()
+    told = ReplicaStatus(here, "z0", low, now, now, True).encode()
     samples = [
-        Sample("state", "of a member", told, Report(there, "z1", high, joint, now, False, True).encode()),
-        Sample("state", "of nobody", None, Report(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).encode()),
+        Sample(
+            "state", "of a member", told, ReplicaStatus(there, "z1", high, joint, now, False, True).encode()
+        ),
+        Sample(
+            "state", "of nobody", None, ReplicaStatus(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).encode()
+        ),
         Sample("prepare", "promised", [there, high.encode()], [True, AcceptorState(high, low, now).encode()]),
         Sample(
             "prepare",
