--- a/benchmarks/capacity/tally.py
+++ b/benchmarks/capacity/tally.py
@@ -40,7 +40,7 @@
         """Count all frames of this process from now on."""
         tally = self
 
-        class Reader(frames.Reader):
+        class FrameReader(frames.FrameReader):
             """Counts what comes, and remembers the kind of each call until it is answered."""
 
             def __init__(self) -> None:
@@ -48,9 +48,9 @@
                 self.kinds: dict[int, str] = {}
 
             def feed(self, data: bytes) -> Iterator[Any]:
-                before = len(self.rest) + len(data)
+                before = len(self.buffer) + len(data)
                 for item in super().feed(data):
-                    size, before = before - len(self.rest), len(self.rest)
+                    size, before = before - len(self.buffer), len(self.buffer)
                     if isinstance(item[1], str):
                         tally.add(f"in {item[1]}", size)
                         self.kinds[item[0]] = item[1]
@@ -65,18 +65,18 @@
             )
             return data
 
-        original: Any = server._Answers._write
+        original: Any = server._ServerConnection._write
 
         def write(answers: Any, *told: Any) -> None:
             number = told[0][0] if isinstance(told[0], list) else told[0]
             tally.answering = answers.reader.kinds.pop(number, "?")
             original(answers, *told)
 
-        names: dict[str, Any] = {"Reader": Reader, "encode": encode}
+        names: dict[str, Any] = {"FrameReader": FrameReader, "encode": encode}
         for name, value in names.items():
             setattr(client, name, value)
             setattr(server, name, value)
-        server._Answers._write = write  # type: ignore[method-assign, assignment]
+        server._ServerConnection._write = write  # type: ignore[method-assign, assignment]
 
 
 def report(tally: Tally) -> None:
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -22,7 +22,7 @@
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.placement.load_reports import key
-from irisdeal.rpc.calls import name_of
+from irisdeal.rpc.calls import process_name
 
 CROSSING = (
     0.6  # of a usual time, that another zone must be quicker by: its bytes are dear, its load is told late
@@ -201,8 +201,8 @@
     def ended(self, door: str, number: int, how: AttemptResult, ratio: float, now: float) -> str | None:
         """The end of a place; the service at which there may be room now. `ratio`: s it took over the usual."""
         place = self.places.get(number)
-        name = name_of(door)
-        if place is None or name_of(place.door) != name:
+        name = process_name(door)
+        if place is None or process_name(place.door) != name:
             return None
         del self.places[number]
         self._freed(place.door, number)
@@ -245,7 +245,7 @@
             place = self.places.pop(number)
             self.choice.record_end(place.backend, place.begun)
             services.add(place.backend.service)
-        self.failing.pop(name_of(door), None)
+        self.failing.pop(process_name(door), None)
         return services
 
     def look(self, now: float) -> set[str]:
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -14,7 +14,7 @@
 from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
 from irisdeal.registry.messages import IntervalReply, IntervalReport, IntervalSum
-from irisdeal.rpc.calls import name_of
+from irisdeal.rpc.calls import process_name
 from irisdeal.runtime.settings import Settings
 
 SUM_AT = 0.45  # of an interval, when the sum of the one before is told: proxies have told theirs by 0.3
@@ -143,7 +143,7 @@
         now = self.loop.time()
         self.edge.hear(report.position, now)
         if report.number >= 0:
-            self.counter.hear(key(name_of(peer)), report.number, report.usages, now)
+            self.counter.hear(key(process_name(peer)), report.number, report.usages, now)
         reserve = self.issuer.handle_report(report.held, self.age(), now)
         total = self.counter.total
         told = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
--- a/irisdeal/rpc/__init__.py
+++ b/irisdeal/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateway's own processes say to each other: bounded frames of CBOR over TCP, calls and answers."""
+"""Calls between the gateway's own processes: bounded frames of CBOR over TCP, requests, answers, notifications."""
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -1,351 +1,295 @@
-"""Every call between our processes and to and from outside, as data: a kind that is not here cannot be sent.
+"""The specification of every call between our processes; a call that is not specified here cannot be sent.
 
-A call is known by its number on its connection, and its answer by the same two: numbers only rise on one
-connection and a connection ends with either process, so no answer of an earlier life, of another connection or
-that comes twice is taken for this one. A link never sends a call again: whether it may be sent again, and by whom,
-is what stands here. No input or output.
+A call is identified by its request id on its connection, and so is its answer. Request ids only rise on one
+connection, and a connection ends with either process: an answer to an earlier incarnation, one over another
+connection or a second one is never taken for the answer to this call. A client sends each call once; whether it may
+be sent again, and by whom, is the call's `RetryRule`. This module does no input or output.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
 
 
+class CallKind(Enum):
+    """The calls between our processes. The values are the wire's, which peers of other versions parse."""
+
+    REPORT_STATE = "state"
+    PREPARE = "prepare"
+    ACCEPT = "accept"
+    PUSH_VERSION = "bring"
+    FETCH_VERSION = "fetch"
+    NOTIFY_COMMITTED = "decided"
+    WATCH_STORE = "watch"
+    PUT_CONFIGURATION = "put"
+    READ_CONFIGURATION = "read"
+    WATCH_REGISTRY = "news"
+    REPORT_INCARNATIONS = "lives"
+    REPORT_INTERVAL = "count"
+    RESERVE = "place"
+    RESERVE_QUEUED = "wait"
+    RELEASE = "ended"
+    REPLICATE_INCARNATIONS = "told"
+    LIST_BACKENDS = "all"
+    LIST_INCARNATIONS = "all_lives"
+    REPORT_TOTALS = "sums"
+    REPORT_LOADS = "loads"
+    BORROW_PERMITS = "lend"
+
+
 class RetryRule(Enum):
-    """Who may send a call again after a reset or a silence."""
+    """Who may send a call again after a connection reset or a time-out. The values are the page's text."""
 
-    ANYONE = "anyone, at any time"  # to be told twice is to be told once
-    ASKER = "who asked, or another door that it is sent to"  # the body names it, and the answer is the same
-    NEVER = "nobody"  # what it takes is taken each time
-    UNRUN = "the door, where it has not run"
+    ANYONE = "anyone, at any time"  # idempotent: the second one changes nothing
+    CALLER = "the caller, or another proxy that it is sent to"  # the body identifies it, and the answer is the same
+    NEVER = "nobody"  # each one takes something
+    PROXY_IF_NOT_RUN = "the proxy, where it has not run"
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One kind. `version`: may be told one way, without an answer."""
-
-    kind: str
-    asker: str
-    answerer: str
-    again: RetryRule
-    named: str  # what names it, for whom it comes to twice
-    reset: str  # what is known after a reset once the first byte was sent
-    silence: str  # what whoever asked does after its time
-    version: bool = False
-    ends_with_asker: bool = False  # cancelled where who asked has given it up, or its connection has ended
+class CallSpec:
+    """One call: who makes it, who answers it, and what holds where its answer does not come."""
 
+    kind: str  # as on the wire
+    caller: str
+    callee: str
+    retry: RetryRule
+    identified_by: str  # by what the callee recognizes a second one
+    after_reset: str  # what is known after a reset once the first byte was sent
+    after_timeout: str  # what the caller does once its time is over
+    is_one_way: bool = False  # may be sent as a notification, without an answer
+    ends_with_caller: bool = False  # cancelled once the caller gives it up, or its connection has ended
 
-CANCEL = "cancel"  # the word of a link itself that gives up a call; its body is the call's number
 
-NUMBER = "number of the call, connection"  # what each answer between our processes is matched by
+CANCEL = "cancel"  # the notification of a client that gives up a call; its body is the call's request id
 
-ENDS = "; the work ends with who asked"
+_NOTHING = "nothing: it is sent anew"
+_NEXT = "calls the next one, from its own state"
+_BY_BALLOT = "goes on with those that answered, else with a higher ballot"
+_BY_BODY = "number and digest of the body"
+_BY_INCARNATION = "each incarnation's id, state and count"
 
-_NOTHING = "nothing: it is asked anew"
-_ANEW = "asks the next one, from what it has"
 
-CALLS = {
-    call.kind: call
-    for call in (
-        # Between stores
-        Call(
-            "state",
-            "config_store",
-            "config_store",
-            RetryRule.ANYONE,
-            "the seat in the report",
-            _NOTHING,
-            "asks again next round",
-        ),
-        Call(
-            "prepare",
-            "config_store",
-            "config_store",
-            RetryRule.ASKER,
-            "the ballot",
-            "the promise may stand",
-            "goes on with those that answered, else a higher ballot",
-        ),
-        Call(
-            "accept",
-            "config_store",
-            "config_store",
-            RetryRule.ASKER,
-            "the ballot, with its one value",
-            "it may be accepted",
-            "goes on with those that answered, else a higher ballot",
-        ),
-        Call(
-            "bring",
-            "config_store",
-            "config_store",
-            RetryRule.ANYONE,
-            "number and digest of the body",
-            "it may be held",
-            "brings it again with the next round",
-        ),
-        Call(
-            "fetch",
-            "config_store",
-            "config_store",
-            RetryRule.ANYONE,
-            "number and digest of the body",
-            _NOTHING,
-            "asks the next one that has it",
-        ),
-        Call(
-            "decided",
-            "config_store",
-            "config_store",
-            RetryRule.ANYONE,
-            "the ballot, with its one value",
-            _NOTHING,
-            "the next `state` tells it",
-            version=True,
-        ),
-        # The registry at the store
-        Call(
-            "watch",
-            "registry",
-            "config_store",
-            RetryRule.ANYONE,
-            "what the asker has",
-            _NOTHING,
-            _ANEW,
-            ends_with_asker=True,
-        ),
-        Call(
-            "put",
-            "registry",
-            "config_store",
-            RetryRule.ASKER,
-            "number and digest of the body",
-            "it may be decided",
-            "503: the operator sends it again",
-        ),
-        Call(
-            "read",
-            "registry",
-            "config_store",
-            RetryRule.ANYONE,
-            "-",
-            _NOTHING,
-            "503: the operator asks again",
-        ),
-        # Doors at registries
-        Call(
-            "news",
-            "proxy",
-            "registry",
-            RetryRule.ANYONE,
-            "what the door has, and the registry's life",
-            _NOTHING,
-            _ANEW,
-            ends_with_asker=True,
-        ),
-        Call(
-            "lives",
-            "proxy",
-            "registry",
-            RetryRule.ANYONE,
-            "each life's id, state and count",
-            "they may be known",
-            "nothing: another source has them, and beats come",
-        ),
-        Call(
-            "count",
-            "proxy",
-            "registry",
-            RetryRule.ANYONE,
-            "the door and the interval's number; of what it holds, a number that rises",
-            "it may be counted, and permits may be granted that come nowhere",
-            "tells the next one: counted twice in one total at most",
-        ),
-        Call(
-            "place",
-            "proxy",
-            "registry",
-            RetryRule.NEVER,
-            "-",
-            "a permit, a repeat and a place may be taken: the place is free once its connection ends",
-            "asks another or goes by its own view; the place of a late answer is told as ended",
-        ),
-        Call(
-            "wait",
-            "proxy",
-            "registry",
-            RetryRule.NEVER,
-            "-",
-            "a place may be taken: free once its connection ends",
-            "chooses by itself; the place of a late answer is told as ended",
-            ends_with_asker=True,
-        ),
-        Call(
-            "ended",
-            "proxy",
-            "registry",
-            RetryRule.ANYONE,
-            "the place's number, which begins elsewhere in each life",
-            "the place may count until its time is over",
-            "-",
-            version=True,
-        ),
-        # Between registries
-        Call(
-            "told",
-            "registry",
-            "registry",
-            RetryRule.ANYONE,
-            "each life's id, state and count",
-            "they may be known",
-            "tells it again with the next beat; an end is not acknowledged",
-        ),
-        Call("all", "registry", "registry", RetryRule.ANYONE, "-", _NOTHING, "asks again 0.5 s later"),
-        Call("all_lives", "registry", "registry", RetryRule.ANYONE, "-", _NOTHING, "asks again 0.25 s later"),
-        Call(
-            "sums",
-            "registry",
-            "registry",
-            RetryRule.ANYONE,
-            "the registry and the interval's number",
-            "it may be heard",
-            "the next one counts",
-            version=True,
-        ),
-        Call(
-            "loads",
-            "registry",
-            "registry",
-            RetryRule.ANYONE,
-            "the registry; the newest counts, for 1.5 s",
-            "it may be heard",
-            "the next one counts",
-            version=True,
-        ),
-        Call(
-            "lend",
-            "registry",
-            "registry",
-            RetryRule.NEVER,
-            "-",
-            "permits may be gone there, and come nowhere",
-            "goes without: they are lost until they refill, and never doubled",
-        ),
-    )
-}
+_STORE_CALLS = (
+    CallSpec(
+        kind=CallKind.REPORT_STATE.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by="the acceptor's identity in the report",
+        after_reset=_NOTHING,
+        after_timeout="calls again in the next round",
+    ),
+    CallSpec(
+        kind=CallKind.PREPARE.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.CALLER,
+        identified_by="the ballot",
+        after_reset="the ballot may have been promised",
+        after_timeout=_BY_BALLOT,
+    ),
+    CallSpec(
+        kind=CallKind.ACCEPT.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.CALLER,
+        identified_by="the ballot, with its one value",
+        after_reset="the value may have been accepted",
+        after_timeout=_BY_BALLOT,
+    ),
+    CallSpec(
+        kind=CallKind.PUSH_VERSION.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by=_BY_BODY,
+        after_reset="it may have been stored",
+        after_timeout="pushes it again in the next round",
+    ),
+    CallSpec(
+        kind=CallKind.FETCH_VERSION.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by=_BY_BODY,
+        after_reset=_NOTHING,
+        after_timeout="calls the next one that has it",
+    ),
+    CallSpec(
+        kind=CallKind.NOTIFY_COMMITTED.value,
+        caller="config_store",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by="the ballot, with its one value",
+        after_reset=_NOTHING,
+        after_timeout="the next `state` reports it",
+        is_one_way=True,
+    ),
+    CallSpec(
+        kind=CallKind.WATCH_STORE.value,
+        caller="registry",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by="the caller's sync state",
+        after_reset=_NOTHING,
+        after_timeout=_NEXT,
+        ends_with_caller=True,
+    ),
+    CallSpec(
+        kind=CallKind.PUT_CONFIGURATION.value,
+        caller="registry",
+        callee="config_store",
+        retry=RetryRule.CALLER,
+        identified_by=_BY_BODY,
+        after_reset="it may have been committed",
+        after_timeout="503: the operator sends it again",
+    ),
+    CallSpec(
+        kind=CallKind.READ_CONFIGURATION.value,
+        caller="registry",
+        callee="config_store",
+        retry=RetryRule.ANYONE,
+        identified_by="-",
+        after_reset=_NOTHING,
+        after_timeout="503: the operator sends it again",
+    ),
+)
 
-OUTSIDE = (
-    Call(
-        "a request",
-        "client",
-        "proxy",
-        RetryRule.UNRUN,
-        "X-Irisdeal-Attempt-Id, one for each try",
-        "the client's own rules: the door answers one connection's requests in their order",
-        "the client's; all work for a client that has left ends, but an attempt that runs once and may have begun",
+_REGISTRY_CALLS = (
+    CallSpec(
+        kind=CallKind.WATCH_REGISTRY.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="the proxy's sync state, and the registry's incarnation",
+        after_reset=_NOTHING,
+        after_timeout=_NEXT,
+        ends_with_caller=True,
+    ),
+    CallSpec(
+        kind=CallKind.REPORT_INCARNATIONS.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by=_BY_INCARNATION,
+        after_reset="they may have been received",
+        after_timeout="nothing: another registry has them, and heartbeats follow",
+    ),
+    CallSpec(
+        kind=CallKind.REPORT_INTERVAL.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="the proxy and the interval's number; a rising number for the permits that it has reserved",
+        after_reset="it may have been counted, and permits may have been granted that reach nobody",
+        after_timeout="reports to the next one: counted twice in one total at most",
+    ),
+    CallSpec(
+        kind=CallKind.RESERVE.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.NEVER,
+        identified_by="-",
+        after_reset="a permit, a retry and a slot may have been taken: the slot is free once its connection ends",
+        after_timeout="calls another or goes by its own view; the slot of a late answer is released",
     ),
-    Call(
-        "an attempt",
-        "proxy",
-        "backend",
-        RetryRule.UNRUN,
-        "X-Irisdeal-Attempt-Id, with X-Irisdeal-Target-Backend the life",
-        "it may have run: sent again only where the route is idempotent, and never promised",
-        "likewise; the connection is done with, so a late answer meets nobody",
+    CallSpec(
+        kind=CallKind.RESERVE_QUEUED.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.NEVER,
+        identified_by="-",
+        after_reset="a slot may have been taken: free once its connection ends",
+        after_timeout="chooses by itself; the slot of a late answer is released",
+        ends_with_caller=True,
     ),
-    Call(
-        "POST heartbeat",
-        "backend",
-        "registry",
-        RetryRule.ANYONE,
-        "the life's id and `call_count`",
-        "it may be known",
-        "the backend calls the next door",
+    CallSpec(
+        kind=CallKind.RELEASE.value,
+        caller="proxy",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="the reservation's number, which starts elsewhere in each incarnation",
+        after_reset="the slot may count until its time is over",
+        after_timeout="-",
+        is_one_way=True,
     ),
-    Call(
-        "POST deregister",
-        "backend",
-        "registry",
-        RetryRule.ANYONE,
-        "the life's id",
-        "it may be known",
-        "the backend calls the next door",
+    CallSpec(
+        kind=CallKind.REPLICATE_INCARNATIONS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by=_BY_INCARNATION,
+        after_reset="they may have been received",
+        after_timeout="sends it again with the next heartbeat; the end of an incarnation is not acknowledged",
     ),
-    Call(
-        "POST /config/replace",
-        "operator",
-        "registry",
-        RetryRule.ASKER,
-        "the version and the body's digest",
-        "it may be decided",
-        "the operator sends it again, to any door",
+    CallSpec(
+        kind=CallKind.LIST_BACKENDS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="-",
+        after_reset=_NOTHING,
+        after_timeout="calls again 0.5 s later",
     ),
-    Call(
-        "GET /config/read", "operator", "registry", RetryRule.ANYONE, "-", _NOTHING, "the operator asks again"
+    CallSpec(
+        kind=CallKind.LIST_INCARNATIONS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="-",
+        after_reset=_NOTHING,
+        after_timeout="calls again 0.25 s later",
     ),
-    Call("GET /status", "anyone", "registry", RetryRule.ANYONE, "-", _NOTHING, "-"),
-    Call(
-        "GET /readiness",
-        "platform",
-        "proxy",
-        RetryRule.ANYONE,
-        "-",
-        _NOTHING,
-        "two misses, and the door is out",
+    CallSpec(
+        kind=CallKind.REPORT_TOTALS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="the registry and the interval's number",
+        after_reset="it may have been received",
+        after_timeout="the next one counts",
+        is_one_way=True,
+    ),
+    CallSpec(
+        kind=CallKind.REPORT_LOADS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.ANYONE,
+        identified_by="the registry; the newest counts, for 1.5 s",
+        after_reset="it may have been received",
+        after_timeout="the next one counts",
+        is_one_way=True,
+    ),
+    CallSpec(
+        kind=CallKind.BORROW_PERMITS.value,
+        caller="registry",
+        callee="registry",
+        retry=RetryRule.NEVER,
+        identified_by="-",
+        after_reset="permits may be gone there, and reach nobody",
+        after_timeout="goes without: they are lost until they refill, and never doubled",
     ),
 )
 
+CALLS: dict[str, CallSpec] = {call.kind: call for call in (*_STORE_CALLS, *_REGISTRY_CALLS)}
+
 
-def name_of(peer: str) -> str:
-    """Who a peer is, whichever of its connections this is: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
+def process_name(peer: str) -> str:
+    """The process of a peer, over whichever connection: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
     return peer.partition("#")[0]
 
 
-def ends_with_asker(kind: str) -> bool:
-    """Whether a call of this kind is worked on for who asked alone, and is cancelled with it."""
+def ends_with_caller(kind: str) -> bool:
+    """Whether a call of this kind is worked on for its caller alone, and is cancelled with it."""
     call = CALLS.get(kind)
-    return call is not None and call.ends_with_asker
+    return call is not None and call.ends_with_caller
 
 
-def may_send(kind: str, is_one_way: bool) -> str | None:
-    """Why this cannot be sent, None where it can."""
+def reason_not_to_send(kind: str, is_one_way: bool) -> str | None:
+    """Why a call of this kind cannot be sent; None where it can. A peer gets the text as an error answer."""
     call = CALLS.get(kind)
     if call is None:
         return f"no call {kind!r}"
-    return f"{kind!r} wants an answer" if is_one_way and not call.version else None
-
-
-def table(calls: Iterable[Call], matched: str) -> str:
-    """These calls as a table of a page. `matched`: what an answer is matched by."""
-    heads = (
-        "call",
-        "from, to",
-        "again by",
-        "named by",
-        "answer matched by",
-        "a reset after the first byte",
-        "a silence",
-    )
-    lines = [f"| {' | '.join(heads)} |", "| --- " * len(heads) + "|"]
-    lines += [
-        f"| `{call.kind}`{', a version' if call.version else ''} | {call.asker}, {call.answerer} "
-        f"| {call.again.value} | {call.named} | {'no answer' if call.version else matched} "
-        f"| {call.reset} | {call.silence}{ENDS if call.ends_with_asker else ''} |"
-        for call in calls
-    ]
-    return "\n".join(lines) + "\n"
-
-
-def page() -> str:
-    """The tables in docs/design/control.md."""
-    return (
-        table(CALLS.values(), NUMBER)
-        + "\nFrom and to outside:\n\n"
-        + table(OUTSIDE, "order on its connection; to a backend its id as well")
-    )
-
-
-if __name__ == "__main__":
-    print(page(), end="")
+    return f"{kind!r} wants an answer" if is_one_way and not call.is_one_way else None
--- a/irisdeal/rpc/frames.py
+++ b/irisdeal/rpc/frames.py
@@ -1,4 +1,4 @@
-"""Frames: four bytes of length, then one CBOR item. No input or output here."""
+"""Frames of the calls between processes: four bytes of length, then one CBOR item. No input or output here."""
 
 from __future__ import annotations
 
@@ -8,45 +8,47 @@
 
 import cbor2
 
-HELLO = 0  # the number of a connection's first item: who calls
-ONE_WAY = -1  # the number of a word that wants no answer
-HEAD = 4  # bytes of length, big-endian
-MOST_FRAME = 16 << 20  # bytes: several times the longest configuration there is
+HELLO = 0  # the request id of a connection's first item, which names the caller
+ONE_WAY = -1  # the request id of a notification, which has no answer
+LENGTH_BYTES = 4  # of the length in front of each frame, big-endian
+MAX_FRAME_BYTES = 16 << 20  # several times the longest configuration there is
 
+WireValue = Any  # a value as CBOR reads it; its shape is checked by the message's `decode`
 
-class BadFrame(Exception):
-    """What came is no frame; the connection is done with."""
 
+class InvalidFrameError(Exception):
+    """The bytes received are no frame, or the item is none that may come here; the connection has to be closed."""
 
-def encode(item: Any) -> bytes:
-    """One frame. ValueError where the item is too long."""
+
+def encode(item: object) -> bytes:
+    """Encode one item as a frame. ValueError where it is longer than `MAX_FRAME_BYTES`."""
     body = cbor2.dumps(item)
-    if len(body) > MOST_FRAME:
-        raise ValueError(f"a frame of {len(body)} bytes, most {MOST_FRAME}")
-    return len(body).to_bytes(HEAD, "big") + body
+    if len(body) > MAX_FRAME_BYTES:
+        raise ValueError(f"a frame of {len(body)} bytes, most {MAX_FRAME_BYTES}")
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-class Reader:
-    """Takes bytes as they come, gives whole items."""
+class FrameReader:
+    """Splits the bytes of one connection into items."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()
-
-    def feed(self, data: bytes) -> Iterator[Any]:
-        """The items that are whole by now. BadFrame where bytes are none."""
-        self.rest += data
-        while len(self.rest) >= HEAD:
-            length = int.from_bytes(self.rest[:HEAD], "big")
-            if length > MOST_FRAME:
-                raise BadFrame(f"{length} bytes announced, most {MOST_FRAME}")
-            if len(self.rest) < HEAD + length:
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> Iterator[WireValue]:
+        """Append `data` and yield the items that are complete. InvalidFrameError where the bytes are no frame."""
+        self.buffer += data
+        while len(self.buffer) >= LENGTH_BYTES:
+            length = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
+            if length > MAX_FRAME_BYTES:
+                raise InvalidFrameError(f"{length} bytes announced, most {MAX_FRAME_BYTES}")
+            if len(self.buffer) < LENGTH_BYTES + length:
                 return
-            body = BytesIO(self.rest[HEAD : HEAD + length])
-            del self.rest[: HEAD + length]
+            body = BytesIO(self.buffer[LENGTH_BYTES : LENGTH_BYTES + length])
+            del self.buffer[: LENGTH_BYTES + length]
             try:
                 item = cbor2.load(body)
-            except Exception as error:  # its decoder raises more kinds than its own
-                raise BadFrame(repr(error)) from error
+            except Exception as error:  # cbor2's decoder raises more types than its own
+                raise InvalidFrameError(repr(error)) from error
             if body.tell() != length:
-                raise BadFrame(f"{length - body.tell()} bytes behind the item")
+                raise InvalidFrameError(f"{length - body.tell()} bytes behind the item")
             yield item
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -1,223 +1,254 @@
 """The answering side of calls between processes.
 
-A call of a kind that is worked on for its asker alone (`calls.py`) runs in a task that ends with its asker: when it
-is given up, and when the connection over which it came ends.
+A call of a kind that is worked on for its caller alone (`CallSpec.ends_with_caller`) runs in a task that is
+cancelled with its caller: when the caller gives it up, and when the connection over which it came ends.
 
-A server ends by a drain: it begins no further call but those of `still`, lets what is at work come to its end,
-closes its end of each connection behind the last answer, and is over once the callers have closed theirs.
+A server shuts down by a drain: it begins no further call, except of the kinds that are still accepted, lets those
+at work run to their end, closes its end of each connection behind the last answer, and is done once the callers
+have closed theirs.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any, cast
+from typing import cast
 
-from irisdeal.rpc.calls import CANCEL, ends_with_asker, may_send, name_of
-from irisdeal.rpc.frames import HELLO, ONE_WAY, BadFrame, Reader, encode
-from irisdeal.rpc.transport import tune
+from irisdeal.rpc.calls import CANCEL, ends_with_caller, process_name, reason_not_to_send
+from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, InvalidFrameError, WireValue, encode
+from irisdeal.rpc.transport import set_socket_options
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Address
 
-MOST_CALLS = 256  # calls of one connection at work at once; more are answered with an error
-DRAIN_LOOK_S = 0.02  # between two looks at what a drain waits for
-LEAVING = "this process ends"
-
-Handler = Callable[[str, str, Any], Awaitable[Any]]  # peer, kind, body
-Quick = Callable[[str, str, Any], Any]  # likewise, answered at once; `DEFERRED` where it cannot be
+MAX_CALLS_AT_WORK = 256  # of one connection; more are answered with an error
+DRAIN_POLL_S = 0.02  # between two checks of what a drain waits for
+LISTEN_BACKLOG = (
+    256  # connections that the kernel keeps until they are accepted: each proxy's and core machine's
+)
+# Error answers. They are the wire's: callers of other versions log them.
+DRAINING_TEXT = "this process ends"
+TOO_MANY_CALLS_TEXT = "too many calls at once"
+CANCELLED_TEXT = "given up"
+
+Handler = Callable[[str, str, WireValue], Awaitable[WireValue]]  # peer, kind, body -> answer
+ImmediateHandler = Callable[
+    [str, str, WireValue], WireValue
+]  # likewise, `DEFERRED` where it cannot answer at once
 DEFERRED = object()
+AnswerTask = asyncio.Task[tuple[bool, WireValue]]  # whether the call succeeded, and its answer
 
 
-class _Answers(asyncio.Protocol):
-    """The answering end of one connection. `peer`: who calls and over which one, as `proxy 10.1.0.3#17`."""
+class _ServerConnection(asyncio.Protocol):
+    """The answering end of one connection. `peer`: the caller and the connection, as `proxy 10.1.0.3#17`."""
 
     def __init__(self, server: RpcServer) -> None:
-        self.server, self.reader, self.peer, self.last = server, Reader(), "", HELLO
+        self.server = server
+        self.reader = FrameReader()
+        self.peer = ""  # until the hello has come
+        self.last_request_id = HELLO
         self.transport: asyncio.Transport | None = None
-        self.at_work: dict[int, asyncio.Task[tuple[bool, Any]]] = {}
-        self.ending: dict[
-            int, asyncio.Task[tuple[bool, Any]]
-        ] = {}  # of these, those that end with their asker
+        self.at_work: dict[int, AnswerTask] = {}  # by request id; of a notification by a number below 0
+        self.ending_with_caller: dict[
+            int, AnswerTask
+        ] = {}  # those of `at_work` that are cancelled with their caller
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set the socket's options (asyncio.Protocol)."""
         self.transport = cast(asyncio.Transport, transport)
-        tune(transport)
+        set_socket_options(transport)
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel what was worked on for the caller alone (asyncio.Protocol)."""
         self.transport = None
         self.server.connections.discard(self)
-        self.cancel_held()
-        self._lost()
+        self.cancel_caller_bound_calls()
+        self._report_lost()
 
-    def cancel_held(self) -> None:
-        """End the calls that are worked on for their askers alone."""
-        for task in list(self.ending.values()):
+    def cancel_caller_bound_calls(self) -> None:
+        """Cancel the calls that are worked on for their callers alone."""
+        for task in list(self.ending_with_caller.values()):
             task.cancel()
 
-    def _lost(self) -> None:
-        if self.server.lost is not None and self.peer:
-            self.server.lost(self.peer)
+    def _report_lost(self) -> None:
+        if self.server.on_connection_lost is not None and self.peer:
+            self.server.on_connection_lost(self.peer)
 
     def data_received(self, data: bytes) -> None:
+        """Run the calls in these bytes (asyncio.Protocol)."""
         try:
             for item in self.reader.feed(data):
                 if self.transport is None:
                     return
-                self._take(item)
-        except BadFrame as error:
+                self._receive(item)
+        except InvalidFrameError as error:
             log_event(Event.FRAME_INVALID, peer=self.peer, error=error)
             if self.transport is not None:
                 self.transport.abort()
 
-    def _take(self, item: Any) -> None:
-        """One item. BadFrame where it is none, or not in its order: nothing behind it can be trusted."""
+    def _receive(self, item: WireValue) -> None:
+        """Take one item. InvalidFrameError where it is no call or not in its order: nothing behind it can be
+        trusted.
+        """
         if type(item) is not list or len(item) != 3 or type(item[0]) is not int or type(item[1]) is not str:
-            raise BadFrame("no call")
-        number, kind, body = item
-        if number == HELLO:
-            if self.peer:
-                raise BadFrame("a second name")
-            self.peer = self.server.peer(str(body))
-            return
+            raise InvalidFrameError("no call")
+        request_id, kind, body = item
+        if request_id == HELLO:
+            return self._receive_hello(body)
         if not self.peer:
-            raise BadFrame("a call before a name")
-        is_one_way = number == ONE_WAY
-        if not is_one_way:
-            if number <= self.last:  # it came twice: what it takes would be taken twice
-                log_event(Event.DUPLICATE_CALL, peer=self.peer, kind=kind, call=number, last=self.last)
-                raise BadFrame("a call that was heard before")
-            self.last = number
-        if is_one_way and kind == CANCEL:
-            return self._cancel(body)
-        if (why := may_send(kind, is_one_way)) is not None:
-            return self._write(number, False, why)
-        self._run(number, kind, body)
-
-    def _cancel(self, number: Any) -> None:
-        """Its asker has given it up; one that is over is no more here."""
-        task = self.ending.get(number) if type(number) is int else None
+            raise InvalidFrameError("a call before the caller's name")
+        if request_id == ONE_WAY:
+            if kind == CANCEL:
+                return self._cancel(body)
+        elif request_id <= self.last_request_id:  # a second one: what it takes would be taken twice
+            log_event(
+                Event.DUPLICATE_CALL, peer=self.peer, kind=kind, call=request_id, last=self.last_request_id
+            )
+            raise InvalidFrameError("a call that was received before")
+        else:
+            self.last_request_id = request_id
+        if (reason := reason_not_to_send(kind, request_id == ONE_WAY)) is not None:
+            return self._write(request_id, False, reason)
+        self._run(request_id, kind, body)
+
+    def _receive_hello(self, name: WireValue) -> None:
+        if self.peer:
+            raise InvalidFrameError("a second name of the caller")
+        self.peer = self.server.peer_of(str(name))
+
+    def _cancel(self, request_id: WireValue) -> None:
+        """The caller has given this call up; it may be done already."""
+        task = self.ending_with_caller.get(request_id) if type(request_id) is int else None
         if task is not None:
             task.cancel()
 
-    def _run(self, number: int, kind: str, body: Any) -> None:
-        if not self.server.takes(kind):
-            return self._write(number, False, LEAVING)
-        if self.server.quick is not None:
+    def _run(self, request_id: int, kind: str, body: WireValue) -> None:
+        """Answer at once where the immediate handler can, or begin a task."""
+        if not self.server.accepts(kind):
+            return self._write(request_id, False, DRAINING_TEXT)
+        if self.server.immediate_handler is not None:
             try:
-                answer = self.server.quick(self.peer, kind, body)
-            except Exception as error:  # as of a handler: the caller must hear of it, and the others go on
+                answer = self.server.immediate_handler(self.peer, kind, body)
+            except (
+                Exception
+            ) as error:  # as in `_answer`: the caller has to be answered, and other calls go on
                 log_event(Event.TASK_FAILED, call=kind, peer=self.peer, error=repr(error))
-                return self._write(number, False, repr(error))
+                return self._write(request_id, False, repr(error))
             if answer is not DEFERRED:
-                return self._write(number, True, answer)
-        if len(self.at_work) >= MOST_CALLS:
-            return self._write(number, False, "too many calls at once")
-        self._begin(number, kind, body)
+                return self._write(request_id, True, answer)
+        if len(self.at_work) >= MAX_CALLS_AT_WORK:
+            return self._write(request_id, False, TOO_MANY_CALLS_TEXT)
+        self._begin(request_id, kind, body)
 
-    def _begin(self, number: int, kind: str, body: Any) -> None:
+    def _begin(self, request_id: int, kind: str, body: WireValue) -> None:
         task = self.server.tasks.start(self._answer(kind, body))
-        key = number if number != ONE_WAY else -id(task)  # several words may be at work at once
+        key = (
+            request_id if request_id != ONE_WAY else -id(task)
+        )  # several notifications may be at work at once
         self.at_work[key] = task
-        if ends_with_asker(kind):
-            self.ending[key] = task
-        task.add_done_callback(lambda over: self._answered(number, key, over))
+        if ends_with_caller(kind):
+            self.ending_with_caller[key] = task
+        task.add_done_callback(lambda done: self._finish_call(request_id, key, done))
 
-    async def _answer(self, kind: str, body: Any) -> tuple[bool, Any]:
-        """Whether it went well, and the answer."""
+    async def _answer(self, kind: str, body: WireValue) -> tuple[bool, WireValue]:
+        """Whether the call succeeded, and its answer or the error's text."""
         try:
             return True, await self.server.handler(self.peer, kind, body)
-        except Exception as error:  # whatever it is, the caller must hear of it
+        except Exception as error:  # of any type: the caller has to be answered
             log_event(Event.TASK_FAILED, call=kind, peer=self.peer, error=repr(error))
             return False, repr(error)
 
-    def _answered(self, number: int, key: int, task: asyncio.Task[tuple[bool, Any]]) -> None:
+    def _finish_call(self, request_id: int, key: int, task: AnswerTask) -> None:
         del self.at_work[key]
-        self.ending.pop(key, None)
-        good, answer = (False, "given up") if task.cancelled() else task.result()
+        self.ending_with_caller.pop(key, None)
+        is_success, answer = (False, CANCELLED_TEXT) if task.cancelled() else task.result()
         if self.transport is None:
-            self._lost()  # what it was given came after its end was heard
-        self._write(number, good, answer)
+            self._report_lost()  # what the call granted came after the connection's end was reported
+        self._write(request_id, is_success, answer)
 
-    def _write(self, number: int, good: bool, answer: Any) -> None:
-        if self.transport is None or number == ONE_WAY:
+    def _write(self, request_id: int, is_success: bool, answer: WireValue) -> None:
+        if self.transport is None or request_id == ONE_WAY:
             return
         try:
-            frame = encode([number, good, answer])
-        except ValueError as error:  # too long: silence would be taken for a dead machine
-            frame = encode([number, False, str(error)])
+            frame = encode([request_id, is_success, answer])
+        except ValueError as error:  # too long; without an answer this process would be taken for dead
+            frame = encode([request_id, False, str(error)])
         self.transport.write(frame)
 
-    def finish(self) -> None:
-        """No further answer comes: close our end behind the last one."""
+    def close_behind_last_answer(self) -> None:
+        """No further answer comes: close this end once all that is written is sent."""
         if self.transport is None or self.transport.is_closing():
             return
         try:
             self.transport.write_eof()
-        except OSError:  # its caller has gone
+        except OSError:  # the caller has gone
             self.transport.abort()
 
 
 class RpcServer:
-    """Answers the calls that come to an address. A handler that raises answers with the error.
-
-    `quick` is asked first, and `lost` hears of each connection that ended, by the name under which its calls came;
-    again, where a call that it had sent was answered only behind its end.
-    """
+    """Answers the calls that come to an address. An exception of a handler is logged and answered as an error."""
 
     def __init__(
-        self, handler: Handler, quick: Quick | None = None, lost: Callable[[str], None] | None = None
+        self,
+        handler: Handler,
+        immediate_handler: ImmediateHandler | None = None,
+        on_connection_lost: Callable[[str], None] | None = None,
     ) -> None:
-        self.handler, self.quick, self.lost, self.tasks = handler, quick, lost, Tasks()
-        self.connections: set[_Answers] = set()
+        """`immediate_handler` is asked before `handler`. `on_connection_lost` is called with the peer of each
+        connection that ended, and again where a call over it is answered only after its end.
+        """
+        self.handler, self.immediate_handler = handler, immediate_handler
+        self.on_connection_lost = on_connection_lost
+        self.tasks = Tasks()
+        self.connections: set[_ServerConnection] = set()
         self.listening: asyncio.Server | None = None
-        self.met = 0
-        self.still: frozenset[str] | None = None  # kinds that are taken amid a drain; None before it
+        self.connection_count = 0
+        self.accepted_kinds: frozenset[str] | None = None  # of calls amid a drain; None before it: all
 
-    def peer(self, name: str) -> str:
-        """A new connection's name: who calls, and a number that no other connection has."""
-        self.met += 1
-        return f"{name_of(name)}#{self.met}"
+    def peer_of(self, name: str) -> str:
+        """A new connection's peer: the caller, and a number that no other connection has."""
+        self.connection_count += 1
+        return f"{process_name(name)}#{self.connection_count}"
 
-    def takes(self, kind: str) -> bool:
+    def accepts(self, kind: str) -> bool:
         """Whether a call of this kind is begun now."""
-        return self.still is None or kind in self.still
+        return self.accepted_kinds is None or kind in self.accepted_kinds
 
     async def listen(self, address: Address) -> None:
         """Answer at this address. OSError where it is taken."""
         loop = asyncio.get_running_loop()
         self.listening = await loop.create_server(
-            lambda: _Answers(self), *address, backlog=256, reuse_address=True
+            lambda: _ServerConnection(self), *address, backlog=LISTEN_BACKLOG, reuse_address=True
         )
 
-    def begin_drain(self, still: frozenset[str] = frozenset()) -> None:
-        """From now on only calls of the kinds `still` are begun; those that are held for news end."""
-        self.still = still
+    def begin_drain(self, accepted_kinds: frozenset[str] = frozenset()) -> None:
+        """From now on begin only calls of `accepted_kinds`, and cancel those worked on for their callers alone."""
+        self.accepted_kinds = accepted_kinds
         for connection in list(self.connections):
-            connection.cancel_held()
+            connection.cancel_caller_bound_calls()
 
     async def drain(self, ends_at: float) -> int:
-        """End in order, by `ends_at` (s on the loop's clock); calls that were cut without an answer."""
+        """Shut down gracefully by `ends_at` (s on the loop's clock); the number of calls cut off unanswered."""
         loop = asyncio.get_running_loop()
         self.begin_drain()
-        while self._at_work() and loop.time() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_S)
-        cut = self._at_work()
+        while self._calls_at_work() and loop.time() < ends_at:
+            await asyncio.sleep(DRAIN_POLL_S)
+        unanswered = self._calls_at_work()
         if self.listening is not None:
             self.listening.close()
         for connection in list(self.connections):
-            connection.finish()
+            connection.close_behind_last_answer()
         while self.connections and loop.time() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         self.close()
-        return cut
+        return unanswered
 
-    def _at_work(self) -> int:
+    def _calls_at_work(self) -> int:
         return sum(len(connection.at_work) for connection in self.connections)
 
     def close(self) -> None:
-        """End at once."""
+        """Close at once: abort all connections and cancel the calls at work."""
         if self.listening is not None:
             self.listening.close()
         for connection in list(self.connections):
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -166,10 +166,10 @@
 
 
 def test_the_tally_counts_every_byte_of_every_kind(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("Reader", "encode"):
+    for name in ("FrameReader", "encode"):
         for module in (rpc_client, server):
             monkeypatch.setattr(module, name, getattr(module, name))
-    monkeypatch.setattr(server._Answers, "_write", server._Answers._write)
+    monkeypatch.setattr(server._ServerConnection, "_write", server._ServerConnection._write)
     tally = Tally()
     tally.install()
 
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -12,11 +12,11 @@
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
 from irisdeal.registry.messages import PlaceRequest, PlaceResult
 from irisdeal.registry.placement_service import PlacementService
-from irisdeal.rpc.calls import CALLS, ends_with_asker
+from irisdeal.rpc.calls import CALLS, ends_with_caller
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.server import RpcServer
 from irisdeal.simulation.machine import Machine
-from tests.rpc.test_calls import Two
+from tests.rpc.test_calls import CallRig
 
 HELD_S = 1.0  # that each call takes
 WAY_S = 0.01  # some ways there and back
@@ -54,54 +54,54 @@
 
 
 def test_what_ends_with_its_asker_is_what_is_worked_on_for_him_alone() -> None:
-    assert {kind for kind in CALLS if ends_with_asker(kind)} == HELD
-    assert not ends_with_asker("no such call")
+    assert {kind for kind in CALLS if ends_with_caller(kind)} == HELD
+    assert not ends_with_caller("no such call")
 
 
-def gone(two: Two, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]) -> tuple[Answering, float]:
+def gone(rig: CallRig, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]) -> tuple[Answering, float]:
     """Calls of each kind, whose asker goes 0.2 s later; when he did."""
     answering = Answering()
-    two.serve(answering.make)
+    rig.serve(answering.make)
 
     async def scenario() -> float:
-        link = two.link()
-        tasks = [asyncio.ensure_future(link.call(kind, None, 5.0)) for kind in KINDS]
+        client = rig.client()
+        tasks = [asyncio.ensure_future(client.call(kind, None, 5.0)) for kind in KINDS]
         await asyncio.sleep(0.2)
         assert sorted(answering.begun) == sorted(KINDS)
         at = asyncio.get_running_loop().time()
-        act(link, tasks)
+        act(client, tasks)
         await asyncio.sleep(2.0)
         return at
 
-    return answering, two.play(scenario())
+    return answering, rig.play(scenario())
 
 
-def cancel_all(link: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
+def cancel_all(client: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
     for task in tasks:
         task.cancel()
 
 
-def close(link: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
-    link.close()
+def close(client: RpcClient, tasks: list[asyncio.Task[Any]]) -> None:
+    client.close()
 
 
 @pytest.mark.parametrize("act", [cancel_all, close], ids=["cancelled", "connection ended"])
 def test_calls_that_are_held_for_an_asker_end_with_him_and_others_go_to_their_end(
     act: Callable[[RpcClient, list[asyncio.Task[Any]]], None],
 ) -> None:
-    answering, at = gone(Two(), act)
+    answering, at = gone(CallRig(), act)
     assert answering.how() == {kind: "cancelled" if kind in HELD else "done" for kind in KINDS}
     assert all(ended - at < WAY_S for kind, _, ended in answering.ended if kind in HELD)
 
 
 def test_a_process_that_dies_takes_its_asks_with_it() -> None:
-    two, answering = Two(), Answering()
-    two.serve(answering.make)
-    other = Machine(two.world, two.net, "caller", two.caller.core, two.caller.costs)
+    rig, answering = CallRig(), Answering()
+    rig.serve(answering.make)
+    other = Machine(rig.world, rig.net, "caller", rig.caller.core, rig.caller.costs)
 
     async def asks() -> int:
-        link = two.link()
-        await asyncio.gather(*(link.call(kind, None, 5.0) for kind in KINDS))
+        client = rig.client()
+        await asyncio.gather(*(client.call(kind, None, 5.0) for kind in KINDS))
         return 0
 
     other.start(asks())
@@ -111,63 +111,63 @@
         other.kill()
         await asyncio.sleep(2.0)
 
-    two.play(scenario())
+    rig.play(scenario())
     assert answering.how() == {kind: "cancelled" if kind in HELD else "done" for kind in KINDS}
 
 
 def test_an_answer_that_came_as_its_asker_was_cancelled_is_heard_as_a_late_one() -> None:
     """What it gave has to be given back: the place of a request whose client left in that moment."""
-    two, answering = Two(), Answering()
-    two.serve(answering.make)
+    rig, answering = CallRig(), Answering()
+    rig.serve(answering.make)
 
     async def scenario() -> None:
-        link = two.link()
+        client = rig.client()
         for step in range(40):
-            task = asyncio.ensure_future(link.call("wait", [step, "i-1", 1.0], 5.0))
+            task = asyncio.ensure_future(client.call("wait", [step, "i-1", 1.0], 5.0))
             await asyncio.sleep(HELD_S + 0.0001 * step)
             if not task.done():
                 task.cancel()
             await asyncio.sleep(0.05)
             got = 0 if task.cancelled() else 1
-            late = sum(body[0] == step for _, body in two.late)
+            late = sum(body[0] == step for _, body in rig.late)
             finished = answering.ended[-1][1] == "done"
             assert got + late == finished, f"step {step}: an answer went to nobody, or to two"
 
-    two.play(scenario(), 100.0)
-    assert two.late, "no answer came in that moment"
+    rig.play(scenario(), 100.0)
+    assert rig.late, "no answer came in that moment"
 
 
 def test_a_given_up_call_does_not_count_for_its_connection() -> None:
     """What was given up is answered by its end, so that nothing is waited for over this connection."""
-    two, answering = Two(), Answering()
-    two.serve(answering.make)
+    rig, answering = CallRig(), Answering()
+    rig.serve(answering.make)
 
     async def scenario() -> int:
-        link = two.link()
+        client = rig.client()
         for _ in range(5):
-            task = asyncio.ensure_future(link.call("news", None, 5.0))
+            task = asyncio.ensure_future(client.call("news", None, 5.0))
             await asyncio.sleep(0.1)
             task.cancel()
         await asyncio.sleep(0.1)
-        assert link.calls is not None
-        return len(link.calls.late)
+        assert client.connection is not None
+        return len(client.connection.given_up)
 
-    assert two.play(scenario()) == 0
+    assert rig.play(scenario()) == 0
 
 
 # Drains
 
 
 def test_a_drain_answers_what_is_at_work_ends_what_is_held_and_begins_nothing() -> None:
-    two, answering = Two(), Answering()
-    two.serve(answering.make)
+    rig, answering = CallRig(), Answering()
+    rig.serve(answering.make)
 
     async def scenario() -> tuple[dict[str, Any], Any, int]:
-        link = two.link()
-        tasks = {kind: asyncio.ensure_future(link.call(kind, kind, 5.0)) for kind in KINDS}
+        client = rig.client()
+        tasks = {kind: asyncio.ensure_future(client.call(kind, kind, 5.0)) for kind in KINDS}
         await asyncio.sleep(0.2)
         assert answering.server is not None
-        server, loop = answering.server, two.host
+        server, loop = answering.server, rig.host
         drained: list[int] = []
 
         async def drain() -> None:
@@ -177,14 +177,16 @@
 
         loop.call_soon(lambda: server.tasks.start(drain()))
         await asyncio.sleep(0.1)
-        refused = await link.call("put", None, 1.0)
-        tasks["told again"] = asyncio.ensure_future(link.call("told", "told again", 5.0))
+        refused = await client.call("put", None, 1.0)
+        tasks["told again"] = asyncio.ensure_future(client.call("told", "told again", 5.0))
         await asyncio.wait(tasks.values())
         await asyncio.sleep(0.5)
-        assert link.calls is not None and not link.calls.open, "closed behind the last answer"
+        assert client.connection is not None and not client.connection.is_open, (
+            "closed behind the last answer"
+        )
         return {kind: task.result() for kind, task in tasks.items()}, refused, drained[0]
 
-    ended, refused, cut = two.play(scenario())
+    ended, refused, cut = rig.play(scenario())
     for kind in KINDS:
         assert isinstance(ended[kind], Failure if kind in HELD else Success), kind
     assert isinstance(refused, Failure) and isinstance(ended["told again"], Success)
@@ -192,15 +194,15 @@
 
 
 def test_a_drain_is_over_by_its_time_and_tells_what_was_cut() -> None:
-    two, answering = Two(), Answering()
-    two.serve(answering.make)
+    rig, answering = CallRig(), Answering()
+    rig.serve(answering.make)
 
     async def scenario() -> tuple[Any, int, float]:
-        link = two.link()
-        task = asyncio.ensure_future(link.call("put", None, 5.0))
+        client = rig.client()
+        task = asyncio.ensure_future(client.call("put", None, 5.0))
         await asyncio.sleep(0.2)
         assert answering.server is not None
-        server, loop = answering.server, two.host
+        server, loop = answering.server, rig.host
         begun, cut = loop.time(), []
 
         async def drain() -> None:
@@ -209,7 +211,7 @@
         loop.call_soon(lambda: loop.create_task(drain()))
         return await task, *(await until(cut))
 
-    answer, cut, took = two.play(scenario())
+    answer, cut, took = rig.play(scenario())
     assert isinstance(answer, Failure) and cut == 1 and took < 0.4
 
 
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -23,7 +23,7 @@
 from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState
-from irisdeal.rpc import client as telegraph
+from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime.settings import Bind, Settings
@@ -216,7 +216,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.open = False
+        self.is_open = False
 
     def data_received(self, data: bytes) -> None:
         answers, self.rest = parsed(self.rest + data)
@@ -497,9 +497,9 @@
         self.way.cut = self.way.silent = False
         self.net.release(self.way)
 
-    async def one(self, link: RpcClient, number: int) -> None:
+    async def one(self, client: RpcClient, number: int) -> None:
         await asyncio.sleep(self.chance.uniform(0.0, 10.0))
-        answer = await link.call("lend", number, self.chance.choice((0.04, 0.06, 0.4, 1.5)))
+        answer = await client.call("lend", number, self.chance.choice((0.04, 0.06, 0.4, 1.5)))
         if isinstance(answer, Success):
             self.good += 1
             if answer.unwrap() != ["did", number]:
@@ -510,8 +510,8 @@
             self.breaches.append(f"{number} ran and was told as never sent")
 
     async def talk(self) -> int:
-        link = RpcClient(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
-        await asyncio.gather(*(self.one(link, number) for number in range(400)))
+        client = RpcClient(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
+        await asyncio.gather(*(self.one(client, number) for number in range(400)))
         await asyncio.sleep(5.0)
         self.over = True
         return 0
@@ -552,28 +552,30 @@
     breach: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    calls = telegraph._Calls
+    connection = rpc_client._ClientConnection
     match bug:
         case "ids reused after a restart":
-            made, shared = calls.__init__, cast(dict[int, Any], {})
+            made, shared = connection.__init__, cast(dict[int, Any], {})
 
             def one_for_all(self: Any, *given: Any) -> None:
                 made(self, *given)
-                self.asked = shared  # numbers begin anew with each connection, and are known by number alone
+                self.pending = (
+                    shared  # numbers begin anew with each connection, and are known by number alone
+                )
 
             def lost(self: Any, exc: Exception | None) -> None:
-                self.open = False
+                self.is_open = False
 
-            monkeypatch.setattr(calls, "__init__", one_for_all)
-            monkeypatch.setattr(calls, "connection_lost", lost)
-            monkeypatch.setattr(calls, "retire", lambda self: None)
+            monkeypatch.setattr(connection, "__init__", one_for_all)
+            monkeypatch.setattr(connection, "connection_lost", lost)
+            monkeypatch.setattr(connection, "retire", lambda self: None)
         case "matched by order alone":
-            take = calls._take
+            take = connection._receive
 
             def first(self: Any, item: Any) -> None:
-                take(self, [next(iter(self.asked), item[0]), *item[1:]])
+                take(self, [next(iter(self.pending), item[0]), *item[1:]])
 
-            monkeypatch.setattr(calls, "_take", first)
+            monkeypatch.setattr(connection, "_receive", first)
         case "sent again":
             call = RpcClient.call
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -26,9 +26,10 @@
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
 from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
+from irisdeal.rpc import call_tables
 from irisdeal.rpc import calls as table
 from irisdeal.rpc.client import RpcClient
-from irisdeal.rpc.frames import MOST_FRAME, ONE_WAY, BadFrame, Reader, encode
+from irisdeal.rpc.frames import MAX_FRAME_BYTES, ONE_WAY, FrameReader, InvalidFrameError, encode
 from irisdeal.rpc.server import DEFERRED, RpcServer
 from irisdeal.runtime import events
 from irisdeal.runtime.settings import Settings
@@ -42,7 +43,7 @@
 WAITING: Any = object()
 
 
-class Two:
+class CallRig:
     """A caller and an answerer, each a machine; what the scenario returns is the result."""
 
     def __init__(self) -> None:
@@ -57,7 +58,7 @@
     def start_host(self) -> Machine:
         return Machine(self.world, self.net, HOST, Core(), Costs())
 
-    def link(self) -> RpcClient:
+    def client(self) -> RpcClient:
         return RpcClient((HOST, PORT), "proxy 10.0.0.1", lambda kind, body: self.late.append((kind, body)))
 
     def serve(self, server: Callable[[], RpcServer], host: Machine | None = None) -> None:
@@ -106,7 +107,7 @@
     return lambda: RpcServer(handle)
 
 
-def told(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+def logged_events(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """The numbers of events that are told from now on."""
     numbers: list[int] = []
     for module in ("irisdeal.rpc.client", "irisdeal.rpc.server"):
@@ -116,105 +117,105 @@
 
 
 def test_a_short_call_that_runs_out_of_time_takes_no_long_one_with_it() -> None:
-    two = Two()
-    two.serve(answering({"news": 1.0, "place": 0.2}))
+    rig = CallRig()
+    rig.serve(answering({"news": 1.0, "place": 0.2}))
 
     async def scenario() -> Any:
-        link = two.link()
-        long = asyncio.ensure_future(link.call("news", "n", 1.5))
+        client = rig.client()
+        long = asyncio.ensure_future(client.call("news", "n", 1.5))
         await asyncio.sleep(0.1)
-        short = await link.call("place", "p", 0.06)
+        short = await client.call("place", "p", 0.06)
         return short, await long
 
-    short, long = two.play(scenario())
+    short, long = rig.play(scenario())
     assert isinstance(short, Failure) and not short.failure().never_sent
     assert long == Success("n")
 
 
 def test_a_late_answer_meets_nobody_but_who_hears_of_late_ones() -> None:
-    two = Two()
-    two.serve(answering({"place": 0.1}))
+    rig = CallRig()
+    rig.serve(answering({"place": 0.1}))
 
     async def scenario() -> Any:
-        link = two.link()
-        first = await link.call("place", [1, "i-1", 1.0], 0.06)
+        client = rig.client()
+        first = await client.call("place", [1, "i-1", 1.0], 0.06)
         await asyncio.sleep(0.06)
-        second = await link.call("place", [2, "i-2", 1.0], 0.5)
+        second = await client.call("place", [2, "i-2", 1.0], 0.5)
         return first, second
 
-    first, second = two.play(scenario())
+    first, second = rig.play(scenario())
     assert isinstance(first, Failure) and second == Success([2, "i-2", 1.0])
-    assert two.late == [("place", [1, "i-1", 1.0])]
+    assert rig.late == [("place", [1, "i-1", 1.0])]
 
 
 def test_an_answer_that_waited_while_its_caller_stood_still_is_late() -> None:
-    two = Two()
-    two.serve(answering({"lend": 0.02}))
+    rig = CallRig()
+    rig.serve(answering({"lend": 0.02}))
 
     async def scenario() -> Any:
-        link = two.link()
-        await link.call("all", None, 0.4)
-        lent = asyncio.ensure_future(link.call("lend", 7.0, 0.04))
+        client = rig.client()
+        await client.call("all", None, 0.4)
+        lent = asyncio.ensure_future(client.call("lend", 7.0, 0.04))
         await asyncio.sleep(0.01)
-        two.caller.pause(two.world.now + 4_000_000)
+        rig.caller.pause(rig.world.now + 4_000_000)
         return await lent
 
-    assert isinstance(two.play(scenario()), Failure)
-    assert two.late == [("lend", 7.0)]
+    assert isinstance(rig.play(scenario()), Failure)
+    assert rig.late == [("lend", 7.0)]
 
 
 def test_after_a_silence_the_next_call_goes_another_way_and_the_old_ones_keep_theirs() -> None:
-    two = Two()
-    two.serve(answering({"news": 2.0}))
+    rig = CallRig()
+    rig.serve(answering({"news": 2.0}))
 
     async def scenario() -> Any:
-        link = two.link()
-        long = asyncio.ensure_future(link.call("news", "n", 5.0))
+        client = rig.client()
+        long = asyncio.ensure_future(client.call("news", "n", 5.0))
         await asyncio.sleep(0.1)
-        two.host.pause(two.world.now + 1_000_000)
-        silent = await link.call("place", "p", 0.06)
-        old = link.calls
-        again = await link.call("place", "q", 2.0)
-        other = link.calls
+        rig.host.pause(rig.world.now + 1_000_000)
+        silent = await client.call("place", "p", 0.06)
+        old = client.connection
+        again = await client.call("place", "q", 2.0)
+        other = client.connection
         return silent, again, old is other, await long, old
 
-    silent, again, same, long, old = two.play(scenario())
+    silent, again, same, long, old = rig.play(scenario())
     assert isinstance(silent, Failure) and again == Success("q") and not same
-    assert long == Success("n") and not old.open  # it ended with its last call
+    assert long == Success("n") and not old.is_open  # it ended with its last call
 
 
 def test_whoever_waits_for_a_connection_waits_no_longer_than_its_own_time() -> None:
-    two = Two()
-    two.way.cut = two.way.silent = True
+    rig = CallRig()
+    rig.way.cut = rig.way.silent = True
 
     async def scenario() -> Any:
-        link, begun = two.link(), two.caller.time()
-        answers = await asyncio.gather(*(link.call("place", "p", 0.06) for _ in range(10)))
-        return answers, two.caller.time() - begun
+        client, begun = rig.client(), rig.caller.time()
+        answers = await asyncio.gather(*(client.call("place", "p", 0.06) for _ in range(10)))
+        return answers, rig.caller.time() - begun
 
-    answers, took = two.play(scenario())
+    answers, took = rig.play(scenario())
     assert all(isinstance(answer, Failure) and answer.failure().never_sent for answer in answers)
     assert took < 0.07
 
 
 def test_a_call_is_never_sent_again_by_its_link() -> None:
     """The host dies with the call in its hands, a new life stands there at once: it runs nothing of it."""
-    two = Two()
+    rig = CallRig()
     ran: list[Any] = []
-    two.serve(answering({"lend": 0.5}, ran))
+    rig.serve(answering({"lend": 0.5}, ran))
 
     async def scenario() -> Any:
-        link = two.link()
-        lent = asyncio.ensure_future(link.call("lend", 1, 2.0))
+        client = rig.client()
+        lent = asyncio.ensure_future(client.call("lend", 1, 2.0))
         await asyncio.sleep(0.1)
-        two.host.kill()
-        two.host = two.start_host()
-        two.serve(answering({}, ran))
+        rig.host.kill()
+        rig.host = rig.start_host()
+        rig.serve(answering({}, ran))
         first = await lent
         await asyncio.sleep(0.1)
-        return first, await link.call("lend", 2, 2.0)
+        return first, await client.call("lend", 2, 2.0)
 
-    first, second = two.play(scenario())
+    first, second = rig.play(scenario())
     assert isinstance(first, Failure) and not first.failure().never_sent
     assert second == Success(2) and ran == [1, 2]
 
@@ -223,7 +224,7 @@
     """Answers each call with these items; `%` stands for the call's number."""
 
     def __init__(self, script: list[list[Any]]) -> None:
-        self.script, self.reader = script, Reader()
+        self.script, self.reader = script, FrameReader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -264,22 +265,22 @@
     script: list[list[Any]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    two, numbers = Two(), told(monkeypatch)
-    two.answer_with(lambda: Scripted(script))
+    rig, numbers = CallRig(), logged_events(monkeypatch)
+    rig.answer_with(lambda: Scripted(script))
 
     async def scenario() -> Any:
-        link = two.link()
-        answer = await link.call("news", None, 0.5)
+        client = rig.client()
+        answer = await client.call("news", None, 0.5)
         await asyncio.sleep(0.1)
-        assert link.calls is not None
-        return answer, link.calls.open
+        assert client.connection is not None
+        return answer, client.connection.is_open
 
-    answer, is_open = two.play(scenario())
+    answer, is_open = rig.play(scenario())
     assert not is_open and set(numbers) <= {500, 510} and numbers
     assert answer == Success("mine") if script[0][1:] == [True, "mine"] else isinstance(answer, Failure)
 
 
-def raw(two: Two, frames: list[bytes]) -> bytes:
+def raw(rig: CallRig, frames: list[bytes]) -> bytes:
     """What comes back for these bytes, and a while later."""
     heard = bytearray()
 
@@ -294,7 +295,7 @@
         await asyncio.sleep(0.5)
         return transport.is_closing()
 
-    assert two.play(scenario()) in (True, False)
+    assert rig.play(scenario()) in (True, False)
     return bytes(heard)
 
 
@@ -331,18 +332,18 @@
     ran: list[int],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    two = Two()
+    rig = CallRig()
     seen: list[Any] = []
-    told(monkeypatch)
-    two.serve(answering({}, seen))
-    raw(two, frames)
+    logged_events(monkeypatch)
+    rig.serve(answering({}, seen))
+    raw(rig, frames)
     assert seen == ran
 
 
 def test_frames_torn_anywhere_are_whole_and_bad_ones_end_the_connection() -> None:
     whole = encode([1, True, "x"]) + encode([2, False, "y"])
     for at in range(len(whole)):
-        reader = Reader()
+        reader = FrameReader()
         assert [*reader.feed(whole[:at]), *reader.feed(whole[at:])] == [[1, True, "x"], [2, False, "y"]]
     for bad in (
         b"\x00\x00\x00\x00",
@@ -350,15 +351,15 @@
         b"\x00\x00\x00\x01\x83",
         b"\x00\x00\x00\x02\x01\x01",
     ):
-        with pytest.raises(BadFrame):
-            list(Reader().feed(bad))
+        with pytest.raises(InvalidFrameError):
+            list(FrameReader().feed(bad))
 
 
 def test_a_call_that_is_answered_with_an_error_takes_no_other_with_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    two = Two()
-    told(monkeypatch)
+    rig = CallRig()
+    logged_events(monkeypatch)
 
     def quick(peer: str, kind: str, body: Any) -> Any:
         return body["no such"] if kind == "place" else DEFERRED
@@ -366,21 +367,21 @@
     async def handle(peer: str, kind: str, body: Any) -> Any:
         await asyncio.sleep(0.1)
         if kind == "all":
-            return bytes(MOST_FRAME)
+            return bytes(MAX_FRAME_BYTES)
         return body
 
-    two.serve(lambda: RpcServer(handle, quick))
+    rig.serve(lambda: RpcServer(handle, quick))
 
     async def scenario() -> Any:
-        link = two.link()
+        client = rig.client()
         return await asyncio.gather(
-            link.call("count", 1, 0.5),
-            link.call("place", {}, 0.5),
-            link.call("all", None, 0.5),
-            link.call("told", bytes(MOST_FRAME), 0.5),
+            client.call("count", 1, 0.5),
+            client.call("place", {}, 0.5),
+            client.call("all", None, 0.5),
+            client.call("told", bytes(MAX_FRAME_BYTES), 0.5),
         )
 
-    count, place, long, sent = two.play(scenario())
+    count, place, long, sent = rig.play(scenario())
     assert count == Success(1)
     for failed in (place, long, sent):
         assert isinstance(failed, Failure) and "silent" not in failed.failure().detail
@@ -388,41 +389,41 @@
 
 
 def test_what_is_given_behind_a_connections_end_is_told_as_lost_again() -> None:
-    two = Two()
+    rig = CallRig()
     lost: list[str] = []
 
     async def handle(peer: str, kind: str, body: Any) -> Any:
         await asyncio.sleep(0.3)
         return peer
 
-    two.serve(lambda: RpcServer(handle, None, lost.append))
+    rig.serve(lambda: RpcServer(handle, None, lost.append))
 
     async def scenario() -> Any:
-        link = two.link()
-        asked = asyncio.ensure_future(link.call("wait", 1, 1.0))
+        client = rig.client()
+        asked = asyncio.ensure_future(client.call("wait", 1, 1.0))
         await asyncio.sleep(0.1)
-        link.close()
+        client.close()
         await asyncio.sleep(0.5)
         return await asked
 
-    assert isinstance(two.play(scenario()), Failure)
+    assert isinstance(rig.play(scenario()), Failure)
     assert lost == ["proxy 10.0.0.1#1", "proxy 10.0.0.1#1"]
 
 
 def test_a_word_over_no_connection_or_a_hung_one_is_said_to_be_lost() -> None:
-    two = Two()
-    two.serve(answering({}))
+    rig = CallRig()
+    rig.serve(answering({}))
 
     async def scenario() -> Any:
-        link = two.link()
-        none = link.notify("sums", [])
-        await link.call("sums", [], 0.4)
-        good = link.notify("sums", [])
-        two.host.pause(two.world.now + 1_000_000)
-        await link.call("sums", [], 0.1)
-        return none, good, link.notify("sums", [])
+        client = rig.client()
+        none = client.notify("sums", [])
+        await client.call("sums", [], 0.4)
+        good = client.notify("sums", [])
+        rig.host.pause(rig.world.now + 1_000_000)
+        await client.call("sums", [], 0.1)
+        return none, good, client.notify("sums", [])
 
-    assert two.play(scenario()) == (False, True, False)
+    assert rig.play(scenario()) == (False, True, False)
 
 
 # The table
@@ -474,33 +475,33 @@
     sent = list(_kinds_sent())
     assert len(sent) >= 15
     for file, kind, is_one_way in sent:
-        assert table.may_send(kind, is_one_way) is None, (file, kind)
+        assert table.reason_not_to_send(kind, is_one_way) is None, (file, kind)
     assert set(table.CALLS) == _kinds_served()
 
 
 def test_what_is_not_in_the_table_cannot_be_sent() -> None:
-    two = Two()
+    rig = CallRig()
 
     async def scenario() -> Any:
         with pytest.raises(KeyError):
-            await two.link().call("borrow", None, 0.1)
+            await rig.client().call("borrow", None, 0.1)
         with pytest.raises(KeyError):
-            two.link().notify("lend", None)
+            rig.client().notify("lend", None)
         return True
 
-    assert two.play(scenario())
+    assert rig.play(scenario())
 
 
 def test_the_page_has_the_table_of_the_code() -> None:
-    assert table.page() in (ROOT / "docs" / "design" / "control.md").read_text("utf-8")
+    assert call_tables.page() in (ROOT / "docs" / "design" / "control.md").read_text("utf-8")
 
 
 def test_what_may_be_taken_twice_is_named_and_what_may_not_is_sent_once() -> None:
     for call in table.CALLS.values():
-        assert call.reset and call.silence
-        assert call.again is not table.RetryRule.ASKER or call.named != "-"
-        assert not (call.version and call.again is table.RetryRule.NEVER)
-    never = {kind for kind, call in table.CALLS.items() if call.again is table.RetryRule.NEVER}
+        assert call.after_reset and call.after_timeout
+        assert call.retry is not table.RetryRule.CALLER or call.identified_by != "-"
+        assert not (call.is_one_way and call.retry is table.RetryRule.NEVER)
+    never = {kind for kind, call in table.CALLS.items() if call.retry is table.RetryRule.NEVER}
     assert never == {"place", "wait", "lend"}
 
 
@@ -586,7 +587,7 @@
 
 
 def test_a_place_in_a_late_answer_is_told_as_ended() -> None:
-    two = Two()
+    rig = CallRig()
     ended: list[Any] = []
 
     def quick(peer: str, kind: str, body: Any) -> Any:
@@ -596,7 +597,7 @@
         await asyncio.sleep(0.09)
         return [7, "i", 1.0]
 
-    two.serve(lambda: RpcServer(handle, quick))
+    rig.serve(lambda: RpcServer(handle, quick))
 
     async def scenario() -> Any:
         settings = Settings(
@@ -611,12 +612,12 @@
         sources.has_heard.set()
         sources.answering.add(HOST)
         client = RegistryClient(settings, sources)
-        client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late)
+        client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late_answer)
         placement = await client.place(PlaceRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
         await asyncio.sleep(0.2)
         return placement, client.silent_until
 
-    placement, silent = two.play(scenario())
+    placement, silent = rig.play(scenario())
     assert placement.reply.result is PlaceResult.NO_REGISTRY and placement.is_counted
     assert HOST in silent and ended == [[7, int(AttemptResult.UNKNOWN), 0.0]]
 
@@ -637,9 +638,9 @@
         versions.append(BackendIncarnation("i", "s", "10.9.0.5:80", "z", 2, ends, 5, 0.0))
     known = []
     for _ in range(3):
-        registry, told = BackendTable(1.5), versions * 2
-        chance.shuffle(told)
-        for incarnation in told:
+        registry, received = BackendTable(1.5), versions * 2
+        chance.shuffle(received)
+        for incarnation in received:
             registry.hear(incarnation, 1.0)
         incarnation = registry.entries["i"].incarnation
         known.append((incarnation.state, incarnation.count, incarnation.address))
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -201,7 +201,7 @@
         __hash__ = number
 
     with contextlib.ExitStack() as stack:
-        for kept in (rpc_server._Answers, Connection, BackendConnection):
+        for kept in (rpc_server._ServerConnection, Connection, BackendConnection):
             stack.enter_context(mock.patch.object(kept, "__hash__", number))
         stack.enter_context(mock.patch.object(asyncio, "Task", NumberedTask))
         yield
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -66,7 +66,7 @@
     PlaceResult,
 )
 from irisdeal.rpc.calls import CALLS, CANCEL
-from irisdeal.rpc.frames import HELLO, ONE_WAY, Reader, encode
+from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, encode
 from tests.front_door.test_handover import worked
 from tests.support.exchange import Call, recorded
 
@@ -185,7 +185,7 @@
     def frames(self) -> list[str]:
         """In hex: the call, its answer, and the call as a word where it may be one."""
         frames = [encode([7, self.kind, self.ask]), encode([7, True, self.answer])]
-        if CALLS[self.kind].version:
+        if CALLS[self.kind].is_one_way:
             frames.append(encode([ONE_WAY, self.kind, self.ask]))
         return [frame.hex() for frame in frames]
 
@@ -386,7 +386,7 @@
 
 def read_frame(frame: bytes) -> list[Any]:
     """The number, the kind or whether it went well, and the body of one frame."""
-    (item,) = Reader().feed(frame)
+    (item,) = FrameReader().feed(frame)
     assert isinstance(item, list) and len(item) == 3
     return item
 
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -18,7 +18,7 @@
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
 from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
 from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
-from irisdeal.rpc.frames import BadFrame, Reader, encode
+from irisdeal.rpc.frames import FrameReader, InvalidFrameError, encode
 from irisdeal.runtime import settings
 
 
@@ -234,11 +234,11 @@
 def test_frames_come_whole_however_they_are_cut(seed: int) -> None:
     chance = random.Random(seed)
     items = [[number, "kind", {"a": [1.5, b"x" * chance.randrange(300)]}] for number in range(20)]
-    data, reader, found = b"".join(map(encode, items)), Reader(), []
+    data, reader, found = b"".join(map(encode, items)), FrameReader(), []
     while data:
         length = chance.randint(1, 200)
         found += list(reader.feed(data[:length]))
         data = data[length:]
     assert found == items
-    with pytest.raises(BadFrame):
-        list(Reader().feed(b"\xff\xff\xff\xff"))
+    with pytest.raises(InvalidFrameError):
+        list(FrameReader().feed(b"\xff\xff\xff\xff"))
