--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -21,8 +21,8 @@
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.registry.backend_table import BackendIncarnation, decode_incarnation, encode_incarnation
-from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest, PlaceResult
+from irisdeal.registry.incarnation import BackendIncarnation
+from irisdeal.registry.messages import IntervalReport, PlacementRequest, PlacementResult, ReservationEnd
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
@@ -59,7 +59,7 @@
         shared.news += len(incarnations)
         for told, _ in incarnations:
             if told[0] not in shared.incarnations or int(shared.incarnations[told[0]].state) < told[5]:
-                shared.incarnations[told[0]] = decode_incarnation(told, now)
+                shared.incarnations[told[0]] = BackendIncarnation.decode(told, now)
 
     def _hear_word(self, ip: str, sync_state: SyncState, chunk: list[Any] | None, change: int) -> None:
         super()._hear_word(ip, sync_state, chunk, change)
@@ -70,7 +70,7 @@
         now = self.loop.time()
         await link.call(
             "lives",
-            [[encode_incarnation(incarnation, now), 0] for incarnation in self.shared.incarnations.values()],
+            [[incarnation.encode(now), 0] for incarnation in self.shared.incarnations.values()],
             ASK,
         )
 
@@ -139,16 +139,16 @@
         self.asked += 1
         tenant = f"tenant{self.chance.randrange(self.tenants):05d}"
         connected = [self.chance.getrandbits(24) for _ in range(6)]  # lives to which a connection rests
-        request = PlaceRequest(
+        request = PlacementRequest(
             self.sources.settings.zone, service, 0.19, [], 1002, 0.0, 1.0, tenant, connected=connected
         )
         placement = await self.client.place(request, 0.3)
-        if placement.reply.result is PlaceResult.NO_REGISTRY:
+        if placement.reply.result is PlacementResult.NO_REGISTRY:
             self.lost += 1
-        elif placement.reply.result is PlaceResult.PLACED:
+        elif placement.reply.result is PlacementResult.PLACED:
             self.placed += 1
             await asyncio.sleep(work)
-            self.client.end_place(placement.registry, PlaceEnd(placement.reply.number, 0, 1.02))
+            self.client.end_place(placement.registry, ReservationEnd(placement.reply.reservation, 0, 1.02))
 
 
 class Backends:
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -16,7 +16,7 @@
 from irisdeal.proxy.refusal import without_permits
 from irisdeal.proxy.registry_client import PLACE_S, Placement, RegistryClient
 from irisdeal.ratelimit.retry_budget import RetryBudgets
-from irisdeal.registry.messages import PlaceEnd, PlaceRequest, PlaceResult
+from irisdeal.registry.messages import PlacementRequest, PlacementResult, ReservationEnd
 
 FIRST_WAIT_S = 0.3  # that a request at a proxy which has just started waits for a first registry
 LEAST_HOLD_S = 0.001  # a first attempt goes to the best there is, full or not, when its time to wait is over
@@ -24,7 +24,7 @@
     SEND_WITHIN_S - PLACE_S - 0.02
 )  # that an ask with a permit waits for room: it has to be sent in time
 PERMIT_RETRY_S = 0.08  # between two asks of a request while no registry gives permits
-NO_PERMITS = (PlaceResult.NOT_ISSUING, PlaceResult.NO_REGISTRY)
+NO_PERMITS = (PlacementResult.NOT_ISSUING, PlacementResult.NO_REGISTRY)
 
 
 @dataclass(slots=True)
@@ -88,18 +88,18 @@
                 and not needs.is_repeat
                 and not self.admission.holds(permit)
             ):
-                now, placement = await self._ask_again(ask, placement, now + ask.hold_s)
+                now, placement = await self._ask_again(ask, placement, now + ask.max_wait_s)
             if not self._take_permit(permit, placement.reply.result, now, needs.is_repeat):
                 return None
-            if placement.reply.result in (PlaceResult.NOT_ISSUING, PlaceResult.OVER_QUOTA):
+            if placement.reply.result in (PlacementResult.NOT_ISSUING, PlacementResult.OVER_QUOTA):
                 placement = await self.registries.place(
                     replace(ask, tenant="", is_counted=placement.is_counted), 0.0
                 )
-        if placement.reply.result is PlaceResult.NO_REGISTRY:
+        if placement.reply.result is PlacementResult.NO_REGISTRY:
             return self._place_alone(needs, placement.is_counted)
         return self._checked(placement, needs)
 
-    def _request(self, needs: AttemptNeeds, is_permit_wanted: bool) -> PlaceRequest:
+    def _request(self, needs: AttemptNeeds, is_permit_wanted: bool) -> PlacementRequest:
         now, permit = self.loop.time(), needs.permit
         known = self.services.get(needs.service, {})
         avoid = [
@@ -108,7 +108,7 @@
         connected = [known[id_].key for id_ in self.pool.connected(now, needs.is_mutating) if id_ in known]
         is_limited = permit is not None and permit.companion.limit.is_limited
         hold = min(needs.hold_s, MOST_HOLD_S) if is_limited else needs.hold_s
-        return PlaceRequest(
+        return PlacementRequest(
             self.zone,
             needs.service,
             round(needs.usual.typical_latency_s, 4),
@@ -122,7 +122,9 @@
             connected=connected,
         )
 
-    async def _ask_again(self, ask: PlaceRequest, last: Placement, until: float) -> tuple[float, Placement]:
+    async def _ask_again(
+        self, ask: PlacementRequest, last: Placement, until: float
+    ) -> tuple[float, Placement]:
         """Ask on for a permit until `until`, as registries that start again give some soon; when the last ask was
         sent, and its answer."""
         asked_at = self.loop.time()
@@ -130,11 +132,11 @@
             await asyncio.sleep(min(left, PERMIT_RETRY_S))
             asked_at = self.loop.time()
             hold = max(LEAST_HOLD_S, round(until - asked_at, 4))
-            last = await self.registries.place(replace(ask, is_counted=last.is_counted, hold_s=hold), 0.0)
+            last = await self.registries.place(replace(ask, is_counted=last.is_counted, max_wait_s=hold), 0.0)
         return asked_at, last
 
     def _take_permit(
-        self, permit: RequestPermit, result: PlaceResult, asked_at: float, is_repeat: bool
+        self, permit: RequestPermit, result: PlacementResult, asked_at: float, is_repeat: bool
     ) -> bool:
         """Whether a permit is in hand after an ask that ended so; Refused where there is none for a first
         attempt."""
@@ -144,7 +146,7 @@
             if is_repeat:
                 return False
             raise without_permits()
-        if result is PlaceResult.OVER_QUOTA:
+        if result is PlacementResult.OVER_QUOTA:
             if is_repeat:
                 return False
             if not permit.is_late and self.admission.take_held(permit):
@@ -156,19 +158,23 @@
     def give_back(self, placed: Placed) -> None:
         """The place is not used."""
         if placed.number:
-            self.registries.end_place(placed.source, PlaceEnd(placed.number, int(AttemptResult.UNKNOWN)))
+            self.registries.end_place(
+                placed.source, ReservationEnd(placed.number, int(AttemptResult.UNKNOWN))
+            )
 
     def _checked(self, placement: Placement, needs: AttemptNeeds) -> Placed | None:
         """The backend of a registry's answer where it fits what we know, or our own choice in its place."""
         reply = placement.reply
-        has_place = reply.result is PlaceResult.PLACED
-        if reply.result is PlaceResult.OVER_BUDGET or (not has_place and needs.hold_s <= 0):
+        has_place = reply.result is PlacementResult.PLACED
+        if reply.result is PlacementResult.OVER_BUDGET or (not has_place and needs.hold_s <= 0):
             return None
         backend = self.services.get(needs.service, {}).get(reply.backend)
         if backend is not None and not backend.is_draining and reply.backend not in needs.tried:
-            return Placed(backend, reply.crowd, placement.registry, reply.number)
+            return Placed(backend, reply.slowdown, placement.registry, reply.reservation)
         if has_place:
-            self.registries.end_place(placement.registry, PlaceEnd(reply.number, int(AttemptResult.UNKNOWN)))
+            self.registries.end_place(
+                placement.registry, ReservationEnd(reply.reservation, int(AttemptResult.UNKNOWN))
+            )
         own = self._choose(needs)
         return Placed(own, self.choice.load_factor(own)) if own is not None else None
 
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -30,7 +30,7 @@
 from irisdeal.proxy.refusal import Refused, leaving
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
-from irisdeal.registry.messages import PlaceEnd
+from irisdeal.registry.messages import ReservationEnd
 from irisdeal.runtime.events import Event, invariant, log_event
 from irisdeal.runtime.process import Tasks
 
@@ -122,7 +122,7 @@
         ratio = (now - self.begun) / max(0.001, usual.typical_latency_s)
         services.choice.record_end(backend, self.begun)
         if self.placed.number:
-            end = PlaceEnd(self.placed.number, int(how), round(ratio, 2))
+            end = ReservationEnd(self.placed.number, int(how), round(ratio, 2))
             services.registries.end_place(self.placed.source, end)
         if self.admitted.permit is not None and self._has_not_run(outcome):
             self.admitted.permit.give_back(self.sent.send_by)
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -36,7 +36,7 @@
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.early_listen import Listening
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -18,10 +18,10 @@
 from irisdeal.registry.messages import (
     IntervalReply,
     IntervalReport,
-    PlaceEnd,
-    PlaceReply,
-    PlaceRequest,
-    PlaceResult,
+    PlacementReply,
+    PlacementRequest,
+    PlacementResult,
+    ReservationEnd,
 )
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
@@ -30,7 +30,7 @@
 
 REPORT_S = 0.4  # for the answer to a report
 PLACE_S = 0.06  # for the answer to an ask for a place: some ways there and back
-NO_REGISTRY = PlaceReply(PlaceResult.NO_REGISTRY)
+NO_REGISTRY = PlacementReply(PlacementResult.NO_REGISTRY)
 LEFT_S = 0.5  # that a registry which did not answer in time is not asked
 NO_PERMITS_S = 0.07  # that a registry which gives no permits is not asked for one: it may have just started
 
@@ -42,7 +42,7 @@
     `is_counted`: whether some registry may have counted the request, answered or not.
     """
 
-    reply: PlaceReply
+    reply: PlacementReply
     registry: str = ""
     is_counted: bool = False
 
@@ -91,9 +91,9 @@
     def _late(self, registry: str, kind: str, told: Any) -> None:
         """An answer that came after its time: a place that it gave is not used, nor a permit."""
         if kind in ("place", "wait"):
-            reply = PlaceReply.decode(told)
-            if reply.result is PlaceResult.PLACED:
-                self.end_place(registry, PlaceEnd(reply.number, int(AttemptResult.UNKNOWN)))
+            reply = PlacementReply.decode(told)
+            if reply.result is PlacementResult.PLACED:
+                self.end_place(registry, ReservationEnd(reply.reservation, int(AttemptResult.UNKNOWN)))
 
     async def report(self, make: Callable[[str], IntervalReport]) -> Reported | None:
         """Tell the nearest registry that answers. `make`: the report for this registry. None where none answers."""
@@ -104,7 +104,7 @@
                 return Reported(registry, IntervalReply.decode(answer.unwrap()), sent_at)
         return None
 
-    async def place(self, request: PlaceRequest, first_wait_s: float) -> Placement:
+    async def place(self, request: PlacementRequest, first_wait_s: float) -> Placement:
         """The first registry's answer that gives a permit, where one is wanted; else the last that gives none.
 
         `first_wait_s`: that we may wait for a first registry, at our start. `NO_REGISTRY` where none answers.
@@ -120,7 +120,7 @@
                 request = replace(request, is_counted=True)
                 last = replace(last, is_counted=True)
                 continue
-            if placement.reply.result is not PlaceResult.NOT_ISSUING:
+            if placement.reply.result is not PlacementResult.NOT_ISSUING:
                 if request.tenant:
                     self._note_permits(True)
                 return placement
@@ -157,7 +157,7 @@
             self.silent_until[registry] = now + PLACE_S
         return True
 
-    async def _place_at(self, registry: str, request: PlaceRequest) -> Placement | None:
+    async def _place_at(self, registry: str, request: PlacementRequest) -> Placement | None:
         """None where it does not answer in time."""
         link, body = self._link(registry), request.encode()
         answer = await link.call("place", body, PLACE_S)
@@ -165,14 +165,14 @@
             self.silent_until[registry] = self.loop.time() + LEFT_S
             return None
         self.silent_until.pop(registry, None)
-        reply = PlaceReply.decode(answer.unwrap())
-        if reply.result is PlaceResult.WAIT and request.hold_s > 0:
-            answer = await link.call("wait", body, PLACE_S + request.hold_s)
-            reply = PlaceReply(PlaceResult.NO_PLACE)
+        reply = PlacementReply.decode(answer.unwrap())
+        if reply.result is PlacementResult.WAIT and request.max_wait_s > 0:
+            answer = await link.call("wait", body, PLACE_S + request.max_wait_s)
+            reply = PlacementReply(PlacementResult.NO_BACKEND)
             if not isinstance(answer, Failure):
-                reply = PlaceReply.decode(answer.unwrap())
+                reply = PlacementReply.decode(answer.unwrap())
         return Placement(reply, registry, True)
 
-    def end_place(self, registry: str, end: PlaceEnd) -> None:
+    def end_place(self, registry: str, end: ReservationEnd) -> None:
         """Tell a registry the end of a place that it gave."""
         self._link(registry).notify("ended", end.encode())
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -25,12 +25,7 @@
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.registry.backend_table import (
-    BackendIncarnation,
-    BackendState,
-    decode_incarnation,
-    encode_incarnation,
-)
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import Event, log_event
@@ -292,14 +287,14 @@
         now = self.loop.time()
         await link.call(
             "lives",
-            [[encode_incarnation(incarnation, now), 0] for incarnation in self.incarnations.values()],
+            [[incarnation.encode(now), 0] for incarnation in self.incarnations.values()],
             ASK,
         )
 
     def _hear_lives(self, ip: str, incarnations: list[Any]) -> None:
         now = self.loop.time()
         for told, silent in incarnations:
-            self._hear_life(ip, decode_incarnation(told, now), bool(silent))
+            self._hear_life(ip, BackendIncarnation.decode(told, now), bool(silent))
         for id_, at in list(self.ended.items()):
             if now - at > GONE_KEPT:
                 del self.ended[id_]
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -12,16 +12,16 @@
 from irisdeal.permits.issuer import ClaimResult
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
 from irisdeal.registry.backend_table import BackendTable
-from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
-from irisdeal.registry.placement_service import NO_PLACE, PlacementService
+from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
+from irisdeal.registry.placement_service import NO_BACKEND, PlacementService
 from irisdeal.registry.quota_service import Age, Lend, QuotaService
 from irisdeal.rpc.server import DEFERRED
 from irisdeal.runtime.settings import Settings
 
-OVER_QUOTA = PlaceReply(PlaceResult.OVER_QUOTA)
-OVER_BUDGET = PlaceReply(PlaceResult.OVER_BUDGET)
-NOT_ISSUING = PlaceReply(PlaceResult.NOT_ISSUING)
-WAIT = PlaceReply(PlaceResult.WAIT)
+OVER_QUOTA = PlacementReply(PlacementResult.OVER_QUOTA)
+OVER_BUDGET = PlacementReply(PlacementResult.OVER_BUDGET)
+NOT_ISSUING = PlacementReply(PlacementResult.NOT_ISSUING)
+WAIT = PlacementReply(PlacementResult.WAIT)
 
 
 class AdmissionService:
@@ -30,7 +30,7 @@
     def __init__(
         self,
         settings: Settings,
-        registry: BackendTable,
+        backends: BackendTable,
         loop: asyncio.AbstractEventLoop,
         incarnation: int,
         age: Age,
@@ -39,7 +39,7 @@
         """`age`: of what is known as decided; `lend_from`: asks another registry for permits."""
         self.loop, self.age = loop, age
         self.authority = IssuingAuthority(settings.ip)
-        self.places = PlacementService(settings.zones, registry, loop)
+        self.places = PlacementService(settings.zones, backends, loop)
         self.quotas = QuotaService(settings, loop, incarnation, self.authority, age, lend_from)
         bound = settings.bound
         slack = REGISTRY_SLACK * bound("retry_slack", 50.0)
@@ -50,14 +50,14 @@
     def quick(self, peer: str, kind: str, body: Any) -> Any:
         """The answer to a call that needs no waiting; `DEFERRED` for all others."""
         if kind == "ended":
-            self.places.ended(peer, PlaceEnd.decode(body))
+            self.places.ended(peer, ReservationEnd.decode(body))
             return None
         if kind == "place":
-            reply = self._place_at_once(peer, PlaceRequest.decode(body))
+            reply = self._place_at_once(peer, PlacementRequest.decode(body))
             return DEFERRED if reply is None else reply.encode()
         return DEFERRED
 
-    def _place_at_once(self, peer: str, request: PlaceRequest) -> PlaceReply | None:
+    def _place_at_once(self, peer: str, request: PlacementRequest) -> PlacementReply | None:
         """None where permits have to be borrowed first."""
         if not request.tenant:
             return self._admitted(peer, request)
@@ -72,7 +72,7 @@
 
     async def place(self, peer: str, body: Any) -> Any:
         """An ask that found no permit here: one from another registry."""
-        request = PlaceRequest.decode(body)
+        request = PlacementRequest.decode(body)
         await self.quotas.borrow(request.tenant)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
@@ -81,7 +81,7 @@
                 return NOT_ISSUING.encode()
         return OVER_QUOTA.encode()
 
-    def _admitted(self, peer: str, request: PlaceRequest) -> PlaceReply:
+    def _admitted(self, peer: str, request: PlacementRequest) -> PlacementReply:
         """What is answered to an ask that is within its quota."""
         now = self.loop.time()
         if not request.is_repeat:
@@ -90,7 +90,7 @@
         elif not self.repeats.spend(request.service, now, self._sharers(now)):
             return OVER_BUDGET
         placed = self.places.place(peer, request)
-        return placed or (NO_PLACE if request.hold_s <= 0 else WAIT)
+        return placed or (NO_BACKEND if request.max_wait_s <= 0 else WAIT)
 
     def _sharers(self, now: float) -> int:
         """Registries that share the slack of repeats; 0 where we may have no part in it."""
@@ -98,4 +98,4 @@
 
     async def wait(self, peer: str, body: Any) -> Any:
         """An ask that found no room; its permit, if it needs one, is claimed."""
-        return (await self.places.wait(peer, PlaceRequest.decode(body))).encode()
+        return (await self.places.wait(peer, PlacementRequest.decode(body))).encode()
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -1,180 +1,153 @@
-"""Backends by life, as told by their beats and by the other registries. Time is an argument; no input or output.
+"""The table of backends that a registry keeps, by incarnation. Time is an argument; no input or output.
 
-A life is an `id`. What is known of it only moves forward: by `call_count`, and from ready to draining to gone.
-So two registries that merge in any order know the same, and a late beat brings no life back.
+What is known of an incarnation only moves forward: by its count of heartbeats, and from ready to draining to gone.
+So two registries that merge reports in any order know the same, and a late heartbeat revives no incarnation. One
+that is gone stays in the table for a while as a tombstone.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
-from enum import IntEnum
-from typing import Any
 
+from irisdeal.registry.incarnation import (
+    BackendIncarnation,
+    BackendState,
+    IncarnationStatus,
+    ObservedIncarnation,
+)
 from irisdeal.runtime.events import Event, invariant, log_event
 
-MISSED_HEARTBEATS = 2.7  # beats that may be missed before a life is taken for silent: two, and the way of one
-FORGET = 120.0  # s that a life that is gone is remembered: far over any beat that is still on its way
-LOST = 60.0  # s of silence after which a life is taken for gone
-MAX_INCARNATIONS = 20_000  # remembered; the oldest that are gone go first
+# Heartbeat intervals without a heartbeat after which a backend is unresponsive: two missed ones and a transit.
+MISSED_HEARTBEATS = 2.7
+TOMBSTONE_S = 120.0  # that an incarnation that is gone is remembered: far over the transit of any heartbeat
+GONE_AFTER_S = 60.0  # without a heartbeat, after which an incarnation is taken to be gone
+MAX_INCARNATIONS = 20_000  # remembered; beyond it tombstones are dropped early
 
-
-class BackendState(IntEnum):
-    """How far a life has come; it never goes back."""
-
-    READY = 0
-    DRAINING = 1
-    GONE = 2
-
-
-@dataclass(frozen=True, slots=True)
-class BackendIncarnation:
-    """One start of a backend. `warm_at`: s on our clock, when it is no longer slow."""
-
-    id: str
-    service: str
-    address: str
-    zone: str
-    capacity: int
-    state: BackendState
-    count: int
-    warm_at: float
+EVENT_OF_STATE = {
+    BackendState.READY: Event.BACKEND_ADDED,
+    BackendState.DRAINING: Event.BACKEND_DRAINING,
+    BackendState.GONE: Event.BACKEND_GONE,
+}
 
 
 @dataclass(slots=True)
 class BackendEntry:
-    """A life, when it was last heard, and under which number it last changed for those who watch."""
+    """An incarnation in the table.
+
+    `heartbeat_at`: s on the local clock, when the last heartbeat was received; `changed_in`: the table's version in
+    which watchers last saw it change.
+    """
 
     incarnation: BackendIncarnation
-    heard: float
-    changed: int
-    silent: bool = False
-
-
-def encode_incarnation(incarnation: BackendIncarnation, now: float) -> list[Any]:
-    """A life for another process: clocks differ, so times go as what is left."""
-    return [
-        incarnation.id,
-        incarnation.service,
-        incarnation.address,
-        incarnation.zone,
-        incarnation.capacity,
-        int(incarnation.state),
-        incarnation.count,
-        max(0, round((incarnation.warm_at - now) * 1000)),
-    ]
-
-
-def decode_incarnation(told: list[Any], now: float) -> BackendIncarnation:
-    """ValueError where it is none."""
-    id_, service, address, zone, capacity, state, count, warm = told
-    return BackendIncarnation(
-        str(id_),
-        str(service),
-        str(address),
-        str(zone),
-        int(capacity),
-        BackendState(state),
-        int(count),
-        now + int(warm) / 1000,
-    )
+    heartbeat_at: float
+    changed_in: int
+    is_unresponsive: bool = False
+
+    def status(self) -> IncarnationStatus:
+        """What watchers are notified of."""
+        return IncarnationStatus(self.incarnation, self.is_unresponsive)
 
 
 class BackendTable:
-    """All lives, and what has changed since a number."""
+    """All incarnations, and which of them changed since a version of the table."""
 
-    def __init__(self, heartbeat: float) -> None:
-        self.silence = heartbeat * MISSED_HEARTBEATS
+    def __init__(self, heartbeat_interval_s: float) -> None:
+        self.unresponsive_after_s = heartbeat_interval_s * MISSED_HEARTBEATS
         self.entries: dict[str, BackendEntry] = {}
-        self.number = 0
+        self.version = 0
 
-    def hear(self, incarnation: BackendIncarnation, now: float, age: float = 0.0) -> bool:
-        """A beat, or another's word of one, `age` s old. True where it is news to those who watch."""
+    def observe(self, incarnation: BackendIncarnation, now: float, age_s: float = 0.0) -> bool:
+        """Merge a heartbeat, or another process's report of one, received `age_s` ago.
+
+        Returns whether anything changed that watchers are notified of.
+        """
         entry = self.entries.get(incarnation.id)
         if entry is None:
-            self.number += 1
-            self.entries[incarnation.id] = BackendEntry(incarnation, now - age, self.number)
-            log_event(
-                {
-                    BackendState.READY: Event.BACKEND_ADDED,
-                    BackendState.DRAINING: Event.BACKEND_DRAINING,
-                    BackendState.GONE: Event.BACKEND_GONE,
-                }[incarnation.state],
-                id=incarnation.id,
-                service=incarnation.service,
-                address=incarnation.address,
-            )
+            self._add(incarnation, now - age_s)
             return True
         known = entry.incarnation
-        newer = incarnation.count > known.count
+        is_newer = incarnation.count > known.count
         merged = replace(
-            incarnation if newer else known,
+            incarnation if is_newer else known,
             state=max(known.state, incarnation.state),
             count=max(known.count, incarnation.count),
         )
-        invariant(merged.state >= known.state, "a life never goes back", id=incarnation.id)
-        if newer:
-            entry.heard = max(entry.heard, now - age)
-        news = merged.state != known.state or merged.address != known.address
-        if entry.silent and now - entry.heard < self.silence:
-            entry.silent, news = False, True
+        invariant(merged.state >= known.state, "an incarnation never goes back", id=incarnation.id)
+        if is_newer:
+            entry.heartbeat_at = max(entry.heartbeat_at, now - age_s)
+        has_changed = merged.state != known.state or merged.address != known.address
+        if entry.is_unresponsive and now - entry.heartbeat_at < self.unresponsive_after_s:
+            entry.is_unresponsive, has_changed = False, True
         entry.incarnation = merged
-        if news:
-            self.number += 1
-            entry.changed = self.number
+        if has_changed:
+            self._mark_changed(entry)
             if merged.state != known.state:
-                log_event(
-                    Event.BACKEND_DRAINING if merged.state is BackendState.DRAINING else Event.BACKEND_GONE,
-                    id=incarnation.id,
-                    service=incarnation.service,
-                )
-        return news
+                log_event(EVENT_OF_STATE[merged.state], id=incarnation.id, service=incarnation.service)
+        return has_changed
+
+    def _add(self, incarnation: BackendIncarnation, heartbeat_at: float) -> None:
+        self.version += 1
+        self.entries[incarnation.id] = BackendEntry(incarnation, heartbeat_at, self.version)
+        log_event(
+            EVENT_OF_STATE[incarnation.state],
+            id=incarnation.id,
+            service=incarnation.service,
+            address=incarnation.address,
+        )
+
+    def _mark_changed(self, entry: BackendEntry) -> None:
+        self.version += 1
+        entry.changed_in = self.version
 
-    def leave(self, id_: str, now: float) -> BackendIncarnation | None:
-        """It says that it is gone. None where it is not known."""
+    def deregister(self, id_: str, now: float) -> BackendIncarnation | None:
+        """Mark an incarnation as gone, as its backend said. None where it is not known."""
         entry = self.entries.get(id_)
         if entry is None:
             return None
         gone = replace(entry.incarnation, state=BackendState.GONE, count=entry.incarnation.count + 1)
-        self.hear(gone, now)
+        self.observe(gone, now)
         return entry.incarnation
 
-    def look(self, now: float) -> bool:
-        """Who is silent, who is forgotten. True where that is news."""
-        news = False
+    def expire(self, now: float) -> bool:
+        """Find backends whose heartbeats are missing, and drop old tombstones.
+
+        Returns whether anything changed that watchers are notified of.
+        """
+        has_changed = False
         for entry in list(self.entries.values()):
-            quiet = now - entry.heard
+            elapsed_s = now - entry.heartbeat_at
             if entry.incarnation.state is BackendState.GONE:
-                if quiet > FORGET or len(self.entries) > MAX_INCARNATIONS:
+                if elapsed_s > TOMBSTONE_S or len(self.entries) > MAX_INCARNATIONS:
                     del self.entries[entry.incarnation.id]
-            elif quiet > LOST:
+            elif elapsed_s > GONE_AFTER_S:
                 entry.incarnation = replace(entry.incarnation, state=BackendState.GONE)
-                self.number += 1
-                entry.changed, news = self.number, True
-            elif quiet > self.silence and not entry.silent:
-                self.number += 1
-                entry.silent, entry.changed, news = True, self.number, True
+                self._mark_changed(entry)
+                has_changed = True
+            elif elapsed_s > self.unresponsive_after_s and not entry.is_unresponsive:
+                entry.is_unresponsive = has_changed = True
+                self._mark_changed(entry)
                 log_event(
                     Event.BACKEND_SILENT,
                     id=entry.incarnation.id,
                     service=entry.incarnation.service,
-                    seconds=round(quiet, 2),
+                    seconds=round(elapsed_s, 2),
                 )
-        return news
+        return has_changed
 
-    def void_silence(self, now: float) -> None:
-        """We did not hear because of ourselves: nobody was silent."""
+    def forgive_missed_heartbeats(self, now: float) -> None:
+        """This process itself was suspended: heartbeats that it could not receive are not held against backends."""
         for entry in self.entries.values():
             if entry.incarnation.state is not BackendState.GONE:
-                entry.heard = max(entry.heard, now - self.silence / 2)
+                entry.heartbeat_at = max(entry.heartbeat_at, now - self.unresponsive_after_s / 2)
 
-    def since(self, number: int) -> Iterable[BackendEntry]:
-        """What has changed after this number of ours."""
-        return (entry for entry in self.entries.values() if entry.changed > number)
+    def changed_since(self, version: int) -> Iterable[BackendEntry]:
+        """Entries that changed after this version of the table."""
+        return (entry for entry in self.entries.values() if entry.changed_in > version)
 
-    def all(self, now: float) -> list[tuple[list[Any], int]]:
-        """Every life and how many ms ago it was heard, for another registry."""
+    def observed(self, now: float) -> list[ObservedIncarnation]:
+        """Every incarnation with the age of its last heartbeat, for another registry."""
         return [
-            (encode_incarnation(entry.incarnation, now), round((now - entry.heard) * 1000))
+            ObservedIncarnation(entry.incarnation, round((now - entry.heartbeat_at) * 1000))
             for entry in self.entries.values()
         ]
--- a/irisdeal/registry/ended_record.py
+++ b/irisdeal/registry/ended_record.py
@@ -17,12 +17,7 @@
 
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.config_store.storage.version_files import put
-from irisdeal.registry.backend_table import (
-    BackendIncarnation,
-    BackendState,
-    decode_incarnation,
-    encode_incarnation,
-)
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.events import Event, log_event
 
 FOLDER, NAME = "registry", "ended"
@@ -31,7 +26,7 @@
 
 def encode(incarnations: Iterable[BackendIncarnation]) -> bytes:
     """A line with magic and a check of the rest, then the rest."""
-    body: bytes = cbor2.dumps([encode_incarnation(incarnation, 0.0) for incarnation in incarnations])
+    body: bytes = cbor2.dumps([incarnation.encode(0.0) for incarnation in incarnations])
     return MAGIC + hashlib.sha256(body).hexdigest().encode() + b"\n" + body
 
 
@@ -41,7 +36,7 @@
     if head != MAGIC + hashlib.sha256(body).hexdigest().encode():
         raise ValueError("damaged")
     told: list[list[Any]] = cbor2.loads(body)
-    return [decode_incarnation(incarnation, 0.0) for incarnation in told]
+    return [BackendIncarnation.decode(incarnation, 0.0) for incarnation in told]
 
 
 class EndedRecord:
@@ -75,7 +70,7 @@
         """Whether this state of a life is on the disk, or needs not be."""
         return incarnation.state <= self.kept.get(incarnation.id, BackendState.READY)
 
-    async def keep(
+    async def save(
         self, incarnations: Iterable[BackendIncarnation], known: Iterable[BackendIncarnation]
     ) -> bool:
         """Whether these states are on the disk, synced. `known`: every life there is, read as a write begins."""
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -1,10 +1,11 @@
-"""What registries tell each other of backends, and when enough of them know it.
+"""Replication of backends between the registries of the core.
 
-A beat is told to the others in batches, and nobody waits for it. A drain or an end is told at once, and is
+Heartbeats are replicated in batches, and nobody waits for it. A drain or an end is replicated at once, and is
 acknowledged once a majority of the core has it on its disk (`ended_record.py`).
 
-A registry remembers while its process runs and, with its disk, beyond. One that starts without its record may have
-forgotten what it said it had: it learns from the others first, and is not counted by others that learn.
+A registry's table is complete while its process runs and, with its disk, beyond. One that starts without its record
+may have forgotten what it acknowledged: it synchronizes with the others first, and is not counted by others that
+synchronize.
 """
 
 from __future__ import annotations
@@ -15,15 +16,10 @@
 
 from returns.result import Success
 
-from irisdeal.registry.backend_table import (
-    MAX_INCARNATIONS,
-    BackendIncarnation,
-    BackendState,
-    BackendTable,
-    decode_incarnation,
-    encode_incarnation,
-)
+from irisdeal.registry import call_kinds
+from irisdeal.registry.backend_table import MAX_INCARNATIONS, BackendTable
 from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
 from irisdeal.registry.messages import BackendSnapshot, BackendUpdate
 from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.registry.store_client import StoreClient
@@ -33,10 +29,16 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-ANSWER_S = 0.4  # for a short answer of another registry
-LEARN_S = 2.5  # that a registry which starts or was away asks the others for lives before it goes on without
-RECALL_S = 1.0  # that a start waits for its disk
-LEARN_PAUSE_S = 0.25  # between two such asks
+ANSWER_S = 0.4  # time-out of a short call to another registry
+REPLICATION_S = 2 * ANSWER_S  # time-out of replicating an end: others write it to disk before they answer
+SYNC_S = (
+    2.5  # that a registry which starts or was away asks the others for backends before it goes on without
+)
+SYNC_PAUSE_S = 0.25  # between two such rounds
+RESTORE_S = 1.0  # that a start waits for its disk
+
+# The name that a registry gives of itself on a connection. It is fixed: peers of the version before read it.
+HELLO_NAME = "gauge {ip}"
 
 
 class RegistryPeers:
@@ -46,203 +48,211 @@
         self,
         settings: Settings,
         store_client: StoreClient,
-        registry: BackendTable,
+        backends: BackendTable,
         record: EndedRecord | None,
         metrics: RegistryMetrics,
         tasks: Tasks,
-        on_news: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """`record`: None on a machine without a disk; `on_news`: called when backends are news to proxies."""
+        """`record`: None on a machine without a disk; `on_change`: called when proxies are to be notified."""
         self.settings, self.ip = settings, settings.ip
-        self.store_client, self.registry, self.record = store_client, registry, record
-        self.metrics, self.tasks, self.on_news = metrics, tasks, on_news
+        self.store_client, self.backends, self.record = store_client, backends, record
+        self.metrics, self.tasks, self.on_change = metrics, tasks, on_change
         self.loop = asyncio.get_running_loop()
         self.zones: dict[str, str] = {self.ip: settings.zone}
-        self.controls: dict[str, str] = {self.ip: settings.bind.control}  # where each registry takes beats
+        self.controls: dict[str, str] = {
+            self.ip: settings.bind.control
+        }  # where each registry takes heartbeats
         self.links: dict[str, RpcClient] = {}
-        self.unsent: dict[str, BackendIncarnation] = {}  # lives heard here that the others have not been told
-        self.sure: set[tuple[str, BackendState]] = (
-            set()
-        )  # ends of lives that a majority of the core was told by us
-        self.remembers = (
-            settings.bootstrap
-        )  # whether all is here that an earlier process of ours has said it had
-        self.has_learned, self.is_learning = False, False
+        self.unsent: dict[str, BackendIncarnation] = {}  # received here and not yet replicated, by id
+        self.replicated_ends: set[tuple[str, BackendState]] = set()  # that a majority of the core has
+        self.is_complete = settings.bootstrap  # whether all is here that this machine has acknowledged
+        self.is_synchronized, self.is_synchronizing = False, False
 
     # Links
 
     def others(self) -> list[str]:
-        """The machines of the core but ours."""
+        """The IPs of the core machines but this one."""
         return sorted(self.store_client.everyone() - {self.ip})
 
     def link(self, ip: str) -> RpcClient:
-        """The registry of this machine."""
+        """The client of the registry on this machine."""
         if ip not in self.links:
-            self.links[ip] = RpcClient(ports.at(self.settings, ip, ports.REGISTRY), f"gauge {self.ip}")
+            address = ports.at(self.settings, ip, ports.REGISTRY)
+            self.links[ip] = RpcClient(address, HELLO_NAME.format(ip=self.ip))
         return self.links[ip]
 
-    def forget_all_but(self, core: frozenset[str]) -> None:
-        """These machines are the core now."""
+    def retain_only(self, core: frozenset[str]) -> None:
+        """Drop what is kept of machines that are not in the core any more."""
         for ip in self.links.keys() - core:
             self.links.pop(ip).close()
         for ip in self.zones.keys() - core:
             del self.zones[ip], self.controls[ip]
 
     def notify(self, kind: str, body: list[Any]) -> None:
-        """To all other registries; who misses it hears the next."""
+        """Send to all other registries; one that misses it gets the next."""
         for ip in self.others():
             link = self.link(ip)
             if not link.notify(kind, body):
                 self.tasks.start(link.call(kind, body, ANSWER_S))
 
-    # What the others know
+    # Synchronizing with the others
 
-    async def recall(self) -> None:
-        """Read what an earlier process of ours has recorded; a disk that hangs is waited for beside all else."""
+    async def restore(self) -> None:
+        """Read what an earlier process of this machine recorded; a disk that hangs is waited for in background."""
         if self.record is not None:
-            await asyncio.wait({self.tasks.start(self._recall(self.record))}, timeout=RECALL_S)
+            await asyncio.wait({self.tasks.start(self._restore(self.record))}, timeout=RESTORE_S)
 
-    async def _recall(self, record: EndedRecord) -> None:
+    async def _restore(self, record: EndedRecord) -> None:
         recorded = await record.open()
         for incarnation in recorded or ():
-            self.registry.hear(incarnation, self.loop.time())
-        self.remembers = self.remembers or recorded is not None
-        if recorded is None and self.remembers:
+            self.backends.observe(incarnation, self.loop.time())
+        self.is_complete = self.is_complete or recorded is not None
+        if recorded is None and self.is_complete:
             await record.begin(self._known())
 
-    async def learn(self) -> None:
-        """All that enough of the others know; we are no full source before, or before `LEARN_S` are over.
+    async def synchronize(self) -> None:
+        """Fetch all backends from enough of the others; until then, or until `SYNC_S` have passed, this registry
+        does not count as a complete source.
 
-        An end is acknowledged once a majority has it. Enough were heard when those that were not, with those that
-        do not remember, are no majority: each majority that was told an end has then somebody among those heard.
+        An end is acknowledged once a majority has it. Enough have answered when those that did not, with those that
+        are not complete, are no majority: each majority that has an end then has a member among those that
+        answered.
         """
-        if self.is_learning:
+        if self.is_synchronizing:
             return
-        self.is_learning, self.has_learned = True, False
-        heard: set[str] = set()
-        until = self.loop.time() + LEARN_S
+        self.is_synchronizing, self.is_synchronized = True, False
+        answered: set[str] = set()
+        deadline = self.loop.time() + SYNC_S
         while True:
-            await asyncio.gather(*(self._learn_from(ip, heard) for ip in self.others()))
-            missing = self.store_client.members.ips() - heard - ({self.ip} if self.remembers else set())
-            is_enough = not self.store_client.is_majority(missing) or not self.others()
-            if is_enough or self.loop.time() > until:
+            await asyncio.gather(*(self._fetch_from(ip, answered) for ip in self.others()))
+            is_enough = self._is_enough(answered)
+            if is_enough or self.loop.time() > deadline:
                 break
-            await asyncio.sleep(LEARN_PAUSE_S)
+            await asyncio.sleep(SYNC_PAUSE_S)
         log_event(
             Event.BACKENDS_LEARNED if is_enough else Event.BACKENDS_LEARNED_PARTIALLY,
-            heard=len(heard),
-            incarnations=len(self.registry.entries),
+            heard=len(answered),
+            incarnations=len(self.backends.entries),
         )
-        await self._remember()
-        self.is_learning, self.has_learned = False, True
-        self.on_news()
+        await self._complete()
+        self.is_synchronizing, self.is_synchronized = False, True
+        self.on_change()
+
+    def _is_enough(self, answered: set[str]) -> bool:
+        missing = self.store_client.members.ips() - answered - ({self.ip} if self.is_complete else set())
+        return not self.store_client.is_majority(missing) or not self.others()
 
-    async def _learn_from(self, ip: str, heard: set[str]) -> None:
-        answer = await self.link(ip).call("all_lives", None, ANSWER_S)
+    async def _fetch_from(self, ip: str, answered: set[str]) -> None:
+        answer = await self.link(ip).call(call_kinds.FETCH_BACKENDS, None, ANSWER_S)
         if isinstance(answer, Success):
-            told = BackendSnapshot.decode(answer.unwrap())
-            if told.remembers:
-                heard.add(ip)
-            self.hear(told.incarnations)
-
-    async def _remember(self) -> None:
-        """What was to be learned is here: from now on it is kept."""
-        if not self.remembers:
+            snapshot = BackendSnapshot.decode(answer.unwrap(), self.loop.time())
+            if snapshot.is_complete:
+                answered.add(ip)
+            self.merge(snapshot.observed)
+
+    async def _complete(self) -> None:
+        """What was to be fetched is here: from now on it is recorded."""
+        if not self.is_complete:
             if self.record is not None:
                 await self.record.begin(self._known())
-            self.remembers = True
+            self.is_complete = True
 
-    def hear(self, incarnations: Iterable[tuple[list[Any], int]]) -> None:
-        """Lives and how many ms ago each was heard, as another process tells them."""
-        now, news = self.loop.time(), False
-        for incarnation, age in incarnations:
-            news |= self.registry.hear(decode_incarnation(incarnation, now), now, age / 1000)
-        if news:
-            self.on_news()
+    def merge(self, observed: Iterable[ObservedIncarnation]) -> None:
+        """Merge incarnations that another process reports."""
+        now, has_changed = self.loop.time(), False
+        for incarnation, age_ms in observed:
+            has_changed |= self.backends.observe(incarnation, now, age_ms / 1000)
+        if has_changed:
+            self.on_change()
 
     def _known(self) -> Iterator[BackendIncarnation]:
-        return (entry.incarnation for entry in self.registry.entries.values())
+        return (entry.incarnation for entry in self.backends.entries.values())
 
     # Calls of other registries
 
-    async def told(self, message: BackendUpdate) -> None:
-        """Another registry tells lives. OSError where an end is not on our disk: it is not to be counted then."""
-        self.zones[message.ip] = message.zone
-        self.controls[message.ip] = message.control
-        self.hear(message.incarnations)
-        ids = [str(incarnation[0]) for incarnation, _ in message.incarnations]
-        if not await self._keep(
-            entry.incarnation for id_ in ids if (entry := self.registry.entries.get(id_))
-        ):
+    async def apply_update(self, update: BackendUpdate) -> None:
+        """Merge another registry's update. Raises OSError where an end in it could not be recorded on disk: the
+        other registry must not count this one then."""
+        self.zones[update.ip] = update.zone
+        self.controls[update.ip] = update.control
+        self.merge(update.observed)
+        entries = [self.backends.entries.get(each.incarnation.id) for each in update.observed]
+        if not await self._record(entry.incarnation for entry in entries if entry is not None):
             raise OSError("an end is not on the disk")
 
-    def all(self) -> BackendSnapshot:
-        """All that we know, for one that learns."""
-        return BackendSnapshot(self.remembers, self.registry.all(self.loop.time()))
+    def snapshot(self) -> BackendSnapshot:
+        """All incarnations, for a registry that synchronizes."""
+        return BackendSnapshot(self.is_complete, self.backends.observed(self.loop.time()))
 
-    async def _keep(self, incarnations: Iterable[BackendIncarnation]) -> bool:
-        """Whether those of these that end are on our disk, synced."""
-        return self.record is None or await self.record.keep(incarnations, self._known())
+    async def _record(self, incarnations: Iterable[BackendIncarnation]) -> bool:
+        """Whether those of these that drain or are gone are on this machine's disk, synced."""
+        return self.record is None or await self.record.save(incarnations, self._known())
 
-    # What we tell them
+    # Replicating to the others
 
     async def flush(self) -> None:
-        """Tell the others what was heard here since the last time."""
+        """Replicate the heartbeats that were received here since the last flush."""
         now = self.loop.time()
-        incarnations = [(encode_incarnation(incarnation, now), 0) for incarnation in self.unsent.values()]
+        observed = [ObservedIncarnation(incarnation, 0) for incarnation in self.unsent.values()]
         self.unsent = {}
-        if incarnations or self.store_client.everyone() - self.zones.keys():
+        if observed or self.store_client.everyone() - self.zones.keys():
             for ip in self.others():
-                self.tasks.start(self.link(ip).call("told", self._message(incarnations).encode(), ANSWER_S))
+                body = self._update(observed).encode(now)
+                self.tasks.start(self.link(ip).call(call_kinds.UPDATE_BACKENDS, body, ANSWER_S))
 
-    def _message(self, incarnations: list[tuple[list[Any], int]]) -> BackendUpdate:
-        return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, incarnations)
+    def _update(self, observed: list[ObservedIncarnation]) -> BackendUpdate:
+        return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, observed)
 
-    async def make_sure(self, id_: str) -> bool:
-        """Whether a majority has this life's end on its disk: only then may it be acknowledged."""
-        incarnation = self.registry.entries[id_].incarnation
-        if (id_, incarnation.state) in self.sure:
+    async def replicate_end(self, id_: str) -> bool:
+        """Whether a majority has this drain or end on its disk: only then may it be acknowledged."""
+        incarnation = self.backends.entries[id_].incarnation
+        if (id_, incarnation.state) in self.replicated_ends:
             return True
-        if not await self._tell_now(incarnation):
+        if not await self._replicate_now(incarnation):
             return False
-        if len(self.sure) >= MAX_INCARNATIONS:
-            self.sure.clear()  # to be told once more is all that it costs
-        self.sure.add((id_, incarnation.state))
+        if len(self.replicated_ends) >= MAX_INCARNATIONS:
+            self.replicated_ends.clear()  # costs no more than to replicate once more
+        self.replicated_ends.add((id_, incarnation.state))
         return True
 
-    async def _tell_now(self, incarnation: BackendIncarnation) -> bool:
-        """Whether a majority of the core has this end, this machine counted as any other."""
-        known: set[str] = set()
+    async def _replicate_now(self, incarnation: BackendIncarnation) -> bool:
+        """Whether a majority of the core has recorded this end, this machine counted as any other."""
+        recorded: set[str] = set()
         enough = asyncio.Event()
-        body = self._message([(encode_incarnation(incarnation, self.loop.time()), 0)]).encode()
+        body = self._update([ObservedIncarnation(incarnation, 0)]).encode(self.loop.time())
 
-        def note(ip: str) -> None:
-            known.add(ip)
-            if self.store_client.is_majority(known):
+        def count(ip: str) -> None:
+            recorded.add(ip)
+            if self.store_client.is_majority(recorded):
                 enough.set()
 
-        async def keep_here() -> None:
-            if await self._keep([incarnation]):
-                note(self.ip)
+        async def record_here() -> None:
+            if await self._record([incarnation]):
+                count(self.ip)
 
-        async def tell_one(ip: str) -> None:
-            if isinstance(await self.link(ip).call("told", body, 2 * ANSWER_S), Success):
-                note(ip)
+        async def replicate_to(ip: str) -> None:
+            answer = await self.link(ip).call(call_kinds.UPDATE_BACKENDS, body, REPLICATION_S)
+            if isinstance(answer, Success):
+                count(ip)
 
-        self.tasks.start(keep_here())
+        self.tasks.start(record_here())
         for ip in self.others():
-            self.tasks.start(tell_one(ip))
+            self.tasks.start(replicate_to(ip))
         try:
-            async with asyncio.timeout(2 * ANSWER_S):
+            async with asyncio.timeout(REPLICATION_S):
                 await enough.wait()
         except TimeoutError:
-            log_event(
-                Event.DRAIN_NOT_ACKNOWLEDGED,
-                id=incarnation.id,
-                known=len(known),
-                members=len(self.store_client.members.ips()),
-            )
-            self.metrics.refused_ends.add()
+            self._note_unacknowledged(incarnation, len(recorded))
             return False
-        self.metrics.acknowledged_ends.add(str(len(known)))
+        self.metrics.acknowledged_ends.add(str(len(recorded)))
         return True
+
+    def _note_unacknowledged(self, incarnation: BackendIncarnation, recorded: int) -> None:
+        log_event(
+            Event.DRAIN_NOT_ACKNOWLEDGED,
+            id=incarnation.id,
+            known=recorded,
+            members=len(self.store_client.members.ips()),
+        )
+        self.metrics.refused_ends.add()
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -8,40 +8,41 @@
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.placement.load_reports import LoadReports
 from irisdeal.placement.placer import Placer
-from irisdeal.registry.backend_table import BackendState, BackendTable
-from irisdeal.registry.messages import PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
+from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.incarnation import BackendState
+from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
 
 MOST_HOLD_S = 2.0  # that an ask may wait for room
 GRACE_S = 0.5  # beyond the proxy's own time that a place counts, if its proxy says nothing
-NO_PLACE = PlaceReply(PlaceResult.NO_PLACE)
+NO_BACKEND = PlacementReply(PlacementResult.NO_BACKEND)
 
 
 class PlacementService:
     """The places of one registry's process."""
 
     def __init__(
-        self, zones: dict[str, str], registry: BackendTable, loop: asyncio.AbstractEventLoop
+        self, zones: dict[str, str], backends: BackendTable, loop: asyncio.AbstractEventLoop
     ) -> None:
         """`zones`: their regions."""
-        self.registry, self.loop = registry, loop
+        self.backends, self.loop = backends, loop
         self.placer = Placer(zones, random.Random())
         self.loads = LoadReports()
         self.synced = 0
         self.told: dict[int, int] = {}
 
     def place(
-        self, peer: str, request: PlaceRequest, is_any: bool = False, waited_s: float = 0.0
-    ) -> PlaceReply | None:
+        self, peer: str, request: PlacementRequest, is_any: bool = False, waited_s: float = 0.0
+    ) -> PlacementReply | None:
         """A place, None where there is no room. `is_any`: the best there is, full or not; `waited_s`: of its
         time."""
         now = self.loop.time()
         self._sync()
-        until = now + request.left_s - waited_s + GRACE_S
+        until = now + request.time_left_s - waited_s + GRACE_S
         placed = self.placer.place(
             peer,
             request.zone,
             request.service,
-            request.usual_s,
+            request.typical_latency_s,
             request.avoid,
             now,
             until,
@@ -51,16 +52,16 @@
         if placed is None:
             return None
         number, backend, crowd = placed
-        return PlaceReply(PlaceResult.PLACED, number, backend.id, round(crowd, 2))
+        return PlacementReply(PlacementResult.PLACED, number, backend.id, round(crowd, 2))
 
-    async def wait(self, peer: str, request: PlaceRequest) -> PlaceReply:
+    async def wait(self, peer: str, request: PlacementRequest) -> PlacementReply:
         """Wait for room for `hold_s`; then the best there is, full or not."""
         begun = self.loop.time()
-        until = begun + min(request.hold_s, MOST_HOLD_S)
+        until = begun + min(request.max_wait_s, MOST_HOLD_S)
         while True:
             token: asyncio.Future[None] = self.loop.create_future()
             if not self.placer.wait(request.service, request.rank, token):
-                return NO_PLACE
+                return NO_BACKEND
             try:
                 async with asyncio.timeout_at(until):
                     await token
@@ -73,7 +74,7 @@
             is_last = now >= until
             placed = self.place(peer, request, is_last, now - begun)
             if placed is not None or is_last:
-                return placed or NO_PLACE
+                return placed or NO_BACKEND
 
     def _give_up(self, service: str, token: asyncio.Future[None]) -> None:
         """It waits no more; had its turn come already, it is the next one's."""
@@ -82,9 +83,11 @@
         else:
             self.placer.wait_no_more(service, token)
 
-    def ended(self, peer: str, end: PlaceEnd) -> None:
+    def ended(self, peer: str, end: ReservationEnd) -> None:
         """The end of an attempt that had a place."""
-        service = self.placer.ended(peer, end.number, AttemptResult(end.how), end.ratio, self.loop.time())
+        service = self.placer.ended(
+            peer, end.reservation, AttemptResult(end.result), end.latency_ratio, self.loop.time()
+        )
         if service is not None:
             self._wake(service)
 
@@ -120,9 +123,9 @@
 
     def _sync(self) -> None:
         """The backends as the registry has them by now."""
-        if self.synced == self.registry.number:
+        if self.synced == self.backends.version:
             return
-        for entry in self.registry.since(self.synced):
+        for entry in self.backends.changed_since(self.synced):
             incarnation = entry.incarnation
             if incarnation.state is BackendState.READY:
                 backend = self.placer.know(
@@ -132,7 +135,7 @@
                     incarnation.capacity,
                     incarnation.warm_at,
                 )
-                backend.is_unresponsive = entry.silent
+                backend.is_unresponsive = entry.is_unresponsive
             else:
                 self.placer.retire(incarnation.id)
-        self.synced = self.registry.number
+        self.synced = self.backends.version
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -23,7 +23,7 @@
 from irisdeal.ratelimit.interval_counter import encode_usages
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.authority_watch import AuthorityWatch
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
+from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import (
     Command,
     Deregister,
@@ -34,8 +34,15 @@
     decode,
 )
 from irisdeal.registry.ended_record import FOLDER, EndedRecord
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.list_record import ListRecord
-from irisdeal.registry.messages import BackendUpdate, IntervalReport, IntervalSum
+from irisdeal.registry.messages import (
+    BackendUpdate,
+    IncarnationReport,
+    IntervalReport,
+    IntervalSum,
+    WatchRequest,
+)
 from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.registry.peers import RegistryPeers
 from irisdeal.registry.quota_service import LEND_S
@@ -66,7 +73,7 @@
         self.settings, self.ip = settings, settings.ip
         self.loop = asyncio.get_running_loop()
         self.incarnation = secrets.randbits(48)
-        self.registry = BackendTable(settings.beat_interval_ms / 1000)
+        self.backends = BackendTable(settings.beat_interval_ms / 1000)
         self.store_client = StoreClient(settings, VersionStore(), self._on_version, self._changed)
         self.had_contact = False
         self.tasks, self.metrics = Tasks(), RegistryMetrics()
@@ -75,21 +82,21 @@
         self.peers = RegistryPeers(
             settings,
             self.store_client,
-            self.registry,
+            self.backends,
             ended,
             self.metrics,
             self.tasks,
-            lambda: self.news.wake(),
+            lambda: self.watch.wake(),
         )
-        self.news = WatchService(
+        self.watch = WatchService(
             self.store_client,
-            self.registry,
+            self.backends,
             self.incarnation,
             self.peers.zones,
-            lambda: self.peers.has_learned,
+            lambda: self.peers.is_synchronized,
         )
         self.admission = AdmissionService(
-            settings, self.registry, self.loop, self.incarnation, self.store_client.age, self._lend_from
+            settings, self.backends, self.loop, self.incarnation, self.store_client.age, self._lend_from
         )
         record = ListRecord(settings.data_path) if settings.data_path else None
         self.authority_watch = AuthorityWatch(
@@ -103,10 +110,10 @@
     # What a process does
 
     async def start(self) -> None:
-        await self.peers.recall()
+        await self.peers.restore()
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
         self.store_client.start()
-        self.tasks.start(self.peers.learn())
+        self.tasks.start(self.peers.synchronize())
         self.tasks.start(every(FLUSH, self.peers.flush))
         self.tasks.start(every(LOOK, self._look))
         self.tasks.start(every(TELL, self._tell_loads))
@@ -151,14 +158,14 @@
             members = self.store_client.members
             self.admission.authority.observe_list(IssuerList(members.number, members.ips()), self.loop.time())
         core = self.store_client.everyone()
-        self.peers.forget_all_but(core)
+        self.peers.retain_only(core)
         has_contact = self.store_client.has_contact
-        if has_contact and not self.had_contact and self.peers.has_learned:
+        if has_contact and not self.had_contact and self.peers.is_synchronized:
             self.tasks.start(
-                self.peers.learn()
+                self.peers.synchronize()
             )  # we were cut off: others may have been told what we were not
         self.had_contact = has_contact
-        self.news.wake()
+        self.watch.wake()
 
     # The other registries
 
@@ -177,11 +184,11 @@
     def _look(self) -> None:
         now = self.loop.time()
         if now - self.looked > OWN_PAUSE:
-            self.registry.void_silence(now)
-            self.tasks.start(self.peers.learn())
+            self.backends.forgive_missed_heartbeats(now)
+            self.tasks.start(self.peers.synchronize())
         self.looked = now
-        if self.registry.look(now):
-            self.news.wake()
+        if self.backends.expire(now):
+            self.watch.wake()
         self.admission.places.look()
         self.authority_watch.look()
 
@@ -190,7 +197,7 @@
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
             case "news":
-                return await self.news.answer(*body)
+                return (await self.watch.poll(WatchRequest.decode(body))).encode(self.loop.time())
             case "count":
                 return self.admission.quotas.report(peer, IntervalReport.decode(body)).encode()
             case "lend":
@@ -198,7 +205,7 @@
             case "sums":
                 return self.admission.quotas.hear_sum(IntervalSum.decode(body))
             case "told":
-                return await self.peers.told(BackendUpdate.decode(body))
+                return await self.peers.apply_update(BackendUpdate.decode(body, self.loop.time()))
             case "place":
                 return await self.admission.place(peer, body)
             case "wait":
@@ -207,11 +214,11 @@
                 self.admission.places.hear_loads(body[0], body[1])
                 return None
             case "lives":  # a door tells what it knows to one that may have forgotten
-                return self.peers.hear(body)
+                return self.peers.merge(IncarnationReport.decode(body, self.loop.time()).observed)
             case "all_lives":
-                return self.peers.all().encode()
+                return self.peers.snapshot().encode(self.loop.time())
             case "all":  # of a registry of the version before: it does not ask who remembers
-                return [list(incarnation) for incarnation in self.peers.all().incarnations]
+                return IncarnationReport(self.peers.snapshot().observed).encode(self.loop.time())
         raise ValueError(f"no call {kind!r}")
 
     # Calls from outside
@@ -275,10 +282,10 @@
                     "service": e.incarnation.service,
                     "zone": e.incarnation.zone,
                     "state": e.incarnation.state.name.lower(),
-                    "silent": e.silent,
-                    "heard_s": round(now - e.heard, 2),
+                    "silent": e.is_unresponsive,
+                    "heard_s": round(now - e.heartbeat_at, 2),
                 }
-                for e in self.registry.entries.values()
+                for e in self.backends.entries.values()
             ],
         }
 
@@ -311,10 +318,10 @@
             heartbeat.call_count,
             now + heartbeat.warmup_left_ms / 1000,
         )
-        if self.registry.hear(incarnation, now):
-            self.news.wake()
-        self.peers.unsent[incarnation.id] = self.registry.entries[incarnation.id].incarnation
-        if state is BackendState.DRAINING and not await self.peers.make_sure(incarnation.id):
+        if self.backends.observe(incarnation, now):
+            self.watch.wake()
+        self.peers.unsent[incarnation.id] = self.backends.entries[incarnation.id].incarnation
+        if state is BackendState.DRAINING and not await self.peers.replicate_end(incarnation.id):
             return self._later("too few of the core were told")
         near = [
             control
@@ -327,9 +334,9 @@
     async def _deregister(self, leave: Deregister) -> Answer:
         """Also of a life that we do not know: others may, and what is acknowledged holds for all."""
         now = self.loop.time()
-        if self.registry.leave(leave.id, now) is None:
-            self.registry.hear(BackendIncarnation(leave.id, "", "", "", 0, BackendState.GONE, 0, now), now)
-        self.news.wake()
-        if not await self.peers.make_sure(leave.id):
+        if self.backends.deregister(leave.id, now) is None:
+            self.backends.observe(BackendIncarnation(leave.id, "", "", "", 0, BackendState.GONE, 0, now), now)
+        self.watch.wake()
+        if not await self.peers.replicate_end(leave.id):
             return self._later("too few of the core were told")
         return Answer(200, b"{}", JSON)
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -1,8 +1,9 @@
-"""What doors are told: the word, the lives, the list of the core, and how old the registry's knowledge is.
+"""Answers the proxies' long polls: configuration, backends, core machines, and how old the registry's state is.
 
-A door says what it has and is answered at once where there is more, else within `HOLD` s. The age that it is told
-is that of the moment at which its ask came, at least 0: it adds the time since it sent its ask, which holds the
-time that the ask was held. So a held ask makes knowledge look no older than it is by more than the hold.
+A proxy sends what it has and is answered at once where there is more, else within `MAX_POLL_S`. The age in the
+answer is as of the moment at which the request came, at least 0: the proxy adds the time since it sent the request,
+which contains the time that the poll was pending. So a pending poll makes state look no older than it is by more
+than `MAX_POLL_S`.
 """
 
 from __future__ import annotations
@@ -10,87 +11,80 @@
 import asyncio
 import math
 from collections.abc import Callable
-from typing import Any
 
-from irisdeal.config_store.storage.chunks import SyncState
-from irisdeal.registry.backend_table import BackendTable, encode_incarnation
+from irisdeal.config_store.storage.chunks import SyncState, VersionChunk
+from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.messages import NO_CONTACT_AGE_MS, OLDER_CHANGE, WatchReply, WatchRequest
 from irisdeal.registry.store_client import StoreClient
 
-HOLD = 1.0  # s that a door's ask may be held without news
+MAX_POLL_S = 1.0  # that a proxy's poll may be pending while nothing changes
 
 
 class WatchService:
-    """Answers doors' asks for news."""
+    """Answers the long polls of one registry's proxies."""
 
     def __init__(
         self,
         store_client: StoreClient,
-        registry: BackendTable,
+        backends: BackendTable,
         incarnation: int,
         zones: dict[str, str],
-        is_full: Callable[[], bool],
+        is_synchronized: Callable[[], bool],
     ) -> None:
-        """`incarnation`: of this registry; `is_full`: whether it has learned which backends there are."""
-        self.store_client, self.registry, self.incarnation, self.zones, self.is_full = (
-            store_client,
-            registry,
-            incarnation,
-            zones,
-            is_full,
-        )
+        """`incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether this
+        registry has fetched the backends that the others know."""
+        self.store_client, self.backends = store_client, backends
+        self.incarnation, self.zones = incarnation, zones
+        self.is_synchronized = is_synchronized
         self.loop = asyncio.get_running_loop()
-        self.waking = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def wake(self) -> None:
-        """There is news, or contact was won or lost: all asks that are held are answered."""
-        self.waking.set()
-        self.waking = asyncio.Event()
-
-    async def answer(self, sync_state: list[Any], incarnation: int, changes: int, change: int) -> list[Any]:
-        """[parcel or None, our life, our number, changed lives, {ip: zone}, age in ms, change].
+        """Something changed, or contact was lost or regained: answer all pending polls."""
+        self.changed.set()
+        self.changed = asyncio.Event()
 
-        `age`: -1 where no store has contact, or we have just started and do not know the backends. `change`: of our
-        newest word; -1 where the parcel is of an older one, which the door was in the middle of.
-        """
-        came, has = self.loop.time(), SyncState.decode(sync_state)
-        known = changes if incarnation == self.incarnation else 0
-        if incarnation == self.incarnation and not self._has_news(has, known, change):
+    async def poll(self, request: WatchRequest) -> WatchReply:
+        """Answer one long poll."""
+        received_at = self.loop.time()
+        is_known = request.registry_incarnation == self.incarnation
+        table_version = request.table_version if is_known else 0
+        if is_known and not self._is_newer(request):
             try:
-                async with asyncio.timeout(HOLD):
-                    await self.waking.wait()
+                async with asyncio.timeout(MAX_POLL_S):
+                    await self.changed.wait()
             except TimeoutError:
                 pass
-        now, store_client = self.loop.time(), self.store_client
+        store_client = self.store_client
+        chunk = self._chunk(request.sync_state)
         version_id = store_client.version_id
-        chunk = (
-            store_client.version_store.next_chunk(has, version_id, by_snapshot=True)
-            if version_id.number > has.version_id.number
-            else None
-        )
         is_newest = chunk is None or chunk.version_id == version_id
-        return [
+        return WatchReply(
             chunk.encode() if chunk is not None else None,
             self.incarnation,
-            self.registry.number,
-            [
-                [encode_incarnation(entry.incarnation, now), entry.silent]
-                for entry in self.registry.since(known)
-            ],
+            self.backends.version,
+            [entry.status() for entry in self.backends.changed_since(table_version)],
             {ip: self.zones.get(ip, "") for ip in sorted(store_client.everyone())},
-            self._age(came),
-            store_client.change if is_newest else -1,
-        ]
+            self._age_ms(received_at),
+            store_client.change if is_newest else OLDER_CHANGE,
+        )
+
+    def _chunk(self, sync_state: SyncState) -> VersionChunk | None:
+        version_id = self.store_client.version_id
+        if version_id.number <= sync_state.version_id.number:
+            return None
+        return self.store_client.version_store.next_chunk(sync_state, version_id, by_snapshot=True)
 
-    def _age(self, came: float) -> int:
-        age = self.store_client.age()
-        if age is None or not self.is_full():
-            return -1
-        return max(0, math.ceil((age - (self.loop.time() - came)) * 1000))
+    def _age_ms(self, received_at: float) -> int:
+        age_s = self.store_client.age()
+        if age_s is None or not self.is_synchronized():
+            return NO_CONTACT_AGE_MS
+        return max(0, math.ceil((age_s - (self.loop.time() - received_at)) * 1000))
 
-    def _has_news(self, has: SyncState, known: int, change: int) -> bool:
-        """A door that knows more than we do has no news from us."""
+    def _is_newer(self, request: WatchRequest) -> bool:
+        """Whether this registry has anything that the proxy lacks; a proxy may also know more."""
         return (
-            self.store_client.version_id.number > has.version_id.number
-            or self.registry.number > known
-            or self.store_client.change > change
+            self.store_client.version_id.number > request.sync_state.version_id.number
+            or self.backends.version > request.table_version
+            or self.store_client.change > request.change
         )
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -27,7 +27,7 @@
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.sources import Sources
-from irisdeal.registry.backend_table import BackendIncarnation
+from irisdeal.registry.incarnation import BackendIncarnation
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc import server
 from irisdeal.rpc.client import RpcClient
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -22,7 +22,7 @@
 from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.registry.authority_watch import AuthorityWatch
 from irisdeal.registry.list_record import ListRecord, decode, encode
-from irisdeal.registry.messages import PlaceRequest
+from irisdeal.registry.messages import PlacementRequest
 from irisdeal.runtime.process import Tasks
 
 RULE, LIMIT = QuotaRule(), Limit(30.0, 30.0)
@@ -270,8 +270,8 @@
 @pytest.mark.parametrize("flags", range(8))
 def test_a_decoded_place_request_equals_the_encoded_one(flags: int) -> None:
     is_repeat, is_counted, is_late = (bool(flags & flag) for flag in (1, 2, 4))
-    ask = PlaceRequest("z", "s", 0.1, [3], 1, 0.2, 0.9, "t", is_repeat, is_counted, is_late, [5])
-    assert PlaceRequest.decode(ask.encode()) == ask
+    ask = PlacementRequest("z", "s", 0.1, [3], 1, 0.2, 0.9, "t", is_repeat, is_counted, is_late, [5])
+    assert PlacementRequest.decode(ask.encode()) == ask
 
 
 def test_proxies_are_bounded_and_forgotten() -> None:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -16,7 +16,7 @@
 from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.table import Route
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
--- a/tests/proxy/test_sources.py
+++ b/tests/proxy/test_sources.py
@@ -49,7 +49,7 @@
 STORE = STATUS_INTERVAL_S + STATUS_TIMEOUT_S + WAY
 # What a registry tells, and what a door makes of it when it comes and just before the next answer does.
 REGISTRY = STORE + store_client_module.PULSE + WAY
-DOOR = max(REGISTRY, watch.HOLD) + WAY + watch.HOLD + WAY
+DOOR = max(REGISTRY, watch.MAX_POLL_S) + WAY + watch.MAX_POLL_S + WAY
 # A decided word whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
 # Confirmed by a member that is cut off before anybody heard: seen open in a round, left so for a while, then
@@ -82,9 +82,9 @@
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
     assert REGISTRY < store_client_module.STALE
-    assert max(REGISTRY, watch.HOLD) + WAY < sources.OLD
+    assert max(REGISTRY, watch.MAX_POLL_S) + WAY < sources.OLD
     assert DOOR < sources.LOST
-    assert watch.HOLD == sources.HOLD == store_client_module.HOLD
+    assert watch.MAX_POLL_S == sources.HOLD == store_client_module.HOLD
 
 
 # Days
@@ -255,7 +255,7 @@
     assert all(rig.in_force(door, 32.0) == rig.decided[-1][1] for door in rig.doors)
     lines = Counter(record.getMessage()[:4] for record in caplog.records)
     assert lines["E411"] == lines["E412"] == 4
-    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.HOLD + 2 / sources.LEFT, (
+    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.MAX_POLL_S + 2 / sources.LEFT, (
         "asks a second of a door"
     )
 
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -13,8 +13,8 @@
 
 from irisdeal.config_store.storage.version_files import put
 from irisdeal.registry import ended_record
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, encode_incarnation
 from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
 from irisdeal.registry.peers import ANSWER_S, RegistryPeers
 from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.cluster.cluster import Host, Stage
@@ -107,7 +107,7 @@
                 rig.at(at, partial(rig.call, chance.choice(rig.hosts), "POST", target, heartbeat()))
         at += 0.1
     rig.play(LAST_S + WATCH_S + 0.5)
-    sources = [(when, states(told)) for when, told in rig.heard if told[5] >= 0 and when > rig.struck_at]
+    sources = [(when, states(told)) for when, told in rig.heard if told.age_ms >= 0 and when > rig.struck_at]
     assert rig.acknowledged and sources, "nothing was seen"
     return [
         f"{when:.3f}: {id_} is {incarnations[id_].name}, {state.name} was acknowledged"
@@ -135,18 +135,18 @@
     async def too_early(self: EndedRecord, incarnations: Any, known: Any) -> bool:
         return True  # nothing is written
 
-    monkeypatch.setattr(EndedRecord, "keep", too_early)
+    monkeypatch.setattr(EndedRecord, "save", too_early)
     assert any(closed(seed, "power") for seed in range(6))
 
 
 def test_the_judge_finds_an_acknowledgement_by_one_machine_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     async def alone(self: RegistryPeers, incarnation: BackendIncarnation) -> bool:
-        body = self._message([(encode_incarnation(incarnation, 0.0), 0)]).encode()
+        body = self._update([ObservedIncarnation(incarnation, 0)]).encode(0.0)
         for ip in self.others():
             self.tasks.start(self.link(ip).call("told", body, ANSWER_S))
-        return await self._keep([incarnation])
+        return await self._record([incarnation])
 
-    monkeypatch.setattr(RegistryPeers, "_tell_now", alone)
+    monkeypatch.setattr(RegistryPeers, "_replicate_now", alone)
     assert any(closed(seed, "wipe") for seed in FOUND_BY)
 
 
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -13,8 +13,9 @@
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.registry import store_client as store_client_module
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, decode_incarnation
-from irisdeal.registry.peers import LEARN_S
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
+from irisdeal.registry.messages import WatchReply, WatchRequest
+from irisdeal.registry.peers import SYNC_S
 from irisdeal.registry.server import RegistryServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Machine
@@ -95,14 +96,13 @@
     ).encode()
 
 
-def news_of(station: RegistryServer) -> Awaitable[list[Any]]:
+def news_of(station: RegistryServer) -> Awaitable[WatchReply]:
     """What a door that knows nothing is told."""
-    return station.news.answer(SyncState().encode(), 0, 0, -1)
+    return station.watch.poll(WatchRequest(SyncState(), 0, 0, -1))
 
 
-def states(told: list[Any]) -> dict[str, BackendState]:
-    incarnations = (decode_incarnation(incarnation, 0.0) for incarnation, _ in told[3])
-    return {incarnation.id: incarnation.state for incarnation in incarnations}
+def states(told: WatchReply) -> dict[str, BackendState]:
+    return {status.incarnation.id: status.incarnation.state for status in told.backends}
 
 
 def watch_news(rig: StationRig, host: str, since: float, until: float) -> None:
@@ -118,8 +118,8 @@
     rig.ask(at, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", heartbeat("draining", 2))
 
 
-def shown(rig: StationRig, since: float) -> list[tuple[float, list[Any]]]:
-    return [(at, told) for at, told in rig.heard if at >= since and isinstance(told, list)]
+def shown(rig: StationRig, since: float) -> list[tuple[float, WatchReply]]:
+    return [(at, told) for at, told in rig.heard if at >= since and isinstance(told, WatchReply)]
 
 
 @pytest.mark.parametrize("how", ["restarted", "frozen", "cut off"])
@@ -142,7 +142,7 @@
     rig.play(11.1)
     told = shown(rig, 8.0)
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
-    full = [(at, states(one)) for at, one in told if one[5] >= 0]
+    full = [(at, states(one)) for at, one in told if one.age_ms >= 0]
     assert full and all(incarnations == {"i-1": BackendState.DRAINING} for _, incarnations in full), full[0]
     assert full[0][0] <= 8.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + 10 * WAY
 
@@ -158,14 +158,14 @@
     rig.at(5.0, partial(rig.start_registry, away))
     watch_news(rig, away, 5.1, 9.0)
     rig.play(9.1)
-    full = [at for at, told in shown(rig, 5.0) if told[5] >= 0]
-    assert 5.0 + LEARN_S - 0.1 <= full[0] <= 5.0 + LEARN_S + 3 * store_client_module.ANSWER
+    full = [at for at, told in shown(rig, 5.0) if told.age_ms >= 0]
+    assert 5.0 + SYNC_S - 0.1 <= full[0] <= 5.0 + SYNC_S + 3 * store_client_module.ANSWER
     assert sum("E317" in record.getMessage() for record in caplog.records) == 1
 
 
 @pytest.mark.parametrize("count", range(1, 8))
 def test_enough_were_heard_when_every_majority_has_a_member_among_them(count: int) -> None:
-    """The rule of `RegistryPeers.learn` by counting: any majority, the one that forgot among it or not."""
+    """The rule of `RegistryPeers.synchronize` by counting: any majority, the one that forgot among it or not."""
     seats = set(range(count))
     majorities = [set(some) for some in itertools.combinations(seats, count // 2 + 1)]
     for size in range(count):
@@ -225,6 +225,6 @@
     first, second = (json.loads(answer.body) for _, answer in rig.heard)
     assert first == {"beat_target": f"{gone}:8000"} and second == {}
     assert gone not in peers.links and gone not in peers.zones
-    assert station.registry.hear(
+    assert station.backends.observe(
         BackendIncarnation("i-3", "s", "a:1", "z0", 1, BackendState.READY, 1, 0.0), 1.0
     )
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -9,8 +9,9 @@
 import pytest
 from returns.result import Failure, Success
 
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
-from irisdeal.registry.messages import PlaceRequest, PlaceResult
+from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
+from irisdeal.registry.messages import PlacementRequest, PlacementResult
 from irisdeal.registry.placement_service import PlacementService
 from irisdeal.rpc.calls import CALLS, ends_with_caller
 from irisdeal.rpc.client import RpcClient
@@ -228,16 +229,18 @@
     async def main() -> tuple[list[str], int]:
         loop = asyncio.get_running_loop()
         registry = BackendTable(1.5)
-        registry.hear(BackendIncarnation("i-1", "s", "a:1", "z", 1, BackendState.READY, 1, 0.0), loop.time())
+        registry.observe(
+            BackendIncarnation("i-1", "s", "a:1", "z", 1, BackendState.READY, 1, 0.0), loop.time()
+        )
         places = PlacementService({"z": "r"}, registry, loop)
-        ask = PlaceRequest("z", "s", 0.1, [], 0, 1.5, 2.0)
+        ask = PlacementRequest("z", "s", 0.1, [], 0, 1.5, 2.0)
         taken = places.place("proxy 1#1", ask)
-        assert taken is not None and taken.result is PlaceResult.PLACED
+        assert taken is not None and taken.result is PlacementResult.PLACED
         served: list[str] = []
 
         async def wait(name: str) -> None:
             reply = await places.wait("proxy 1#1", ask)
-            if reply.result is PlaceResult.PLACED:
+            if reply.result is PlacementResult.PLACED:
                 served.append(name)
 
         waiting = [asyncio.ensure_future(wait(name)) for name in ("first", "second", "third")]
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -22,7 +22,7 @@
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.server import RpcServer
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -23,9 +23,17 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.registry import call_kinds
 from irisdeal.registry.admission import AdmissionService
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
-from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceReply, PlaceRequest, PlaceResult
+from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
+from irisdeal.registry.messages import (
+    IntervalReport,
+    PlacementReply,
+    PlacementRequest,
+    PlacementResult,
+    ReservationEnd,
+)
 from irisdeal.rpc import call_tables
 from irisdeal.rpc import calls as table
 from irisdeal.rpc.client import RpcClient
@@ -429,6 +437,24 @@
 # The table
 
 
+def _kind_in(node: ast.expr | None) -> str | None:
+    """The kind of a call that stands here, as a string or as a name of `call_kinds`; None where there is none."""
+    if isinstance(node, ast.Constant):
+        return node.value if isinstance(node.value, str) else None
+    if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "call_kinds":
+        kind: str = getattr(call_kinds, node.attr)
+        return kind
+    return None
+
+
+def _kinds_dispatched(handlers: ast.Dict) -> set[str]:
+    """The keys of a table of handlers: those of which each is a name of `call_kinds`."""
+    if not all(isinstance(key, ast.Attribute) for key in handlers.keys):
+        return set()
+    kinds = {_kind_in(key) for key in handlers.keys}
+    return {kind for kind in kinds if kind is not None}
+
+
 def _kinds_sent() -> Iterator[tuple[str, str, bool]]:
     """File, kind and whether as a word, of all that the programs send."""
     for program in (*PROGRAMS, "simulation"):
@@ -439,10 +465,9 @@
                     and isinstance(node.func, ast.Attribute)
                     and node.func.attr in ("call", "notify", "_notify")
                     and node.args
-                    and isinstance(node.args[0], ast.Constant)
-                    and isinstance(node.args[0].value, str)
+                    and (kind := _kind_in(node.args[0])) is not None
                 ):
-                    yield path.name, node.args[0].value, node.func.attr != "call"
+                    yield path.name, kind, node.func.attr != "call"
 
 
 def _kinds_served() -> set[Any]:
@@ -465,9 +490,11 @@
                     isinstance(node, ast.Compare)
                     and isinstance(node.left, ast.Name)
                     and node.left.id == "kind"
-                    and isinstance(node.comparators[0], ast.Constant)
+                    and (kind := _kind_in(node.comparators[0])) is not None
                 ):
-                    served.add(node.comparators[0].value)
+                    served.add(kind)
+                elif isinstance(node, ast.Dict):
+                    served |= _kinds_dispatched(node)
     return served
 
 
@@ -520,16 +547,16 @@
         registry = BackendTable(1.5)
         self.desk = AdmissionService(settings, registry, loop, 1, lambda: 0.0, lambda *_: asyncio.sleep(0, 0))
         self.places = self.desk.places
-        registry.hear(BackendIncarnation("i", "s", "10.9.0.1:80", "z", 8, BackendState.READY, 1, 0.0), 0.0)
+        registry.observe(BackendIncarnation("i", "s", "10.9.0.1:80", "z", 8, BackendState.READY, 1, 0.0), 0.0)
 
     def place(self, peer: str) -> int:
-        ask = PlaceRequest("z", "s", 0.1, [], 0, 0.0, 1.0)
-        reply = PlaceReply.decode(self.desk.quick(peer, "place", ask.encode()))
-        assert reply.result is PlaceResult.PLACED and reply.backend == "i"
-        return reply.number
+        ask = PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0)
+        reply = PlacementReply.decode(self.desk.quick(peer, "place", ask.encode()))
+        assert reply.result is PlacementResult.PLACED and reply.backend == "i"
+        return reply.reservation
 
     def end(self, peer: str, number: int) -> None:
-        self.desk.quick(peer, "ended", PlaceEnd(number, int(AttemptResult.GOOD), 1.0).encode())
+        self.desk.quick(peer, "ended", ReservationEnd(number, int(AttemptResult.GOOD), 1.0).encode())
 
     def out(self) -> int:
         return self.places.placer.backends["i"].in_flight
@@ -613,12 +640,12 @@
         sources.answering.add(HOST)
         client = RegistryClient(settings, sources)
         client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late_answer)
-        placement = await client.place(PlaceRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
+        placement = await client.place(PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
         await asyncio.sleep(0.2)
         return placement, client.silent_until
 
     placement, silent = rig.play(scenario())
-    assert placement.reply.result is PlaceResult.NO_REGISTRY and placement.is_counted
+    assert placement.reply.result is PlacementResult.NO_REGISTRY and placement.is_counted
     assert HOST in silent and ended == [[7, int(AttemptResult.UNKNOWN), 0.0]]
 
 
@@ -641,22 +668,22 @@
         registry, received = BackendTable(1.5), versions * 2
         chance.shuffle(received)
         for incarnation in received:
-            registry.hear(incarnation, 1.0)
+            registry.observe(incarnation, 1.0)
         incarnation = registry.entries["i"].incarnation
         known.append((incarnation.state, incarnation.count, incarnation.address))
-        number = registry.number
+        number = registry.version
         for late in versions:  # each once more: no news
-            assert not registry.hear(late, 1.5)
-        assert registry.number == number
+            assert not registry.observe(late, 1.5)
+        assert registry.version == number
     assert set(known) == {(ends or BackendState.READY, len(versions), f"10.9.0.{len(versions)}:80")}
 
 
 def test_a_late_beat_brings_no_life_back_and_a_new_life_at_its_address_is_another() -> None:
     registry = BackendTable(1.5)
-    registry.hear(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 0.0)
-    assert registry.leave("i-1", 1.0) is not None and registry.leave("i-1", 1.1) is not None
-    registry.hear(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 99, 0.0), 2.0)
-    registry.hear(BackendIncarnation("i-2", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 2.0)
+    registry.observe(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 0.0)
+    assert registry.deregister("i-1", 1.0) is not None and registry.deregister("i-1", 1.1) is not None
+    registry.observe(BackendIncarnation("i-1", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 99, 0.0), 2.0)
+    registry.observe(BackendIncarnation("i-2", "s", "10.9.0.1:80", "z", 2, BackendState.READY, 7, 0.0), 2.0)
     assert {id_: entry.incarnation.state for id_, entry in registry.entries.items()} == {
         "i-1": BackendState.GONE,
         "i-2": BackendState.READY,
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -27,6 +27,7 @@
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy.sources import Sources
 from irisdeal.registry.backend_table import BackendTable
+from irisdeal.registry.messages import WatchRequest
 from irisdeal.registry.store_client import StoreClient
 from irisdeal.registry.watch import WatchService
 from irisdeal.rpc.client import RpcClient
@@ -173,10 +174,10 @@
     def __init__(self, rig: CoreRig, ip: str, incarnation: int) -> None:
         self.settings = rig.settings(ip)
         self.ip, self.versions, self.is_full = ip, list[int](), True
-        self.registry, self.waking = BackendTable(1.5), [0]
+        self.backends, self.waking = BackendTable(1.5), [0]
         self.store_client = StoreClient(self.settings, VersionStore(), self.on_version, self.changed)
         zones = {host: zone_of(host) for host in rig.hosts}
-        self.news = WatchService(self.store_client, self.registry, incarnation, zones, lambda: self.is_full)
+        self.watch = WatchService(self.store_client, self.backends, incarnation, zones, lambda: self.is_full)
         self.server = RpcServer(self.handle)
         self.ages: list[tuple[float, int]] = []
 
@@ -185,7 +186,7 @@
 
     def changed(self) -> None:
         self.waking[0] += 1
-        self.news.wake()
+        self.watch.wake()
 
     async def run(self) -> int:
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
@@ -195,9 +196,10 @@
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         if kind == "news":
-            told = await self.news.answer(*body)
-            self.ages.append((asyncio.get_running_loop().time(), told[5]))
-            return told
+            reply = await self.watch.poll(WatchRequest.decode(body))
+            now = asyncio.get_running_loop().time()
+            self.ages.append((now, reply.age_ms))
+            return reply.encode(now)
         return None
 
 
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -31,8 +31,8 @@
 from irisdeal.config_store.storage.inspection import look
 from irisdeal.config_store.storage.version_files import Files
 from irisdeal.permits.authority import IssuerList
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState
 from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.list_record import ListRecord
 from irisdeal.runtime.process import Tasks
 
@@ -178,7 +178,7 @@
 async def ended_written(path: Path, ended: list[BackendIncarnation]) -> None:
     record = ended_record(path)
     if ended:
-        assert await record.keep(ended, [*ended, ready_life()])
+        assert await record.save(ended, [*ended, ready_life()])
     else:
         assert await record.begin([ready_life()])
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -29,7 +29,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.registry.messages import IntervalReport, PlaceEnd, PlaceRequest
+from irisdeal.registry.messages import IntervalReport, PlacementRequest, ReservationEnd
 from irisdeal.registry.server import RegistryServer
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import ONE_WAY, encode
@@ -294,23 +294,23 @@
         asked = {
             "zone": "z0",
             "service": SERVICE,
-            "usual_s": 0.05,
+            "typical_latency_s": 0.05,
             "avoid": (3,),
             "rank": 2,
-            "hold_s": 0.0,
-            "left_s": 1.5,
+            "max_wait_s": 0.0,
+            "time_left_s": 1.5,
             "connected": (5, 6),
             **changes,
         }
-        placement = await self.client.place(PlaceRequest(**asked), 0.5)
-        if placement.reply.number > 0:
-            self.numbers.append((placement.registry, placement.reply.number))
+        placement = await self.client.place(PlacementRequest(**asked), 0.5)
+        if placement.reply.reservation > 0:
+            self.numbers.append((placement.registry, placement.reply.reservation))
 
     async def end_places(self) -> None:
         assert self.client is not None
         for number, (registry, place) in enumerate(self.numbers):
             how = AttemptResult.GOOD if number % 2 else AttemptResult.FAILED
-            self.client.end_place(registry, PlaceEnd(place, int(how), 1.25 + number))
+            self.client.end_place(registry, ReservationEnd(place, int(how), 1.25 + number))
         self.numbers.clear()
 
     async def ask_as_before(self) -> None:
@@ -340,8 +340,8 @@
     for number in range(4):
         rig.on(STARTED + 2.0 + 0.01 * number, PROXY, "proxy", rig.place)
     rig.on(STARTED + 2.2, PROXY, "proxy", partial(rig.place, is_repeat=True, is_late=True))
-    rig.on(STARTED + 2.3, PROXY, "proxy", partial(rig.place, hold_s=0.2))
-    rig.on(STARTED + 2.4, PROXY, "proxy", partial(rig.place, hold_s=0.5))
+    rig.on(STARTED + 2.3, PROXY, "proxy", partial(rig.place, max_wait_s=0.2))
+    rig.on(STARTED + 2.4, PROXY, "proxy", partial(rig.place, max_wait_s=0.5))
     rig.on(STARTED + 2.6, PROXY, "proxy", rig.end_places)
     for number in range(80):  # more than this registry's part of the tenant's permits
         rig.on(STARTED + 5.0 + 0.005 * number, PROXY, "proxy", partial(rig.place, tenant=TENANT))
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -19,8 +19,8 @@
 from irisdeal.permits.messages import PrefetchReply
 from irisdeal.proxy import connection_pool
 from irisdeal.proxy.process import Proxy
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState
-from irisdeal.registry.messages import IntervalReply, PlaceReply, PlaceRequest, PlaceResult
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
+from irisdeal.registry.messages import IntervalReply, PlacementReply, PlacementRequest, PlacementResult
 from irisdeal.rpc.server import DEFERRED, RpcServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Core, Costs, Machine
@@ -227,8 +227,8 @@
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
-            case "place" if self.hold_s > 0 and PlaceRequest.decode(body).hold_s > 0:
-                return PlaceReply(PlaceResult.WAIT).encode()
+            case "place" if self.hold_s > 0 and PlacementRequest.decode(body).max_wait_s > 0:
+                return PlacementReply(PlacementResult.WAIT).encode()
             case "place":
                 return self._place(peer)
             case "wait":
@@ -245,7 +245,7 @@
     def _place(self, peer: str) -> Any:
         self.number += 1
         self.open[self.number] = peer
-        return PlaceReply(PlaceResult.PLACED, self.number, "i-0", 1.0).encode()
+        return PlacementReply(PlacementResult.PLACED, self.number, "i-0", 1.0).encode()
 
 
 class RequestWorld:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -48,22 +48,26 @@
 from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.registry.backend_table import (
+from irisdeal.registry.incarnation import (
     BackendIncarnation,
     BackendState,
-    decode_incarnation,
-    encode_incarnation,
+    IncarnationStatus,
+    ObservedIncarnation,
 )
 from irisdeal.registry.messages import (
     BackendSnapshot,
     BackendUpdate,
+    IncarnationReport,
     IntervalReply,
     IntervalReport,
     IntervalSum,
-    PlaceEnd,
-    PlaceReply,
-    PlaceRequest,
-    PlaceResult,
+    LoadReport,
+    PlacementReply,
+    PlacementRequest,
+    PlacementResult,
+    ReservationEnd,
+    WatchReply,
+    WatchRequest,
 )
 from irisdeal.rpc.calls import CALLS, CANCEL
 from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, encode
@@ -130,7 +134,7 @@
 
 
 def incarnation(told: Any) -> Any:
-    return encode_incarnation(decode_incarnation(told, 0.0), 0.0)
+    return BackendIncarnation.decode(told, 0.0).encode(0.0)
 
 
 def accepted(told: Any) -> Any:
@@ -150,22 +154,28 @@
     "put": (each(number, bytes, bytes), outcome),
     "read": (nothing, each(bool, maybe(bytes))),
     "news": (
-        each(sync_state, number, number, number),
-        each(as_is, number, number, every(each(incarnation, bool)), as_is, number, number),
+        lambda told: WatchRequest.decode(told).encode(),
+        lambda told: WatchReply.decode(told, 0.0).encode(0.0),
     ),
-    "lives": (AGED, nothing),
+    "lives": (lambda told: IncarnationReport.decode(told, 0.0).encode(0.0), nothing),
     "count": (
         lambda told: IntervalReport.decode(told).encode(),
         lambda told: IntervalReply.decode(told).encode(),
     ),
-    "place": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
-    "wait": (lambda told: PlaceRequest.decode(told).encode(), lambda told: PlaceReply.decode(told).encode()),
-    "ended": (lambda told: PlaceEnd.decode(told).encode(), nothing),
-    "told": (lambda told: BackendUpdate.decode(told).encode(), nothing),
+    "place": (
+        lambda told: PlacementRequest.decode(told).encode(),
+        lambda told: PlacementReply.decode(told).encode(),
+    ),
+    "wait": (
+        lambda told: PlacementRequest.decode(told).encode(),
+        lambda told: PlacementReply.decode(told).encode(),
+    ),
+    "ended": (lambda told: ReservationEnd.decode(told).encode(), nothing),
+    "told": (lambda told: BackendUpdate.decode(told, 0.0).encode(0.0), nothing),
     "all": (nothing, AGED),
-    "all_lives": (nothing, lambda told: BackendSnapshot.decode(told).encode()),
+    "all_lives": (nothing, lambda told: BackendSnapshot.decode(told, 0.0).encode(0.0)),
     "sums": (lambda told: IntervalSum.decode(told).encode(), nothing),
-    "loads": (each(str, as_is), nothing),
+    "loads": (lambda told: LoadReport.decode(told).encode(), nothing),
     "lend": (lambda told: LendRequest.decode(told).encode(), number),
 }
 
@@ -276,33 +286,38 @@
     return samples
 
 
+# The names of these samples in the recorded data, from which they may not move
+PLACEMENT_SAMPLES = {PlacementResult.NO_BACKEND: "no_place"}
+
+
 def _registry_samples() -> list[Sample]:
     incarnations = [
-        encode_incarnation(
-            BackendIncarnation("i-1", "s", "10.9.0.1:80", "z0", 40, BackendState.READY, 12, 3.25), 0.0
-        ),
-        encode_incarnation(
-            BackendIncarnation("i-2", "s", "10.9.0.2:80", "z1", 8, BackendState.DRAINING, 70_000, 0.0), 1.0
-        ),
-        encode_incarnation(BackendIncarnation("i-3", "", "", "", 0, BackendState.GONE, 0, 0.0), 0.0),
+        BackendIncarnation("i-1", "s", "10.9.0.1:80", "z0", 40, BackendState.READY, 12, 3.25),
+        BackendIncarnation("i-2", "s", "10.9.0.2:80", "z1", 8, BackendState.DRAINING, 70_000, -1.0),
+        BackendIncarnation("i-3", "", "", "", 0, BackendState.GONE, 0, 0.0),
     ]
-    aged = [(told, 30 * at) for at, told in enumerate(incarnations)]
+    aged = [ObservedIncarnation(each, 30 * at) for at, each in enumerate(incarnations)]
+    statuses = [IncarnationStatus(each, at == 1) for at, each in enumerate(incarnations)]
     zones = {"10.0.0.1": "z0", "10.1.0.1": ""}
     usages = {"t-1": Usage(17.1234, 1.25, 0.0, 2.0), "t-2": Usage()}
     held = PrefetchReport(77, 5, 1 << 47, {"t-1": 6}, {"t-1": 64, "t-2": 1})
     reserve = PrefetchReply(1 << 47, True, {"t-1": -3})
-    asked = PlaceRequest("z0", "s", 0.05, (3, 1 << 23), 2, 0.25, 1.5)
-    full = PlaceRequest("z0", "s", 0.05, (), -1, 0.0, 1.5, "t-1", True, True, True, (5, 6))
-    placed = PlaceReply(PlaceResult.PLACED, 1_579_233_161, "i-1", 2.15)
+    asked = PlacementRequest("z0", "s", 0.05, (3, 1 << 23), 2, 0.25, 1.5)
+    full = PlacementRequest("z0", "s", 0.05, (), -1, 0.0, 1.5, "t-1", True, True, True, (5, 6))
+    placed = PlacementReply(PlacementResult.PLACED, 1_579_233_161, "i-1", 2.15)
     samples = [
         Sample(
             "news",
             "lives",
-            [SyncState().encode(), 0, 0, -1],
-            [None, 1 << 47, 3, [[told, at == 1] for at, told in enumerate(incarnations)], zones, 1100, 300],
+            WatchRequest(SyncState(), 0, 0, -1).encode(),
+            WatchReply(None, 1 << 47, 3, statuses, zones, 1100, 300).encode(0.0),
         ),
-        Sample("lives", "all kinds", [[told, 0] for told in incarnations]),
-        Sample("lives", "none", []),
+        Sample(
+            "lives",
+            "all kinds",
+            IncarnationReport([ObservedIncarnation(each, 0) for each in incarnations]).encode(0.0),
+        ),
+        Sample("lives", "none", IncarnationReport([]).encode(0.0)),
         Sample(
             "count",
             "with permits",
@@ -317,23 +332,35 @@
         ),
         Sample("place", "placed", asked.encode(), placed.encode()),
         Sample("wait", "placed", asked.encode(), placed.encode()),
-        Sample("wait", "no place", full.encode(), PlaceReply(PlaceResult.NO_PLACE).encode()),
-        Sample("told", "lives", BackendUpdate("10.0.0.1", "z0", "10.0.0.1:8000", aged).encode()),
-        Sample("told", "none", BackendUpdate("10.0.0.1", "", "", []).encode()),
-        Sample("all", "lives", None, [[told, age] for told, age in aged]),
-        Sample("all_lives", "remembers", None, BackendSnapshot(True, aged).encode()),
-        Sample("all_lives", "forgot", None, BackendSnapshot(False, []).encode()),
+        Sample("wait", "no place", full.encode(), PlacementReply(PlacementResult.NO_BACKEND).encode()),
+        Sample("told", "lives", BackendUpdate("10.0.0.1", "z0", "10.0.0.1:8000", aged).encode(0.0)),
+        Sample("told", "none", BackendUpdate("10.0.0.1", "", "", []).encode(0.0)),
+        Sample("all", "lives", None, IncarnationReport(aged).encode(0.0)),
+        Sample("all_lives", "remembers", None, BackendSnapshot(True, aged).encode(0.0)),
+        Sample("all_lives", "forgot", None, BackendSnapshot(False, []).encode(0.0)),
         Sample("sums", "a sum", IntervalSum("10.0.0.1", 15.0019, 13, usages, (4, 5)).encode()),
-        Sample("loads", "some", ["10.0.0.1", {1 << 23: 4, 7: 1}]),
-        Sample("loads", "none", ["10.0.0.1", {}]),
+        Sample("loads", "some", LoadReport("10.0.0.1", {1 << 23: 4, 7: 1}).encode()),
+        Sample("loads", "none", LoadReport("10.0.0.1", {}).encode()),
         Sample("lend", "a loan", LendRequest("t-1", 64).encode(), 4),
     ]
     samples += [
-        Sample("ended", how.name.lower(), PlaceEnd(1_579_233_161, int(how), 1.25).encode())
+        Sample("ended", how.name.lower(), ReservationEnd(1_579_233_161, int(how), 1.25).encode())
         for how in AttemptResult
     ]
-    answers = [end for end in PlaceResult if end not in (PlaceResult.PLACED, PlaceResult.NO_REGISTRY)]
-    samples += [Sample("place", end.name.lower(), full.encode(), PlaceReply(end).encode()) for end in answers]
+    results = [
+        result
+        for result in PlacementResult
+        if result not in (PlacementResult.PLACED, PlacementResult.NO_REGISTRY)
+    ]
+    samples += [
+        Sample(
+            "place",
+            PLACEMENT_SAMPLES.get(result, result.name.lower()),
+            full.encode(),
+            PlacementReply(result).encode(),
+        )
+        for result in results
+    ]
     return samples
 
 
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -16,8 +16,9 @@
 from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
 from irisdeal.ratelimit.demand_split import bound, part
 from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
-from irisdeal.registry.backend_table import BackendIncarnation, BackendState, BackendTable
+from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
+from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.rpc.frames import FrameReader, InvalidFrameError, encode
 from irisdeal.runtime import settings
 
@@ -121,7 +122,7 @@
         chance.shuffle(order)
         reached = BackendState.READY
         for number, incarnation in enumerate(order):
-            registry.hear(incarnation, float(number))
+            registry.observe(incarnation, float(number))
             reached = max(reached, incarnation.state)
             assert registry.entries["i"].incarnation.state is reached
     assert here.entries["i"].incarnation == there.entries["i"].incarnation
@@ -129,9 +130,9 @@
 
 def test_an_end_of_an_unknown_life_is_remembered() -> None:
     registry = BackendTable(1.5)
-    assert registry.leave("i", 1.0) is None
-    registry.hear(BackendIncarnation("i", "", "", "", 0, BackendState.GONE, 0, 1.0), 1.0)
-    registry.hear(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, BackendState.READY, 5, 1.0), 2.0)
+    assert registry.deregister("i", 1.0) is None
+    registry.observe(BackendIncarnation("i", "", "", "", 0, BackendState.GONE, 0, 1.0), 1.0)
+    registry.observe(BackendIncarnation("i", "s", "10.0.0.1:1", "z", 2, BackendState.READY, 5, 1.0), 2.0)
     assert registry.entries["i"].incarnation.state is BackendState.GONE
 
 
