--- a/irisdeal/cli/store.py
+++ b/irisdeal/cli/store.py
@@ -36,10 +36,10 @@
     name = "ip:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        from irisdeal.runtime.settings import address
+        from irisdeal.runtime.settings import parse_address
 
         try:
-            return value if isinstance(value, tuple) else address(value)
+            return value if isinstance(value, tuple) else parse_address(value)
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
@@ -74,9 +74,9 @@
         raise Unusable("--settings: wanted, as no store was named")
     from returns.result import Failure
 
-    from irisdeal.runtime.settings import load
+    from irisdeal.runtime.settings import load_settings
 
-    read = load(settings_file)
+    read = load_settings(settings_file)
     if isinstance(read, Failure):
         raise Unusable(str(read.failure()))
     return read.unwrap()
@@ -86,7 +86,7 @@
     from irisdeal.runtime import ports
 
     ips = [*ports.seeds(settings), *([settings.ip] if settings.data_path else [])]
-    return [ports.at(settings, ip, ports.CONFIG_STORE) for ip in ips]
+    return [ports.address_of(settings, ip, ports.CONFIG_STORE) for ip in ips]
 
 
 def _survey(stores: tuple[Address, ...], settings_file: str | None) -> Survey:
@@ -426,7 +426,7 @@
     disk = _look(settings.data_path)
     planned = adoption.plan(disk, settings.ip)
     ips = {*ports.seeds(settings), settings.ip, *planned.machines}
-    found = asyncio.run(survey(ports.at(settings, ip, ports.CONFIG_STORE) for ip in ips))
+    found = asyncio.run(survey(ports.address_of(settings, ip, ports.CONFIG_STORE) for ip in ips))
     refused = adoption.refusals(disk, planned, settings.ip, found, given)
     if not refused and not dry_run:
         try:
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -28,7 +28,7 @@
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.version_files import Files
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.runtime.events import Event, invariant, log_event
+from irisdeal.runtime.events import Event, check_invariant, log_event
 from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
@@ -178,7 +178,7 @@
 
     async def save_version(self, version: ConfigVersion) -> bool:
         """Hold this body, synced; False where the disk refuses."""
-        if not invariant(version.is_whole(), "a word is kept whole", number=version.version_id.number):
+        if not check_invariant(version.is_whole(), "a word is kept whole", number=version.version_id.number):
             return False
         return await self._whole(self._save_version(version))
 
--- a/irisdeal/config_store/membership/monitor.py
+++ b/irisdeal/config_store/membership/monitor.py
@@ -76,11 +76,11 @@
     def new_events(self, decided: Value, own: str, now: float) -> list[tuple[Event, str]]:
         """Return the conditions that are new since the last call, each with its seat.
 
-        `MEMBER_SILENT`: a member is dead; `LEARNER_READY`: a learner is ready; `QUORUM_UNREACHABLE`, for the own
-        seat: no quorum can ever be had.
+        `MEMBER_UNRESPONSIVE`: a member is dead; `LEARNER_READY`: a learner is ready; `QUORUM_UNREACHABLE`, for the
+        own seat: no quorum can ever be had.
         """
         view = MembershipView(decided, self.statuses, own, now, ReconfigurationGoals(), self.listening_since)
-        conditions = {(Event.MEMBER_SILENT, seat) for seat in view.seats - view.live(view.seats)}
+        conditions = {(Event.MEMBER_UNRESPONSIVE, seat) for seat in view.seats - view.live(view.seats)}
         conditions |= {(Event.LEARNER_READY, seat) for seat in view.ready_learners()}
         if self._are_all_disks_empty(decided, now) or is_quorum_lost(decided, self.statuses, own):
             conditions.add((Event.QUORUM_UNREACHABLE, own))
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -42,7 +42,7 @@
     def link(self, ip: str) -> RpcClient:
         """Return the link to this replica, made with the first call to it."""
         if ip not in self.links:
-            address = ports.at(self.settings, ip, ports.CONFIG_STORE)
+            address = ports.address_of(self.settings, ip, ports.CONFIG_STORE)
             self.links[ip] = RpcClient(address, f"{HELLO_NAME} {self.settings.ip}")
         return self.links[ip]
 
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -86,7 +86,7 @@
         cut = await self.server.drain(begun + self.settings.bound("grace_s", 6.0) - END_S)
         if cut:
             self.metrics.cut_calls.add(amount=cut)
-            log_event(Event.STORE_CALLS_CUT, calls=cut)
+            log_event(Event.STORE_CALLS_UNANSWERED, calls=cut)
         self.tasks.cancel()
         self.metrics_server.close()
         self.peers.close()
@@ -116,7 +116,7 @@
         )
         if members != before:
             log_event(
-                Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_SETTLED,
+                Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_CHANGE_COMPLETED,
                 list=members.number,
                 seats=" ".join(members.seats),
             )
--- a/irisdeal/http1/metrics_server.py
+++ b/irisdeal/http1/metrics_server.py
@@ -6,7 +6,7 @@
 
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.http1.server import HttpServer
-from irisdeal.runtime.metrics import CONTENT_TYPE, Metrics, parse_address
+from irisdeal.runtime.metrics import CONTENT_TYPE, Metrics, parse_metrics_address
 from irisdeal.runtime.settings import Settings
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, settings: Settings, metrics: Metrics, loop: asyncio.AbstractEventLoop) -> None:
         self.metrics = metrics
-        self.address = parse_address(settings.metrics) if settings.metrics else None
+        self.address = parse_metrics_address(settings.metrics) if settings.metrics else None
         self.ip = settings.ip
         self.http = HttpServer(self._answer, loop)
 
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -31,7 +31,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.table import Route
 from irisdeal.registry.messages import ReservationEnd
-from irisdeal.runtime.events import Event, invariant, log_event
+from irisdeal.runtime.events import Event, check_invariant, log_event
 from irisdeal.runtime.process import Tasks
 
 LEAST_LEFT_S = 0.010  # of a request's time under which no attempt is begun
@@ -350,7 +350,7 @@
             status = 504 if self.loop.time() >= self.admitted.until - 2 * MARGIN_S else 502
             raise Refused(status, self.last.why or "given up")
         holds = self.last.end in (End.UNSENT, End.PROMISE)
-        invariant(holds, "only what has not run is promised", route=self.admitted.route.name)
+        check_invariant(holds, "only what has not run is promised", route=self.admitted.route.name)
         if self.services.drain() is not None:
             raise leaving()
         raise Refused(503, self.last.why, AGAIN_S)
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -40,7 +40,7 @@
 from irisdeal.runtime.early_listen import Listening
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
-from irisdeal.runtime.settings import Settings, address
+from irisdeal.runtime.settings import Settings, parse_address
 
 MOST_WAIT = 60.0  # s, where a client tells no deadline
 FIRST_WAIT = 0.3  # s that a request at a door which has just started waits for the first configuration
@@ -115,9 +115,9 @@
     async def start(self) -> None:
         self.sources.start()
         self.tasks.start(self.admission.report_intervals())
-        await self.front.listen(address(self.settings.bind.front), sock=self.listening.get("front"))
+        await self.front.listen(parse_address(self.settings.bind.front), sock=self.listening.get("front"))
         await self.readiness.listen(
-            address(self.settings.bind.readiness), sock=self.listening.get("readiness")
+            parse_address(self.settings.bind.readiness), sock=self.listening.get("readiness")
         )
         await self.metrics_server.start()
 
@@ -153,7 +153,7 @@
         )
         if requests or unsent:
             phases = Counter(request.phase.value for request in requests)
-            log_event(Event.RESPONSES_CUT, requests=len(requests), unsent_bytes=unsent, **phases)
+            log_event(Event.RESPONSES_UNFINISHED, requests=len(requests), unsent_bytes=unsent, **phases)
 
     def reload(self, settings: Settings) -> None:
         self.settings = settings
@@ -196,7 +196,7 @@
             backend = Backend(
                 incarnation.id,
                 incarnation.service,
-                address(incarnation.address),
+                parse_address(incarnation.address),
                 incarnation.zone,
                 near,
                 max(1, incarnation.capacity),
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -82,7 +82,7 @@
 
     def _link(self, registry: str) -> RpcClient:
         if registry not in self.links:
-            address = ports.at(self.settings, registry, ports.REGISTRY)
+            address = ports.address_of(self.settings, registry, ports.REGISTRY)
             self.links[registry] = RpcClient(
                 address, f"proxy {self.settings.ip}", lambda kind, told: self._late(registry, kind, told)
             )
--- a/irisdeal/proxy/sources.py
+++ b/irisdeal/proxy/sources.py
@@ -179,7 +179,9 @@
             was_left = ip is None or self._is_left(ip, self.loop.time())
             if ip is not None:
                 self.using.append(ip)
-                link = RpcClient(ports.at(self.settings, ip, ports.REGISTRY), f"proxy {self.settings.ip}")
+                link = RpcClient(
+                    ports.address_of(self.settings, ip, ports.REGISTRY), f"proxy {self.settings.ip}"
+                )
                 try:
                     await self._ask(ip, link)
                 finally:
@@ -205,7 +207,7 @@
             sync_state, sent = self._have(ip), self.loop.time()
             answer = await link.call("news", [sync_state.encode(), incarnation, number, self.change], ASK)
             if isinstance(answer, Failure):
-                log_event(Event.SOURCE_SILENT, source=ip, trouble=answer.failure())
+                log_event(Event.SOURCE_UNRESPONSIVE, source=ip, trouble=answer.failure())
                 return self._deregister(ip)
             chunk, now_life, number, incarnations, zones, age, change = answer.unwrap()
             self.answering.add(ip)
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -16,7 +16,7 @@
     IncarnationStatus,
     ObservedIncarnation,
 )
-from irisdeal.runtime.events import Event, invariant, log_event
+from irisdeal.runtime.events import Event, check_invariant, log_event
 
 # Heartbeat intervals without a heartbeat after which a backend is unresponsive: two missed ones and a transit.
 MISSED_HEARTBEATS = 2.7
@@ -73,7 +73,7 @@
             state=max(known.state, incarnation.state),
             count=max(known.count, incarnation.count),
         )
-        invariant(merged.state >= known.state, "an incarnation never goes back", id=incarnation.id)
+        check_invariant(merged.state >= known.state, "an incarnation never goes back", id=incarnation.id)
         if is_newer:
             entry.heartbeat_at = max(entry.heartbeat_at, now - age_s)
         has_changed = merged.state != known.state or merged.address != known.address
@@ -128,7 +128,7 @@
                 entry.is_unresponsive = has_changed = True
                 self._mark_changed(entry)
                 log_event(
-                    Event.BACKEND_SILENT,
+                    Event.BACKEND_UNRESPONSIVE,
                     id=entry.incarnation.id,
                     service=entry.incarnation.service,
                     seconds=round(elapsed_s, 2),
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -13,7 +13,7 @@
 from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.runtime.errors import OperationError
-from irisdeal.runtime.settings import address
+from irisdeal.runtime.settings import parse_address
 
 MOST_BEAT = 4096  # bytes of a beat
 ID = re.compile(r"[\x21-\x7e]{1,200}")
@@ -97,7 +97,7 @@
         heartbeat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
         if heartbeat.state not in ("ready", "draining"):
             raise ValueError(f"state: wanted ready or draining, got {heartbeat.state!r}")
-        address(heartbeat.address)
+        parse_address(heartbeat.address)
     except (dacite.DaciteError, ValueError, TypeError) as error:
         return Failure(Refusal(400, OperationError("heartbeat", id_, str(error))))
     return Success(heartbeat)
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -78,7 +78,7 @@
     def link(self, ip: str) -> RpcClient:
         """The client of the registry on this machine."""
         if ip not in self.links:
-            address = ports.at(self.settings, ip, ports.REGISTRY)
+            address = ports.address_of(self.settings, ip, ports.REGISTRY)
             self.links[ip] = RpcClient(address, HELLO_NAME.format(ip=self.ip))
         return self.links[ip]
 
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -51,8 +51,8 @@
 from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import Event, log_event
-from irisdeal.runtime.process import Tasks, every
-from irisdeal.runtime.settings import Settings, address
+from irisdeal.runtime.process import Tasks, run_periodically
+from irisdeal.runtime.settings import Settings, parse_address
 
 FLUSH = 0.2  # s between two tellings of beats and sums to the other registries
 LOOK = 0.25  # s between two looks at who is silent
@@ -114,12 +114,12 @@
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
         self.store_client.start()
         self.tasks.start(self.peers.synchronize())
-        self.tasks.start(every(FLUSH, self.peers.flush))
-        self.tasks.start(every(LOOK, self._look))
-        self.tasks.start(every(TELL, self._tell_loads))
+        self.tasks.start(run_periodically(FLUSH, self.peers.flush))
+        self.tasks.start(run_periodically(LOOK, self._look))
+        self.tasks.start(run_periodically(TELL, self._tell_loads))
         self.tasks.start(self.admission.quotas.intervals(self._tell_sum))
         self.tasks.start(self.authority_watch.recall())
-        await self.http.listen(address(self.settings.bind.control))
+        await self.http.listen(parse_address(self.settings.bind.control))
         await self.metrics_server.start()
 
     async def stop(self) -> None:
@@ -132,7 +132,7 @@
         if unanswered.requests or unanswered.unsent_bytes or cut:
             self.metrics.cut_calls.add(amount=len(unanswered.requests))
             log_event(
-                Event.REGISTRY_CALLS_CUT,
+                Event.REGISTRY_CALLS_UNANSWERED,
                 calls=len(unanswered.requests),
                 unsent_bytes=unanswered.unsent_bytes,
                 internal=cut,
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -32,7 +32,7 @@
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.events import Event, log_event
-from irisdeal.runtime.process import Tasks, every
+from irisdeal.runtime.process import Tasks, run_periodically
 from irisdeal.runtime.settings import Settings
 
 HOLD = 1.0  # s that a store may hold a watch without news
@@ -89,7 +89,7 @@
 
     def start(self) -> None:
         self.tasks.start(self._watch())
-        self.tasks.start(every(PULSE, self._pulse))
+        self.tasks.start(run_periodically(PULSE, self._pulse))
 
     def stop(self) -> None:
         self.tasks.cancel()
@@ -130,7 +130,9 @@
 
     def _link(self, ip: str) -> RpcClient:
         if ip not in self.links:
-            self.links[ip] = RpcClient(ports.at(self.settings, ip, ports.CONFIG_STORE), f"gauge {self.ip}")
+            self.links[ip] = RpcClient(
+                ports.address_of(self.settings, ip, ports.CONFIG_STORE), f"gauge {self.ip}"
+            )
         return self.links[ip]
 
     def _others(self) -> list[str]:
--- a/irisdeal/rpc/call_tables.py
+++ b/irisdeal/rpc/call_tables.py
@@ -99,7 +99,7 @@
 
 
 def row(call: CallSpec, matched_by: str) -> str:
-    """One call as a line of a Markdown table. `matched_by`: what its answer is matched by."""
+    """Return one call as a line of a Markdown table. `matched_by`: what its answer is matched by."""
     cells = (
         f"`{call.kind}`{', a notification' if call.is_one_way else ''}",
         f"{call.caller}, {call.callee}",
@@ -113,14 +113,14 @@
 
 
 def table(calls: Iterable[CallSpec], matched_by: str) -> str:
-    """These calls as a Markdown table. `matched_by`: what an answer is matched by."""
+    """Return these calls as a Markdown table. `matched_by`: what an answer is matched by."""
     lines = [f"| {' | '.join(COLUMNS)} |", "| --- " * len(COLUMNS) + "|"]
     lines += [row(call, matched_by) for call in calls]
     return "\n".join(lines) + "\n"
 
 
 def page() -> str:
-    """The tables in docs/design/control.md: the calls between our processes, then those from and to outside."""
+    """Return the tables of docs/design/control.md: calls between our processes, then from and to outside."""
     between_processes = table(CALLS.values(), BY_REQUEST_ID)
     return between_processes + "\nFrom and to outside:\n\n" + table(OUTSIDE_CALLS, BY_ORDER)
 
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -277,18 +277,18 @@
 
 
 def process_name(peer: str) -> str:
-    """The process of a peer, over whichever connection: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
+    """Return the process of a peer, over whichever connection: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
     return peer.partition("#")[0]
 
 
 def ends_with_caller(kind: str) -> bool:
-    """Whether a call of this kind is worked on for its caller alone, and is cancelled with it."""
+    """Return whether a call of this kind is worked on for its caller alone, and is cancelled with it."""
     call = CALLS.get(kind)
     return call is not None and call.ends_with_caller
 
 
 def reason_not_to_send(kind: str, is_one_way: bool) -> str | None:
-    """Why a call of this kind cannot be sent; None where it can. A peer gets the text as an error answer."""
+    """Return why a call of this kind cannot be sent, None where it can. A peer gets the text as an error."""
     call = CALLS.get(kind)
     if call is None:
         return f"no call {kind!r}"
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -118,8 +118,9 @@
     def _receive_late(
         self, request_id: int, call: _PendingCall | None, is_success: bool, body: WireValue
     ) -> None:
-        """Take an answer that has no call waiting for it. `call`: whose deadline is over or whose caller was
-        cancelled, where that was not noticed yet.
+        """Take an answer that no caller waits for.
+
+        `call`: the one whose deadline is over or whose caller was cancelled, where that was not noticed yet.
         """
         if call is not None:
             self._time_out(call)
@@ -133,7 +134,7 @@
             self.on_late_answer(kind, body)
 
     def send(self, kind: str, body: object, timeout_s: float) -> tuple[int, asyncio.Future[CallResult]]:
-        """Send a call; its request id and its answer to come. ValueError where it is too long."""
+        """Send a call; return its request id and the future of its answer. ValueError where it is too long."""
         assert self.transport is not None
         self.last_request_id += 1
         frame = encode([self.last_request_id, kind, body])
@@ -143,14 +144,14 @@
         return self.last_request_id, answer
 
     def expire(self, request_id: int) -> None:
-        """The call's deadline has come."""
+        """Give up the call whose deadline has come; its connection may be hung."""
         call = self.pending.get(request_id)
         if call is not None:
             self.is_hung |= self.last_received_at <= call.sent_at
             self.give_up(request_id)
 
     def give_up(self, request_id: int) -> None:
-        """Nobody waits for this call any more: the peer is notified where it works for the caller alone."""
+        """Wait for this call no longer, and notify the peer where it works for the caller alone."""
         call = self.pending.pop(request_id, None)
         if call is None:
             return
@@ -170,7 +171,7 @@
             )
 
     def retire(self) -> None:
-        """Another connection takes its place; it ends with the last call that is pending on it."""
+        """Close with the last call that is pending here, since another connection has taken its place."""
         self.is_retired = True
         self._drop_if_unused()
 
@@ -198,7 +199,9 @@
     """Calls one other process, over one connection at a time."""
 
     def __init__(self, address: Address, name: str, on_late_answer: LateAnswerHandler | None = None) -> None:
-        """`name`: of this process, as the peer sees it; `on_late_answer`: called with the kind and the body of each
+        """Connect to nothing yet.
+
+        `name`: of this process, as the peer sees it. `on_late_answer`: called with the kind and the body of each
         successful answer that came after its deadline.
         """
         self.address, self.name = address, name
@@ -208,7 +211,7 @@
         self.connecting: asyncio.Task[_ClientConnection | _NotConnected] | None = None
 
     async def _connect(self) -> _ClientConnection | _NotConnected:
-        """A new connection, which takes the place of the present one; or why there is none."""
+        """Open a connection, which takes the place of the present one."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -228,7 +231,7 @@
         return connection
 
     async def _connected(self, timeout_s: float) -> _ClientConnection | _NotConnected:
-        """The connection to write to, or why there is none in time. All calls that need one share one attempt."""
+        """Return the connection to write to; where there is none, open one. All waiting calls share one attempt."""
         if self.connection is not None and self.connection.is_open and not self.connection.is_hung:
             return self.connection
         if self.connecting is None:
@@ -240,7 +243,7 @@
         return connecting.result()
 
     async def call(self, kind: str, body: object, timeout_s: float) -> CallResult:
-        """Send a call once; its answer, or the error that ended it, within `timeout_s`.
+        """Send a call once; return its answer, or the error that ended it, within `timeout_s`.
 
         KeyError where no such call is specified.
         """
@@ -269,8 +272,10 @@
             timer.cancel()
 
     def notify(self, kind: str, body: object) -> bool:
-        """Send a notification, which has no answer. False where it is not likely to arrive: there is no connection,
-        or it is hung. KeyError where no such notification is specified.
+        """Send a notification, which has no answer.
+
+        Return False where it is not likely to arrive: there is no connection, or it is hung. KeyError where no such
+        notification is specified.
         """
         if (reason := reason_not_to_send(kind, is_one_way=True)) is not None:
             raise KeyError(reason)
--- a/irisdeal/runtime/__init__.py
+++ b/irisdeal/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the three programs of the gateway share: settings, errors, events, addresses, the process."""
+"""What the gateway's programs share: settings, errors, log events, metrics, ports, the life cycle of a process."""
--- a/irisdeal/runtime/early_listen.py
+++ b/irisdeal/runtime/early_listen.py
@@ -1,9 +1,9 @@
-"""Listening before all else: a process listens before it has loaded what it needs to answer.
+"""Listen at the start of a process, before the modules are imported that it needs to answer.
 
-On a fifth of a core it takes over a second from the start of the process to its first answer, most of it for
-reading our code. Who connects meanwhile waits in the kernel's queue and is answered, where it was refused before.
-So this file imports next to nothing, and reads of the settings just the addresses; whatever it cannot read is
-left to the checked reading that comes later, which says what is wrong.
+On a fifth of a core it takes over a second from the start of a process to its first answer, most of it for
+importing modules. A client that connects meanwhile waits in the kernel's accept queue, where it would be refused
+otherwise. So this module imports next to nothing, and reads only the addresses from the settings; whatever it
+cannot read is left to `irisdeal.runtime.settings`, which reports what is wrong.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 import os
 import socket
 
-BACKLOG = 1024  # connections that wait: what a zone's clients open in a second, and more
-Listening = dict[str, socket.socket]
+BACKLOG = 1024  # connections in the accept queue: more than the clients of a zone open in a second
+Listening = dict[str, socket.socket]  # by name of the address in the settings
 
 
-def addresses(text: str, names: tuple[str, ...]) -> dict[str, tuple[str, int]]:
-    """The addresses with these names in the settings' section `bind`; those that cannot be read are left out."""
+def bind_addresses(text: str, names: tuple[str, ...]) -> dict[str, tuple[str, int]]:
+    """Return the addresses of these names in the section `bind`; those that cannot be read are left out."""
     section, found = "", {}
     for line in text.splitlines():
         line = line.strip()
@@ -31,13 +31,13 @@
 
 
 def listen(*names: str) -> Listening:
-    """Sockets that listen at these addresses of the settings that `IRISDEAL_SETTINGS` names."""
+    """Open listening sockets at the addresses of these names in the file that `IRISDEAL_SETTINGS` names."""
     listening: Listening = {}
     try:
         with open(
             os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml"), encoding="utf-8"
         ) as file:
-            wanted = addresses(file.read(), names)
+            wanted = bind_addresses(file.read(), names)
         for name, address in wanted.items():
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -45,6 +45,6 @@
             sock.listen(BACKLOG)
             sock.setblocking(False)
             listening[name] = sock
-    except OSError:  # the usual way tells what it is
+    except OSError:  # reported when the process listens, or reads its settings, the usual way
         pass
     return listening
--- a/irisdeal/runtime/event_catalogue.py
+++ b/irisdeal/runtime/event_catalogue.py
@@ -20,7 +20,7 @@
 
 
 def page() -> str:
-    """The page in Markdown: one row an event, in order of its number."""
+    """Return the page in Markdown: one row an event, in the order of the numbers."""
     rows = (
         f"| E{number} | {logging.getLevelName(level).lower()} | {text} |\n"
         for number, (level, text) in sorted(CATALOGUE.items())
--- a/irisdeal/runtime/events.py
+++ b/irisdeal/runtime/events.py
@@ -39,8 +39,8 @@
     MEMBERSHIP_CHANGE_PROPOSED = 215
     PUT_BACKLOG_FULL = 216
     MEMBERSHIP_JOINT = 220
-    MEMBERSHIP_SETTLED = 221
-    MEMBER_SILENT = 222
+    MEMBERSHIP_CHANGE_COMPLETED = 221
+    MEMBER_UNRESPONSIVE = 222
     LEARNER_READY = 223
     QUORUM_CONTACT_LOST = 224
     QUORUM_CONTACT_REGAINED = 225
@@ -48,12 +48,12 @@
     MEMBER_HANDED_OVER = 227
     MEMBER_LEFT_EARLY = 228
     MEMBERSHIP_ADOPTED = 229
-    STORE_CALLS_CUT = 230
+    STORE_CALLS_UNANSWERED = 230
     ACCEPTED_VALUE_RECOVERED = 240
     BACKEND_ADDED = 300
     BACKEND_DRAINING = 301
     BACKEND_GONE = 302
-    BACKEND_SILENT = 303
+    BACKEND_UNRESPONSIVE = 303
     DRAIN_NOT_ACKNOWLEDGED = 304
     REMOTE_STORE_FOLLOWED = 310
     LOCAL_STORE_FOLLOWED = 311
@@ -66,15 +66,15 @@
     PERMITS_SUSPENDED = 320
     PERMITS_RESUMED = 321
     ISSUER_LIST_STORED = 322
-    REGISTRY_CALLS_CUT = 323
+    REGISTRY_CALLS_UNANSWERED = 323
     CONFIGURATION_APPLIED = 400
     READY = 401
     NOT_READY = 402
-    SOURCE_SILENT = 403
+    SOURCE_UNRESPONSIVE = 403
     RESPONSE_MISMATCH = 404
     BACKEND_EJECTED = 405
     CONFIGURATION_UNREADABLE = 406
-    RESPONSES_CUT = 407
+    RESPONSES_UNFINISHED = 407
     SOURCE_WITHOUT_CONTACT = 410
     CONTACT_LOST = 411
     CONTACT_REGAINED = 412
@@ -123,8 +123,11 @@
         INFO,
         "a membership change is committed; joint quorums of the old and the new list are in force",
     ),
-    Event.MEMBERSHIP_SETTLED: (INFO, "the membership change is complete: the new list alone is in force"),
-    Event.MEMBER_SILENT: (WARNING, "a member has not answered for too long"),
+    Event.MEMBERSHIP_CHANGE_COMPLETED: (
+        INFO,
+        "the membership change is complete: the new list alone is in force",
+    ),
+    Event.MEMBER_UNRESPONSIVE: (WARNING, "a member has not answered for too long"),
     Event.LEARNER_READY: (INFO, "a learner has caught up and is ready to vote"),
     Event.QUORUM_CONTACT_LOST: (
         WARNING,
@@ -141,7 +144,7 @@
         WARNING,
         "an operator has written a new first list: state that only other disks store is given up",
     ),
-    Event.STORE_CALLS_CUT: (WARNING, "calls of other processes were cut off unanswered at shutdown"),
+    Event.STORE_CALLS_UNANSWERED: (WARNING, "calls of other processes were cut off unanswered at shutdown"),
     Event.ACCEPTED_VALUE_RECOVERED: (
         WARNING,
         "a value that was accepted but not known to be committed is resolved by a new ballot",
@@ -149,7 +152,7 @@
     Event.BACKEND_ADDED: (INFO, "a backend was added"),
     Event.BACKEND_DRAINING: (INFO, "a backend is draining"),
     Event.BACKEND_GONE: (INFO, "a backend is gone"),
-    Event.BACKEND_SILENT: (WARNING, "heartbeats of a backend have stopped"),
+    Event.BACKEND_UNRESPONSIVE: (WARNING, "heartbeats of a backend have stopped"),
     Event.DRAIN_NOT_ACKNOWLEDGED: (WARNING, "a drain was not acknowledged by enough of the core"),
     Event.REMOTE_STORE_FOLLOWED: (
         WARNING,
@@ -180,18 +183,18 @@
     ),
     Event.PERMITS_RESUMED: (INFO, "issuing of permits is resumed"),
     Event.ISSUER_LIST_STORED: (INFO, "the core membership under which permits are issued is stored on disk"),
-    Event.REGISTRY_CALLS_CUT: (
+    Event.REGISTRY_CALLS_UNANSWERED: (
         WARNING,
         "calls from outside or of other processes were cut off unanswered at shutdown",
     ),
     Event.CONFIGURATION_APPLIED: (INFO, "a configuration version is applied"),
     Event.READY: (INFO, "ready"),
     Event.NOT_READY: (INFO, "not ready"),
-    Event.SOURCE_SILENT: (WARNING, "a registry does not answer: the proxy leaves it for another"),
+    Event.SOURCE_UNRESPONSIVE: (WARNING, "a registry does not answer: the proxy leaves it for another"),
     Event.RESPONSE_MISMATCH: (WARNING, "a backend's response does not belong to the request"),
     Event.BACKEND_EJECTED: (WARNING, "a backend is ejected for a while"),
     Event.CONFIGURATION_UNREADABLE: (ERROR, "a configuration that was received cannot be read"),
-    Event.RESPONSES_CUT: (
+    Event.RESPONSES_UNFINISHED: (
         WARNING,
         "requests without an answer, or bytes of answers, were cut off at shutdown",
     ),
@@ -226,8 +229,8 @@
         log.log(level, "E%d %s%s", event, text, "".join(f" {key}={value}" for key, value in fields.items()))
 
 
-def invariant(holds: bool, rule: str, **fields: object) -> bool:
-    """Whether `holds`; a violation is logged as `Event.INVARIANT_VIOLATED`."""
-    if not holds:
+def check_invariant(is_true: bool, rule: str, **fields: object) -> bool:
+    """Return `is_true`; log `Event.INVARIANT_VIOLATED` with the rule and the fields where it is false."""
+    if not is_true:
         log_event(Event.INVARIANT_VIOLATED, rule=rule, **fields)
-    return holds
+    return is_true
--- a/irisdeal/runtime/metrics.py
+++ b/irisdeal/runtime/metrics.py
@@ -1,7 +1,7 @@
-"""A process's own figures, as text in the format that Prometheus reads (`metrics` = "PORT/PATH" of the settings).
+"""The metrics of a process, in the text format of Prometheus (`metrics` = "PORT/PATH" in the settings).
 
-Figures are counted always, since events tell some of them; the library that writes them as text is loaded with
-the first question alone, as most machines are never asked.
+Metrics are always counted, since log events report some of them. The library that formats them is loaded with the
+first scrape, as most machines are never scraped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Counter:
-    """What only grows, apart by the value of one label. `name`: without the prefix; `label`: none where empty."""
+    """A counter with at most one label. `name`: without the prefix; `label`: its name, empty for none."""
 
     name: str
     help: str
@@ -27,41 +27,41 @@
     values: dict[str, float] = field(default_factory=dict)
 
     def add(self, value: str = "", amount: float = 1.0) -> None:
-        """Count `amount` more for this value of the label."""
+        """Add `amount` to the count of this value of the label."""
         self.values[value] = self.values.get(value, 0.0) + amount
 
     def total(self) -> float:
-        """Over all values of the label."""
+        """Return the sum over all values of the label."""
         return sum(self.values.values())
 
 
 @dataclass(slots=True)
 class Summary:
-    """How often something was measured, and the sum of it. `name` ends with its unit."""
+    """Number, sum and maximum of measurements. `name`: without the prefix, ends with the unit."""
 
     name: str
     help: str
     count: int = 0
     sum: float = 0.0
-    most: float = 0.0
+    maximum: float = 0.0
 
     def observe(self, value: float) -> None:
-        """One more measurement."""
+        """Add a measurement."""
         self.count += 1
         self.sum += value
-        self.most = max(self.most, value)
+        self.maximum = max(self.maximum, value)
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsAddress:
-    """Where a process tells its figures."""
+    """Where a process serves its metrics; `path` begins with a slash."""
 
     port: int
     path: str
 
 
-def parse_address(text: str) -> MetricsAddress:
-    """`PORT/PATH`. ValueError where it is none."""
+def parse_metrics_address(text: str) -> MetricsAddress:
+    """Read `PORT/PATH`. ValueError where it is none."""
     port, slash, path = text.partition("/")
     if not (slash and port.isdigit() and 0 < int(port) < 65536):
         raise ValueError(f"metrics: wanted PORT/PATH, got {text!r}")
@@ -69,26 +69,26 @@
 
 
 class Metrics:
-    """The figures of one process."""
+    """The metrics of one process."""
 
     def __init__(self) -> None:
         self.counters: list[Counter] = []
         self.summaries: list[Summary] = []
 
     def counter(self, name: str, text: str, label: str = "") -> Counter:
-        """A new counter; `text` says what is counted."""
+        """Register a new counter; `text` says what is counted."""
         counter = Counter(name, text, label)
         self.counters.append(counter)
         return counter
 
     def summary(self, name: str, text: str) -> Summary:
-        """A new summary; `text` says what is measured, and the unit."""
+        """Register a new summary; `text` says what is measured, and the unit."""
         summary = Summary(name, text)
         self.summaries.append(summary)
         return summary
 
     def collect(self) -> Iterator[Metric]:
-        """All figures, as the library takes them."""
+        """Yield all metrics as families of prometheus_client."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, SummaryMetricFamily
 
         for counter in self.counters:
@@ -101,11 +101,11 @@
         for summary in self.summaries:
             yield SummaryMetricFamily(PREFIX + summary.name, summary.help, summary.count, summary.sum)
             yield GaugeMetricFamily(
-                f"{PREFIX}{summary.name}_max", f"{summary.help}; the most so far", summary.most
+                f"{PREFIX}{summary.name}_max", f"{summary.help}; the most so far", summary.maximum
             )
 
     def text(self) -> bytes:
-        """All figures, as they are told."""
+        """Format all metrics as Prometheus scrapes them."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
--- a/irisdeal/runtime/ports.py
+++ b/irisdeal/runtime/ports.py
@@ -1,21 +1,22 @@
-"""Which port of `port_range` each program listens at; alike on all machines within a day."""
+"""The port of `port_range` at which each program listens; the same on all machines of a deployment."""
 
 from __future__ import annotations
 
-from irisdeal.runtime.settings import Address, Settings, address
+from irisdeal.runtime.settings import Address, Settings, parse_address
 
 CONFIG_STORE, REGISTRY, PROXY = 0, 1, 2  # offsets from the first port
 
 
 def port(settings: Settings, program: int) -> int:
-    """The port of a program on every machine."""
+    """Return the port of a program (`CONFIG_STORE`, `REGISTRY`, `PROXY`) on every machine."""
     return settings.port_range[0] + program
 
 
 def seeds(settings: Settings) -> list[str]:
-    """The IPs of the seeds, in the file's order, each once."""
-    return list(dict.fromkeys(address(text)[0] for text in settings.seed_peers))
+    """Return the IPs of the seed peers, in the file's order, each once."""
+    return list(dict.fromkeys(parse_address(text)[0] for text in settings.seed_peers))
 
 
-def at(settings: Settings, ip: str, program: int) -> Address:
+def address_of(settings: Settings, ip: str, program: int) -> Address:
+    """Return the address of a program on the machine with this IP."""
     return ip, port(settings, program)
--- a/tests/runtime/test_early_listen.py
+++ b/tests/runtime/test_early_listen.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from irisdeal.runtime.early_listen import addresses, listen
+from irisdeal.runtime.early_listen import bind_addresses, listen
 
 
 def test_only_the_section_bind_is_read_and_odd_lines_are_left() -> None:
@@ -13,7 +13,7 @@
         'front = "1.1.1.1:1"\n[bind]\nfront = "10.1.0.30:8782"\nreadiness = "odd"\n'
         '[limits]\nreadiness = "10.1.0.30:8789"\n'
     )
-    assert addresses(text, ("front", "readiness")) == {"front": ("10.1.0.30", 8782)}
+    assert bind_addresses(text, ("front", "readiness")) == {"front": ("10.1.0.30", 8782)}
 
 
 def test_who_connects_before_it_is_loaded_waits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -12,8 +12,8 @@
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.proxy.metrics import ProxyMetrics
 from irisdeal.registry.metrics import RegistryMetrics
-from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_address
-from irisdeal.runtime.settings import Settings, read
+from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_metrics_address
+from irisdeal.runtime.settings import Settings, parse_settings
 
 GIVEN = {
     "node_name": "n",
@@ -36,16 +36,16 @@
 
 @pytest.mark.parametrize("text", ["", "9100/metrics", "9100/"])
 def test_settings_name_a_port_and_a_path(text: str) -> None:
-    assert read({**GIVEN, "metrics": text}).unwrap().metrics == text
+    assert parse_settings({**GIVEN, "metrics": text}).unwrap().metrics == text
 
 
 @pytest.mark.parametrize("text", ["metrics", "9100", "0/metrics", "70000/metrics", "-1/m", "x/metrics"])
 def test_another_text_is_refused_and_named(text: str) -> None:
-    assert "metrics: wanted PORT/PATH" in str(read({**GIVEN, "metrics": text}).failure())
+    assert "metrics: wanted PORT/PATH" in str(parse_settings({**GIVEN, "metrics": text}).failure())
 
 
 def test_an_address_has_its_path_whole() -> None:
-    assert parse_address("9100/own/figures") == MetricsAddress(9100, "/own/figures")
+    assert parse_metrics_address("9100/own/figures") == MetricsAddress(9100, "/own/figures")
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -224,10 +224,10 @@
         "bounds": "grace_s=6,retry_ratio=0.2",
         "unknown": 1,
     }
-    made = settings.read(good).unwrap()
+    made = settings.parse_settings(good).unwrap()
     assert made.bound("grace_s", 0) == 6 and made.bound("retry_ratio", 0) == 0.2
     for key, value in (("port_range", [7340, 7341]), ("seed_peers", ["x"]), ("ip", 3), ("zone", None)):
-        assert isinstance(settings.read({**good, key: value}), Failure)
+        assert isinstance(settings.parse_settings({**good, key: value}), Failure)
 
 
 @trying(deadline=None, max_examples=50)
