--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -19,7 +19,7 @@
 from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
-from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
+from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import Usage
 from irisdeal.registry.incarnation import BackendIncarnation
 from irisdeal.registry.messages import IntervalReport, PlacementRequest, PlacementResult, ReservationEnd
@@ -97,22 +97,22 @@
         return len(self.sources.answering) >= 2 and self.sources.version is not None
 
     async def _counting(self) -> None:
-        spread = LENGTH * (0.04 + 0.24 * self.chance.random())
+        spread = INTERVAL_S * (0.04 + 0.24 * self.chance.random())
         while True:
             now = self.sources.loop.time()
-            await asyncio.sleep(self.edge.until(self.edge.number(now) + 1, now) + spread)
+            await asyncio.sleep(self.edge.seconds_until(self.edge.number(now) + 1, now) + spread)
             now = self.sources.loop.time()
             asked = {
                 f"tenant{self.chance.randrange(self.tenants):05d}": self.chance.randrange(1, 3)
                 for _ in range(min(self.active, self.tenants))
             }
             for tenant in asked.keys() | self.held.demand.keys():
-                self.held.record_demand(tenant, asked.get(tenant, 0), LENGTH)
+                self.held.record_demand(tenant, asked.get(tenant, 0), INTERVAL_S)
             reported = await self.client.report(partial(self._report, asked))
             if reported is not None:
                 self.versions += 1
                 now = self.sources.loop.time()
-                self.edge.hear(reported.reply.position, now)
+                self.edge.observe_position(reported.reply.position, now)
                 self.held.receive_reply(reported.registry, reported.reply.reserve, reported.sent_at, now)
 
     def _report(self, asked: dict[str, int], registry: str) -> IntervalReport:
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -18,10 +18,10 @@
 from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.proxy.refusal import Refused, over_quota
 from irisdeal.proxy.registry_client import RegistryClient, Reported
-from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
-from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
+from irisdeal.ratelimit.concurrency_limit import AcquireResult, ConcurrencyLimit
+from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import Usage, Usages
-from irisdeal.ratelimit.rate_companion import RateCompanion
+from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 from irisdeal.registry.messages import IntervalReport
 
 SEND_WITHIN_S = 0.35  # `IN_FLIGHT_S` of an allowance, less what a message to a backend takes
@@ -39,14 +39,14 @@
 class RequestPermit:
     """The permit of one request. `send_by`: s on the loop's clock, until when the one in hand may be used."""
 
-    companion: RateCompanion
+    companion: ProbabilisticThrottle
     is_late: bool
     send_by: float = float("-inf")
 
     @property
     def tenant(self) -> str:
         """Whose it is."""
-        return self.companion.name
+        return self.companion.tenant
 
     def is_wanted(self, now: float) -> bool:
         """Whether one has to be asked for before the next attempt."""
@@ -79,7 +79,7 @@
     ) -> None:
         """`slots`: requests that all backends work on at once."""
         self.client, self.loop, self.chance, self.slots = client, loop, chance, slots
-        self.companions: dict[str, RateCompanion] = {}
+        self.companions: dict[str, ProbabilisticThrottle] = {}
         self.held = PrefetchedPermits(secrets.randbits(48))
         self.returned: dict[
             str, list[float]
@@ -90,7 +90,7 @@
         self.most_proxies = 0  # that were told
         self.newest_total = -1  # the newest finished one that was taken over
         self.total_at = float("-inf")  # when it was
-        self.spread_s = LENGTH * chance.uniform(LEAST_SPREAD, MOST_SPREAD)
+        self.spread_s = INTERVAL_S * chance.uniform(LEAST_SPREAD, MOST_SPREAD)
         self.reports: dict[int, Usages] = {}
 
     def configure(self, limit_of: Callable[[str], Limit | None]) -> None:
@@ -110,8 +110,8 @@
         """Count a request; None where it is refused by chance as over the tenant's room."""
         companion = self.companions.get(tenant)
         if companion is None:
-            companion = self.companions[tenant] = RateCompanion(tenant, limit)
-        if not companion.ask(self.chance.random(), is_late):
+            companion = self.companions[tenant] = ProbabilisticThrottle(tenant, limit)
+        if not companion.admit(self.chance.random(), is_late):
             return None
         return RequestPermit(companion, is_late, self._take_returned(tenant))
 
@@ -137,25 +137,25 @@
         """Wait for a place within the tenant's bound until `until` (s on the loop's clock); Refused where there is
         none by then. Cancelled, it is out of the queue."""
         token: asyncio.Future[None] = self.loop.create_future()
-        entered = self.gate.enter(tenant, rank, token, self.loop.time())
-        if entered is None:
+        entered = self.gate.acquire(tenant, rank, token, self.loop.time())
+        if entered is AcquireResult.REJECTED:
             raise Refused(503, "too many wait", FULL_AGAIN_S)
-        if entered:
+        if entered is AcquireResult.ACQUIRED:
             return
         try:
             async with asyncio.timeout_at(until):
                 await token
         except TimeoutError:
-            if self.gate.give_up(tenant, token, self.loop.time()):
+            if self.gate.cancel_wait(tenant, token, self.loop.time()):
                 raise Refused(503, "no room in time", FULL_AGAIN_S) from None
         except asyncio.CancelledError:
-            if not self.gate.give_up(tenant, token, self.loop.time()):
+            if not self.gate.cancel_wait(tenant, token, self.loop.time()):
                 self.leave(tenant)  # it had been let in
             raise
 
     def leave(self, tenant: str) -> None:
         """A request that had entered is over; the next goes on in its place."""
-        for token in self.gate.leave(tenant, self.loop.time()):
+        for token in self.gate.release(tenant, self.loop.time()):
             self._release(token)
 
     @staticmethod
@@ -179,7 +179,7 @@
     def refusal(self, permit: RequestPermit) -> Refused:
         """The answer to a request that is over its tenant's limit."""
         is_known = self.loop.time() - self.total_at < TOTAL_KEPT_S
-        return over_quota(permit.companion.is_flooded(), is_known)
+        return over_quota(permit.companion.is_over_rate(), is_known)
 
     def sharers(self) -> int:
         """Proxies that share what all have together: the most that were told, 0 before any number was."""
@@ -202,7 +202,7 @@
             await asyncio.sleep(FIRST_REPORT_S)
             return
         now = self.loop.time()
-        await asyncio.sleep(self.edge.until(self.edge.number(now) + 1, now) + self.spread_s)
+        await asyncio.sleep(self.edge.seconds_until(self.edge.number(now) + 1, now) + self.spread_s)
 
     def _report(self, number: int, registry: str) -> IntervalReport:
         now = self.loop.time()
@@ -215,13 +215,13 @@
 
     def _close(self, now: float) -> Usages:
         """What was asked of us and what we held, by tenant, in the interval that ends; idle ones are forgotten."""
-        held = self.gate.close(now)
+        held = self.gate.close_interval(now)
         usages: dict[str, Usage] = {}
         for name, companion in list(self.companions.items()):
-            asked, late = companion.close()
+            asked, late = companion.close_interval()
             if companion.limit.is_limited:
-                self.held.record_demand(name, asked, LENGTH)
-            if asked or name in held or companion.refusal_late > 0:
+                self.held.record_demand(name, asked, INTERVAL_S)
+            if asked or name in held or companion.rejection_late > 0:
                 usages[name] = Usage(asked, round(held.get(name, 0.0), 3), 0.0, late)
             elif name not in self.held.demand:
                 del self.companions[name]
@@ -229,7 +229,7 @@
 
     def _hear(self, reported: Reported) -> None:
         reply, now = reported.reply, self.loop.time()
-        self.edge.hear(reply.position, now)
+        self.edge.observe_position(reply.position, now)
         self.proxies, self.has_reported = max(1, reply.proxies), True
         self.most_proxies = max(self.most_proxies, self.proxies)
         self.held.receive_reply(reported.registry, reply.reserve, reported.sent_at, now)
@@ -239,13 +239,13 @@
 
     def _hear_totals(self, own: Usages, totals: Usages) -> None:
         """A finished total, and our part of it: what we may hold of each tenant, and its chance of refusal."""
-        released = self.gate.told(
-            {name: usage.held for name, usage in own.items()},
-            {name: usage.held for name, usage in totals.items()},
+        released = self.gate.update_totals(
+            {name: usage.in_flight for name, usage in own.items()},
+            {name: usage.in_flight for name, usage in totals.items()},
             self.slots(),
             self.proxies,
         )
         for token in released:
             self._release(token)
         for name, companion in self.companions.items():
-            companion.hear_total(totals.get(name, Usage()))
+            companion.update_total(totals.get(name, Usage()))
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -184,10 +184,10 @@
         if backend is None or (needs.hold_s <= 0 and not self.choice.has_free_slot(backend)):
             return None
         if needs.is_repeat:
-            if not self.repeats.spend(needs.service, now, self.admission.sharers()):
+            if not self.repeats.consume(needs.service, now, self.admission.sharers()):
                 return None
         elif not is_counted:
-            self.repeats.request(needs.service, now)
+            self.repeats.record_request(needs.service, now)
         return Placed(backend, self.choice.load_factor(backend))
 
     def _choose(self, needs: AttemptNeeds) -> Backend | None:
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -35,7 +35,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
 from irisdeal.proxy.table import Route, Table
-from irisdeal.ratelimit.retry_budget import PROXY_SLACK, RetryBudgets
+from irisdeal.ratelimit.retry_budget import PROXY_SLACK_SHARE, RetryBudgets
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.early_listen import Listening
 from irisdeal.runtime.events import Event, log_event
@@ -72,7 +72,7 @@
         self.registries = RegistryClient(settings, self.sources)
         self.admission = TenantAdmission(self.registries, self.loop, self.chance, self._slots)
         self.gate = self.admission.gate
-        slack = PROXY_SLACK * settings.bound("retry_slack", 50.0)
+        slack = PROXY_SLACK_SHARE * settings.bound("retry_slack", 50.0)
         self.repeats = RetryBudgets(
             settings.bound("retry_ratio", 0.2),
             settings.bound("retry_window_s", 10.0),
@@ -272,7 +272,7 @@
         tenant = table.tenants[name]
         permit = self.admission.ask(name, Limit(tenant.rate_per_s, tenant.burst), is_late)
         if permit is None:
-            raise over_quota(self.admission.companions[name].is_flooded(), is_known=True)
+            raise over_quota(self.admission.companions[name].is_over_rate(), is_known=True)
         return permit
 
     async def _table(self) -> Table:
--- a/irisdeal/ratelimit/__init__.py
+++ b/irisdeal/ratelimit/__init__.py
@@ -1,1 +1,6 @@
-"""What is counted as one over all doors: the demand split, quotas, budgets of repeats. No input or output."""
+"""Limits that hold over all proxies together: concurrency, shedding of excess requests, retry budgets.
+
+Modules: `interval_clock` and `interval_counter` (totals of all proxies, per interval), `concurrency_limit`
+with `demand_split`, `probabilistic_throttle` and `retry_budget`. None of them does input or output; time is
+an argument.
+"""
--- a/irisdeal/ratelimit/concurrency_limit.py
+++ b/irisdeal/ratelimit/concurrency_limit.py
@@ -1,9 +1,9 @@
-"""Held and sent: how many requests of each tenant are at backends, and who waits past the bound.
+"""Limits the requests of each tenant that one proxy has in flight, and queues those over the bound.
 
-The bound is the demand split of the tenant's cap. The configuration names no cap; it is found: a tenant may have
-all slots of all backends that may be used, by their own word, and no more, since what is sent beyond only waits
-there. A cap that is too large lets queues grow at backends, one too small makes requests wait here beside free
-slots. Time is an argument; whoever waits is an opaque token.
+The bound is the proxy's demand share of the tenant's cap. The configuration names no cap; it is derived: all
+slots of all usable backends, as they report them, since requests beyond that only wait at a backend. A cap
+that is too large lets queues grow at the backends, one that is too small lets requests wait here beside free
+slots. Time is an argument; waiting requests are opaque tokens.
 """
 
 from __future__ import annotations
@@ -11,93 +11,120 @@
 import heapq
 from collections.abc import Hashable
 from dataclasses import dataclass, field
+from enum import Enum
 
-from irisdeal.ratelimit.demand_split import Mean, bound
+from irisdeal.ratelimit.demand_split import TimeWeightedMean, concurrency_bound
 
-MOST_WAITING = 2000  # of one tenant at one door; more are refused at once
+# Requests of one tenant that may wait at one proxy; more are rejected at once.
+MAX_WAITING = 2000
+
+
+class AcquireResult(Enum):
+    """The result of an attempt to go ahead within the limit."""
+
+    ACQUIRED = 0
+    QUEUED = 1
+    REJECTED = 2  # the queue is full
 
 
 @dataclass(slots=True)
-class Held:
-    """One tenant at one door."""
+class TenantConcurrency:
+    """One tenant's requests at this proxy.
+
+    `mean`: of requests in flight or waiting; `in_flight`: at backends; `bound`: limit of `in_flight`;
+    `waiting`: a heap of priority, arrival number and token.
+    """
 
-    mean: Mean
-    out: int = 0
+    mean: TimeWeightedMean
+    in_flight: int = 0
     bound: int = 1
     waiting: list[tuple[int, int, Hashable]] = field(default_factory=list)
 
 
 class ConcurrencyLimit:
-    """All tenants at one door."""
+    """The concurrency limits of all tenants at one proxy."""
 
     def __init__(self, slots: int = 0) -> None:
-        self.tenants: dict[str, Held] = {}
-        self.slots, self.doors = slots, 1
-        self.number = 0
-
-    def _held(self, tenant: str, now: float) -> Held:
-        held = self.tenants.get(tenant)
-        if held is None:  # unseen: cap over the number of doors
-            held = self.tenants[tenant] = Held(Mean(now), bound=bound(0.0, 0.0, self.slots, self.doors))
-        return held
-
-    def enter(self, tenant: str, priority: int, token: Hashable, now: float) -> bool | None:
-        """True: go on. False: `token` waits, the least `priority` number goes first. None: refused."""
-        held = self._held(tenant, now)
-        if held.out < held.bound and not held.waiting:
-            held.out += 1
-            held.mean.step(1, now)
-            return True
-        if len(held.waiting) >= MOST_WAITING:
-            return None
-        self.number += 1
-        heapq.heappush(held.waiting, (priority, self.number, token))
-        held.mean.step(1, now)
-        return False
-
-    def give_up(self, tenant: str, token: Hashable, now: float) -> bool:
-        """It waits no more. False where it has been let in meanwhile, and has the place."""
-        held = self.tenants[tenant]
-        left = [waiting for waiting in held.waiting if waiting[2] is not token]
-        if len(left) == len(held.waiting):
+        """`slots`: requests that all usable backends work on at once."""
+        self.tenants: dict[str, TenantConcurrency] = {}
+        self.slots, self.proxies = slots, 1
+        self.arrivals = 0
+
+    def _tenant(self, name: str, now: float) -> TenantConcurrency:
+        tenant = self.tenants.get(name)
+        if tenant is None:
+            # no demand known yet: an even share
+            bound = concurrency_bound(0.0, 0.0, self.slots, self.proxies)
+            tenant = self.tenants[name] = TenantConcurrency(TimeWeightedMean(now), bound=bound)
+        return tenant
+
+    def acquire(self, tenant_name: str, priority: int, token: Hashable, now: float) -> AcquireResult:
+        """Let a request go ahead, or queue its token; the lowest `priority` number leaves the queue first."""
+        tenant = self._tenant(tenant_name, now)
+        if tenant.in_flight < tenant.bound and not tenant.waiting:
+            tenant.in_flight += 1
+            tenant.mean.add(1, now)
+            return AcquireResult.ACQUIRED
+        if len(tenant.waiting) >= MAX_WAITING:
+            return AcquireResult.REJECTED
+        self.arrivals += 1
+        heapq.heappush(tenant.waiting, (priority, self.arrivals, token))
+        tenant.mean.add(1, now)
+        return AcquireResult.QUEUED
+
+    def cancel_wait(self, tenant_name: str, token: Hashable, now: float) -> bool:
+        """Remove a token from the queue; False where it has left the queue already and is in flight."""
+        tenant = self.tenants[tenant_name]
+        remaining = [waiting for waiting in tenant.waiting if waiting[2] is not token]
+        if len(remaining) == len(tenant.waiting):
             return False
-        heapq.heapify(left)
-        held.waiting = left
-        held.mean.step(-1, now)
+        heapq.heapify(remaining)
+        tenant.waiting = remaining
+        tenant.mean.add(-1, now)
         return True
 
-    def leave(self, tenant: str, now: float) -> list[Hashable]:
-        """One has ended; who goes on in its place."""
-        held = self.tenants[tenant]
-        held.out -= 1
-        held.mean.step(-1, now)
-        return self._next(held)
-
-    def _next(self, held: Held) -> list[Hashable]:
-        going = []
-        while held.waiting and held.out < held.bound:
-            going.append(heapq.heappop(held.waiting)[2])
-            held.out += 1
-        return going
-
-    def close(self, now: float) -> dict[str, float]:
-        """Each tenant's mean held or sent in the interval that ends; idle ones are forgotten."""
+    def release(self, tenant_name: str, now: float) -> list[Hashable]:
+        """End a request that was in flight; return the tokens that go ahead instead."""
+        tenant = self.tenants[tenant_name]
+        tenant.in_flight -= 1
+        tenant.mean.add(-1, now)
+        return self._dequeue(tenant)
+
+    def _dequeue(self, tenant: TenantConcurrency) -> list[Hashable]:
+        released = []
+        while tenant.waiting and tenant.in_flight < tenant.bound:
+            released.append(heapq.heappop(tenant.waiting)[2])
+            tenant.in_flight += 1
+        return released
+
+    def close_interval(self, now: float) -> dict[str, float]:
+        """Return each tenant's mean of requests in flight or waiting in the interval that ends.
+
+        Forget idle ones.
+        """
         means = {}
-        for tenant, held in list(self.tenants.items()):
-            mean = held.mean.close(now)
-            if mean == 0 and held.out == 0 and not held.waiting:
-                del self.tenants[tenant]
+        for name, tenant in list(self.tenants.items()):
+            mean = tenant.mean.close_interval(now)
+            if mean == 0 and tenant.in_flight == 0 and not tenant.waiting:
+                del self.tenants[name]
             else:
-                means[tenant] = mean
+                means[name] = mean
         return means
 
-    def told(self, own: dict[str, float], totals: dict[str, float], slots: int, doors: int) -> list[Hashable]:
-        """Totals of all doors; who may go on now. A tenant without a total keeps its last bound."""
-        self.slots, self.doors = slots, max(1, doors)
-        going: list[Hashable] = []
-        for tenant, held in self.tenants.items():
-            if tenant in totals:
-                mine = own.get(tenant, 0.0)
-                held.bound = bound(mine, max(mine, totals[tenant]), slots, self.doors)
-            going += self._next(held)
-        return going
+    def update_totals(
+        self, own: dict[str, float], totals: dict[str, float], slots: int, proxies: int
+    ) -> list[Hashable]:
+        """Apply the demands of the last finished interval; return the tokens that may go ahead now.
+
+        `own`: mean requests in flight or waiting at this proxy, by tenant; `totals`: at all proxies. A tenant
+        without a total keeps its bound. `slots`: of all usable backends; `proxies`: their number.
+        """
+        self.slots, self.proxies = slots, max(1, proxies)
+        released: list[Hashable] = []
+        for name, tenant in self.tenants.items():
+            if name in totals:
+                demand = own.get(name, 0.0)
+                total = max(demand, totals[name])
+                tenant.bound = concurrency_bound(demand, total, slots, self.proxies)
+            released += self._dequeue(tenant)
+        return released
--- a/irisdeal/ratelimit/demand_split.py
+++ b/irisdeal/ratelimit/demand_split.py
@@ -1,7 +1,9 @@
-"""The demand split: one door's part of what all doors may have together (Padala et al., each tenant a class).
+"""Divides a tenant's concurrency cap among the proxies by their demand.
 
-Under the cap a door has its demand and an even share of what is free; over it, its part by demand. Summed
-over doors that read the same total both come to the cap. Time and totals are arguments.
+The rule is that of Padala et al., with each tenant a class. If the total demand is within the cap, a proxy
+gets its demand and an even share of the free rest; if it exceeds the cap, a share of the cap in proportion to
+its demand. Over proxies that read the same total, the shares sum to the cap in both cases. Time and totals
+are arguments.
 """
 
 from __future__ import annotations
@@ -9,45 +11,55 @@
 import math
 from dataclasses import dataclass
 
+# Requests: absorbs rounding errors before a share is rounded up.
+ROUNDING_TOLERANCE = 1e-9
+# s: shortest interval that a mean is taken over, against a division by zero.
+MIN_INTERVAL_S = 1e-3
 
-def part(demand: float, total: float, cap: float, doors: int) -> float:
-    """One door's part of `cap`, in the cap's unit; `demand` is within `total`, both in the same unit.
 
-    A total of nought gives the starting part, cap over doors.
+def demand_share(demand: float, total: float, cap: float, proxies: int) -> float:
+    """Return one proxy's share of `cap`, in the cap's unit.
+
+    `demand`: of this proxy; `total`: of all proxies, in the same unit, 0 where unknown: the share is then
+    even.
     """
-    doors = max(1, doors)
+    proxies = max(1, proxies)
     if total <= 0:
-        return cap / doors
+        return cap / proxies
     demand = min(max(0.0, demand), total)
     if total <= cap:
-        return demand + (cap - total) / doors
+        return demand + (cap - total) / proxies
     return cap * demand / total
 
 
-def bound(demand: float, total: float, cap: float, doors: int) -> int:
-    """How many requests of a tenant a door may have at backends at once: rounded up, at least one."""
-    return max(1, math.ceil(part(demand, total, cap, doors) - 1e-9))
+def concurrency_bound(demand: float, total: float, cap: float, proxies: int) -> int:
+    """Return how many requests of a tenant a proxy may have in flight: its share, rounded up, at least one."""
+    return max(1, math.ceil(demand_share(demand, total, cap, proxies) - ROUNDING_TOLERANCE))
 
 
 @dataclass(slots=True)
-class Mean:
-    """The mean over time of a number that steps, within one interval."""
+class TimeWeightedMean:
+    """The time-weighted mean of a number that changes in steps, over one interval.
+
+    `since`: start of the interval; `level`: the current number; `area`: integral of the level so far;
+    `changed_at`: when it changed last. Times are s.
+    """
 
     since: float
     level: int = 0
     area: float = 0.0
-    at: float = 0.0
-
-    def step(self, by: int, now: float) -> None:
-        """`by` more are held or sent from now on."""
-        self.area += self.level * (now - max(self.at, self.since))
-        self.at = now
-        self.level += by
-
-    def close(self, now: float) -> float:
-        """The mean level of the interval that ends now; the next one begins."""
-        self.step(0, now)
-        length = max(1e-3, now - self.since)
+    changed_at: float = 0.0
+
+    def add(self, change: int, now: float) -> None:
+        """Change the level by `change` from now on."""
+        self.area += self.level * (now - max(self.changed_at, self.since))
+        self.changed_at = now
+        self.level += change
+
+    def close_interval(self, now: float) -> float:
+        """Return the mean of the interval that ends now, and start the next one."""
+        self.add(0, now)
+        length = max(MIN_INTERVAL_S, now - self.since)
         mean = self.area / length
         self.since, self.area = now, 0.0
         return mean
--- a/irisdeal/ratelimit/interval_clock.py
+++ b/irisdeal/ratelimit/interval_clock.py
@@ -1,41 +1,43 @@
-"""The shared edge of intervals, without trusting the time of day. Time is an argument; no input or output.
+"""Agreement of all processes on the number of the current interval, without trusting the time of day.
 
-Every process has a position: how many intervals it has seen go by, on its own steady clock. Whoever hears a
-larger one takes it over, so all follow the one that is furthest ahead. A word is on its way for a while, so a
-position that is heard is never ahead of the one that was told: two processes that hear each other differ by the
-shortest way between them (1 ms to 40 ms of an interval of 500), and a restart at nought is mended by the first
-word. It never goes back, so an interval that is over stays over.
+Each process has a position: the number of intervals that have passed, on its own steady clock. A process that
+receives a larger position adopts it, so all follow the one that is furthest ahead. A message takes time, so a
+received position is never ahead of its sender's: two processes that exchange messages differ by the shortest
+network delay between them (1 to 40 ms of an interval of 500 ms), and a restart at position 0 is corrected by
+the first message. A position never decreases, so an interval that has ended stays ended.
 """
 
 from __future__ import annotations
 
 import math
 
-LENGTH = 0.5  # s of an interval: news of a flood is worth most in its first second; wake-ups cost little
-MOST = float(1 << 40)  # intervals, over ten thousand years: a larger position is no position
+# s: a flood does most harm in its first second, so totals have to be recent; wake-ups this rare cost little.
+INTERVAL_S = 0.5
+# Intervals, over ten thousand years: a larger position is not plausible and is ignored.
+MAX_POSITION = float(1 << 40)
 
 
 class SharedIntervalClock:
-    """One process's position."""
+    """One process's position in the sequence of intervals. `now` is s of its steady clock."""
 
-    def __init__(self, now: float, length: float = LENGTH) -> None:
-        self.zero, self.length = now, length
+    def __init__(self, now: float, interval_s: float = INTERVAL_S) -> None:
+        self.origin, self.interval_s = now, interval_s  # `origin`: when the position was 0, in s
 
     def position(self, now: float) -> float:
-        """Intervals gone by, with the part of the one that is running."""
-        return (now - self.zero) / self.length
+        """Return the number of intervals passed, with the fraction of the current one."""
+        return (now - self.origin) / self.interval_s
 
     def number(self, now: float) -> int:
-        """The interval that is running."""
+        """Return the number of the current interval."""
         return math.floor(self.position(now))
 
-    def until(self, number: int, now: float) -> float:
-        """s until this interval begins; nought where it has begun."""
-        return max(0.0, (number - self.position(now)) * self.length)
+    def seconds_until(self, number: int, now: float) -> float:
+        """Return the s until interval `number` begins; 0 where it has begun."""
+        return max(0.0, (number - self.position(now)) * self.interval_s)
 
-    def hear(self, position: float, now: float) -> bool:
-        """Another's position; True where ours moves forward."""
-        if not self.position(now) < position < MOST:
+    def observe_position(self, position: float, now: float) -> bool:
+        """Take in another process's position; return whether ours moved forward."""
+        if not self.position(now) < position < MAX_POSITION:
             return False
-        self.zero = now - position * self.length
+        self.origin = now - position * self.interval_s
         return True
--- a/irisdeal/ratelimit/interval_counter.py
+++ b/irisdeal/ratelimit/interval_counter.py
@@ -1,17 +1,17 @@
-"""Totals of one interval after the other, summed by the registries over all proxies. No input or output here.
-
-Each proxy tells one registry, early in an interval, what it was asked for and held in the interval before. The
-registry adds up its proxies and tells the others the sum and who its proxies are; at the end of that interval
-the total is finished: it does not change any more, and whoever reads it reads the same, as long as each sum
-reached each registry. Totals steer the chance of refusal and what a proxy may hold at once; no limit hangs on
-them, as permits keep the limits (`irisdeal/permits/`). What it means when somebody did not speak:
-
-- a proxy that said nothing counts with its last report for `PROXY_KEPT_S`;
-- a registry that said nothing counts with its last sum, for those of its proxies that no other registry has since
-  heard; when all have moved it counts nothing;
-- a report that comes twice counts once; one for an interval that is finished changes only the next total. A proxy
-  whose report reached a registry that could not answer in time, and that tells another, counts twice in one total:
-  the chance of refusal is then too large by its part, for one interval.
+"""Totals over all proxies of one interval after the other, summed by the registries.
+
+Early in an interval each proxy reports to one registry its requests and concurrency of the interval before.
+The registry adds up its proxies' reports and sends the sum, with its proxies' identities, to the other
+registries. At the end of that interval the total is finished and never changes again; every registry that
+received all sums has the same total. Totals steer load shedding and concurrency bounds only; rate limits are
+enforced by permits (`irisdeal/permits/`). Missing and repeated messages:
+
+- a proxy that does not report counts with its last report for `PROXY_RETENTION_S`;
+- a registry that does not send counts with its last sum, for those of its proxies that have not reported to
+  another registry since; once all have moved it counts nothing;
+- a report that arrives twice counts once; one for a finished interval changes only the next total. A proxy
+  whose registry received a report without answering in time, and that reports to another, counts twice in one
+  total: the rejection probability is then too large by its share, for one interval.
 """
 
 from __future__ import annotations
@@ -20,79 +20,86 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.ratelimit.interval_clock import LENGTH
+from irisdeal.ratelimit.interval_clock import INTERVAL_S
 
-PROXY_KEPT_S = (
-    30.0  # that a silent proxy counts: a cut of some twenty seconds, a window, and the time to notice
-)
-REGISTRY_KEPT_S = 30.0  # likewise for a silent registry
-SILENT_INTERVALS = 2.4  # without a report, then a proxy is silent: it missed two
-MOST_PROXIES = 8192
+# s that a proxy which does not report still counts: a partition of some twenty seconds, a window of the
+# limits, and the time until it is noticed.
+PROXY_RETENTION_S = 30.0
+# s likewise for a registry.
+REGISTRY_RETENTION_S = 30.0
+# Intervals without a report after which a proxy counts as not reporting: it has missed two.
+MISSED_REPORT_INTERVALS = 2.4
+# Proxies that a registry keeps reports of.
+MAX_PROXIES = 8192
 
 
 @dataclass(slots=True)
 class Usage:
-    """One tenant in one interval. `asked`: requests, `late` of them too late for their aim; `held`: requests at
-    backends or waiting, the mean over time; `ready`: permits left at the registries."""
+    """One tenant's usage in one interval, at one proxy or summed.
 
-    asked: float = 0.0
-    held: float = 0.0
+    `requests`: requests that arrived; `in_flight`: time-weighted mean of requests in flight or waiting;
+    `ready`: permits that the registries have; `late`: those of `requests` that arrived after their latency
+    target had passed.
+    """
+
+    requests: float = 0.0
+    in_flight: float = 0.0
     ready: float = 0.0
     late: float = 0.0
 
     def add(self, other: Usage, share: float = 1.0) -> None:
-        """Add a share of another's."""
-        self.asked += share * other.asked
-        self.held += share * other.held
+        """Add `share`, from 0 to 1, of another usage."""
+        self.requests += share * other.requests
+        self.in_flight += share * other.in_flight
         self.ready += share * other.ready
         self.late += share * other.late
 
     def encode(self) -> list[float]:
-        """For the wire."""
-        return [round(self.asked, 3), round(self.held, 3), round(self.ready, 3), round(self.late, 3)]
+        """Return the form on the wire."""
+        return [round(self.requests, 3), round(self.in_flight, 3), round(self.ready, 3), round(self.late, 3)]
 
     @staticmethod
-    def decode(told: Any) -> Usage:
-        """ValueError, TypeError where it is none."""
-        asked, held, ready, late = told
-        return Usage(float(asked), float(held), float(ready), float(late))
+    def decode(body: Any) -> Usage:
+        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        requests, in_flight, ready, late = body
+        return Usage(float(requests), float(in_flight), float(ready), float(late))
 
 
 Usages = dict[str, Usage]  # by tenant
 
 
 def encode_usages(usages: Usages) -> dict[str, list[float]]:
-    """For the wire."""
+    """Return the form on the wire."""
     return {tenant: usage.encode() for tenant, usage in usages.items()}
 
 
-def decode_usages(told: Any) -> dict[str, Usage]:
-    """ValueError, TypeError where it is none."""
-    return {str(tenant): Usage.decode(usage) for tenant, usage in dict(told).items()}
+def decode_usages(body: Any) -> dict[str, Usage]:
+    """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+    return {str(tenant): Usage.decode(usage) for tenant, usage in dict(body).items()}
 
 
 @dataclass(slots=True)
 class ProxyReport:
-    """A proxy's last report."""
+    """A proxy's newest report: of interval `number`, received at `received_at` (s)."""
 
     number: int
-    heard_at: float
+    received_at: float
     usages: Usages
 
 
 @dataclass(slots=True)
 class RegistrySum:
-    """A registry's last sum, and who its proxies are."""
+    """A registry's newest sum: of interval `number`, received at `received_at` (s), over its `proxies`."""
 
     number: int
-    heard_at: float
+    received_at: float
     usages: Usages
     proxies: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
-class Total:
-    """A finished total."""
+class IntervalTotal:
+    """The finished total of interval `number`; `proxies`: how many it covers."""
 
     number: int
     proxies: int
@@ -100,75 +107,78 @@
 
 
 class IntervalCounter:
-    """One registry's counter."""
+    """One registry's reports, sums and finished total."""
 
-    def __init__(self, own: str) -> None:
-        self.own = own
+    def __init__(self, own_address: str) -> None:
+        self.own_address = own_address
         self.reports: dict[int, ProxyReport] = {}
         self.sums: dict[str, RegistrySum] = {}
-        self.total = Total(-1, 1)
+        self.total = IntervalTotal(-1, 1)
+
+    def receive_report(self, proxy: int, number: int, usages: Usages, now: float) -> None:
+        """Take in a proxy's report of interval `number`.
 
-    def hear(self, proxy: int, number: int, usages: Usages, now: float) -> None:
-        """A proxy's report of interval `number`; an older one, or the same again, is passed over."""
+        An older or repeated one only shows that it is there.
+        """
         known = self.reports.get(proxy)
         if known is not None and known.number >= number:
-            known.heard_at = now
-        elif known is not None or len(self.reports) < MOST_PROXIES:
+            known.received_at = now
+        elif known is not None or len(self.reports) < MAX_PROXIES:
             self.reports[proxy] = ProxyReport(number, now, usages)
 
-    def hear_sum(
+    def receive_sum(
         self, registry: str, number: int, usages: Usages, proxies: Iterable[int], now: float
     ) -> None:
-        """Another registry's sum."""
+        """Take in another registry's sum of interval `number`; an older or repeated one is ignored."""
         known = self.sums.get(registry)
         if known is None or known.number < number:
             self.sums[registry] = RegistrySum(number, now, usages, frozenset(proxies))
 
-    def close(self, number: int, now: float) -> RegistrySum:
-        """Our own sum for interval `number`; the permits that are ready here are still to be added."""
-        elsewhere = self._heard_elsewhere(number)
-        sums: dict[str, Usage] = {}
+    def close_interval(self, number: int, now: float) -> RegistrySum:
+        """Return our own sum of interval `number`; the caller adds the permits that are ready here."""
+        reporting_elsewhere = self._reporting_elsewhere(number)
+        usages: Usages = {}
         for proxy, report in list(self.reports.items()):
-            age = now - report.heard_at
-            is_silent = age > SILENT_INTERVALS * LENGTH
-            if age > PROXY_KEPT_S or (is_silent and proxy in elsewhere):
-                del self.reports[proxy]  # it ended, or tells another registry now
+            age = now - report.received_at
+            is_missing = age > MISSED_REPORT_INTERVALS * INTERVAL_S
+            if age > PROXY_RETENTION_S or (is_missing and proxy in reporting_elsewhere):
+                del self.reports[proxy]  # it has ended, or reports to another registry now
             else:
-                _add(sums, report.usages)
-        own = RegistrySum(number, now, sums, frozenset(self.reports))
-        self.sums[self.own] = own
+                _add(usages, report.usages)
+        own = RegistrySum(number, now, usages, frozenset(self.reports))
+        self.sums[self.own_address] = own
         return own
 
-    def _heard_elsewhere(self, number: int) -> set[int]:
-        """Proxies that another registry heard of late."""
+    def _reporting_elsewhere(self, number: int) -> set[int]:
+        """Return the proxies that have lately reported to another registry."""
         proxies: set[int] = set()
-        for registry, told in self.sums.items():
-            if registry != self.own and told.number >= number - 1:
-                proxies |= told.proxies
+        for registry, registry_sum in self.sums.items():
+            if registry != self.own_address and registry_sum.number >= number - 1:
+                proxies |= registry_sum.proxies
         return proxies
 
-    def finish(self, number: int, now: float) -> Total:
-        """The total of interval `number`; it is not touched any more."""
+    def finish_interval(self, number: int, now: float) -> IntervalTotal:
+        """Return the total of interval `number`, which never changes again."""
         if number <= self.total.number:
             return self.total
-        speaking = {registry for registry, told in self.sums.items() if told.number >= number}
-        heard: set[int] = set()
-        for registry in speaking:
-            heard |= self.sums[registry].proxies
-        proxies = set(heard)
-        usages: dict[str, Usage] = {}
-        for registry, told in list(self.sums.items()):
-            if registry in speaking:
-                _add(usages, told.usages)
-            elif now - told.heard_at > REGISTRY_KEPT_S:
+        current = {registry for registry, registry_sum in self.sums.items() if registry_sum.number >= number}
+        reported: set[int] = set()
+        for registry in current:
+            reported |= self.sums[registry].proxies
+        proxies = set(reported)
+        usages: Usages = {}
+        for registry, registry_sum in list(self.sums.items()):
+            if registry in current:
+                _add(usages, registry_sum.usages)
+            elif now - registry_sum.received_at > REGISTRY_RETENTION_S:
                 del self.sums[registry]
-            elif missing := told.proxies - heard:
+            elif missing := registry_sum.proxies - reported:
                 proxies |= missing
-                _add(usages, told.usages, len(missing) / len(told.proxies))
-        self.total = Total(number, max(1, len(proxies)), usages)
+                _add(usages, registry_sum.usages, len(missing) / len(registry_sum.proxies))
+        self.total = IntervalTotal(number, max(1, len(proxies)), usages)
         return self.total
 
 
-def _add(sums: dict[str, Usage], usages: Usages, share: float = 1.0) -> None:
+def _add(sums: Usages, usages: Usages, share: float = 1.0) -> None:
     for tenant, usage in usages.items():
         sums.setdefault(tenant, Usage()).add(usage, share)
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -10,7 +10,7 @@
 
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import ClaimResult
-from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK, RetryBudgets
+from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK_SHARE, RetryBudgets
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
 from irisdeal.registry.placement_service import NO_BACKEND, PlacementService
@@ -42,7 +42,7 @@
         self.places = PlacementService(settings.zones, backends, loop)
         self.quotas = QuotaService(settings, loop, incarnation, self.authority, age, lend_from)
         bound = settings.bound
-        slack = REGISTRY_SLACK * bound("retry_slack", 50.0)
+        slack = REGISTRY_SLACK_SHARE * bound("retry_slack", 50.0)
         self.repeats = RetryBudgets(
             bound("retry_ratio", 0.2), bound("retry_window_s", 10.0), slack, loop.time()
         )
@@ -86,8 +86,8 @@
         now = self.loop.time()
         if not request.is_repeat:
             if not request.is_counted:
-                self.repeats.request(request.service, now)
-        elif not self.repeats.spend(request.service, now, self._sharers(now)):
+                self.repeats.record_request(request.service, now)
+        elif not self.repeats.consume(request.service, now, self._sharers(now)):
             return OVER_BUDGET
         placed = self.places.place(peer, request)
         return placed or (NO_BACKEND if request.max_wait_s <= 0 else WAIT)
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -11,7 +11,7 @@
 from irisdeal.permits.issuer import ClaimResult, PermitIssuer
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import key
-from irisdeal.ratelimit.interval_clock import LENGTH, SharedIntervalClock
+from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
 from irisdeal.registry.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.rpc.calls import process_name
@@ -19,7 +19,7 @@
 
 SUM_AT = 0.45  # of an interval, when the sum of the one before is told: proxies have told theirs by 0.3
 LEND_S = 0.04  # for another registry to lend: the proxy that asked waits for 0.06
-FRESH_SUM_S = 3 * LENGTH  # that another registry's sum says whether it has permits to lend
+FRESH_SUM_S = 3 * INTERVAL_S  # that another registry's sum says whether it has permits to lend
 MOST_LENT = 64  # permits in one loan
 
 Lend = Callable[
@@ -78,7 +78,7 @@
         spare = {
             registry: self._spare(tenant, registry, told, now)
             for registry, told in self.counter.sums.items()
-            if registry != self.ip and now - told.heard_at < FRESH_SUM_S
+            if registry != self.ip and now - told.received_at < FRESH_SUM_S
         }
         lender = max(spare, key=lambda registry: spare[registry], default=None)
         return lender if lender is not None and spare[lender] >= 1.0 else None
@@ -91,8 +91,8 @@
         if usage is None:  # nobody asks there
             usage = Usage(ready=bucket.capacity)
         asked_at = self.asked_for_loan.get((tenant, registry), float("-inf"))
-        known_at, ready = (told.heard_at, usage.ready) if told.heard_at > asked_at else (asked_at, 0.0)
-        unused_per_s = max(0.0, bucket.refill_per_s - usage.asked / LENGTH)
+        known_at, ready = (told.received_at, usage.ready) if told.received_at > asked_at else (asked_at, 0.0)
+        unused_per_s = max(0.0, bucket.refill_per_s - usage.requests / INTERVAL_S)
         return min(bucket.capacity, ready + unused_per_s * (now - known_at))
 
     async def borrow(self, tenant: str) -> None:
@@ -132,7 +132,7 @@
         most half of that."""
         own = self.counter.sums.get(self.ip)
         usage = own.usages.get(request.tenant) if own is not None else None
-        asked = usage.asked if usage is not None else 0.0
+        asked = usage.requests if usage is not None else 0.0
         wanted = min(request.wanted, MOST_LENT)
         return self.issuer.lend(request.tenant, wanted, asked, self.age(), self.loop.time())
 
@@ -141,9 +141,9 @@
     def report(self, peer: str, report: IntervalReport) -> IntervalReply:
         """A proxy's report; what it may read."""
         now = self.loop.time()
-        self.edge.hear(report.position, now)
+        self.edge.observe_position(report.position, now)
         if report.number >= 0:
-            self.counter.hear(key(process_name(peer)), report.number, report.usages, now)
+            self.counter.receive_report(key(process_name(peer)), report.number, report.usages, now)
         reserve = self.issuer.handle_report(report.held, self.age(), now)
         total = self.counter.total
         told = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
@@ -152,16 +152,16 @@
     def hear_sum(self, told: IntervalSum) -> None:
         """Another registry's sum."""
         now = self.loop.time()
-        self.edge.hear(told.position, now)
-        self.counter.hear_sum(told.registry, told.number, told.usages, told.proxies, now)
+        self.edge.observe_position(told.position, now)
+        self.counter.receive_sum(told.registry, told.number, told.usages, told.proxies, now)
 
     async def intervals(self, tell: Callable[[IntervalSum], None]) -> None:
         """Each interval: our sum of the one before, a while later; its total, once the running one is over."""
         number = self.edge.number(self.loop.time())
         while True:
-            await asyncio.sleep(self.edge.until(number, self.loop.time()) + SUM_AT * LENGTH)
+            await asyncio.sleep(self.edge.seconds_until(number, self.loop.time()) + SUM_AT * INTERVAL_S)
             tell(self.close(number - 1))
-            await asyncio.sleep(self.edge.until(number + 1, self.loop.time()))
+            await asyncio.sleep(self.edge.seconds_until(number + 1, self.loop.time()))
             self.finish(number - 1)
             number = max(number + 1, self.edge.number(self.loop.time()))
 
@@ -171,7 +171,7 @@
         forgotten = [key_ for key_, asked_at in self.asked_for_loan.items() if now - asked_at > FRESH_SUM_S]
         for key_ in forgotten:
             del self.asked_for_loan[key_]
-        own = self.counter.close(number, now)
+        own = self.counter.close_interval(number, now)
         if self.issuer.may_issue(self.age(), now):
             for tenant, count in self._ready_to_tell(own.usages.keys(), now).items():
                 own.usages.setdefault(tenant, Usage()).ready = round(count, 1)
@@ -190,4 +190,4 @@
 
     def finish(self, number: int) -> None:
         """The total of an interval is finished."""
-        self.counter.finish(number, self.loop.time())
+        self.counter.finish_interval(number, self.loop.time())
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -13,9 +13,9 @@
 from irisdeal.permits.issuer import ClaimResult
 from irisdeal.permits.messages import LendRequest
 from irisdeal.permits.prefetched import PrefetchedPermits
-from irisdeal.ratelimit.interval_clock import LENGTH
+from irisdeal.ratelimit.interval_clock import INTERVAL_S
 from irisdeal.ratelimit.interval_counter import Usage
-from irisdeal.ratelimit.rate_companion import RateCompanion
+from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 from irisdeal.registry.messages import IntervalReport
 from irisdeal.registry.quota_service import QuotaService
 from irisdeal.runtime.settings import Settings
@@ -99,7 +99,7 @@
     def __init__(self, name: str, incarnation: int, home: int, clock: Clock, limit: Limit) -> None:
         self.name, self.home, self.clock = name, home, clock
         self.held = PrefetchedPermits(incarnation)
-        self.companion = RateCompanion(TENANT, limit)
+        self.companion = ProbabilisticThrottle(TENANT, limit)
         self.silent_until: dict[str, float] = {}  # registries that did not answer, by the world's clock
         self.without_permits_until: dict[str, float] = {}
         self.newest_total = -1
@@ -113,8 +113,8 @@
 
     def close(self) -> Usage:
         """What was asked here in the interval that ends."""
-        asked, late = self.companion.close()
-        self.held.record_demand(TENANT, asked, LENGTH)
+        asked, late = self.companion.close_interval()
+        self.held.record_demand(TENANT, asked, INTERVAL_S)
         return Usage(asked, 0.0, 0.0, late)
 
     def report(self, registry: str, number: int, usage: Usage) -> IntervalReport:
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -16,7 +16,7 @@
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.issuer import ClaimResult
 from irisdeal.permits.messages import LendRequest
-from irisdeal.ratelimit.interval_clock import LENGTH
+from irisdeal.ratelimit.interval_clock import INTERVAL_S
 from irisdeal.registry.messages import IntervalReport, IntervalSum
 from irisdeal.registry.quota_service import SUM_AT
 from irisdeal.simulation.quota.judge import QuotaJudge
@@ -86,7 +86,7 @@
 
     def _start_timers(self, ip: str) -> None:
         self.at(self.time + 0.001 * self.chance.random(), self._contact, ip)
-        self.at(self.time + SUM_AT * LENGTH, self._sum, ip)
+        self.at(self.time + SUM_AT * INTERVAL_S, self._sum, ip)
 
     # Events
 
@@ -186,10 +186,10 @@
         return 0 if is_lost else lent
 
     def _sum(self, ip: str) -> None:
-        self.at(self.time + LENGTH, self._sum, ip)
+        self.at(self.time + INTERVAL_S, self._sum, ip)
         if ip in self.down or ip in self.frozen:
             return
-        service, number = self.registries[ip].service, int(self.time / LENGTH) - 1
+        service, number = self.registries[ip].service, int(self.time / INTERVAL_S) - 1
         told = service.close(number)
         for other in self.registries:
             if other != ip and self.hears(ip, other):
@@ -216,7 +216,7 @@
     def _ask(self, number: int) -> None:
         proxy = self.proxies[number]
         self.asked += 1
-        if not proxy.companion.ask(self.chance.random()):
+        if not proxy.companion.admit(self.chance.random()):
             self.refused += 1
         else:
             self._deliver(proxy.name, self._ask_next, number, proxy, self._order(proxy), self.time)
@@ -281,11 +281,11 @@
             self.refused += 1
 
     def _report(self, number: int) -> None:
-        self.at(self.time + LENGTH, self._report, number)
+        self.at(self.time + INTERVAL_S, self._report, number)
         proxy = self.proxies[number]
         if proxy.name in self.frozen:
             return
-        interval, usage = int(self.time / LENGTH) - 1, proxy.close()
+        interval, usage = int(self.time / INTERVAL_S) - 1, proxy.close()
         for ip in self._order(proxy):
             if ip in self.down:
                 continue
@@ -314,7 +314,7 @@
         proxy.held.receive_reply(ip, reply.reserve, sent_at, proxy.clock.now())
         if reply.number > proxy.newest_total and TENANT in reply.totals:
             proxy.newest_total = reply.number
-            proxy.companion.hear_total(reply.totals[TENANT])
+            proxy.companion.update_total(reply.totals[TENANT])
 
     # Faults
 
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -99,7 +99,7 @@
             assert world.registry.waiting == 0
         await asyncio.sleep(4.0)
         assert not door.attempts and not door.front.serving
-        assert not any(held.out or held.waiting for held in door.gate.tenants.values())
+        assert not any(held.in_flight or held.waiting for held in door.gate.tenants.values())
         assert not any(backend.in_flight for backend in door.backends.values())
         assert world.registry is None or not world.registry.open
 
--- a/tests/support/random_request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -200,7 +200,7 @@
             found.append("the proxy does not end")
         if not world.proxy.dead:
             out = sum(backend.in_flight for backend in door.backends.values())
-            held = sum(held.out + len(held.waiting) for held in door.gate.tenants.values())
+            held = sum(held.in_flight + len(held.waiting) for held in door.gate.tenants.values())
             if out or held or door.attempts or door.front.serving:
                 found.append(f"{out} attempts, {held} places within bounds are left")
         return found
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -1,8 +1,7 @@
-"""The pure parts that keep rules: the ends of lives, budgets of repeats, the demand split, validity."""
+"""The pure parts that keep rules: the ends of lives, validity."""
 
 import json
 import random
-from bisect import bisect_right
 from typing import Any
 
 import pytest
@@ -13,9 +12,6 @@
 
 from irisdeal.config_store.configuration.cached_reading import read
 from irisdeal.proxy.table import Table
-from irisdeal.ratelimit.concurrency_limit import ConcurrencyLimit
-from irisdeal.ratelimit.demand_split import bound, part
-from irisdeal.ratelimit.retry_budget import RetryBudget, RetryBudgets
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
@@ -94,17 +90,6 @@
     assert table.find(b"other", b"/a/x") is None
 
 
-@trying(deadline=None, max_examples=50)
-@given(st.lists(st.floats(0.01, 50), min_size=1, max_size=85), st.floats(1, 500))
-def test_parts_of_one_total_sum_to_the_cap(demands: list[float], cap: float) -> None:
-    total, doors = sum(demands), len(demands)
-    parts = [part(demand, total, cap, doors) for demand in demands]
-    assert sum(parts) == pytest.approx(cap)
-    for demand, own in zip(demands, parts, strict=True):
-        assert bound(demand, total, cap, doors) >= max(1, own - 1e-6)
-    assert part(0.0, 0.0, cap, doors) == pytest.approx(cap / doors)
-
-
 @trying(deadline=None, max_examples=50)
 @given(st.integers(0, 2**32), st.integers(1, 30))
 def test_a_life_that_ended_never_comes_back(seed: int, length: int) -> None:
@@ -136,57 +121,6 @@
     assert registry.entries["i"].incarnation.state is BackendState.GONE
 
 
-@trying(deadline=None, max_examples=50)
-@given(st.integers(0, 2**32), st.sampled_from((1, 8, 85)))
-def test_repeats_of_all_doors_stay_in_the_budget(seed: int, doors: int) -> None:
-    chance = random.Random(seed)
-    budgets, now = [RetryBudget(0.2, 10.0) for _ in range(doors)], 0.0
-    requests: list[float] = []
-    repeats: list[float] = []
-    for step in range(800):
-        now += chance.expovariate(30)
-        budget = chance.choice(budgets)
-        budget.request(now)
-        requests.append(now)
-        while chance.random() < 0.9 and budget.spend(now, 56.0 / doors):
-            repeats.append(now)
-        if step % 8 == 0:
-            spent = len(repeats) - bisect_right(repeats, now - 10)
-            assert spent <= 0.2 * (len(requests) - bisect_right(requests, now - 10)) + 56
-
-
-@trying(max_examples=30, deadline=None)
-@given(st.integers(0, 2**32))
-def test_repeats_stay_in_the_budget_though_registries_forget_what_they_spent(seed: int) -> None:
-    """Each starts again every few seconds."""
-    chance = random.Random(seed)
-    budgets, now = [RetryBudgets(0.2, 10.0, 56.0, -99.0) for _ in range(4)], 0.0
-    requests: list[float] = []
-    repeats: list[float] = []
-    for step in range(1500):
-        now += chance.expovariate(30)
-        if chance.random() < 0.03:
-            budgets[chance.randrange(4)] = RetryBudgets(0.2, 10.0, 56.0, now)
-        if chance.random() < 0.7:
-            chance.choice(budgets).request("s", now)  # the first that is asked counts it
-            requests.append(now)
-        while chance.random() < 0.9 and chance.choice(budgets).spend("s", now, 4):
-            repeats.append(now)
-        if step % 8 == 0:
-            spent = len(repeats) - bisect_right(repeats, now - 10)
-            assert spent <= 0.2 * (len(requests) - bisect_right(requests, now - 10)) + 56
-
-
-def test_past_the_bound_the_least_rank_goes_first_and_places_are_kept() -> None:
-    gate = ConcurrencyLimit(slots=2)
-    assert gate.enter("t", 5, "a", 0.0) is True and gate.enter("t", 5, "b", 0.0) is True
-    assert gate.enter("t", 9, "late", 0.1) is False and gate.enter("t", 1, "first", 0.2) is False
-    assert gate.leave("t", 0.3) == ["first"]
-    assert gate.give_up("t", "first", 0.4) is False  # it was let in: the place is its own
-    assert gate.give_up("t", "late", 0.5) is True
-    assert gate.leave("t", 0.6) == [] and gate.tenants["t"].out == 1
-
-
 def test_calls_become_commands_or_one_clear_refusal() -> None:
     heartbeat = {
         "service": "s",
