--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -23,18 +23,15 @@
 
 MAX_CALLS_AT_WORK = 256  # of one connection; more are answered with an error
 DRAIN_POLL_S = 0.02  # between two checks of what a drain waits for
-LISTEN_BACKLOG = (
-    256  # connections that the kernel keeps until they are accepted: each proxy's and core machine's
-)
+LISTEN_BACKLOG = 256  # connections the kernel queues until they are accepted: over one of each process
 # Error answers. They are the wire's: callers of other versions log them.
 DRAINING_TEXT = "this process ends"
 TOO_MANY_CALLS_TEXT = "too many calls at once"
 CANCELLED_TEXT = "given up"
 
 Handler = Callable[[str, str, WireValue], Awaitable[WireValue]]  # peer, kind, body -> answer
-ImmediateHandler = Callable[
-    [str, str, WireValue], WireValue
-]  # likewise, `DEFERRED` where it cannot answer at once
+# Likewise; `DEFERRED` where it cannot answer at once.
+ImmediateHandler = Callable[[str, str, WireValue], WireValue]
 DEFERRED = object()
 AnswerTask = asyncio.Task[tuple[bool, WireValue]]  # whether the call succeeded, and its answer
 
@@ -88,8 +85,9 @@
                 self.transport.abort()
 
     def _receive(self, item: WireValue) -> None:
-        """Take one item. InvalidFrameError where it is no call or not in its order: nothing behind it can be
-        trusted.
+        """Take one item.
+
+        InvalidFrameError where it is no call or not in its order: nothing behind it can be trusted.
         """
         if type(item) is not list or len(item) != 3 or type(item[0]) is not int or type(item[1]) is not str:
             raise InvalidFrameError("no call")
@@ -118,7 +116,7 @@
         self.peer = self.server.peer_of(str(name))
 
     def _cancel(self, request_id: WireValue) -> None:
-        """The caller has given this call up; it may be done already."""
+        """Cancel the call that the caller has given up, unless it is done already."""
         task = self.ending_with_caller.get(request_id) if type(request_id) is int else None
         if task is not None:
             task.cancel()
@@ -152,7 +150,7 @@
         task.add_done_callback(lambda done: self._finish_call(request_id, key, done))
 
     async def _answer(self, kind: str, body: WireValue) -> tuple[bool, WireValue]:
-        """Whether the call succeeded, and its answer or the error's text."""
+        """Return whether the call succeeded, and its answer or the error's text."""
         try:
             return True, await self.server.handler(self.peer, kind, body)
         except Exception as error:  # of any type: the caller has to be answered
@@ -177,7 +175,7 @@
         self.transport.write(frame)
 
     def close_behind_last_answer(self) -> None:
-        """No further answer comes: close this end once all that is written is sent."""
+        """Close this end once all that is written is sent; no further answer comes."""
         if self.transport is None or self.transport.is_closing():
             return
         try:
@@ -195,7 +193,9 @@
         immediate_handler: ImmediateHandler | None = None,
         on_connection_lost: Callable[[str], None] | None = None,
     ) -> None:
-        """`immediate_handler` is asked before `handler`. `on_connection_lost` is called with the peer of each
+        """Listen nowhere yet.
+
+        `immediate_handler` is asked before `handler`. `on_connection_lost` is called with the peer of each
         connection that ended, and again where a call over it is answered only after its end.
         """
         self.handler, self.immediate_handler = handler, immediate_handler
@@ -207,12 +207,12 @@
         self.accepted_kinds: frozenset[str] | None = None  # of calls amid a drain; None before it: all
 
     def peer_of(self, name: str) -> str:
-        """A new connection's peer: the caller, and a number that no other connection has."""
+        """Return the peer of a new connection: the caller, and a number that no other connection has."""
         self.connection_count += 1
         return f"{process_name(name)}#{self.connection_count}"
 
     def accepts(self, kind: str) -> bool:
-        """Whether a call of this kind is begun now."""
+        """Return whether a call of this kind is begun now."""
         return self.accepted_kinds is None or kind in self.accepted_kinds
 
     async def listen(self, address: Address) -> None:
@@ -229,7 +229,7 @@
             connection.cancel_caller_bound_calls()
 
     async def drain(self, ends_at: float) -> int:
-        """Shut down gracefully by `ends_at` (s on the loop's clock); the number of calls cut off unanswered."""
+        """Shut down gracefully by `ends_at` (s on the loop's clock); return the number of unanswered calls."""
         loop = asyncio.get_running_loop()
         self.begin_drain()
         while self._calls_at_work() and loop.time() < ends_at:
--- a/irisdeal/runtime/process.py
+++ b/irisdeal/runtime/process.py
@@ -76,6 +76,7 @@
     log_event(Event.STARTED, node=settings.node_name, role=settings.role, zone=settings.zone)
 
     def reload_settings() -> None:
+        """Read the settings file again; one that is invalid changes nothing."""
         result = load_settings(path)
         if isinstance(result, Failure):
             log_event(Event.SETTINGS_INVALID, error=result.failure())
