--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -20,7 +20,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import ASK, Sources
 from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.incarnation import BackendIncarnation
 from irisdeal.registry.messages import IntervalReport, PlacementRequest, PlacementResult, ReservationEnd
 from irisdeal.rpc.client import RpcClient
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/admission.py
@@ -20,7 +20,7 @@
 from irisdeal.proxy.registry_client import RegistryClient, Reported
 from irisdeal.ratelimit.concurrency_limit import AcquireResult, ConcurrencyLimit
 from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
-from irisdeal.ratelimit.interval_counter import Usage, Usages
+from irisdeal.ratelimit.messages import Usage, Usages
 from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 from irisdeal.registry.messages import IntervalReport
 
--- a/irisdeal/ratelimit/probabilistic_throttle.py
+++ b/irisdeal/ratelimit/probabilistic_throttle.py
@@ -13,7 +13,7 @@
 
 from irisdeal.permits.allowance import Limit
 from irisdeal.ratelimit.interval_clock import INTERVAL_S
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 
 # Requests of an interval that are admitted on top: those of a small tenant arrive in bursts.
 SPARE_REQUESTS = 3.0
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -13,7 +13,7 @@
 
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.permits.messages import PrefetchReply, PrefetchReport
-from irisdeal.ratelimit.interval_counter import Usages, decode_usages, encode_usages
+from irisdeal.ratelimit.messages import Usages, decode_usages, encode_usages
 from irisdeal.registry.incarnation import IncarnationStatus, ObservedIncarnation
 
 # Flags of a `PlacementRequest` on the wire
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -12,7 +12,8 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import key
 from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
-from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum, Usage
+from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.messages import IntervalReply, IntervalReport, IntervalSum
 from irisdeal.rpc.calls import process_name
 from irisdeal.runtime.settings import Settings
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -20,7 +20,7 @@
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import TELL
-from irisdeal.ratelimit.interval_counter import encode_usages
+from irisdeal.ratelimit.messages import encode_usages
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.authority_watch import AuthorityWatch
 from irisdeal.registry.backend_table import BackendTable
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -14,7 +14,7 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.ratelimit.interval_clock import INTERVAL_S
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 from irisdeal.registry.messages import IntervalReport
 from irisdeal.registry.quota_service import QuotaService
--- a/tests/ratelimit/test_interval_counter.py
+++ b/tests/ratelimit/test_interval_counter.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from irisdeal.ratelimit.interval_clock import INTERVAL_S
-from irisdeal.ratelimit.interval_counter import IntervalCounter, Usage
+from irisdeal.ratelimit.interval_counter import IntervalCounter
+from irisdeal.ratelimit.messages import Usage
 
 
 @hypothesis_settings(max_examples=150, deadline=None)
--- a/tests/ratelimit/test_probabilistic_throttle.py
+++ b/tests/ratelimit/test_probabilistic_throttle.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from irisdeal.permits.allowance import Limit
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -22,7 +22,7 @@
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry import call_kinds
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.backend_table import BackendTable
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -28,7 +28,7 @@
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.sources import Sources
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.messages import IntervalReport, PlacementRequest, ReservationEnd
 from irisdeal.registry.server import RegistryServer
 from irisdeal.rpc.client import RpcClient
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -47,7 +47,7 @@
 from irisdeal.front_door.handover.state import pack, unpack
 from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
 from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.ratelimit.interval_counter import Usage
+from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.incarnation import (
     BackendIncarnation,
     BackendState,
