--- a/irisdeal/front_door/server/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -9,20 +9,27 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Collection
-from functools import lru_cache
-from typing import TYPE_CHECKING, Protocol, cast
+from typing import TYPE_CHECKING, cast
 
 import httptools
 
 from irisdeal.front_door.decisions.interface import Plan, Repeat
 from irisdeal.front_door.overload.places import IDLE_FOR, SILENT_FOR, Places, Stage
 from irisdeal.front_door.server.backends import small_reads
+from irisdeal.front_door.server.client_request import (
+    ClientRequest,
+    Malformed,
+    ResponseStream,
+    Router,
+    Taker,
+    UploadStream,
+    read_quota,
+)
 from irisdeal.front_door.server.config import Config
 from irisdeal.front_door.server.host import Host
 from irisdeal.front_door.server.listener import Listener
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.server.flows import Outflow, Upload
     from irisdeal.front_door.streaming.budget import Budget
     from irisdeal.front_door.streaming.pace import Pace
 
@@ -80,8 +87,6 @@
 ACCOUNT = re.compile(rb"[0-9a-fA-F]{16}")
 EXPIRES = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
 TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
-WHOLE = re.compile(rb"[0-9]{1,9}")
-NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
@@ -98,107 +103,6 @@
 }
 
 
-class Malformed(Exception):
-    """A request that goes no further; answered with this status and text."""
-
-    def __init__(self, status: int, text: str, extra: bytes = b"") -> None:
-        super().__init__(text)
-        self.status, self.text, self.extra = status, text, extra
-
-
-@lru_cache(maxsize=512)  # few texts come again and again; the rest must not fill the memory
-def read_quota(text: bytes, doors: int) -> tuple[float, int, int] | None:
-    """Units, and the number and first of the customer's front doors; None where the text is malformed."""
-    fields = dict(part.strip().partition(b"=")[::2] for part in text.split(b","))
-    units = fields.get(b"units", b"")
-    spread, first = fields.get(b"spread", b""), fields.get(b"first", b"")
-    if not (NUMBER.fullmatch(units) and WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
-        return None
-    if not (float(units) > 0 and 1 <= int(spread) <= doors and int(first) < doors):
-        return None
-    return float(units), int(spread), int(first)
-
-
-class ClientRequest:
-    """A well-formed request and the place of its answer."""
-
-    __slots__ = (
-        "answer",
-        "bodiless",
-        "body",
-        "counted",
-        "customer",
-        "first",
-        "flow",
-        "gateways",
-        "head",
-        "is_retry",
-        "is_write",
-        "kind",
-        "number",
-        "old_http",
-        "plan",
-        "routed",
-        "then_close",
-        "time_left",
-        "trace",
-        "units",
-        "upload",
-        "where",
-    )
-
-    def __init__(self, where: Client) -> None:
-        self.where, self.answer = where, b""
-        self.then_close = self.is_retry = self.is_write = self.old_http = False
-        self.number = -1  # given by the door
-        self.head = self.body = self.trace = b""
-        self.customer = self.plan = self.kind = self.time_left = self.first = 0
-        self.counted = -1  # the class under which it is counted, once that is known
-        self.gateways, self.units = 1, 1.0
-        self.bodiless = False  # an answer to HEAD has no body
-        self.flow: Outflow | None = None  # its answer, where that is passed on as it comes
-        self.upload: Upload | None = None  # its body, likewise
-        self.routed: object = None  # where a description gives the routes: what the router knows of it
-
-    def reply(self, status: int, body: bytes, extra: bytes = b"") -> None:
-        """The final answer. `extra` holds whole header lines."""
-        self.where.reply(self, status, body, extra)
-
-
-class Taker(Protocol):
-    """What the server side needs of the door."""
-
-    def take(self, request: ClientRequest) -> None: ...
-
-    def uploaded(self, request: ClientRequest) -> None: ...
-
-    def gone(self, request: ClientRequest) -> None: ...
-
-    def give_up(self, request: ClientRequest) -> None: ...
-
-    def can_serve(self) -> bool: ...
-
-    def lateness(self) -> int: ...
-
-
-class Router(Protocol):
-    """What takes the place of the class header where a description gives the routes (`routed.py`)."""
-
-    def read(
-        self,
-        request: ClientRequest,
-        method: bytes,
-        url: bytes,
-        headers: list[bytes],
-        body: bytes,
-        expires: bytes | None,
-    ) -> None:
-        """Fill a request from its message, or raise `Malformed`.
-
-        `headers` are those that go on, lines in four parts each; `expires` is `X-Expires-In`, which does not.
-        """
-
-
 class Client(asyncio.Protocol):
     """One connection of a client."""
 
@@ -216,7 +120,7 @@
         self.full_since = 0.0  # of a client that does not read its answers; 0.0 while it does
         self.unread = 0  # bytes that waited for it at the last look
         self.pace: Pace | None = None  # where long bodies are passed on: how the message comes in
-        self.upload: Upload | None = None  # the body that comes in, passed on as it comes
+        self.upload: UploadStream | None = None  # the body that comes in, passed on as it comes
         self.choked, self.choked_since = False, 0.0  # by its backend: not read meanwhile
         self.ends_at = 0.0  # when the connection is cut, once it closes
         self._reset()
@@ -418,7 +322,7 @@
         for part in parts:
             self.upload.feed(part)
 
-    def _end_upload(self, upload: Upload, request: ClientRequest) -> None:
+    def _end_upload(self, upload: UploadStream, request: ClientRequest) -> None:
         """The last byte has come."""
         assert self.parser is not None
         self.upload = None
@@ -590,7 +494,7 @@
         length: int | None,
         kind: bytes,
         on_over: Callable[[], None],
-    ) -> Outflow | None:
+    ) -> ResponseStream | None:
         """Pass an answer on as it comes; None where it cannot be."""
         budget = self.side.budget
         if budget is None or not budget.admits() or self.transport is None or self.transport.is_closing():
@@ -787,8 +691,8 @@
         self.most_body = self.replay = MOST_BODY
         self.slow_request, self.unread = SLOW_REQUEST, UNREAD
         self.new_pace: Callable[[float], Pace]
-        self.new_upload: Callable[[Client, int | None], Upload]
-        self.new_flow: Callable[[ClientRequest, bytes, bool, Callable[[], None]], Outflow]
+        self.new_upload: Callable[[Client, int | None], UploadStream]
+        self.new_flow: Callable[[ClientRequest, bytes, bool, Callable[[], None]], ResponseStream]
         self.listener = Listener(self.admit, loop, self.room, self.host)
 
     def count_in(self, request: ClientRequest, kind: int) -> None:
--- a/irisdeal/front_door/server/flows.py
+++ b/irisdeal/front_door/server/flows.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from irisdeal.front_door.server.backends import Backend
-    from irisdeal.front_door.server.clients import Client, ClientRequest
+    from irisdeal.front_door.server.client_request import ClientConnection, ClientRequest
 
 
 def chunk(data: bytes) -> bytes:
@@ -129,7 +129,7 @@
 class Upload:
     """A request's body on its way to a backend, collected as far as it can be sent again."""
 
-    def __init__(self, client: Client, length: int | None, budget: Budget) -> None:
+    def __init__(self, client: ClientConnection, length: int | None, budget: Budget) -> None:
         """`length` is None for chunks."""
         self.client, self.length, self.loan = client, length, budget.enter()
         self.parts: list[bytes] = []  # from the first byte, or what has not been passed on once `spent`
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -33,7 +33,7 @@
 from irisdeal.front_door.handover.state import pack, unpack
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.server.program import Program
+    from irisdeal.front_door.server.process_view import ProcessView
 
 log = logging.getLogger("irisdeal.front_door.handover")
 
@@ -49,7 +49,7 @@
 class Handover:
     """Both sides: what an older process tells this one at its start, and what this one tells a newer."""
 
-    def __init__(self, program: Program, folder: str, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, program: ProcessView, folder: str, loop: asyncio.AbstractEventLoop) -> None:
         self.program, self.folder, self.loop = program, folder, loop
         config = program.config
         self.name, self.listen = config.name, "{}:{}".format(*config.listen)
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -34,7 +34,8 @@
 )
 from irisdeal.front_door.overload.lateness import Lateness
 from irisdeal.front_door.server.backends import Answer, Attempt, Outlet, Pool
-from irisdeal.front_door.server.clients import ClientRequest, retry_after
+from irisdeal.front_door.server.client_request import ClientRequest
+from irisdeal.front_door.server.clients import retry_after
 from irisdeal.front_door.server.config import Address, Config
 from irisdeal.front_door.server.counter_client import Counter
 from irisdeal.front_door.server.host import Host
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -21,7 +21,7 @@
 from irisdeal.front_door.server.listener import Listener
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.server.program import Program
+    from irisdeal.front_door.server.process_view import ProcessView
 
 log = logging.getLogger("irisdeal.front_door.operator")
 
@@ -149,7 +149,7 @@
     def __init__(
         self,
         address: Address,
-        program: Program,
+        program: ProcessView,
         most: int,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
--- /dev/null
+++ b/irisdeal/front_door/server/process_view.py
@@ -0,0 +1,46 @@
+"""What the operators' listener and the handover need of the front door's process."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from irisdeal.front_door.operator.bans import Bans
+from irisdeal.front_door.server.backends import Pool
+from irisdeal.front_door.server.clients import ClientSide
+from irisdeal.front_door.server.config import Config
+from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.host import Host
+from irisdeal.front_door.server.loop import Door
+
+
+class OperatorView(Protocol):
+    """What a handover needs of the operators' listener."""
+
+    @property
+    def bans(self) -> Bans:
+        """Identifiers that an operator has banned."""
+
+
+class ProcessView(Protocol):
+    """The parts of the process, and what may be asked of it as a whole."""
+
+    config: Config
+    host: Host
+    pool: Pool
+    door: Door
+    clients: ClientSide
+    discovery: Discovery
+    stopping: bool
+
+    @property
+    def operator(self) -> OperatorView | None:
+        """The operators' listener, where the configuration has one."""
+
+    def resize(self, sockets: int) -> None:
+        """Use at most `sockets` descriptors from now on."""
+
+    def held(self) -> int:
+        """Upper bound of the descriptors that are in use."""
+
+    def is_ready(self) -> tuple[bool, str]:
+        """Whether this process can serve; if not, why."""
--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -37,6 +37,7 @@
 from irisdeal.front_door.routes.path import BadTarget, BadTemplate, Target, read_target
 from irisdeal.front_door.routes.table import SLICE, Classes, Table, TooMany, building
 from irisdeal.front_door.routes.wire import route_from_wire
+from irisdeal.front_door.server.client_request import ClientRequest, Malformed
 from irisdeal.front_door.server.clients import (
     ACCOUNT,
     EXPIRES,
@@ -44,9 +45,7 @@
     MARGIN,
     MOST_QUOTA_TEXT,
     TOKEN,
-    ClientRequest,
     ClientSide,
-    Malformed,
 )
 from irisdeal.front_door.server.config import Config, ConfigError, Routes
 from irisdeal.front_door.server.loop import Door
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -6,7 +6,7 @@
 import uvloop
 
 from irisdeal.front_door.decisions.interface import Arrival, Refuse
-from irisdeal.front_door.server.clients import ClientRequest
+from irisdeal.front_door.server.client_request import ClientRequest
 from tests.support.fake_peers import Script, answer, ask, read_message, running, socket_test
 
 GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
+from typing import Any, cast
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
@@ -18,7 +18,8 @@
     ServerState,
     Settings,
 )
-from irisdeal.front_door.server.clients import Client, ClientRequest
+from irisdeal.front_door.server.client_request import ClientRequest
+from irisdeal.front_door.server.clients import Client
 from irisdeal.front_door.server.loop import Door
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.audit import Rule
@@ -112,7 +113,7 @@
     take = program.door.take
 
     def taken(request: ClientRequest) -> None:
-        where = request.where  # this connection alone: the class is left as it is
+        where = cast(Client, request.where)  # this connection alone: the class is left as it is
         where.reply = lambda *parts: twice(where, *parts)  # type: ignore[method-assign]
         take(request)
 
