--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -31,8 +31,8 @@
     UNKNOWN,
     AcceptorState,
     Ballot,
+    BallotAttempt,
     Change,
-    Round,
     Step,
     Value,
 )
@@ -137,7 +137,7 @@
 
 
 class Frozen(NamedTuple):
-    """A `Round` as it stands."""
+    """A `BallotAttempt` as it stands."""
 
     ballot: Ballot
     known: Members
@@ -388,15 +388,15 @@
         before = ballot.step
         for _ in range(2):  # each answer comes twice
             if kind == "promise" and before is Step.PREPARING:
-                ballot.on_promise(self.plan.seats[seat], good, self.table.things[thing])
+                ballot.on_prepare_reply(self.plan.seats[seat], good, self.table.things[thing])
             elif kind == "accept":
-                ballot.on_accept(self.plan.seats[seat], good, self.table.things[thing])
+                ballot.on_accept_reply(self.plan.seats[seat], good, self.table.things[thing])
         made = Frozen(
             ballot.ballot,
             ballot.known,
             frozen.change,
             ballot.step,
-            tuple(sorted(ballot.promised.items(), key=lambda item: item[0])),
+            tuple(sorted(ballot.prepare_replies.items(), key=lambda item: item[0])),
             frozenset(ballot.accepted),
             ballot.above,
             ballot.base,
@@ -404,7 +404,7 @@
         )
         proposal = decided = None
         if before is Step.PREPARING and ballot.step is Step.ACCEPTING:
-            base = max(kept.accepted for kept in ballot.promised.values())
+            base = max(kept.accepted for kept in ballot.prepare_replies.values())
             proposal = self.table.number(Proposal(ballot.ballot, ballot.value, base))  # type: ignore[arg-type]
         if before is Step.ACCEPTING and ballot.step is Step.DECIDED:
             decided = self.table.number(ballot.value)
@@ -412,8 +412,8 @@
             made = made._replace(promised=())
         return self.table.number(made), proposal, decided
 
-    def _thaw(self, frozen: Frozen) -> Round:
-        return Round(
+    def _thaw(self, frozen: Frozen) -> BallotAttempt:
+        return BallotAttempt(
             frozen.ballot,
             frozen.known,
             self.changes[frozen.change],
--- a/irisdeal/cli/store.py
+++ b/irisdeal/cli/store.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from irisdeal.config_store.consensus.register import Value
     from irisdeal.config_store.membership.survey import Survey
-    from irisdeal.config_store.storage.inspection import Disk
+    from irisdeal.config_store.storage.inspection import FolderContent
     from irisdeal.runtime.settings import Address, Settings
 
 WIDTH = 116  # columns of a table: as long as our lines
@@ -242,12 +242,12 @@
     _end(found)
 
 
-def _look(folder: str) -> Disk:
+def _look(folder: str) -> FolderContent:
     from irisdeal.config_store.storage.folder import DiskFolder
-    from irisdeal.config_store.storage.inspection import look
+    from irisdeal.config_store.storage.inspection import inspect_folder
 
     try:
-        return look(DiskFolder(folder))
+        return inspect_folder(DiskFolder(folder))
     except OSError as error:
         raise Unusable(f"{folder}: {error.strerror or error}") from None
 
@@ -268,7 +268,7 @@
     rows = [
         {
             "generation": f"r{version.version_id.number}",
-            "stands": disk.standing(version.version_id),
+            "stands": disk.status(version.version_id),
             "bytes": len(version.body),
             "digest": version.version_id.digest.hex(),
             "file": name,
@@ -281,17 +281,17 @@
             None
             if state is None
             else {
-                "disk": state.disk,
-                "promised": state.kept.promised.count,
-                "ballot": state.kept.accepted.count,
-                "accepted": _value(state.kept.value),
+                "disk": state.disk_id,
+                "promised": state.acceptor_state.promised.count,
+                "ballot": state.acceptor_state.accepted.count,
+                "accepted": _value(state.acceptor_state.value),
                 "decided": _value(state.decided),
             }
         )
         click.echo(json.dumps({"kept": told, "versions": rows}, indent=1))
         return
     if state is not None:
-        for name, value in (("decided", state.decided), ("accepted", state.kept.value)):
+        for name, value in (("decided", state.decided), ("accepted", state.acceptor_state.value)):
             click.echo(
                 f"{name}: change {value.change}, {_generation(value)}, list {value.members.number}: "
                 f"{' '.join(value.members.seats)}"
@@ -364,18 +364,18 @@
 
     Example: irisdeal store export /var/lib/irisdeal --generation r12 --to r12.json
     """
-    from irisdeal.config_store.storage.inspection import named, newest
+    from irisdeal.config_store.storage.inspection import find_version, newest_version
 
     if as_json and out is None:
         raise Unusable("--json: wanted with --to, as standard output is the configuration")
     disk = _look(folder)
-    version = newest(disk) if generation is None else named(disk, generation)
+    version = newest_version(disk) if generation is None else find_version(disk, generation)
     if version is None:
         click.echo(f"irisdeal: {generation or 'a decided configuration'} is not in {folder}", err=True)
         sys.exit(1)
     told = {
         "generation": f"r{version.version_id.number}",
-        "stands": disk.standing(version.version_id),
+        "stands": disk.status(version.version_id),
         "bytes": len(version.body),
         "digest": version.version_id.digest.hex(),
     }
--- a/irisdeal/config_store/__init__.py
+++ b/irisdeal/config_store/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's word: its versions, whether it is valid, how it is kept on disk and mended."""
+"""The replicated configuration store: consensus on its versions, membership, and what is on disk."""
--- a/irisdeal/config_store/consensus/__init__.py
+++ b/irisdeal/config_store/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Ballots on one register: acceptors, proposers and what they decide."""
+"""Consensus on one register: acceptors, proposers and the ballots by which they decide."""
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -1,6 +1,6 @@
-"""A member as acceptor: what it promised, accepted and holds. Each act is synced before it returns.
+"""A replica as acceptor: its state and its configuration versions, on disk. Each write is synced before it returns.
 
-Acts on the disk come one after the other; what is told of the state (`kept`, `decided`) never waits for them.
+Writes to the disk come one after the other; reading the state (`state`, `decided`) never waits for them.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import secrets
 from collections.abc import Callable, Coroutine
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any, TypeVar
+from typing import Any, TypeVar, TypeVarTuple
 
 from returns.result import Failure, Result, Success
 
@@ -26,13 +26,14 @@
 from irisdeal.config_store.membership.members import FIRST, seat
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
-from irisdeal.config_store.storage.version_files import Files
+from irisdeal.config_store.storage.version_files import VersionFiles
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.runtime.events import Event, check_invariant, log_event
 from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
-ID = 8  # bytes of a disk's identity: no two of all disks ever are alike
+Args = TypeVarTuple("Args")
+DISK_ID_BYTES = 8  # of random identity: no two disks ever have the same
 
 
 class Acceptor:
@@ -43,55 +44,58 @@
         self.ip, self.tasks = ip, tasks
         self.folder = folder or DiskFolder(path)
         self.thread = ThreadPoolExecutor(1, "disk") if folder is None else None
-        self.files, self.keeper, self.version_store = (
-            Files(self.folder),
-            AcceptorStateFile(self.folder),
-            VersionStore(),
-        )
-        self.lock = asyncio.Lock()
-        self.disk = ""
-        self.kept, self.decided = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN), UNKNOWN
+        self.version_files = VersionFiles(self.folder)
+        self.state_file = AcceptorStateFile(self.folder)
+        self.version_store = VersionStore()
+        self.write_lock = asyncio.Lock()
+        self.disk_id = ""
+        self.state = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN)
+        self.decided = UNKNOWN
         self.written = UNKNOWN  # the decided value that is on the disk
         self.needed: dict[
             VersionId, ConfigVersion
-        ] = {}  # bodies of what is accepted and decided, whatever else comes
+        ] = {}  # what is accepted and decided, whatever else arrives
 
     @property
     def seat(self) -> str:
-        return seat(self.ip, self.disk)
+        """The address and the disk's identity, as member lists name them."""
+        return seat(self.ip, self.disk_id)
 
     async def open(self, first: Value | None) -> None:
-        """`first`: the value of a system that starts for the first time; None on any other start. OSError."""
-        state = None
+        """Load what the disk has; an empty or damaged one gets a new identity. OSError where it refuses.
+
+        `first`: the value of a system that starts for the first time; None on any other start.
+        """
+        persisted = None
         try:
-            state = await self._on_disk(self.keeper.open)
+            persisted = await self._on_disk(self.state_file.open)
         except ValueError as error:
             log_event(Event.ACCEPTOR_STATE_DAMAGED, ip=self.ip, error=error)
             first = None
-        versions = await self._on_disk(self.files.open)
-        if state is None:
-            value = first or UNKNOWN
-            state = PersistedState(
-                FIRST if first else secrets.token_hex(ID), AcceptorState(NO_BALLOT, NO_BALLOT, value), value
-            )
-            await self._on_disk(self.keeper.write, state)
-            log_event(Event.DISK_IDENTITY_ASSIGNED, seat=seat(self.ip, state.disk))
-        self.disk, self.kept, self.decided, self.written = (
-            state.disk,
-            state.kept,
-            state.decided,
-            state.decided,
-        )
+        versions = await self._on_disk(self.version_files.open)
+        if persisted is None:
+            persisted = await self._write_new_identity(first)
+        self.disk_id, self.state = persisted.disk_id, persisted.acceptor_state
+        self.decided = self.written = persisted.decided
         for version in versions:
-            if version.version_id in (self.kept.value.version_id, self.decided.version_id):
+            if version.version_id in (self.state.value.version_id, self.decided.version_id):
                 self.version_store.add(version)
-        self._need()
+        self._retain_needed()
+
+    async def _write_new_identity(self, first: Value | None) -> PersistedState:
+        value = first or UNKNOWN
+        disk_id = FIRST if first else secrets.token_hex(DISK_ID_BYTES)
+        persisted = PersistedState(disk_id, AcceptorState(NO_BALLOT, NO_BALLOT, value), value)
+        await self._on_disk(self.state_file.write, persisted)
+        log_event(Event.DISK_IDENTITY_ASSIGNED, seat=seat(self.ip, persisted.disk_id))
+        return persisted
 
-    async def _on_disk(self, act: Callable[..., T], *given: Any) -> T:
-        return await asyncio.get_running_loop().run_in_executor(self.thread, act, *given)
+    async def _on_disk(self, act: Callable[[*Args], T], *args: *Args) -> T:
+        """Run a blocking call in the disk's thread."""
+        return await asyncio.get_running_loop().run_in_executor(self.thread, act, *args)
 
-    async def _whole(self, act: Coroutine[Any, Any, T]) -> T:
-        """Goes to its end also where who asked for it goes away. OSError where the disk refuses."""
+    async def _run_to_end(self, act: Coroutine[Any, Any, T]) -> T:
+        """Run this to its end also where the caller is cancelled. OSError where the disk refuses."""
 
         async def run() -> Result[T, OSError]:
             try:
@@ -100,66 +104,69 @@
                 log_event(Event.DISK_WRITE_FAILED, error=error)
                 return Failure(error)
 
-        done: Result[T, OSError] = await asyncio.shield(self.tasks.start(run()))
-        if isinstance(done, Failure):
-            raise done.failure()
-        return done.unwrap()
+        result: Result[T, OSError] = await asyncio.shield(self.tasks.start(run()))
+        if isinstance(result, Failure):
+            raise result.failure()
+        return result.unwrap()
 
-    # Promises and accepts
+    # Prepare and accept
 
     async def prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
-        """Whether it is promised, synced, and what is kept. OSError where the disk refuses."""
-        return await self._whole(self._prepare(ballot))
+        """Return whether the ballot is promised, synced, and the state. OSError where the disk refuses."""
+        return await self._run_to_end(self._prepare(ballot))
 
     async def _prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
-        async with self.lock:
-            good, kept = on_prepare(self.kept, ballot)
-            if good:
-                await self._write(kept)
-            return good, self.kept
+        async with self.write_lock:
+            is_granted, state = on_prepare(self.state, ballot)
+            if is_granted:
+                await self._write(state)
+            return is_granted, self.state
 
     async def accept(self, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
-        """Whether it is accepted, synced, and what is promised; None where the body is not here. OSError."""
-        return await self._whole(self._accept(ballot, value))
+        """Return whether the value is accepted, synced, and the highest ballot promised.
+
+        None where its configuration version is not here. OSError where the disk refuses.
+        """
+        return await self._run_to_end(self._accept(ballot, value))
 
     async def _accept(self, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
-        async with self.lock:
-            if not self.holds(value.version_id):
+        async with self.write_lock:
+            if not self.has_version(value.version_id):
                 return None
-            good, kept = on_accept(self.kept, ballot, value)
-            if good and kept != self.kept:
-                await self._write(kept)
-            return good, self.kept.promised
+            is_accepted, state = on_accept(self.state, ballot, value)
+            if is_accepted and state != self.state:
+                await self._write(state)
+            return is_accepted, self.state.promised
 
-    async def _write(self, kept: AcceptorState) -> None:
+    async def _write(self, state: AcceptorState) -> None:
         decided = self.decided
-        await self._on_disk(self.keeper.write, PersistedState(self.disk, kept, decided))
-        self.kept, self.written = kept, decided
-        self._need()
+        await self._on_disk(self.state_file.write, PersistedState(self.disk_id, state, decided))
+        self.state, self.written = state, decided
+        self._retain_needed()
 
     # What is decided
 
     def learn(self, value: Value) -> bool:
-        """Whether this decided value is news. It is on the disk with the next act."""
+        """Return whether this decided value is newer. It is on the disk with the next write."""
         if value.change <= self.decided.change:
             return False
         self.decided = value
-        self._need()
+        self._retain_needed()
         return True
 
     async def save(self) -> None:
-        """The decided value on the disk. OSError where the disk refuses."""
-        await self._whole(self._save())
+        """Write the decided value to the disk. OSError where the disk refuses."""
+        await self._run_to_end(self._save())
 
     async def _save(self) -> None:
-        async with self.lock:
+        async with self.write_lock:
             if self.written != self.decided:
-                await self._write(self.kept)
+                await self._write(self.state)
 
-    # Bodies
+    # Configuration versions
 
-    def _need(self) -> None:
-        version_ids = {self.kept.value.version_id, self.decided.version_id} - {NO_VERSION}
+    def _retain_needed(self) -> None:
+        version_ids = {self.state.value.version_id, self.decided.version_id} - {NO_VERSION}
         self.needed = {
             version_id: version
             for version_id in version_ids
@@ -167,34 +174,34 @@
         }
 
     def version(self, version_id: VersionId) -> ConfigVersion | None:
-        """This body, where it is here."""
+        """Return this version where it is in memory."""
         return self.needed.get(version_id) or self.version_store.get(version_id.digest)
 
-    def holds(self, version_id: VersionId) -> bool:
-        """Whether this body is here, synced; nothing is always held."""
-        return version_id == NO_VERSION or (
-            self.files.has(version_id) and self.version(version_id) is not None
-        )
+    def has_version(self, version_id: VersionId) -> bool:
+        """Whether this version is here, synced; `NO_VERSION` always is."""
+        if version_id == NO_VERSION:
+            return True
+        return self.version_files.has(version_id) and self.version(version_id) is not None
 
     async def save_version(self, version: ConfigVersion) -> bool:
-        """Hold this body, synced; False where the disk refuses."""
-        if not check_invariant(version.is_whole(), "a word is kept whole", number=version.version_id.number):
+        """Keep this version, synced; return False where the disk refuses."""
+        if not check_invariant(
+            version.is_whole(), "a stored version is complete", number=version.version_id.number
+        ):
             return False
-        return await self._whole(self._save_version(version))
+        return await self._run_to_end(self._save_version(version))
 
     async def _save_version(self, version: ConfigVersion) -> bool:
         self.version_store.add(version)
-        async with self.lock:
-            if not self.files.has(version.version_id):
+        async with self.write_lock:
+            if not self.version_files.has(version.version_id):
+                needed = {self.state.value.version_id, self.decided.version_id}
                 try:
-                    await self._on_disk(
-                        self.files.keep, version, {self.kept.value.version_id, self.decided.version_id}
-                    )
+                    await self._on_disk(self.version_files.save, version, needed)
                 except OSError as error:
                     log_event(Event.DISK_WRITE_FAILED, error=error)
                     return False
-                log_event(
-                    Event.VERSION_STORED, generation=f"r{version.version_id.number}", bytes=len(version.body)
-                )
-            self._need()
+                generation = f"r{version.version_id.number}"
+                log_event(Event.VERSION_STORED, generation=generation, bytes=len(version.body))
+            self._retain_needed()
         return True
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -1,8 +1,9 @@
-"""A member as proposer: ballots by `register.Round`, one at a time, and the orders that wait for them.
+"""A replica as proposer: ballots (`BallotAttempt`), one at a time, and the puts that wait for them.
 
-Orders that come at one member while a ballot goes on wait for the next, and the one with the highest number
-goes: what is decided answers all that are not above it. Where a higher ballot is met the proposer pauses, for a
-random time that grows and is longer than its own ballots take, so that one of several that meet goes through.
+Puts that arrive at one replica during a ballot wait for the next, and the one with the highest number goes:
+what is decided answers all that are not above it. Where a higher ballot is observed the proposer backs off for
+a random time that grows and is longer than its own ballots take, so that one of several that compete gets
+through.
 """
 
 from __future__ import annotations
@@ -10,7 +11,6 @@
 import asyncio
 import random
 from collections.abc import Callable, Coroutine
-from typing import Any
 
 from returns.result import Success
 
@@ -18,33 +18,42 @@
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    AcceptorState,
     Ballot,
+    BallotAttempt,
     Change,
     PutOutcome,
-    Round,
     Step,
     Value,
     put,
-    same,
+    unchanged,
 )
 from irisdeal.config_store.membership.members import ip_of
+from irisdeal.config_store.messages import (
+    ACCEPT,
+    PREPARE,
+    AcceptReply,
+    AcceptRequest,
+    PrepareReply,
+    PrepareRequest,
+    decode_accept_reply,
+)
 from irisdeal.config_store.peers import Peers, now
-from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
-BALLOT = 2.5  # s for a ballot: a disk in trouble takes over a second for each of the two syncs
-WORK = 3.0  # s for a decision, with all its ballots; who sent the order may have gone on and come again
-CALL = 0.6  # s for another's promise or accept, its disk's time included; then it is asked again
-AGAIN = 0.05  # s before a seat is asked again whose connection ended
-PAUSE = 0.02  # s, the least pause after a lost ballot: half a ballot on quiet disks
-MOST_PAUSE = 0.32  # s: so that two pauses fit into the time that an order has
-MOST_ORDERS = 16  # that wait at once, each with its body; eight are under way at most by the users' word
+BALLOT_TIMEOUT_S = 2.5  # a slow disk takes over a second for each of the two syncs
+DECISION_TIMEOUT_S = 3.0  # with all its ballots; the caller may have gone on and come back
+CALL_TIMEOUT_S = 0.6  # for one prepare or accept, the other disk's time included; then it is sent again
+RESEND_PAUSE_S = 0.05  # before a seat is asked again whose connection ended
+MIN_BACKOFF_S = 0.02  # after a lost ballot: half a ballot on quiet disks
+MAX_BACKOFF_S = 0.32  # so that two of them fit into the time of a put
+MAX_PENDING_PUTS = 16  # at once, each with its body; the users ask for eight at most
+
+AskSeat = Callable[[BallotAttempt, str, asyncio.Event], Coroutine[None, None, None]]
 
 
 class Proposer:
-    """One member's ballots. `learn` is told each value that they decide, with its ballot."""
+    """One replica's ballots."""
 
     def __init__(
         self,
@@ -52,234 +61,245 @@
         peers: Peers,
         tasks: Tasks,
         learn: Callable[[Ballot, Value], None],
-        compares: bool,
+        reports_conflicts: bool,
     ) -> None:
-        """`compares`: another body under a decided number is told, where it is passed over otherwise."""
+        """`learn` is called with each value that our ballots decide.
+
+        `reports_conflicts`: a put of another body under a decided number is answered `PutOutcome.OTHER`, where it
+        counts as superseded otherwise.
+        """
         self.acceptor, self.peers, self.tasks, self.learn = acceptor, peers, tasks, learn
-        self.compares = compares
-        self.chance = random.Random()
-        self.turn = asyncio.Lock()
-        self.on_decided: Callable[[int], None] = lambda seats: None  # seats that have synced what we decided
-        self.orders: dict[VersionId, tuple[ConfigVersion, asyncio.Future[PutOutcome]]] = {}
-        self.working = False
-        self.news = asyncio.Event()  # something was decided
-        self.lasted = PAUSE  # s that the last ballot took
-        self.met = NO_BALLOT  # the highest ballot heard of: to begin over it saves a lost one
+        self.reports_conflicts = reports_conflicts
+        self.random = random.Random()
+        self.ballot_lock = asyncio.Lock()
+        self.on_ballot_decided: Callable[[int], None] = lambda seats: (
+            None
+        )  # seats that synced what we decided
+        self.pending_puts: dict[VersionId, tuple[ConfigVersion, asyncio.Future[PutOutcome]]] = {}
+        self.is_working = False
+        self.decision = asyncio.Event()  # set, and replaced, when something is decided
+        self.ballot_duration_s = MIN_BACKOFF_S  # of our last decided ballot
+        self.highest_observed = NO_BALLOT  # to start above it saves a lost ballot
 
-    # Orders
+    # Puts
 
-    async def put(self, version: ConfigVersion, within: float) -> PutOutcome:
-        """What became of this order, as far as it is known in so many seconds."""
-        settled = self.settled(version.version_id)
-        if settled is not None:
-            return settled
-        if len(self.orders) >= MOST_ORDERS:
+    async def put(self, version: ConfigVersion, timeout_s: float) -> PutOutcome:
+        """Return what became of this put, as far as it is known within this time."""
+        outcome = self.known_outcome(version.version_id)
+        if outcome is not None:
+            return outcome
+        if len(self.pending_puts) >= MAX_PENDING_PUTS:
             log_event(Event.PUT_BACKLOG_FULL, generation=f"r{version.version_id.number}")
             return PutOutcome.LATER
-        if version.version_id not in self.orders:
-            self.orders[version.version_id] = version, asyncio.get_running_loop().create_future()
-        done = self.orders[version.version_id][1]
-        if not self.working:
-            self.working = True
+        if version.version_id not in self.pending_puts:
+            future = asyncio.get_running_loop().create_future()
+            self.pending_puts[version.version_id] = version, future
+        done = self.pending_puts[version.version_id][1]
+        if not self.is_working:
+            self.is_working = True
             self.tasks.start(self._work())
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 return await asyncio.shield(done)
         except TimeoutError:
             return PutOutcome.LATER
 
-    def settled(self, version_id: VersionId) -> PutOutcome | None:
-        """The outcome by what is decided; None where it is under this order."""
-        held = self.acceptor.decided.version_id
-        if held.number < version_id.number:
+    def known_outcome(self, version_id: VersionId) -> PutOutcome | None:
+        """Return the outcome by what is decided; None where that is below this put."""
+        decided = self.acceptor.decided.version_id
+        if decided.number < version_id.number:
             return None
-        is_other = self.compares and held.number == version_id.number and held.digest != version_id.digest
-        return PutOutcome.OTHER if is_other else PutOutcome.CONFIRMED
+        is_conflict = decided.number == version_id.number and decided.digest != version_id.digest
+        return PutOutcome.OTHER if self.reports_conflicts and is_conflict else PutOutcome.CONFIRMED
 
-    def meet(self, ballot: Ballot) -> None:
-        """Somebody told of this ballot."""
-        self.met = max(self.met, ballot)
+    def observe_ballot(self, ballot: Ballot) -> None:
+        """Take note of a ballot that somebody reported."""
+        self.highest_observed = max(self.highest_observed, ballot)
 
-    def decided(self) -> None:
-        """Something was decided, here or elsewhere: orders that it answers are answered."""
-        self.news.set()
-        self.news = asyncio.Event()
-        for version_id in list(self.orders):
-            settled = self.settled(version_id)
-            if settled is not None:
-                self._answer(version_id, settled)
+    def on_decision(self) -> None:
+        """Answer the puts that are answered by what was decided, here or elsewhere."""
+        self.decision.set()
+        self.decision = asyncio.Event()
+        for version_id in list(self.pending_puts):
+            outcome = self.known_outcome(version_id)
+            if outcome is not None:
+                self._answer(version_id, outcome)
 
     def _answer(self, version_id: VersionId, outcome: PutOutcome) -> None:
-        _, done = self.orders.pop(version_id)
+        _, done = self.pending_puts.pop(version_id)
         if not done.done():
             done.set_result(outcome)
 
     async def _work(self) -> None:
+        """Propose the pending put with the highest number until none is pending."""
         try:
-            while self.orders:
-                version_id = max(self.orders)
-                version = self.orders[version_id][0]
+            while self.pending_puts:
+                version_id = max(self.pending_puts)
+                version = self.pending_puts[version_id][0]
                 self.peers.push_to_all(version, self.acceptor.decided.members.ips())
-                good = await self.acceptor.save_version(version) and await self.decide(
-                    put(version_id), self._over(version_id)
-                )
-                if not good and version_id in self.orders:
+                is_decided = await self._propose(version)
+                if not is_decided and version_id in self.pending_puts:
                     log_event(Event.VERSION_NOT_REPLICATED, generation=f"r{version_id.number}")
                     self._answer(version_id, PutOutcome.LATER)
         finally:
-            self.working = False
+            self.is_working = False
 
-    @staticmethod
-    def _over(version_id: VersionId) -> Callable[[Value], bool]:
-        return lambda value: value.version_id.number >= version_id.number
+    async def _propose(self, version: ConfigVersion) -> bool:
+        """Return whether this version, or a newer one, is decided."""
+        number = version.version_id.number
+        if not await self.acceptor.save_version(version):
+            return False
+        return await self.decide(put(version.version_id), lambda value: value.version_id.number >= number)
 
     # Ballots
 
-    async def decide(self, change: Change, wanted: Callable[[Value], bool], within: float = WORK) -> bool:
-        """Ballots until what is decided is as wanted, or the time is over."""
-        until = now() + within
-        async with self.turn:
-            while now() < until and not wanted(self.acceptor.decided):
-                if await self._decided(change, until) is None:
+    async def decide(
+        self, change: Change, is_wanted: Callable[[Value], bool], timeout_s: float = DECISION_TIMEOUT_S
+    ) -> bool:
+        """Run ballots until what is decided is as wanted, and return whether it is within this time."""
+        deadline = now() + timeout_s
+        async with self.ballot_lock:
+            while now() < deadline and not is_wanted(self.acceptor.decided):
+                if await self._decide_once(change, deadline) is None:
                     return False
-            return wanted(self.acceptor.decided)
+            return is_wanted(self.acceptor.decided)
 
-    async def safe(self, within: float) -> Value | None:
-        """What is decided by a ballot that changes nothing: all that was decided before is in it."""
-        until = now() + within
-        async with self.turn:
-            return await self._decided(same, until)
+    async def read(self, timeout_s: float) -> Value | None:
+        """Return what a ballot decides that changes nothing: all that was decided before is in it."""
+        deadline = now() + timeout_s
+        async with self.ballot_lock:
+            return await self._decide_once(unchanged, deadline)
 
-    async def _decided(self, change: Change, until: float) -> Value | None:
-        """What the first ballot that gets through decides; None where none does in time."""
-        pause, begun = PAUSE, self.acceptor.decided
-        while now() < until:
+    async def _decide_once(self, change: Change, deadline: float) -> Value | None:
+        """Return what the first ballot that gets through decides; None where none does in time."""
+        backoff_s, known = MIN_BACKOFF_S, self.acceptor.decided
+        while now() < deadline:
             try:
-                ballot = await self.ballot(change, min(BALLOT, until - now()))
+                attempt = await self.run_ballot(change, min(BALLOT_TIMEOUT_S, deadline - now()))
             except OSError:
-                return None  # our disk refuses: who sent the order goes to another
-            if ballot.step is Step.DECIDED:
-                assert ballot.value is not None
-                self.learn(ballot.ballot, ballot.value)
-                return ballot.value
-            self.meet(ballot.above)
-            log_event(
-                Event.BALLOT_RETRIED,
-                ballot=ballot.ballot.count,
-                above=self.met.count,
-                by=self.met.seat,
-                step=ballot.step.name,
-            )
-            await self._pause(pause)
-            pause = min(2 * pause, MOST_PAUSE)
-            if change is not same and self.acceptor.decided != begun:
-                return (
-                    self.acceptor.decided
-                )  # by another; whether it is what is wanted is seen before the next
+                return None  # our disk refuses: the caller goes to another replica
+            if attempt.step is Step.DECIDED:
+                assert attempt.value is not None
+                self.learn(attempt.ballot, attempt.value)
+                return attempt.value
+            self.observe_ballot(attempt.above)
+            self._log_retry(attempt)
+            await self._back_off(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+            if change is not unchanged and self.acceptor.decided != known:
+                return self.acceptor.decided  # by another; the caller looks whether it is what it wants
         return None
 
-    async def _pause(self, pause: float) -> None:
-        """Less where something is decided meanwhile."""
+    def _log_retry(self, attempt: BallotAttempt) -> None:
+        log_event(
+            Event.BALLOT_RETRIED,
+            ballot=attempt.ballot.count,
+            above=self.highest_observed.count,
+            by=self.highest_observed.seat,
+            step=attempt.step.name,
+        )
+
+    async def _back_off(self, backoff_s: float) -> None:
+        """Wait; less where something is decided meanwhile."""
         try:
-            async with asyncio.timeout(self.chance.uniform(0.5, 1.5) * max(pause, self.lasted)):
-                await self.news.wait()
+            async with asyncio.timeout(
+                self.random.uniform(0.5, 1.5) * max(backoff_s, self.ballot_duration_s)
+            ):
+                await self.decision.wait()
         except TimeoutError:
             pass
 
-    async def ballot(self, change: Change, within: float) -> Round:
-        """One ballot, over all that were heard of. OSError where our disk refuses."""
-        acceptor, begun = self.acceptor, now()
-        count = max(acceptor.kept.promised.count, self.met.count) + 1
-        ballot = Round(Ballot(count, acceptor.seat), acceptor.decided.members, change)
-        good, kept = await acceptor.prepare(ballot.ballot)  # before it is told: no ballot is used twice
-        ballot.on_promise(acceptor.seat, good, kept)
-        until = begun + within
-        await self._phase(ballot, Step.PREPARING, self._ask_promise, until)
-        if ballot.step is Step.ACCEPTING:
-            assert ballot.value is not None
-            holders = [
-                ip_of(seat)
-                for seat, kept in ballot.promised.items()
-                if kept.value.version_id == ballot.value.version_id
-            ]
-            if ballot.value.version_id == NO_VERSION or await self._body(
-                ballot.value.version_id, holders, until
-            ):
-                await self._phase(ballot, Step.ACCEPTING, self._ask_accept, until)
-        if ballot.step is Step.DECIDED:
-            self.lasted = now() - begun
-            self.on_decided(len(ballot.accepted))
-        return ballot
+    async def run_ballot(self, change: Change, timeout_s: float) -> BallotAttempt:
+        """Run one ballot, above all that were observed. OSError where our disk refuses."""
+        acceptor, started_at = self.acceptor, now()
+        deadline = started_at + timeout_s
+        count = max(acceptor.state.promised.count, self.highest_observed.count) + 1
+        attempt = BallotAttempt(Ballot(count, acceptor.seat), acceptor.decided.members, change)
+        # Promised here before anyone sees it: no ballot is used twice.
+        is_granted, state = await acceptor.prepare(attempt.ballot)
+        attempt.on_prepare_reply(acceptor.seat, is_granted, state)
+        await self._ask_all(attempt, Step.PREPARING, self._send_prepare, deadline)
+        if attempt.step is Step.ACCEPTING and await self._has_proposed_version(attempt, deadline):
+            await self._ask_all(attempt, Step.ACCEPTING, self._send_accept, deadline)
+        if attempt.step is Step.DECIDED:
+            self.ballot_duration_s = now() - started_at
+            self.on_ballot_decided(len(attempt.accepted))
+        return attempt
 
-    async def _body(self, version_id: VersionId, holders: list[str], until: float) -> bool:
-        """Whether the body that is to be proposed is here in time."""
+    async def _has_proposed_version(self, attempt: BallotAttempt, deadline: float) -> bool:
+        """Whether the configuration version that is to be proposed is here in time."""
+        assert attempt.value is not None
+        version_id = attempt.value.version_id
+        if version_id == NO_VERSION:
+            return True
+        replies = attempt.prepare_replies.items()
+        sources = [ip_of(seat) for seat, state in replies if state.value.version_id == version_id]
         try:
-            async with asyncio.timeout(max(0.0, until - now())):
-                return await self.peers.version(version_id, holders) is not None
+            async with asyncio.timeout(max(0.0, deadline - now())):
+                return await self.peers.version(version_id, sources) is not None
         except TimeoutError:
             return False
 
-    async def _phase(
-        self,
-        ballot: Round,
-        step: Step,
-        ask: Callable[[Round, str, asyncio.Event], Coroutine[Any, Any, None]],
-        until: float,
-    ) -> None:
-        """Ask all that are to be asked until this step is over."""
+    async def _ask_all(self, attempt: BallotAttempt, step: Step, ask: AskSeat, deadline: float) -> None:
+        """Ask all seats that are to be asked until this step of the ballot is over."""
         asked: dict[str, asyncio.Task[None]] = {}
-        news = asyncio.Event()
+        replied = asyncio.Event()
         try:
-            async with asyncio.timeout(max(0.0, until - now())):
-                while ballot.step is step:
-                    for seat in sorted(ballot.targets() - asked.keys()):
-                        asked[seat] = self.tasks.start(ask(ballot, seat, news))
-                    await news.wait()
-                    news.clear()
+            async with asyncio.timeout(max(0.0, deadline - now())):
+                while attempt.step is step:
+                    for seat in sorted(attempt.targets() - asked.keys()):
+                        asked[seat] = self.tasks.start(ask(attempt, seat, replied))
+                    await replied.wait()
+                    replied.clear()
         except TimeoutError:
             pass
         finally:
             for task in asked.values():
                 task.cancel()
 
-    async def _ask_promise(self, ballot: Round, seat: str, news: asyncio.Event) -> None:
+    async def _send_prepare(self, attempt: BallotAttempt, seat: str, replied: asyncio.Event) -> None:
         if seat == self.acceptor.seat:
-            return  # asked before
+            return  # asked before all others
+        request = PrepareRequest(seat, attempt.ballot)
         while True:
-            answer = await self.peers.call(ip_of(seat), "prepare", [seat, ballot.ballot.encode()], CALL)
+            answer = await self.peers.call(ip_of(seat), PREPARE, request.encode(), CALL_TIMEOUT_S)
             if isinstance(answer, Success):
                 if answer.unwrap() is None:
                     return  # that disk is gone
-                good, kept = answer.unwrap()
-                ballot.on_promise(seat, bool(good), AcceptorState.decode(kept))
-                return news.set()
-            await asyncio.sleep(AGAIN)
+                reply = PrepareReply.decode(answer.unwrap())
+                attempt.on_prepare_reply(seat, reply.is_granted, reply.state)
+                return replied.set()
+            await asyncio.sleep(RESEND_PAUSE_S)
 
-    async def _ask_accept(self, ballot: Round, seat: str, news: asyncio.Event) -> None:
-        value = ballot.value
+    async def _send_accept(self, attempt: BallotAttempt, seat: str, replied: asyncio.Event) -> None:
+        value = attempt.value
         assert value is not None
         if seat == self.acceptor.seat:
-            try:
-                given = await self.acceptor.accept(ballot.ballot, value)
-            except OSError:
-                return  # the others may be enough
-            if given is not None:
-                ballot.on_accept(seat, *given)
-            return news.set()
+            return await self._accept_here(attempt, value, replied)
+        request = AcceptRequest(seat, attempt.ballot, value)
         while True:
-            answer = await self.peers.call(
-                ip_of(seat), "accept", [seat, ballot.ballot.encode(), value.encode()], CALL
-            )
+            answer = await self.peers.call(ip_of(seat), ACCEPT, request.encode(), CALL_TIMEOUT_S)
             if isinstance(answer, Success):
                 if answer.unwrap() is None:
-                    return
-                good, told = answer.unwrap()
-                if good is not None:
-                    ballot.on_accept(seat, bool(good), Ballot.decode(told))
-                    return news.set()
+                    return  # that disk is gone
+                reply = decode_accept_reply(answer.unwrap())
+                if isinstance(reply, AcceptReply):
+                    attempt.on_accept_reply(seat, reply.is_accepted, reply.promised)
+                    return replied.set()
                 version = self.acceptor.version(value.version_id)
                 if version is not None and await self.peers.push_state(
-                    ip_of(seat), version, SyncState.decode(told)
+                    ip_of(seat), version, reply.sync_state
                 ):
                     continue
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RESEND_PAUSE_S)
+
+    async def _accept_here(self, attempt: BallotAttempt, value: Value, replied: asyncio.Event) -> None:
+        """Accept on our own disk, to which no call is needed."""
+        try:
+            result = await self.acceptor.accept(attempt.ballot, value)
+        except OSError:
+            return  # the others may be enough
+        if result is not None:
+            is_accepted, promised = result
+            attempt.on_accept_reply(self.acceptor.seat, is_accepted, promised)
+        replied.set()
--- a/irisdeal/config_store/membership/adoption.py
+++ b/irisdeal/config_store/membership/adoption.py
@@ -16,14 +16,14 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from irisdeal.config_store.consensus.acceptor import ID
+from irisdeal.config_store.consensus.acceptor import DISK_ID_BYTES
 from irisdeal.config_store.consensus.register import UNKNOWN, AcceptorState, Ballot, Value
 from irisdeal.config_store.membership.members import Members, ip_of, seat
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.config_store.storage.inspection import Disk
+from irisdeal.config_store.storage.inspection import FolderContent
 
 LEAP = 1_000_000  # changes and ballots: three years of 760 changes a day
 EVERYTHING = "everything"  # the name of what is given up where this disk knows nothing
@@ -46,7 +46,7 @@
     versions: tuple[str, ...]
 
 
-def plan(disk: Disk, ip: str) -> Adoption:
+def plan(disk: FolderContent, ip: str) -> Adoption:
     """Return the adoption of a new first list that is this machine alone.
 
     Args:
@@ -54,11 +54,11 @@
         ip: its address.
     """
     known = [*disk.values, UNKNOWN]
-    base = max(filter(disk.holds, known), key=lambda value: value.change)
+    base = max(filter(disk.has_version_of, known), key=lambda value: value.change)
     machines = sorted({ip_of(other) for value in known for other in value.members.voters()} - {ip})
     newer = sorted({_version_name(value) for value in known if value.change > base.change})
-    last_ballot = disk.state.kept.promised.count if disk.state is not None else 0
-    identity = secrets.token_hex(ID)
+    last_ballot = disk.state.acceptor_state.promised.count if disk.state is not None else 0
+    identity = secrets.token_hex(DISK_ID_BYTES)
     ballot = Ballot(last_ballot + LEAP, seat(ip, identity))
     members = Members(max(value.members.number for value in known) + LEAP, (ballot.seat,))
     value = Value(max(value.change for value in known) + LEAP, base.version_id, members)
@@ -71,7 +71,7 @@
 
 
 def refusals(
-    disk: Disk, adoption: Adoption, ip: str, survey: Survey, confirmed: Collection[str]
+    disk: FolderContent, adoption: Adoption, ip: str, survey: Survey, confirmed: Collection[str]
 ) -> list[str]:
     """Return why the adoption must not be done, in words for the operator; empty where it may be done.
 
@@ -88,7 +88,7 @@
     newest_change, newest_seat = max(map(_newest_body, statuses), default=(-1, ""))
     if newest_change > adoption.base.change:
         return [f"{newest_seat} holds change {newest_change}, this disk {adoption.base.change}: adopt there"]
-    own = {seat(ip, disk.state.disk)} if disk.state is not None else set()
+    own = {seat(ip, disk.state.disk_id)} if disk.state is not None else set()
     for value in disk.values:
         if value.members.is_quorum(survey.answered() | own):
             return [f"a quorum of list {value.members.number} can still be had: start the store of {ip}"]
--- a/irisdeal/config_store/membership/status_rounds.py
+++ b/irisdeal/config_store/membership/status_rounds.py
@@ -14,7 +14,7 @@
 from returns.result import Success
 
 from irisdeal.config_store.consensus.acceptor import Acceptor
-from irisdeal.config_store.consensus.proposer import BALLOT, Proposer
+from irisdeal.config_store.consensus.proposer import BALLOT_TIMEOUT_S, Proposer
 from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Value, set_members
 from irisdeal.config_store.membership.contact import QuorumContact
 from irisdeal.config_store.membership.decided_value import decided_among
@@ -86,7 +86,7 @@
 
     def other_ips(self) -> list[str]:
         """Return the addresses of all machines that may run a replica."""
-        ips = self.members.ips() | self.acceptor.kept.value.members.ips()
+        ips = self.members.ips() | self.acceptor.state.value.members.ips()
         return sorted((ips | set(ports.seeds(self.settings)) | set(self.learners())) - {self.settings.ip})
 
     def learners(self) -> list[str]:
@@ -103,19 +103,19 @@
         Args:
             change: number of the change that is in force here.
         """
-        accepted = self.acceptor.kept.value.change
+        accepted = self.acceptor.state.value.change
         return self.contact.known_age(self.members, self.acceptor.seat, now(), change, accepted)
 
     def own_status(self) -> ReplicaStatus:
         """Return this replica's status."""
-        kept, decided = self.acceptor.kept, self.acceptor.decided
+        kept, decided = self.acceptor.state, self.acceptor.decided
         return ReplicaStatus(
             self.acceptor.seat,
             self.settings.zone,
             kept.accepted,
             kept.value,
             decided,
-            decided != UNKNOWN and self.acceptor.holds(decided.version_id),
+            decided != UNKNOWN and self.acceptor.has_version(decided.version_id),
             self.leaving,
         )
 
@@ -126,7 +126,7 @@
         self.monitor.record_status(status, now())
         if status.has_body:
             self.peers.newest[status.ip] = status.decided.version_id
-        self.proposer.meet(status.accepted)
+        self.proposer.observe_ballot(status.accepted)
         self.learn(status.decided, [status.ip])
 
     async def request_status(self, ip: str) -> ReplicaStatus | None:
@@ -202,7 +202,7 @@
 
     async def _catch_up(self, statuses: Iterable[ReplicaStatus]) -> None:
         """Accept what is decided as others accepted it, as if its proposer had reached us."""
-        kept, decided = self.acceptor.kept, self.acceptor.decided
+        kept, decided = self.acceptor.state, self.acceptor.decided
         for status in statuses:
             is_acceptable = status.value == decided and status.accepted >= kept.promised
             if is_acceptable and kept.value != decided:
@@ -216,7 +216,7 @@
         It may have been confirmed by a replica that is partitioned now. All that see it wait a random time, and
         whoever is first spares the others the ballot.
         """
-        kept, decided = self.acceptor.kept, self.acceptor.decided
+        kept, decided = self.acceptor.state, self.acceptor.decided
         # Nothing under the ballot of what is decided can be decided any more.
         finished = kept.accepted if kept.value == decided else NO_BALLOT
         change = max((status.value.change for status in statuses if status.accepted > finished), default=-1)
@@ -228,7 +228,7 @@
         elif now() - since >= UNDECIDED_WAIT_S:
             log_event(Event.ACCEPTED_VALUE_RECOVERED, change=change, decided=decided.change)
             self.undecided = NOTHING_UNDECIDED
-            await self.proposer.safe(BALLOT)
+            await self.proposer.read(BALLOT_TIMEOUT_S)
 
     async def _propose_members(self) -> None:
         """Propose the next list where there is one and it is our turn, and complete it at once."""
--- a/irisdeal/config_store/messages.py
+++ b/irisdeal/config_store/messages.py
@@ -25,6 +25,8 @@
 READ = "read"
 WATCH = "watch"
 
+WireBody = Any  # the body of a message as CBOR reads it, which `decode` checks
+
 NO_CONTACT_AGE_MS = -1  # the age in a `WatchReply` of a replica that has no contact with a quorum
 
 
@@ -48,23 +50,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepareReply:
-    """Whether the ballot is promised, and the acceptor's synced state.
+    """Whether the promise is granted, and the acceptor's synced state.
 
     In its place the wire carries None where the seat is not this disk's, or the disk refuses the write.
     """
 
-    is_promised: bool
+    is_granted: bool
     state: AcceptorState
 
     def encode(self) -> list[Any]:
         """Return the fields in the order of the wire."""
-        return [self.is_promised, self.state.encode()]
+        return [self.is_granted, self.state.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> PrepareReply:
         """Read what `encode` wrote."""
-        is_promised, state = encoded
-        return PrepareReply(bool(is_promised), AcceptorState.decode(state))
+        is_granted, state = encoded
+        return PrepareReply(bool(is_granted), AcceptorState.decode(state))
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,7 +136,7 @@
     @staticmethod
     def decode(encoded: Any) -> DecidedNotice:
         """Read what `encode` wrote."""
-        ballot, value = encoded
+        ballot, value, *_ = encoded  # a later release may append fields
         return DecidedNotice(Ballot.decode(ballot), Value.decode(value))
 
 
@@ -188,7 +190,7 @@
     @staticmethod
     def decode(encoded: Any) -> PutRequest:
         """Read what `encode` wrote."""
-        number, digest, body = encoded
+        number, digest, body, *_ = encoded  # a later release may append fields
         return PutRequest(ConfigVersion(VersionId(int(number), bytes(digest)), bytes(body)))
 
 
@@ -227,7 +229,7 @@
     @staticmethod
     def decode(encoded: Any) -> WatchRequest:
         """Read what `encode` wrote."""
-        sync_state, change = encoded
+        sync_state, change, *_ = encoded  # a later release may append fields
         return WatchRequest(SyncState.decode(sync_state), int(change))
 
 
--- a/irisdeal/config_store/metrics.py
+++ b/irisdeal/config_store/metrics.py
@@ -1,4 +1,4 @@
-"""What a store counts of what it decided."""
+"""Metrics of one replica of the configuration store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StoreMetrics(Metrics):
-    """The figures of one store."""
+    """Counters of one replica."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -15,4 +15,6 @@
             "Ballots of ours that decided, by how many seats had synced the value by then.",
             "seats",
         )
-        self.cut_calls = self.counter("cut_calls", "Calls of other processes without an answer at the end.")
+        self.unanswered_calls = self.counter(
+            "cut_calls", "Calls of other processes without an answer at the end."
+        )
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -4,13 +4,12 @@
 
 import asyncio
 from collections.abc import Iterable
-from typing import Any
 
 from returns.result import Result, Success
 
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.acceptor import Acceptor
-from irisdeal.config_store.messages import FETCH, PUSH_STATE, FetchRequest, PushReply
+from irisdeal.config_store.messages import FETCH, PUSH_STATE, FetchRequest, PushReply, WireBody
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import SyncState, VersionChunk
 from irisdeal.rpc.client import RpcClient
@@ -46,7 +45,9 @@
             self.links[ip] = RpcClient(address, f"{HELLO_NAME} {self.settings.ip}")
         return self.links[ip]
 
-    async def call(self, ip: str, kind: str, body: object, timeout_s: float) -> Result[Any, OperationError]:
+    async def call(
+        self, ip: str, kind: str, body: object, timeout_s: float
+    ) -> Result[WireBody, OperationError]:
         """Call this replica and return its answer, as decoded from CBOR, or the error."""
         return await self.link(ip).call(kind, body, timeout_s)
 
@@ -89,11 +90,10 @@
             sync_state = SyncState(self.newest.get(ip, NO_VERSION))
             self.tasks.start(self.push_state(ip, version, sync_state))
 
-    async def on_push(self, peer: str, encoded_chunk: list[object]) -> PushReply:
+    async def on_push(self, peer: str, encoded_chunk: WireBody) -> PushReply:
         """Answer a pushed chunk. `peer`: the caller's name, which tells transfers apart."""
-        digest = encoded_chunk[1]
-        if not isinstance(digest, bytes):
-            raise TypeError(f"chunk: wanted a digest in bytes, got {type(digest).__name__}")
+        _, digest_field, *_ = encoded_chunk  # a malformed chunk is counted by the assembler of this key
+        digest = bytes(digest_field)
         assembler = self.arriving.pop((peer, digest), None) or ChunkAssembler(self.acceptor.version_store)
         version = assembler.take(encoded_chunk)
         if version is None:
@@ -135,7 +135,7 @@
 
     async def version(self, version_id: VersionId, ips: list[str]) -> ConfigVersion | None:
         """Return this version, synced: from here, or from the first of these replicas that has it."""
-        if self.acceptor.holds(version_id):
+        if self.acceptor.has_version(version_id):
             return self.acceptor.version(version_id)
         unsynced = self.acceptor.version(version_id)
         if unsynced is not None and await self.acceptor.save_version(unsynced):
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -1,6 +1,6 @@
-"""One machine of the store: it accepts and proposes, follows what is decided, and answers its callers.
+"""One replica of the configuration store: it accepts and proposes, learns what is decided, and answers its callers.
 
-Every machine is alike.
+All replicas are alike; there is no leader.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 import asyncio
 import contextlib
 import math
-from typing import Any
+from collections.abc import Awaitable, Callable
 
-from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
+from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import Proposer
 from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, PutOutcome, Value
@@ -20,7 +20,30 @@
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.reconfiguration import may_leave
 from irisdeal.config_store.membership.status_rounds import StatusRounds
-from irisdeal.config_store.messages import FetchRequest
+from irisdeal.config_store.messages import (
+    ACCEPT,
+    DECIDED,
+    FETCH,
+    NO_CONTACT_AGE_MS,
+    PREPARE,
+    PUSH_STATE,
+    PUT,
+    READ,
+    STATE,
+    WATCH,
+    AcceptReply,
+    AcceptRequest,
+    DecidedNotice,
+    FetchRequest,
+    PrepareReply,
+    PrepareRequest,
+    PutRequest,
+    ReadReply,
+    VersionMissingReply,
+    WatchReply,
+    WatchRequest,
+    WireBody,
+)
 from irisdeal.config_store.metrics import StoreMetrics
 from irisdeal.config_store.peers import Peers, now
 from irisdeal.config_store.storage.chunks import SyncState
@@ -32,230 +55,297 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-PUT = 0.85  # s for an order: the operator goes elsewhere after a second of silence
-READ = 0.85  # s, likewise
-HOLD = 1.0  # s that a watch may be held without news
-PARTING = 0.15  # s in which all hear that we leave
-END_S = 0.4  # s of the grace that are kept for the process's own end
-HANDOVER = 1.5  # s at most that we wait until others hold what we hold, well inside any time to end
+DEFAULT_DATA_PATH = "almanac-data"  # fixed: folders of earlier releases have this name
+PUT_TIMEOUT_S = 0.85  # the operator's tool goes to another machine after a second without an answer
+READ_TIMEOUT_S = 0.85  # likewise
+WATCH_TIMEOUT_S = 1.0  # that a watch waits for something newer
+LEAVE_NOTICE_S = 0.15  # in which all peers learn that we leave; also between two looks while we wait
+EXIT_RESERVE_S = 0.4  # of the grace period that is left for the process's own end
+HANDOVER_TIMEOUT_S = 1.5  # that we wait until others have what we have, well within any grace period
+DEFAULT_GRACE_S = 6.0  # where the settings give no `grace_s`
+
+Handler = Callable[[str, WireBody], Awaitable[object]]  # of the caller's name and a message; gives the answer
 
 
 class StoreReplica:
-    """The store's process."""
+    """The process of one replica."""
 
     def __init__(self, settings: Settings, folder: Folder | None = None) -> None:
         """`folder`: in place of the one that the settings name."""
         self.settings, self.ip = settings, settings.ip
         self.tasks = Tasks()
-        self.acceptor = Acceptor(self.ip, settings.data_path or "almanac-data", folder, self.tasks)
+        self.acceptor = Acceptor(self.ip, settings.data_path or DEFAULT_DATA_PATH, folder, self.tasks)
         self.peers = Peers(settings, self.acceptor, self.tasks)
+        reports_conflicts = settings.config_source != "highest"
         self.proposer = Proposer(
-            self.acceptor, self.peers, self.tasks, self.announce, settings.config_source != "highest"
+            self.acceptor, self.peers, self.tasks, self.announce_decision, reports_conflicts
         )
         self.rounds = StatusRounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
-        self.force = UNKNOWN  # the newest decided value whose body is here
-        self.taking: asyncio.Task[None] | None = None
-        self.news = asyncio.Event()
+        self.applied = UNKNOWN  # the newest decided value whose configuration version is here
+        self.fetching: asyncio.Task[None] | None = None
+        self.update = asyncio.Event()  # set, and replaced, when `applied` changes
+        self.handlers: dict[str, Handler] = {
+            STATE: self._on_state,
+            PREPARE: self._on_prepare,
+            ACCEPT: self._on_accept,
+            DECIDED: self._on_decided,
+            PUSH_STATE: self._on_push_state,
+            FETCH: self._on_fetch,
+            PUT: self._on_put,
+            READ: self._on_read,
+            WATCH: self._on_watch,
+        }
         self.server = RpcServer(self.handle)
         self.metrics = StoreMetrics()
-        self.proposer.on_decided = lambda seats: self.metrics.decisions.add(str(seats))
+        self.proposer.on_ballot_decided = lambda seats: self.metrics.decisions.add(str(seats))
         self.metrics_server = MetricsServer(settings, self.metrics, asyncio.get_running_loop())
 
-    # What a process does
+    # Lifecycle
 
     async def start(self) -> None:
+        """Open the disk, then answer calls. OSError where the disk or the address is refused."""
         first = Value.first(Members.first(ports.seeds(self.settings)))
         await self.acceptor.open(first if self.settings.bootstrap else None)
         if self.acceptor.decided == UNKNOWN:
             log_event(Event.STARTED_AS_LEARNER, seat=self.acceptor.seat)
-        self._enforce()
+        self._apply_decided()
         await self.server.listen((self.ip, ports.port(self.settings, ports.CONFIG_STORE)))
         self.tasks.start(self.rounds.run())
         await self.metrics_server.start()
 
     async def stop(self) -> None:
-        """End in order: hand over what is held, answer what is at work."""
-        begun = now()
+        """Shut down gracefully: hand over what we have, answer the calls in progress."""
+        started_at = now()
         self.rounds.announce_leaving()
-        await asyncio.sleep(PARTING)
-        while not self._may_go() and now() < begun + HANDOVER:
-            await asyncio.sleep(PARTING)
-        log_event(
-            Event.MEMBER_HANDED_OVER if self._may_go() else Event.MEMBER_LEFT_EARLY, seat=self.acceptor.seat
-        )
-        cut = await self.server.drain(begun + self.settings.bound("grace_s", 6.0) - END_S)
-        if cut:
-            self.metrics.cut_calls.add(amount=cut)
-            log_event(Event.STORE_CALLS_UNANSWERED, calls=cut)
+        await asyncio.sleep(LEAVE_NOTICE_S)
+        while not self._may_leave() and now() < started_at + HANDOVER_TIMEOUT_S:
+            await asyncio.sleep(LEAVE_NOTICE_S)
+        event = Event.MEMBER_HANDED_OVER if self._may_leave() else Event.MEMBER_LEFT_EARLY
+        log_event(event, seat=self.acceptor.seat)
+        grace_s = self.settings.bound("grace_s", DEFAULT_GRACE_S)
+        unanswered = await self.server.drain(started_at + grace_s - EXIT_RESERVE_S)
+        if unanswered:
+            self.metrics.unanswered_calls.add(amount=unanswered)
+            log_event(Event.STORE_CALLS_UNANSWERED, calls=unanswered)
         self.tasks.cancel()
         self.metrics_server.close()
         self.peers.close()
 
-    def _may_go(self) -> bool:
+    def _may_leave(self) -> bool:
         monitor = self.rounds.monitor
-        return not self.proposer.turn.locked() and may_leave(
+        return not self.proposer.ballot_lock.locked() and may_leave(
             self.acceptor.decided, monitor.statuses, self.acceptor.seat, now(), monitor.listening_since
         )
 
     def reload(self, settings: Settings) -> None:
+        """Use these settings from now on."""
         self.settings = self.rounds.settings = settings
 
     # What is decided
 
     def learn(self, value: Value, ips: list[str]) -> None:
-        """This value is decided; its body is at these machines."""
-        before = self.rounds.members
+        """Take note that this value is decided. `ips`: replicas that have its configuration version."""
+        members_before = self.rounds.members
         if not self.acceptor.learn(value):
             return
+        self._log_decided(value, members_before)
+        if value.members != members_before:
+            self.tasks.start(self._save())  # whoever acts on this list is needed by the one before it
+        self.proposer.on_decision()
+        self._apply_decided()
+        if self.applied != value and (self.fetching is None or self.fetching.done()):
+            self.fetching = self.tasks.start(self._fetch_decided(ips))
+
+    @staticmethod
+    def _log_decided(value: Value, members_before: Members) -> None:
         members = value.members
-        log_event(
-            Event.VALUE_DECIDED,
-            change=value.change,
-            generation=f"r{value.version_id.number}",
-            list=members.number,
-        )
-        if members != before:
-            log_event(
-                Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_CHANGE_COMPLETED,
-                list=members.number,
-                seats=" ".join(members.seats),
-            )
-            self.tasks.start(self._save())  # who goes by this list is needed by the one before it
-        self.proposer.decided()
-        self._enforce()
-        if self.force != value and (self.taking is None or self.taking.done()):
-            self.taking = self.tasks.start(self._take_over(ips))
+        generation = f"r{value.version_id.number}"
+        log_event(Event.VALUE_DECIDED, change=value.change, generation=generation, list=members.number)
+        if members != members_before:
+            event = Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_CHANGE_COMPLETED
+            log_event(event, list=members.number, seats=" ".join(members.seats))
 
     async def _save(self) -> None:
-        """Where the disk refuses the next round tries again; it is told as event 203."""
+        """Write what is decided; a refusal is logged by the acceptor, and the next status round tries again."""
         with contextlib.suppress(OSError):
             await self.acceptor.save()
 
-    def announce(self, ballot: Ballot, value: Value) -> None:
-        """We decided this: all hear of it."""
+    def announce_decision(self, ballot: Ballot, value: Value) -> None:
+        """Learn what our ballot decided, and notify all replicas."""
         self.learn(value, [])
         for ip in self.rounds.other_ips():
-            self.peers.notify(ip, "decided", [ballot.encode(), value.encode()])
+            self.peers.notify(ip, DECIDED, DecidedNotice(ballot, value).encode())
 
-    async def _take_over(self, ips: list[str]) -> None:
-        """The body of what is decided, of the newest where there are several by then."""
-        while self.force.change < self.acceptor.decided.change:
+    async def _fetch_decided(self, ips: list[str]) -> None:
+        """Fetch the configuration version of the newest decided value, until it is here."""
+        while self.applied.change < self.acceptor.decided.change:
             value = self.acceptor.decided
-            peers = sorted(self.rounds.monitor.statuses.values(), key=lambda peer: peer.at, reverse=True)
-            held = [
-                peer.status.ip
-                for peer in peers  # those first that answered last
-                if peer.status.has_body and peer.status.decided.version_id == value.version_id
-            ]
-            if await self.peers.version(
-                value.version_id, [*dict.fromkeys([*ips, *held, *sorted(value.members.ips())])]
-            ):
-                self._enforce()
+            sources = [*ips, *self._holders(value), *sorted(value.members.ips())]
+            if await self.peers.version(value.version_id, list(dict.fromkeys(sources))):
+                self._apply_decided()
             else:
-                await asyncio.sleep(PARTING)
+                await asyncio.sleep(LEAVE_NOTICE_S)
 
-    def _enforce(self) -> None:
-        """What is decided is in force here once its body is here."""
+    def _holders(self, value: Value) -> list[str]:
+        """Return the replicas that reported to have the version of this value, the last to answer first."""
+        peers = sorted(self.rounds.monitor.statuses.values(), key=lambda peer: peer.at, reverse=True)
+        return [
+            peer.status.ip
+            for peer in peers
+            if peer.status.has_body and peer.status.decided.version_id == value.version_id
+        ]
+
+    def _apply_decided(self) -> None:
+        """Apply what is decided, once its configuration version is here, and wake the watches."""
         decided = self.acceptor.decided
-        if decided.change > self.force.change and self.acceptor.holds(decided.version_id):
-            self.force = decided
+        if decided.change > self.applied.change and self.acceptor.has_version(decided.version_id):
+            self.applied = decided
             log_event(Event.DECIDED_VERSION_STORED, change=decided.change)
-            self.news.set()
-            self.news = asyncio.Event()
-
-    # Calls
-
-    async def handle(self, peer: str, kind: str, body: Any) -> Any:
-        match kind:
-            case "state":
-                if body is not None:  # else it is asked by somebody who is no part of the core
-                    self.rounds.record_status(ReplicaStatus.decode(body))
-                return self.rounds.own_status().encode()
-            case "prepare" | "accept":
-                return await self._vote(*body)
-            case "bring":
-                return (await self.peers.on_push(peer, body)).encode()
-            case "fetch":
-                request = FetchRequest.decode(body)
-                chunk = self.peers.chunk_for(request.sync_state, request.version_id)
-                return chunk.encode() if chunk is not None else None
-            case "decided":
-                self.proposer.meet(Ballot.decode(body[0]))
-                return self.learn(Value.decode(body[1]), [peer.rpartition(" ")[2]])
-            case "put":
-                return int(await self.put(ConfigVersion(VersionId(body[0], bytes(body[1])), bytes(body[2]))))
-            case "read":
-                return await self.read()
-            case "watch":
-                return await self.watch(SyncState.decode(body[0]), int(body[1]))
-        raise ValueError(f"no call {kind!r}")
-
-    async def _vote(self, seat: str, ballot: list[Any], value: list[Any] | None = None) -> Any:
-        """A promise, or with a value an accept. None where this is not that seat's disk, or the disk refuses."""
-        if seat != self.acceptor.seat:
+            self.update.set()
+            self.update = asyncio.Event()
+
+    # Calls: each is decoded, answered by a method of its own, and its answer encoded
+
+    async def handle(self, peer: str, kind: str, body: WireBody) -> object:
+        """Answer one call. ValueError where there is no such call, or the message is malformed."""
+        handler = self.handlers.get(kind)
+        if handler is None:
+            raise ValueError(f"no call {kind!r}")
+        return await handler(peer, body)
+
+    async def _on_state(self, peer: str, body: WireBody) -> object:
+        if body is not None:  # None: the caller is no replica
+            self.rounds.record_status(ReplicaStatus.decode(body))
+        return self.rounds.own_status().encode()
+
+    async def _on_prepare(self, peer: str, body: WireBody) -> object:
+        reply = await self.prepare(PrepareRequest.decode(body))
+        return reply.encode() if reply is not None else None
+
+    async def _on_accept(self, peer: str, body: WireBody) -> object:
+        reply = await self.accept(AcceptRequest.decode(body))
+        return reply.encode() if reply is not None else None
+
+    async def _on_decided(self, peer: str, body: WireBody) -> None:
+        notice = DecidedNotice.decode(body)
+        self.proposer.observe_ballot(notice.ballot)
+        peer_ip = peer.rpartition(" ")[2]
+        self.learn(notice.value, [peer_ip])
+
+    async def _on_push_state(self, peer: str, body: WireBody) -> object:
+        reply = await self.peers.on_push(peer, body)
+        return reply.encode()
+
+    async def _on_fetch(self, peer: str, body: WireBody) -> object:
+        request = FetchRequest.decode(body)
+        chunk = self.peers.chunk_for(request.sync_state, request.version_id)
+        return chunk.encode() if chunk is not None else None
+
+    async def _on_put(self, peer: str, body: WireBody) -> object:
+        return int(await self.put(PutRequest.decode(body).version))
+
+    async def _on_read(self, peer: str, body: WireBody) -> object:
+        reply = await self.read()
+        return reply.encode()
+
+    async def _on_watch(self, peer: str, body: WireBody) -> object:
+        reply = await self.watch(WatchRequest.decode(body))
+        return reply.encode()
+
+    # Calls of proposers
+
+    async def prepare(self, request: PrepareRequest) -> PrepareReply | None:
+        """Promise a ballot. None where this is not that seat's disk, or the disk refuses."""
+        if request.seat != self.acceptor.seat:
+            return None
+        try:
+            return PrepareReply(*await self.acceptor.prepare(request.ballot))
+        except OSError:
+            return None
+
+    async def accept(self, request: AcceptRequest) -> AcceptReply | VersionMissingReply | None:
+        """Accept a value. None where this is not that seat's disk, or the disk refuses."""
+        if request.seat != self.acceptor.seat:
             return None
         try:
-            if value is None:
-                good, kept = await self.acceptor.prepare(Ballot.decode(ballot))
-                return [good, kept.encode()]
-            given = await self.acceptor.accept(Ballot.decode(ballot), Value.decode(value))
+            result = await self.acceptor.accept(request.ballot, request.value)
         except OSError:
             return None
-        return [given[0], given[1].encode()] if given else [None, SyncState(self.peers.newest_id()).encode()]
+        if result is None:
+            return VersionMissingReply(SyncState(self.peers.newest_id()))
+        return AcceptReply(*result)
+
+    # Calls of registries
 
     def has_contact(self) -> bool:
+        """Whether a quorum answered within the lease."""
         return self.rounds.has_contact()
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """What became of an order. It may come to be decided after a LATER."""
+        """Have this version decided. After `PutOutcome.LATER` it may still come to be decided."""
         if not self.has_contact():
-            log_event(Event.REQUEST_WITHOUT_CONTACT, call="put", generation=f"r{version.version_id.number}")
+            generation = f"r{version.version_id.number}"
+            log_event(Event.REQUEST_WITHOUT_CONTACT, call=PUT, generation=generation)
             return PutOutcome.LATER
-        return await self.proposer.put(version, PUT)
+        return await self.proposer.put(version, PUT_TIMEOUT_S)
 
-    async def read(self) -> list[Any]:
-        """`[known, body]`: what is decided now, body None where nothing is; not known without a quorum."""
+    async def read(self) -> ReadReply:
+        """Return what is decided now (a linearizable read); not known without a quorum."""
         if not self.has_contact():
-            log_event(Event.REQUEST_WITHOUT_CONTACT, call="read")
-            return [False, None]
-        until = now() + READ
-        value = await self._heard_value() or await self.proposer.safe(until - now())
+            log_event(Event.REQUEST_WITHOUT_CONTACT, call=READ)
+            return ReadReply(False, None)
+        deadline = now() + READ_TIMEOUT_S
+        value = await self._value_from_statuses() or await self.proposer.read(deadline - now())
         if value is None:
-            return [False, None]
+            return ReadReply(False, None)
         self.learn(value, [])
         if value.version_id == NO_VERSION:
-            return [True, None]
+            return ReadReply(True, None)
         version = await self.peers.version(value.version_id, sorted(value.members.ips()))
-        return [version is not None, version.body if version is not None else None]
+        return ReadReply(version is not None, version.body if version is not None else None)
 
-    async def _heard_value(self) -> Value | None:
-        """What a quorum shows to be decided, asked now; None where a ballot is needed."""
+    async def _value_from_statuses(self) -> Value | None:
+        """Return what a quorum, asked now, shows to be decided; None where a ballot is needed."""
         known, own = self.rounds.members, self.rounds.own_status()
         waiting = {self.tasks.start(self.rounds.request_status(ip)) for ip in sorted(known.ips() - {self.ip})}
-        reports = [own]
-        while (value := value_for_read(reports, known)) is None and waiting:
+        statuses = [own]
+        while (value := value_for_read(statuses, known)) is None and waiting:
             answered, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-            reports += [report for task in answered if (report := task.result()) is not None]
+            statuses += [status for task in answered if (status := task.result()) is not None]
         return value
 
-    async def watch(self, sync_state: SyncState, change: int) -> list[Any]:
-        """`[parcel or None, value in force, learners, age in ms of our contact or -1]`, soon or in HOLD s.
+    async def watch(self, request: WatchRequest) -> WatchReply:
+        """Return the applied value and the next chunk of its version, at once where it is newer, else within 1 s.
 
-        A caller that knows more than we do has no news from us.
+        A caller that knows more than we do gets nothing newer from us.
         """
-        if self.force.change < change or (sync_state.version_id, change) == (
-            self.force.version_id,
-            self.force.change,
-        ):
-            try:
-                async with asyncio.timeout(HOLD):
-                    await self.news.wait()
-            except TimeoutError:
-                pass
-        force, chunk = self.force, None
-        if force.change >= change and force.version_id not in (sync_state.version_id, NO_VERSION):
-            chunk = self.peers.chunk_for(sync_state, force.version_id)
-        age = self.rounds.known_age(force.change)
-        age_ms = math.ceil(age * 1000) if age <= CONTACT_LEASE_S else -1
-        encoded = chunk.encode() if chunk is not None else None
-        return [encoded, force.encode(), self.rounds.learners(), age_ms]
+        has_applied = (request.sync_state.version_id, request.change) == (
+            self.applied.version_id,
+            self.applied.change,
+        )
+        if has_applied or self.applied.change < request.change:
+            await self._wait_for_update()
+        applied = self.applied
+        age_s = self.rounds.known_age(applied.change)
+        return WatchReply(
+            self._encoded_chunk(request, applied),
+            applied,
+            tuple(self.rounds.learners()),
+            math.ceil(age_s * 1000) if age_s <= CONTACT_LEASE_S else NO_CONTACT_AGE_MS,
+        )
+
+    async def _wait_for_update(self) -> None:
+        try:
+            async with asyncio.timeout(WATCH_TIMEOUT_S):
+                await self.update.wait()
+        except TimeoutError:
+            pass
+
+    def _encoded_chunk(self, request: WatchRequest, applied: Value) -> list[object] | None:
+        """Return the next chunk for a watch; None where the caller has, or knows of, something as new."""
+        if applied.change < request.change:
+            return None
+        if applied.version_id in (request.sync_state.version_id, NO_VERSION):
+            return None
+        chunk = self.peers.chunk_for(request.sync_state, applied.version_id)
+        return chunk.encode() if chunk is not None else None
--- a/irisdeal/config_store/storage/__init__.py
+++ b/irisdeal/config_store/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a replica keeps: files on disk and the last versions in memory."""
+"""What a replica stores: files on disk, the last versions in memory, and the chunks that transfer them."""
--- a/irisdeal/config_store/storage/inspection.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -1,4 +1,4 @@
-"""What lies in a store's folder, read without changing it. Calls here block; OSError where the disk refuses."""
+"""What a replica's folder contains, read without changing it. Calls here block; OSError where the disk refuses."""
 
 from __future__ import annotations
 
@@ -13,82 +13,80 @@
 
 
 @dataclass
-class Disk:
-    """What was found. `state` is None where the disk has no identity yet or `kept` is damaged."""
+class FolderContent:
+    """What was found. `state` is None where the disk has no identity yet, or the file that has it is damaged."""
 
     state: PersistedState | None = None
-    versions: dict[str, ConfigVersion] = field(default_factory=dict)  # file -> body
-    troubles: list[OperationError] = field(default_factory=list)
+    versions: dict[str, ConfigVersion] = field(default_factory=dict)  # by file
+    errors: list[OperationError] = field(default_factory=list)  # a damaged file each
 
-    def body(self, version_id: VersionId) -> ConfigVersion | None:
+    def version(self, version_id: VersionId) -> ConfigVersion | None:
+        """Return this version; None where it is not there."""
         return next((version for version in self.versions.values() if version.version_id == version_id), None)
 
     @property
     def values(self) -> list[Value]:
-        """The newest that it knew to be decided, and what it accepted."""
-        return [self.state.decided, self.state.kept.value] if self.state is not None else []
+        """The newest value that the disk knew to be decided, and the one that it accepted."""
+        return [self.state.decided, self.state.acceptor_state.value] if self.state is not None else []
 
-    def holds(self, value: Value) -> bool:
-        return value.version_id == NO_VERSION or self.body(value.version_id) is not None
+    def has_version_of(self, value: Value) -> bool:
+        """Whether the configuration version that the value names is there; `NO_VERSION` always is."""
+        return value.version_id == NO_VERSION or self.version(value.version_id) is not None
 
-    def standing(self, version_id: VersionId) -> str:
-        """`decided`, `accepted` (perhaps not decided) or `kept` (an older one, or one that was never decided)."""
+    def status(self, version_id: VersionId) -> str:
+        """Return `decided`, `accepted` (perhaps not decided) or `kept` (an older one, or one never decided)."""
         if self.state is not None and version_id == self.state.decided.version_id:
             return "decided"
-        return (
-            "accepted"
-            if self.state is not None and version_id == self.state.kept.value.version_id
-            else "kept"
-        )
+        if self.state is not None and version_id == self.state.acceptor_state.value.version_id:
+            return "accepted"
+        return "kept"
 
 
-def look(folder: Folder) -> Disk:
-    """All that is there."""
-    disk = Disk()
+def inspect_folder(folder: Folder) -> FolderContent:
+    """Read all that is there."""
+    content = FolderContent()
     for name in folder.names():
         try:
-            if name == acceptor_state.NAME:
-                disk.state = acceptor_state.decode(folder.read(name))
-            elif name.endswith(".word"):
-                disk.versions[name] = version_files.decode(folder.read(name))
+            if name == acceptor_state.FILE_NAME:
+                content.state = acceptor_state.decode(folder.read(name))
+            elif name.endswith(version_files.SUFFIX):
+                content.versions[name] = version_files.decode(folder.read(name))
         except ValueError as error:
-            disk.troubles.append(OperationError("read", name, str(error)))
-    return disk
-
-
-def verify(disk: Disk) -> list[OperationError]:
-    """What is wrong: damage, and the body of an accepted value that is not there."""
-    if disk.state is None:
-        named = any(trouble.peer == acceptor_state.NAME for trouble in disk.troubles)
-        return (
-            disk.troubles
-            if named
-            else [
-                *disk.troubles,
-                OperationError("read", acceptor_state.NAME, "missing: this disk has no identity yet"),
-            ]
-        )
-    value = disk.state.kept.value
-    if not disk.holds(value):
-        return [
-            *disk.troubles,
-            OperationError("check", f"r{value.version_id.number}", "accepted, but its body is not here"),
-        ]
-    return disk.troubles
-
-
-def newest(disk: Disk) -> ConfigVersion | None:
-    """The body to be exported: that of the newest decided value, else of the one accepted, that is here."""
-    return next(
-        (version for value in disk.values if (version := disk.body(value.version_id)) is not None), None
-    )
+            content.errors.append(OperationError("read", name, str(error)))
+    return content
+
+
+def verify(content: FolderContent) -> list[OperationError]:
+    """Return what is wrong: damaged files, no identity, or an accepted value whose version is not there."""
+    if content.state is None:
+        return content.errors + _missing_identity(content)
+    value = content.state.acceptor_state.value
+    if content.has_version_of(value):
+        return content.errors
+    generation = f"r{value.version_id.number}"
+    return [*content.errors, OperationError("check", generation, "accepted, but its body is not here")]
+
+
+def _missing_identity(content: FolderContent) -> list[OperationError]:
+    """Return the error of a disk without identity, where no damaged file accounts for it already."""
+    if any(error.peer == acceptor_state.FILE_NAME for error in content.errors):
+        return []
+    return [OperationError("read", acceptor_state.FILE_NAME, "missing: this disk has no identity yet")]
+
+
+def newest_version(content: FolderContent) -> ConfigVersion | None:
+    """Return the version to export: of the decided value, else of the accepted one, whichever is there."""
+    versions = (content.version(value.version_id) for value in content.values)
+    return next((version for version in versions if version is not None), None)
 
 
-def named(disk: Disk, generation: str) -> ConfigVersion | None:
-    """The body of `r12`; where two have this number, the one that was decided or accepted."""
-    found = [version for version in disk.versions.values() if f"r{version.version_id.number}" == generation]
+def find_version(content: FolderContent, generation: str) -> ConfigVersion | None:
+    """Return the version `r12`; where two have this number, the one that was decided or accepted."""
+    found = [
+        version for version in content.versions.values() if f"r{version.version_id.number}" == generation
+    ]
     return min(
         found,
-        key=lambda version: (disk.standing(version.version_id) == "kept", version.version_id.digest),
+        key=lambda version: (content.status(version.version_id) == "kept", version.version_id.digest),
         default=None,
     )
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -1,7 +1,7 @@
-"""Bodies of words as plain files: temporary, synced, renamed, the folder synced. Calls here block.
+"""Configuration versions as plain files: temporary, synced, renamed, the folder synced. Calls here block.
 
-A file is its own proof: a line with the number, the digest and the length, then the body as it came. A torn,
-empty or strange file is passed over and told; the others of the core have the body.
+A file proves itself: a line with the number, the digest and the length, then the body as the operator sent it.
+A torn, empty or foreign file is skipped and logged; other replicas have the version.
 """
 
 from __future__ import annotations
@@ -13,14 +13,16 @@
 from irisdeal.config_store.storage.folder import Folder
 from irisdeal.runtime.events import Event, log_event
 
-KEPT = 3  # bodies on disk beside those that are needed: for whoever looks, and for ballots under way
+MAX_SPARE_FILES = 3  # beside those that are needed: for whoever inspects the disk, and for ballots under way
+# The names and the format on disk are fixed: a release opens what the one before it wrote.
 MAGIC = "irisdeal-word-1"
-NEW = ".new"  # the end of a temporary file's name
+SUFFIX = ".word"
+TEMPORARY_SUFFIX = ".new"  # added to the name of a file that is being written
 
 
-def put(folder: Folder, name: str, data: bytes) -> None:
-    """A file that is there whole or not at all, after any loss of power. OSError where the disk refuses."""
-    temporary = name + NEW
+def write_atomically(folder: Folder, name: str, data: bytes) -> None:
+    """Write a file that is complete or absent after any loss of power. OSError where the disk refuses."""
+    temporary = name + TEMPORARY_SUFFIX
     folder.write(temporary, data)
     folder.sync(temporary)
     folder.rename(temporary, name)
@@ -28,44 +30,45 @@
 
 
 def encode(version: ConfigVersion) -> bytes:
-    """A line with magic, number, digest, length and a check of these, then the body as it came."""
-    told = f"{MAGIC} {version.version_id.number} {version.version_id.digest.hex()} {len(version.body)}"
-    return f"{told} {_check(told)}\n".encode() + version.body
+    """Return the file: a line with magic, number, digest, length and a check of these, then the body."""
+    version_id = version.version_id
+    header = f"{MAGIC} {version_id.number} {version_id.digest.hex()} {len(version.body)}"
+    return f"{header} {_check(header)}\n".encode() + version.body
 
 
-def _check(told: str) -> str:
-    return hashlib.sha256(told.encode()).hexdigest()[:16]
+def _check(header: str) -> str:
+    return hashlib.sha256(header.encode()).hexdigest()[:16]
 
 
 def decode(data: bytes) -> ConfigVersion:
-    """ValueError where the bytes are not a whole word."""
-    head, line, body = data.partition(b"\n")
-    told, _, check = head.decode("ascii", "replace").rpartition(" ")
-    parts = told.split(" ")
-    if not line or check != _check(told) or len(parts) != 4 or parts[0] != MAGIC:
+    """Read what `encode` wrote. ValueError where the header is none, or the body is not complete."""
+    first_line, newline, body = data.partition(b"\n")
+    header, _, check = first_line.decode("ascii", "replace").rpartition(" ")
+    fields = header.split(" ")
+    if not newline or check != _check(header) or len(fields) != 4 or fields[0] != MAGIC:
         raise ValueError("no word")
-    version = ConfigVersion(VersionId(int(parts[1]), bytes.fromhex(parts[2])), body)
-    if str(len(body)) != parts[3] or not version.is_whole():
+    version = ConfigVersion(VersionId(int(fields[1]), bytes.fromhex(fields[2])), body)
+    if str(len(body)) != fields[3] or not version.is_whole():
         raise ValueError("torn")
     return version
 
 
-class Files:
-    """One folder of words. One thread at a time."""
+class VersionFiles:
+    """One folder of versions. Calls come from one thread at a time."""
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
         self.version_ids: dict[
             str, VersionId
-        ] = {}  # file -> what is in it, synced; the one kept last is the last
+        ] = {}  # file -> its version, synced; the last one saved is the last
 
     def open(self) -> list[ConfigVersion]:
-        """All whole words, synced, by number. OSError where the disk refuses."""
+        """Return all complete versions, synced, in the order of their numbers. OSError where the disk refuses."""
         versions = []
         for name in self.folder.names():
-            if name.endswith(NEW):
-                self.folder.remove(name)  # of a process that was killed in the act
-            if not (name.startswith("r") and name.endswith(".word")):
+            if name.endswith(TEMPORARY_SUFFIX):
+                self.folder.remove(name)  # of a process that was killed while it wrote
+            if not (name.startswith("r") and name.endswith(SUFFIX)):
                 continue
             try:
                 version = decode(self.folder.read(name))
@@ -80,20 +83,23 @@
         return versions
 
     def has(self, version_id: VersionId) -> bool:
-        """Whether this body is on the disk, synced."""
+        """Whether this version is on the disk, synced."""
         return version_id in self.version_ids.values()
 
-    def keep(self, version: ConfigVersion, needed: Collection[VersionId] = ()) -> None:
-        """Synced when it returns. `needed`: what must stay. OSError where the disk refuses."""
-        name = f"r{version.version_id.number:018d}-{version.version_id.digest.hex()[:16]}.word"
+    def save(self, version: ConfigVersion, needed: Collection[VersionId] = ()) -> None:
+        """Write this version, synced on return, and remove old ones. OSError where the disk refuses.
+
+        `needed`: versions whose files must stay.
+        """
+        name = f"r{version.version_id.number:018d}-{version.version_id.digest.hex()[:16]}{SUFFIX}"
         if name not in self.version_ids:
-            put(self.folder, name, encode(version))
+            write_atomically(self.folder, name, encode(version))
             self.version_ids[name] = version.version_id
         spare = [
             other
             for other, version_id in self.version_ids.items()
             if version_id not in needed and other != name
         ]
-        for other in spare[:-KEPT]:
+        for other in spare[:-MAX_SPARE_FILES]:
             del self.version_ids[other]
-            self.folder.remove(other)  # needs no sync: one that is back is only an older version
+            self.folder.remove(other)  # needs no sync: a file that reappears is only an older version
--- a/irisdeal/registry/ended_record.py
+++ b/irisdeal/registry/ended_record.py
@@ -16,7 +16,7 @@
 import cbor2
 
 from irisdeal.config_store.storage.folder import Folder
-from irisdeal.config_store.storage.version_files import put
+from irisdeal.config_store.storage.version_files import write_atomically
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.events import Event, log_event
 
@@ -60,7 +60,7 @@
         if NAME not in self.folder.names():
             return None
         incarnations = decode(self.folder.read(NAME))
-        put(
+        write_atomically(
             self.folder, NAME, encode(incarnations)
         )  # the process that wrote it may have been killed before it synced
         self.kept = {incarnation.id: incarnation.state for incarnation in incarnations}
@@ -98,7 +98,7 @@
     async def _write(self, ended: list[BackendIncarnation]) -> bool:
         try:
             loop = asyncio.get_running_loop()
-            await loop.run_in_executor(None, put, self.folder, NAME, encode(ended))
+            await loop.run_in_executor(None, write_atomically, self.folder, NAME, encode(ended))
         except OSError as error:
             log_event(Event.DISK_WRITE_FAILED, file=NAME, error=error)
             return False
--- a/irisdeal/registry/list_record.py
+++ b/irisdeal/registry/list_record.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from irisdeal.config_store.storage.folder import DiskFolder
-from irisdeal.config_store.storage.version_files import put
+from irisdeal.config_store.storage.version_files import write_atomically
 from irisdeal.permits.authority import IssuerList
 from irisdeal.runtime.events import Event, log_event
 
@@ -53,7 +53,7 @@
     def save(self, record: IssuerList) -> bool:
         """Synced when it returns; False where the disk refuses."""
         try:
-            put(DiskFolder(str(self.path)), NAME, encode(record))
+            write_atomically(DiskFolder(str(self.path)), NAME, encode(record))
         except OSError as error:
             log_event(Event.DISK_WRITE_FAILED, file=NAME, error=error)
             return False
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -140,7 +140,7 @@
         async def run() -> int:
             self.ends[host] = ending = asyncio.Event()
             member = self.members[host] = self.make(settings, self.disks[host])
-            member.proposer.chance.seed(self.chance.getrandbits(32))  # one seed is one day
+            member.proposer.random.seed(self.chance.getrandbits(32))  # one seed is one day
             await member.start()
             await ending.wait()
             await member.stop()
--- a/tests/cli/test_store.py
+++ b/tests/cli/test_store.py
@@ -22,25 +22,25 @@
     UNKNOWN,
     AcceptorState,
     Ballot,
+    BallotAttempt,
     Change,
-    Round,
     Step,
     Value,
     on_accept,
     on_prepare,
     put,
-    same,
     set_members,
+    unchanged,
 )
 from irisdeal.config_store.membership import adoption, survey
 from irisdeal.config_store.membership.members import Members, ip_of, seat
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.membership.survey import survey as ask_all
-from irisdeal.config_store.storage.acceptor_state import NAME, AcceptorStateFile, PersistedState
+from irisdeal.config_store.storage.acceptor_state import FILE_NAME, AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
-from irisdeal.config_store.storage.inspection import look, named, newest, verify
-from irisdeal.config_store.storage.version_files import Files
+from irisdeal.config_store.storage.inspection import find_version, inspect_folder, newest_version, verify
+from irisdeal.config_store.storage.version_files import VersionFiles
 from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime.settings import Address
 from irisdeal.simulation.disk import MemoryDisk
@@ -61,9 +61,9 @@
 def filled(folder: Folder, accepted: Value, decided: Value, bodies: Iterable[int]) -> Folder:
     """As a store leaves it."""
     ballot = Ballot(accepted.change, seat(IPS[0], "first"))
-    files = Files(folder)
+    files = VersionFiles(folder)
     for number in bodies:
-        files.keep(version(number))
+        files.save(version(number))
     AcceptorStateFile(folder).write(PersistedState("first", AcceptorState(ballot, ballot, accepted), decided))
     return folder
 
@@ -86,34 +86,38 @@
 
 
 def test_a_whole_folder_verifies_and_says_how_each_version_stands() -> None:
-    disk = look(filled(MemoryDisk(), value(3, 3), value(2, 2), (1, 2, 3)))
+    disk = inspect_folder(filled(MemoryDisk(), value(3, 3), value(2, 2), (1, 2, 3)))
     assert not verify(disk)
-    assert [disk.standing(version(number).version_id) for number in (1, 2, 3)] == [
+    assert [disk.status(version(number).version_id) for number in (1, 2, 3)] == [
         "kept",
         "decided",
         "accepted",
     ]
-    assert newest(disk) == version(2) and named(disk, "r3") == version(3) and named(disk, "r4") is None
+    assert (
+        newest_version(disk) == version(2)
+        and find_version(disk, "r3") == version(3)
+        and find_version(disk, "r4") is None
+    )
 
 
 def test_of_two_bodies_under_one_number_the_accepted_one_is_exported() -> None:
     folder = filled(MemoryDisk(), value(1, 1), value(1, 1), (1,))
     other = ConfigVersion.of("r1", b'{"generation": "r1", "limits": {}}')
-    Files(folder).keep(other)
-    disk = look(folder)
-    assert len(disk.versions) == 2 and named(disk, "r1") == version(1)
+    VersionFiles(folder).save(other)
+    disk = inspect_folder(folder)
+    assert len(disk.versions) == 2 and find_version(disk, "r1") == version(1)
 
 
 @pytest.mark.parametrize("harm", ["torn-body", "torn-kept", "no-body", "no-kept"])
 def test_what_is_wrong_in_a_folder_is_named(harm: str) -> None:
     folder = filled(MemoryDisk(), value(2, 2), value(2, 2), (1, 2) if harm != "no-body" else (1,))
-    names = {"torn-kept": NAME, "no-kept": NAME}
+    names = {"torn-kept": FILE_NAME, "no-kept": FILE_NAME}
     name = names.get(harm, next(name for name in folder.names() if name.startswith("r")))
     if harm == "no-kept":
         folder.remove(name)
     elif harm != "no-body":
         folder.write(name, folder.read(name)[:-3])
-    found = verify(look(folder))
+    found = verify(inspect_folder(folder))
     assert len(found) == 1 and found[0].peer == ("r2" if harm == "no-body" else name)
 
 
@@ -165,7 +169,7 @@
 
 
 def refused(survey: Survey, *given: str, folder: Folder | None = None) -> list[str]:
-    disk = look(folder or filled(MemoryDisk(), *DISK))
+    disk = inspect_folder(folder or filled(MemoryDisk(), *DISK))
     return adoption.refusals(disk, adoption.plan(disk, IPS[0]), IPS[0], survey, given)
 
 
@@ -196,7 +200,7 @@
     found = refused(surveyed(silent=IPS), *ALL, folder=folder)
     assert len(found) == 1 and "--yes-lose r3" in found[0]
     assert refused(surveyed(silent=IPS), *ALL, "r3", folder=folder) == []
-    assert adoption.plan(look(folder), IPS[0]).base == value(2, 2)
+    assert adoption.plan(inspect_folder(folder), IPS[0]).base == value(2, 2)
     elsewhere = surveyed(report(IPS[1], value(4, 4), "new", UNKNOWN, False), silent=IPS[2:])
     found = refused(elsewhere, IPS[2])
     assert len(found) == 1 and "--yes-lose r4" in found[0]
@@ -204,7 +208,7 @@
 
 def test_an_empty_or_damaged_disk_gives_up_everything() -> None:
     folder = filled(MemoryDisk(), *DISK)
-    folder.write(NAME, b"?")
+    folder.write(FILE_NAME, b"?")
     for one in (MemoryDisk(), folder):
         assert any(adoption.EVERYTHING in why for why in refused(surveyed(silent=IPS), *ALL, folder=one))
         assert refused(surveyed(silent=IPS), *ALL, adoption.EVERYTHING, folder=one) == []
@@ -212,15 +216,15 @@
 
 def test_an_adopted_list_lies_above_all_that_was() -> None:
     folder = filled(MemoryDisk(), *DISK)
-    planned = adoption.plan(look(folder), IPS[0])
+    planned = adoption.plan(inspect_folder(folder), IPS[0])
     adoption.adopt(folder, planned)
     state = AcceptorStateFile(folder).open()
-    assert state is not None and state.disk != "first" and not verify(look(folder))
+    assert state is not None and state.disk_id != "first" and not verify(inspect_folder(folder))
     assert (
-        state.decided.members.seats == (seat(IPS[0], state.disk),)
+        state.decided.members.seats == (seat(IPS[0], state.disk_id),)
         and state.decided.version_id == version(3).version_id
     )
-    assert state.kept.accepted > Ballot(900_000, "z") and state.decided.change > 900_000
+    assert state.acceptor_state.accepted > Ballot(900_000, "z") and state.decided.change > 900_000
 
 
 def decide(known: Members, change: Change, kept: dict[str, AcceptorState], own: str) -> Value | None:
@@ -228,18 +232,18 @@
     count = kept[own].promised.count
     for _ in range(10):
         count += 1
-        ballot = Round(Ballot(count, own), known, change)
+        ballot = BallotAttempt(Ballot(count, own), known, change)
         for step in (Step.PREPARING, Step.ACCEPTING):
             asked: set[str] = set()
             while ballot.step is step and (waiting := sorted((ballot.targets() & set(kept)) - asked)):
                 asked.add(waiting[0])
                 if step is Step.PREPARING:
                     good, kept[waiting[0]] = on_prepare(kept[waiting[0]], ballot.ballot)
-                    ballot.on_promise(waiting[0], good, kept[waiting[0]])
+                    ballot.on_prepare_reply(waiting[0], good, kept[waiting[0]])
                 else:
                     assert ballot.value is not None
                     good, kept[waiting[0]] = on_accept(kept[waiting[0]], ballot.ballot, ballot.value)
-                    ballot.on_accept(waiting[0], good, kept[waiting[0]].promised)
+                    ballot.on_accept_reply(waiting[0], good, kept[waiting[0]].promised)
         if ballot.step is Step.DECIDED:
             return ballot.value
         count = max(count, ballot.above.count)
@@ -248,11 +252,11 @@
 
 def test_what_an_old_member_accepted_never_comes_back() -> None:
     """C turns up with its disk, on which lies a high ballot of the old list; it is a member and follows."""
-    planned = adoption.plan(look(filled(MemoryDisk(), *DISK)), IPS[0])
+    planned = adoption.plan(inspect_folder(filled(MemoryDisk(), *DISK)), IPS[0])
     own, late = planned.state.decided.members.seats[0], seat(IPS[2], "first")
     old = Ballot(200, late)
     kept = {
-        own: planned.state.kept,
+        own: planned.state.acceptor_state,
         "10.0.0.2/new": AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN),
         late: AcceptorState(old, old, value(9, 9)),
     }
@@ -263,7 +267,7 @@
             assert decided is not None and decided.members == wanted
             now = decided
     for proposer in (late, own, "10.0.0.2/new"):
-        decided = decide(now.members, same, kept, proposer)
+        decided = decide(now.members, unchanged, kept, proposer)
         assert decided is not None and decided.version_id == version(3).version_id
     decided = decide(now.members, put(version(4).version_id), kept, late)
     assert decided is not None and decided.version_id == version(4).version_id
@@ -338,19 +342,19 @@
     assert out.read_bytes() == version(2).body
     assert run("export", "FOLDER", "--generation", "r9").exit_code == 1
     assert run("export", "FOLDER", "--json").exit_code == 2
-    (tmp_path / "data" / NAME).write_bytes(b"?")
+    (tmp_path / "data" / FILE_NAME).write_bytes(b"?")
     assert run("verify", "FOLDER").exit_code == 1
     assert not json.loads(run("verify", "FOLDER", "--json").output)["good"]
 
 
 def test_adopt_from_the_command_line(run: Any, tmp_path: Path) -> None:
-    before = (tmp_path / "data" / NAME).read_bytes()
+    before = (tmp_path / "data" / FILE_NAME).read_bytes()
     assert run("adopt", "--settings", "SETTINGS").exit_code == 1
     names = ("--yes-lose", "10.0.0.2", "--yes-lose", "10.0.0.3")
     assert run("adopt", "--settings", "SETTINGS", *names, heard=LIVE).exit_code == 1
     dry = run("adopt", "--settings", "SETTINGS", *names, "--dry-run")
     assert dry.exit_code == 0 and "would be" in dry.output
-    assert (tmp_path / "data" / NAME).read_bytes() == before
+    assert (tmp_path / "data" / FILE_NAME).read_bytes() == before
     done = run("adopt", "--settings", "SETTINGS", *names, "--json")
     assert done.exit_code == 0
     assert json.loads(done.output)["gives_up"] == ["10.0.0.2", "10.0.0.3"]
--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -15,6 +15,7 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import Ballot, PutOutcome, Value
 from irisdeal.config_store.membership.status_rounds import STATUS_INTERVAL_S, STATUS_WAIT_S, UNDECIDED_WAIT_S
+from irisdeal.config_store.messages import WatchReply, WatchRequest
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.runtime.settings import Settings, Tolerance
@@ -97,13 +98,13 @@
             member.learn(value, [])
 
         member.proposer.learn = announce
-        kept = member.proposer._ask_accept
+        kept = member.proposer._send_accept
 
-        async def ask_accept(ballot: Any, seat: str, news: Any) -> None:
+        async def send_accept(attempt: Any, seat: str, replied: Any) -> None:
             if seat.partition("/")[0] in [first, *others[:hears]]:  # what it sends to the others is lost
-                await kept(ballot, seat, news)
+                await kept(attempt, seat, replied)
 
-        member.proposer._ask_accept = ask_accept  # type: ignore[method-assign]
+        member.proposer._send_accept = send_accept  # type: ignore[method-assign]
 
         def done(outcome: Any) -> None:
             when["outcome"] = outcome
@@ -129,14 +130,14 @@
         asked = stores.world.seconds()
         for host in rest:
 
-            def hear(answer: list[Any], host: str = host, asked: float = asked) -> None:
-                value, age = Value.decode(answer[1]), answer[3]
+            def hear(answer: WatchReply, host: str = host, asked: float = asked) -> None:
+                value, age = answer.value, answer.contact_age_ms
                 told[host].append((stores.world.seconds(), value.version_id.number))
                 known_by = asked - age / 1000
                 if age >= 0 and value.version_id.number < 7 and known_by > when.get("confirmed", 99.0):
                     wrong.append(f"{asked:.2f}: {host} tells r{value.version_id.number}, {age} ms old")
 
-            stores.on(host, lambda one: one.watch(SyncState(), -2), hear)
+            stores.on(host, lambda one: one.watch(WatchRequest(SyncState(), -2)), hear)
 
     for number in range(100):
         stores.at(2.9 + number * 0.03, ask)
@@ -158,18 +159,18 @@
     def prepare() -> None:
         one = stores.members[others[0]]
         one.peers.notify = lambda ip, kind, body: None  # type: ignore[method-assign]
-        promise, accept = one.proposer._ask_promise, one.proposer._ask_accept
+        promise, accept = one.proposer._send_prepare, one.proposer._send_accept
 
-        async def ask_promise(ballot: Any, seat: str, news: Any) -> None:
+        async def send_prepare(attempt: Any, seat: str, replied: Any) -> None:
             if not seat.startswith(f"{late}/"):
-                await promise(ballot, seat, news)
+                await promise(attempt, seat, replied)
 
-        async def ask_accept(ballot: Any, seat: str, news: Any) -> None:
+        async def send_accept(attempt: Any, seat: str, replied: Any) -> None:
             if not seat.startswith(f"{late}/"):
-                await accept(ballot, seat, news)
+                await accept(attempt, seat, replied)
 
-        one.proposer._ask_promise = ask_promise  # type: ignore[method-assign]
-        one.proposer._ask_accept = ask_accept  # type: ignore[method-assign]
+        one.proposer._send_prepare = send_prepare  # type: ignore[method-assign]
+        one.proposer._send_accept = send_accept  # type: ignore[method-assign]
 
     def decided(outcome: Any) -> None:
         when["decided"] = stores.world.seconds()
@@ -180,12 +181,13 @@
     def ask() -> None:
         asked = stores.world.seconds()
 
-        def hear(answer: list[Any]) -> None:
-            known_by = asked - answer[3] / 1000
-            if answer[3] >= 0 and answer[1][1] < 7 and known_by > when.get("decided", 99.0):
-                wrong.append(f"{asked:.2f}: r{answer[1][1]}, {answer[3]} ms old")
+        def hear(answer: WatchReply) -> None:
+            number, age_ms = answer.value.version_id.number, answer.contact_age_ms
+            known_by = asked - age_ms / 1000
+            if age_ms >= 0 and number < 7 and known_by > when.get("decided", 99.0):
+                wrong.append(f"{asked:.2f}: r{number}, {age_ms} ms old")
 
-        stores.on(late, lambda one: one.watch(SyncState(), -2), hear)
+        stores.on(late, lambda one: one.watch(WatchRequest(SyncState(), -2)), hear)
 
     stores.at(2.9, prepare)
     stores.at(begun, lambda: stores.net.cuts.update((other, late) for other in others))
@@ -195,4 +197,4 @@
         stores.at(begun + number * 0.02, ask)
     stores.play(begun + 2.0)
     assert when["decided"] < begun + 0.3 and not wrong, wrong[:3]
-    assert stores.members[late].force.version_id.number == 7
+    assert stores.members[late].applied.version_id.number == 7
--- a/tests/config_store/test_quorum_counting.py
+++ b/tests/config_store/test_quorum_counting.py
@@ -2,7 +2,7 @@
 
 `z3` looks for a counterexample among all lists, quorums and ballots within the bounds named; `unsat` says
 that there is none. First two lists of any size up to 9 and one change; then whole histories of ballots, with
-proposers that know an old list, as `register.Round` counts them.
+proposers that know an old list, as `register.BallotAttempt` counts them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     NO_BALLOT,
     AcceptorState,
     Ballot,
-    Round,
+    BallotAttempt,
     Step,
     Value,
     set_members,
@@ -270,7 +270,7 @@
     old, accepted = Value(0, NO_VERSION, LISTS[0]), Value(3, NO_VERSION, newer)
     for order in permutations("abcd"):
         for takers in ("", "b", "cd"):
-            ballot, heard = Round(Ballot(9, "a"), known, NEXT), set[str]()
+            ballot, heard = BallotAttempt(Ballot(9, "a"), known, NEXT), set[str]()
             for name in order:
                 kept = (
                     AcceptorState(Ballot(9, "a"), Ballot(5, "b"), accepted)
@@ -279,7 +279,7 @@
                 )
                 heard.add(name)
                 base = accepted if heard & set(takers) else old
-                step = ballot.on_promise(name, True, kept)
+                step = ballot.on_prepare_reply(name, True, kept)
                 enough = known.is_quorum(heard) and base.members.is_quorum(heard)
                 assert (step is Step.ACCEPTING) is enough
                 if enough:
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -20,12 +20,12 @@
     UNKNOWN,
     AcceptorState,
     Ballot,
+    BallotAttempt,
     PutOutcome,
-    Round,
     Step,
     Value,
     put,
-    same,
+    unchanged,
 )
 from irisdeal.config_store.membership.decided_value import decided_among, value_for_read
 from irisdeal.config_store.membership.members import Members
@@ -73,32 +73,36 @@
 def test_a_base_with_another_list_is_finished_as_it_is() -> None:
     joint = FIRST.members.enter_joint(("a", "b", "d"))
     accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.version_id, joint))
-    ballot = Round(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
+    ballot = BallotAttempt(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
     empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
-    ballot.on_promise("a", True, accepted)
-    ballot.on_promise("d", True, empty)
+    ballot.on_prepare_reply("a", True, accepted)
+    ballot.on_prepare_reply("d", True, empty)
     assert ballot.step is Step.PREPARING  # a and d are no old quorum
     assert ballot.targets() == {"a", "b", "c", "d"}
-    assert ballot.on_promise("b", True, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.ACCEPTING
+    assert (
+        ballot.on_prepare_reply("b", True, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.ACCEPTING
+    )
     assert ballot.value == accepted.value
     for seat in ("b", "d"):
-        assert ballot.on_accept(seat, True, ballot.ballot) is Step.ACCEPTING
-    assert ballot.on_accept("a", True, ballot.ballot) is Step.DECIDED
+        assert ballot.on_accept_reply(seat, True, ballot.ballot) is Step.ACCEPTING
+    assert ballot.on_accept_reply("a", True, ballot.ballot) is Step.DECIDED
 
 
 def test_an_empty_disk_is_never_what_a_ballot_begins_from() -> None:
-    ballot = Round(Ballot(1, "a"), FIRST.members, same)
-    ballot.on_promise("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN))
-    ballot.on_promise("b", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
+    ballot = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
+    ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN))
+    ballot.on_prepare_reply("b", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
     assert ballot.value == FIRST
 
 
 def test_a_promise_whose_answer_was_lost_counts_when_asked_again() -> None:
-    ballot = Round(Ballot(1, "a"), FIRST.members, same)
-    ballot.on_promise("a", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
-    assert ballot.on_promise("b", False, AcceptorState(ballot.ballot, NO_BALLOT, FIRST)) is Step.ACCEPTING
-    other = Round(Ballot(1, "a"), FIRST.members, same)
-    assert other.on_promise("b", False, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.LOST
+    ballot = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
+    ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
+    assert (
+        ballot.on_prepare_reply("b", False, AcceptorState(ballot.ballot, NO_BALLOT, FIRST)) is Step.ACCEPTING
+    )
+    other = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
+    assert other.on_prepare_reply("b", False, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.LOST
     assert other.above == Ballot(2, "b")
 
 
@@ -242,8 +246,8 @@
 class RefusesAgain(Proposer):
     """Planted: an order that is not above what holds is told to be another."""
 
-    def settled(self, version_id: VersionId) -> PutOutcome | None:
-        found = super().settled(version_id)
+    def known_outcome(self, version_id: VersionId) -> PutOutcome | None:
+        found = super().known_outcome(version_id)
         is_above = self.acceptor.decided.version_id.number > version_id.number
         return PutOutcome.OTHER if found is not None and is_above else found
 
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -57,17 +57,19 @@
     def set_members(members: Members) -> register.Change:
         return lambda value: replace(value, change=value.change + 1, members=members)
 
-    def on_promise(self: register.Round, seat: str, good: bool, kept: AcceptorState) -> Step:
-        self.promised[seat] = kept
-        if self.step is Step.PREPARING and good and self.known.is_quorum(self.promised):
-            self.base = max(self.promised.values(), key=lambda kept: (kept.accepted, kept.value.change)).value
+    def on_prepare_reply(self: register.BallotAttempt, seat: str, good: bool, kept: AcceptorState) -> Step:
+        self.prepare_replies[seat] = kept
+        if self.step is Step.PREPARING and good and self.known.is_quorum(self.prepare_replies):
+            self.base = max(
+                self.prepare_replies.values(), key=lambda kept: (kept.accepted, kept.value.change)
+            ).value
             self.value, self.step = self.change(self.base), Step.ACCEPTING
         return self.step
 
     patch.setattr(Members, "enter_joint", enter_joint)
     patch.setattr(register, "set_members", set_members)
-    patch.setattr(register.Round, "on_promise", on_promise)
-    patch.setattr(register.Round, "lists", lambda self: [self.known])
+    patch.setattr(register.BallotAttempt, "on_prepare_reply", on_prepare_reply)
+    patch.setattr(register.BallotAttempt, "lists", lambda self: [self.known])
 
 
 def _promises_one_ballot_twice(patch: pytest.MonkeyPatch) -> None:
@@ -86,14 +88,14 @@
 
 def _own_body_first(patch: pytest.MonkeyPatch) -> None:
     """The proposer does not take over what others accepted."""
-    taken = register.Round._highest
+    taken = register.BallotAttempt._highest
 
-    def highest(self: register.Round) -> AcceptorState | None:
+    def highest(self: register.BallotAttempt) -> AcceptorState | None:
         found = taken(self)
         first = Value.first(Members(0, THREE))
         return AcceptorState(found.promised, found.accepted, first) if found is not None else None
 
-    patch.setattr(register.Round, "_highest", highest)
+    patch.setattr(register.BallotAttempt, "_highest", highest)
 
 
 def _reads_what_is_not_safe(patch: pytest.MonkeyPatch) -> None:
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -43,12 +43,12 @@
     ballot = Ballot(number, "a")
     good, _ = await acceptor.prepare(ballot)
     assert good
-    answered.append(acceptor.kept)
+    answered.append(acceptor.state)
     if not await acceptor.save_version(version(number)):
         raise OSError("refused")
     given = await acceptor.accept(ballot, after(number))
     assert given == (True, ballot)
-    answered.append(acceptor.kept)
+    answered.append(acceptor.state)
 
 
 def interrupted(
@@ -97,16 +97,16 @@
 
     async def run() -> None:
         acceptor = await opened(disk)
-        kept = acceptor.kept
+        kept = acceptor.state
         good = (
-            acceptor.disk == FIRST
+            acceptor.disk_id == FIRST
             and kept.promised >= least.promised
             and kept.accepted >= least.accepted
             and kept.value.change >= least.value.change
-            and acceptor.holds(kept.value.version_id)
+            and acceptor.has_version(kept.value.version_id)
         )
         if not good:
-            context.found.append((least, kept, acceptor.disk))
+            context.found.append((least, kept, acceptor.disk_id))
 
     asyncio.run(run())
 
@@ -137,7 +137,7 @@
     for disk, _ in interrupted(
         context.disk, lambda disk, answered: one_more(disk, answered, context.count + 1)
     ):
-        said = asyncio.run(opened(disk)).kept
+        said = asyncio.run(opened(disk)).state
         for lost in disk.outcomes():
             judge(context, lost, said)
 
@@ -150,12 +150,12 @@
 
     async def start(disk: MemoryDisk, answered: list[AcceptorState]) -> None:
         acceptor = await opened(disk, START)
-        answered.append(acceptor.kept)
+        answered.append(acceptor.state)
 
     for disk, answered in interrupted(context.disk, start):
         for lost in disk.outcomes():
             context.looked += 1
-            name = asyncio.run(opened(lost)).disk
+            name = asyncio.run(opened(lost)).disk_id
             if (answered and name != FIRST) or (name != FIRST and name in told):
                 context.found.append(name)
             told.add(name)
@@ -184,7 +184,7 @@
 
 @then("its disk counts as lost and has another identity")
 def _(context: Any) -> None:
-    names = {acceptor.disk for acceptor in context.acceptors}
+    names = {acceptor.disk_id for acceptor in context.acceptors}
     assert FIRST not in names and len(names) == len(context.acceptors), names
     assert all(acceptor.decided.change == -1 for acceptor in context.acceptors)
 
@@ -198,8 +198,10 @@
 @then("the body is not held and the ones before it are")
 def _(context: Any) -> None:
     for acceptor in context.acceptors:
-        held = [acceptor.files.has(version(number).version_id) for number in range(1, context.count + 1)]
-        assert not acceptor.holds(version(context.count).version_id)
+        held = [
+            acceptor.version_files.has(version(number).version_id) for number in range(1, context.count + 1)
+        ]
+        assert not acceptor.has_version(version(context.count).version_id)
         assert held == [True] * (context.count - 1) + [False], held
 
 
@@ -211,14 +213,14 @@
     async def run() -> None:
         acceptor = await opened(context.disk)
         context.disk.full = True
-        before = acceptor.kept
+        before = acceptor.state
         try:
             await acceptor.prepare(Ballot(99, "b"))
         except OSError:
             context.refused.append("promise")
         if not await acceptor.save_version(version(99)):
             context.refused.append("body")
-        assert acceptor.kept == before
+        assert acceptor.state == before
         context.disk.full = False
 
     asyncio.run(run())
@@ -228,7 +230,9 @@
 def _(context: Any) -> None:
     assert context.refused == ["promise", "body"], context.refused
     acceptor = asyncio.run(opened(context.disk))
-    assert acceptor.kept.value == after(context.count) and acceptor.holds(acceptor.kept.value.version_id)
+    assert acceptor.state.value == after(context.count) and acceptor.has_version(
+        acceptor.state.value.version_id
+    )
 
 
 @then("at most {most:d} files are on it")
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from irisdeal.config_store.storage.version_files import put
+from irisdeal.config_store.storage.version_files import write_atomically
 from irisdeal.registry import ended_record
 from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
@@ -174,10 +174,10 @@
     seen = set()
     for acts in range(6):
         disk = MemoryDisk()
-        put(disk, ended_record.NAME, ended_record.encode(LIVES[:1]))
+        write_atomically(disk, ended_record.NAME, ended_record.encode(LIVES[:1]))
         disk.fail_at = disk.acts + acts
         with contextlib.suppress(OSError):
-            put(disk, ended_record.NAME, ended_record.encode(LIVES))
+            write_atomically(disk, ended_record.NAME, ended_record.encode(LIVES))
         for after in disk.outcomes():
             seen.add(len(ended_record.decode(after.read(ended_record.NAME))))
     assert seen == {1, 2}
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -28,8 +28,8 @@
 from irisdeal.config_store.membership.members import FIRST, Members, seat
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile
 from irisdeal.config_store.storage.folder import DiskFolder
-from irisdeal.config_store.storage.inspection import look
-from irisdeal.config_store.storage.version_files import Files
+from irisdeal.config_store.storage.inspection import inspect_folder
+from irisdeal.config_store.storage.version_files import VersionFiles
 from irisdeal.permits.authority import IssuerList
 from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
@@ -122,18 +122,18 @@
     """What a start reads. The identity of a disk that counts as new is made of `5a`."""
     with fixed_identities("5a"):
         acceptor = await opened(path)
-    kept = acceptor.kept
-    version_ids: list[VersionId] = sorted(acceptor.files.version_ids.values())
+    state = acceptor.state
+    version_ids: list[VersionId] = sorted(acceptor.version_files.version_ids.values())
     bodies = [acceptor.version(version_id) for version_id in version_ids]
     return {
-        "identity": acceptor.disk,
+        "identity": acceptor.disk_id,
         "seat": acceptor.seat,
-        "promised": [kept.promised.count, kept.promised.seat],
-        "accepted": [kept.accepted.count, kept.accepted.seat],
-        "value": value_told(kept.value),
+        "promised": [state.promised.count, state.promised.seat],
+        "accepted": [state.accepted.count, state.accepted.seat],
+        "value": value_told(state.value),
         "decided": value_told(acceptor.decided),
-        "holds_value": acceptor.holds(kept.value.version_id),
-        "holds_decided": acceptor.holds(acceptor.decided.version_id),
+        "holds_value": acceptor.has_version(state.value.version_id),
+        "holds_decided": acceptor.has_version(acceptor.decided.version_id),
         "on_disk": [[version_id.number, version_id.digest.hex()] for version_id in version_ids],
         "bodies": [body_told(body) for body in bodies if body is not None],
     }
@@ -144,10 +144,10 @@
     state = AcceptorStateFile(DiskFolder(str(source))).open()
     assert state is not None
     AcceptorStateFile(DiskFolder(str(to))).write(state)
-    files = Files(DiskFolder(str(to)))
-    bodies = Files(DiskFolder(str(source))).open()
+    files = VersionFiles(DiskFolder(str(to)))
+    bodies = VersionFiles(DiskFolder(str(source))).open()
     for body in bodies:
-        files.keep(body, [other.version_id for other in bodies])
+        files.save(body, [other.version_id for other in bodies])
 
 
 # The registry: adapters
@@ -270,7 +270,7 @@
     await store_ahead(path)
     folder = DiskFolder(str(path))
     with fixed_identities("e1"):
-        adoption.adopt(folder, adoption.plan(look(folder), IP))
+        adoption.adopt(folder, adoption.plan(inspect_folder(folder), IP))
 
 
 async def registry_whole(path: Path) -> None:
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -9,6 +9,7 @@
 import asyncio
 from collections.abc import Iterable
 from contextlib import ExitStack
+from dataclasses import replace
 from typing import Any
 from unittest import mock
 
@@ -29,34 +30,42 @@
 from irisdeal.config_store.membership.members import Members, ip_of, majority
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.status_rounds import StatusRounds
+from irisdeal.config_store.messages import (
+    AcceptReply,
+    AcceptRequest,
+    PrepareReply,
+    PrepareRequest,
+    ReadReply,
+    VersionMissingReply,
+)
 from irisdeal.config_store.peers import now
 from irisdeal.config_store.replica import StoreReplica
 
 
 async def promise_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, AcceptorState]:
     """A promise is kept in memory alone."""
-    async with self.lock:
-        good, self.kept = on_prepare(self.kept, ballot)
-        return good, self.kept
+    async with self.write_lock:
+        is_granted, self.state = on_prepare(self.state, ballot)
+        return is_granted, self.state
 
 
 async def accept_not_synced(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
     """What was accepted is kept in memory alone."""
-    async with self.lock:
-        if not self.holds(value.version_id):
+    async with self.write_lock:
+        if not self.has_version(value.version_id):
             return None
-        good, self.kept = on_accept(self.kept, ballot, value)
-        self._need()
-        return good, self.kept.promised
+        is_granted, self.state = on_accept(self.state, ballot, value)
+        self._retain_needed()
+        return is_granted, self.state.promised
 
 
 async def accept_after_higher(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
     """A ballot is accepted though a higher one was promised."""
-    async with self.lock:
-        if not self.holds(value.version_id):
+    async with self.write_lock:
+        if not self.has_version(value.version_id):
             return None
-        await self._write(AcceptorState(max(ballot, self.kept.promised), ballot, value))
-        return True, self.kept.promised
+        await self._write(AcceptorState(max(ballot, self.state.promised), ballot, value))
+        return True, self.state.promised
 
 
 def old_majority_alone(self: Members, heard: Iterable[str]) -> bool:
@@ -73,11 +82,16 @@
     )
 
 
-async def any_disk_answers(
-    self: StoreReplica, seat: str, ballot: list[Any], value: list[Any] | None = None
-) -> Any:
-    """A prepare or accept for the disk that was here before is answered by the new one."""
-    return await VOTE(self, self.acceptor.seat, ballot, value)
+async def any_disk_prepares(self: StoreReplica, request: PrepareRequest) -> PrepareReply | None:
+    """A prepare for the disk that was here before is answered by the new one."""
+    return await PREPARE(self, replace(request, seat=self.acceptor.seat))
+
+
+async def any_disk_accepts(
+    self: StoreReplica, request: AcceptRequest
+) -> AcceptReply | VersionMissingReply | None:
+    """An accept for the disk that was here before is answered by the new one."""
+    return await ACCEPT(self, replace(request, seat=self.acceptor.seat))
 
 
 async def lease_from_answer(self: StatusRounds, ip: str) -> ReplicaStatus | None:
@@ -100,22 +114,22 @@
     return max(reports, key=lambda report: report.accepted).value if is_enough else None
 
 
-async def read_alone(self: StoreReplica) -> list[Any]:
-    """What this member knows."""
-    version = self.acceptor.version(self.force.version_id)
-    return [True, version.body if version is not None else None]
+async def read_alone(self: StoreReplica) -> ReadReply:
+    """What this replica knows."""
+    version = self.acceptor.version(self.applied.version_id)
+    return ReadReply(True, version.body if version is not None else None)
 
 
-async def force_undecided(
-    self: StoreReplica, seat: str, ballot: list[Any], value: list[Any] | None = None
-) -> Any:
-    """What was accepted is in force, before a majority has it."""
-    given = await VOTE(self, seat, ballot, value)
-    if value is not None and given is not None and given[0]:
-        self.force = Value.decode(value)
-        self.news.set()
-        self.news = asyncio.Event()
-    return given
+async def undecided_applied(
+    self: StoreReplica, request: AcceptRequest
+) -> AcceptReply | VersionMissingReply | None:
+    """What was accepted is applied, before a majority has it."""
+    reply = await ACCEPT(self, request)
+    if isinstance(reply, AcceptReply) and reply.is_accepted:
+        self.applied = request.value
+        self.update.set()
+        self.update = asyncio.Event()
+    return reply
 
 
 def again_refused(self: Proposer, version_id: VersionId) -> PutOutcome | None:
@@ -125,7 +139,7 @@
         return None
     return (
         PutOutcome.OTHER
-        if held.number == version_id.number and version_id not in self.orders
+        if held.number == version_id.number and version_id not in self.pending_puts
         else PutOutcome.CONFIRMED
     )
 
@@ -142,22 +156,26 @@
 
 
 MOST_ANSWER = 10.0  # s: an answer may come after a freeze
-VOTE, PUT = StoreReplica._vote, Proposer.put
+PREPARE, ACCEPT, PUT = StoreReplica.prepare, StoreReplica.accept, Proposer.put
 
 PLANTED: dict[str, list[tuple[Any, str, Any]]] = {
     "promise not synced": [(Acceptor, "prepare", promise_not_synced)],
     "accept not synced": [(Acceptor, "accept", accept_not_synced)],
     "accept after a higher promise": [(Acceptor, "accept", accept_after_higher)],
     "list changed with the old majority alone": [(Members, "is_quorum", old_majority_alone)],
-    "learner counted": [(Members, "is_quorum", learner_counted), (StoreReplica, "_vote", any_disk_answers)],
+    "learner counted": [
+        (Members, "is_quorum", learner_counted),
+        (StoreReplica, "prepare", any_disk_prepares),
+        (StoreReplica, "accept", any_disk_accepts),
+    ],
     "lease from the answer": [
         (StatusRounds, "request_status", lease_from_answer),
         (QuorumContact, "tick", never_woke),
     ],
-    "read without making safe": [(StoreReplica, "_heard_value", value_unsafe)],
+    "read without making safe": [(StoreReplica, "_value_from_statuses", value_unsafe)],
     "read alone": [(StoreReplica, "read", read_alone)],
-    "body in force before decided": [(StoreReplica, "_vote", force_undecided)],
-    "an order again refused": [(Proposer, "settled", again_refused)],
+    "body in force before decided": [(StoreReplica, "accept", undecided_applied)],
+    "an order again refused": [(Proposer, "known_outcome", again_refused)],
     "confirmed alone": [(Proposer, "put", alone_confirmed)],
 }
 
