--- a/irisdeal/http1/__init__.py
+++ b/irisdeal/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on a socket, apart from any platform's headers: requests in, one answer each out, in order."""
+"""The server side of HTTP/1.1: whole requests are handed to a handler, its answers go out in their order."""
--- a/irisdeal/http1/framing.py
+++ b/irisdeal/http1/framing.py
@@ -1,12 +1,12 @@
-"""What HTTP/1.1 says of framing and of headers that concern one connection. No input or output here."""
+"""The framing of HTTP/1.1 messages, and the fields that concern one connection. No input or output here."""
 
 from __future__ import annotations
 
 import http
 
-OWS = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
-# Fields that speak of one connection (RFC 9110, 7.6.1), or that are written anew.
-HOP = frozenset(
+OWS = b" \t"  # optional whitespace around a field's value, no part of it (RFC 9110, 5.5 and 5.6.3)
+# Fields that concern one connection (RFC 9110, 7.6.1), or that are written anew for the next one.
+HOP_BY_HOP_FIELDS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -19,30 +19,23 @@
         b"expect",
     )
 )
-FRAMING = (b"content-length", b"transfer-encoding")
+FRAMING_FIELDS = (b"content-length", b"transfer-encoding")  # that say where a body ends (RFC 9112, 6)
+BODILESS_STATUSES = (204, 304)  # their answers have no body (RFC 9112, 6.3)
 REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
-Headers = list[tuple[bytes, bytes]]
+Headers = list[tuple[bytes, bytes]]  # name and value as they came, in their order
 
 
-class Malformed(Exception):
-    """A request that goes no further; answered with this status and text."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status, self.text = status, text
-
-
-def aliased(name: bytes) -> bytes:
-    """The name that a reader who takes _ for - would see, in lower case."""
+def folded_name(name: bytes) -> bytes:
+    """Return a field's name in lower case with - for _: as a recipient reads it that takes both for the same."""
     return name.lower().replace(b"_", b"-")
 
 
-def head(status: int, headers: Headers, length: int, close: bool) -> bytes:
-    """The head of an answer of known length."""
+def response_head(status: int, headers: Headers, length: int, close: bool) -> bytes:
+    """Format the head of an answer. `length`: of its body, in bytes; `close`: the connection ends behind it."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))]
     lines += [b"%s: %s\r\n" % field for field in headers]
-    if status != 204 and status != 304:
+    if status not in BODILESS_STATUSES:  # RFC 9110, 8.6: no Content-Length with a 204
         lines.append(b"Content-Length: %d\r\n" % length)
     if close:
         lines.append(b"Connection: close\r\n")
--- a/irisdeal/http1/messages.py
+++ b/irisdeal/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the server side, and what a client may send."""
+"""Requests and answers of the server side, and the limits on what a client may send."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 
 
 class Request:
-    """A whole request. `arrived`: s on the loop's clock, when its last byte was read."""
+    """A request that was received to its end. `arrived_at`: s on the loop's clock, when its last byte was read."""
 
     __slots__ = (
-        "arrived",
-        "bodiless",
+        "arrived_at",
         "body",
         "departed_at",
         "headers",
-        "keep",
+        "headers_by_name",
+        "is_head",
+        "keep_alive",
         "method",
-        "named",
         "phase",
         "target",
     )
 
-    def __init__(self, method: bytes, target: bytes, headers: Headers, body: bytes, arrived: float) -> None:
+    def __init__(
+        self, method: bytes, target: bytes, headers: Headers, body: bytes, arrived_at: float
+    ) -> None:
         self.method, self.target, self.headers, self.body = method, target, headers, body
-        self.arrived = arrived
-        self.named = {name.lower(): value for name, value in headers}
-        self.bodiless = method == b"HEAD"
-        self.keep = True
+        self.arrived_at = arrived_at
+        self.headers_by_name = {name.lower(): value for name, value in headers}  # of two alike the last one
+        self.is_head = method == b"HEAD"  # its answer has no body (RFC 9110, 9.3.2)
+        self.keep_alive = True  # whether the connection goes on behind its answer (RFC 9112, 9.3)
         self.departed_at: float | None = None  # s on the loop's clock, when its client was seen to have left
         self.phase = Phase.PIPELINED
 
 
 class Answer:
-    """An answer, whole. `close` ends the connection behind it."""
+    """A complete answer. `close`: the connection ends behind it."""
 
     __slots__ = ("body", "close", "headers", "status")
 
@@ -49,9 +51,16 @@
 Handler = Callable[[Request], Coroutine[Any, Any, Answer]]
 
 
-class Bounds:
-    """What a client may send, and how long it may take: bytes and s. May be changed while it serves."""
+class RequestLimits:
+    """The limits on what a client may send, and how long it may take; they may change while a server runs.
+
+    The values here stand until the settings or a configuration give others.
+    """
+
+    __slots__ = ("head_timeout_s", "idle_timeout_s", "max_body_bytes", "max_head_bytes")
 
     def __init__(self) -> None:
-        self.head, self.body = 16384, 64 << 20
-        self.head_time, self.idle_time = 3.0, 15.0
+        self.max_head_bytes = 16384  # of a request's target and fields
+        self.max_body_bytes = 64 << 20
+        self.head_timeout_s = 3.0  # from the first byte of a request to the end of its head
+        self.idle_timeout_s = 15.0  # that a connection may stay without a byte from its client
--- a/irisdeal/http1/metrics_server.py
+++ b/irisdeal/http1/metrics_server.py
@@ -1,4 +1,4 @@
-"""Tells a process's figures over HTTP, where the settings ask for it."""
+"""Serve the metrics of a process over HTTP, where the settings ask for it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MetricsServer:
-    """Answers a GET of the settings' `metrics` path with the figures as text; does nothing where there is none."""
+    """Answers a GET of the settings' `metrics` path with the metrics as text; does nothing where none is set."""
 
     def __init__(self, settings: Settings, metrics: Metrics, loop: asyncio.AbstractEventLoop) -> None:
         self.metrics = metrics
@@ -25,7 +25,7 @@
             await self.http.listen((self.ip, self.address.port))
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening and close all connections."""
         self.http.close()
 
     async def _answer(self, request: Request) -> Answer:
--- a/irisdeal/http1/phase.py
+++ b/irisdeal/http1/phase.py
@@ -1,4 +1,4 @@
-"""Where a request stands on its way through a process."""
+"""The phases of a request on its way through a process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 class Phase(Enum):
     """What a request waits for. The values are those of the metrics' label `phase`."""
 
-    PIPELINED = "pipelined"  # an earlier request of its connection
-    STARTED = "started"  # nothing yet, or a first configuration
-    TENANT_QUEUE = "tenant_queue"  # a place within its tenant's bound
-    PLACEMENT = "placement"  # a registry's permit and place
+    PIPELINED = "pipelined"  # the answer to an earlier request of its connection
+    STARTED = "started"  # nothing yet, or the first configuration
+    TENANT_QUEUE = "tenant_queue"  # its turn within the bound of its tenant
+    PLACEMENT = "placement"  # a registry's permit and choice of a backend
     CONNECTING = "connecting"  # a connection to a backend
-    BACKEND = "backend"  # a backend that may be at work on it
-    ANSWERED = "answered"  # its answer has been written
+    BACKEND = "backend"  # a backend, which may be at work on it
+    ANSWERED = "answered"  # nothing more: its answer has been written
--- a/irisdeal/http1/request_parser.py
+++ b/irisdeal/http1/request_parser.py
@@ -1,100 +1,124 @@
-"""Bytes of one client to whole requests (RFC 9112). One reading of the framing, or none; no input or output."""
+"""Parse the bytes of one client into requests (RFC 9112). No input or output here.
+
+A request whose framing could be read in two ways is malformed: the second reading might hide another request in its
+body (RFC 9112, 11.2).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import cast
 
 import httptools
 
-from irisdeal.http1.framing import FRAMING, OWS, Headers, Malformed, aliased
-from irisdeal.http1.messages import Bounds, Request
+from irisdeal.http1.errors import MalformedRequestError
+from irisdeal.http1.framing import FRAMING_FIELDS, OWS, Headers, folded_name
+from irisdeal.http1.messages import Request, RequestLimits
 
 Clock = Callable[[], float]
+FIELD_OVERHEAD_BYTES = 4  # of a field's line beside its name and value: colon, space, CR and LF
 
 
 class RequestParser:
-    """The requests of one connection. `on_request` hears of each whole one, `on_head` of each whole head."""
+    """The parser of one connection: `on_request` is called with each complete request, `on_head` at each head."""
 
     def __init__(
-        self, bounds: Bounds, clock: Clock, on_request: Callable[[Request], None], on_head: Callable[[], None]
+        self,
+        limits: RequestLimits,
+        clock: Clock,
+        on_request: Callable[[Request], None],
+        on_head: Callable[[], None],
     ) -> None:
         """`clock`: s on the loop's clock."""
-        self.bounds, self.clock, self.on_request, self.on_head = bounds, clock, on_request, on_head
+        self.limits, self.clock, self.on_request, self.on_head = limits, clock, on_request, on_head
         self.parser = httptools.HttpRequestParser(self)
         self.is_reading = False  # some bytes of a request have come, and not all
-        self.since = clock()  # since when nothing is coming, or the last byte of what is
+        self.since = clock()  # when the request began, its body went on, or the last one was complete
         self._reset()
 
     def _reset(self) -> None:
-        self.url, self.headers, self.parts = b"", cast(Headers, []), cast(list[bytes], [])
-        self.size, self.body_size, self.has_head = 0, 0, False
-        self.framed: bytes | None = None
-        self.expects = False  # its client waits for a 100 before it sends the body
+        self.url = b""
+        self.headers: Headers = []
+        self.body_chunks: list[bytes] = []
+        self.head_size, self.body_size, self.has_head = 0, 0, False
+        self.framing_field: bytes | None = None  # the one that says where the body ends
+        self.expects_continue = (
+            False  # the client waits for a 100 before it sends the body (RFC 9110, 10.1.1)
+        )
 
     def feed(self, data: bytes) -> None:
-        """Take these bytes. Malformed where nothing behind them can be read."""
+        """Parse these bytes. MalformedRequestError where neither they nor any behind them can be read."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise Malformed(400, "no upgrades here") from None
+            raise MalformedRequestError(400, "no upgrades here") from None
         except httptools.HttpParserError as error:
-            fault = error.__context__
-            if isinstance(fault, Malformed):
-                raise fault from None
-            raise Malformed(400, "malformed request") from None
+            cause = error.__context__  # what a callback below has raised
+            if isinstance(cause, MalformedRequestError):
+                raise cause from None
+            raise MalformedRequestError(400, "malformed request") from None
 
-    # The parser's calls
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
+        """Begin a request."""
         self._reset()
         self.is_reading, self.since = True, self.clock()
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the target."""
         self.url += url
-        self._grow(len(url))
+        self._add_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value) + 4)
-        if self.has_head:  # a trailer
+        """Add a field of the head; one of the trailer counts for the size alone."""
+        self._add_head_size(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
+        if self.has_head:  # a trailer (RFC 9112, 7.1.2)
             return
-        key, value = aliased(name), value.strip(OWS)
-        if key in FRAMING:
-            self._frame(key, value, b"_" in name)
+        key, value = folded_name(name), value.strip(OWS)
+        if key in FRAMING_FIELDS:
+            self._check_framing(key, value, b"_" in name)
         elif key == b"expect" and value.lower() == b"100-continue":
-            self.expects = True
+            self.expects_continue = True
         self.headers.append((name, value))
 
-    def _frame(self, key: bytes, value: bytes, is_aliased: bool) -> None:
-        is_odd = key == b"transfer-encoding" and value.lower() != b"chunked"
-        if self.framed is not None or is_odd or is_aliased:
-            raise Malformed(400, "odd framing")  # two ways to read it may hide a request in the body
-        self.framed = key
+    def _check_framing(self, key: bytes, value: bytes, has_underscore: bool) -> None:
+        """Reject a framing field that some recipient may read another way (RFC 9112, 6.1 and 6.3)."""
+        is_other_coding = key == b"transfer-encoding" and value.lower() != b"chunked"
+        if self.framing_field is not None or is_other_coding or has_underscore:
+            raise MalformedRequestError(400, "odd framing")
+        self.framing_field = key
         if key == b"content-length":
             if not value.isdigit():
-                raise Malformed(400, "odd framing")
-            if int(value) > self.bounds.body:
-                raise Malformed(413, f"body over {self.bounds.body} bytes")
+                raise MalformedRequestError(400, "odd framing")
+            if int(value) > self.limits.max_body_bytes:
+                raise self._body_too_long()
+
+    def _body_too_long(self) -> MalformedRequestError:
+        return MalformedRequestError(413, f"body over {self.limits.max_body_bytes} bytes")
 
-    def _grow(self, size: int) -> None:
-        self.size += size
-        if self.size > self.bounds.head:
-            raise Malformed(431, f"head over {self.bounds.head} bytes")
+    def _add_head_size(self, size: int) -> None:
+        self.head_size += size
+        if self.head_size > self.limits.max_head_bytes:
+            raise MalformedRequestError(431, f"head over {self.limits.max_head_bytes} bytes")
 
     def on_headers_complete(self) -> None:
+        """Check the whole head."""
         self.has_head = True
-        if self.framed == b"transfer-encoding" and self.parser.get_http_version() == "1.0":
-            raise Malformed(400, "odd framing")  # RFC 9112, 6.1
+        if self.framing_field == b"transfer-encoding" and self.parser.get_http_version() == "1.0":
+            raise MalformedRequestError(400, "odd framing")  # RFC 9112, 6.1
         self.on_head()
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body."""
         self.body_size, self.since = self.body_size + len(body), self.clock()
-        if self.body_size > self.bounds.body:
-            raise Malformed(413, f"body over {self.bounds.body} bytes")
-        self.parts.append(body)
+        if self.body_size > self.limits.max_body_bytes:
+            raise self._body_too_long()
+        self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
+        """Hand on the request."""
         self.is_reading, self.since = False, self.clock()
-        request = Request(self.parser.get_method(), self.url, self.headers, b"".join(self.parts), self.since)
-        request.keep = self.parser.should_keep_alive()
+        body = b"".join(self.body_chunks)
+        request = Request(self.parser.get_method(), self.url, self.headers, body, self.since)
+        request.keep_alive = self.parser.should_keep_alive()
         self.on_request(request)
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -90,7 +90,7 @@
         self.sent = BackendRequest(
             backend_message.encode(request, placed.backend, admitted.tenant, admitted.until - self.begun),
             admitted.attempt_id,
-            request.bodiless,
+            request.is_head,
             admitted.route.mutating,
             admitted.until - MARGIN_S,
             permit.use() if permit is not None else float("inf"),
@@ -270,7 +270,7 @@
         # a second one beside a slow one goes only where it begins at once: else it would slow all
         hold = 0.0
         if not self.running:
-            patient_until = admitted.request.arrived + HOLD_SHARE * admitted.route.target
+            patient_until = admitted.request.arrived_at + HOLD_SHARE * admitted.route.target
             hold = max(
                 LEAST_HOLD_S, min(patient_until, admitted.until - admitted.usual.typical_latency_s) - now
             )
--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from irisdeal.http1.framing import HOP, OWS, Headers
+from irisdeal.http1.framing import HOP_BY_HOP_FIELDS, OWS, Headers
 from irisdeal.load_balancing.backend_choice import Backend
 from irisdeal.proxy.backend_message import BackendRequest
 from irisdeal.proxy.outcome import AttemptOutcome, End
@@ -160,7 +160,7 @@
             return self._finish(
                 AttemptOutcome(End.LOST, f"{status} without a word that it has not run"), keep
             )
-        headers = [field for field in self.headers if field[0].lower() not in HOP]
+        headers = [field for field in self.headers if field[0].lower() not in HOP_BY_HOP_FIELDS]
         self._finish(AttemptOutcome(End.ANSWER, "", status, headers, b"".join(self.parts)), keep)
 
     # The parser's calls
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -173,9 +173,11 @@
         self.table = table
         self.has_table.set()
         self.admission.configure(self._limit_of)
-        bounds, limits = self.front.bounds, table.limits
-        bounds.head, bounds.body = limits.max_header_bytes, limits.max_body_bytes
-        bounds.head_time, bounds.idle_time = limits.header_timeout_ms / 1000, limits.idle_timeout_ms / 1000
+        client_limits, limits = self.front.limits, table.limits
+        client_limits.max_head_bytes = limits.max_header_bytes
+        client_limits.max_body_bytes = limits.max_body_bytes
+        client_limits.head_timeout_s = limits.header_timeout_ms / 1000
+        client_limits.idle_timeout_s = limits.idle_timeout_ms / 1000
         log_event(Event.CONFIGURATION_APPLIED, generation=table.generation)
 
     def _on_incarnation(self, incarnation: BackendIncarnation, silent: bool) -> None:
@@ -248,13 +250,15 @@
     def _admitted(self, request: Request, table: Table) -> tuple[Route, str]:
         """Its route and tenant; Refused where the operator's word does not allow it."""
         path = request.target.partition(b"?")[0]
-        host = request.named.get(b"host", b"").rpartition(b":")[0] or request.named.get(b"host", b"")
+        host = request.headers_by_name.get(b"host", b"").rpartition(b":")[0] or request.headers_by_name.get(
+            b"host", b""
+        )
         route = table.find(host.lower(), path)
         if route is None:
             raise Refused(404, "no route")
         if not table.has_tenants:
             return route, ""
-        kind, _, key = request.named.get(b"authorization", b"").partition(b" ")
+        kind, _, key = request.headers_by_name.get(b"authorization", b"").partition(b" ")
         tenant = table.keys.get(key.strip()) if kind.lower() == b"bearer" else None
         if tenant is None:
             if route.public:
@@ -295,15 +299,15 @@
 
     async def _carry(self, request: Request) -> Answer:
         table = await self._table()
-        id_ = request.named.get(b"x-irisdeal-attempt-id", b"")
+        id_ = request.headers_by_name.get(b"x-irisdeal-attempt-id", b"")
         if not id_ or not request.target.startswith(b"/"):
             raise Refused(400, "wanted an X-Irisdeal-Attempt-Id and a path")
         route, tenant = self._admitted(request, table)
         try:
-            given = float(request.named.get(b"x-irisdeal-deadline-ms", b"60000")) / 1000
+            given = float(request.headers_by_name.get(b"x-irisdeal-deadline-ms", b"60000")) / 1000
         except ValueError:
             raise Refused(400, "X-Irisdeal-Deadline-Ms: wanted a number of ms") from None
-        until = request.arrived + min(given, route.timeout, MOST_WAIT)
+        until = request.arrived_at + min(given, route.timeout, MOST_WAIT)
         service = self._service(route)
         usual = self.usual.setdefault((service, route.name), LatencyEstimate())
         if self.drain is not None and not self.drain.may_take(self.loop.time(), until, usual.slowest_s):
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -114,7 +114,7 @@
 
 def test_a_body_that_is_refused_by_its_head_is_not_encouraged() -> None:
     def small(server: HttpServer) -> None:
-        server.bounds.body = 3
+        server.limits.max_body_bytes = 3
 
     assert Play([EXPECTING % 1], small).play() == [b"HTTP/1.1 413 Request Entity Too Large"]
 
@@ -146,7 +146,7 @@
 
 def test_a_body_that_comes_slowly_is_not_idle() -> None:
     def brief(server: HttpServer) -> None:
-        server.bounds.idle_time = 1.5
+        server.limits.idle_timeout_s = 1.5
 
     pieces: list[Step] = [(BODIED % 0)[:-4]]
     for byte in b"body":
@@ -156,7 +156,7 @@
 
 def test_a_request_that_stops_midway_runs_nowhere() -> None:
     def brief(server: HttpServer) -> None:
-        server.bounds.idle_time = 1.5
+        server.limits.idle_timeout_s = 1.5
 
     play: Any = Play([(BODIED % 1)[:-1]], brief)
     assert play.play() == [] and play.ran == [] and play.ended_at > 0
@@ -193,7 +193,7 @@
     play = Play([BODIED % 1, 0.05, "reset"], watched)
     assert play.play() == []
     assert len(ended) == 1 and ended[0] < 0.2
-    assert not play.server.serving and not play.server.owed()
+    assert not play.server.serving and not play.server.unanswered()
 
 
 def test_a_handler_that_shields_its_work_ends_it_and_nobody_is_answered_twice() -> None:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -115,7 +115,7 @@
             request.departed_at = self.machine.time() if self.left else None
             work: Awaitable[Answer] = door.serve(request)
             answers.append(await work)
-            self.took = self.machine.time() - request.arrived
+            self.took = self.machine.time() - request.arrived_at
             return 0
 
         self.machine.start(run())
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -247,7 +247,7 @@
 
 
 def bytes_unsent(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(HttpServer, "_leave", lambda self: False)
+    patch.setattr(HttpServer, "_close_connections", lambda self: False)
 
 
 def promised_after_sending(patch: pytest.MonkeyPatch) -> None:
