--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -24,10 +24,10 @@
 import uvloop
 
 from irisdeal.demo.processes import Use, free_port, measure
-from irisdeal.testbed.counter_service import Keeper
-from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.counter_service import CounterServer
+from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.http import ClientConnection, Request, ServerConnection
-from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario import load
 
 BACKENDS = 4
@@ -148,10 +148,13 @@
     for _ in range(BACKENDS):
         servers.append(await loop.create_server(lambda: ServerConnection(instant, 0, 0), "127.0.0.1", 0))
     ports = [int(server.sockets[0].getsockname()[1]) for server in servers]
-    scenario = load("calm").resized(doors=1)
-    keeper, roster = Keeper(scenario.keeper, now, 1), Roster(scenario.roster, Books(), now, 1)
-    roster.ledger.change(
-        *(Member(f"s-{n}", "hall-a", "std", 0, "Ready", 0, (port,)) for n, port in enumerate(ports))
+    scenario = load("calm").resized(front_doors=1)
+    keeper, roster = (
+        CounterServer(scenario.counter, now, 1),
+        DiscoveryServer(scenario.discovery, RequestLog(), now, 1),
+    )
+    roster.endpoints.change(
+        *(Endpoint(f"s-{n}", "hall-a", "std", 0, "Ready", 0, (port,)) for n, port in enumerate(ports))
     )
     await roster.start(range(1))
     await keeper.start(range(1))
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -114,10 +114,10 @@
 def steps(outcome: Outcome) -> list[Step]:
     """What the doors' own logs tell, in the order of time."""
     found = []
-    for life in outcome.books.doors:
+    for life in outcome.request_log.front_doors:
         for clock, ms, zone, stand, why in LINE.findall(life.log):
             at = time.mktime(time.strptime(clock, "%Y-%m-%d %H:%M:%S")) * SECOND + int(ms) * 1000
-            found.append(Step((at - outcome.start) / SECOND, life.door, int(zone), stand, why))
+            found.append(Step((at - outcome.start) / SECOND, life.front_door, int(zone), stand, why))
     return sorted(found, key=lambda step: step.at)
 
 
@@ -138,7 +138,7 @@
 
 def leaving(outcome: Outcome) -> Leaving:
     """By logs and by the links' books."""
-    zone = outcome.day.scenario.fleet.halls.index(ZONE)
+    zone = outcome.day.scenario.fleet.zones.index(ZONE)
     left: dict[int, float] = {}
     back: dict[int, float] = {}
     wrong, fleet = set[tuple[int, int]](), set[int]()
@@ -152,7 +152,7 @@
             back.setdefault(step.door, step.at - BACK)
     writes = [
         (at - outcome.start) / SECOND - LOST
-        for hold in outcome.books.holds
+        for hold in outcome.request_log.link_faults
         if hold.target == ZONE
         for at in hold.writes
     ]
@@ -169,10 +169,10 @@
     for fault in given.fault or FAULTS:
         for seed in range(1, given.seeds + 1):
             outcome = played(fault, seed, given.root)
-            found, whole = leaving(outcome), outcome.service.whole
+            found, whole = leaving(outcome), outcome.service.total
             last, of = found.when(0.95, found.left, DOORS), len(found.left)
             late = sum(at > SETTLED for at in found.writes)
-            calls = outcome.keeper_calls / max(1, outcome.service.first_tries)
+            calls = outcome.counter_calls / max(1, outcome.service.first_attempts)
             kept, half = "yes" if outcome.kept else "NO", found.when(0.5, found.left, DOORS)
             print(
                 f"{fault:<21} {seed:4} {kept:<4}"
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -94,8 +94,8 @@
 
 def quiet(outcome: Outcome) -> Refusals:
     """What came of the tries of stores far within their quotas."""
-    calm = {store.customer for store in outcome.day.stores if store.manner == "calm"}
-    return refusals(outcome.books, outcome.day.scenario, calm)
+    calm = {store.customer for store in outcome.day.tenants if store.manner == "calm"}
+    return refusals(outcome.request_log, outcome.day.scenario, calm)
 
 
 def main() -> None:
@@ -108,11 +108,11 @@
     for fault in given.fault or FAULTS:
         for seed in range(1, given.seeds + 1):
             outcome = played(fault, seed, given.root)
-            calm, whole = quiet(outcome), outcome.service.whole
-            kept, worst = "yes" if outcome.kept else "NO", outcome.stores[0].overshoot
+            calm, whole = quiet(outcome), outcome.service.total
+            kept, worst = "yes" if outcome.kept else "NO", outcome.tenants[0].overshoot
             print(
                 f"{fault:<14} {seed:4} {kept:<4} {worst:6.1f} {bound(fault):6.1f} {calm.asked:6}"
-                f" {calm.part:10.3f} {whole.served / whole.offered:7.3f}",
+                f" {calm.fraction:10.3f} {whole.served / whole.offered:7.3f}",
                 flush=True,
             )
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -38,35 +38,35 @@
         made = replace(load("rush"), name=f"rush of {day}", faults=(rush,))
     else:
         made = load(day)
-    return replace(made, door=replace(made.door, sockets=sockets))
+    return replace(made, front_door=replace(made.front_door, sockets=sockets))
 
 
 def figures(outcome: Outcome, calm: Outcome) -> dict[str, Any]:
     """One day's line as plain values; `calm` is a calm day of the same seed and doors."""
     scenario, verdict, service = outcome.day.scenario, outcome.verdict, outcome.service
     faults = scenario.faults
-    tries = sum(bool(taken.at) for taken in outcome.books.taken)
+    tries = sum(bool(taken.at) for taken in outcome.request_log.client_attempts)
     cpu = sum(use.cpu or 0 for use in outcome.uses)
     last = max((f.at_s + f.for_s for f in faults), default=0.0)
     back = recovery(service.seconds, calm.service.seconds, last)
     return {
         "day": scenario.name,
         "seed": outcome.day.seed,
-        "sockets": scenario.door.sockets,
+        "sockets": scenario.front_door.sockets,
         "tries": tries,
         "lost": verdict.counts[Rule.ANSWERS],
         "other_breaches": sum(n for rule, n in verdict.counts.items() if rule is not Rule.ANSWERS),
         "crashes": len(outcome.crashes),
-        "served": round(service.whole.share, 4),
+        "served": round(service.total.share, 4),
         "by_capacity": round(outcome.reference, 4),
-        "of_it": round(service.whole.share / outcome.reference, 3) if outcome.reference else None,
+        "of_it": round(service.total.share / outcome.reference, 3) if outcome.reference else None,
         "goodput_per_s": round(service.inside_per_s, 1),
         "recovered_s": back,
         "p99_ms": round(service.percentile(0.99)),
         "cpu_us": round(cpu / tries) if tries else None,
         "files": max(use.files or 0 for use in outcome.uses),
         "memory_mb": round(max(use.memory or 0 for use in outcome.uses) / 1e6, 1),
-        "late_ms": round(outcome.books.lateness / 1000),
+        "late_ms": round(outcome.request_log.lateness / 1000),
     }
 
 
--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -26,10 +26,10 @@
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.server.config import parse
 from irisdeal.front_door.server.program import Program
-from irisdeal.testbed.counter_service import Keeper
-from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.counter_service import CounterServer
+from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.http import ServerConnection
-from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario import load
 
 TICK = 0.001  # s
@@ -81,9 +81,12 @@
     instant = Instant()
     server = await loop.create_server(lambda: ServerConnection(instant, 0, 0), "127.0.0.1", 0)
     port = int(server.sockets[0].getsockname()[1])
-    scenario = load("calm").resized(doors=1)
-    keeper, roster = Keeper(scenario.keeper, now, 1), Roster(scenario.roster, Books(), now, 1)
-    roster.ledger.change(Member("s-0", "hall-a", "std", 0, "Ready", 0, (port,)))
+    scenario = load("calm").resized(front_doors=1)
+    keeper, roster = (
+        CounterServer(scenario.counter, now, 1),
+        DiscoveryServer(scenario.discovery, RequestLog(), now, 1),
+    )
+    roster.endpoints.change(Endpoint("s-0", "hall-a", "std", 0, "Ready", 0, (port,)))
     await roster.start(range(1))
     await keeper.start(range(1))
     with tempfile.TemporaryDirectory() as folder:
--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -449,7 +449,9 @@
     except OSError as error:
         raise Unusable(f"--to {to}: {error.strerror}") from None
     made = scenario(table)
-    click.echo(f"{to}: {len(made.faults)} faults, {made.doors} doors, {made.seconds:g} s, after {plays} days")
+    click.echo(
+        f"{to}: {len(made.faults)} faults, {made.front_doors} doors, {made.seconds:g} s, after {plays} days"
+    )
 
 
 @chaos.command()
--- a/irisdeal/demo/__init__.py
+++ b/irisdeal/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A day on one machine: stand-ins in this process, real doors as processes by the deployment's `run` line."""
+"""A day on one machine: the testbed in this process, real front doors as processes."""
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -1,7 +1,7 @@
-"""Real doors as processes: started by the deployment's `run` line, signalled, watched, and ended for certain.
+"""Real front doors as processes: started by the deployment's `run` line, signalled, sampled and ended.
 
-Each door gets a session of its own, so that a Ctrl-C at the terminal does not reach it behind the demo's
-back, and so that whatever a door itself started ends with it. Nothing else is ever signalled.
+Each front door gets a session of its own, so that a Ctrl-C at the terminal does not reach it before the demo
+does, and so that the processes that it started end with it. Nothing else is ever signalled.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.testbed.load_generator import Terminals
-from irisdeal.testbed.load_processes import Crowd
+from irisdeal.testbed.load_generator import LoadGenerator
+from irisdeal.testbed.load_processes import LoadProcesses
 from irisdeal.testbed.platform import Platform
-from irisdeal.testbed.request_log import DoorLife
+from irisdeal.testbed.request_log import FrontDoorIncarnation
 
-READY_WITHIN = 30.0  # s; DEPLOY, Limits: clients come when all doors are ready, or after 30 s
+READY_WITHIN = 30.0  # s; DEPLOY, Limits: clients come when all front doors are ready, or after 30 s
 ENDS_WITHIN = 4.2  # s from SIGTERM to SIGKILL: the longest deadline (3 s at most), 0.7 s more, a margin
 LEAVES = 0.3  # s after SIGTERM in which new connections go on coming; PROTOCOL, Figures: 0.2 to 0.4 s
-POLL = 0.02  # s between two looks at a door's health while it starts
-SAMPLE = 0.5  # s between two looks at a door's memory and descriptors
-KEPT_LOG = 20_000  # bytes of a door's log that are kept for the report
+POLL = 0.02  # s between two looks at a front door's health while it starts
+SAMPLE = 0.5  # s between two looks at a front door's memory and descriptors
+KEPT_LOG = 20_000  # bytes of a front door's log that are kept for the report
 TICKS = os.sysconf("SC_CLK_TCK")  # of CPU time a second, as /proc counts it
 
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deploy:
-    """How doors are built and run: the two lines and the folder that they are run in."""
+    """How front doors are built and run: the two lines and the folder that they are run in."""
 
     root: Path
     run: str
@@ -69,10 +69,10 @@
     for candidate in candidates:
         if candidate.is_file():
             try:
-                told = tomllib.loads(candidate.read_text("utf-8"))
+                front_door_process = tomllib.loads(candidate.read_text("utf-8"))
             except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
                 raise CannotRun(f"{candidate}: {error}") from None
-            run, build = told.get("run"), told.get("build", "")
+            run, build = front_door_process.get("run"), front_door_process.get("build", "")
             if not isinstance(run, str) or not isinstance(build, str):
                 raise CannotRun(f"{candidate}: run: wanted the line that starts a door")
             return Deploy(candidate.resolve().parent.parent, run, build)
@@ -103,7 +103,7 @@
 def own_host() -> str:
     """An address of loopback that no other run on this machine has: by our process id.
 
-    A port that was looked for and given up is anybody's until its door binds it; on an address of one's own
+    A port that was looked for and given up is anybody's until its front door binds it; on an address of one's own
     nobody else looks. Where the system has the one address alone (not Linux), that one.
     """
     pid = os.getpid()  # 22 bits at most (proc(5), pid_max)
@@ -116,22 +116,22 @@
     return host
 
 
-PORTS = itertools.count(10_000)  # of the doors of this process, each used once
+PORTS = itertools.count(10_000)  # of the front doors of this process, each used once
 
 
 def own_address() -> tuple[str, int]:
-    """Where a door is to listen."""
+    """Where a front door is to listen."""
     host = own_host()
     return host, free_port() if host == "127.0.0.1" else next(PORTS)
 
 
 @dataclass(slots=True)
-class _Door:
+class _FrontDoor:
     number: int
     address: tuple[str, int]
     config: Path
     process: asyncio.subprocess.Process | None = None
-    life: DoorLife | None = None
+    incarnation: FrontDoorIncarnation | None = None
     wanted: bool = True  # an end that nobody asked for is a crash
     turn: int = 0  # of kills and restarts: the last one alone brings it back
     uses: list[Use] = field(default_factory=list)
@@ -144,38 +144,42 @@
         return f"{self.address[0]}:{self.address[1]}"
 
 
-class DoorProcesses:
-    """The doors of one run. Implements what the platform's timeline asks of doors."""
+class FrontDoorProcesses:
+    """The front doors of one run. Implements what the platform's timeline asks of front doors."""
 
     def __init__(self, platform: Platform, deploy: Deploy, folder: Path, seed: int) -> None:
         self.platform, self.deploy, self.folder = platform, deploy, folder
         self.random = random.Random(seed)
-        self.doors = [_Door(n, own_address(), folder / f"door-{n}.json") for n in platform.doors]
-        self.terminals: Terminals | Crowd | None = None
+        self.front_doors = [
+            _FrontDoor(n, own_address(), folder / f"door-{n}.json") for n in platform.front_doors
+        ]
+        self.load_generator: LoadGenerator | LoadProcesses | None = None
         self.crashes: list[str] = []
         self.sampler: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        return [door.address for door in self.doors]
+        return [front_door.address for front_door in self.front_doors]
 
     async def start(self) -> None:
-        """All doors, ready. Raises `CannotRun` where one does not come up."""
-        await asyncio.gather(*(self._start(door) for door in self.doors))
+        """All front doors, ready. Raises `CannotRun` where one does not come up."""
+        await asyncio.gather(*(self._start(front_door) for front_door in self.front_doors))
         self.sampler = asyncio.get_running_loop().create_task(self._sample())
 
-    async def _start(self, door: _Door) -> None:
-        self.platform.write_config(door.number, door.listen, self.random.getrandbits(63), door.config)
+    async def _start(self, front_door: _FrontDoor) -> None:
+        self.platform.write_config(
+            front_door.number, front_door.listen, self.random.getrandbits(63), front_door.config
+        )
         environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         environment |= {
-            "EDGE_NAME": f"n{door.number}",
-            "EDGE_LISTEN": door.listen,
-            "EDGE_DISCOVERY": self.platform.discovery(door.number),
-            "EDGE_CONFIG": str(door.config),
+            "EDGE_NAME": f"n{front_door.number}",
+            "EDGE_LISTEN": front_door.listen,
+            "EDGE_DISCOVERY": self.platform.discovery_address(front_door.number),
+            "EDGE_CONFIG": str(front_door.config),
             "TMPDIR": str(self.folder),
         }
-        door.process = await asyncio.create_subprocess_exec(
+        front_door.process = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
             self.deploy.run,
@@ -186,34 +190,38 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
-        door.life = DoorLife(door.number, door.process.pid, self.platform.now())
-        door.wanted = True
-        door.uses.append(Use())
-        self.platform.books.doors.append(door.life)
+        front_door.incarnation = FrontDoorIncarnation(
+            front_door.number, front_door.process.pid, self.platform.now()
+        )
+        front_door.wanted = True
+        front_door.uses.append(Use())
+        self.platform.request_log.front_doors.append(front_door.incarnation)
         loop = asyncio.get_running_loop()
-        door.log = bytearray()
-        door.reader = loop.create_task(self._read(door, door.process))
-        door.watcher = loop.create_task(self._watch(door, door.process, door.life))
+        front_door.log = bytearray()
+        front_door.reader = loop.create_task(self._read(front_door, front_door.process))
+        front_door.watcher = loop.create_task(
+            self._watch(front_door, front_door.process, front_door.incarnation)
+        )
         try:
             async with asyncio.timeout(READY_WITHIN):
-                while not await self._healthy(door):
-                    if door.process.returncode is not None:
+                while not await self._healthy(front_door):
+                    if front_door.process.returncode is not None:
                         await asyncio.sleep(POLL)
-                        last = bytes(door.log[-400:]).decode("utf-8", "replace").strip()
+                        last = bytes(front_door.log[-400:]).decode("utf-8", "replace").strip()
                         raise CannotRun(
-                            f"door {door.number} ended at its start with exit code "
-                            f"{door.process.returncode}: {last}"
+                            f"door {front_door.number} ended at its start with exit code "
+                            f"{front_door.process.returncode}: {last}"
                         )
                     await asyncio.sleep(POLL)
         except TimeoutError:
-            raise CannotRun(f"door {door.number} was not ready after {READY_WITHIN:g} s") from None
-        door.life.ready = self.platform.now()
-        measure(door.process.pid, door.uses[-1])
-        door.uses[-1].start_cpu = door.uses[-1].cpu or 0
+            raise CannotRun(f"door {front_door.number} was not ready after {READY_WITHIN:g} s") from None
+        front_door.incarnation.ready = self.platform.now()
+        measure(front_door.process.pid, front_door.uses[-1])
+        front_door.uses[-1].start_cpu = front_door.uses[-1].cpu or 0
 
-    async def _healthy(self, door: _Door) -> bool:
+    async def _healthy(self, front_door: _FrontDoor) -> bool:
         try:
-            reader, writer = await asyncio.open_connection(*door.address)
+            reader, writer = await asyncio.open_connection(*front_door.address)
         except OSError:
             return False
         try:
@@ -224,145 +232,159 @@
         finally:
             writer.transport.abort()
 
-    async def _read(self, door: _Door, process: asyncio.subprocess.Process) -> None:
+    async def _read(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
-        log = door.log
+        log = front_door.log
         while chunk := await process.stdout.read(65_536):
             log += chunk
             del log[:-KEPT_LOG]
 
-    async def _watch(self, door: _Door, process: asyncio.subprocess.Process, life: DoorLife) -> None:
+    async def _watch(
+        self, front_door: _FrontDoor, process: asyncio.subprocess.Process, incarnation: FrontDoorIncarnation
+    ) -> None:
         code = await process.wait()
-        life.ended, life.code = self.platform.now(), code
-        life.log = bytes(door.log).decode("utf-8", "replace")
-        if door.wanted:
-            last = life.log.strip().splitlines()[-1:] or ["no log"]
-            self.crashes.append(f"door {door.number} ended by itself with exit code {code}: {last[0][:200]}")
-        if self.terminals is not None:
+        incarnation.ended, incarnation.code = self.platform.now(), code
+        incarnation.log = bytes(front_door.log).decode("utf-8", "replace")
+        if front_door.wanted:
+            last = incarnation.log.strip().splitlines()[-1:] or ["no log"]
+            self.crashes.append(
+                f"door {front_door.number} ended by itself with exit code {code}: {last[0][:200]}"
+            )
+        if self.load_generator is not None:
             asyncio.get_running_loop().call_later(
-                self.platform.scenario.load.notice_s, self._noticed, door, process
+                self.platform.scenario.load.notice_s, self._noticed, front_door, process
             )
 
-    def _noticed(self, door: _Door, process: asyncio.subprocess.Process) -> None:
-        """The front leaves a dead door out, unless another process stands there by now."""
-        if door.process is process and self.terminals is not None:
-            self.terminals.door_down(door.number)
+    def _noticed(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
+        """The front leaves a dead front door out, unless another process stands there by now."""
+        if front_door.process is process and self.load_generator is not None:
+            self.load_generator.front_door_down(front_door.number)
 
     # What the timeline does
 
-    def _signal(self, door: _Door, number: int) -> None:
-        process = door.process
+    def _signal(self, front_door: _FrontDoor, number: int) -> None:
+        process = front_door.process
         if process is not None and process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(process.pid, number)
 
-    async def kill(self, door: int, down: float) -> None:
-        told = self.doors[door]
-        if told.process is None or told.life is None or told.process.returncode is not None:
+    async def kill(self, front_door: int, down: float) -> None:
+        front_door_process = self.front_doors[front_door]
+        if (
+            front_door_process.process is None
+            or front_door_process.incarnation is None
+            or front_door_process.process.returncode is not None
+        ):
             return
-        told.wanted = False
-        told.turn = turn = told.turn + 1
-        told.life.killed = self.platform.now()
-        self._kill_group(told)
-        await told.process.wait()
+        front_door_process.wanted = False
+        front_door_process.turn = turn = front_door_process.turn + 1
+        front_door_process.incarnation.killed = self.platform.now()
+        self._kill_group(front_door_process)
+        await front_door_process.process.wait()
         await asyncio.sleep(down)
-        await self._again(told, turn)
+        await self._start_again(front_door_process, turn)
 
-    async def restart(self, door: int) -> None:
-        told = self.doors[door]
-        if told.process is None or told.process.returncode is not None:
+    async def restart(self, front_door: int) -> None:
+        front_door_process = self.front_doors[front_door]
+        if front_door_process.process is None or front_door_process.process.returncode is not None:
             return
-        told.turn = turn = told.turn + 1
-        self._end(told)
-        await self._wait(told)
-        await self._again(told, turn)
-
-    async def stall(self, door: int, seconds: float) -> None:
-        told, start = self.doors[door], self.platform.now()
-        process = told.process
+        front_door_process.turn = turn = front_door_process.turn + 1
+        self._end(front_door_process)
+        await self._wait(front_door_process)
+        await self._start_again(front_door_process, turn)
+
+    async def stall(self, front_door: int, seconds: float) -> None:
+        front_door_process, start = self.front_doors[front_door], self.platform.now()
+        process = front_door_process.process
         if process is None or process.returncode is not None:
             return
-        self._signal(told, signal.SIGSTOP)
+        self._signal(front_door_process, signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
-            self.platform.books.pauses.append((door, start, self.platform.now()))
-            if told.process is process:
-                self._signal(told, signal.SIGCONT)
-
-    async def reload(self, door: int) -> None:
-        told = self.doors[door]
-        self.platform.write_config(door, told.listen, self.random.getrandbits(63), told.config)
-        self._signal(told, signal.SIGHUP)
+            self.platform.request_log.pauses.append((front_door, start, self.platform.now()))
+            if front_door_process.process is process:
+                self._signal(front_door_process, signal.SIGCONT)
+
+    async def reload(self, front_door: int) -> None:
+        front_door_process = self.front_doors[front_door]
+        self.platform.write_config(
+            front_door, front_door_process.listen, self.random.getrandbits(63), front_door_process.config
+        )
+        self._signal(front_door_process, signal.SIGHUP)
 
-    async def _again(self, door: _Door, turn: int) -> None:
-        if self.platform.closed or door.turn != turn:  # a kill amid a restart's drain: one start, not two
+    async def _start_again(self, front_door: _FrontDoor, turn: int) -> None:
+        if (
+            self.platform.closed or front_door.turn != turn
+        ):  # a kill amid a restart's drain: one start, not two
             return
-        await self._start(door)
-        if self.terminals is not None:
-            self.terminals.door_up(door.number)
-        self.platform.note(f"door {door.number} is back")
-
-    def _end(self, door: _Door) -> None:
-        door.wanted = False
-        assert door.life is not None
-        door.life.terminated = self.platform.now()
-        self._signal(door, signal.SIGTERM)
-        if self.terminals is not None:
-            asyncio.get_running_loop().call_later(LEAVES, self.terminals.door_leaves, door.number)
-
-    async def _wait(self, door: _Door) -> None:
+        await self._start(front_door)
+        if self.load_generator is not None:
+            self.load_generator.front_door_up(front_door.number)
+        self.platform.record_fault(f"door {front_door.number} is back")
+
+    def _end(self, front_door: _FrontDoor) -> None:
+        front_door.wanted = False
+        assert front_door.incarnation is not None
+        front_door.incarnation.terminated = self.platform.now()
+        self._signal(front_door, signal.SIGTERM)
+        if self.load_generator is not None:
+            asyncio.get_running_loop().call_later(
+                LEAVES, self.load_generator.front_door_draining, front_door.number
+            )
+
+    async def _wait(self, front_door: _FrontDoor) -> None:
         """Until it has ended; SIGKILL where it does not in time."""
-        assert door.process is not None and door.life is not None
+        assert front_door.process is not None and front_door.incarnation is not None
         try:
             async with asyncio.timeout(ENDS_WITHIN):
-                await door.process.wait()
+                await front_door.process.wait()
         except TimeoutError:
-            door.life.killed = self.platform.now()
-            self._kill_group(door)
-            await door.process.wait()
+            front_door.incarnation.killed = self.platform.now()
+            self._kill_group(front_door)
+            await front_door.process.wait()
 
-    def _kill_group(self, door: _Door) -> None:
-        assert door.process is not None
+    def _kill_group(self, front_door: _FrontDoor) -> None:
+        assert front_door.process is not None
         with suppress(ProcessLookupError, PermissionError):
-            os.killpg(door.process.pid, signal.SIGKILL)  # its own session, made by us
+            os.killpg(front_door.process.pid, signal.SIGKILL)  # its own session, made by us
 
     async def stop(self) -> None:
-        """End all doors in good order."""
+        """End all front doors in good order."""
         if self.sampler is not None:
             self.sampler.cancel()
-        self._look()
-        running = [d for d in self.doors if d.process is not None and d.process.returncode is None]
-        for door in running:
-            self._end(door)
-        await asyncio.gather(*(self._wait(door) for door in running))
-        for door in self.doors:
-            if door.watcher is not None:
-                await door.watcher
+        self._measure_all()
+        running = [d for d in self.front_doors if d.process is not None and d.process.returncode is None]
+        for front_door in running:
+            self._end(front_door)
+        await asyncio.gather(*(self._wait(front_door) for front_door in running))
+        for front_door in self.front_doors:
+            if front_door.watcher is not None:
+                await front_door.watcher
 
     def kill_all(self) -> None:
-        """At once, from wherever: what is still there of our doors ends."""
-        for door in self.doors:
-            door.wanted = False
-            if door.process is not None and door.process.returncode is None:
-                self._kill_group(door)
+        """At once, from wherever: what is still there of our front doors ends."""
+        for front_door in self.front_doors:
+            front_door.wanted = False
+            if front_door.process is not None and front_door.process.returncode is None:
+                self._kill_group(front_door)
 
     # What they use
 
     async def _sample(self) -> None:
         while True:
-            self._look()
+            self._measure_all()
             await asyncio.sleep(SAMPLE)
 
-    def _look(self) -> None:
-        for door in self.doors:
-            if door.process is not None and door.process.returncode is None:
-                measure(door.process.pid, door.uses[-1])
+    def _measure_all(self) -> None:
+        for front_door in self.front_doors:
+            if front_door.process is not None and front_door.process.returncode is None:
+                measure(front_door.process.pid, front_door.uses[-1])
 
-    def use(self, door: int) -> Use:
-        """Over all lives of a door: CPU added up, the most of the others."""
+    def use(self, front_door: int) -> Use:
+        """Over all lives of a front door: CPU added up, the most of the others."""
         total = Use()
-        for use in self.doors[door].uses:
+        for use in self.front_doors[front_door].uses:
             total.cpu = use.cpu if total.cpu is None else total.cpu + (use.cpu or 0)
             total.memory = max((m for m in (total.memory, use.memory) if m is not None), default=None)
             total.files = max((f for f in (total.files, use.files) if f is not None), default=None)
@@ -381,5 +403,5 @@
 
 
 def make_folder() -> tempfile.TemporaryDirectory[str]:
-    """Where the doors' configurations stand while the demo runs."""
+    """Where the front doors' configurations stand while the demo runs."""
     return tempfile.TemporaryDirectory(prefix="irisdeal-demo-")
--- a/irisdeal/demo/report.py
+++ b/irisdeal/demo/report.py
@@ -22,21 +22,21 @@
         "scenario": day.scenario.name,
         "seed": day.seed,
         "schedule": day.digest(),
-        "doors": day.scenario.doors,
-        "boxes": day.scenario.fleet.boxes,
+        "doors": day.scenario.front_doors,
+        "boxes": day.scenario.fleet.backends,
         "seconds": day.scenario.seconds,
         "interrupted_after": outcome.interrupted,
         "service": {
             "by_capacity_alone": outcome.reference,
-            "whole": service.whole.share,
+            "whole": service.total.share,
             "worst_10s": service.worst,
             "worst_10s_at": service.worst_at,
             "by_class": {name: share.share for name, share in service.kinds.items()},
             "by_plan": {name: share.share for name, share in service.plans.items()},
             "beyond_quota": service.beyond_units,
             "inside_per_s": service.inside_per_s,
-            "first_tries": service.first_tries,
-            "tries": service.tries,
+            "first_tries": service.first_attempts,
+            "tries": service.client_attempts,
             "attempts": service.attempts,
             "refused": service.refused,
             "failed": service.failed,
@@ -46,7 +46,11 @@
         "doors_used": [
             {
                 "door": n,
-                "pids": [life.pid for life in outcome.books.doors if life.door == n],
+                "pids": [
+                    incarnation.pid
+                    for incarnation in outcome.request_log.front_doors
+                    if incarnation.front_door == n
+                ],
                 "requests": requests[n],
                 "cpu_us_per_request": round(use.cpu / requests[n]) if use.cpu and requests[n] else None,
                 "memory_bytes": use.memory,
@@ -62,13 +66,13 @@
                 "units_allowed": use.allowed,
                 "overshoot_units": use.overshoot,
                 "worst_at": (use.worst_at - outcome.start) / 1e6 if use.worst_at else None,
-                "doors": use.doors,
+                "doors": use.front_doors,
             }
-            for use in outcome.stores
+            for use in outcome.tenants
         ],
         "by_manner": {
             name: {
-                "stores": use.stores,
+                "stores": use.tenants,
                 "asks": use.asks,
                 "inside": use.inside,
                 "inside_unserved": use.unserved,
@@ -78,23 +82,25 @@
             }
             for name, use in outcome.manners.items()
         },
-        "keeper_calls": outcome.keeper_calls,
+        "keeper_calls": outcome.counter_calls,
         "standins": {
             "cpu_s": outcome.own_cpu / 1e6,
             "late_ms": outcome.lateness / 1000,
-            "late_at_start_or_end_ms": outcome.books.lateness / 1000,
+            "late_at_start_or_end_ms": outcome.request_log.lateness / 1000,
         },
-        "faults": [{"at": (at - outcome.start) / 1e6, "what": text} for at, text in outcome.books.faults],
+        "faults": [
+            {"at": (at - outcome.start) / 1e6, "what": text} for at, text in outcome.request_log.faults
+        ],
         "crashes": outcome.crashes,
         "rules": {
             rule.name.lower(): {
                 "kept": not verdict.counts[rule],
                 "breaches": verdict.counts[rule],
-                "looked_at": verdict.looked[rule],
+                "looked_at": verdict.checked[rule],
             }
             for rule in Rule
         },
-        "strangers": outcome.books.strangers,
+        "strangers": outcome.request_log.misbehaving_clients,
         "excused": verdict.excused,
         "breaches": [breach.text(outcome.start) for breach in verdict.breaches],
         "kept": outcome.kept,
@@ -102,20 +108,20 @@
 
 
 def _requests(outcome: Outcome) -> list[int]:
-    counts = [0] * outcome.day.scenario.doors
-    for taken in outcome.books.taken:
-        counts[taken.door] += bool(taken.at)
+    counts = [0] * outcome.day.scenario.front_doors
+    for client_attempt in outcome.request_log.client_attempts:
+        counts[client_attempt.front_door] += bool(client_attempt.at)
     return counts
 
 
-def show(outcome: Outcome, console: Console, stores: int = 5) -> None:
-    """The tables; `stores` of those that went furthest over their quotas."""
+def show(outcome: Outcome, console: Console, tenants: int = 5) -> None:
+    """The tables; `tenants` of those that went furthest over their quotas."""
     told = as_json(outcome)
     scenario, service = outcome.day.scenario, told["service"]
     if outcome.interrupted is not None:
         console.print(f"[bold]Interrupted after {outcome.interrupted:.1f} s.[/] What was measured till then:")
     console.print(
-        f"[bold]{scenario.name}[/]: {scenario.doors} doors, {scenario.fleet.boxes} boxes, "
+        f"[bold]{scenario.name}[/]: {scenario.front_doors} doors, {scenario.fleet.backends} boxes, "
         f"{scenario.seconds:g} s, seed {outcome.day.seed} (schedule {told['schedule']})"
     )
     table = Table(title="Worth answered in time, of the worth asked inside the quotas", title_justify="left")
@@ -174,13 +180,15 @@
             _or_dash(use["descriptors"]),
         )
     console.print(table)
-    if stores:
-        over = sum(use.overshoot > 0 for use in outcome.stores)
-        title = f"Over their quotas by the boxes' books: {over} of {len(outcome.stores)} stores; the furthest"
+    if tenants:
+        over = sum(use.overshoot > 0 for use in outcome.tenants)
+        title = (
+            f"Over their quotas by the boxes' books: {over} of {len(outcome.tenants)} stores; the furthest"
+        )
         table = Table(title=title, title_justify="left")
         for name in ("store", "plan", "units sent", "allowed", "most over in any span", "at s", "doors"):
             table.add_column(name, justify="left" if name in ("store", "plan") else "right")
-        for use in outcome.stores[:stores]:
+        for use in outcome.tenants[:tenants]:
             at = f"{(use.worst_at - outcome.start) / 1e6:.1f}" if use.worst_at else "-"
             table.add_row(
                 f"{use.customer:09x}",
@@ -189,7 +197,7 @@
                 f"{use.allowed:.0f}",
                 f"{use.overshoot:.1f}",
                 at,
-                str(use.doors),
+                str(use.front_doors),
             )
         console.print(table)
     for fault in told["faults"]:
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -23,10 +23,11 @@
 from irisdeal.simulation.network import Network, Port, Socket, Way
 from irisdeal.simulation.world import START, Trail, World
 from irisdeal.testbed.audit import Verdict, audit
+from irisdeal.testbed.digest_text import digest_text
 from irisdeal.testbed.fault_proxy import Condition
-from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
-from irisdeal.testbed.request_log import Books, DoorLife, Hold
+from irisdeal.testbed.request_log import FrontDoorIncarnation, LinkFault, RequestLog
 from irisdeal.testbed.service_report import Service, reckon
 from irisdeal.testbed.workload import Day, stream
 
@@ -65,12 +66,12 @@
 
 
 class VirtualLinks:
-    """Named ways with faults, as `standins.relay.Relay` on sockets."""
+    """Named ways with faults, as `irisdeal.testbed.fault_proxy.Relay` on sockets."""
 
-    def __init__(self, net: Network, now: Callable[[], int], holds: list[Hold]) -> None:
+    def __init__(self, net: Network, now: Callable[[], int], holds: list[LinkFault]) -> None:
         self.net, self.now, self.holds = net, now, holds
         self.links: list[tuple[str, str, Way]] = []
-        self.open: dict[Way, Hold] = {}
+        self.open: dict[Way, LinkFault] = {}
 
     async def add(self, source: str, target: str, to: tuple[str, int]) -> tuple[str, int]:
         way = Way(self.net.usual.delay, self.net.usual.jitter)
@@ -78,8 +79,8 @@
         return self.net.lead(to, way)
 
     def set(self, names: Any, condition: Condition, target: str = "") -> None:
-        if condition.way != "both":
-            raise ValueError(f"silence {condition.way}: wanted both ways, in virtual time")
+        if condition.direction != "both":
+            raise ValueError(f"silence {condition.direction}: wanted both ways, in virtual time")
         wanted, to = set(names), target
         for source, target, way in self.links:
             if (
@@ -90,14 +91,14 @@
                 continue
             if (hold := self.open.pop(way, None)) is not None:
                 hold.end = self.now()
-            if condition.holds or condition.delay:
-                late = 0 if condition.holds else round(condition.delay * 1e6)
-                self.open[way] = hold = Hold(source, target, self.now(), late=late)
+            if condition.withholds or condition.delay:
+                late = 0 if condition.withholds else round(condition.delay * 1e6)
+                self.open[way] = hold = LinkFault(source, target, self.now(), late=late)
                 self.holds.append(hold)
             way.delay = self.net.usual.delay + round(condition.delay * 1e6)
             way.rate = condition.rate
-            if condition.holds:
-                way.silent, way.cut = condition.silent, condition.cut
+            if condition.withholds:
+                way.silent, way.cut = condition.stalled, condition.partitioned
             else:
                 self.net.release(way)
 
@@ -119,7 +120,7 @@
     config: dict[str, Any] = field(default_factory=dict)
     machine: Machine | None = None
     program: Program | None = None
-    life: DoorLife | None = None
+    life: FrontDoorIncarnation | None = None
     wanted: bool = True  # an end that nobody asked for is a crash
     turn: int = 0  # of kills and restarts: the last one alone brings it back
 
@@ -144,9 +145,9 @@
         shared = [Core() for _ in range(cores)]
         self.doors = [
             _Door(n, ("127.0.0.1", net.free_port()), shared[n % cores] if cores else Core())
-            for n in platform.doors
+            for n in platform.front_doors
         ]
-        self.terminals: Terminals | None = None
+        self.terminals: LoadGenerator | None = None
         self.crashes: list[str] = []
         self.errors: list[str] = []
         self.used = 0  # µs of CPU of all doors that have ended
@@ -183,8 +184,8 @@
             files=config.sockets,
         )
         machine.ignore(signal.SIGHUP)  # until the program has a handler, as `main` has it
-        door.life = DoorLife(door.number, 0, self.platform.now())
-        self.platform.books.doors.append(door.life)
+        door.life = FrontDoorIncarnation(door.number, 0, self.platform.now())
+        self.platform.request_log.front_doors.append(door.life)
         door.wanted = True
         machine.on_exit = lambda: self._ended(door, machine)
         machine.pause(self.world.now + BOOT)
@@ -231,7 +232,7 @@
     def _noticed(self, door: _Door, machine: Machine) -> None:
         """The front leaves a dead door out, unless another process stands there by now."""
         if door.machine is machine and self.terminals is not None:
-            self.terminals.door_down(door.number)
+            self.terminals.front_door_down(door.number)
 
     # What the timeline does
 
@@ -261,7 +262,7 @@
             return
         until = self.world.now + round(seconds * 1e6)
         told.machine.pause(until)
-        self.platform.books.pauses.append((door, self.platform.now(), EPOCH + until))
+        self.platform.request_log.pauses.append((door, self.platform.now(), EPOCH + until))
         await asyncio.sleep(seconds)
 
     async def reload(self, door: int) -> None:
@@ -275,8 +276,8 @@
             return
         await self._start(door)
         if self.terminals is not None:
-            self.terminals.door_up(door.number)
-        self.platform.note(f"door {door.number} is back")
+            self.terminals.front_door_up(door.number)
+        self.platform.record_fault(f"door {door.number} is back")
 
     def _end(self, door: _Door) -> None:
         assert door.life is not None and door.machine is not None
@@ -284,7 +285,7 @@
         door.life.terminated = self.platform.now()
         door.machine.signal(signal.SIGTERM)
         if self.terminals is not None:
-            asyncio.get_running_loop().call_later(LEAVES, self.terminals.door_leaves, door.number)
+            asyncio.get_running_loop().call_later(LEAVES, self.terminals.front_door_draining, door.number)
 
     async def _wait(self, door: _Door) -> None:
         """Until it has ended; SIGKILL where it does not in time."""
@@ -317,7 +318,7 @@
     """What one day in virtual time showed."""
 
     day: Day
-    books: Books
+    books: RequestLog
     verdict: Verdict
     service: Service
     start: int  # µs, as the books count
@@ -345,17 +346,17 @@
     def digest(self) -> str:
         """Of all books, by the byte, and of every step of the world."""
         books = self.books
-        text = repr(
+        text = digest_text(
             (
                 books.attempts,
-                books.taken,
-                books.told,
-                books.lives,
+                books.client_attempts,
+                books.endpoint_notices,
+                books.incarnations,
                 books.fallen,
-                books.doors,
-                books.holds,
+                books.front_doors,
+                books.link_faults,
                 books.faults,
-                books.strangers,
+                books.misbehaving_clients,
             )
         )
         return f"{hashlib.blake2b(text.encode(), digest_size=8).hexdigest()}-{self.trail.digest()}"
@@ -368,7 +369,7 @@
     costs: Costs = DOOR_COSTS,
     cores: int = 0,
     keep: int | None = None,
-    during: Callable[[Platform, VirtualDoors, Terminals], None] = lambda *_: None,
+    during: Callable[[Platform, VirtualDoors, LoadGenerator], None] = lambda *_: None,
     way: Way | None = None,
 ) -> Played:
     """Play a day to its end.
@@ -384,10 +385,10 @@
     def now() -> int:
         return EPOCH + machine.instant()
 
-    holds: list[Hold] = []
+    holds: list[LinkFault] = []
     platform = Platform(day, now, links=VirtualLinks(net, now, holds))
-    platform.books.holds = holds
-    platform.looks_late = False
+    platform.request_log.link_faults = holds
+    platform.monitors_lag = False
     doors = VirtualDoors(platform, world, net, costs, cores, make, spoil)
     found: dict[str, Any] = {}
     over: list[int] = []
@@ -395,7 +396,7 @@
     async def run() -> int:
         await platform.start()
         await doors.start()
-        terminals = doors.terminals = Terminals(day, platform.books, now, doors.addresses)
+        terminals = doors.terminals = LoadGenerator(day, platform.request_log, now, doors.addresses)
         terminals.readable = _can_read
         found["start"] = start = now() + 50_000
         platform.play(start, doors)
@@ -419,7 +420,7 @@
         world.run(lambda: bool(over), START + round((day.scenario.seconds + LONGEST) * 1e6))
     finally:
         doors.kill_all()
-    books = platform.books
+    books = platform.request_log
     return Played(
         day,
         books,
@@ -431,7 +432,7 @@
         doors.crashes,
         doors.errors + machine.errors,
         found.get("left", []),
-        platform.keeper.calls,
+        platform.counter.calls,
         doors.used,
         found.get("latest", 0),
     )
--- a/irisdeal/simulation/search/judge.py
+++ b/irisdeal/simulation/search/judge.py
@@ -69,7 +69,7 @@
         made.broken, made.texts = played.broken(), _texts(played)
         if not made.broken and table.get("at") and (missed := _not_back(table, played)):
             made.broken, made.texts = ["recovery"], [missed]
-    made.digest, made.asks, made.share = played.digest(), len(day.arrivals), played.service.whole.share
+    made.digest, made.asks, made.share = played.digest(), len(day.arrivals), played.service.total.share
     made.states, made.pairs = probe.numbers(), probe.pairs()
     made.moments = moments(played)
     made.virtual, made.real = played.seconds, time.perf_counter() - begun
@@ -96,9 +96,11 @@
     books, faults = played.books, played.day.scenario.faults
     ended = max(f.at_s + f.for_s for f in faults)
     last = played.start + round(ended * 1e6)
-    if any(life.at > played.start for life in books.lives) or any(t.phase != "Ready" for t in books.told):
+    if any(life.at > played.start for life in books.incarnations) or any(
+        t.phase != "Ready" for t in books.endpoint_notices
+    ):
         return ""
-    if any(life.ready > last or not life.ready for life in books.doors):
+    if any(life.ready > last or not life.ready for life in books.front_doors):
         return ""
     since = math.ceil(max(ended, played.day.scenario.seconds - QUIET) + BACK_WITHIN)
     offered, served = _inside(played, since)
@@ -118,7 +120,7 @@
 def moments(played: Played) -> list[Moment]:
     """Moments of this day at which a fault would matter, spread over it; times in s from its start."""
     start, books = played.start, played.books
-    answers = {taken.trace: taken.answers[0].at for taken in books.taken if taken.answers}
+    answers = {taken.trace: taken.answers[0].at for taken in books.client_attempts if taken.answers}
     found: list[Moment] = []
 
     def add(what: str, at: int, door: int = 0, hall: str = "") -> None:
@@ -129,22 +131,22 @@
             add(
                 "between a box's answer and the client's",
                 (attempt.ended + answered) // 2,
-                attempt.door,
-                attempt.hall,
+                attempt.front_door,
+                attempt.zone,
             )
-        add("as a box takes a request", attempt.last_byte + 1, attempt.door, attempt.hall)
-    for taken in books.taken[::11]:
+        add("as a box takes a request", attempt.last_byte + 1, attempt.front_door, attempt.zone)
+    for taken in books.client_attempts[::11]:
         if taken.at:
-            add("between a call to the keeper and its answer", taken.at + 900, taken.door)
-    for told in books.told:
+            add("between a call to the keeper and its answer", taken.at + 900, taken.front_door)
+    for told in books.endpoint_notices:
         if told.at > start and told.phase != "Ready":
-            add("at a drain's notice", told.at + 300, told.door)
-    for life in books.doors:
+            add("at a drain's notice", told.at + 300, told.front_door)
+    for life in books.front_doors:
         if life.terminated:
-            add("at SIGTERM", life.terminated + 200, life.door)
-            add("as a door stops to accept", life.terminated + 500_000, life.door)
+            add("at SIGTERM", life.terminated + 200, life.front_door)
+            add("as a door stops to accept", life.terminated + 500_000, life.front_door)
         if life.ready > start:
-            add("as a door is back", life.ready + 200, life.door)
+            add("as a door is back", life.ready + 200, life.front_door)
     step = max(1, len(found) // MOST_MOMENTS)
     return found[::step][:MOST_MOMENTS]
 
--- a/irisdeal/simulation/search/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from irisdeal.simulation.search.front_door_day import Played
-from irisdeal.testbed.request_log import Attempt, DoorLife, Taken
+from irisdeal.testbed.request_log import Attempt, ClientAttempt, FrontDoorIncarnation
 
 Line = tuple[int, str]
 
@@ -12,40 +12,44 @@
     """Lines with their time in s; empty where what was asked for never came up."""
     books = played.books
     lines: list[Line] = [(at, f"fault: {text}") for at, text in books.faults]
-    for life in books.doors:
-        if door is None or life.door == door:
+    for life in books.front_doors:
+        if door is None or life.front_door == door:
             lines += _life(life)
     found = False
     if trace:
-        ask = next((t.ask for t in books.taken if t.trace == trace), None)
-        tries = [t for t in books.taken if t.ask == ask and ask is not None]
+        ask = next((t.ask for t in books.client_attempts if t.trace == trace), None)
+        tries = [t for t in books.client_attempts if t.ask == ask and ask is not None]
         names = {t.trace for t in tries}
         found = bool(tries)
         for taken in tries:
             lines += _taken(taken)
         lines += [line for a in books.attempts if a.trace in names for line in _attempt(a)]
     if box:
-        mine = [a for a in books.attempts if a.box == box]
-        told = [t for t in books.told if t.box == box]
-        found = found or bool(mine or told or any(life.box == box for life in books.lives))
+        mine = [a for a in books.attempts if a.backend == box]
+        told = [t for t in books.endpoint_notices if t.backend == box]
+        found = found or bool(mine or told or any(life.backend == box for life in books.incarnations))
         lines += [line for a in mine for line in _attempt(a)]
-        lines += [(t.at, f"door {t.door} is told: {box} {t.phase}") for t in told]
+        lines += [(t.at, f"door {t.front_door} is told: {box} {t.phase}") for t in told]
         lines += [
-            (life.at, f"{box} starts, life {life.life}")
-            for life in books.lives
-            if life.box == box and life.at
+            (life.at, f"{box} starts, life {life.incarnation}")
+            for life in books.incarnations
+            if life.backend == box and life.at
         ]
         lines += [(at, f"{box} falls over, life {n}") for name, n, at in books.fallen if name == box]
     if door is not None:
-        found = found or any(life.door == door for life in books.doors)
-        for taken in (t for t in books.taken if t.door == door):
+        found = found or any(life.front_door == door for life in books.front_doors)
+        for taken in (t for t in books.client_attempts if t.front_door == door):
             lines += _taken(taken)
-        lines += [(t.at, f"door {door} is told: {t.box} {t.phase}") for t in books.told if t.door == door]
+        lines += [
+            (t.at, f"door {door} is told: {t.backend} {t.phase}")
+            for t in books.endpoint_notices
+            if t.front_door == door
+        ]
     if not (trace or box or door is not None):
         found = True
     for breach in played.verdict.breaches:
         at = breach.times[-1] if breach.times else played.start
-        if not (trace or box) or breach.request == trace or box in breach.boxes:
+        if not (trace or box) or breach.request == trace or box in breach.backends:
             lines.append((at, f"BROKEN: {breach.text(played.start)}"))
     if not found:
         return []
@@ -55,8 +59,8 @@
     ]
 
 
-def _life(life: DoorLife) -> list[Line]:
-    door = f"door {life.door}"
+def _life(life: FrontDoorIncarnation) -> list[Line]:
+    door = f"door {life.front_door}"
     found = [
         (life.started, f"{door} starts"),
         (life.ready, f"{door} is ready"),
@@ -67,21 +71,21 @@
     return [line for line in found if line[0]]
 
 
-def _taken(taken: Taken) -> list[Line]:
-    name = f"{taken.trace} ({taken.kind}, {taken.plan}, try {taken.attempt}, door {taken.door})"
+def _taken(taken: ClientAttempt) -> list[Line]:
+    name = f"{taken.trace} ({taken.kind}, {taken.plan}, try {taken.attempt}, door {taken.front_door})"
     lines = [(taken.due, f"{name} is due, waits {taken.wait / 1000:.0f} ms")]
     if taken.at:
         lines.append((taken.at, f"{name} is written"))
     lines += [(a.at, f"{name} is answered {a.status}") for a in taken.answers]
-    if taken.cut:
-        lines.append((taken.cut, f"{name}: its connection ends with no answer"))
+    if taken.disconnected_at:
+        lines.append((taken.disconnected_at, f"{name}: its connection ends with no answer"))
     if taken.gave_up:
         lines.append((taken.gave_up, f"{name} is given up by its client"))
     return lines
 
 
 def _attempt(attempt: Attempt) -> list[Line]:
-    name = f"{attempt.trace} at {attempt.box} ({attempt.hall}, from door {attempt.door})"
+    name = f"{attempt.trace} at {attempt.backend} ({attempt.zone}, from door {attempt.front_door})"
     lines = [(attempt.last_byte, f"{name} has come")]
     if attempt.ended:
         ran = ", ran" * attempt.ran + ", an effect" * attempt.effect
--- a/irisdeal/testbed/__init__.py
+++ b/irisdeal/testbed/__init__.py
@@ -1,5 +1,6 @@
-"""A stand-in platform on loopback: boxes, roster, count keeper, terminals, faults, and the judge of it all.
+"""A platform on loopback to test front doors in: backends, discovery, counter service, load, faults, audit.
 
-Nothing here imports the door. What each stand-in saw is in its own books (`books.py`); `audit.py` judges the
-five rules by those books alone, and `service.py` reckons what the stores got.
+Nothing here imports the front door. Each service records what it observed in a request log (`request_log`);
+`audit` judges the five rules by these logs alone, and `service_report` computes the service that the tenants
+received.
 """
--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -1,7 +1,8 @@
-"""A box (backend) on loopback sockets: PROTOCOL, Front doors to backends, round `BoxModel`.
+"""A backend on loopback sockets (PROTOCOL, Front doors to backends), around the pure `BackendModel`.
 
-Each door has an address of its own to reach it by, so that its book can tell the doors apart without asking
-them. Every attempt that came whole is in `books.attempts`, from its first byte to its end.
+Each front door has an address of its own to reach the backend by, so that the request log can tell the front
+doors apart without asking them. Every complete request is an attempt in the log, from its first byte to its
+end.
 """
 
 from __future__ import annotations
@@ -14,9 +15,17 @@
 from typing import cast
 
 from irisdeal.testbed.audit import Figures
-from irisdeal.testbed.backend_model import BoxModel, Done, HallMemory, Job, Meter, Report, Verdict
+from irisdeal.testbed.backend_model import (
+    Admission,
+    BackendModel,
+    Completion,
+    IdempotencyMemory,
+    Job,
+    LoadReport,
+    Meter,
+)
 from irisdeal.testbed.http import Request, ServerConnection
-from irisdeal.testbed.request_log import Attempt, Books, End, Life, Now
+from irisdeal.testbed.request_log import Attempt, BackendIncarnation, End, Now, RequestLog
 from irisdeal.testbed.scenario import Class, Fleet
 from irisdeal.testbed.workload import Machine, stream, work
 
@@ -27,7 +36,7 @@
 )
 
 
-class Box:
+class BackendServer:
     """One backend. `listen` opens its addresses, `crash` and `start` are its restarts."""
 
     def __init__(
@@ -37,26 +46,28 @@
         fleet: Fleet,
         classes: tuple[Class, ...],
         figures: Figures,
-        books: Books,
+        request_log: RequestLog,
         now: Now,
         seed: int,
-        memory: HallMemory,
+        memory: IdempotencyMemory,
         meter: Meter,
-        door_halls: tuple[str, ...] = (),
+        front_door_zones: tuple[str, ...] = (),
     ) -> None:
         self.name, self.machine, self.fleet, self.figures = name, machine, fleet, figures
-        self.books, self.now, self.seed, self.memory, self.meter = books, now, seed, memory, meter
+        self.request_log, self.now, self.seed, self.memory, self.meter = request_log, now, seed, memory, meter
         self.classes = {c.name: c for c in classes}
-        self.door_halls = door_halls
+        self.front_door_zones = front_door_zones
         self.random: random.Random = stream(seed, "box", name)
-        self.ports: dict[int, int] = {}  # by door, kept over restarts
+        self.ports: dict[int, int] = {}  # by front door, kept over restarts
         self.servers: list[asyncio.Server] = []
         self.connections: dict[ServerConnection, None] = {}  # in the order they came, as all that ends many
-        self.lives = self.opened_count = 0
+        self.incarnations = self.opened_count = 0
         self.spoil = 0.0  # share of answers that come spoilt
         self.up = self.fell = False
-        self.model: BoxModel = BoxModel(machine, figures, Life(name, machine.hall, 0, 0, 1.0, 1.0, 0))
-        self.told = Report()
+        self.model: BackendModel = BackendModel(
+            machine, figures, BackendIncarnation(name, machine.zone, 0, 0, 1.0, 1.0, 0)
+        )
+        self.load_report = LoadReport()
         self.report_since = 0
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
@@ -64,34 +75,34 @@
 
     # Its life
 
-    async def start(self, doors: range, cold: bool = False) -> None:
+    async def start(self, front_doors: range, warming_up: bool = False) -> None:
         """Come up, at the same addresses as before; `cold` where it starts now and not long ago."""
         loop = asyncio.get_running_loop()
-        self.life = Life(
+        self.incarnation = BackendIncarnation(
             self.name,
-            self.machine.hall,
-            self.lives,
-            self.now() if cold else 0,
+            self.machine.zone,
+            self.incarnations,
+            self.now() if warming_up else 0,
             self.machine.capacity,
-            self.machine.cold_from,
-            self.machine.cold,
+            self.machine.initial_capacity,
+            self.machine.slow_start,
         )
-        self.books.lives.append(self.life)
-        self.model = BoxModel(self.machine, self.figures, self.life, now=self.now())
-        for door in doors:
+        self.request_log.incarnations.append(self.incarnation)
+        self.model = BackendModel(self.machine, self.figures, self.incarnation, now=self.now())
+        for front_door in front_doors:
             server = await loop.create_server(
-                partial(self._connection, door), "127.0.0.1", self.ports.get(door, 0)
+                partial(self._connection, front_door), "127.0.0.1", self.ports.get(front_door, 0)
             )
-            self.ports[door] = int(server.sockets[0].getsockname()[1])
+            self.ports[front_door] = int(server.sockets[0].getsockname()[1])
             self.servers.append(server)
         self.up, self.fell = True, False
-        self.told, self.report_since = Report(), self.now()
+        self.load_report, self.report_since = LoadReport(), self.now()
         self.ticks = loop.call_later(self.fleet.report_every_ms / 1000, self._tick)
 
     def crash(self) -> None:
         """The process dies: connections are reset, new ones refused, what it held is lost."""
         self.up = False
-        self.lives += 1
+        self.incarnations += 1
         for server in self.servers:
             server.close()
         self.servers.clear()
@@ -126,13 +137,13 @@
     @property
     def started(self) -> int:
         """When it last started, µs; 0 for long ago."""
-        return self.life.at
+        return self.incarnation.at
 
     # Connections
 
-    def _connection(self, door: int) -> ServerConnection:
+    def _connection(self, front_door: int) -> ServerConnection:
         self.opened_count += 1
-        return ServerConnection(self, door, self.opened_count)
+        return ServerConnection(self, front_door, self.opened_count)
 
     def opened(self, connection: ServerConnection) -> None:
         self.connections[connection] = None
@@ -144,7 +155,7 @@
         connection.context = None
 
     def asked(self, connection: ServerConnection, request: Request) -> None:
-        """A request came whole."""
+        """A request arrived complete."""
         headers = request.headers
         trace, kind = headers.get("x-trace-id", ""), self.classes.get(headers.get("x-qos", ""))
         if not trace:
@@ -156,7 +167,7 @@
         took = work(self.seed, trace, kind)
         if connection.requests == 1:
             took += round(self.fleet.handshake_ms * 1000)  # a new connection costs work as a handshake would
-        quota = dict(part.partition("=")[::2] for part in headers.get("quota-info", "").split(","))
+        quota = dict(item.partition("=")[::2] for item in headers.get("quota-info", "").split(","))
         attempt = Attempt(
             trace,
             headers.get("idempotency-key", ""),
@@ -164,16 +175,16 @@
             headers.get("plan", ""),
             int(headers.get("account", "0"), 16),
             float(quota.get("units", "1")),
-            connection.door,
+            connection.front_door,
             self.name,
-            self.machine.hall,
-            self.life.life,
+            self.machine.zone,
+            self.incarnation.incarnation,
             connection.number,
             request.first_byte,
             request.last_byte,
             took,
         )
-        self.books.attempts.append(attempt)
+        self.request_log.attempts.append(attempt)
         self.meter.add(trace, attempt.plan, attempt.customer, attempt.units, request.last_byte)
         connection.context = attempt
         if len(self.connections) > self.fleet.connections_per_core * self.machine.cores:
@@ -186,11 +197,11 @@
             tag=(connection, attempt),
         )
         verdict = self.model.arrive(job)
-        if verdict is Verdict.FALLEN:
+        if verdict is Admission.FALLEN:
             self.fell = True
-            self.books.fallen.append((self.name, self.life.life, self.now()))
+            self.request_log.fallen.append((self.name, self.incarnation.incarnation, self.now()))
             return self.crash()
-        if verdict is not Verdict.TAKEN:
+        if verdict is not Admission.TAKEN:
             return self._turn_away(connection, attempt, verdict.name.lower())
         self._arm()
 
@@ -212,7 +223,7 @@
     def _advance(self) -> None:
         for job, done in self.model.advance(max(self.now(), self.model.now)):
             connection, attempt = cast(tuple[ServerConnection, Attempt], job.tag)
-            if done is Done.EXPIRED:
+            if done is Completion.EXPIRED:
                 self._turn_away(connection, attempt, "overdue", status=504)
             else:
                 self._answer(connection, attempt)
@@ -222,9 +233,13 @@
         attempt.effect = not attempt.key or self.memory.first(attempt.key, self.now())
         if attempt.end is not End.OPEN:
             return  # its connection has ended; the work was done all the same
-        hall = self.door_halls[attempt.door] if attempt.door < len(self.door_halls) else self.machine.hall
-        way = self.fleet.same_ms if hall == self.machine.hall else self.fleet.cross_ms
-        asyncio.get_running_loop().call_later(2 * way / 1000, self._write, connection, attempt)
+        zone = (
+            self.front_door_zones[attempt.front_door]
+            if attempt.front_door < len(self.front_door_zones)
+            else self.machine.zone
+        )
+        one_way_ms = self.fleet.same_ms if zone == self.machine.zone else self.fleet.cross_ms
+        asyncio.get_running_loop().call_later(2 * one_way_ms / 1000, self._write, connection, attempt)
 
     def _write(self, connection: ServerConnection, attempt: Attempt) -> None:
         if attempt.end is not End.OPEN or connection.context is not attempt:
@@ -247,7 +262,7 @@
     def _figures(self, attempt: Attempt) -> str:
         """The load report and the meter's figure, as header lines."""
         use = self.meter.percent(attempt.plan, attempt.customer, self.now())
-        told = self.told
+        told = self.load_report
         return (
             f"Usage-Percent: {use}\r\nEndpoint-Load-Metrics: TEXT latency_ms={told.latency_ms:.1f}, "
             f"util={told.util:.3f}, queue={told.queue}\r\n"
@@ -281,13 +296,13 @@
         self.report_since = self.now()
         noise = max(0.0, self.random.gauss(1.0, self.fleet.report_noise))
         report = replace(report, latency_ms=report.latency_ms * noise, util=min(1.0, report.util * noise))
-        loop.call_later(self.fleet.report_late_ms / 1000, self._tell, report)
+        loop.call_later(self.fleet.report_late_ms / 1000, self._publish_report, report)
         oldest = self.now() - round(self.fleet.idle_s * 1e6)
         for connection in [c for c in self.connections if not c.busy and c.since < oldest]:
             connection.abort()
 
-    def _tell(self, report: Report) -> None:
-        self.told = report
+    def _publish_report(self, report: LoadReport) -> None:
+        self.load_report = report
 
 
 def _wait(text: str) -> int:
--- a/irisdeal/testbed/backend_model.py
+++ b/irisdeal/testbed/backend_model.py
@@ -1,14 +1,15 @@
-"""What one box does with the work it is given. Pure: time comes as an argument, in µs.
-
-The rules that everything here obeys (BENCH, The world; PROTOCOL, Front doors to backends):
-
-1. A box has cores, slots for requests in work, and a waiting room; what comes when both are full is turned
-   away unseen, as is what comes while it drains.
-2. Requests in work share the cores evenly (processor sharing); none goes faster than one core.
-3. A box that starts is cold: its capacity rises evenly from the cold share to the full. All work that reaches
-   it while cold, rejected work too, counts against its budget; over that it falls over and stays down.
-4. A cancel or a time-out stops nothing; what waits and is overdue when its turn comes is turned away.
-5. Hung, it takes requests and ends none; slots and waiting room fill.
+"""What one backend does with the requests it receives. Pure: time is an argument, in µs.
+
+The rules of the model (BENCH, The world; PROTOCOL, Front doors to backends):
+
+1. A backend has cores, slots for running requests, and a queue; what arrives when both are full is rejected
+   without being run, as is what arrives while it drains.
+2. Running requests share the cores evenly (processor sharing); none runs faster than one core.
+3. A backend that starts is in slow start: its capacity rises linearly from the initial share to the full. All
+   work that reaches it meanwhile, rejected work too, counts against its budget; over that it fails and stays
+   down.
+4. A cancel or a time-out stops no running request; a queued one that is overdue at its turn is rejected.
+5. Hung, it admits requests and finishes none; slots and queue fill.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from enum import Enum, auto
 
 from irisdeal.testbed.audit import Figures
-from irisdeal.testbed.request_log import Life
+from irisdeal.testbed.request_log import BackendIncarnation
 from irisdeal.testbed.workload import Machine
 
-COLD_STEP = 50_000  # µs: how often the speed of a cold box is taken anew between events
+SLOW_START_STEP = 50_000  # µs: how often the speed of a backend in slow start is taken anew between events
 MOST_JOBS = 4_096  # in work and waiting; slots and queue are far fewer
 
 
-class Verdict(Enum):
+class Admission(Enum):
     """What becomes of a request as it comes."""
 
     TAKEN = auto()
@@ -36,14 +37,14 @@
     FALLEN = auto()  # with this one it fell over
 
 
-class Done(Enum):
+class Completion(Enum):
     SERVED = auto()
     EXPIRED = auto()  # overdue when its turn came: never ran
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request at a box. `work` is µs of one core at speed 1; `deadline` µs."""
+    """One request at a backend. `work` is µs of one core at speed 1; `deadline` µs."""
 
     work: int
     deadline: int
@@ -53,8 +54,8 @@
 
 
 @dataclass(slots=True)
-class Report:
-    """A load report as a box makes it: recent service time in ms, share of its cores busy, how many wait."""
+class LoadReport:
+    """A load report as a backend makes it: recent service time in ms, share of its cores busy, how many wait."""
 
     latency_ms: float = 0.0
     util: float = 0.0
@@ -62,12 +63,12 @@
 
 
 @dataclass(slots=True)
-class BoxModel:
-    """One life of a box."""
+class BackendModel:
+    """One life of a backend."""
 
     machine: Machine
     figures: Figures
-    life: Life
+    incarnation: BackendIncarnation
     draining: bool = False
     hung: bool = False
     slower: float = 1.0  # times slower than drawn
@@ -85,17 +86,17 @@
         """µs of work at speed 1 that each running job gets in a µs."""
         if self.hung or not self.running:
             return 0.0
-        warmth = self.life.now(self.now) / self.life.capacity
+        warmth = self.incarnation.now(self.now) / self.incarnation.capacity
         return self.machine.speed / self.slower * warmth * min(1.0, self.machine.cores / len(self.running))
 
-    def advance(self, now: int) -> list[tuple[Job, Done]]:
+    def advance(self, now: int) -> list[tuple[Job, Completion]]:
         """Everything that ends by `now`, in order."""
-        done: list[tuple[Job, Done]] = []
+        done: list[tuple[Job, Completion]] = []
         while self.now < now:
             rate = self.rate()
             step = now - self.now
-            if self.life.at and self.now < self.life.at + self.life.cold:
-                step = min(step, COLD_STEP)
+            if self.incarnation.at and self.now < self.incarnation.at + self.incarnation.slow_start:
+                step = min(step, SLOW_START_STEP)
             if rate > 0.0:
                 needed = (self.running[0][0] - self.progress) / rate
                 step = min(step, max(1, round(needed + 0.5)))
@@ -107,16 +108,16 @@
                 job = heapq.heappop(self.running)[2]
                 took = (self.now - job.began) / 1000
                 self.recent_ms += (0.1 if self.recent_ms else 1.0) * (took - self.recent_ms)
-                done.append((job, Done.SERVED))
+                done.append((job, Completion.SERVED))
                 done += self._fill()
         return done
 
-    def _fill(self) -> list[tuple[Job, Done]]:
-        expired: list[tuple[Job, Done]] = []
+    def _fill(self) -> list[tuple[Job, Completion]]:
+        expired: list[tuple[Job, Completion]] = []
         while self.waiting and len(self.running) < self.machine.slots:
             job = self.waiting.popleft()
             if job.deadline < self.now:
-                expired.append((job, Done.EXPIRED))
+                expired.append((job, Completion.EXPIRED))
             else:
                 self._begin(job)
         return expired
@@ -128,24 +129,24 @@
             self.progress = 0.0  # no sum of floats grows all day
         heapq.heappush(self.running, (self.progress + job.work, self.count, job))
 
-    def arrive(self, job: Job) -> Verdict:
+    def arrive(self, job: Job) -> Admission:
         """A request comes, now; call `advance` first."""
-        if self.life.at and self.now < self.life.at + self.life.cold:
+        if self.incarnation.at and self.now < self.incarnation.at + self.incarnation.slow_start:
             self.sent.append((self.now, job.work))
             while self.sent[0][0] <= self.now - self.figures.fall_window:
                 self.sent.pop(0)
-            if over_budget(self.sent, self.life, self.figures) is not None:
+            if over_budget(self.sent, self.incarnation, self.figures) is not None:
                 self.fallen_at = self.now
-                return Verdict.FALLEN
+                return Admission.FALLEN
         if self.draining:
-            return Verdict.DRAINING
+            return Admission.DRAINING
         if len(self.running) < self.machine.slots:
             self._begin(job)
         elif len(self.waiting) < min(self.machine.queue, MOST_JOBS):
             self.waiting.append(job)
         else:
-            return Verdict.FULL
-        return Verdict.TAKEN
+            return Admission.FULL
+        return Admission.TAKEN
 
     def next_end(self) -> int | None:
         """When something may end next, µs; None while nothing can."""
@@ -154,20 +155,20 @@
             return None
         return self.now + max(1, round((self.running[0][0] - self.progress) / rate + 0.5))
 
-    def report(self, since: int) -> Report:
+    def report(self, since: int) -> LoadReport:
         """What it says of itself for the time since the last report, which began at `since` (µs)."""
         span = max(1, self.now - since)
         util = min(1.0, self.busy / (span * self.machine.cores))
         self.busy = 0.0
-        return Report(self.recent_ms, util, len(self.waiting))
+        return LoadReport(self.recent_ms, util, len(self.waiting))
 
 
 def over_budget(
     sent: Iterable[tuple[int, int]],
-    life: Life,
+    incarnation: BackendIncarnation,
     figures: Figures,
 ) -> tuple[int, float, float] | None:
-    """Where work sent to a cold box passes its budget: time, work and budget in µs; None where it never does.
+    """Where work sent during slow start exceeds its budget: time, work and budget in µs; None where it never does.
 
     `sent` is (time, work) in µs, in order. The budget of a window that ends now is multiple x present
     capacity x window (BENCH, How a day is judged), and one largest piece of work more: slack for chance.
@@ -180,15 +181,15 @@
         total += work
         while window[0][0] <= at - figures.fall_window:
             total -= window.popleft()[1]
-        budget = figures.fall_multiple * life.now(at) * figures.fall_window + max(w for _, w in window)
+        budget = figures.fall_multiple * incarnation.now(at) * figures.fall_window + max(w for _, w in window)
         if total > budget:
             return at, total, budget
     return None
 
 
 @dataclass(slots=True)
-class HallMemory:
-    """One hall's memory of keys: a repeat within the window is answered and has no effect again (BRIEF 12).
+class IdempotencyMemory:
+    """One zone's memory of keys: a repeat within the window is answered and has no effect again (BRIEF 12).
 
     `window` in µs. The time counts from the first attempt of a key; what is older is forgotten.
     """
@@ -197,7 +198,7 @@
     seen: dict[str, int] = field(default_factory=dict)  # in the order of their first time
 
     def first(self, key: str, now: int) -> bool:
-        """Whether this is the first attempt with the key that the hall remembers."""
+        """Whether this is the first attempt with the key that the zone remembers."""
         while self.seen:
             oldest = next(iter(self.seen))
             if self.seen[oldest] > now - self.window:
@@ -211,7 +212,7 @@
 
 @dataclass(slots=True)
 class Meter:
-    """The use of each store over all boxes, in percent of its rate, told late (PROTOCOL, `Usage-Percent`).
+    """The use of each tenant over all backends, in percent of its rate, told late (PROTOCOL, `Usage-Percent`).
 
     `period` and `late` in µs; `rates` gives units a second by plan.
     """
@@ -223,7 +224,7 @@
     counted: dict[str, int] = field(default_factory=dict)  # traces of the last periods
 
     def add(self, trace: str, plan: str, customer: int, units: float, now: int) -> None:
-        """A try came to a box; its further attempts add nothing."""
+        """A try came to a backend; its further attempts add nothing."""
         number = now // self.period
         if trace in self.counted:
             return
--- a/irisdeal/testbed/counter_service.py
+++ b/irisdeal/testbed/counter_service.py
@@ -1,7 +1,7 @@
-"""The count keeper: PROTOCOL, The counter, whole, with the faults that it has had.
+"""The counter service of PROTOCOL, The counter, with the faults that it can be given.
 
-`KeeperModel` is the pure part (names, lives, the parts' lines); `Keeper` puts it on sockets. Each door has an
-address of its own, so that the book can tell who added what.
+`CounterModel` is the pure part (names, lifetimes, the queue of each shard); `CounterServer` puts it on sockets.
+Each front door has an address of its own, so that the log can tell which of them added what.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from typing import cast
 
 from irisdeal.testbed.request_log import Now
-from irisdeal.testbed.scenario import KeeperSpec
+from irisdeal.testbed.scenario import CounterSpec
 from irisdeal.testbed.workload import stream
 
-MOST_LIFE = 60_000_000  # µs; PROTOCOL, The counter
+MAX_LIFETIME = 60_000_000  # µs; PROTOCOL, The counter
 MOST_AMOUNT = 1e9
 MOST_CONNECTIONS = 32  # of a front door
 IDLE = 10.0  # s
@@ -30,34 +30,34 @@
 
 
 @dataclass(slots=True)
-class KeeperModel:
+class CounterModel:
     """Named counts on a few parts that serve calls in turn. Times in µs."""
 
-    spec: KeeperSpec
+    spec: CounterSpec
     counts: dict[str, tuple[float, int]] = field(default_factory=dict)  # total, and when it is forgotten
     free_at: dict[int, int] = field(default_factory=dict)  # by part: when its line is empty
     slower: float = 1.0
     swept: int = 0
 
-    def part(self, name: str) -> int:
-        return zlib.crc32(name.encode()) % self.spec.parts
+    def shard(self, name: str) -> int:
+        return zlib.crc32(name.encode()) % self.spec.shards
 
     def serve(self, name: str, now: int) -> int | None:
         """When a call that comes now is served; None where the part's line is too long (`busy`)."""
-        part = self.part(name)
-        begins = max(now, self.free_at.get(part, 0))
+        shard = self.shard(name)
+        begins = max(now, self.free_at.get(shard, 0))
         if begins - now > self.spec.queue_ms * 1000:
             return None
-        each = 1e6 * self.spec.parts / self.spec.calls_per_s * self.slower
-        self.free_at[part] = begins + round(each)
+        each = 1e6 * self.spec.shards / self.spec.calls_per_s * self.slower
+        self.free_at[shard] = begins + round(each)
         return begins + round(each + self.spec.call_ms * 1000)
 
-    def add(self, name: str, amount: float, life: int, now: int) -> float:
+    def add(self, name: str, amount: float, lifetime: int, now: int) -> float:
         """Add, and return the total. A new name starts at 0 and is forgotten after `life` (µs)."""
         self._sweep(now)
         total, until = self.counts.get(name, (0.0, 0))
         if until <= now:
-            total, until = 0.0, now + min(life, MOST_LIFE)
+            total, until = 0.0, now + min(lifetime, MAX_LIFETIME)
         total = float(f"{total + amount:.7g}")  # seven digits of a total are exact
         self.counts[name] = (total, until)
         return total
@@ -77,11 +77,11 @@
         return len(lost)
 
 
-class _Line(asyncio.Protocol):
-    """One connection of a door. Calls are answered in their order."""
+class _CounterConnection(asyncio.Protocol):
+    """One connection of a front door. Calls are answered in their order."""
 
-    def __init__(self, keeper: Keeper, door: int) -> None:
-        self.keeper, self.door = keeper, door
+    def __init__(self, counter: CounterServer, front_door: int) -> None:
+        self.counter, self.front_door = counter, front_door
         self.transport: asyncio.Transport | None = None
         self.rest = b""
         self.answers: deque[tuple[int, bytes]] = deque()  # when each is due (µs), in the order of their calls
@@ -90,15 +90,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if len(self.keeper.lines[self.door]) >= MOST_CONNECTIONS:
+        if len(self.counter.lines[self.front_door]) >= MOST_CONNECTIONS:
             self.transport.abort()
             return
-        self.keeper.lines[self.door][self] = None
+        self.counter.lines[self.front_door][self] = None
         self._rest()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.keeper.lines[self.door].pop(self, None)
+        self.counter.lines[self.front_door].pop(self, None)
         if self.idle is not None:
             self.idle.cancel()
 
@@ -115,7 +115,7 @@
         self._rest()
         *lines, self.rest = (self.rest + data).split(b"\n")
         for line in lines:
-            self.keeper.call(self, line.rstrip(b"\r"))
+            self.counter.call(self, line.rstrip(b"\r"))
         if len(self.rest) > MOST_LINE:
             self.close()
 
@@ -133,43 +133,43 @@
         self.writing = None
         while self.answers:
             due, text = self.answers[0]
-            if (wait := due - self.keeper.now()) > 0:
+            if (wait := due - self.counter.now()) > 0:
                 self.writing = asyncio.get_running_loop().call_later(wait / 1e6, self._write)
                 return
             self.answers.popleft()
             if self.transport is None:
-                self.keeper.late += 1  # its caller has gone; the amount was added all the same
+                self.counter.late += 1  # its caller has gone; the amount was added all the same
             else:
                 self.transport.write(text)
 
 
-class Keeper:
-    """The keeper on sockets, with an address for each door, and its faults as attributes and calls."""
+class CounterServer:
+    """The counter service on sockets, an address for each front door, its faults as attributes and calls."""
 
-    def __init__(self, spec: KeeperSpec, now: Now, seed: int) -> None:
-        self.now, self.model = now, KeeperModel(spec)
-        self.sides: dict[int, KeeperModel] = {}  # by door, while the keeper is split
+    def __init__(self, spec: CounterSpec, now: Now, seed: int) -> None:
+        self.now, self.model = now, CounterModel(spec)
+        self.sides: dict[int, CounterModel] = {}  # by front door, while the counter service is split
         self.random = stream(seed, "keeper")
-        self.lines: defaultdict[int, dict[_Line, None]] = defaultdict(dict)
+        self.lines: defaultdict[int, dict[_CounterConnection, None]] = defaultdict(dict)
         self.ports: dict[int, int] = {}
         self.servers: dict[int, asyncio.Server] = {}
-        self.silent = False
+        self.unresponsive = False
         self.spoil = 0.0  # share of answers that come spoilt
-        # Its book: calls, calls turned away, calls that got no answer, answers whose caller had gone,
-        # and what each door added, by name.
+        # Its book: calls, calls rejected, calls that got no answer, answers whose caller had gone,
+        # and what each front door added, by name.
         self.calls = self.busy = self.unanswered = self.late = 0
         self.added: defaultdict[tuple[int, str], float] = defaultdict(float)
         self.keep_adds = False  # the sums by name grow all day: only tests that read them ask for it
 
-    async def start(self, doors: range) -> None:
+    async def start(self, front_doors: range) -> None:
         loop = asyncio.get_running_loop()
-        for door in doors:
-            if door not in self.servers:
+        for front_door in front_doors:
+            if front_door not in self.servers:
                 server = await loop.create_server(
-                    partial(_Line, self, door), "127.0.0.1", self.ports.get(door, 0)
+                    partial(_CounterConnection, self, front_door), "127.0.0.1", self.ports.get(front_door, 0)
                 )
-                self.servers[door] = server
-                self.ports[door] = int(server.sockets[0].getsockname()[1])
+                self.servers[front_door] = server
+                self.ports[front_door] = int(server.sockets[0].getsockname()[1])
 
     def refuse(self) -> None:
         """The process is gone: connections are reset, new ones refused."""
@@ -179,13 +179,13 @@
         for line in [line for lines in self.lines.values() for line in lines]:
             line.close()
 
-    async def restart(self, doors: range, empty: bool) -> None:
+    async def restart(self, front_doors: range, empty: bool) -> None:
         """Back at the same addresses, with its counts or with none."""
         if empty:
             self.model.counts.clear()
-        await self.start(doors)
+        await self.start(front_doors)
 
-    async def move(self, doors: range, patience: float = 1.5) -> None:
+    async def move(self, front_doors: range, patience: float = 1.5) -> None:
         """New addresses; the old ones take no new connection and close the open ones after `patience` s.
 
         (LATER, New configurations and restarts.)
@@ -195,7 +195,7 @@
         self.servers.clear()
         self.ports.clear()
         old = [line for lines in self.lines.values() for line in lines]
-        await self.start(doors)
+        await self.start(front_doors)
         loop = asyncio.get_running_loop()
         for line in old:
             loop.call_later(patience, line.close)
@@ -204,7 +204,7 @@
         return self.model.flush(share, self.random)
 
     async def forget(self, share: float) -> int:
-        """As `flush`; a keeper in another process takes its time."""
+        """As `flush`; a counter service in another process takes its time."""
         return self.flush(share)
 
     def put(self, what: str, value: float) -> None:
@@ -212,14 +212,14 @@
         if what == "slower":
             self.model.slower = value
         elif what == "silent":
-            self.silent = bool(value)
+            self.unresponsive = bool(value)
         else:
             self.spoil = value
 
     def split(self, *groups: Iterable[int]) -> None:
-        """Parted in two or more that cannot see each other: each group of doors has its own from now on.
+        """Parted in two or more that cannot see each other: each group of front doors has its own from now on.
 
-        All begin with the counts that there are; the first group keeps the keeper's own model.
+        All begin with the counts that there are; the first group keeps the counter service's own model.
         """
         self.sides = {}
         for n, group in enumerate(groups):
@@ -228,45 +228,45 @@
                 if n == 0
                 else replace(self.model, counts=dict(self.model.counts), free_at=dict(self.model.free_at))
             )
-            self.sides |= {door: model for door in group}
+            self.sides |= {front_door: model for front_door in group}
 
-    def heal(self, door: int | None = None) -> None:
-        """One again, with the counts of the side that `door` was on; the first side's where it is None.
+    def heal(self, front_door: int | None = None) -> None:
+        """One again, with the counts of the side that `front door` was on; the first side's where it is None.
 
         What was added on the other sides is lost, as when a replica that was cut off is set back.
         """
-        if door is not None:
-            self.model = self.sides.get(door, self.model)
+        if front_door is not None:
+            self.model = self.sides.get(front_door, self.model)
         self.sides = {}
 
     def close(self) -> None:
         self.refuse()
 
-    def call(self, line: _Line, text: bytes) -> None:
-        """One line of a door."""
+    def call(self, line: _CounterConnection, text: bytes) -> None:
+        """One line of a front door."""
         now = self.now()
         if text == b"ping":
-            if not self.silent:
+            if not self.unresponsive:
                 line.answer(now, b"pong\r\n")
             return
         call = read_call(text)
         if call is None:
-            if not self.silent:
+            if not self.unresponsive:
                 line.answer(now, b"error\r\n")
             return
         self.calls += 1
-        if self.silent:
+        if self.unresponsive:
             self.unanswered += 1
             return
-        name, amount, life = call
-        model = self.sides.get(line.door, self.model)
+        name, amount, lifetime = call
+        model = self.sides.get(line.front_door, self.model)
         due = model.serve(name, now)
         if due is None:
             self.busy += 1
             return line.answer(now, b"busy\r\n")
-        total = model.add(name, amount, life, now)
+        total = model.add(name, amount, lifetime, now)
         if self.keep_adds:
-            self.added[line.door, name] += amount
+            self.added[line.front_door, name] += amount
         if self.spoil and self.random.random() < self.spoil:
             return line.answer(due, b"ok \xff\x00 no number\r\n")
         line.answer(due, f"ok {total:.9g}\r\n".encode())
@@ -276,12 +276,12 @@
     """`tally NAME AMOUNT LIFE` to name, amount and life in µs; None where it is no such call."""
     if len(text) > MOST_LINE or not text.isascii():
         return None
-    words = text.decode().split(" ")
-    if len(words) != 4 or words[0] != "tally" or not 1 <= len(words[1].encode()) <= 64:
+    tokens = text.decode().split(" ")
+    if len(tokens) != 4 or tokens[0] != "tally" or not 1 <= len(tokens[1].encode()) <= 64:
         return None
-    if not AMOUNT.fullmatch(words[2]) or not (words[3].isdigit() and 1 <= int(words[3]) < 10**12):
+    if not AMOUNT.fullmatch(tokens[2]) or not (tokens[3].isdigit() and 1 <= int(tokens[3]) < 10**12):
         return None
-    amount = float(words[2])
+    amount = float(tokens[2])
     if not math.isfinite(amount) or abs(amount) > MOST_AMOUNT:
         return None
-    return words[1], amount, min(int(words[3]) * 1000, MOST_LIFE)
+    return tokens[1], amount, min(int(tokens[3]) * 1000, MAX_LIFETIME)
--- a/irisdeal/testbed/discovery_service.py
+++ b/irisdeal/testbed/discovery_service.py
@@ -1,7 +1,7 @@
-"""The roster (discovery): PROTOCOL, Discovery. One agent for each door, that answers with what it was sent.
+"""The discovery service (PROTOCOL, Discovery): one agent for each front door, which serves what it has received.
 
-`Ledger` is the pure part: the list, its revisions, and what each agent has. `Roster` puts the agents on
-sockets. What an agent wrote to its door is in `books.told`.
+`EndpointList` is the pure part: the list, its revisions, and the revision of each agent. `DiscoveryServer` puts
+the agents on sockets. What an agent wrote to its front door is in `RequestLog.endpoint_notices`.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 from irisdeal.testbed.http import Request, ServerConnection
-from irisdeal.testbed.request_log import Books, Now, Told
-from irisdeal.testbed.scenario import RosterSpec
+from irisdeal.testbed.request_log import EndpointNotice, Now, RequestLog
+from irisdeal.testbed.scenario import DiscoverySpec
 from irisdeal.testbed.workload import stream
 
 LONGEST_WATCH = 60_000  # ms; PROTOCOL, Discovery
@@ -24,11 +24,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
-    """One line of the list. `ports` gives the box's port for each door."""
+class Endpoint:
+    """One line of the list. `ports` gives the backend's port for each front door."""
 
-    box: str
-    hall: str
+    backend: str
+    zone: str
     kind: str
     cell: int
     phase: str
@@ -36,12 +36,12 @@
     ports: tuple[int, ...]
     weight: float = 1.0
 
-    def told(self, door: int) -> dict[str, Any]:
-        """The line as one door is told it."""
+    def to_json(self, front_door: int) -> dict[str, Any]:
+        """The line as one front door is told it."""
         return {
-            "id": self.box,
-            "host_port": f"127.0.0.1:{self.ports[door]}",
-            "locality": self.hall,
+            "id": self.backend,
+            "host_port": f"127.0.0.1:{self.ports[front_door]}",
+            "locality": self.zone,
             "flavor": self.kind,
             "cell": self.cell,
             "phase": self.phase,
@@ -51,56 +51,56 @@
 
 
 @dataclass(slots=True)
-class Ledger:
-    """The list by revisions, and how far each door's agent has come."""
+class EndpointList:
+    """The list by revisions, and how far each front door's agent has come."""
 
-    members: dict[str, tuple[int, Member]] = field(default_factory=dict)  # with its last change's revision
+    members: dict[str, tuple[int, Endpoint]] = field(default_factory=dict)  # with its last change's revision
     revision: int = 1
-    reached: dict[int, int] = field(default_factory=dict)  # by door
-    history: list[tuple[int, Member]] = field(default_factory=list)
-    views: dict[int, dict[str, Member]] = field(default_factory=dict)  # by door, without those gone
+    reached: dict[int, int] = field(default_factory=dict)  # by front door
+    history: list[tuple[int, Endpoint]] = field(default_factory=list)
+    views: dict[int, dict[str, Endpoint]] = field(default_factory=dict)  # by front door, without those gone
 
-    def change(self, *members: Member) -> int:
+    def change(self, *members: Endpoint) -> int:
         """Entries change; the new revision."""
         self.revision += 1
         for member in members:
-            self.members[member.box] = (self.revision, member)
+            self.members[member.backend] = (self.revision, member)
             self.history.append((self.revision, member))
             if member.phase == "Gone":
-                del self.members[member.box]
+                del self.members[member.backend]
         del self.history[:-KEPT_CHANGES]
         return self.revision
 
-    def push(self, door: int, revision: int) -> bool:
-        """The agent of a door has been sent everything up to that revision; whether that was news."""
-        if revision <= self.reached.get(door, 0):
+    def push(self, front_door: int, revision: int) -> bool:
+        """The agent of a front door has been sent everything up to that revision; whether that was news."""
+        if revision <= self.reached.get(front_door, 0):
             return False
-        view = self.views.setdefault(door, {})
+        view = self.views.setdefault(front_door, {})
         for number, member in self.history:
-            if self.reached.get(door, 0) < number <= revision:
+            if self.reached.get(front_door, 0) < number <= revision:
                 if member.phase == "Gone":
-                    view.pop(member.box, None)
+                    view.pop(member.backend, None)
                 else:
-                    view[member.box] = member
-        self.reached[door] = revision
+                    view[member.backend] = member
+        self.reached[front_door] = revision
         return True
 
-    def fill(self, doors: range) -> None:
+    def fill(self, front_doors: range) -> None:
         """At the start every agent has the whole list."""
-        for door in doors:
-            self.reached[door] = self.revision
-            self.views[door] = {name: member for name, (_, member) in self.members.items()}
+        for front_door in front_doors:
+            self.reached[front_door] = self.revision
+            self.views[front_door] = {name: member for name, (_, member) in self.members.items()}
 
-    def whole(self, door: int) -> tuple[int, list[Member]]:
-        return self.reached.get(door, 0), list(self.views.get(door, {}).values())
+    def complete_list(self, front_door: int) -> tuple[int, list[Endpoint]]:
+        return self.reached.get(front_door, 0), list(self.views.get(front_door, {}).values())
 
-    def since(self, door: int, index: int) -> tuple[int, list[Member], bool]:
+    def since(self, front_door: int, index: int) -> tuple[int, list[Endpoint], bool]:
         """Revision, entries, and whether they are the whole list: what a watch after `index` is answered."""
-        reached = self.reached.get(door, 0)
+        reached = self.reached.get(front_door, 0)
         oldest = self.history[0][0] if self.history else self.revision + 1
         if index > reached or (index < reached and index < oldest - 1):
-            return *self.whole(door), True
-        latest = {member.box: member for number, member in self.history if index < number <= reached}
+            return *self.complete_list(front_door), True
+        latest = {member.backend: member for number, member in self.history if index < number <= reached}
         return reached, list(latest.values()), False
 
 
@@ -112,17 +112,17 @@
 
 
 class _Agent:
-    """The address of one door's agent."""
+    """The address of one front door's agent."""
 
-    def __init__(self, roster: Roster, door: int) -> None:
-        self.roster, self.door = roster, door
+    def __init__(self, discovery: DiscoveryServer, front_door: int) -> None:
+        self.discovery, self.front_door = discovery, front_door
         self.server: asyncio.Server | None = None
         self.connections: dict[ServerConnection, None] = {}
         self.watches: list[_Watch] = []
         self.opened_count = 0
 
     def now(self) -> int:
-        return self.roster.now()
+        return self.discovery.now()
 
     def opened(self, connection: ServerConnection) -> None:
         self.connections[connection] = None
@@ -142,7 +142,7 @@
         if request.method != "GET" or target.path != "/catalog/members":
             connection.reply(404)
             return
-        if self.roster.silent:
+        if self.discovery.unresponsive:
             return  # the call is never answered
         query = parse_qs(target.query)
         try:
@@ -152,11 +152,11 @@
             connection.reply(400)
             return
         if index is None:
-            revision, members = self.roster.ledger.whole(self.door)
+            revision, members = self.discovery.endpoints.complete_list(self.front_door)
             return self._answer(connection, revision, members, True)
-        revision, members, whole = self.roster.ledger.since(self.door, index)
-        if members or whole or wait <= 0:
-            return self._answer(connection, revision, members, whole)
+        revision, members, complete = self.discovery.endpoints.since(self.front_door, index)
+        if members or complete or wait <= 0:
+            return self._answer(connection, revision, members, complete)
         loop = asyncio.get_running_loop()
         watch = _Watch(connection, index)
         watch.timer = loop.call_later(wait / 1000, self._over, watch)
@@ -165,11 +165,11 @@
     def _over(self, watch: _Watch) -> None:
         if watch in self.watches:
             self._end(watch)
-            if not self.roster.silent:
-                revision, members, whole = self.roster.ledger.since(self.door, watch.index)
-                self._answer(watch.connection, revision, members, whole)
+            if not self.discovery.unresponsive:
+                revision, members, complete = self.discovery.endpoints.since(self.front_door, watch.index)
+                self._answer(watch.connection, revision, members, complete)
 
-    def news(self) -> None:
+    def answer_watches(self) -> None:
         """Answer every watch that waits."""
         for watch in list(self.watches):
             self._over(watch)
@@ -178,92 +178,98 @@
         self,
         connection: ServerConnection,
         revision: int,
-        members: list[Member],
-        whole: bool,
+        members: list[Endpoint],
+        complete: bool,
     ) -> None:
-        told = {"revision": revision, "complete": whole, "members": [m.told(self.door) for m in members]}
-        if connection.reply(200, json.dumps(told).encode(), "Content-Type: application/json\r\n"):
-            self.roster.wrote(self.door, members, whole)
+        to_json = {
+            "revision": revision,
+            "complete": complete,
+            "members": [m.to_json(self.front_door) for m in members],
+        }
+        if connection.reply(200, json.dumps(to_json).encode(), "Content-Type: application/json\r\n"):
+            self.discovery.wrote(self.front_door, members, complete)
 
 
-class Roster:
+class DiscoveryServer:
     """All agents. `change` publishes; each agent hears of it late, or with the next change."""
 
-    def __init__(self, spec: RosterSpec, books: Books, now: Now, seed: int) -> None:
-        self.spec, self.books, self.now = spec, books, now
+    def __init__(self, spec: DiscoverySpec, request_log: RequestLog, now: Now, seed: int) -> None:
+        self.spec, self.request_log, self.now = spec, request_log, now
         self.random: random.Random = stream(seed, "roster")
-        self.ledger = Ledger()
+        self.endpoints = EndpointList()
         self.agents: dict[int, _Agent] = {}
         self.ports: dict[int, int] = {}
-        self.silent = False
+        self.unresponsive = False
         self.later = 0.0  # s more than usual
         self.lose = 0.0  # share of pushes that never come
-        self.known: dict[int, set[str]] = {}  # by door: what it has been told is there
+        self.known: dict[int, set[str]] = {}  # by front door: what it has been told is there
 
-    async def start(self, doors: range) -> None:
-        self.ledger.fill(doors)
-        await self._listen(doors)
+    async def start(self, front_doors: range) -> None:
+        self.endpoints.fill(front_doors)
+        await self._listen(front_doors)
 
-    async def _listen(self, doors: range) -> None:
+    async def _listen(self, front_doors: range) -> None:
         loop = asyncio.get_running_loop()
-        for door in doors:
-            agent = self.agents[door] = _Agent(self, door)
+        for front_door in front_doors:
+            agent = self.agents[front_door] = _Agent(self, front_door)
 
             def made(agent: _Agent = agent) -> ServerConnection:
                 agent.opened_count += 1
-                return ServerConnection(agent, agent.door, agent.opened_count)
+                return ServerConnection(agent, agent.front_door, agent.opened_count)
 
             agent.server = await loop.create_server(made, "127.0.0.1", 0)
-            self.ports[door] = int(agent.server.sockets[0].getsockname()[1])
+            self.ports[front_door] = int(agent.server.sockets[0].getsockname()[1])
 
-    def change(self, *members: Member) -> None:
-        """Publish; each door's agent hears it after its own delay, unless that push is lost."""
-        revision = self.ledger.change(*members)
+    def change(self, *members: Endpoint) -> None:
+        """Publish; each front door's agent hears it after its own delay, unless that push is lost."""
+        revision = self.endpoints.change(*members)
         loop = asyncio.get_running_loop()
-        for door in self.agents:
+        for front_door in self.agents:
             delay = self.spec.notice_s + self.later + self.random.random() * self.spec.spread_ms / 1000
             if self.random.random() >= self.lose:
-                loop.call_later(delay, self._arrive, door, revision)
+                loop.call_later(delay, self._arrive, front_door, revision)
 
-    def _arrive(self, door: int, revision: int) -> None:
-        if self.ledger.push(door, revision) and not self.silent:
-            self.agents[door].news()
+    def _arrive(self, front_door: int, revision: int) -> None:
+        if self.endpoints.push(front_door, revision) and not self.unresponsive:
+            self.agents[front_door].answer_watches()
 
-    def set_silent(self, silent: bool) -> None:
-        self.silent = silent
-        if not silent:
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        self.unresponsive = unresponsive
+        if not unresponsive:
             for agent in self.agents.values():
-                agent.news()
+                agent.answer_watches()
                 for connection in [c for c in agent.connections if c.busy]:
                     if not any(w.connection is connection for w in agent.watches):
                         connection.abort()  # a call that came meanwhile will not be answered
 
-    async def move(self, doors: range) -> None:
+    async def move(self, front_doors: range) -> None:
         """Other addresses; the old ones take no new connection and close what is open after 1.5 s."""
         old = list(self.agents.values())
         for agent in old:
             if agent.server is not None:
                 agent.server.close()
-        await self._listen(doors)
+        await self._listen(front_doors)
         loop = asyncio.get_running_loop()
         for agent in old:
             loop.call_later(MOVED_PATIENCE, _close, agent)
 
-    def wrote(self, door: int, members: list[Member], whole: bool) -> None:
+    def wrote(self, front_door: int, members: list[Endpoint], complete: bool) -> None:
         """What an agent has just written counts as told."""
         now = self.now()
-        named = {m.box for m in members}
-        known = self.known.setdefault(door, set())
-        if whole:  # a box that is absent from a whole list has been removed
-            for box in sorted(known - named):
-                self.books.told.append(Told(door, now, box, "Gone", 0))
+        named = {m.backend for m in members}
+        known = self.known.setdefault(front_door, set())
+        if complete:  # a backend that is absent from a whole list has been removed
+            for backend in sorted(known - named):
+                self.request_log.endpoint_notices.append(EndpointNotice(front_door, now, backend, "Gone", 0))
             known.clear()
         for member in members:
-            self.books.told.append(Told(door, now, member.box, member.phase, member.started))
+            self.request_log.endpoint_notices.append(
+                EndpointNotice(front_door, now, member.backend, member.phase, member.started)
+            )
             if member.phase == "Gone":
-                known.discard(member.box)
+                known.discard(member.backend)
             else:
-                known.add(member.box)
+                known.add(member.backend)
 
     def close(self) -> None:
         for agent in self.agents.values():
--- a/irisdeal/testbed/fault_proxy.py
+++ b/irisdeal/testbed/fault_proxy.py
@@ -1,9 +1,9 @@
-"""A TCP relay that puts faults on the way between named peers: delay, throttle, reset, silence, cuts, splits.
+"""A TCP relay that injects faults between named peers: delay, throttling, resets, stalls, partitions.
 
-A link leads from one name to another and has an address of its own. Silent, it holds what is written and
-both ends stay open, as behind a machine that vanished (PROTOCOL, The network); what it held goes on later.
-Cut, new connections do not come up either: the accept queue of its address is kept full, so the kernel drops
-what asks for a connection, as a network would.
+A link leads from one name to another and has an address of its own. A stalled link withholds what is written
+while both ends stay open, as behind a machine that vanished (PROTOCOL, The network); the pending bytes go on
+later. Through a partitioned link no new connection comes up either: the accept queue of its address is kept
+full, so that the kernel drops connection requests, as a network would.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from typing import cast
 
-from irisdeal.testbed.request_log import Hold, Now
+from irisdeal.testbed.request_log import LinkFault, Now
 
-MOST_HELD = 1_048_576  # bytes held on one way of one connection before its sender is no longer read
+MAX_PENDING = 1_048_576  # bytes held on one way of one connection before its sender is no longer read
 MOST_WRITES = 10_000  # of one hold that are noted
 BACKLOG = 128
 Address = tuple[str, int]
@@ -33,17 +33,17 @@
 
     delay: float = 0.0
     rate: float = 0.0
-    silent: bool = False
-    cut: bool = False
-    way: str = "both"
+    stalled: bool = False
+    partitioned: bool = False
+    direction: str = "both"
 
-    def holds_from(self, source: bool) -> bool:
+    def withholds_from(self, source: bool) -> bool:
         """Whether what the source writes, or else the target, is held."""
-        return self.cut or (self.silent and self.way != ("back" if source else "out"))
+        return self.partitioned or (self.stalled and self.direction != ("back" if source else "out"))
 
     @property
-    def holds(self) -> bool:
-        return self.silent or self.cut
+    def withholds(self) -> bool:
+        return self.stalled or self.partitioned
 
 
 class _Side(asyncio.Protocol):
@@ -53,7 +53,7 @@
         self.link, self.source = link, source
         self.other: _Side | None = None
         self.transport: asyncio.Transport | None = None
-        self.held: deque[bytes] = deque()
+        self.pending: deque[bytes] = deque()
         self.size = 0
         self.free_at = 0.0  # when the way is free for the next bytes, s of the loop
         self.ended = self.over = False
@@ -72,35 +72,40 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        self.held.append(data)
+        self.pending.append(data)
         self.size += len(data)
-        hold = self.link.hold
-        if self.source and hold and self.link.condition.holds_from(True) and len(hold.writes) < MOST_WRITES:
-            hold.writes.append(self.link.now())
-        if self.size > MOST_HELD and self.transport is not None:
+        link_fault = self.link.link_fault
+        if (
+            self.source
+            and link_fault
+            and self.link.condition.withholds_from(True)
+            and len(link_fault.writes) < MOST_WRITES
+        ):
+            link_fault.writes.append(self.link.now())
+        if self.size > MAX_PENDING and self.transport is not None:
             self.transport.pause_reading()
         self._flush()
 
     def _flush(self) -> None:
         """Pass on what is held, as the link's condition allows."""
         condition, other = self.link.condition, self.other
-        if condition.holds_from(self.source) or other is None:
+        if condition.withholds_from(self.source) or other is None:
             return
         loop = asyncio.get_running_loop()
         if other.transport is None:
             if not other.over:
                 return  # it is still connecting
-            self.held.clear()
+            self.pending.clear()
         now = loop.time()
-        while self.held:
-            data = self.held.popleft()
+        while self.pending:
+            data = self.pending.popleft()
             self.size -= len(data)
             if not (condition.delay or condition.rate):
                 other.put(data)
                 continue
             self.free_at = max(self.free_at, now) + (len(data) / condition.rate if condition.rate else 0.0)
             loop.call_at(self.free_at + condition.delay, other.put, data)
-        if self.transport is not None and self.size <= MOST_HELD:
+        if self.transport is not None and self.size <= MAX_PENDING:
             self.transport.resume_reading()
         if self.ended:
             loop.call_at(max(now, self.free_at) + condition.delay, other.finish)
@@ -123,10 +128,10 @@
 class Link:
     """The way from one name to another, at an address of its own."""
 
-    def __init__(self, source: str, target: str, to: Address, now: Now, holds: list[Hold]) -> None:
+    def __init__(self, source: str, target: str, to: Address, now: Now, link_faults: list[LinkFault]) -> None:
         self.source, self.target, self.to = source, target, to
-        self.now, self.holds = now, holds
-        self.hold: Hold | None = None
+        self.now, self.link_faults = now, link_faults
+        self.link_fault: LinkFault | None = None
         self.condition = Condition()
         self.sides: set[_Side] = set()
         self.listening: socket.socket | None = None
@@ -183,15 +188,15 @@
     def set(self, condition: Condition) -> None:
         """Another condition; what was held goes on if it may."""
         was, self.condition = self.condition, condition
-        if self.hold is not None:
-            self.hold.end, self.hold = self.now(), None
-        if condition.holds or condition.delay:
-            late = 0 if condition.holds else round(condition.delay * 1e6)
-            self.hold = Hold(self.source, self.target, self.now(), late=late)
-            self.holds.append(self.hold)
-        if condition.cut and not was.cut:
+        if self.link_fault is not None:
+            self.link_fault.end, self.link_fault = self.now(), None
+        if condition.withholds or condition.delay:
+            late = 0 if condition.withholds else round(condition.delay * 1e6)
+            self.link_fault = LinkFault(self.source, self.target, self.now(), late=late)
+            self.link_faults.append(self.link_fault)
+        if condition.partitioned and not was.partitioned:
             self._fill()
-        elif was.cut and not condition.cut:
+        elif was.partitioned and not condition.partitioned:
             self._empty()
         for side in list(self.sides):
             side._flush()
@@ -236,13 +241,13 @@
 class Relay:
     """All links. Conditions are set by names; a split cuts every link between two groups."""
 
-    def __init__(self, now: Now, holds: list[Hold]) -> None:
-        self.now, self.holds = now, holds
+    def __init__(self, now: Now, link_faults: list[LinkFault]) -> None:
+        self.now, self.link_faults = now, link_faults
         self.links: list[Link] = []
 
     async def add(self, source: str, target: str, to: Address) -> Address:
         """A new link; the address to use in place of the target's."""
-        link = Link(source, target, to, self.now, self.holds)
+        link = Link(source, target, to, self.now, self.link_faults)
         self.links.append(link)
         return "127.0.0.1", await link.open()
 
@@ -268,7 +273,7 @@
         for link in self.links:
             one, other = of.get(link.source), of.get(link.target)
             if one is not None and other is not None and one != other:
-                link.set(Condition(cut=True))
+                link.set(Condition(partitioned=True))
 
     def heal(self) -> None:
         for link in self.links:
--- a/irisdeal/testbed/http.py
+++ b/irisdeal/testbed/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 as the stand-ins speak it: a small server side and a small client side on `httptools`.
+"""HTTP/1.1 of the testbed: a small server side and a small client side on `httptools`.
 
-Neither imports anything of the door: the two must not share a mistake.
+Neither imports anything of the front door: the two must not share a mistake.
 """
 
 from __future__ import annotations
@@ -51,8 +51,8 @@
 class ServerConnection(asyncio.Protocol):
     """One accepted connection. It takes one request at a time; the rest waits in the peer."""
 
-    def __init__(self, owner: Owner, door: int, number: int) -> None:
-        self.owner, self.door, self.number = owner, door, number
+    def __init__(self, owner: Owner, front_door: int, number: int) -> None:
+        self.owner, self.front_door, self.number = owner, front_door, number
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.request: Request | None = None
@@ -134,7 +134,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a terminal. Answers go to `on_answer(status, headers, body)` as they come whole."""
+    """One connection of a terminal. Answers go to `on_answer(status, headers, body)` as they arrive complete."""
 
     def __init__(self, readable: Callable[[Any], bool] = readable_now) -> None:
         self.readable = readable
@@ -143,8 +143,8 @@
         self.on_answer: Callable[[int, dict[str, str], bytes], None] = lambda *_: None
         self.on_end: Callable[[], None] = lambda: None
         self.headers: dict[str, str] = {}
-        self.parts: deque[bytes] = deque()
-        self.heard = 0  # bytes since the last request
+        self.chunks: deque[bytes] = deque()
+        self.received = 0  # bytes since the last request
         self.uses = 0
         self.reusable = True
         self.broken = False
@@ -169,7 +169,7 @@
 
     def write(self, data: bytes) -> None:
         assert self.transport is not None
-        self.heard = 0
+        self.received = 0
         self.uses += 1
         self.transport.write(data)
 
@@ -178,7 +178,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        self.heard += len(data)
+        self.received += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -186,16 +186,16 @@
             self.close()
 
     def on_message_begin(self) -> None:
-        self.headers, self.parts = {}, deque()
+        self.headers, self.chunks = {}, deque()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        self.parts.append(body)
+        self.chunks.append(body)
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
             self.reusable = self.parser.should_keep_alive()
-            self.on_answer(status, self.headers, b"".join(self.parts))
+            self.on_answer(status, self.headers, b"".join(self.chunks))
--- a/irisdeal/testbed/load_generator.py
+++ b/irisdeal/testbed/load_generator.py
@@ -1,8 +1,8 @@
-"""Terminals (clients): the stores' requests as drawn, through the doors, with retries and a book of answers.
+"""The load generator: the tenants' requests as drawn, sent through the front doors, with their retries.
 
-Between the stores and the doors stands a front, as the platform has one: it deals a store's requests out over
-its set of doors, leaves out a door only some seconds after it has died, and takes it in again once it answers
-`GET /_health` with 200 (PROTOCOL, Clients to front doors).
+Between tenants and front doors stands a load balancer, as on the platform: it spreads a tenant's requests over
+its set of front doors, removes a front door only some seconds after it has died, and adds it again once it
+answers `GET /_health` with 200 (PROTOCOL, Clients to front doors).
 """
 
 from __future__ import annotations
@@ -16,86 +16,88 @@
 from typing import Any
 
 from irisdeal.testbed.http import ClientConnection, readable_now
-from irisdeal.testbed.misbehaving_clients import Strangers
-from irisdeal.testbed.request_log import Answer, Books, Now, Taken
+from irisdeal.testbed.misbehaving_clients import MisbehavingClients
+from irisdeal.testbed.request_log import Answer, ClientAttempt, Now, RequestLog
 from irisdeal.testbed.workload import Arrival, Day, claim_key, stream, trace, weights
 
 LATE_WATCH = 0.5  # s that a connection is still read after its try was given up: a late answer is seen
 CONNECT_TIMEOUT = 1.0  # s
 CONNECTS = 3  # for one try, where new connections end before a word is written on them
-LEAST_TRY = 0.02  # s left below which a client asks no more
+MIN_ATTEMPT = 0.02  # s left below which a client asks no more
 STEP = 0.25  # s: how far ahead arrivals are put on the loop's timers
 Address = tuple[str, int]
 
 
-class Terminals:
-    """All stores of a day. `run` plays it; `books.taken` holds each try."""
+class LoadGenerator:
+    """All tenants of a day. `run` plays it; `request logs.taken` holds each try."""
 
     def __init__(
         self,
         day: Day,
-        books: Books,
+        request_log: RequestLog,
         now: Now,
-        doors: list[Address],
-        part: int = 0,
-        parts: int = 1,
+        front_doors: list[Address],
+        shard: int = 0,
+        shards: int = 1,
     ) -> None:
-        """`part` of `parts` processes, where the day's first tries are shared out (`crowd.py`)."""
-        self.day, self.books, self.now, self.doors = day, books, now, doors
+        """`part` of `parts` processes, where the day's first attempts are shared out (`crowd.py`)."""
+        self.day, self.request_log, self.now, self.front_doors = day, request_log, now, front_doors
         self.scenario = day.scenario
-        self.alive: set[int] = set(range(len(doors)))
+        self.alive: set[int] = set(range(len(front_doors)))
         self.leaving: set[int] = set()  # asked to end: no new connections, those there are go on
         self.idle: defaultdict[int, list[ClientConnection]] = defaultdict(list)
         self.open: dict[ClientConnection, None] = {}
         self.readable: Callable[[Any], bool] = readable_now  # whether a socket can be read at once
         self.tasks: set[asyncio.Task[None]] = set()
-        self.random: random.Random = stream(day.seed, "terminals", *((part,) if parts > 1 else ()))
+        self.random: random.Random = stream(day.seed, "terminals", *((shard,) if shards > 1 else ()))
         self.times = [a.at for a in day.arrivals]
         self.start = 0
         self.late_watch = LATE_WATCH
         self.stopped = False
-        self.strangers = Strangers(day, doors, books.strangers, part, parts)
+        self.misbehaving_clients = MisbehavingClients(
+            day, front_doors, request_log.misbehaving_clients, shard, shards
+        )
 
     async def run(self, start: int) -> None:
         """Ask as drawn from `start` (µs) on, and wait until every try has ended."""
         self.start = start
         loop = asyncio.get_running_loop()
-        self.strangers.play((start - self.now()) / 1e6)
-        place, count = 0, len(self.day.arrivals)
-        while place < count and not self.stopped:
+        self.misbehaving_clients.play((start - self.now()) / 1e6)
+        next_index, count = 0, len(self.day.arrivals)
+        while next_index < count and not self.stopped:
             ahead = self.now() - start + round(STEP * 2e6)
             upto = bisect.bisect_right(self.times, ahead)
-            for arrival in self.day.arrivals[place:upto]:
+            for arrival in self.day.arrivals[next_index:upto]:
                 loop.call_later(max(0.0, (start + arrival.at - self.now()) / 1e6), self._begin, arrival)
-            place = upto
+            next_index = upto
             await asyncio.sleep(STEP)
         rest = max(0.0, (start - self.now()) / 1e6 + (0.0 if self.stopped else self.scenario.seconds))
         await asyncio.sleep(rest)
-        while self.tasks or self.strangers.tasks:
-            await asyncio.wait(self.tasks | self.strangers.tasks)
+        while self.tasks or self.misbehaving_clients.tasks:
+            await asyncio.wait(self.tasks | self.misbehaving_clients.tasks)
 
     def stop(self) -> None:
         """Ask nothing new."""
         self.stopped = True
 
     def close(self) -> None:
-        self.strangers.close()
+        self.misbehaving_clients.close()
         for task in self.tasks:
             task.cancel()
         for connection in list(self.open):
             connection.close()
 
-    def door_down(self, door: int) -> None:
-        """The front has noticed that a door is dead."""
-        self.alive.discard(door)
+    def front_door_down(self, front_door: int) -> None:
+        """The front has noticed that a front door is dead."""
+        self.alive.discard(front_door)
 
-    def door_leaves(self, door: int) -> None:
+    def front_door_draining(self, front_door: int) -> None:
         """A planned restart has begun: new connections come no more (PROTOCOL, Figures: for 0.2 to 0.4 s)."""
-        self.leaving.add(door)
+        self.leaving.add(front_door)
 
-    def door_up(self, door: int) -> None:
-        self.alive.add(door)
-        self.leaving.discard(door)
+    def front_door_up(self, front_door: int) -> None:
+        self.alive.add(front_door)
+        self.leaving.discard(front_door)
 
     # One ask
 
@@ -107,90 +109,96 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _ask(self, arrival: Arrival) -> None:
-        """A first try and its retries, until one is served or the class's time is over."""
+        """A first attempt and its retries, until one is served or the class's time is over."""
         scenario, load = self.scenario, self.scenario.load
-        kind, store = scenario.classes[arrival.kind], self.day.stores[arrival.store]
+        kind, tenant = scenario.classes[arrival.kind], self.day.tenants[arrival.tenant]
         due = self.now()
         until = due + round(kind.deadline_ms * 1000)
         key = claim_key(self.day.seed, arrival.ask) if kind.repeat == "keyed" else ""
-        door = -1
+        front_door = -1
         for attempt in itertools.count():
-            if attempt and until - self.now() < LEAST_TRY * 1e6:
+            if attempt and until - self.now() < MIN_ATTEMPT * 1e6:
                 return  # the pause took longer than it should
-            door = self._door(arrival.store, door)
-            wait = min(round(kind.deadline_ms * 1000 * load.try_share), until - self.now())
-            taken = Taken(
+            front_door = self._choose_front_door(arrival.tenant, front_door)
+            wait = min(round(kind.deadline_ms * 1000 * load.attempt_share), until - self.now())
+            client_attempt = ClientAttempt(
                 trace(self.day.seed, arrival.ask, attempt),
                 arrival.ask,
                 attempt,
                 key,
                 kind.name,
-                scenario.plans[store.plan].name,
-                store.customer,
+                scenario.plans[tenant.plan].name,
+                tenant.customer,
                 kind.units,
-                door,
+                front_door,
                 self.now(),
                 wait,
             )
-            self.books.taken.append(taken)
-            await self._try(taken, store.first, store.spread)
-            if not self._again(taken, attempt):
+            self.request_log.client_attempts.append(client_attempt)
+            await self._attempt(client_attempt, tenant.first, tenant.spread)
+            if not self._retries(client_attempt, attempt):
                 return
             pause = load.backoff_ms / 1000 * {"none": 0.0, "fixed": 1.0, "exp": 2.0**attempt}[load.backoff]
             pause *= self.random.uniform(0.5, 1.5)
-            if taken.answers and taken.answers[0].retry_after and store.honours:
-                pause = max(pause, taken.answers[0].retry_after)
-            if self.now() + (pause + LEAST_TRY) * 1e6 > until:
+            if client_attempt.answers and client_attempt.answers[0].retry_after and tenant.honours:
+                pause = max(pause, client_attempt.answers[0].retry_after)
+            if self.now() + (pause + MIN_ATTEMPT) * 1e6 > until:
                 return
             await asyncio.sleep(pause)
 
-    def _again(self, taken: Taken, attempt: int) -> bool:
+    def _retries(self, client_attempt: ClientAttempt, attempt: int) -> bool:
         """Whether the client asks again (WIRE, CLIENTS)."""
         if self.stopped or attempt >= self.scenario.load.retries:
             return False
-        answer = taken.answers[0] if taken.answers else None
+        answer = client_attempt.answers[0] if client_attempt.answers else None
         if answer is not None and answer.status == 200:
             return False
         refused = answer is not None and answer.status in (429, 503)
-        unreached = not taken.at or (not taken.answers and bool(taken.cut))  # a dead door's are the client's
-        kind = next(c for c in self.scenario.classes if c.name == taken.kind)
+        unreached = not client_attempt.at or (
+            not client_attempt.answers and bool(client_attempt.disconnected_at)
+        )  # a dead front door's are the client's
+        kind = next(c for c in self.scenario.classes if c.name == client_attempt.kind)
         if kind.repeat == "safe":
             return True
-        return refused or (unreached and (kind.repeat == "keyed" or not taken.at))
+        return refused or (unreached and (kind.repeat == "keyed" or not client_attempt.at))
 
-    def _door(self, store: int, last: int) -> int:
-        """The door that the front gives this try to; `last` had the try before it, -1 for a first one."""
+    def _choose_front_door(self, tenant: int, last: int) -> int:
+        """The front door that the front gives this try to; `last` had the try before it, -1 for a first one."""
         if last in self.alive - self.leaving and self.random.random() >= self.scenario.load.elsewhere:
             return last
-        told = self.day.stores[store]
-        doors = [(told.first + n) % len(self.doors) for n in range(told.spread)]
-        shares = weights(self.day.seed, self.scenario, store, told.spread, self.now() - self.start)
+        told = self.day.tenants[tenant]
+        front_doors = [(told.first + n) % len(self.front_doors) for n in range(told.spread)]
+        shares = weights(self.day.seed, self.scenario, tenant, told.spread, self.now() - self.start)
         able = [
             (d, w)
-            for d, w in zip(doors, shares, strict=True)
+            for d, w in zip(front_doors, shares, strict=True)
             if d in self.alive and (d not in self.leaving or any(c.usable() for c in self.idle[d]))
         ]
-        able = able or [(d, 1.0) for d in (self.alive or set(doors))]
+        able = able or [(d, 1.0) for d in (self.alive or set(front_doors))]
         return self.random.choices([d for d, _ in able], [w + 1e-9 for _, w in able])[0]
 
     # One try
 
-    async def _try(self, taken: Taken, first: int, spread: int) -> None:
+    async def _attempt(self, client_attempt: ClientAttempt, first: int, spread: int) -> None:
         for again in (False, True):
-            connection = None if again else self._rested(taken.door)
+            connection = None if again else self._rested(client_attempt.front_door)
             kept = connection is not None
             for _ in range(CONNECTS):  # a new one may be closed before our loop comes to write on it
                 if connection is None or connection.ended():
-                    connection = await self._connect(taken.door)
+                    connection = await self._connect(client_attempt.front_door)
             if connection is None or connection.ended():
                 return
-            await self._send(connection, taken, first, spread)
-            if taken.answers or not (kept and taken.cut and not connection.heard):
+            await self._send(connection, client_attempt, first, spread)
+            if client_attempt.answers or not (
+                kept and client_attempt.disconnected_at and not connection.received
+            ):
                 return
             # It crossed the connection's end: sent once more on a new one (PROTOCOL).
-            taken.crossed, taken.cut = True, 0
+            client_attempt.crossed, client_attempt.disconnected_at = True, 0
 
-    async def _send(self, connection: ClientConnection, taken: Taken, first: int, spread: int) -> None:
+    async def _send(
+        self, connection: ClientConnection, client_attempt: ClientAttempt, first: int, spread: int
+    ) -> None:
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[None] = loop.create_future()
 
@@ -199,67 +207,69 @@
                 advice = float(headers["retry-after"]) if "retry-after" in headers else None
             except ValueError:
                 advice = None
-            taken.answers.append(Answer(self.now(), status, body, advice))
+            client_attempt.answers.append(Answer(self.now(), status, body, advice))
             if not ended.done():
                 ended.set_result(None)
 
         def lost() -> None:
             self.open.pop(connection, None)
             if connection.broken:
-                taken.stray += 1 if taken.answers else 0
-            if not (taken.answers or taken.cut or taken.gave_up):
-                taken.cut = self.now()
+                client_attempt.stray += 1 if client_attempt.answers else 0
+            if not (client_attempt.answers or client_attempt.disconnected_at or client_attempt.gave_up):
+                client_attempt.disconnected_at = self.now()
             if not ended.done():
                 ended.set_result(None)
 
         connection.on_answer, connection.on_end = answered, lost
-        connection.write(self._text(taken, first, spread))
-        taken.at = self.now()
+        connection.write(self._text(client_attempt, first, spread))
+        client_attempt.at = self.now()
         try:
-            async with asyncio.timeout(taken.wait / 1e6):
+            async with asyncio.timeout(client_attempt.wait / 1e6):
                 await asyncio.shield(ended)
         except TimeoutError:
-            taken.gave_up = self.now()
+            client_attempt.gave_up = self.now()
             loop.call_later(self.late_watch, connection.close)
             return
         if not self.scenario.load.reuse:
             connection.close()
         elif connection.usable():
-            self.idle[taken.door].append(connection)
+            self.idle[client_attempt.front_door].append(connection)
 
-    def _text(self, taken: Taken, first: int, spread: int) -> bytes:
-        kind = next(c for c in self.scenario.classes if c.name == taken.kind)
+    def _text(self, client_attempt: ClientAttempt, first: int, spread: int) -> bytes:
+        kind = next(c for c in self.scenario.classes if c.name == client_attempt.kind)
         method = "GET" if kind.repeat == "safe" else "POST"
         lines = [
-            f"{method} /refund/{taken.kind} HTTP/1.1",
+            f"{method} /refund/{client_attempt.kind} HTTP/1.1",
             "Host: refund.svc",
-            f"X-Trace-Id: {taken.trace}",
-            f"X-Qos: {taken.kind}",
-            f"Plan: {taken.plan}",
-            f"Account: {taken.customer:016x}",
-            f"X-Expires-In: {max(1, taken.wait // 1000)}m",
-            f"Quota-Info: units={taken.units:g},spread={spread},first={first}",
+            f"X-Trace-Id: {client_attempt.trace}",
+            f"X-Qos: {client_attempt.kind}",
+            f"Plan: {client_attempt.plan}",
+            f"Account: {client_attempt.customer:016x}",
+            f"X-Expires-In: {max(1, client_attempt.wait // 1000)}m",
+            f"Quota-Info: units={client_attempt.units:g},spread={spread},first={first}",
         ]
-        lines += [f"Idempotency-Key: {taken.key}"] if taken.key else []
-        lines += ["X-Second-Try: 1"] if taken.attempt else []
-        body = b"" if method == "GET" else b'{"receipt":"%s"}' % taken.trace.encode()
+        lines += [f"Idempotency-Key: {client_attempt.key}"] if client_attempt.key else []
+        lines += ["X-Second-Try: 1"] if client_attempt.attempt else []
+        body = b"" if method == "GET" else b'{"receipt":"%s"}' % client_attempt.trace.encode()
         lines += [] if method == "GET" else [f"Content-Length: {len(body)}"]
         return "\r\n".join((*lines, "", "")).encode() + body
 
-    def _rested(self, door: int) -> ClientConnection | None:
-        kept = self.idle[door]
+    def _rested(self, front_door: int) -> ClientConnection | None:
+        kept = self.idle[front_door]
         while kept:
             if (connection := kept.pop()).usable() and not connection.ended():
                 return connection
         return None
 
-    async def _connect(self, door: int) -> ClientConnection | None:
-        if door in self.leaving:
+    async def _connect(self, front_door: int) -> ClientConnection | None:
+        if front_door in self.leaving:
             return None
         connection = ClientConnection(self.readable)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
-                await asyncio.get_running_loop().create_connection(lambda: connection, *self.doors[door])
+                await asyncio.get_running_loop().create_connection(
+                    lambda: connection, *self.front_doors[front_door]
+                )
         except (OSError, TimeoutError):
             return None
         self.open[connection] = None
--- a/irisdeal/testbed/load_processes.py
+++ b/irisdeal/testbed/load_processes.py
@@ -1,12 +1,11 @@
-"""Terminals in several processes, for days that one loop cannot play in time.
+"""The load generator in several processes, for days that one event loop cannot play in time.
 
-Each process has every n-th first try of the day with its retries, and keeps a book of its own on the
-machine's one monotonic clock; the books are laid together at the end, with the times in which
-its loop stood still.
+Each process plays every n-th first attempt of the day with its retries, and records them on the machine's one
+monotonic clock; the records are merged at the end, with the times at which its event loop was stalled.
 
-The wire is our own, between a parent and its child: the child's standard input has one pickled `Part`
-behind its length (4 bytes, big end first), then lines of commands; its standard output a line `ready`, and
-at the end one pickled `Book` behind its length. Pickle is safe here, since both ends are ours.
+Protocol between the parent and its child: the child's standard input has one pickled `LoadShard` behind its
+length (4 bytes, big end first), then lines of commands; its standard output a line `ready`, and at the end one
+pickled `ShardReport` behind its length. Pickle is safe here, since both ends are this module.
 """
 
 from __future__ import annotations
@@ -18,48 +17,52 @@
 from contextlib import suppress
 from dataclasses import dataclass, replace
 
-from irisdeal.testbed.load_generator import LATE_WATCH, Address, Terminals
-from irisdeal.testbed.loop_lag import Lateness
-from irisdeal.testbed.request_log import Books, Clock, Taken, lay_together
+from irisdeal.testbed.load_generator import LATE_WATCH, Address, LoadGenerator
+from irisdeal.testbed.loop_lag import LoopLagMonitor
+from irisdeal.testbed.request_log import ClientAttempt, Clock, RequestLog, lay_together
 from irisdeal.testbed.workload import Day
 
 READY_WITHIN = 20.0  # s for a process to come up
 ENDS_WITHIN = 60.0  # s for a book to be handed over once the last try has ended
-MOST_BOOK = 1 << 30  # bytes: a length over this is noise on the pipe
+MAX_REPORT = 1 << 30  # bytes: a length over this is noise on the pipe
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class LoadShard:
     """What one process plays: the `number`-th of `parts`, with the clock's offset (ns) of the whole run."""
 
     day: Day
-    doors: tuple[Address, ...]
+    front_doors: tuple[Address, ...]
     offset: int
     number: int
-    parts: int
+    shards: int
 
 
 @dataclass(frozen=True, slots=True)
-class Book:
+class ShardReport:
     """What one process saw."""
 
-    taken: list[Taken]
+    client_attempts: list[ClientAttempt]
     stalls: list[tuple[int, int]]
-    strangers: dict[str, int]
+    misbehaving_clients: dict[str, int]
 
 
-class CrowdError(Exception):
-    """A process of terminals did not do as it should."""
+class LoadProcessError(Exception):
+    """A process of load generators did not do as it should."""
 
 
-class Crowd:
-    """Has the calls of `Terminals`, and plays the day in `parts` processes of its own."""
+class LoadProcesses:
+    """Has the calls of `Load generators`, and plays the day in `parts` processes of its own."""
 
-    def __init__(self, day: Day, books: Books, now: Clock, doors: list[Address], parts: int) -> None:
-        self.books = books
-        self.parts = [
-            Part(replace(day, arrivals=day.arrivals[n::parts]), tuple(doors), now.offset, n, parts)
-            for n in range(parts)
+    def __init__(
+        self, day: Day, request_log: RequestLog, now: Clock, front_doors: list[Address], shards: int
+    ) -> None:
+        self.request_log = request_log
+        self.shards = [
+            LoadShard(
+                replace(day, arrivals=day.arrivals[n::shards]), tuple(front_doors), now.offset, n, shards
+            )
+            for n in range(shards)
         ]
         self.processes: list[asyncio.subprocess.Process] = []
         self.cpu = 0.0
@@ -79,11 +82,11 @@
                 stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
             )
-            for _ in self.parts
+            for _ in self.shards
         ]
-        for process, part in zip(self.processes, self.parts, strict=True):
+        for process, shard in zip(self.processes, self.shards, strict=True):
             assert process.stdin is not None
-            text = pickle.dumps(part)
+            text = pickle.dumps(shard)
             process.stdin.write(len(text).to_bytes(4, "big") + text)
         for process in self.processes:
             assert process.stdout is not None
@@ -94,34 +97,42 @@
                 line = b""
             if line != b"ready\n":
                 self.close()
-                raise CrowdError(f"a process of terminals did not come up within {READY_WITHIN:g} s")
+                raise LoadProcessError(f"a process of terminals did not come up within {READY_WITHIN:g} s")
 
     async def run(self, start: int) -> None:
-        """Play from `start` (µs) on, until every try has ended; then lay the books together."""
+        """Play from `start` (µs) on, until every try has ended; then lay the request logs together."""
         self._say(f"start {start}")
-        found = await asyncio.gather(*(self._book(process) for process in self.processes))
-        for book in found:
-            self.books.taken += book.taken
-            for name, count in book.strangers.items():
-                self.books.strangers[name] = self.books.strangers.get(name, 0) + count
-        self.books.taken.sort(key=lambda taken: (taken.due, taken.trace))
-        self.books.most_late = max([self.books.lateness, *(late for b in found for _, late in b.stalls)])
-        self.books.stalls[:] = lay_together(self.books.stalls, *(book.stalls for book in found))
+        found = await asyncio.gather(*(self._receive_report(process) for process in self.processes))
+        for report in found:
+            self.request_log.client_attempts += report.client_attempts
+            for name, count in report.misbehaving_clients.items():
+                self.request_log.misbehaving_clients[name] = (
+                    self.request_log.misbehaving_clients.get(name, 0) + count
+                )
+        self.request_log.client_attempts.sort(
+            key=lambda client_attempt: (client_attempt.due, client_attempt.trace)
+        )
+        self.request_log.most_late = max(
+            [self.request_log.lateness, *(late for b in found for _, late in b.stalls)]
+        )
+        self.request_log.stalls[:] = lay_together(
+            self.request_log.stalls, *(report.stalls for report in found)
+        )
         for process in self.processes:
             await process.wait()
 
-    async def _book(self, process: asyncio.subprocess.Process) -> Book:
+    async def _receive_report(self, process: asyncio.subprocess.Process) -> ShardReport:
         assert process.stdout is not None
         try:
             size = int.from_bytes(await process.stdout.readexactly(4), "big")
-            if size > MOST_BOOK:
-                raise CrowdError(f"a book of {size} bytes")
+            if size > MAX_REPORT:
+                raise LoadProcessError(f"a book of {size} bytes")
             async with asyncio.timeout(ENDS_WITHIN):
-                book = pickle.loads(await process.stdout.readexactly(size))
+                report = pickle.loads(await process.stdout.readexactly(size))
         except (asyncio.IncompleteReadError, TimeoutError, pickle.UnpicklingError):
-            raise CrowdError("a process of terminals ended without its book") from None
-        assert isinstance(book, Book)
-        return book
+            raise LoadProcessError("a process of terminals ended without its book") from None
+        assert isinstance(report, ShardReport)
+        return report
 
     def _say(self, line: str) -> None:
         for process in self.processes:
@@ -139,26 +150,28 @@
                 with suppress(ProcessLookupError):
                     process.kill()
 
-    def door_down(self, door: int) -> None:
-        self._say(f"down {door}")
+    def front_door_down(self, front_door: int) -> None:
+        self._say(f"down {front_door}")
 
-    def door_leaves(self, door: int) -> None:
-        self._say(f"leaves {door}")
+    def front_door_draining(self, front_door: int) -> None:
+        self._say(f"leaves {front_door}")
 
-    def door_up(self, door: int) -> None:
-        self._say(f"up {door}")
+    def front_door_up(self, front_door: int) -> None:
+        self._say(f"up {front_door}")
 
 
 async def _play(reader: asyncio.StreamReader) -> bytes:
     size = int.from_bytes(await reader.readexactly(4), "big")
-    part = pickle.loads(await reader.readexactly(size))
-    assert isinstance(part, Part)
-    books, now = Books(), Clock(part.offset)
-    terminals = Terminals(part.day, books, now, list(part.doors), part.number, part.parts)
+    shard = pickle.loads(await reader.readexactly(size))
+    assert isinstance(shard, LoadShard)
+    request_log, now = RequestLog(), Clock(shard.offset)
+    load_generator = LoadGenerator(
+        shard.day, request_log, now, list(shard.front_doors), shard.number, shard.shards
+    )
     sys.stdout.buffer.write(b"ready\n")
     sys.stdout.buffer.flush()
     played: asyncio.Task[None] | None = None
-    late = Lateness(books.stalls, now)
+    late = LoopLagMonitor(request_log.stalls, now)
     commands = asyncio.get_running_loop().create_task(reader.readline())
     while played is None or not played.done():
         await asyncio.wait({commands, *([played] if played else [])}, return_when=asyncio.FIRST_COMPLETED)
@@ -167,32 +180,38 @@
         what, _, value = commands.result().decode().strip().partition(" ")
         if what == "start":
             late.start()
-            played = asyncio.get_running_loop().create_task(terminals.run(int(value)))
+            played = asyncio.get_running_loop().create_task(load_generator.run(int(value)))
         elif what == "stop":
-            terminals.stop()
+            load_generator.stop()
         elif what == "":  # the parent has gone
-            terminals.close()
-            await asyncio.gather(*terminals.tasks, *terminals.strangers.tasks, return_exceptions=True)
+            load_generator.close()
+            await asyncio.gather(
+                *load_generator.tasks, *load_generator.misbehaving_clients.tasks, return_exceptions=True
+            )
             return b""
         else:
-            {"down": terminals.door_down, "leaves": terminals.door_leaves, "up": terminals.door_up}[what](
-                int(value)
-            )
+            {
+                "down": load_generator.front_door_down,
+                "leaves": load_generator.front_door_draining,
+                "up": load_generator.front_door_up,
+            }[what](int(value))
         commands = asyncio.get_running_loop().create_task(reader.readline())
     commands.cancel()
-    await asyncio.sleep(LATE_WATCH)  # what answers a try that was given up just now is still seen
+    await asyncio.sleep(LATE_WATCH)  # what answers a client attempt that was given up just now is still seen
     late.stop()
-    terminals.close()
-    return pickle.dumps(Book(books.taken, books.stalls, books.strangers))
+    load_generator.close()
+    return pickle.dumps(
+        ShardReport(request_log.client_attempts, request_log.stalls, request_log.misbehaving_clients)
+    )
 
 
 async def _main() -> None:
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer)
-    book = await _play(reader)
-    if book:
-        sys.stdout.buffer.write(len(book).to_bytes(4, "big") + book)
+    report = await _play(reader)
+    if report:
+        sys.stdout.buffer.write(len(report).to_bytes(4, "big") + report)
         sys.stdout.buffer.flush()
 
 
--- a/irisdeal/testbed/loop_lag.py
+++ b/irisdeal/testbed/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the stand-ins' own loop runs: the audit allows for it."""
+"""How late the testbed's own event loop runs: the audit allows for it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 MOST = 100_000  # noted; a run that stalls more often is no run
 
 
-class Lateness:
+class LoopLagMonitor:
     """Notes in `stalls` when the running loop went on (µs), and how long it had stood still (µs)."""
 
     def __init__(self, stalls: list[tuple[int, int]], now: Now) -> None:
@@ -19,15 +19,15 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self._look(asyncio.get_running_loop().time())
+        self._check(asyncio.get_running_loop().time())
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
-    def _look(self, due: float) -> None:
+    def _check(self, due: float) -> None:
         loop = asyncio.get_running_loop()
         late = round((loop.time() - due) * 1e6)
         if late >= LEAST and len(self.stalls) < MOST:
             self.stalls.append((self.now(), late))
-        self.timer = loop.call_later(STEP, self._look, loop.time() + STEP)
+        self.timer = loop.call_later(STEP, self._check, loop.time() + STEP)
--- a/irisdeal/testbed/misbehaving_clients.py
+++ b/irisdeal/testbed/misbehaving_clients.py
@@ -1,7 +1,8 @@
-"""Connections of no store, beside the usual ones: those that say nothing, and those that never read.
+"""Connections of no tenant, beside the load: clients that send nothing, and clients that never read.
 
-They keep a book of how each ended: `told` with an answer, `closed` without one, `refused` before it came up,
-`open` where the door had not ended it within `WATCH` (LATER, Bad clients: an error or a close within 3 s).
+Each connection is counted by how it ended: `told` with an answer, `closed` without one, `refused` before it came
+up, `open` where the front door had not ended it within `WATCH` (LATER, Bad clients: an error or a close within
+3 s).
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 ASK = b"GET /_health HTTP/1.1\r\nHost: door\r\n\r\n"
 
 
-class _Stranger(asyncio.Protocol):
+class _MisbehavingConnection(asyncio.Protocol):
     def __init__(self, reads: bool) -> None:
-        self.reads, self.heard, self.wrote = reads, 0, 0
+        self.reads, self.received, self.wrote = reads, 0, 0
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
         self.full = False
@@ -33,7 +34,7 @@
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.heard += len(data)
+        self.received += len(data)
 
     def pause_writing(self) -> None:
         self.full = True
@@ -43,19 +44,19 @@
             self.ended.set_result(None)
 
 
-class Strangers:
-    """All strangers of one process; `book` counts how they ended."""
+class MisbehavingClients:
+    """All misbehaving clients of one process; `book` counts how they ended."""
 
     def __init__(
         self,
         day: Day,
-        doors: list[tuple[str, int]],
-        book: dict[str, int],
-        part: int,
-        parts: int,
+        front_doors: list[tuple[str, int]],
+        outcomes: dict[str, int],
+        shard: int,
+        shards: int,
     ) -> None:
         self.faults = [f for f in day.scenario.faults if f.do in ("connect-storm", "slow-readers")]
-        self.doors, self.book, self.part, self.parts = doors, book, part, parts
+        self.front_doors, self.outcomes, self.shard, self.shards = front_doors, outcomes, shard, shards
         self.tasks: set[asyncio.Task[None]] = set()
 
     def play(self, wait: float) -> None:
@@ -63,7 +64,7 @@
         loop = asyncio.get_running_loop()
         for fault in self.faults:
             act = self._storm if fault.do == "connect-storm" else self._unread
-            share = fault.size / self.parts
+            share = fault.size / self.shards
             loop.call_later(max(0.0, wait + fault.at_s), self._begin, act, share, fault.for_s)
 
     def close(self) -> None:
@@ -84,39 +85,39 @@
         begin = loop.time()
         while (gone := loop.time() - begin) < seconds:
             while made < rate * gone and len(self.tasks) < MOST:
-                self._keep(self._silent(made % len(self.doors)))
+                self._keep(self._idle_connection(made % len(self.front_doors)))
                 made += 1
             await asyncio.sleep(STEP)
 
     async def _unread(self, count: float, seconds: float) -> None:
         """So many connections that ask without end and never read an answer."""
         for n in range(min(MOST, round(count))):
-            self._keep(self._never_reads(n % len(self.doors), seconds))
+            self._keep(self._never_reads(n % len(self.front_doors), seconds))
 
     def _count(self, name: str) -> None:
-        self.book[name] = self.book.get(name, 0) + 1
+        self.outcomes[name] = self.outcomes.get(name, 0) + 1
 
-    async def _connect(self, door: int, reads: bool) -> _Stranger | None:
+    async def _connect(self, front_door: int, reads: bool) -> _MisbehavingConnection | None:
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 _, made = await asyncio.get_running_loop().create_connection(
-                    lambda: _Stranger(reads), *self.doors[door]
+                    lambda: _MisbehavingConnection(reads), *self.front_doors[front_door]
                 )
         except (OSError, TimeoutError):
             self._count("refused")
             return None
         return made
 
-    async def _silent(self, door: int) -> None:
-        if (one := await self._connect(door, True)) is None:
+    async def _idle_connection(self, front_door: int) -> None:
+        if (one := await self._connect(front_door, True)) is None:
             return
         await asyncio.wait({one.ended}, timeout=WATCH)
-        self._count("told" if one.heard else "closed" if one.ended.done() else "open")
+        self._count("told" if one.received else "closed" if one.ended.done() else "open")
         if one.transport is not None:
             one.transport.abort()
 
-    async def _never_reads(self, door: int, seconds: float) -> None:
-        if (one := await self._connect(door, False)) is None:
+    async def _never_reads(self, front_door: int, seconds: float) -> None:
+        if (one := await self._connect(front_door, False)) is None:
             return
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -1,7 +1,8 @@
-"""A whole platform of stand-ins for one day, and the timeline of its faults.
+"""All services of the testbed for one day, and the timeline of its faults.
 
-`Platform` starts boxes, roster, count keeper and links, writes each door's configuration, and plays the
-timeline. Doors are somebody else's: `Doors` says what it needs of them.
+`Platform` starts backends, discovery service, counter service and links, writes the configuration of each front
+door, and plays the timeline. The front doors belong to the caller: `FrontDoors` is what the timeline needs of
+them.
 """
 
 from __future__ import annotations
@@ -14,33 +15,33 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from irisdeal.testbed.backend import Box
-from irisdeal.testbed.backend_model import HallMemory, Meter
-from irisdeal.testbed.counter_service import Keeper
-from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.backend import BackendServer
+from irisdeal.testbed.backend_model import IdempotencyMemory, Meter
+from irisdeal.testbed.counter_service import CounterServer
+from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
-from irisdeal.testbed.loop_lag import Lateness
-from irisdeal.testbed.request_log import Books, Clock, Now, door_name
+from irisdeal.testbed.loop_lag import LoopLagMonitor
+from irisdeal.testbed.request_log import Clock, Now, RequestLog, front_door_name
 from irisdeal.testbed.scenario import Fault
-from irisdeal.testbed.site_processes import FarBox, FarKeeper, FarLinks, Sites
+from irisdeal.testbed.site_processes import RemoteBackend, RemoteCounter, RemoteLinks, Sites
 from irisdeal.testbed.workload import Day, machine, stream
 
 log = logging.getLogger("irisdeal.testbed")
 
 
-class Doors(Protocol):
-    """What the timeline does to doors."""
+class FrontDoors(Protocol):
+    """What the timeline does to front doors."""
 
-    async def kill(self, door: int, down: float) -> None:
+    async def kill(self, front_door: int, down: float) -> None:
         """SIGKILL, and start again after `down` s."""
 
-    async def restart(self, door: int) -> None:
+    async def restart(self, front_door: int) -> None:
         """SIGTERM, and start again once it has ended."""
 
-    async def stall(self, door: int, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after `seconds`; it is in `books.pauses` by then."""
+    async def stall(self, front_door: int, seconds: float) -> None:
+        """SIGSTOP, and SIGCONT after `seconds`; it is in `request logs.pauses` by then."""
 
-    async def reload(self, door: int) -> None:
+    async def reload(self, front_door: int) -> None:
         """The configuration file is written anew already: SIGHUP."""
 
 
@@ -57,7 +58,7 @@
 
 
 class Platform:
-    """All stand-ins of one run."""
+    """All test services of one run."""
 
     def __init__(
         self,
@@ -70,13 +71,13 @@
         self.day, self.scenario = day, day.scenario
         self.clock = Clock()
         self.now: Now = now or self.clock
-        self.books = Books()
-        self.doors = range(self.scenario.doors)
+        self.request_log = RequestLog()
+        self.front_doors = range(self.scenario.front_doors)
         self.folder = folder
-        self.reports: Path | None = None  # where the doors are to make their reports' sockets
+        self.reports: Path | None = None  # where the front doors are to make their reports' sockets
         fleet, seed = self.scenario.fleet, day.seed
         window = round(max(c.window_ms for c in self.scenario.classes) * 1000)
-        self.memories = {hall: HallMemory(window) for hall in fleet.halls}
+        self.memories = {zone: IdempotencyMemory(window) for zone in fleet.zones}
         self.meter = Meter(
             round(fleet.meter_s * 1e6),
             round(fleet.meter_late_ms * 1000),
@@ -84,28 +85,30 @@
         )
         self.cells: dict[str, int] = {}
         self.figures = self.scenario.figures(self.cells)
-        self.boxes: list[Box | FarBox] = []
+        self.backends: list[BackendServer | RemoteBackend] = []
         self.number = 0  # of machines made
-        # Where the scenario wants it, boxes and keeper are in processes of their own; never in virtual time.
-        self.sites = Sites(day, self.clock, self.books) if fleet.apart and links is None else None
-        self.keeper: Keeper | FarKeeper = (
-            FarKeeper(self.sites) if self.sites else Keeper(self.scenario.keeper, self.now, seed)
+        # Backends and counter service in processes of their own, if the scenario says so; not in virtual time.
+        self.sites = Sites(day, self.clock, self.request_log) if fleet.apart and links is None else None
+        self.counter: CounterServer | RemoteCounter = (
+            RemoteCounter(self.sites) if self.sites else CounterServer(self.scenario.counter, self.now, seed)
         )
-        self.roster = Roster(self.scenario.roster, self.books, self.now, seed)
-        self.relay: Links = links or Relay(self.now, self.books.holds)
+        self.discovery = DiscoveryServer(self.scenario.discovery, self.request_log, self.now, seed)
+        self.relay: Links = links or Relay(self.now, self.request_log.link_faults)
         if self.sites is not None:
-            self.relay = FarLinks(self.sites, Relay(self.now, self.books.holds))
-        self.ways: dict[str, dict[int, int]] = {}  # by box, the port that each door is given
+            self.relay = RemoteLinks(self.sites, Relay(self.now, self.request_log.link_faults))
+        self.link_ports: dict[str, dict[int, int]] = {}  # by backend, the port that each front door is given
         ends = {f.to for f in self.scenario.faults if f.do.startswith("link-")}
-        self.relayed = bool(ends & set(fleet.halls)) or any(
+        self.relayed = bool(ends & set(fleet.zones)) or any(
             f.do.startswith("hall-") for f in self.scenario.faults
         )
-        self.led = {name: dict[int, int]() for name in ("keeper", "roster") if name in ends}  # ports by door
+        self.led = {
+            name: dict[int, int]() for name in ("keeper", "roster") if name in ends
+        }  # ports by front door
         self.random = stream(seed, "faults")
-        self.struck: set[str] = set()  # boxes that a fault has; those that are gone stay
+        self.struck: set[str] = set()  # backends that a fault has; those that are gone stay
         self.tasks: set[asyncio.Task[None]] = set()
-        self.lateness = Lateness(self.books.stalls, self.now)
-        self.looks_late = True  # in virtual time these loops are never late
+        self.lateness = LoopLagMonitor(self.request_log.stalls, self.now)
+        self.monitors_lag = True  # in virtual time these loops are never late
         self.closed = False
 
     # Start and end
@@ -113,21 +116,23 @@
     async def start(self) -> None:
         if self.sites is not None:
             await self.sites.start()
-        for _ in range(self.scenario.fleet.boxes):
-            await self._new_box(cold=False)
-        self.roster.ledger.change(*(self._member(box, "Ready") for box in self.boxes))
-        await self.roster.start(self.doors)
-        await self.keeper.start(self.doors)
-        for name, ports in (("keeper", self.keeper.ports), ("roster", self.roster.ports)):
+        for _ in range(self.scenario.fleet.backends):
+            await self._new_backend(warming_up=False)
+        self.discovery.endpoints.change(*(self._member(backend, "Ready") for backend in self.backends))
+        await self.discovery.start(self.front_doors)
+        await self.counter.start(self.front_doors)
+        for name, ports in (("keeper", self.counter.ports), ("roster", self.discovery.ports)):
             if name in self.led:
-                for door in self.doors:
-                    way = await self.relay.add(door_name(door), name, ("127.0.0.1", ports[door]))
-                    self.led[name][door] = way[1]
-        if self.looks_late:
+                for front_door in self.front_doors:
+                    link_address = await self.relay.add(
+                        front_door_name(front_door), name, ("127.0.0.1", ports[front_door])
+                    )
+                    self.led[name][front_door] = link_address[1]
+        if self.monitors_lag:
             self.lateness.start()
 
     async def gather(self) -> None:
-        """Once the day is over: what was seen in other processes is in the books as well."""
+        """Once the day is over: what was seen in other processes is in the request logs as well."""
         if self.sites is not None:
             await self.sites.gather()
 
@@ -136,11 +141,11 @@
         self.lateness.stop()
         for task in self.tasks:
             task.cancel()
-        for box in self.boxes:
-            if box.up:
-                box.crash()
-        self.keeper.close()
-        self.roster.close()
+        for backend in self.backends:
+            if backend.up:
+                backend.crash()
+        self.counter.close()
+        self.discovery.close()
         self.relay.close()
         if self.sites is not None:
             self.sites.close()
@@ -150,111 +155,121 @@
         if self.sites is not None:
             await self.sites.ended()
 
-    async def _new_box(self, cold: bool, instead: Box | FarBox | None = None) -> Box | FarBox:
-        """A machine of the next number; `instead` of another one it takes its addresses, hall and cell."""
+    async def _new_backend(
+        self, warming_up: bool, instead: BackendServer | RemoteBackend | None = None
+    ) -> BackendServer | RemoteBackend:
+        """A machine of the next number; `instead` of another one it takes its addresses, zone and cell."""
         drawn = machine(self.scenario, self.day.seed, self.number)
         if instead is not None:
-            drawn = replace(drawn, hall=instead.machine.hall, cell=instead.machine.cell)
+            drawn = replace(drawn, zone=instead.machine.zone, cell=instead.machine.cell)
         name = f"s-{stream(self.day.seed, 'name', self.number).randrange(2**32):08x}"
         self.number += 1
         self.cells[name] = drawn.cell
         self.figures.cells[name] = drawn.cell
-        halls = self.scenario.fleet.halls
-        box: Box | FarBox = (
-            FarBox(self.sites, name, drawn)
+        zones = self.scenario.fleet.zones
+        backend: BackendServer | RemoteBackend = (
+            RemoteBackend(self.sites, name, drawn)
             if self.sites is not None
-            else Box(
+            else BackendServer(
                 name,
                 drawn,
                 self.scenario.fleet,
                 self.scenario.classes,
                 self.figures,
-                self.books,
+                self.request_log,
                 self.now,
                 self.day.seed,
-                self.memories[drawn.hall],
+                self.memories[drawn.zone],
                 self.meter,
-                tuple(halls[d % len(halls)] for d in self.doors),
+                tuple(zones[d % len(zones)] for d in self.front_doors),
             )
         )
-        box.ports = dict(instead.ports) if instead is not None else {}
-        await box.start(self.doors, cold)
-        self.boxes.append(box)
+        backend.ports = dict(instead.ports) if instead is not None else {}
+        await backend.start(self.front_doors, warming_up)
+        self.backends.append(backend)
         if self.relayed:
-            self.ways[name] = {
-                door: (await self.relay.add(door_name(door), drawn.hall, ("127.0.0.1", box.ports[door])))[1]
-                for door in self.doors
+            self.link_ports[name] = {
+                front_door: (
+                    await self.relay.add(
+                        front_door_name(front_door), drawn.zone, ("127.0.0.1", backend.ports[front_door])
+                    )
+                )[1]
+                for front_door in self.front_doors
             }
-        return box
-
-    def _member(self, box: Box | FarBox, phase: str) -> Member:
-        ports = self.ways.get(box.name, box.ports)
-        return Member(
-            box.name,
-            box.machine.hall,
-            box.machine.kind,
-            box.machine.cell,
+        return backend
+
+    def _member(self, backend: BackendServer | RemoteBackend, phase: str) -> Endpoint:
+        ports = self.link_ports.get(backend.name, backend.ports)
+        return Endpoint(
+            backend.name,
+            backend.machine.zone,
+            backend.machine.kind,
+            backend.machine.cell,
             phase,
-            box.started,
-            tuple(ports[d] for d in self.doors),
-            float(box.machine.cores),
+            backend.started,
+            tuple(ports[d] for d in self.front_doors),
+            float(backend.machine.cores),
         )
 
-    # Doors' configuration
+    # Front doors' configuration
 
-    def discovery(self, door: int) -> str:
-        """Where a door finds the roster."""
-        return f"127.0.0.1:{self.led.get('roster', self.roster.ports)[door]}"
+    def discovery_address(self, front_door: int) -> str:
+        """Where a front door finds the discovery service."""
+        return f"127.0.0.1:{self.led.get('roster', self.discovery.ports)[front_door]}"
 
-    def config(self, door: int, listen: str, seed: int) -> dict[str, Any]:
-        """What a door is told (DEPLOY, What a front door is told)."""
-        revision, members = self.roster.ledger.whole(door)
-        spec = self.scenario.door
-        report = {"report": str(self.reports / f"n{door}.sock")} if self.reports is not None else {}
+    def config(self, front_door: int, listen: str, seed: int) -> dict[str, Any]:
+        """What a front door is told (DEPLOY, What a front door is told)."""
+        revision, members = self.discovery.endpoints.complete_list(front_door)
+        spec = self.scenario.front_door
+        report = {"report": str(self.reports / f"n{front_door}.sock")} if self.reports is not None else {}
         return report | {
-            "name": f"n{door}",
+            "name": f"n{front_door}",
             "listen": listen,
-            "discovery": self.discovery(door),
+            "discovery": self.discovery_address(front_door),
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": spec.memory_mb, "sockets": spec.sockets},
-            "counter": f"127.0.0.1:{self.led.get('keeper', self.keeper.ports)[door]}",
-            "known": {"revision": revision, "complete": True, "members": [m.told(door) for m in members]},
-            "settings": self.scenario.settings(door),
+            "counter": f"127.0.0.1:{self.led.get('keeper', self.counter.ports)[front_door]}",
+            "known": {
+                "revision": revision,
+                "complete": True,
+                "members": [m.to_json(front_door) for m in members],
+            },
+            "settings": self.scenario.settings(front_door),
         }
 
-    def write_config(self, door: int, listen: str, seed: int, path: Path) -> None:
-        """Whole or not at all: a door may read it at any time."""
+    def write_config(self, front_door: int, listen: str, seed: int, path: Path) -> None:
+        """Whole or not at all: a front door may read it at any time."""
         new = path.with_suffix(".new")
-        new.write_text(json.dumps(self.config(door, listen, seed)))
+        new.write_text(json.dumps(self.config(front_door, listen, seed)))
         new.replace(path)
 
     # The timeline
 
-    def play(self, start: int, doors: Doors) -> None:
+    def play(self, start: int, front_doors: FrontDoors) -> None:
         """Put the whole timeline on the loop; `start` in µs."""
         loop = asyncio.get_running_loop()
         for fault in self.scenario.faults:
             wait = max(0.0, (start - self.now()) / 1e6 + fault.at_s)
-            loop.call_later(wait, self._begin, fault, doors)
+            loop.call_later(wait, self._begin, fault, front_doors)
 
-    def _begin(self, fault: Fault, doors: Doors) -> None:
+    def _begin(self, fault: Fault, front_doors: FrontDoors) -> None:
         if not self.closed:
-            self.tasks.add(task := asyncio.get_running_loop().create_task(self.do(fault, doors)))
+            self.tasks.add(task := asyncio.get_running_loop().create_task(self.do(fault, front_doors)))
             task.add_done_callback(self._ended)
 
     def _ended(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("a fault could not be played: %r", error)
-            self.note(f"could not be played: {error!r}")
+            self.record_fault(f"could not be played: {error!r}")
 
-    def note(self, text: str) -> None:
-        self.books.faults.append((self.now(), text))
+    def record_fault(self, text: str) -> None:
+        self.request_log.faults.append((self.now(), text))
 
-    async def do(self, fault: Fault, doors: Doors) -> None:
+    async def do(self, fault: Fault, front_doors: FrontDoors) -> None:
         """Play one fault to its end."""
-        self.note(fault.text())
-        table: dict[str, Callable[[Fault, Doors], Awaitable[None]]] = {
+        self.record_fault(fault.text())
+        table: dict[str, Callable[[Fault, FrontDoors], Awaitable[None]]] = {
             "box-hang": self._hang,
             "box-slow": self._slow,
             "box-crash": self._crash,
@@ -262,195 +277,197 @@
             "box-drain": self._drain,
             "box-add": self._add,
             "box-spoil": self._spoil,
-            "keeper-silent": self._keeper_silent,
-            "keeper-refuse": self._keeper_refuse,
-            "keeper-slow": self._keeper_slow,
-            "keeper-flush": self._keeper_flush,
-            "keeper-spoil": self._keeper_spoil,
-            "keeper-split": self._keeper_split,
-            "roster-silent": self._roster_silent,
-            "roster-late": self._roster_late,
-            "roster-lose": self._roster_lose,
-            "hall-cut": self._hall_cut,
-            "hall-slow": self._hall_slow,
-            "hall-reset": self._hall_reset,
+            "keeper-silent": self._counter_unresponsive,
+            "keeper-refuse": self._counter_refuse,
+            "keeper-slow": self._counter_slow,
+            "keeper-flush": self._counter_flush,
+            "keeper-spoil": self._counter_spoil,
+            "keeper-split": self._counter_split,
+            "roster-silent": self._discovery_unresponsive,
+            "roster-late": self._discovery_late,
+            "roster-lose": self._discovery_lose,
+            "hall-cut": self._zone_cut_off,
+            "hall-slow": self._zone_slow,
+            "hall-reset": self._zone_reset,
             "link-cut": self._link,
             "link-silent": self._link,
             "link-slow": self._link,
             "link-reset": self._link,
-            "door-kill": self._door_kill,
-            "door-restart": self._door_restart,
-            "door-stall": self._door_stall,
-            "door-reload": self._door_reload,
+            "door-kill": self._front_door_kill,
+            "door-restart": self._front_door_restart,
+            "door-stall": self._front_door_stall,
+            "door-reload": self._front_door_reload,
         }
-        if (play := table.get(fault.do)) is not None:  # the rest is drawn into the day or the terminals'
-            await play(fault, doors)
-
-    def _some(self, count: int) -> list[Box | FarBox]:
-        """Boxes that are up and in no other fault, drawn by the seed; they are this fault's until `_free`."""
-        able = [b for b in self.boxes if b.up and b.name not in self.struck]
-        boxes = self.random.sample(able, min(count, len(able)))
-        self.struck |= {box.name for box in boxes}
-        return boxes
-
-    def _free(self, boxes: list[Box | FarBox]) -> None:
-        self.struck -= {box.name for box in boxes}
-
-    async def _hang(self, fault: Fault, _: Doors) -> None:
-        boxes = self._some(fault.boxes)
-        for box in boxes:
-            box.set_hung(True)
+        if (
+            play := table.get(fault.do)
+        ) is not None:  # the rest is drawn into the day or the load generators'
+            await play(fault, front_doors)
+
+    def _some(self, count: int) -> list[BackendServer | RemoteBackend]:
+        """Backends that are up and in no other fault, drawn by the seed; they are this fault's until `_free`."""
+        able = [b for b in self.backends if b.up and b.name not in self.struck]
+        backends = self.random.sample(able, min(count, len(able)))
+        self.struck |= {backend.name for backend in backends}
+        return backends
+
+    def _free(self, backends: list[BackendServer | RemoteBackend]) -> None:
+        self.struck -= {backend.name for backend in backends}
+
+    async def _hang(self, fault: Fault, _: FrontDoors) -> None:
+        backends = self._some(fault.backends)
+        for backend in backends:
+            backend.set_hung(True)
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            if box.up:
-                box.set_hung(False)
-        self._free(boxes)
-
-    async def _slow(self, fault: Fault, _: Doors) -> None:
-        boxes = self._some(fault.boxes)
-        for box in boxes:
-            box.set_slower(fault.size)
+        for backend in backends:
+            if backend.up:
+                backend.set_hung(False)
+        self._free(backends)
+
+    async def _slow(self, fault: Fault, _: FrontDoors) -> None:
+        backends = self._some(fault.backends)
+        for backend in backends:
+            backend.set_slower(fault.size)
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            if box.up:
-                box.set_slower(1.0)
-        self._free(boxes)
-
-    async def _crash(self, fault: Fault, _: Doors) -> None:
-        """The process dies and comes up again cold; the roster knows only that it runs, late."""
-        boxes = self._some(fault.boxes)
-        for box in boxes:
-            box.crash()
+        for backend in backends:
+            if backend.up:
+                backend.set_slower(1.0)
+        self._free(backends)
+
+    async def _crash(self, fault: Fault, _: FrontDoors) -> None:
+        """The process dies and comes up again cold; the discovery service knows only that it runs, late."""
+        backends = self._some(fault.backends)
+        for backend in backends:
+            backend.crash()
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            await box.start(self.doors, cold=True)
-        self.roster.change(*(self._member(box, "Ready") for box in boxes))
-        self._free(boxes)
-        self.note(f"{len(boxes)} boxes are up again, cold")
+        for backend in backends:
+            await backend.start(self.front_doors, warming_up=True)
+        self.discovery.change(*(self._member(backend, "Ready") for backend in backends))
+        self._free(backends)
+        self.record_fault(f"{len(backends)} boxes are up again, cold")
 
-    async def _replace(self, fault: Fault, _: Doors) -> None:
+    async def _replace(self, fault: Fault, _: FrontDoors) -> None:
         """Machines go for good; others, with new ids, take their addresses, which the old list still has."""
-        boxes = self._some(fault.boxes)
-        for box in boxes:
-            box.crash()
+        backends = self._some(fault.backends)
+        for backend in backends:
+            backend.crash()
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            gone = self._member(box, "Gone")
-            new = await self._new_box(cold=True, instead=box)
-            self.roster.change(gone, self._member(new, "Ready"))
-        self.note(f"{len(boxes)} new boxes stand at the old addresses, cold")
-
-    async def _drain(self, fault: Fault, _: Doors) -> None:
-        boxes = self._some(fault.boxes)
-        self.roster.change(*(self._member(box, "Terminating") for box in boxes))
+        for backend in backends:
+            gone = self._member(backend, "Gone")
+            new = await self._new_backend(warming_up=True, instead=backend)
+            self.discovery.change(gone, self._member(new, "Ready"))
+        self.record_fault(f"{len(backends)} new boxes stand at the old addresses, cold")
+
+    async def _drain(self, fault: Fault, _: FrontDoors) -> None:
+        backends = self._some(fault.backends)
+        self.discovery.change(*(self._member(backend, "Terminating") for backend in backends))
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            box.drain()
-        self.roster.change(*(self._member(box, "Gone") for box in boxes))
-        self.note(f"{len(boxes)} boxes are gone")
-
-    async def _add(self, fault: Fault, _: Doors) -> None:
-        made = [await self._new_box(cold=True) for _ in range(fault.boxes)]
-        self.roster.change(*(self._member(box, "Ready") for box in made))
-
-    async def _spoil(self, fault: Fault, _: Doors) -> None:
-        boxes = self._some(fault.boxes)
-        for box in boxes:
-            box.set_spoil(fault.size)
+        for backend in backends:
+            backend.drain()
+        self.discovery.change(*(self._member(backend, "Gone") for backend in backends))
+        self.record_fault(f"{len(backends)} boxes are gone")
+
+    async def _add(self, fault: Fault, _: FrontDoors) -> None:
+        made = [await self._new_backend(warming_up=True) for _ in range(fault.backends)]
+        self.discovery.change(*(self._member(backend, "Ready") for backend in made))
+
+    async def _spoil(self, fault: Fault, _: FrontDoors) -> None:
+        backends = self._some(fault.backends)
+        for backend in backends:
+            backend.set_spoil(fault.size)
         await asyncio.sleep(fault.for_s)
-        for box in boxes:
-            box.set_spoil(0.0)
-        self._free(boxes)
+        for backend in backends:
+            backend.set_spoil(0.0)
+        self._free(backends)
 
-    async def _keeper_silent(self, fault: Fault, _: Doors) -> None:
-        self.keeper.put("silent", 1)
+    async def _counter_unresponsive(self, fault: Fault, _: FrontDoors) -> None:
+        self.counter.put("silent", 1)
         await asyncio.sleep(fault.for_s)
-        self.keeper.put("silent", 0)
-        self.note("the keeper answers again")
+        self.counter.put("silent", 0)
+        self.record_fault("the keeper answers again")
 
-    async def _keeper_refuse(self, fault: Fault, _: Doors) -> None:
-        self.keeper.refuse()
+    async def _counter_refuse(self, fault: Fault, _: FrontDoors) -> None:
+        self.counter.refuse()
         await asyncio.sleep(fault.for_s)
-        await self.keeper.restart(self.doors, fault.empty)
-        self.note(f"the keeper is back, {'empty' if fault.empty else 'with its counts'}")
+        await self.counter.restart(self.front_doors, fault.empty)
+        self.record_fault(f"the keeper is back, {'empty' if fault.empty else 'with its counts'}")
 
-    async def _keeper_slow(self, fault: Fault, _: Doors) -> None:
-        self.keeper.put("slower", fault.size)
+    async def _counter_slow(self, fault: Fault, _: FrontDoors) -> None:
+        self.counter.put("slower", fault.size)
         await asyncio.sleep(fault.for_s)
-        self.keeper.put("slower", 1.0)
+        self.counter.put("slower", 1.0)
 
-    async def _keeper_flush(self, fault: Fault, _: Doors) -> None:
-        self.note(f"the keeper lost {await self.keeper.forget(fault.size)} names")
+    async def _counter_flush(self, fault: Fault, _: FrontDoors) -> None:
+        self.record_fault(f"the keeper lost {await self.counter.forget(fault.size)} names")
 
-    async def _keeper_spoil(self, fault: Fault, _: Doors) -> None:
-        self.keeper.put("spoil", fault.size)
+    async def _counter_spoil(self, fault: Fault, _: FrontDoors) -> None:
+        self.counter.put("spoil", fault.size)
         await asyncio.sleep(fault.for_s)
-        self.keeper.put("spoil", 0.0)
+        self.counter.put("spoil", 0.0)
 
-    async def _keeper_split(self, fault: Fault, _: Doors) -> None:
-        self.keeper.split(self.doors[: fault.door], self.doors[fault.door :])
+    async def _counter_split(self, fault: Fault, _: FrontDoors) -> None:
+        self.counter.split(self.front_doors[: fault.front_door], self.front_doors[fault.front_door :])
         await asyncio.sleep(fault.for_s)
-        self.keeper.heal()
-        self.note("the keeper is one again, with the counts of the first doors' side")
+        self.counter.heal()
+        self.record_fault("the keeper is one again, with the counts of the first doors' side")
 
-    async def _roster_silent(self, fault: Fault, _: Doors) -> None:
-        self.roster.set_silent(True)
+    async def _discovery_unresponsive(self, fault: Fault, _: FrontDoors) -> None:
+        self.discovery.set_unresponsive(True)
         await asyncio.sleep(fault.for_s)
-        self.roster.set_silent(False)
+        self.discovery.set_unresponsive(False)
 
-    async def _roster_late(self, fault: Fault, _: Doors) -> None:
-        self.roster.later = fault.size
+    async def _discovery_late(self, fault: Fault, _: FrontDoors) -> None:
+        self.discovery.later = fault.size
         await asyncio.sleep(fault.for_s)
-        self.roster.later = 0.0
+        self.discovery.later = 0.0
 
-    async def _roster_lose(self, fault: Fault, _: Doors) -> None:
-        self.roster.lose = fault.size
+    async def _discovery_lose(self, fault: Fault, _: FrontDoors) -> None:
+        self.discovery.lose = fault.size
         await asyncio.sleep(fault.for_s)
-        self.roster.lose = 0.0
+        self.discovery.lose = 0.0
 
-    async def _hall_cut(self, fault: Fault, _: Doors) -> None:
-        self.relay.set([fault.hall], Condition(cut=True))
+    async def _zone_cut_off(self, fault: Fault, _: FrontDoors) -> None:
+        self.relay.set([fault.zone], Condition(partitioned=True))
         await asyncio.sleep(fault.for_s)
-        self.relay.set([fault.hall], Condition())
-        self.note(f"{fault.hall} is back")
+        self.relay.set([fault.zone], Condition())
+        self.record_fault(f"{fault.zone} is back")
 
-    async def _hall_slow(self, fault: Fault, _: Doors) -> None:
-        self.relay.set([fault.hall], Condition(delay=fault.ms / 1000))
+    async def _zone_slow(self, fault: Fault, _: FrontDoors) -> None:
+        self.relay.set([fault.zone], Condition(delay=fault.ms / 1000))
         await asyncio.sleep(fault.for_s)
-        self.relay.set([fault.hall], Condition())
+        self.relay.set([fault.zone], Condition())
 
-    async def _hall_reset(self, fault: Fault, _: Doors) -> None:
-        self.relay.reset([fault.hall])
+    async def _zone_reset(self, fault: Fault, _: FrontDoors) -> None:
+        self.relay.reset([fault.zone])
 
-    async def _link(self, fault: Fault, _: Doors) -> None:
-        doors = [door_name(door) for door in self.doors[: fault.door]]
+    async def _link(self, fault: Fault, _: FrontDoors) -> None:
+        front_doors = [front_door_name(front_door) for front_door in self.front_doors[: fault.front_door]]
         if fault.do == "link-reset":
-            return self.relay.reset(doors, fault.to)
+            return self.relay.reset(front_doors, fault.to)
         self.relay.set(
-            doors,
+            front_doors,
             {
-                "link-cut": Condition(cut=True),
-                "link-silent": Condition(silent=True, way=fault.way),
+                "link-cut": Condition(partitioned=True),
+                "link-silent": Condition(stalled=True, direction=fault.direction),
                 "link-slow": Condition(delay=fault.ms / 1000),
             }[fault.do],
             fault.to,
         )
         await asyncio.sleep(fault.for_s)
-        self.relay.set(doors, Condition(), fault.to)
-        self.note(f"{len(doors)} doors have their ways to {fault.to} again")
+        self.relay.set(front_doors, Condition(), fault.to)
+        self.record_fault(f"{len(front_doors)} doors have their ways to {fault.to} again")
 
-    async def _door_kill(self, fault: Fault, doors: Doors) -> None:
-        await doors.kill(fault.door, fault.for_s)
+    async def _front_door_kill(self, fault: Fault, front_doors: FrontDoors) -> None:
+        await front_doors.kill(fault.front_door, fault.for_s)
 
-    async def _door_restart(self, fault: Fault, doors: Doors) -> None:
-        await doors.restart(fault.door)
+    async def _front_door_restart(self, fault: Fault, front_doors: FrontDoors) -> None:
+        await front_doors.restart(fault.front_door)
 
-    async def _door_stall(self, fault: Fault, doors: Doors) -> None:
-        await doors.stall(fault.door, fault.for_s)
+    async def _front_door_stall(self, fault: Fault, front_doors: FrontDoors) -> None:
+        await front_doors.stall(fault.front_door, fault.for_s)
 
-    async def _door_reload(self, fault: Fault, doors: Doors) -> None:
-        """Roster and keeper move for all doors, since each is one service; this door is told by SIGHUP."""
-        await self.roster.move(self.doors)
-        await self.keeper.move(self.doors)
-        for door in self.doors:
-            await doors.reload(door)
+    async def _front_door_reload(self, fault: Fault, front_doors: FrontDoors) -> None:
+        """Discovery and counter service move for all front doors, each of which reloads on SIGHUP."""
+        await self.discovery.move(self.front_doors)
+        await self.counter.move(self.front_doors)
+        for front_door in self.front_doors:
+            await front_doors.reload(front_door)
--- a/irisdeal/testbed/quota_overshoot.py
+++ b/irisdeal/testbed/quota_overshoot.py
@@ -1,9 +1,9 @@
-"""How far each store went over its quota, over all doors together, by the boxes' books. Pure.
+"""How far each tenant exceeded its quota over all front doors together, by the backends' request logs. Pure.
 
-A quota of `rate` units a second with a store of `burst` allows `burst + rate x (t - s)` units in each span
-from s to t. The overshoot of a customer is the most by which the units first sent on in any span pass that.
-It is found in one pass: a bucket that fills at the rate, holds the burst at most and may go below nothing is
-lowest exactly by the overshoot (the (sigma, rho) bound of Cruz 1991, read backwards).
+A quota of `rate` units a second with a burst of `burst` allows `burst + rate x (t - s)` units in each span from
+s to t. The overshoot of a tenant is the most by which the units first forwarded in any span exceed that. It is
+computed in one pass: a bucket that fills at the rate, holds the burst at most and may go below zero is lowest
+exactly by the overshoot (the (sigma, rho) bound of Cruz 1991, read backwards).
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-from irisdeal.testbed.request_log import Attempt, Books
+from irisdeal.testbed.request_log import Attempt, RequestLog
 from irisdeal.testbed.scenario import Scenario
 
-REFUSED_ROOM = 0.5  # part of a burst that a store holds at least where a refusal counts as one with room
+REFUSED_CAPACITY = 0.5  # part of a burst that a tenant holds at least where a refusal counts as one with room
 
 
 @dataclass(frozen=True, slots=True)
-class StoreUse:
+class TenantUsage:
     """One customer's use. `allowed` is burst + rate x the run; units; `worst_at` in µs."""
 
     plan: str
@@ -28,10 +28,10 @@
     allowed: float
     overshoot: float
     worst_at: int
-    doors: int  # through which its requests went on
+    front_doors: int  # through which its requests went on
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Its overshoot as a part of what was allowed in the whole run."""
         return self.overshoot / self.allowed if self.allowed else 0.0
 
@@ -52,29 +52,29 @@
     return worst, at
 
 
-def stores(books: Books, scenario: Scenario) -> list[StoreUse]:
-    """Every customer of which something was sent on, the largest overshoot first."""
+def tenant_usage(request_log: RequestLog, scenario: Scenario) -> list[TenantUsage]:
+    """Every customer of which something was forwarded, the largest overshoot first."""
     firsts: dict[str, Attempt] = {}
-    for attempt in sorted(books.attempts, key=lambda a: a.last_byte):
+    for attempt in sorted(request_log.attempts, key=lambda a: a.last_byte):
         firsts.setdefault(attempt.trace, attempt)
-    by_store: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
+    by_tenant: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
     for attempt in firsts.values():
-        by_store[attempt.plan, attempt.customer].append(attempt)
+        by_tenant[attempt.plan, attempt.customer].append(attempt)
     plans = {plan.name: plan for plan in scenario.plans}
     made = []
-    for (name, customer), attempts in by_store.items():
+    for (name, customer), attempts in by_tenant.items():
         plan = plans[name]
         burst = scenario.burst(plan)
         worst, at = overshoot([(a.last_byte, a.units) for a in attempts], plan.rate, burst)
         made.append(
-            StoreUse(
+            TenantUsage(
                 name,
                 customer,
                 sum(a.units for a in attempts),
                 burst + plan.rate * scenario.seconds,
                 worst,
                 at,
-                len({a.door for a in attempts}),
+                len({a.front_door for a in attempts}),
             )
         )
     return sorted(made, key=lambda use: (-use.overshoot, use.plan, use.customer))
@@ -82,34 +82,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusals:
-    """Tries that were refused, and those of them whose store had room; `asked` are all tries."""
+    """Tries that were refused, and those of them whose tenant had room; `asked` are all client attempts."""
 
     asked: int = 0
     refused: int = 0
-    with_room: int = 0
+    within_quota: int = 0
 
     @property
-    def part(self) -> float:
-        return self.with_room / self.asked if self.asked else 0.0
+    def fraction(self) -> float:
+        return self.within_quota / self.asked if self.asked else 0.0
 
 
-def refusals(books: Books, scenario: Scenario, customers: Container[int]) -> Refusals:
-    """Of these customers' tries, those refused though the store held `REFUSED_ROOM` of its burst or more.
+def refusals(request_log: RequestLog, scenario: Scenario, customers: Container[int]) -> Refusals:
+    """Rejections of these customers' attempts, and those whose tenant had `REFUSED_CAPACITY` of its burst left.
 
-    What it held is by the boxes' books, so a claim that is still on its way counts as not drawn.
+    What was left is by the backends' request logs: a request that has not arrived yet counts as not drawn.
     """
     sends: dict[str, Attempt] = {}
-    for attempt in sorted(books.attempts, key=lambda a: a.last_byte):
+    for attempt in sorted(request_log.attempts, key=lambda a: a.last_byte):
         sends.setdefault(attempt.trace, attempt)
     plans = {plan.name: plan for plan in scenario.plans}
     steps = [(a.last_byte, a.plan, a.customer, a.units, False) for a in sends.values()]
     steps += [
         (t.answers[0].at, t.plan, t.customer, t.units, True)
-        for t in books.taken
+        for t in request_log.client_attempts
         if t.answers and t.answers[0].status in (429, 503) and t.trace not in sends
     ]
     levels: dict[tuple[str, int], tuple[float, int]] = {}
-    refused = with_room = 0
+    refused = within_quota = 0
     for now, name, customer, units, away in sorted(steps):
         if customer not in customers:
             continue
@@ -118,6 +118,6 @@
         level = min(burst, level + plan.rate * (now - at) / 1e6)
         if away:
             refused += 1
-            with_room += level >= max(units, REFUSED_ROOM * burst)
+            within_quota += level >= max(units, REFUSED_CAPACITY * burst)
         levels[name, customer] = (level if away else level - units), now
-    return Refusals(sum(t.customer in customers for t in books.taken), refused, with_room)
+    return Refusals(sum(t.customer in customers for t in request_log.client_attempts), refused, within_quota)
