--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -1,8 +1,8 @@
-"""The books that the stand-ins keep, and that the audit reads.
+"""The records of the testbed's services, which the audit reads.
 
-All times are whole microseconds of Unix time from one clock (`Clock`), so that books of one run can be laid
-side by side. A record is written by the stand-in that saw the fact with its own eyes: nothing here comes from
-what a front door says of itself.
+All times are whole microseconds of Unix time from one clock (`Clock`), so that the records of one run can be
+compared with each other. A record is written by the service that observed the fact: nothing here is taken from
+what a front door reports about itself.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 Now = Callable[[], int]
 
 
-def door_name(door: int) -> str:
-    """How links and holds name a door."""
-    return f"door {door}"
+def front_door_name(front_door: int) -> str:
+    """How links and holds name a front door."""
+    return f"door {front_door}"
 
 
 class Clock:
@@ -34,19 +34,19 @@
 
 
 class End(Enum):
-    """How an attempt ended at its box."""
+    """How an attempt ended at its backend."""
 
     OPEN = "still out"
     SERVED = "served"
     ERROR = "error"
-    TURNED_AWAY = "turned away"  # with X-Never-Ran: the door was told that it never ran
+    TURNED_AWAY = "turned away"  # with X-Never-Ran: the front door was told that it never ran
     BROKEN = "connection ended"  # while the attempt was out
     SPOILT = "spoilt answer"
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that came whole to a box. `ran` turns true when work on it begins."""
+    """One attempt that arrived complete to a backend. `ran` turns true when work on it begins."""
 
     trace: str
     key: str
@@ -54,10 +54,10 @@
     plan: str
     customer: int
     units: float
-    door: int
-    box: str
-    hall: str
-    life: int  # which start of the box, from 0
+    front_door: int
+    backend: str
+    zone: str
+    incarnation: int  # which start of the backend, from 0
     connection: int
     first_byte: int  # µs
     last_byte: int  # µs
@@ -80,64 +80,64 @@
 
 
 @dataclass(slots=True)
-class Taken:
-    """One try of a client at one door. It is taken from `at` on; 0 where no connection came up."""
+class ClientAttempt:
+    """One try of a client at one front door. It is taken from `at` on; 0 where no connection came up."""
 
     trace: str
-    ask: int  # the first try and its retries share this number
-    attempt: int  # 0 for the first try
+    ask: int  # the first attempt and its retries share this number
+    attempt: int  # 0 for the first attempt
     key: str
     kind: str
     plan: str
     customer: int
     units: float
-    door: int
+    front_door: int
     due: int  # µs, when the client wanted to send it
     wait: int  # µs that the client waits, from `at`
     at: int = 0
     answers: list[Answer] = field(default_factory=list)
-    cut: int = 0  # µs, when its connection ended with no whole answer
+    disconnected_at: int = 0  # µs, when its connection ended with no whole answer
     stray: int = 0  # bytes that belong to no answer
-    crossed: bool = False  # a kept connection closed under it before the door can have read it
+    crossed: bool = False  # a kept connection closed under it before the front door can have read it
     gave_up: int = 0  # µs
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """One line of the list as a door was told it."""
+class EndpointNotice:
+    """One line of the list as a front door was told it."""
 
-    door: int
+    front_door: int
     at: int  # µs, when the agent wrote it, or must be taken to have
-    box: str
+    backend: str
     phase: str  # Ready, Terminating or Gone
     started: int  # µs
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """One start of a box: what it can do, in seconds of work a second."""
+class BackendIncarnation:
+    """One start of a backend: what it can do, in seconds of work a second."""
 
-    box: str
-    hall: str
-    life: int
+    backend: str
+    zone: str
+    incarnation: int
     at: int  # µs; 0 for long ago
     capacity: float  # core seconds a second once warm
-    cold_from: float  # share of it at the start
-    cold: int  # µs until warm
+    initial_capacity: float  # share of it at the start
+    slow_start: int  # µs until warm
 
     def now(self, at: int) -> float:
         """Its capacity at a time, in core seconds a second (BENCH, The world: rises about evenly)."""
-        if not self.at or self.cold <= 0:
+        if not self.at or self.slow_start <= 0:
             return self.capacity
-        share = min(1.0, max(0.0, (at - self.at) / self.cold))
-        return self.capacity * (self.cold_from + (1.0 - self.cold_from) * share)
+        share = min(1.0, max(0.0, (at - self.at) / self.slow_start))
+        return self.capacity * (self.initial_capacity + (1.0 - self.initial_capacity) * share)
 
 
 @dataclass(slots=True)
-class DoorLife:
-    """One process of a door, as the one who started it saw it."""
+class FrontDoorIncarnation:
+    """One process of a front door, as the one who started it saw it."""
 
-    door: int
+    front_door: int
     pid: int
     started: int  # µs
     ready: int = 0
@@ -149,8 +149,8 @@
 
 
 @dataclass(slots=True)
-class Hold:
-    """A time in which a link kept what was sent through it: a fault of ours, and no door's lateness."""
+class LinkFault:
+    """A time in which a link kept what was sent through it: a fault of ours, and no front door's lateness."""
 
     source: str
     target: str
@@ -161,26 +161,30 @@
 
 
 @dataclass(slots=True)
-class Books:
-    """All books of one run."""
+class RequestLog:
+    """All request logs of one run."""
 
     attempts: list[Attempt] = field(default_factory=list)
-    taken: list[Taken] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    fallen: list[tuple[str, int, int]] = field(default_factory=list)  # box, life, µs
-    doors: list[DoorLife] = field(default_factory=list)
-    holds: list[Hold] = field(default_factory=list)
-    pauses: list[tuple[int, int, int]] = field(default_factory=list)  # door, µs from and to: we stopped it
+    client_attempts: list[ClientAttempt] = field(default_factory=list)
+    endpoint_notices: list[EndpointNotice] = field(default_factory=list)
+    incarnations: list[BackendIncarnation] = field(default_factory=list)
+    fallen: list[tuple[str, int, int]] = field(default_factory=list)  # backend, life, µs
+    front_doors: list[FrontDoorIncarnation] = field(default_factory=list)
+    link_faults: list[LinkFault] = field(default_factory=list)
+    pauses: list[tuple[int, int, int]] = field(
+        default_factory=list
+    )  # front door, µs from and to: we stopped it
     faults: list[tuple[int, str]] = field(default_factory=list)  # µs and words, as they came
     stalls: list[tuple[int, int]] = field(default_factory=list)  # µs when our loop went on, µs it stood still
 
-    most_late: int | None = None  # µs, of any one loop, where the stalls are those of several laid together
-    strangers: dict[str, int] = field(default_factory=dict)  # connections of no store, by how they ended
+    most_late: int | None = None  # µs, of any one loop, where the stalls are those of several merged
+    misbehaving_clients: dict[str, int] = field(
+        default_factory=dict
+    )  # connections of no tenant, by how they ended
 
     @property
     def lateness(self) -> int:
-        """µs, the most by which a loop of the stand-ins ran late."""
+        """µs, the most by which a loop of the test services ran late."""
         return max((late for _, late in self.stalls), default=0) if self.most_late is None else self.most_late
 
     def late_within(self, begin: int, end: int) -> int:
@@ -188,9 +192,9 @@
         return max((late for on, late in self.stalls if begin < on and on - late < end), default=0)
 
 
-def lay_together(*books: list[tuple[int, int]]) -> list[tuple[int, int]]:
+def lay_together(*request_log: list[tuple[int, int]]) -> list[tuple[int, int]]:
     """The stalls of several loops as those of one: where any stood still. In order, and none overlap."""
-    spans = sorted((end - late, end) for stalls in books for end, late in stalls)
+    spans = sorted((end - late, end) for stalls in request_log for end, late in stalls)
     found: list[tuple[int, int]] = []
     for begin, end in spans:
         if found and begin <= found[-1][1]:
--- a/irisdeal/testbed/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -1,12 +1,13 @@
 """Scenarios in TOML: the fleet, the plans, the load, and a timeline of faults and signals.
 
-Everything is checked on reading. What is wrong is one line with file, key and what was wanted
-(`ScenarioError`); an unknown key is an error too, since a key that is passed over is a setting forgotten.
-A scenario may name another one as its `base`: its tables are then laid over that one's, key by key.
+Everything is checked on reading. An error is one line with file, key and what was wanted (`ScenarioError`); an
+unknown key is an error too, since a key that is ignored is a setting forgotten. A scenario may name another one
+as its `base`: its tables are then laid over that one's, key by key.
 """
 
 from __future__ import annotations
 
+import re
 import tomllib
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field, fields, replace
@@ -15,6 +16,7 @@
 from typing import Any
 
 from irisdeal.testbed.audit import Ceiling, Figures, KindRule
+from irisdeal.testbed.scenario_keys import field_of, key_of
 
 BUILT_IN = resources.files("irisdeal.testbed") / "scenarios"
 MOST_BYTES = 262_144  # of a scenario file
@@ -37,17 +39,17 @@
     speed_cv: float = 0.1
     slots_per_core: float = 3.0
     queue_per_core: float = 16.0
-    cold_from: float = 0.25
-    cold_s: float = 10.0
+    initial_capacity: float = 0.25
+    slow_start_s: float = 10.0
     error_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The boxes. `cross_ms` is the way between two halls, one way, beside what loopback takes."""
+    """The backends. `cross_ms` is the way between two zones, one way, beside what loopback takes."""
 
-    boxes: int = 12
-    halls: tuple[str, ...] = ("hall-a", "hall-b", "hall-c")
+    backends: int = 12
+    zones: tuple[str, ...] = ("hall-a", "hall-b", "hall-c")
     cell: int = 4
     cross_ms: float = 0.6
     same_ms: float = 0.2
@@ -59,7 +61,9 @@
     idle_s: float = 30.0
     meter_s: float = 1.0
     meter_late_ms: float = 600.0
-    apart: bool = False  # each hall's boxes, and the keeper, in a process of their own; not in virtual time
+    apart: bool = (
+        False  # each zone's backends, and the counter service, in a process of their own; not in virtual time
+    )
     kinds: tuple[Kind, ...] = (Kind(),)
 
 
@@ -70,11 +74,11 @@
     name: str
     share: float
     work_ms: float
-    aim_ms: float
+    latency_target_ms: float
     deadline_ms: float
     cv: float = 1.0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     units: float = 1.0
     repeat: str = "safe"
     group: str = "zone"
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan. `rate` in units a second; `burst_s` and `ceiling` are times of it; `stores` 0: by the load."""
+    """A plan. `rate` in units a second; `burst_s` and `ceiling` are times of it; `tenants` 0: by the load."""
 
     name: str
     share: float
@@ -91,15 +95,15 @@
     burst_s: float
     price: float = 1.0
     beyond_cost: float = 1.0
-    beyond_worth: float = 0.0
+    beyond_value: float = 0.0
     open: int = 0
     ceiling: float = 0.0
-    stores: int = 0
+    tenants: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What the stores ask: `use` of the fleet's capacity inside the quotas, and the shares of odd stores."""
+    """What the tenants ask: `use` of the fleet's capacity inside the quotas, and the shares of odd tenants."""
 
     use: float = 0.5
     calm_use: tuple[float, float] = (0.22, 0.45)
@@ -115,29 +119,29 @@
     shift_s: float = 10.0
     elsewhere: float = 0.3
     retries: int = 3
-    try_share: float = 0.7
+    attempt_share: float = 0.7
     backoff: str = "fixed"
     backoff_ms: float = 80.0
     honour: float = 0.6
     notice_s: float = 2.0
     reuse: bool = True  # else each try comes on a connection of its own
-    processes: int = 1  # that the terminals run in
+    processes: int = 1  # that the load generators run in
 
 
 @dataclass(frozen=True, slots=True)
-class RosterSpec:
-    """How late news of the list is, and how unevenly over the doors."""
+class DiscoverySpec:
+    """How late news of the list is, and how unevenly over the front doors."""
 
     notice_s: float = 2.0
     spread_ms: float = 100.0
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperSpec:
-    """The count keeper: calls a second over all parts, time of a call, how long its line may get."""
+class CounterSpec:
+    """The counter service: calls a second over all parts, time of a call, how long its line may get."""
 
     calls_per_s: float = 720.0
-    parts: int = 3
+    shards: int = 3
     call_ms: float = 1.0
     queue_ms: float = 20.0
     timeout_ms: float = 30.0
@@ -158,8 +162,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoorSpec:
-    """What each door is given and allowed."""
+class FrontDoorSpec:
+    """What each front door is given and allowed."""
 
     memory_mb: int = 192
     sockets: int = 1024
@@ -176,26 +180,26 @@
     at_s: float
     do: str
     for_s: float = 0.0
-    boxes: int = 0
-    hall: str = ""
-    door: int = 0
+    backends: int = 0
+    zone: str = ""
+    front_door: int = 0
     size: float = 0.0
     ms: float = 0.0
     empty: bool = False
-    to: str = ""  # keeper, roster or a hall
-    way: str = "both"  # out, from the doors; back, to them; both
+    to: str = ""  # counter service, discovery service or a zone
+    direction: str = "both"  # out, from the front doors; back, to them; both
 
     def text(self) -> str:
         told = [self.do]
         needs = FAULTS[self.do]
         if "boxes" in needs:
-            told.append(f"{self.boxes} boxes")
+            told.append(f"{self.backends} boxes")
         if "hall" in needs:
-            told.append(self.hall)
+            told.append(self.zone)
         if "door" in needs:
-            told.append(f"door {self.door}")
+            told.append(f"door {self.front_door}")
         if "to" in needs:
-            told.append(f"to {self.to}" + (f", {self.way}" if "way" in needs else ""))
+            told.append(f"to {self.to}" + (f", {self.direction}" if "way" in needs else ""))
         if "size" in needs:
             told.append(f"size {self.size:g}")
         if "ms" in needs:
@@ -212,22 +216,25 @@
     "box-crash": ("boxes", "for_s"),  # the process dies, and starts again, cold, after for_s
     "box-replace": ("boxes", "for_s"),  # a new id, cold, at the old one's address after for_s
     "box-drain": ("boxes", "for_s"),  # Terminating; gone after for_s
-    "box-add": ("boxes",),  # new boxes, cold
+    "box-add": ("boxes",),  # new backends, cold
     "box-spoil": ("boxes", "for_s", "size"),  # that share of answers comes spoilt or cut
     "keeper-silent": ("for_s",),  # no answers; back with its counts
     "keeper-refuse": ("for_s",),  # connections refused; back with its counts, or `empty`
     "keeper-slow": ("for_s", "size"),
     "keeper-flush": ("size",),  # forgets that share of its names
     "keeper-spoil": ("for_s", "size"),
-    "keeper-split": ("door", "for_s"),  # doors before that one have a keeper of their own; its counts stay
+    "keeper-split": (
+        "door",
+        "for_s",
+    ),  # front doors before that one have a counter service of their own; its counts stay
     "roster-silent": ("for_s",),
     "roster-late": ("for_s", "size"),  # seconds later than usual
     "roster-lose": ("for_s", "size"),  # that share of pushes never comes; the next one brings it
-    "hot-door": ("for_s", "size"),  # that share of a store's requests gathers on its busiest door
-    "hall-cut": ("hall", "for_s"),  # no byte passes between the doors and that hall, both ways
+    "hot-door": ("for_s", "size"),  # that share of a tenant's requests gathers on its busiest front door
+    "hall-cut": ("hall", "for_s"),  # no byte passes between the front doors and that zone, both ways
     "hall-slow": ("hall", "for_s", "ms"),
-    "hall-reset": ("hall",),  # every connection to that hall is reset
-    # The ways that the doors before `door` have to `to`; other doors keep theirs.
+    "hall-reset": ("hall",),  # every connection to that zone is reset
+    # The ways that the front doors before `door` have to `to`; other front doors keep theirs.
     "link-cut": ("door", "to", "for_s"),  # no byte passes and no connection comes up
     "link-silent": ("door", "to", "way", "for_s"),  # what is written one way, or both, is held
     "link-slow": ("door", "to", "ms", "for_s"),
@@ -235,10 +242,10 @@
     "door-kill": ("door", "for_s"),  # SIGKILL; started again after for_s
     "door-restart": ("door",),  # SIGTERM; started again when it has ended
     "door-stall": ("door", "for_s"),  # SIGSTOP, SIGCONT after for_s: swapped out, or a starved core
-    "door-reload": ("door",),  # roster and count keeper move, then SIGHUP
-    "rush": ("for_s", "size"),  # all stores ask so many times as much
-    "greedy": ("for_s", "size"),  # the heavy stores ask so many times as much, and heed no advice
-    "flood": ("for_s", "size"),  # so many new stores a second, of the first plan, that ask once each
+    "door-reload": ("door",),  # discovery service and counter service move, then SIGHUP
+    "rush": ("for_s", "size"),  # all tenants ask so many times as much
+    "greedy": ("for_s", "size"),  # the heavy tenants ask so many times as much, and heed no advice
+    "flood": ("for_s", "size"),  # so many new tenants a second, of the first plan, that ask once each
     "connect-storm": ("for_s", "size"),  # so many connections a second that say nothing
     "slow-readers": ("for_s", "size"),  # so many connections that ask and never read an answer
 }
@@ -252,26 +259,28 @@
     about: str = ""
     seed: int = 1  # that it is played with, unless another one is asked for
     seconds: float = 20.0
-    doors: int = 3
-    door: DoorSpec = field(default_factory=DoorSpec)
+    front_doors: int = 3
+    front_door: FrontDoorSpec = field(default_factory=FrontDoorSpec)
     fleet: Fleet = field(default_factory=Fleet)
     classes: tuple[Class, ...] = ()
     plans: tuple[Plan, ...] = ()
     load: Load = field(default_factory=Load)
-    roster: RosterSpec = field(default_factory=RosterSpec)
-    keeper: KeeperSpec = field(default_factory=KeeperSpec)
+    discovery: DiscoverySpec = field(default_factory=DiscoverySpec)
+    counter: CounterSpec = field(default_factory=CounterSpec)
     rules: RulesSpec = field(default_factory=RulesSpec)
     faults: tuple[Fault, ...] = ()
 
-    def resized(self, doors: int | None = None, seconds: float | None = None) -> Scenario:
-        """The same day with another number of doors, or cut or stretched; the timeline moves with its length.
+    def resized(self, front_doors: int | None = None, seconds: float | None = None) -> Scenario:
+        """The same day with another number of front doors or another length; the timeline is scaled with it.
 
-        A fault that names a door which is not there goes to the last one.
+        A fault that names a front door which is not there goes to the last one.
         """
         made = self
-        if doors is not None:
+        if front_doors is not None:
             made = replace(
-                made, doors=doors, faults=tuple(replace(f, door=min(f.door, doors - 1)) for f in made.faults)
+                made,
+                front_doors=front_doors,
+                faults=tuple(replace(f, front_door=min(f.front_door, front_doors - 1)) for f in made.faults),
             )
         if seconds is not None:
             times = seconds / made.seconds
@@ -291,7 +300,7 @@
         ]
 
     def burst(self, plan: Plan) -> float:
-        """Units that a store's quota holds: two of the largest requests at least, four under a ceiling."""
+        """Units that a tenant's quota holds: two of the largest requests at least, four under a ceiling."""
         most = max(c.units for c in self.classes)
         return max(round(plan.rate * plan.burst_s), most * (4.0 if plan.ceiling else 2.0))
 
@@ -303,7 +312,7 @@
         return Ceiling(plan.rate * plan.ceiling, depth, max(depth * self.rules.ceiling_slack, most))
 
     def figures(self, cells: Mapping[str, int]) -> Figures:
-        """The rules' figures, as the doors are told them."""
+        """The rules' figures, as the front doors are told them."""
         ceilings = {plan.name: c for plan in self.plans if (c := self.ceiling(plan)) is not None}
         rules = self.rules
         return Figures(
@@ -317,9 +326,9 @@
         )
 
     def settings(self, rank: int) -> dict[str, Any]:
-        """The `settings` object of one door's configuration (PROTOCOL, top; WIRE, SETTINGS)."""
+        """The `settings` object of one front door's configuration (PROTOCOL, top; WIRE, SETTINGS)."""
         repeats = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-        rules, door = self.rules, self.door
+        rules, front_door = self.rules, self.front_door
         plans = []
         for plan in self.plans:
             ceiling = self.ceiling(plan) or Ceiling(0.0, 0.0, 0.0)
@@ -334,28 +343,28 @@
                     "cap_slack": ceiling.slack,
                     "value_factor": plan.price,
                     "beyond_costs": plan.beyond_cost,
-                    "extra_worth": plan.beyond_worth,
+                    "extra_worth": plan.beyond_value,
                 }
             )
         return {
             "family": "gate",
             "discovery": "pushed",
-            "peers_total": self.doors,
+            "peers_total": self.front_doors,
             "rank": rank,
-            "locality": rank % len(self.fleet.halls),
-            "round_us": _us(door.tick_ms),
-            "zones": list(self.fleet.halls),
+            "locality": rank % len(self.fleet.zones),
+            "round_us": _us(front_door.tick_ms),
+            "zones": list(self.fleet.zones),
             "kinds": [k.name for k in self.fleet.kinds],
             "profiles": [
                 {
                     "name": c.name,
-                    "slo_us": _us(c.aim_ms),
+                    "slo_us": _us(c.latency_target_ms),
                     "deadline_us": _us(c.deadline_ms),
                     "repeat": repeats[c.repeat],
                     "group": c.group,
                     "window_us": _us(c.window_ms),
-                    "worth": c.worth,
-                    "late_value": c.late_worth,
+                    "worth": c.value,
+                    "late_value": c.late_value,
                     "stream": False,
                 }
                 for c in self.classes
@@ -370,19 +379,19 @@
                 "fall_us": _us(rules.fall_ms),
             },
             "permissions": {
-                "max_attempts": door.max_attempts,
+                "max_attempts": front_door.max_attempts,
                 "parallel_tries": True,
                 "cancel": True,
                 "probes": False,
                 "retry_after": True,
-                "max_retry_after_us": _us(door.max_retry_after_ms),
-                "connect_timeout_us": _us(door.connect_timeout_ms),
+                "max_retry_after_us": _us(front_door.max_retry_after_ms),
+                "connect_timeout_us": _us(front_door.connect_timeout_ms),
                 "keepalive_us": int(self.fleet.idle_s * 1e6),
             },
             "family_info": {
                 "shared_counter": True,
-                "count_wait_us": _us(self.keeper.timeout_ms),
-                "count_fee": self.keeper.price,
+                "count_wait_us": _us(self.counter.timeout_ms),
+                "count_fee": self.counter.price,
                 "meter_us": int(self.fleet.meter_s * 1e6),
                 "settles": False,
             },
@@ -475,24 +484,24 @@
 
     def scenario(self, told: dict[str, Any]) -> Scenario:
         tables: dict[str, type] = {
-            "door": DoorSpec,
+            "door": FrontDoorSpec,
             "fleet": Fleet,
             "load": Load,
-            "roster": RosterSpec,
-            "keeper": KeeperSpec,
+            "roster": DiscoverySpec,
+            "keeper": CounterSpec,
             "rules": RulesSpec,
         }
         lists: dict[str, tuple[str, type]] = {"class": ("classes", Class), "plan": ("plans", Plan)}
         plain: dict[str, Any] = {"name": Path(self.where).name.removesuffix(".toml")}
         for key, value in told.items():
             if key in tables:
-                plain[key] = self.table(tables[key], value, key)
+                plain[field_of(key)] = self.table(tables[key], value, key)
             elif key in lists:
                 plain[lists[key][0]] = tuple(self.tables(lists[key][1], value, key))
             elif key == "at":
                 plain["faults"] = tuple(self.fault(line, n) for n, line in enumerate(self.list(value, "at")))
             elif key in ("name", "about", "seed", "seconds", "doors"):
-                plain[key] = self.value(Scenario, key, value, key)
+                plain[field_of(key)] = self.value(Scenario, field_of(key), value, key)
             else:
                 known = ", ".join(
                     ("name", "about", "base", "seed", "seconds", "doors", *tables, *lists, "at")
@@ -514,20 +523,20 @@
     def table(self, kind: type, value: object, key: str) -> Any:
         if not isinstance(value, dict):
             raise self.wrong(key, value, "a table")
-        known = {f.name for f in fields(kind)}
+        known = {key_of(f.name): f.name for f in fields(kind)}
         made: dict[str, Any] = {}
         for name, inner in value.items():
             if kind is Fleet and name == "kind":
                 made["kinds"] = tuple(self.tables(Kind, inner, f"{key}.kind"))
             elif name in known and not (kind is Fleet and name == "kinds"):
-                made[name] = self.value(kind, name, inner, f"{key}.{name}")
+                made[known[name]] = self.value(kind, known[name], inner, f"{key}.{name}")
             else:
-                wanted = ", ".join(sorted(known - {"kinds"} | ({"kind"} if kind is Fleet else set())))
+                wanted = ", ".join(sorted(known.keys() - {"kinds"} | ({"kind"} if kind is Fleet else set())))
                 raise ScenarioError(f"{self.where}: {key}.{name}: no such key: wanted one of {wanted}")
         try:
             return kind(**made)
         except TypeError as error:  # a key without a default is missing
-            missing = str(error).rpartition(": ")[2]
+            missing = re.sub(r"\w+(?=')", lambda found: key_of(found[0]), str(error).rpartition(": ")[2])
             raise ScenarioError(f"{self.where}: {key}: missing {missing}") from None
 
     def value(self, kind: type, name: str, value: object, key: str) -> Any:
@@ -587,7 +596,7 @@
 
         def positive(thing: object, at: str, *names: str, share: bool = False) -> None:
             for name in names:
-                value = getattr(thing, name)
+                value = getattr(thing, field_of(name))
                 need(
                     0 < value <= 1 if share else value > 0,
                     f"{at}.{name}",
@@ -600,23 +609,28 @@
                 value = getattr(thing, f.name)
                 for number in value if isinstance(value, tuple) else (value,):
                     if isinstance(number, int | float) and f.name not in but:
-                        need(0 <= number < 1e9, f"{at}.{f.name}", value, "from 0 to 1e9")
+                        need(0 <= number < 1e9, f"{at}.{key_of(f.name)}", value, "from 0 to 1e9")
                 if str(f.type) == "tuple[float, float]":
-                    need(value[0] <= value[1], f"{at}.{f.name}", list(value), "[least, most], in that order")
+                    need(
+                        value[0] <= value[1],
+                        f"{at}.{key_of(f.name)}",
+                        list(value),
+                        "[least, most], in that order",
+                    )
 
         need(0.5 <= made.seconds <= MOST["seconds"], "seconds", made.seconds, f"0.5 to {MOST['seconds']:g}")
         need(0 <= made.seed < 2**63, "seed", made.seed, "0 to 2**63 - 1")
-        need(1 <= made.doors <= MOST["doors"], "doors", made.doors, f"1 to {MOST['doors']}")
+        need(1 <= made.front_doors <= MOST["doors"], "doors", made.front_doors, f"1 to {MOST['doors']}")
         need(bool(made.classes), "class", [], "at least one [[class]]")
         need(bool(made.plans), "plan", [], "at least one [[plan]]")
-        fleet, load, rules, keeper = made.fleet, made.load, made.rules, made.keeper
+        fleet, load, rules, counter = made.fleet, made.load, made.rules, made.counter
         tables: list[tuple[str, object]] = [
             ("fleet", fleet),
             ("load", load),
             ("rules", rules),
-            ("keeper", keeper),
-            ("roster", made.roster),
-            ("door", made.door),
+            ("keeper", counter),
+            ("roster", made.discovery),
+            ("door", made.front_door),
         ]
         tables += [(f"class[{n}]", c) for n, c in enumerate(made.classes)]
         tables += [(f"plan[{n}]", p) for n, p in enumerate(made.plans)]
@@ -624,18 +638,18 @@
         tables += [(f"at[{n}]", f) for n, f in enumerate(made.faults)]
         for at, table in tables:
             nothing_below(table, at)
-        need(1 <= fleet.boxes <= MOST["boxes"], "fleet.boxes", fleet.boxes, f"1 to {MOST['boxes']}")
-        need(bool(fleet.halls), "fleet.halls", list(fleet.halls), "at least one hall")
+        need(1 <= fleet.backends <= MOST["boxes"], "fleet.boxes", fleet.backends, f"1 to {MOST['boxes']}")
+        need(bool(fleet.zones), "fleet.halls", list(fleet.zones), "at least one hall")
         need(bool(fleet.kinds), "fleet.kind", [], "at least one [[fleet.kind]]")
         positive(fleet, "fleet", "cell", "report_every_ms", "idle_s", "meter_s")
         for n, kind in enumerate(fleet.kinds):
             positive(kind, f"fleet.kind[{n}]", "cores", "speed", "slots_per_core")
             positive(kind, f"fleet.kind[{n}]", "cold_from", share=True)
-        positive(keeper, "keeper", "calls_per_s", "parts", "timeout_ms")
+        positive(counter, "keeper", "calls_per_s", "parts", "timeout_ms")
         positive(rules, "rules", "start_capacity", share=True)
         positive(rules, "rules", "fall_multiple", "fall_ms")
         positive(load, "load", "use", "try_share", "shift_s")
-        need(load.try_share <= 1, "load.try_share", load.try_share, "at most 1")
+        need(load.attempt_share <= 1, "load.try_share", load.attempt_share, "at most 1")
         need(
             load.spread[0] > 0 and load.spread[1] <= 1,
             "load.spread",
@@ -672,25 +686,45 @@
             needs = FAULTS[fault.do]
             need(fault.at_s <= made.seconds, f"{at}.at_s", fault.at_s, f"within the {made.seconds:g} seconds")
             if "boxes" in needs:
-                need(1 <= fault.boxes <= fleet.boxes, f"{at}.boxes", fault.boxes, f"1 to {fleet.boxes}")
+                need(
+                    1 <= fault.backends <= fleet.backends,
+                    f"{at}.boxes",
+                    fault.backends,
+                    f"1 to {fleet.backends}",
+                )
             if fault.do == "keeper-split":
-                need(fault.door > 0, f"{at}.door", fault.door, f"1 to {made.doors - 1}")
+                need(fault.front_door > 0, f"{at}.door", fault.front_door, f"1 to {made.front_doors - 1}")
             if fault.do.startswith("link-"):
-                need(0 < fault.door <= made.doors, f"{at}.door", fault.door, f"1 to {made.doors}")
-                ends = ("keeper", "roster", *fleet.halls)
+                need(
+                    0 < fault.front_door <= made.front_doors,
+                    f"{at}.door",
+                    fault.front_door,
+                    f"1 to {made.front_doors}",
+                )
+                ends = ("keeper", "roster", *fleet.zones)
                 need(fault.to in ends, f"{at}.to", fault.to, f"one of {', '.join(ends)}")
-                need(fault.way in ("both", "out", "back"), f"{at}.way", fault.way, "both, out or back")
                 need(
-                    fault.to in fleet.halls or not any(f.do == "door-reload" for f in made.faults),
+                    fault.direction in ("both", "out", "back"),
+                    f"{at}.way",
+                    fault.direction,
+                    "both, out or back",
+                )
+                need(
+                    fault.to in fleet.zones or not any(f.do == "door-reload" for f in made.faults),
                     f"{at}.to",
                     fault.to,
                     "a hall, where keeper and roster move by door-reload",
                 )
                 continue
             if "door" in needs:
-                need(fault.door < made.doors, f"{at}.door", fault.door, f"0 to {made.doors - 1}")
+                need(
+                    fault.front_door < made.front_doors,
+                    f"{at}.door",
+                    fault.front_door,
+                    f"0 to {made.front_doors - 1}",
+                )
             if "hall" in needs:
-                need(fault.hall in fleet.halls, f"{at}.hall", fault.hall, f"one of {', '.join(fleet.halls)}")
+                need(fault.zone in fleet.zones, f"{at}.hall", fault.zone, f"one of {', '.join(fleet.zones)}")
             if fault.do in ("keeper-flush", "keeper-spoil", "box-spoil", "roster-lose", "hot-door"):
                 need(0 < fault.size <= 1, f"{at}.size", fault.size, "a share, over 0 and at most 1")
             elif "size" in needs:
--- a/irisdeal/testbed/service_report.py
+++ b/irisdeal/testbed/service_report.py
@@ -1,8 +1,9 @@
-"""What the stores got: service by class and plan, the worst 10 s, and what was sent on beyond quotas. Pure.
+"""The service that the tenants received: by class and plan, the worst 10 s, and the use beyond quotas. Pure.
 
-The reckoning is that of BENCH ('How a day is judged', 'This kind of system'): offered is what one gateway
-that saw all first tries would let in; served is the worth answered within the aim for tries that were inside
-the quota when they were first sent on. Its prices and weights are not added up here: this page shows shares.
+The definitions are those of BENCH ('How a day is judged', 'This kind of system'): offered is what one gateway
+with a view of all first attempts would admit; served is the value answered within the latency target for
+requests that were within the quota when they were first forwarded. Its prices and weights are not added up
+here: the report shows shares.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from irisdeal.testbed.request_log import SECOND, Attempt, Books, End, Taken
+from irisdeal.testbed.request_log import SECOND, Attempt, ClientAttempt, End, RequestLog
 from irisdeal.testbed.scenario import Scenario
 
 SPAN = 2  # seconds that are looked at together: one has few requests
@@ -20,7 +21,7 @@
 
 
 class Bucket:
-    """One store's quota over all doors: units at a rate with a burst, and attempts out at once."""
+    """One tenant's quota over all front doors: units at a rate with a burst, and attempts out at once."""
 
     def __init__(self, rate: float, burst: float, most_out: int) -> None:
         self.rate, self.burst, self.most_out = rate, burst, most_out
@@ -28,7 +29,7 @@
         self.out: list[int] = []  # when each attempt that is out will end, a heap of µs
 
     def take(self, at: int, units: float, ends: int) -> bool:
-        """Whether a try at `at` (µs) is inside; if so it takes its units. It is out until `ends`."""
+        """Whether a client attempt at `at` (µs) is inside; if so it takes its units. It is out until `ends`."""
         self.left = min(self.burst, self.left + self.rate * max(0, at - self.at) / 1e6)
         self.at = max(at, self.at)
         while self.out and self.out[0] <= at:
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class Share:
-    """Worth offered inside quotas, and worth served in time, both in the same measure."""
+    """Worth offered inside quotas, and value served in time, both in the same measure."""
 
     offered: float = 0.0
     served: float = 0.0
@@ -55,22 +56,24 @@
 
 @dataclass(slots=True)
 class Service:
-    """The figures of one run; shares are of worth, counts of requests."""
+    """The figures of one run; shares are of value, counts of requests."""
 
-    whole: Share = field(default_factory=Share)
+    total: Share = field(default_factory=Share)
     kinds: dict[str, Share] = field(default_factory=dict)
     plans: dict[str, Share] = field(default_factory=dict)
     worst: float = 1.0
     worst_at: float = 0.0  # s from the start
-    first_tries: int = 0
-    tries: int = 0
+    first_attempts: int = 0
+    client_attempts: int = 0
     attempts: int = 0
-    inside_per_s: float = 0.0  # tries served inside the quotas a second
-    beyond_units: float = 0.0  # share of the units first sent on
+    inside_per_s: float = 0.0  # client attempts served inside the quotas a second
+    beyond_units: float = 0.0  # share of the units first forwarded
     refused: int = 0
     failed: int = 0
     seconds: dict[int, Share] = field(default_factory=dict)  # by second from the start
-    latencies: list[int] = field(default_factory=list)  # µs from a try's last byte to its good answer, sorted
+    latencies: list[int] = field(
+        default_factory=list
+    )  # µs from a client attempt's last byte to its good answer, sorted
 
     def percentile(self, share: float) -> float:
         """ms; 0 where nothing was served."""
@@ -79,7 +82,7 @@
         return self.latencies[min(len(self.latencies) - 1, int(share * len(self.latencies)))] / 1000
 
 
-def reckon(books: Books, scenario: Scenario, start: int) -> Service:
+def reckon(request_log: RequestLog, scenario: Scenario, start: int) -> Service:
     """The service of one run that began at `start` (µs)."""
     made = Service(
         kinds={c.name: Share() for c in scenario.classes}, plans={p.name: Share() for p in scenario.plans}
@@ -87,44 +90,44 @@
     kinds = {c.name: c for c in scenario.classes}
     plans = {p.name: p for p in scenario.plans}
     begin, end = start + SECOND, start + round(scenario.seconds * SECOND)
-    by_ask: dict[int, list[Taken]] = defaultdict(list)
-    for taken in books.taken:
-        by_ask[taken.ask].append(taken)
-    firsts = _firsts(books.attempts)
-    inside = _inside(books, scenario, firsts)
+    by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
+    for client_attempt in request_log.client_attempts:
+        by_ask[client_attempt.ask].append(client_attempt)
+    firsts = _firsts(request_log.attempts)
+    inside = _inside(request_log, scenario, firsts)
     offers, slots = _buckets(scenario), defaultdict[int, Share](Share)
     beyond = total = 0.0
     for trace, attempt in firsts.items():
         total += attempt.units
         beyond += 0.0 if inside[trace] else attempt.units
-    for tries in sorted(by_ask.values(), key=lambda t: t[0].due):
-        first, kind, plan = tries[0], kinds[tries[0].kind], plans[tries[0].plan]
-        worth = kind.worth * plan.price * first.units
+    for client_attempts in sorted(by_ask.values(), key=lambda t: t[0].due):
+        first, kind, plan = client_attempts[0], kinds[client_attempts[0].kind], plans[client_attempts[0].plan]
+        value = kind.value * plan.price * first.units
         bucket = offers(first.plan, first.customer)
         offered = bucket.take(first.due, first.units, first.due + round(kind.work_ms * 1000))
         if not begin <= first.due < end:
             continue
-        made.first_tries += 1
-        made.tries += len(tries)
-        part = worth if offered else worth * plan.beyond_worth
+        made.first_attempts += 1
+        made.client_attempts += len(client_attempts)
+        offered_value = value if offered else value * plan.beyond_value
         good = 0.0
-        for taken in tries:
-            answer = taken.answers[0] if taken.answers else None
+        for client_attempt in client_attempts:
+            answer = client_attempt.answers[0] if client_attempt.answers else None
             if answer is None or answer.status != 200:
                 refused = answer is not None and answer.status in (429, 503)
                 made.refused += refused
                 made.failed += not refused
                 continue
-            made.latencies.append(answer.at - taken.at)
-            earned = worth * (1.0 if inside.get(taken.trace, False) else plan.beyond_worth)
-            in_time = answer.at - first.due <= kind.aim_ms * 1000
-            good = max(good, earned * (1.0 if in_time else kind.late_worth))
-            made.inside_per_s += inside.get(taken.trace, False)
-        for share in (made.whole, made.kinds[first.kind], made.plans[first.plan], slots[first.due // SECOND]):
-            share.offered += part
+            made.latencies.append(answer.at - client_attempt.at)
+            earned = value * (1.0 if inside.get(client_attempt.trace, False) else plan.beyond_value)
+            in_time = answer.at - first.due <= kind.latency_target_ms * 1000
+            good = max(good, earned * (1.0 if in_time else kind.late_value))
+            made.inside_per_s += inside.get(client_attempt.trace, False)
+        for share in (made.total, made.kinds[first.kind], made.plans[first.plan], slots[first.due // SECOND]):
+            share.offered += offered_value
             share.served += good
     made.latencies.sort()
-    made.attempts = len(books.attempts)
+    made.attempts = len(request_log.attempts)
     made.inside_per_s /= max(0.1, (end - begin) / 1e6)
     made.beyond_units = beyond / total if total else 0.0
     _worst(made, slots, begin, end)
@@ -134,14 +137,14 @@
 
 @dataclass(slots=True)
 class MannerUse:
-    """What the stores of one manner got: asks and, of those, the ones inside the quota (BENCH, as above)."""
+    """What the tenants of one manner got: asks and, of those, the ones inside the quota (BENCH, as above)."""
 
-    stores: int = 0
+    tenants: int = 0
     asks: int = 0
     inside: int = 0
     unserved: int = 0  # of those inside: no good answer to any try
     late: int = 0  # of those inside: served, but past the aim
-    waits: list[int] = field(default_factory=list)  # µs from the first try to the good answer, sorted
+    waits: list[int] = field(default_factory=list)  # µs from the first attempt to the good answer, sorted
 
     def percentile(self, share: float) -> float:
         """ms; 0 where nothing was served."""
@@ -150,18 +153,20 @@
         return self.waits[min(len(self.waits) - 1, int(share * len(self.waits)))] / 1000
 
 
-def manners(books: Books, scenario: Scenario, manner_of: dict[int, str], start: int) -> dict[str, MannerUse]:
-    """The same run by the manner in which stores ask; `manner_of` by customer."""
+def manners(
+    request_log: RequestLog, scenario: Scenario, manner_of: dict[int, str], start: int
+) -> dict[str, MannerUse]:
+    """The same run by the manner in which tenants ask; `manner_of` by customer."""
     made = {manner: MannerUse() for manner in sorted(set(manner_of.values()))}
     for manner in manner_of.values():
-        made[manner].stores += 1
+        made[manner].tenants += 1
     kinds = {c.name: c for c in scenario.classes}
-    by_ask: dict[int, list[Taken]] = defaultdict(list)
-    for taken in books.taken:
-        by_ask[taken.ask].append(taken)
+    by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
+    for client_attempt in request_log.client_attempts:
+        by_ask[client_attempt.ask].append(client_attempt)
     offers, begin, end = _buckets(scenario), start + SECOND, start + round(scenario.seconds * SECOND)
-    for tries in sorted(by_ask.values(), key=lambda t: t[0].due):
-        first, kind = tries[0], kinds[tries[0].kind]
+    for client_attempts in sorted(by_ask.values(), key=lambda t: t[0].due):
+        first, kind = client_attempts[0], kinds[client_attempts[0].kind]
         inside = offers(first.plan, first.customer).take(
             first.due, first.units, first.due + round(kind.work_ms * 1000)
         )
@@ -169,11 +174,11 @@
             continue
         use = made[manner_of[first.customer]]
         use.asks += 1
-        good = [t.answers[0].at for t in tries if t.answers and t.answers[0].status == 200]
+        good = [t.answers[0].at for t in client_attempts if t.answers and t.answers[0].status == 200]
         if inside:
             use.inside += 1
             use.unserved += not good
-            use.late += bool(good) and min(good) - first.due > kind.aim_ms * 1000
+            use.late += bool(good) and min(good) - first.due > kind.latency_target_ms * 1000
         if good:
             use.waits.append(min(good) - first.due)
     for use in made.values():
@@ -203,7 +208,7 @@
 
 def _worst(made: Service, slots: dict[int, Share], begin: int, end: int) -> None:
     """The worst window, moved on by a second; a run shorter than one window is one window."""
-    made.worst = made.whole.share
+    made.worst = made.total.share
     for at in range(begin // SECOND, (end - WINDOW) // SECOND + 1):
         seconds = [slots[n] for n in range(at, at + WINDOW // SECOND) if n in slots]
         offered = sum(s.offered for s in seconds)
@@ -219,8 +224,8 @@
     return firsts
 
 
-def _inside(books: Books, scenario: Scenario, firsts: dict[str, Attempt]) -> dict[str, bool]:
-    """For each try, whether it was inside its store's quota when it was first sent on."""
+def _inside(request_log: RequestLog, scenario: Scenario, firsts: dict[str, Attempt]) -> dict[str, bool]:
+    """For each try, whether it was inside its tenant's quota when it was first forwarded."""
     buckets = _buckets(scenario)
     return {
         trace: buckets(a.plan, a.customer).take(
--- a/irisdeal/testbed/site_processes.py
+++ b/irisdeal/testbed/site_processes.py
@@ -1,13 +1,13 @@
-"""Boxes and the count keeper in processes of their own, for fleets that one loop cannot serve in time.
+"""Backends and the counter service in processes of their own, for fleets that one event loop cannot serve in time.
 
-One process for each hall (its boxes, the memory of keys that they share, and the links that lead to them) and
-one for the keeper. `Sites` is the parent's end; `FarBox`, `FarKeeper` and `FarLinks` have the calls that the
-timeline makes of `Box`, `Keeper` and `Relay`. Books are kept where the fact is seen, on the machine's one
-monotonic clock, and laid together at the end.
+A site is one such process: one for each zone (its backends, their shared idempotency memory, and the links that
+lead to them) and one for the counter service. `Sites` is the parent's end; `RemoteBackend`, `RemoteCounter` and
+`RemoteLinks` have the calls that the timeline makes of `BackendServer`, `CounterServer` and `Relay`. Records are
+kept where the fact is observed, on the machine's one monotonic clock, and merged at the end.
 
-The wire is our own, between a parent and its child: frames of a length (4 bytes, big end first) and a pickled
-tuple. Down: (number, call, arguments), number 0 where nobody waits. Up: (number, value), or (0, note). Pickle
-is safe here, since both ends are ours. Calls take effect in the order in which they were made.
+Protocol between the parent and its child: frames of a length (4 bytes, big end first) and a pickled tuple. Down:
+(number, call, arguments), number 0 for a notification. Up: (number, value), or (0, notification). Pickle is safe
+here, since both ends are this module. Calls take effect in the order in which they were made.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.testbed.backend import Box
-from irisdeal.testbed.backend_model import HallMemory, Meter
-from irisdeal.testbed.counter_service import Keeper
+from irisdeal.testbed.backend import BackendServer
+from irisdeal.testbed.backend_model import IdempotencyMemory, Meter
+from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
-from irisdeal.testbed.loop_lag import Lateness
-from irisdeal.testbed.request_log import Books, Clock, lay_together
+from irisdeal.testbed.loop_lag import LoopLagMonitor
+from irisdeal.testbed.request_log import Clock, RequestLog, lay_together
 from irisdeal.testbed.workload import Day, Machine
 
 ANSWERS_WITHIN = 30.0  # s for any call: a process of ours that takes longer hangs
 METER_EVERY = 0.1  # s between two tellings of what was used; the meter itself is told far later
 MOST_FRAME = 1 << 30  # bytes: a length over this is noise on the pipe
-KEEPER = "keeper"  # the site that has it, and the name of the links that lead there
+COUNTER_SITE = "keeper"  # the site that has it, and the name of the links that lead there
 
 
 class SiteError(Exception):
-    """A process of stand-ins did not do as it should."""
+    """A process of test services did not do as it should."""
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What one process is to be: a hall's, or the keeper's. `offset` (ns) is that of the run's clock."""
+class SiteSpec:
+    """What one process is to be: a zone's, or the counter service's. `offset` (ns) is that of the run's clock."""
 
     day: Day
     name: str
@@ -67,7 +67,7 @@
 class _SharedMeter(Meter):
     """Counts what comes here, and keeps it to be told to the other sites."""
 
-    __slots__ = ("untold",)
+    __slots__ = ("unsent",)
 
     def __init__(self, day: Day) -> None:
         fleet = day.scenario.fleet
@@ -76,13 +76,13 @@
             round(fleet.meter_late_ms * 1000),
             {p.name: p.rate for p in day.scenario.plans},
         )
-        self.untold: list[tuple[str, str, int, float, int]] = []
+        self.unsent: list[tuple[str, str, int, float, int]] = []
 
     def add(self, trace: str, plan: str, customer: int, units: float, now: int) -> None:
         super().add(trace, plan, customer, units, now)
-        self.untold.append((trace, plan, customer, units, now))
+        self.unsent.append((trace, plan, customer, units, now))
 
-    def hear(self, told: list[tuple[str, str, int, float, int]]) -> None:
+    def add_remote(self, told: list[tuple[str, str, int, float, int]]) -> None:
         """What another site has counted."""
         for trace, plan, customer, units, at in told:
             super().add(trace, plan, customer, units, at)
@@ -91,75 +91,75 @@
 class Site:
     """What one process has. Each method that a frame may name is a call of the parent's."""
 
-    def __init__(self, order: Order, write: Any) -> None:
+    def __init__(self, order: SiteSpec, write: Any) -> None:
         self.day, self.name, self.write = order.day, order.name, write
-        self.scenario, self.now, self.books = order.day.scenario, Clock(order.offset), Books()
-        self.relay = Relay(self.now, self.books.holds)
+        self.scenario, self.now, self.request_log = order.day.scenario, Clock(order.offset), RequestLog()
+        self.relay = Relay(self.now, self.request_log.link_faults)
         self.meter = _SharedMeter(order.day)
-        self.memory = HallMemory(round(max(c.window_ms for c in self.scenario.classes) * 1000))
+        self.memory = IdempotencyMemory(round(max(c.window_ms for c in self.scenario.classes) * 1000))
         self.figures = self.scenario.figures({})
-        self.boxes: dict[str, Box] = {}
-        self.keeper = Keeper(self.scenario.keeper, self.now, order.day.seed)
-        self.doors = range(self.scenario.doors)
-        self.late = Lateness(self.books.stalls, self.now)
+        self.backends: dict[str, BackendServer] = {}
+        self.counter = CounterServer(self.scenario.counter, self.now, order.day.seed)
+        self.front_doors = range(self.scenario.front_doors)
+        self.late = LoopLagMonitor(self.request_log.stalls, self.now)
 
     def begin(self) -> None:
         self.late.start()
-        self._tell_meter()
+        self._send_meter()
 
-    def _tell_meter(self) -> None:
-        if self.meter.untold:
-            self.write((0, ("meter", self.meter.untold)))
-            self.meter.untold = []
-        asyncio.get_running_loop().call_later(METER_EVERY, self._tell_meter)
+    def _send_meter(self) -> None:
+        if self.meter.unsent:
+            self.write((0, ("meter", self.meter.unsent)))
+            self.meter.unsent = []
+        asyncio.get_running_loop().call_later(METER_EVERY, self._send_meter)
 
-    def heard(self, told: list[tuple[str, str, int, float, int]]) -> None:
-        self.meter.hear(told)
+    def add_remote_usage(self, told: list[tuple[str, str, int, float, int]]) -> None:
+        self.meter.add_remote(told)
 
-    async def new_box(
+    async def new_backend(
         self,
         name: str,
         machine: Machine,
         ports: dict[int, int],
-        cold: bool,
+        warming_up: bool,
     ) -> tuple[dict[int, int], int]:
-        """Make a box and start it; its ports by door, and since when it is up, µs."""
-        halls = self.scenario.fleet.halls
-        box = self.boxes[name] = _Noted(
+        """Make a backend and start it; its ports by front door, and since when it is up, µs."""
+        zones = self.scenario.fleet.zones
+        call_backend = self.backends[name] = _MonitoredBackend(
             self,
             name,
             machine,
             self.scenario.fleet,
             self.scenario.classes,
             self.figures,
-            self.books,
+            self.request_log,
             self.now,
             self.day.seed,
             self.memory,
             self.meter,
-            tuple(halls[d % len(halls)] for d in self.doors),
+            tuple(zones[d % len(zones)] for d in self.front_doors),
         )
-        box.ports = dict(ports)
-        await box.start(self.doors, cold)
-        return box.ports, box.started
+        call_backend.ports = dict(ports)
+        await call_backend.start(self.front_doors, warming_up)
+        return call_backend.ports, call_backend.started
 
-    async def start_box(self, name: str, cold: bool) -> int:
+    async def start_backend(self, name: str, warming_up: bool) -> int:
         """Up again, at its old ports; since when, µs."""
-        await self.boxes[name].start(self.doors, cold)
-        return self.boxes[name].started
+        await self.backends[name].start(self.front_doors, warming_up)
+        return self.backends[name].started
 
-    def box(self, name: str, call: str, *arguments: Any) -> None:
-        box = self.boxes[name]
-        if box.up or call == "crash":  # it may have fallen over meanwhile
-            getattr(box, call)(*arguments)
+    def call_backend(self, name: str, call: str, *arguments: Any) -> None:
+        call_backend = self.backends[name]
+        if call_backend.up or call == "crash":  # it may have fallen over meanwhile
+            getattr(call_backend, call)(*arguments)
 
-    async def keep(self, call: str, *arguments: Any) -> Any:
-        """A call of the keeper's; what it returns."""
-        made = getattr(self.keeper, call)(*arguments)
+    async def call_counter(self, call: str, *arguments: Any) -> Any:
+        """A call of the counter service's; what it returns."""
+        made = getattr(self.counter, call)(*arguments)
         return await made if asyncio.iscoroutine(made) else made
 
-    def keeper_ports(self) -> dict[int, int]:
-        return self.keeper.ports
+    def counter_ports(self) -> dict[int, int]:
+        return self.counter.ports
 
     async def add_link(self, source: str, target: str, to: Address) -> Address:
         return await self.relay.add(source, target, to)
@@ -170,21 +170,21 @@
     def reset_links(self, names: list[str], target: str) -> None:
         self.relay.reset(names, target)
 
-    def book(self) -> tuple[Books, int]:
-        """All that was seen here, and how many calls the keeper had."""
-        return self.books, self.keeper.calls
+    def collect(self) -> tuple[RequestLog, int]:
+        """All that was seen here, and how many calls the counter service had."""
+        return self.request_log, self.counter.calls
 
     def close(self) -> None:
         self.late.stop()
-        for box in self.boxes.values():
-            if box.up:
-                box.crash()
-        self.keeper.close()
+        for call_backend in self.backends.values():
+            if call_backend.up:
+                call_backend.crash()
+        self.counter.close()
         self.relay.close()
 
 
-class _Noted(Box):
-    """A box whose end is told to the parent, since it may fall over by itself."""
+class _MonitoredBackend(BackendServer):
+    """A backend whose end is told to the parent, since it may fall over by itself."""
 
     def __init__(self, site: Site, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -199,17 +199,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class SiteProcess:
     """One process of a site, as its parent has it."""
 
-    order: Order
+    order: SiteSpec
     process: asyncio.subprocess.Process
     waiting: dict[int, asyncio.Future[Any]] = field(default_factory=dict)
     number: int = 0
     reader: asyncio.Task[None] | None = None
     gone: bool = False
 
-    def tell(self, call: str, *arguments: Any) -> None:
+    def notify(self, call: str, *arguments: Any) -> None:
         """Nobody waits for it."""
         self._write(0, call, arguments)
 
@@ -246,17 +246,17 @@
 class Sites:
     """All processes of one run. Raises `SiteError` where one does not do as it should."""
 
-    def __init__(self, day: Day, clock: Clock, books: Books) -> None:
-        self.day, self.clock, self.books = day, clock, books
-        self.places: dict[str, Place] = {}
-        self.boxes: dict[str, FarBox] = {}
-        self.keeper_calls = 0
+    def __init__(self, day: Day, clock: Clock, request_log: RequestLog) -> None:
+        self.day, self.clock, self.request_log = day, clock, request_log
+        self.site_processes: dict[str, SiteProcess] = {}
+        self.backends: dict[str, RemoteBackend] = {}
+        self.counter_calls = 0
 
     async def start(self) -> None:
-        await asyncio.gather(*(self._start(name) for name in (*self.day.scenario.fleet.halls, KEEPER)))
+        await asyncio.gather(*(self._start(name) for name in (*self.day.scenario.fleet.zones, COUNTER_SITE)))
 
     async def _start(self, name: str) -> None:
-        order = Order(self.day, name, self.clock.offset)
+        order = SiteSpec(self.day, name, self.clock.offset)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -265,170 +265,176 @@
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        place = self.places[name] = Place(order, process)
+        site_process = self.site_processes[name] = SiteProcess(order, process)
         assert process.stdin is not None
         process.stdin.write(_frame(order))
-        place.reader = asyncio.get_running_loop().create_task(self._hear(place))
-        await place.ask("begin")
+        site_process.reader = asyncio.get_running_loop().create_task(self._read_frames(site_process))
+        await site_process.ask("begin")
 
-    async def _hear(self, place: Place) -> None:
-        assert place.process.stdout is not None
+    async def _read_frames(self, site_process: SiteProcess) -> None:
+        assert site_process.process.stdout is not None
         try:
             while True:
-                number, value = await _read(place.process.stdout)
+                number, value = await _read(site_process.process.stdout)
                 if number:
-                    answer = place.waiting.get(number)
+                    answer = site_process.waiting.get(number)
                     if answer is not None and not answer.done():
                         if isinstance(value, Exception):
-                            answer.set_exception(SiteError(f"{place.order.name}: {value!r}"))
+                            answer.set_exception(SiteError(f"{site_process.order.name}: {value!r}"))
                         else:
                             answer.set_result(value)
                 elif value[0] == "meter":
-                    for other in self.places.values():
-                        if other is not place and other.order.name != KEEPER:
-                            other.tell("heard", value[1])
+                    for other in self.site_processes.values():
+                        if other is not site_process and other.order.name != COUNTER_SITE:
+                            other.notify("add_remote_usage", value[1])
                 elif value[0] == "down":
-                    self.boxes[value[1]].up = False
+                    self.backends[value[1]].up = False
         except (asyncio.IncompleteReadError, ConnectionError, SiteError, pickle.UnpicklingError):
-            place.end()
+            site_process.end()
 
     async def gather(self) -> None:
-        """Lay the books of all processes into the run's, in the order of time."""
-        found = await asyncio.gather(*(place.ask("book") for place in self.places.values()))
-        books = self.books
+        """Lay the request logs of all processes into the run's, in the order of time."""
+        found = await asyncio.gather(
+            *(site_process.ask("collect") for site_process in self.site_processes.values())
+        )
+        request_log = self.request_log
         for told, calls in found:
-            self.keeper_calls += calls
-            books.attempts += told.attempts
-            books.lives += told.lives
-            books.fallen += told.fallen
-            books.holds += told.holds
-        books.attempts.sort(key=lambda attempt: (attempt.last_byte, attempt.trace))
-        books.lives.sort(key=lambda life: (life.at, life.box, life.life))
-        books.fallen.sort(key=lambda fallen: fallen[2])
-        books.most_late = max([books.lateness, *(late for told, _ in found for _, late in told.stalls)])
-        books.stalls[:] = lay_together(books.stalls, *(told.stalls for told, _ in found))
+            self.counter_calls += calls
+            request_log.attempts += told.attempts
+            request_log.incarnations += told.incarnations
+            request_log.fallen += told.fallen
+            request_log.link_faults += told.link_faults
+        request_log.attempts.sort(key=lambda attempt: (attempt.last_byte, attempt.trace))
+        request_log.incarnations.sort(
+            key=lambda incarnation: (incarnation.at, incarnation.backend, incarnation.incarnation)
+        )
+        request_log.fallen.sort(key=lambda fallen: fallen[2])
+        request_log.most_late = max(
+            [request_log.lateness, *(late for told, _ in found for _, late in told.stalls)]
+        )
+        request_log.stalls[:] = lay_together(request_log.stalls, *(told.stalls for told, _ in found))
 
     def close(self) -> None:
         """End what still runs: processes that we started, by the handles we have kept."""
-        for place in self.places.values():
-            if place.reader is not None:
-                place.reader.cancel()
-            place.end()
-            if place.process.returncode is None:
+        for site_process in self.site_processes.values():
+            if site_process.reader is not None:
+                site_process.reader.cancel()
+            site_process.end()
+            if site_process.process.returncode is None:
                 with suppress(ProcessLookupError):
-                    place.process.kill()
+                    site_process.process.kill()
 
     async def ended(self) -> None:
         """After `close`: until all of them have ended."""
-        for place in self.places.values():
-            await place.process.wait()
+        for site_process in self.site_processes.values():
+            await site_process.process.wait()
 
 
-class FarBox:
-    """A box at a site, with the calls of `Box` that the timeline makes."""
+class RemoteBackend:
+    """A backend at a site, with the calls of `Box` that the timeline makes."""
 
     def __init__(self, sites: Sites, name: str, machine: Machine) -> None:
-        self.name, self.machine, self.place = name, machine, sites.places[machine.hall]
+        self.name, self.machine, self.site_process = name, machine, sites.site_processes[machine.zone]
         self.ports: dict[int, int] = {}
         self.up, self.started, self.made = False, 0, False
-        sites.boxes[name] = self
+        sites.backends[name] = self
 
-    async def start(self, doors: range, cold: bool = False) -> None:
+    async def start(self, front_doors: range, warming_up: bool = False) -> None:
         if self.made:
-            self.started = await self.place.ask("start_box", self.name, cold)
+            self.started = await self.site_process.ask("start_backend", self.name, warming_up)
         else:
-            self.ports, self.started = await self.place.ask(
-                "new_box", self.name, self.machine, self.ports, cold
+            self.ports, self.started = await self.site_process.ask(
+                "new_backend", self.name, self.machine, self.ports, warming_up
             )
         self.up = self.made = True
 
     def crash(self) -> None:
         self.up = False
-        self.place.tell("box", self.name, "crash")
+        self.site_process.notify("call_backend", self.name, "crash")
 
     def drain(self) -> None:
-        self.place.tell("box", self.name, "drain")
+        self.site_process.notify("call_backend", self.name, "drain")
 
     def set_hung(self, hung: bool) -> None:
-        self.place.tell("box", self.name, "set_hung", hung)
+        self.site_process.notify("call_backend", self.name, "set_hung", hung)
 
     def set_slower(self, times: float) -> None:
-        self.place.tell("box", self.name, "set_slower", times)
+        self.site_process.notify("call_backend", self.name, "set_slower", times)
 
     def set_spoil(self, share: float) -> None:
-        self.place.tell("box", self.name, "set_spoil", share)
+        self.site_process.notify("call_backend", self.name, "set_spoil", share)
 
 
-class FarKeeper:
-    """The keeper at its site, with the calls of `Keeper` that the timeline makes."""
+class RemoteCounter:
+    """The counter service at its site, with the calls of `Keeper` that the timeline makes."""
 
     def __init__(self, sites: Sites) -> None:
         self.sites = sites
         self.ports: dict[int, int] = {}
 
     @property
-    def place(self) -> Place:
-        return self.sites.places[KEEPER]
+    def site_process(self) -> SiteProcess:
+        return self.sites.site_processes[COUNTER_SITE]
 
     @property
     def calls(self) -> int:
-        """Known once the books are laid together."""
-        return self.sites.keeper_calls
+        """Known once the request logs are merged."""
+        return self.sites.counter_calls
 
-    async def start(self, doors: range) -> None:
-        await self.place.ask("keep", "start", doors)
-        self.ports = await self.place.ask("keeper_ports")
+    async def start(self, front_doors: range) -> None:
+        await self.site_process.ask("call_counter", "start", front_doors)
+        self.ports = await self.site_process.ask("counter_ports")
 
-    async def restart(self, doors: range, empty: bool) -> None:
-        await self.place.ask("keep", "restart", doors, empty)
+    async def restart(self, front_doors: range, empty: bool) -> None:
+        await self.site_process.ask("call_counter", "restart", front_doors, empty)
 
-    async def move(self, doors: range) -> None:
-        await self.place.ask("keep", "move", doors)
-        self.ports = await self.place.ask("keeper_ports")
+    async def move(self, front_doors: range) -> None:
+        await self.site_process.ask("call_counter", "move", front_doors)
+        self.ports = await self.site_process.ask("counter_ports")
 
     def refuse(self) -> None:
-        self.place.tell("keep", "refuse")
+        self.site_process.notify("call_counter", "refuse")
 
     def put(self, what: str, value: float) -> None:
-        self.place.tell("keep", "put", what, value)
+        self.site_process.notify("call_counter", "put", what, value)
 
     async def forget(self, share: float) -> int:
-        return int(await self.place.ask("keep", "flush", share))
+        return int(await self.site_process.ask("call_counter", "flush", share))
 
     def split(self, *groups: Iterable[int]) -> None:
-        self.place.tell("keep", "split", *(list(group) for group in groups))
+        self.site_process.notify("call_counter", "split", *(list(group) for group in groups))
 
     def heal(self) -> None:
-        self.place.tell("keep", "heal")
+        self.site_process.notify("call_counter", "heal")
 
     def close(self) -> None:
         """It ends with its process."""
 
 
-class FarLinks:
-    """Links, each in the process that it leads to; those to the roster in the parent's own."""
+class RemoteLinks:
+    """Links, each in the process that it leads to; those to the discovery service in the parent's own."""
 
     def __init__(self, sites: Sites, near: Relay) -> None:
         self.sites, self.near = sites, near
 
     async def add(self, source: str, target: str, to: Address) -> Address:
-        place = self.sites.places.get(target)
-        if place is None:
+        site_process = self.sites.site_processes.get(target)
+        if site_process is None:
             return await self.near.add(source, target, to)
-        host, port = await place.ask("add_link", source, target, to)
+        host, port = await site_process.ask("add_link", source, target, to)
         return host, port
 
     def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
         wanted = list(names)
         self.near.set(wanted, condition, target)
-        for place in self.sites.places.values():
-            place.tell("set_links", wanted, condition, target)
+        for site_process in self.sites.site_processes.values():
+            site_process.notify("set_links", wanted, condition, target)
 
     def reset(self, names: Iterable[str], target: str = "") -> None:
         wanted = list(names)
         self.near.reset(wanted, target)
-        for place in self.sites.places.values():
-            place.tell("reset_links", wanted, target)
+        for site_process in self.sites.site_processes.values():
+            site_process.notify("reset_links", wanted, target)
 
     def close(self) -> None:
         self.near.close()
--- a/irisdeal/testbed/workload.py
+++ b/irisdeal/testbed/workload.py
@@ -1,8 +1,8 @@
-"""A day drawn from a scenario and a seed: machines, stores, and every first try with its moment. Pure.
+"""A day drawn from a scenario and a seed: machines, tenants, and every first attempt with its time. Pure.
 
 The same scenario and seed give the same day every time, on any machine and under any hash seed: each thing
-that is drawn has a random stream of its own, named by what it is for, so that a change to one draw moves no
-other.
+that is drawn has a random stream of its own, named by its purpose, so that a change to one draw moves no other.
+The names of the streams are part of every digest of a seeded run and never change.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
+from irisdeal.testbed.digest_text import digest_text
 from irisdeal.testbed.request_log import SECOND
 from irisdeal.testbed.scenario import Class, Plan, Scenario
 
-LEAST_STORES = 2  # of each plan: one alone would make its plan
+MIN_TENANTS = 2  # of each plan: one alone would make its plan
 MOST_ARRIVALS = 2_000_000  # of a day: a load over this is refused rather than drawn
 
 
@@ -28,18 +29,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One box as drawn. `speed` is that of one core; slots and queue are whole numbers for the box."""
+    """One backend as drawn. `speed` is that of one core; slots and queue are whole numbers for the backend."""
 
     number: int
-    hall: str
+    zone: str
     kind: str
     cell: int
     cores: int
     speed: float
     slots: int
     queue: int
-    cold_from: float
-    cold: int  # µs
+    initial_capacity: float
+    slow_start: int  # µs
     error_rate: float
 
     @property
@@ -49,12 +50,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Store:
+class Tenant:
     """One customer and how it asks."""
 
     customer: int
     plan: int
-    first: int  # of its doors
+    first: int  # of its front doors
     spread: int
     rate: float  # units a second that it asks, spikes apart
     manner: str  # calm, full, heavy or spiky; new: it comes with a flood
@@ -65,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A first try: `at` µs from the start of the day."""
+    """A first attempt: `at` µs from the start of the day."""
 
     at: int
-    store: int
+    tenant: int
     kind: int
     ask: int
 
@@ -80,28 +81,28 @@
     scenario: Scenario
     seed: int
     machines: tuple[Machine, ...]
-    stores: tuple[Store, ...]
+    tenants: tuple[Tenant, ...]
     arrivals: tuple[Arrival, ...]
 
     def digest(self) -> str:
         """A digest of the whole schedule: the same for the same seed."""
-        text = repr((self.machines, self.stores, self.arrivals)).encode()
+        text = digest_text((self.machines, self.tenants, self.arrivals)).encode()
         return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
 def draw(scenario: Scenario, seed: int) -> Day:
     """The day of this seed. ValueError where the load is past any use."""
-    machines = tuple(machine(scenario, seed, n) for n in range(scenario.fleet.boxes))
-    stores = (*_stores(scenario, seed, machines), *_flood(scenario, seed))
-    expected = sum(s.rate for s in stores) / mean_units(scenario) * scenario.seconds
-    expected += sum(bool(s.once) for s in stores)
+    machines = tuple(machine(scenario, seed, n) for n in range(scenario.fleet.backends))
+    tenants = (*_tenants(scenario, seed, machines), *_flood(scenario, seed))
+    expected = sum(s.rate for s in tenants) / mean_units(scenario) * scenario.seconds
+    expected += sum(bool(s.once) for s in tenants)
     if expected > MOST_ARRIVALS:
         raise ValueError(f"{scenario.name}: about {expected:.0f} requests: wanted at most {MOST_ARRIVALS}")
-    return Day(scenario, seed, machines, stores, tuple(_arrivals(scenario, seed, stores)))
+    return Day(scenario, seed, machines, tenants, tuple(_arrivals(scenario, seed, tenants)))
 
 
 def machine(scenario: Scenario, seed: int, number: int) -> Machine:
-    """The box of this number; numbers past the fleet's are those that come later."""
+    """The backend of this number; numbers past the fleet's are those that come later."""
     fleet, rng = scenario.fleet, stream(seed, "machine", number)
     total = sum(k.share for k in fleet.kinds)
     # Kinds by their share without luck: the low-discrepancy sequence keeps a small fleet near its shares.
@@ -111,19 +112,19 @@
         if point < 0:
             break
     speed = kind.speed * max(0.3, rng.gauss(1.0, kind.speed_cv))
-    halls = len(fleet.halls)
-    cell = number // (fleet.cell * halls) * halls + number % halls
+    zones = len(fleet.zones)
+    cell = number // (fleet.cell * zones) * zones + number % zones
     return Machine(
         number,
-        fleet.halls[number % halls],
+        fleet.zones[number % zones],
         kind.name,
         cell,
         kind.cores,
         speed,
         max(kind.cores, round(kind.slots_per_core * kind.cores)),
         round(kind.queue_per_core * kind.cores),
-        kind.cold_from,
-        round(kind.cold_s * 1e6),
+        kind.initial_capacity,
+        round(kind.slow_start_s * 1e6),
         kind.error_rate,
     )
 
@@ -140,11 +141,11 @@
 
 
 def _inside(manner: str, use: float) -> float:
-    """The share of its rate that a store uses inside its quota, about."""
+    """The share of its rate that a tenant uses inside its quota, about."""
     return {"calm": use, "spiky": use + 0.1, "full": 0.92, "heavy": 1.0}[manner]
 
 
-def _stores(scenario: Scenario, seed: int, machines: tuple[Machine, ...]) -> Iterator[Store]:
+def _tenants(scenario: Scenario, seed: int, machines: tuple[Machine, ...]) -> Iterator[Tenant]:
     load = scenario.load
     inside = load.use * sum(m.capacity for m in machines) / mean_work(scenario)  # units a second, all plans
     shares = sum(p.share for p in scenario.plans)
@@ -152,27 +153,27 @@
         rng = stream(seed, "stores", n)
         wanted, used, made = inside * plan.share / shares, 0.0, 0
         manners = _manners(scenario, rng)
-        while made < plan.stores or (not plan.stores and (made < LEAST_STORES or used < wanted)):
+        while made < plan.tenants or (not plan.tenants and (made < MIN_TENANTS or used < wanted)):
             manner = next(manners)
             use = rng.uniform(*load.calm_use)
             used += _inside(manner, use) * plan.rate
             made += 1
-            yield _store(scenario, plan, n, rng, manner, use)
+            yield _tenant(scenario, plan, n, rng, manner, use)
 
 
-def _flood(scenario: Scenario, seed: int) -> Iterator[Store]:
-    """The stores that come once, at even times with luck between: `size` of them a second."""
+def _flood(scenario: Scenario, seed: int) -> Iterator[Tenant]:
+    """The tenants that come once, at even times with luck between: `size` of them a second."""
     rng = stream(seed, "flood")
     for fault in scenario.faults:
         if fault.do == "flood":
             for n in range(round(fault.size * fault.for_s)):
                 at = fault.at_s + (n + rng.random()) / fault.size
-                store = _store(scenario, scenario.plans[0], 0, rng, "new", 0.0)
-                yield replace(store, once=max(1, round(at * SECOND)))
+                tenant = _tenant(scenario, scenario.plans[0], 0, rng, "new", 0.0)
+                yield replace(tenant, once=max(1, round(at * SECOND)))
 
 
 def _manners(scenario: Scenario, rng: random.Random) -> Iterator[str]:
-    """Manners by their shares, in an order drawn for each hundred: few stores must not be all of one."""
+    """Manners by their shares, in an order drawn for each hundred: few tenants must not be all of one."""
     load = scenario.load
     counts = [("full", load.full), ("heavy", load.heavy), ("spiky", load.spiky)]
     while True:
@@ -182,10 +183,12 @@
         yield from hundred
 
 
-def _store(scenario: Scenario, plan: Plan, number: int, rng: random.Random, manner: str, use: float) -> Store:
-    load, doors = scenario.load, scenario.doors
-    least = min(2, doors)
-    spread = min(doors, max(least, round(rng.uniform(*load.spread) * doors)))
+def _tenant(
+    scenario: Scenario, plan: Plan, number: int, rng: random.Random, manner: str, use: float
+) -> Tenant:
+    load, front_doors = scenario.load, scenario.front_doors
+    least = min(2, front_doors)
+    spread = min(front_doors, max(least, round(rng.uniform(*load.spread) * front_doors)))
     if ceiling := scenario.ceiling(plan):  # its part of the ceiling must hold a request of the largest kind
         most = max(c.units for c in scenario.classes)
         spread = max(1, min(spread, int(ceiling.depth / (2 * most))))
@@ -205,10 +208,10 @@
         end = at + rng.uniform(*load.spike_s)
         spikes.append((round(at * 1e6), round(end * 1e6), rng.uniform(*load.spike_x)))
         at = end + rng.expovariate(1 / load.spike_every_s)
-    return Store(
+    return Tenant(
         rng.randrange(1, 2**33),
         number,
-        rng.randrange(doors),
+        rng.randrange(front_doors),
         spread,
         rate,
         manner,
@@ -217,28 +220,28 @@
     )
 
 
-def _arrivals(scenario: Scenario, seed: int, stores: tuple[Store, ...]) -> Iterator[Arrival]:
+def _arrivals(scenario: Scenario, seed: int, tenants: tuple[Tenant, ...]) -> Iterator[Arrival]:
     units = mean_units(scenario)
     rushes, greedy = scenario.doing("rush"), scenario.doing("greedy")
     found: list[tuple[int, int, int]] = []
     weights = [c.share for c in scenario.classes]
     kinds = range(len(scenario.classes))
-    for n, store in enumerate(stores):
+    for n, tenant in enumerate(tenants):
         rng = stream(seed, "arrivals", n)
-        if store.once:
-            if store.once < scenario.seconds * SECOND:
-                found.append((store.once, n, rng.choices(kinds, weights)[0]))
+        if tenant.once:
+            if tenant.once < scenario.seconds * SECOND:
+                found.append((tenant.once, n, rng.choices(kinds, weights)[0]))
             continue
-        swells = rushes + (greedy if store.manner == "heavy" else [])
-        plan_rate = scenario.plans[store.plan].rate
+        swells = rushes + (greedy if tenant.manner == "heavy" else [])
+        plan_rate = scenario.plans[tenant.plan].rate
         # Thinning (Lewis and Shedler 1979): draw at the highest rate, keep by the share of the present one.
-        top = max([store.rate, *(times * plan_rate for _, _, times in store.spikes)])
+        top = max([tenant.rate, *(times * plan_rate for _, _, times in tenant.spikes)])
         top *= math.prod([1.0, *(max(1.0, size) for _, _, size in swells)])
         at = 0.0
         while (at := at + rng.expovariate(top / units)) < scenario.seconds:
             now = round(at * 1e6)
-            spike = next((times for start, end, times in store.spikes if start <= now < end), None)
-            rate = store.rate if spike is None else spike * plan_rate
+            spike = next((times for start, end, times in tenant.spikes if start <= now < end), None)
+            rate = tenant.rate if spike is None else spike * plan_rate
             rate *= math.prod(size for start, end, size in swells if start <= now < end)
             if rng.random() * top < rate:
                 found.append((now, n, rng.choices(kinds, weights)[0]))
@@ -248,7 +251,7 @@
 
 
 def trace(seed: int, ask: int, attempt: int) -> str:
-    """The id of a try: 16 hex digits, never the same for two tries of one seed."""
+    """The id of a client attempt: 16 hex digits, never the same for two client attempts of one seed."""
     return hashlib.blake2b(f"{seed}:{ask}:{attempt}".encode(), digest_size=8).hexdigest()
 
 
@@ -268,18 +271,18 @@
     return max(100, round(min(drawn, 30 * kind.work_ms) * 1000))
 
 
-def weights(seed: int, scenario: Scenario, store: int, spread: int, now: int) -> list[float]:
-    """How a store's requests are dealt out over its doors at a time (µs from the start); sums to 1.
+def weights(seed: int, scenario: Scenario, tenant: int, spread: int, now: int) -> list[float]:
+    """How a tenant's requests are dealt out over its front doors at a time (µs from the start); sums to 1.
 
-    The busiest changes every `shift_s`; a hot door takes its share of them while it lasts.
+    The busiest changes every `shift_s`; a hot front door takes its share of them while it lasts.
     """
     load = scenario.load
     turn = int(now // (load.shift_s * SECOND))
     order = list(range(spread))
-    stream(seed, "shift", store, turn).shuffle(order)
+    stream(seed, "shift", tenant, turn).shuffle(order)
     raw = [0.0] * spread
-    for place, n in enumerate(order):
-        raw[n] = (place + 1.0) ** -load.skew
+    for position, n in enumerate(order):
+        raw[n] = (position + 1.0) ** -load.skew
     total = sum(raw)
     shares = [r / total for r in raw]
     for fault in scenario.faults:
--- a/tests/front_door/test_many_doors.py
+++ b/tests/front_door/test_many_doors.py
@@ -13,9 +13,9 @@
     assert fault in FAULTS
     outcome = played(fault)
     assert outcome.kept, (outcome.crashes, outcome.verdict)
-    worst = outcome.stores[0]
+    worst = outcome.tenants[0]
     assert worst.overshoot <= bound(fault), worst
     calm = quiet(outcome)
     assert calm.asked >= 150
     most = MOST[fault]  # of all plays; one play's share strays by its standard error, 0.02 with 226 tries
-    assert calm.part <= most + 2 * (most * (1 - most) / calm.asked) ** 0.5, calm
+    assert calm.fraction <= most + 2 * (most * (1 - most) / calm.asked) ** 0.5, calm
--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -237,7 +237,7 @@
     assert looks > 50
     for door, program in enumerate(day.programs):
         side = program.clients
-        heard = [t for t in day.books.taken if t.door == door and t.answers]
+        heard = [t for t in day.request_log.client_attempts if t.front_door == door and t.answers]
         by = {name: n for n, name in enumerate(program.config.classes)}
         for name, n in by.items():
             answers = [t.answers[0].status for t in heard if t.kind == name]
@@ -245,5 +245,5 @@
             assert side.rejected[n] == sum(status in (429, 503) for status in answers)
             assert side.failed[n] == sum(status not in (200, 429, 503) for status in answers)
         assert side.pending == 0 and sum(side.completed) > 20 and sum(side.rejected) > 0
-        boxed = sum(a.door == door for a in day.books.attempts)
+        boxed = sum(a.front_door == door for a in day.request_log.attempts)
         assert abs(program.pool.written - boxed) <= 3  # some were written to boxes that crashed
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -535,10 +535,10 @@
     run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, ["unsafe"], swaps)))
     assert [b.text() for b in run.verdict.breaches] == []
     assert len(swaps) >= 2 and all(p.router is not None and p.router.refused == 0 for p in run.programs)
-    claims = [a for a in run.books.attempts if a.kind == "claim"]
+    claims = [a for a in run.request_log.attempts if a.kind == "claim"]
     assert len(claims) > 50 and any(a.end is End.BROKEN for a in claims)
-    assert resent(run.books.attempts, "claim", swaps[0]) == []
-    assert resent(run.books.attempts, "file", 0) == []
+    assert resent(run.request_log.attempts, "claim", swaps[0]) == []
+    assert resent(run.request_log.attempts, "file", 0) == []
 
 
 def test_the_same_day_with_keyed_claims_does_resend_them(file: Path) -> None:
@@ -547,8 +547,8 @@
     swaps: list[int] = []
     run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, [KEYED_RULE], swaps)))
     assert [b.text() for b in run.verdict.breaches] == []
-    assert resent(run.books.attempts, "claim", swaps[0]) != []
-    assert resent(run.books.attempts, "file", 0) == []
+    assert resent(run.request_log.attempts, "claim", swaps[0]) != []
+    assert resent(run.request_log.attempts, "file", 0) == []
     assert all(p.router is not None and len(p.router.classes.rules) < 16 for p in run.programs)
 
 
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -131,7 +131,9 @@
 
     def before(played: Played) -> list[Any]:
         return [
-            (t.trace, t.at, [a for a in t.answers if a.at < at]) for t in played.books.taken if t.due < at
+            (t.trace, t.at, [a for a in t.answers if a.at < at])
+            for t in played.books.client_attempts
+            if t.due < at
         ]
 
     assert struck.start == calm.start
@@ -145,8 +147,8 @@
 def test_a_quiet_day_serves_all_and_leaves_nothing() -> None:
     played = day(QUIET)
     assert played.kept and not played.broken()
-    assert played.service.whole.share > 0.95
-    assert all(life.code == 0 for life in played.books.doors)
+    assert played.service.total.share > 0.95
+    assert all(life.code == 0 for life in played.books.front_doors)
     assert played.seconds < 8
 
 
@@ -194,7 +196,7 @@
         )
     )
     assert played.kept, played.crashes
-    lives = [life for life in played.books.doors if life.door == 1]
+    lives = [life for life in played.books.front_doors if life.front_door == 1]
     assert len(lives) == 2 and lives[1].started - lives[0].killed >= 2_000_000
 
 
@@ -398,7 +400,7 @@
 
 def test_a_request_of_a_day_is_told_from_its_begin_to_its_end() -> None:
     played = day(QUIET)
-    served = next(t for t in played.books.taken if t.answers and t.answers[0].status == 200)
+    served = next(t for t in played.books.client_attempts if t.answers and t.answers[0].status == 200)
     lines = timeline(played, trace=served.trace)
     order = [
         n
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -1,4 +1,4 @@
-"""A day of the stand-ins with doors in the test's own loop, so that a test can break them."""
+"""A day of the test services with front doors in the test's own loop, so that a test can break them."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.search import front_door_day
 from irisdeal.testbed.audit import Verdict, audit
-from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
-from irisdeal.testbed.request_log import Books, DoorLife
+from irisdeal.testbed.request_log import FrontDoorIncarnation, RequestLog
 from irisdeal.testbed.scenario import parse as read
 from irisdeal.testbed.workload import draw
 
@@ -101,25 +101,25 @@
 MakeDecider = Callable[[Settings, int], Decider]
 
 
-class NoDoors:
-    """A day whose timeline does nothing to doors."""
+class NoFrontDoors:
+    """A day whose timeline does nothing to front doors."""
 
-    async def kill(self, door: int, down: float) -> None:
+    async def kill(self, front_door: int, down: float) -> None:
         raise AssertionError("no door is to be killed here")
 
-    async def restart(self, door: int) -> None:
+    async def restart(self, front_door: int) -> None:
         raise AssertionError("no door is to be restarted here")
 
-    async def stall(self, door: int, seconds: float) -> None:
+    async def stall(self, front_door: int, seconds: float) -> None:
         raise AssertionError("no door is to be stopped here")
 
-    async def reload(self, door: int) -> None:
+    async def reload(self, front_door: int) -> None:
         raise AssertionError("no door is to be told anything here")
 
 
 @dataclass
 class Played:
-    books: Books
+    request_log: RequestLog
     verdict: Verdict
     programs: list[Program]
     platform: Platform
@@ -134,51 +134,52 @@
     seed: int = 1,
     make: MakeDecider = Gateway,
     spoil: Callable[[Program], None] = lambda _: None,
-    during: Callable[[Platform, Terminals], None] = lambda *_: None,
+    during: Callable[[Platform, LoadGenerator], None] = lambda *_: None,
     routes: Path | None = None,
     started: Callable[[Platform, list[Program]], None] = lambda *_: None,
     patience: float = 10.0,
 ) -> Played:
-    """Play a scenario with in-loop doors; `spoil` may break each of them before it starts."""
+    """Play a scenario with in-loop front doors; `spoil` may break each of them before it starts."""
     platform = Platform(draw(read(text), seed))
     await platform.start()
     loop, programs = asyncio.get_running_loop(), list[Program]()
     try:
-        for door in platform.doors:
-            told = platform.config(door, "127.0.0.1:1", 5 + door)
+        for front_door in platform.front_doors:
+            configuration = platform.config(front_door, "127.0.0.1:1", 5 + front_door)
             if routes is not None:
-                told["routes"] = {"file": str(routes), "watch_ms": 0}
-            config = _listening_anywhere(parse(told))
+                configuration["routes"] = {"file": str(routes), "watch_ms": 0}
+            config = _listening_anywhere(parse(configuration))
             program = Program(config, loop, make(config.settings, config.seed))
             spoil(program)
             if program.router is not None:
                 await program.router.first()
             program.start()
             programs.append(program)
-            platform.books.doors.append(DoorLife(door, 0, platform.now()))
+            platform.request_log.front_doors.append(FrontDoorIncarnation(front_door, 0, platform.now()))
         addresses = [("127.0.0.1", program.clients.port()) for program in programs]
-        terminals = Terminals(platform.day, platform.books, platform.now, addresses)
-        terminals.late_watch = LATEST  # a late answer is to be seen as one, however starved this loop is
+        load_generator = LoadGenerator(platform.day, platform.request_log, platform.now, addresses)
+        load_generator.late_watch = LATEST  # a late answer is to be seen as one, however starved this loop is
         start = platform.now()
-        platform.play(start, NoDoors())
-        during(platform, terminals)
+        platform.play(start, NoFrontDoors())
+        during(platform, load_generator)
         started(platform, programs)
-        await terminals.run(start)
+        await load_generator.run(start)
         until = loop.time() + patience
         while loop.time() < until and any(
-            t.at and not (t.answers or t.cut or t.crossed) for t in platform.books.taken
+            t.at and not (t.answers or t.disconnected_at or t.crossed)
+            for t in platform.request_log.client_attempts
         ):
             await asyncio.sleep(0.01)
-        await asyncio.sleep(0.1)  # what a door sends behind its last answer comes to a box within that time
+        await asyncio.sleep(0.1)  # for what a front door sends behind its last answer
     finally:
         for program in programs:
             program.discovery.stop()
             program.clients.stop_listening()
-        terminals.close()
+        load_generator.close()
         platform.close()
-    # Doors and stand-ins share this loop: how late an answer is says how busy the machine is.
-    verdict = audit(platform.books, platform.figures, timed=False)
-    return Played(platform.books, verdict, programs, platform)
+    # Front doors and test services share this loop: how late an answer is says how busy the machine is.
+    verdict = audit(platform.request_log, platform.figures, timed=False)
+    return Played(platform.request_log, verdict, programs, platform)
 
 
 def played(
@@ -188,7 +189,7 @@
     spoil: Callable[[Program], None] = lambda _: None,
 ) -> front_door_day.Played:
     """The same in virtual time: nothing waits, and lateness is judged."""
-    logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # broken doors have much to say
+    logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # broken front doors have much to say
     try:
         return front_door_day.play(draw(read(text), seed), make, spoil)
     finally:
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -406,13 +406,18 @@
     played = door_day.play(draw_day(scenario, scenario.seed))
     books = played.books
     recorder.note(books.attempts)
-    recorder.note(books.taken)
+    recorder.note(books.client_attempts)
     recorder.note(
-        books.told, books.lives, books.fallen, books.holds, books.pauses, list(books.strangers.values())
+        books.endpoint_notices,
+        books.incarnations,
+        books.fallen,
+        books.link_faults,
+        books.pauses,
+        list(books.misbehaving_clients.values()),
     )
-    for incarnation in books.doors:
+    for incarnation in books.front_doors:
         recorder.note(
-            incarnation.door,
+            incarnation.front_door,
             incarnation.started,
             incarnation.ready,
             incarnation.terminated,
@@ -422,7 +427,7 @@
         )
     recorder.note([at for at, _ in books.faults])
     recorder.note([(breach.rule, breach.times) for breach in played.verdict.breaches])
-    recorder.note(played.service.whole.offered, played.service.whole.served, played.start, played.seconds)
+    recorder.note(played.service.total.offered, played.service.total.served, played.start, played.seconds)
     recorder.note(played.keeper_calls, played.cpu, played.latest)
     recorder.note(len(played.crashes), len(played.errors), len(played.left))
 
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit by itself: books written by hand, each rule at its limit and one step past it."""
+"""The audit by itself: request logs written by hand, each rule at its limit and one step past it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     SECOND,
     Answer,
     Attempt,
-    Books,
-    DoorLife,
+    BackendIncarnation,
+    ClientAttempt,
     End,
-    Hold,
-    Life,
-    Taken,
-    Told,
+    EndpointNotice,
+    FrontDoorIncarnation,
+    LinkFault,
+    RequestLog,
 )
 
 FIGURES = Figures(
@@ -38,7 +38,7 @@
 MS = 1000
 
 
-def attempt(at: int, box: str = "s1", **changes: object) -> Attempt:
+def attempt(at: int, backend: str = "s1", **changes: object) -> Attempt:
     base: dict[str, object] = {
         "trace": "t",
         "key": "",
@@ -46,10 +46,10 @@
         "plan": "plain",
         "customer": 7,
         "units": 1.0,
-        "door": 0,
-        "box": box,
-        "hall": {"s1": "a", "s2": "b", "s3": "a"}[box],
-        "life": 0,
+        "front_door": 0,
+        "backend": backend,
+        "zone": {"s1": "a", "s2": "b", "s3": "a"}[backend],
+        "incarnation": 0,
         "connection": 1,
         "first_byte": at,
         "last_byte": at,
@@ -62,7 +62,7 @@
     return Attempt(**{**base, **changes})  # type: ignore[arg-type]
 
 
-def taken(*answers: Answer, **changes: object) -> Taken:
+def client_attempt(*answers: Answer, **changes: object) -> ClientAttempt:
     base: dict[str, object] = {
         "trace": "t",
         "ask": 1,
@@ -72,17 +72,17 @@
         "plan": "plain",
         "customer": 7,
         "units": 1.0,
-        "door": 0,
+        "front_door": 0,
         "due": SECOND,
         "wait": SECOND,
         "at": SECOND,
         "answers": list(answers),
     }
-    return Taken(**{**base, **changes})  # type: ignore[arg-type]
+    return ClientAttempt(**{**base, **changes})  # type: ignore[arg-type]
 
 
-def broken(**parts: object) -> list[str]:
-    verdict = audit(Books(**parts), FIGURES)  # type: ignore[arg-type]
+def broken(**records: object) -> list[str]:
+    verdict = audit(RequestLog(**records), FIGURES)  # type: ignore[arg-type]
     assert verdict.kept == (not verdict.breaches)
     return [f"{b.rule.name}: {b.what}" for b in verdict.breaches]
 
@@ -92,77 +92,94 @@
 
 
 def test_one_answer_in_time_that_a_box_made_is_right() -> None:
-    assert broken(taken=[taken(OK)], attempts=[attempt(SECOND)]) == []
+    assert broken(client_attempts=[client_attempt(OK)], attempts=[attempt(SECOND)]) == []
 
 
 @pytest.mark.parametrize(
     ("made", "says"),
     [
-        (taken(), "never answered"),
-        (taken(cut=SECOND + 1), "its connection ended with no whole answer"),
-        (taken(Answer(LIMIT + 1, 502, b"")), "answered too late"),
-        (taken(OK, OK), "answered more than once"),
-        (taken(OK, stray=1), "answered more than once"),
-        (taken(Answer(SECOND + 60 * MS, 200, b"y")), "served with what no box made for it"),
+        (client_attempt(), "never answered"),
+        (client_attempt(disconnected_at=SECOND + 1), "its connection ended with no whole answer"),
+        (client_attempt(Answer(LIMIT + 1, 502, b"")), "answered too late"),
+        (client_attempt(OK, OK), "answered more than once"),
+        (client_attempt(OK, stray=1), "answered more than once"),
+        (client_attempt(Answer(SECOND + 60 * MS, 200, b"y")), "served with what no box made for it"),
         (
-            taken(Answer(SECOND + 40 * MS, 200, b"x")),
+            client_attempt(Answer(SECOND + 40 * MS, 200, b"x")),
             "served with what no box made for it",
-        ),  # before the box did
+        ),  # before the backend did
     ],
 )
-def test_answers_that_are_wrong(made: Taken, says: str) -> None:
-    assert broken(taken=[made], attempts=[attempt(SECOND)]) == [f"ANSWERS: {says}"]
+def test_answers_that_are_wrong(made: ClientAttempt, says: str) -> None:
+    assert broken(client_attempts=[made], attempts=[attempt(SECOND)]) == [f"ANSWERS: {says}"]
 
 
 def test_an_answer_at_the_limit_is_in_time_and_lateness_of_our_own_moves_it() -> None:
-    assert broken(taken=[taken(Answer(LIMIT, 502, b""))]) == []
-    late = [taken(Answer(LIMIT + 50 * MS, 502, b""))]
+    assert broken(client_attempts=[client_attempt(Answer(LIMIT, 502, b""))]) == []
+    late = [client_attempt(Answer(LIMIT + 50 * MS, 502, b""))]
     two = [(SECOND + 300 * MS, 20 * MS), (LIMIT, 30 * MS)]  # each held up what was waited for
-    assert broken(taken=late, stalls=two) == []
-    assert broken(taken=late, stalls=two[:1]) == ["ANSWERS: answered too late"]
+    assert broken(client_attempts=late, stalls=two) == []
+    assert broken(client_attempts=late, stalls=two[:1]) == ["ANSWERS: answered too late"]
     within = [(LIMIT + 400 * MS, 600 * MS)]  # noted when over; the answer was read in its midst
-    assert broken(taken=late, stalls=within) == []
+    assert broken(client_attempts=late, stalls=within) == []
     behind = [(LIMIT + 400 * MS, 200 * MS)]
-    assert broken(taken=late, stalls=behind) == ["ANSWERS: answered too late"]
+    assert broken(client_attempts=late, stalls=behind) == ["ANSWERS: answered too late"]
     before = [(SECOND - 1, 50 * MS)]  # it came behind that
-    assert broken(taken=late, stalls=before) == ["ANSWERS: answered too late"]
+    assert broken(client_attempts=late, stalls=before) == ["ANSWERS: answered too late"]
 
 
 def test_lateness_alone_can_be_left_out() -> None:
-    late = Books(taken=[taken(Answer(LIMIT + 1, 502, b""))])
+    late = RequestLog(client_attempts=[client_attempt(Answer(LIMIT + 1, 502, b""))])
     assert not audit(late, FIGURES).kept and audit(late, FIGURES, timed=False).kept
-    assert not audit(Books(taken=[taken()]), FIGURES, timed=False).kept
+    assert not audit(RequestLog(client_attempts=[client_attempt()]), FIGURES, timed=False).kept
 
 
 def test_nothing_is_sent_after_the_answer() -> None:
     late = attempt(OK.at + 51 * MS, "s2")
-    found = broken(taken=[taken(OK)], attempts=[attempt(SECOND), late])
+    found = broken(client_attempts=[client_attempt(OK)], attempts=[attempt(SECOND), late])
     assert found == ["ANSWERS: sent after its final answer"]
-    assert broken(taken=[taken(OK)], attempts=[attempt(SECOND), attempt(OK.at + 50 * MS, "s2")]) == []
+    assert (
+        broken(
+            client_attempts=[client_attempt(OK)], attempts=[attempt(SECOND), attempt(OK.at + 50 * MS, "s2")]
+        )
+        == []
+    )
 
 
 def test_a_try_that_came_to_no_door_is_owed_nothing() -> None:
-    assert broken(taken=[taken(at=0)]) == []
+    assert broken(client_attempts=[client_attempt(at=0)]) == []
 
 
 def test_what_a_killed_door_held_is_the_clients() -> None:
-    life = DoorLife(0, 1, started=0, killed=SECOND + 500 * MS)
-    verdict = audit(Books(taken=[taken(cut=SECOND + 500 * MS)], doors=[life]), FIGURES)
+    incarnation = FrontDoorIncarnation(0, 1, started=0, killed=SECOND + 500 * MS)
+    verdict = audit(
+        RequestLog(
+            client_attempts=[client_attempt(disconnected_at=SECOND + 500 * MS)], front_doors=[incarnation]
+        ),
+        FIGURES,
+    )
     assert verdict.kept and verdict.excused == 1
-    assert broken(taken=[taken(cut=SECOND + 400 * MS, door=1)], doors=[life])  # another door's
-    assert broken(taken=[taken(at=2 * SECOND)], doors=[life])  # after its end: no such door took it
+    assert broken(
+        client_attempts=[client_attempt(disconnected_at=SECOND + 400 * MS, front_door=1)],
+        front_doors=[incarnation],
+    )  # another front door's
+    assert broken(
+        client_attempts=[client_attempt(at=2 * SECOND)], front_doors=[incarnation]
+    )  # after its end: no such front door took it
 
 
 def test_a_kill_late_after_sigterm_excuses_nothing() -> None:
-    late = DoorLife(0, 1, started=0, terminated=SECOND, killed=SECOND + 701 * MS)
-    soon = DoorLife(0, 1, started=0, terminated=SECOND, killed=SECOND + 700 * MS)
-    assert broken(taken=[taken()], doors=[late]) == ["ANSWERS: never answered"]
-    assert broken(taken=[taken()], doors=[soon]) == []
+    late = FrontDoorIncarnation(0, 1, started=0, terminated=SECOND, killed=SECOND + 701 * MS)
+    soon = FrontDoorIncarnation(0, 1, started=0, terminated=SECOND, killed=SECOND + 700 * MS)
+    assert broken(client_attempts=[client_attempt()], front_doors=[late]) == ["ANSWERS: never answered"]
+    assert broken(client_attempts=[client_attempt()], front_doors=[soon]) == []
 
 
 def test_a_crossed_try_that_reached_no_box_is_not_lost() -> None:
-    assert broken(taken=[taken(crossed=True)]) == []
-    assert broken(taken=[taken(crossed=True)], attempts=[attempt(SECOND)]) == ["ANSWERS: never answered"]
+    assert broken(client_attempts=[client_attempt(crossed=True)]) == []
+    assert broken(client_attempts=[client_attempt(crossed=True)], attempts=[attempt(SECOND)]) == [
+        "ANSWERS: never answered"
+    ]
 
 
 def test_an_unsafe_request_again_only_after_proof() -> None:
@@ -177,8 +194,8 @@
 
 
 def test_a_keyed_request_again_in_its_group_and_window() -> None:
-    def sent(box: str, after: int, kind: str = "claim") -> list[str]:
-        return broken(attempts=[attempt(SECOND, kind=kind), attempt(SECOND + after, box, kind=kind)])
+    def sent(backend: str, after: int, kind: str = "claim") -> list[str]:
+        return broken(attempts=[attempt(SECOND, kind=kind), attempt(SECOND + after, backend, kind=kind)])
 
     assert sent("s3", 5 * SECOND + 50 * MS) == []
     assert sent("s3", 5 * SECOND + 51 * MS) == ["EFFECTS: a keyed request was sent after its window"]
@@ -191,91 +208,126 @@
     refusal = Answer(SECOND + 20 * MS, 503, b"")
     running = attempt(SECOND, kind="claim")
     away = attempt(SECOND, kind="claim", end=End.TURNED_AWAY, ended=SECOND + 10 * MS)
-    assert broken(taken=[taken(refusal, kind="claim")], attempts=[running]) == [
+    assert broken(client_attempts=[client_attempt(refusal, kind="claim")], attempts=[running]) == [
         "EFFECTS: refused, though it may have run"
     ]
-    assert broken(taken=[taken(refusal, kind="claim")], attempts=[away]) == []
-    assert broken(taken=[taken(refusal, kind="check")], attempts=[attempt(SECOND)]) == []
-    assert broken(taken=[taken(Answer(refusal.at, 502, b""), kind="claim")], attempts=[running]) == []
+    assert broken(client_attempts=[client_attempt(refusal, kind="claim")], attempts=[away]) == []
+    assert broken(client_attempts=[client_attempt(refusal, kind="check")], attempts=[attempt(SECOND)]) == []
+    assert (
+        broken(
+            client_attempts=[client_attempt(Answer(refusal.at, 502, b""), kind="claim")], attempts=[running]
+        )
+        == []
+    )
 
 
 def test_drains_count_from_what_this_process_was_told() -> None:
     told = [
-        Told(0, SECOND, "s1", "Ready", 0),
-        Told(0, 2 * SECOND, "s1", "Terminating", 0),
-        Told(0, 3 * SECOND, "s1", "Gone", 0),
+        EndpointNotice(0, SECOND, "s1", "Ready", 0),
+        EndpointNotice(0, 2 * SECOND, "s1", "Terminating", 0),
+        EndpointNotice(0, 3 * SECOND, "s1", "Gone", 0),
     ]
     limit = 3 * SECOND + 50 * MS  # 1 s after the first of drain and gone
-    assert broken(told=told, attempts=[attempt(limit)]) == []
-    assert broken(told=told, attempts=[attempt(limit + 1)]) == [
+    assert broken(endpoint_notices=told, attempts=[attempt(limit)]) == []
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 1)]) == [
         "DRAINS: sent to a box that drains or is gone"
     ]
-    held = [Hold("door 0", "a", limit - 1, limit + SECOND)]  # a link of ours kept it meanwhile
-    assert broken(told=told, attempts=[attempt(limit + SECOND)], holds=held) == []
-    assert broken(told=told, attempts=[attempt(limit + 2 * SECOND)], holds=held) != []
+    pending = [LinkFault("door 0", "a", limit - 1, limit + SECOND)]  # a link of ours kept it meanwhile
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + SECOND)], link_faults=pending) == []
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 2 * SECOND)], link_faults=pending) != []
     assert (
         broken(
-            told=told, attempts=[attempt(limit + 30 * MS)], holds=[Hold("door 0", "a", SECOND, late=30 * MS)]
+            endpoint_notices=told,
+            attempts=[attempt(limit + 30 * MS)],
+            link_faults=[LinkFault("door 0", "a", SECOND, late=30 * MS)],
         )
         == []
     )
     assert (
         broken(
-            told=told, attempts=[attempt(limit + 31 * MS)], holds=[Hold("door 0", "a", SECOND, late=30 * MS)]
+            endpoint_notices=told,
+            attempts=[attempt(limit + 31 * MS)],
+            link_faults=[LinkFault("door 0", "a", SECOND, late=30 * MS)],
         )
         != []
     )
-    assert broken(told=told, attempts=[attempt(limit + 1, door=1)]) == []
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 1, front_door=1)]) == []
     near, far = [(limit - 100 * MS, 40 * MS)], [(limit - 400 * MS, 40 * MS)]
-    assert broken(told=told, attempts=[attempt(limit + 40 * MS)], stalls=near) == []
-    assert broken(told=told, attempts=[attempt(limit + 40 * MS)], stalls=far) != []
-    back = Told(0, 4 * SECOND, "s1", "Ready", 4 * SECOND)
-    assert broken(told=[*told, back], attempts=[attempt(5 * SECOND)]) == []
-    lives = [DoorLife(0, 1, started=0), DoorLife(0, 2, started=limit)]
-    assert broken(told=told, attempts=[attempt(limit + 1)], doors=lives) == []
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 40 * MS)], stalls=near) == []
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 40 * MS)], stalls=far) != []
+    back = EndpointNotice(0, 4 * SECOND, "s1", "Ready", 4 * SECOND)
+    assert broken(endpoint_notices=[*told, back], attempts=[attempt(5 * SECOND)]) == []
+    incarnations = [FrontDoorIncarnation(0, 1, started=0), FrontDoorIncarnation(0, 2, started=limit)]
+    assert broken(endpoint_notices=told, attempts=[attempt(limit + 1)], front_doors=incarnations) == []
 
 
 def test_what_a_door_does_late_since_we_stopped_it_is_excused() -> None:
-    late = taken(Answer(LIMIT + 400 * MS, 502, b""))
-    assert broken(taken=[late]) == ["ANSWERS: answered too late"]
-    assert broken(taken=[late], pauses=[(0, 2 * SECOND, 2 * SECOND + 400 * MS)]) == []
-    assert broken(taken=[late], pauses=[(0, 2 * SECOND, 2 * SECOND + 399 * MS)]) != []
-    assert broken(taken=[late], pauses=[(1, 2 * SECOND, 2 * SECOND + 400 * MS)]) != []  # another door
-    assert broken(taken=[late], pauses=[(0, 0, SECOND)]) != []  # over before it came
-    gone = taken(gave_up=2 * SECOND)  # and what its client did not stay for nobody saw
-    assert broken(taken=[gone], pauses=[(0, SECOND + 1, SECOND + 200 * MS)]) == ["ANSWERS: never answered"]
-    assert broken(taken=[gone], pauses=[(0, SECOND + 1, SECOND + 900 * MS)]) == []
+    late = client_attempt(Answer(LIMIT + 400 * MS, 502, b""))
+    assert broken(client_attempts=[late]) == ["ANSWERS: answered too late"]
+    assert broken(client_attempts=[late], pauses=[(0, 2 * SECOND, 2 * SECOND + 400 * MS)]) == []
+    assert broken(client_attempts=[late], pauses=[(0, 2 * SECOND, 2 * SECOND + 399 * MS)]) != []
+    assert (
+        broken(client_attempts=[late], pauses=[(1, 2 * SECOND, 2 * SECOND + 400 * MS)]) != []
+    )  # another front door
+    assert broken(client_attempts=[late], pauses=[(0, 0, SECOND)]) != []  # over before it came
+    gone = client_attempt(gave_up=2 * SECOND)  # and what its client did not stay for nobody saw
+    assert broken(client_attempts=[gone], pauses=[(0, SECOND + 1, SECOND + 200 * MS)]) == [
+        "ANSWERS: never answered"
+    ]
+    assert broken(client_attempts=[gone], pauses=[(0, SECOND + 1, SECOND + 900 * MS)]) == []
 
 
 def test_a_drain_that_a_stopped_door_could_not_hear_is_excused() -> None:
-    told = [Told(0, SECOND, "s1", "Terminating", 0)]
+    told = [EndpointNotice(0, SECOND, "s1", "Terminating", 0)]
     limit = 2 * SECOND + 50 * MS
     late = attempt(limit + 300 * MS)
-    assert broken(told=told, attempts=[late]) == ["DRAINS: sent to a box that drains or is gone"]
-    assert broken(told=told, attempts=[late], pauses=[(0, SECOND + 1, SECOND + 1 + 300 * MS)]) == []
-    assert broken(told=told, attempts=[late], pauses=[(0, SECOND + 1, SECOND + 200 * MS)]) != []
+    assert broken(endpoint_notices=told, attempts=[late]) == ["DRAINS: sent to a box that drains or is gone"]
+    assert (
+        broken(endpoint_notices=told, attempts=[late], pauses=[(0, SECOND + 1, SECOND + 1 + 300 * MS)]) == []
+    )
+    assert broken(endpoint_notices=told, attempts=[late], pauses=[(0, SECOND + 1, SECOND + 200 * MS)]) != []
 
 
 def test_a_cold_boxs_budget() -> None:
-    life = Life("s1", "a", 0, 10 * SECOND, 2.0, 0.25, 10 * SECOND)
+    incarnation = BackendIncarnation("s1", "a", 0, 10 * SECOND, 2.0, 0.25, 10 * SECOND)
     # 4 x 0.5 x 2 s = 4 s of work at the start, and one largest more
     at = 10 * SECOND + 1
-    nine = [attempt(at, trace=f"t{n}", work=SECOND // 2, door=n % 3) for n in range(9)]
-    told = [Told(door, at, "s1", "Ready", life.at) for door in range(3)]
-    assert broken(lives=[life], attempts=nine, told=told) == []
+    nine = [attempt(at, trace=f"t{n}", work=SECOND // 2, front_door=n % 3) for n in range(9)]
+    told = [EndpointNotice(front_door, at, "s1", "Ready", incarnation.at) for front_door in range(3)]
+    assert broken(incarnations=[incarnation], attempts=nine, endpoint_notices=told) == []
     ten = [*nine, attempt(at, trace="t9", work=SECOND // 2)]
-    found = broken(lives=[life], attempts=ten, told=told)
+    found = broken(incarnations=[incarnation], attempts=ten, endpoint_notices=told)
     assert len(found) == 1 and found[0].startswith("COLD: 5.00 s of work in one window, 4.50 s allowed")
     spread = [attempt(at + n * 250 * MS, trace=f"t{n}", work=SECOND // 2) for n in range(20)]
-    assert broken(lives=[life], attempts=spread, told=told) == []
+    assert broken(incarnations=[incarnation], attempts=spread, endpoint_notices=told) == []
     assert broken(fallen=[("s1", 0, at)]) == ["COLD: it fell over"]
-    assert broken(lives=[Life("s1", "a", 0, 0, 2.0, 0.25, 10 * SECOND)], attempts=nine * 3, told=told) == []
-    # Two thirds must come from doors that had been told of this start: four of ten came from door 0.
-    assert len(broken(lives=[life], attempts=ten, told=told[1:])) == 0
-    assert len(broken(lives=[life], attempts=ten, told=[*told[:2], Told(2, at, "s1", "Ready", 0)])) == 1
-    late = [Told(door, at + 1, "s1", "Ready", life.at) for door in range(3)]
-    assert broken(lives=[life], attempts=ten, told=late, fallen=[("s1", 0, at)]) == []
-    assert broken(lives=[life], attempts=nine, told=told, fallen=[("s1", 0, at)]) == ["COLD: it fell over"]
+    assert (
+        broken(
+            incarnations=[BackendIncarnation("s1", "a", 0, 0, 2.0, 0.25, 10 * SECOND)],
+            attempts=nine * 3,
+            endpoint_notices=told,
+        )
+        == []
+    )
+    # Two thirds must come from front doors that had been told of this start: four of ten came from front door 0.
+    assert len(broken(incarnations=[incarnation], attempts=ten, endpoint_notices=told[1:])) == 0
+    assert (
+        len(
+            broken(
+                incarnations=[incarnation],
+                attempts=ten,
+                endpoint_notices=[*told[:2], EndpointNotice(2, at, "s1", "Ready", 0)],
+            )
+        )
+        == 1
+    )
+    late = [EndpointNotice(front_door, at + 1, "s1", "Ready", incarnation.at) for front_door in range(3)]
+    assert (
+        broken(incarnations=[incarnation], attempts=ten, endpoint_notices=late, fallen=[("s1", 0, at)]) == []
+    )
+    assert broken(
+        incarnations=[incarnation], attempts=nine, endpoint_notices=told, fallen=[("s1", 0, at)]
+    ) == ["COLD: it fell over"]
 
 
 def test_a_ceiling_fills_at_its_rate_and_holds_its_slack() -> None:
@@ -300,7 +352,7 @@
 
 def test_a_breach_names_the_request_the_boxes_the_times_and_the_figure() -> None:
     verdict = audit(
-        Books(attempts=[attempt(SECOND, kind="claim"), attempt(SECOND + 5, "s2", kind="claim")]), FIGURES
+        RequestLog(attempts=[attempt(SECOND, kind="claim"), attempt(SECOND + 5, "s2", kind="claim")]), FIGURES
     )
     assert verdict.breaches[0].text(SECOND) == (
         "no effect happens twice: a keyed request was sent outside its group: t at s1, s2 "
@@ -309,13 +361,13 @@
 
 
 def test_breaches_without_end_are_counted_and_not_all_kept() -> None:
-    verdict = audit(Books(taken=[taken(trace=f"t{n}") for n in range(500)]), FIGURES)
+    verdict = audit(RequestLog(client_attempts=[client_attempt(trace=f"t{n}") for n in range(500)]), FIGURES)
     assert verdict.counts[Rule.ANSWERS] == 500 and len(verdict.breaches) == 50
 
 
 @given(st.lists(st.tuples(st.integers(0, 400_000), st.integers(1, 800_000)), max_size=60))
 def test_the_moving_window_agrees_with_adding_up_each_one(gaps: list[tuple[int, int]]) -> None:
-    life = Life("s1", "a", 0, 10 * SECOND, 2.0, 0.25, 10 * SECOND)
+    incarnation = BackendIncarnation("s1", "a", 0, 10 * SECOND, 2.0, 0.25, 10 * SECOND)
     at, sent = 10 * SECOND, []
     for gap, work in gaps:
         at += gap
@@ -323,8 +375,8 @@
     over = None
     for n, (now, _) in enumerate(sent):
         window = [w for t, w in sent[: n + 1] if t > now - FIGURES.fall_window]
-        if sum(window) > 4.0 * life.now(now) * FIGURES.fall_window + max(window):
+        if sum(window) > 4.0 * incarnation.now(now) * FIGURES.fall_window + max(window):
             over = now
             break
-    found = over_budget(sent, life, FIGURES)
+    found = over_budget(sent, incarnation, FIGURES)
     assert (found and found[0]) == over
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -1,4 +1,4 @@
-"""Doors that are broken on purpose: the audit names the rule. The same day with the real module passes."""
+"""Front doors that are broken on purpose: the audit names the rule. With the real module the day passes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class SendsAgain(Listed):
-    """A second copy of every unsafe request, to another box."""
+    """A second copy of every unsafe request, to another backend."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         unsafe = {e.request for e in list(events) if isinstance(e, Arrival) and e.request_class == UNSAFE}
@@ -68,7 +68,7 @@
 
 
 class KeepsDraining(Gateway):
-    """Never hears that a box drains."""
+    """Never hears that a backend drains."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         for n, event in enumerate(list(events)):
@@ -85,7 +85,7 @@
 
 
 class FloodsCold(Listed):
-    """Everything goes to the box that started last, once there is one."""
+    """Everything goes to the backend that started last, once there is one."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         actions = super().handle(now, events)
@@ -104,9 +104,9 @@
 def answers_twice(program: Program) -> None:
     reply = Client.reply
 
-    def twice(self: Client, request: ClientRequest, *parts: Any) -> None:
+    def twice(self: Client, request: ClientRequest, *arguments: Any) -> None:
         first = not request.answer
-        reply(self, request, *parts)
+        reply(self, request, *arguments)
         if first and request.answer and self.transport is not None and not self.transport.is_closing():
             self.transport.write(request.answer)
 
@@ -114,22 +114,22 @@
 
     def taken(request: ClientRequest) -> None:
         where = cast(Client, request.where)  # this connection alone: the class is left as it is
-        where.reply = lambda *parts: twice(where, *parts)  # type: ignore[method-assign]
+        where.reply = lambda *arguments: twice(where, *arguments)  # type: ignore[method-assign]
         take(request)
 
     setattr(program.door, "take", taken)  # noqa: B010 - mypy knows the method's own names
 
 
 def never_answers_some(program: Program) -> None:
-    """One request in ten is forgotten, and the door's own guard with it."""
-    door, take, count = program.door, program.door.take, [0]
+    """One request in ten is forgotten, and the front door's own guard with it."""
+    front_door, take, count = program.door, program.door.take, [0]
 
     def forget(request: ClientRequest) -> None:
         count[0] += 1
         if count[0] % 10:
             take(request)
 
-    setattr(door, "take", forget)  # noqa: B010 - as above
+    setattr(front_door, "take", forget)  # noqa: B010 - as above
 
 
 def answers_itself(program: Program) -> None:
@@ -144,15 +144,15 @@
 def test_the_real_module_keeps_all_rules_on_that_day() -> None:
     run = played(DAY)
     assert [b.text() for b in run.verdict.breaches] == []
-    assert run.verdict.looked[Rule.ANSWERS] > 200
-    assert all(run.verdict.looked[rule] > 0 for rule in Rule), run.verdict.looked
+    assert run.verdict.checked[Rule.ANSWERS] > 200
+    assert all(run.verdict.checked[rule] > 0 for rule in Rule), run.verdict.checked
 
 
 def test_an_unsafe_request_sent_again_is_caught() -> None:
     run = played(DAY, make=SendsAgain)
     assert Rule.EFFECTS in run.verdict.broken()
     breach = next(b for b in run.verdict.breaches if "unsafe" in b.what)
-    assert len(breach.boxes) == 2 and breach.request
+    assert len(breach.backends) == 2 and breach.request
 
 
 def test_a_refusal_of_what_may_have_run_is_caught() -> None:
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo with real doors as processes: what a person sees, how it ends, and what it leaves behind."""
+"""The demo with real front doors as processes: what a person sees, how it ends, and what it leaves behind."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import CannotRun, Deploy, DoorProcesses, find_deploy
+from irisdeal.demo.processes import CannotRun, Deploy, FrontDoorProcesses, find_deploy
 from irisdeal.testbed.audit import audit
-from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Attempt, End
 from irisdeal.testbed.scenario import parse
@@ -27,7 +27,7 @@
 
 
 def deploy_file(folder: Path, run: str = HERE.run) -> Path:
-    """A deployment whose doors run on the tests' own interpreter."""
+    """A deployment whose front doors run on the tests' own interpreter."""
     (folder / "deploy").mkdir()
     path = folder / "deploy" / "balancer.toml"
     path.write_text(f'run = "cd {ROOT} && {run}"\n')
@@ -169,48 +169,57 @@
 
 
 def test_a_door_killed_between_a_boxs_answer_and_the_clients_is_the_clients_to_retry(tmp_path: Path) -> None:
-    """Stopped while its box answers, then killed: the answer is made, and never passed on."""
+    """Stopped while its backend answers, then killed: the answer is made, and never passed on."""
     text = SMALL.replace("share = 0.6", "share = 0.001").replace("share = 0.2", "share = 1", 1)
     text = text.replace("window_ms = 600", "window_ms = 5000")
 
     async def run() -> None:
         platform = Platform(draw(parse(text), 1))
         await platform.start()
-        doors = DoorProcesses(platform, HERE, tmp_path, 1)
-        terminals = Terminals(platform.day, platform.books, platform.now, doors.addresses)
-        doors.terminals = terminals
+        front_doors = FrontDoorProcesses(platform, HERE, tmp_path, 1)
+        load_generator = LoadGenerator(
+            platform.day, platform.request_log, platform.now, front_doors.addresses
+        )
+        front_doors.load_generator = load_generator
         try:
-            await doors.start()
+            await front_doors.start()
             struck: list[Attempt] = []
 
             async def strike() -> None:
-                victim = doors.doors[0].process
+                victim = front_doors.front_doors[0].process
                 assert victim is not None
                 while not any(
-                    a.door == 0 and a.kind == "claim" and a.end is End.OPEN for a in platform.books.attempts
+                    a.front_door == 0 and a.kind == "claim" and a.end is End.OPEN
+                    for a in platform.request_log.attempts
                 ):
                     await asyncio.sleep(0.001)
                 os.kill(victim.pid, signal.SIGSTOP)
-                held = [a for a in platform.books.attempts if a.door == 0 and a.end is End.OPEN]
-                while not any(a.end is End.SERVED for a in held):
+                pending = [
+                    a for a in platform.request_log.attempts if a.front_door == 0 and a.end is End.OPEN
+                ]
+                while not any(a.end is End.SERVED for a in pending):
                     await asyncio.sleep(0.001)
-                struck.extend(a for a in held if a.end is End.SERVED)
-                await doors.kill(0, 0.1)
+                struck.extend(a for a in pending if a.end is End.SERVED)
+                await front_doors.kill(0, 0.1)
 
             striking = asyncio.ensure_future(strike())
-            await terminals.run(platform.now())
+            await load_generator.run(platform.now())
             await striking
-            await doors.stop()
+            await front_doors.stop()
         finally:
-            doors.kill_all()
-            terminals.close()
+            front_doors.kill_all()
+            load_generator.close()
             platform.close()
-        verdict = audit(platform.books, platform.figures)
+        verdict = audit(platform.request_log, platform.figures)
         assert [b.text() for b in verdict.breaches] == []
         assert struck and verdict.excused >= 1
-        lost = [t for t in platform.books.taken if t.trace == struck[0].trace]
-        assert lost and not lost[0].answers and lost[0].cut
-        assert [life.killed > 0 for life in platform.books.doors if life.door == 0] == [True, False]
+        lost = [t for t in platform.request_log.client_attempts if t.trace == struck[0].trace]
+        assert lost and not lost[0].answers and lost[0].disconnected_at
+        assert [
+            incarnation.killed > 0
+            for incarnation in platform.request_log.front_doors
+            if incarnation.front_door == 0
+        ] == [True, False]
 
     uvloop.run(run())
 
@@ -236,7 +245,8 @@
 
 
 @pytest.mark.parametrize(
-    "what", [["box"], ["keeper"], ["roster", "--member", "127.0.0.1:9"], ["relay", "--to", "127.0.0.1:9"]]
+    "what",
+    [["backend"], ["counter"], ["discovery", "--member", "127.0.0.1:9"], ["relay", "--to", "127.0.0.1:9"]],
 )
 def test_each_stand_in_runs_alone(what: list[str]) -> None:
     process = subprocess.Popen(
@@ -251,13 +261,13 @@
 
 def test_a_stand_in_that_cannot_be_used_says_so() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "irisdeal.testbed", "box", "--scenario", "none"],
+        [sys.executable, "-m", "irisdeal.testbed", "backend", "--scenario", "none"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 2 and done.stderr.startswith("standins: none: no such scenario")
+    assert done.returncode == 2 and done.stderr.startswith("testbed: none: no such scenario")
 
 
 def test_two_runs_side_by_side_have_addresses_of_their_own() -> None:
--- a/tests/testbed/test_load_processes.py
+++ b/tests/testbed/test_load_processes.py
@@ -1,4 +1,4 @@
-"""Terminals in several processes, strangers, and the bound by capacity alone."""
+"""Load generators in several processes, misbehaving clients, and the bound by capacity alone."""
 
 from __future__ import annotations
 
@@ -12,8 +12,15 @@
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import play
 from irisdeal.testbed.capacity_bound import reference
-from irisdeal.testbed.load_processes import Crowd, CrowdError
-from irisdeal.testbed.request_log import SECOND, Books, Clock, Life, Taken, lay_together
+from irisdeal.testbed.load_processes import LoadProcessError, LoadProcesses
+from irisdeal.testbed.request_log import (
+    SECOND,
+    BackendIncarnation,
+    ClientAttempt,
+    Clock,
+    RequestLog,
+    lay_together,
+)
 from irisdeal.testbed.scenario import ScenarioError, parse
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
@@ -40,31 +47,37 @@
     day = draw(parse(CROWDED).resized(seconds=2), 5)
     outcome = uvloop.run(play(day, HERE))
     assert outcome.kept, [breach.text() for breach in outcome.verdict.breaches]
-    books = outcome.books
-    asks = [taken.ask for taken in books.taken if taken.attempt == 0]
+    request_log = outcome.request_log
+    asks = [
+        client_attempt.ask for client_attempt in request_log.client_attempts if client_attempt.attempt == 0
+    ]
     assert sorted(asks) == [arrival.ask for arrival in day.arrivals]
-    assert len({taken.trace for taken in books.taken}) == len(books.taken)
-    by_trace = {taken.trace: taken for taken in books.taken}
-    for attempt in books.attempts:  # one clock: what a box saw lies between the ask and its answer
-        taken = by_trace[attempt.trace]
-        assert taken.at - 5_000 <= attempt.last_byte
-        # Another box may have answered first while this one's attempt was on its way.
-        if taken.answers and taken.answers[0].body == attempt.body:
-            assert attempt.first_byte <= taken.answers[0].at + 5_000
-    assert books.strangers.get("told", 0) + books.strangers.get("closed", 0) > 80
-    assert not books.strangers.get("open")
-    assert 0.0 < outcome.service.whole.share <= outcome.reference <= 1.0
+    assert len({client_attempt.trace for client_attempt in request_log.client_attempts}) == len(
+        request_log.client_attempts
+    )
+    by_trace = {client_attempt.trace: client_attempt for client_attempt in request_log.client_attempts}
+    for attempt in request_log.attempts:  # one clock: what a backend saw lies between the ask and its answer
+        client_attempt = by_trace[attempt.trace]
+        assert client_attempt.at - 5_000 <= attempt.last_byte
+        # Another backend may have answered first while this one's attempt was on its way.
+        if client_attempt.answers and client_attempt.answers[0].body == attempt.body:
+            assert attempt.first_byte <= client_attempt.answers[0].at + 5_000
+    assert (
+        request_log.misbehaving_clients.get("told", 0) + request_log.misbehaving_clients.get("closed", 0) > 80
+    )
+    assert not request_log.misbehaving_clients.get("open")
+    assert 0.0 < outcome.service.total.share <= outcome.reference <= 1.0
 
 
 def test_a_process_that_dies_is_told_and_the_others_end() -> None:
     async def run() -> None:
         day = draw(parse(CROWDED), 1)
         clock = Clock()
-        crowd = Crowd(day, Books(), clock, [("127.0.0.1", 1), ("127.0.0.1", 1)], 2)
+        crowd = LoadProcesses(day, RequestLog(), clock, [("127.0.0.1", 1), ("127.0.0.1", 1)], 2)
         await crowd.prepare()
         playing = asyncio.get_running_loop().create_task(crowd.run(clock() + 60 * SECOND))
         crowd.processes[0].kill()
-        with pytest.raises(CrowdError, match="without its book"):
+        with pytest.raises(LoadProcessError, match="without its book"):
             await playing
         crowd.close()
         for process in crowd.processes:
@@ -83,8 +96,8 @@
         parse(SMALL.replace("use = 0.25", "use = 0.25\nprocesses = 9"))
 
 
-def told(at_s: float, kind: str = "check", ask: int = 0) -> Taken:
-    return Taken(f"t{ask}", ask, 0, "", kind, "plain", ask, 1.0, 0, round(at_s * SECOND), SECOND)
+def told(at_s: float, kind: str = "check", ask: int = 0) -> ClientAttempt:
+    return ClientAttempt(f"t{ask}", ask, 0, "", kind, "plain", ask, 1.0, 0, round(at_s * SECOND), SECOND)
 
 
 def test_the_bound_by_capacity_is_the_densest_work_that_fits_in_time() -> None:
@@ -92,25 +105,27 @@
     kinds = {c.name: c for c in scenario.classes}
     start = SECOND
 
-    def bound(capacity: float, *taken: Taken) -> float:
-        lives = [Life("s", "h", 0, 0, capacity, 1.0, 0)]
-        return reference(Books(taken=list(taken), lives=lives), scenario, start)
+    def bound(capacity: float, *client_attempt: ClientAttempt) -> float:
+        incarnations = [BackendIncarnation("s", "h", 0, 0, capacity, 1.0, 0)]
+        return reference(
+            RequestLog(client_attempts=list(client_attempt), incarnations=incarnations), scenario, start
+        )
 
-    heap = [told(4.0, ask=n) for n in range(400)]  # all at once, each of a store of its own
+    heap = [told(4.0, ask=n) for n in range(400)]  # all at once, each of a tenant of its own
     each = kinds["check"].work_ms / 1000
     # Slots of half a second, and an aim of 0.4 s from the begin of one: the work has that one slot alone.
     assert bound(1.0, *heap) == pytest.approx(0.5 / (400 * each))
     assert bound(100.0, *heap) == pytest.approx(1.0)
     # The same work spread over the day fits the same capacity.
     assert bound(1.0, *(told(2.0 + n * 0.02, ask=n) for n in range(300))) > 0.9
-    # Denser work goes first: a claim is worth as much as a check and takes longer. Its aim ends a slot later.
+    # Denser work goes first: a claim is value as much as a check and takes longer. Its aim ends a slot later.
     mixed = [*heap[:200], *(told(4.0, "claim", 1000 + n) for n in range(200))]
     claim = kinds["claim"].work_ms / 1000
     assert bound(1.0, *mixed) == pytest.approx((0.5 / each + 0.5 / claim) / 400)
 
 
 def test_lateness_of_the_day_leaves_out_its_start_and_its_end() -> None:
-    books = Books(stalls=[(1_000, 900), (2_050, 100), (5_000, 30), (9_200, 700)])
-    assert books.late_within(2_000, 8_500) == 100  # one of which a part lies inside counts as well
-    assert books.late_within(2_100, 8_600) == 700
-    assert books.late_within(2_100, 4_900) == 0
+    request_log = RequestLog(stalls=[(1_000, 900), (2_050, 100), (5_000, 30), (9_200, 700)])
+    assert request_log.late_within(2_000, 8_500) == 100  # one of which a part lies inside counts as well
+    assert request_log.late_within(2_100, 8_600) == 700
+    assert request_log.late_within(2_100, 4_900) == 0
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -1,4 +1,4 @@
-"""The pure parts of the stand-ins, on a clock that the test owns."""
+"""The pure parts of the test services, on a clock that the test owns."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from irisdeal.testbed.audit import Figures
-from irisdeal.testbed.backend_model import BoxModel, Done, HallMemory, Job, Meter, Verdict
-from irisdeal.testbed.counter_service import Keeper, KeeperModel, _Line, read_call
-from irisdeal.testbed.discovery_service import Ledger, Member
-from irisdeal.testbed.request_log import SECOND, Life
-from irisdeal.testbed.scenario import KeeperSpec
+from irisdeal.testbed.backend_model import Admission, BackendModel, Completion, IdempotencyMemory, Job, Meter
+from irisdeal.testbed.counter_service import CounterModel, CounterServer, _CounterConnection, read_call
+from irisdeal.testbed.discovery_service import Endpoint, EndpointList
+from irisdeal.testbed.request_log import SECOND, BackendIncarnation
+from irisdeal.testbed.scenario import CounterSpec
 from irisdeal.testbed.workload import Machine
 
 FIGURES = Figures({}, {}, 8_000, SECOND, 4.0, 2 * SECOND, {})
@@ -24,24 +24,26 @@
 def machine(**changes: object) -> Machine:
     base: dict[str, object] = {
         "number": 0,
-        "hall": "a",
+        "zone": "a",
         "kind": "std",
         "cell": 0,
         "cores": 2,
         "speed": 1.0,
         "slots": 4,
         "queue": 2,
-        "cold_from": 0.25,
-        "cold": 10 * SECOND,
+        "initial_capacity": 0.25,
+        "slow_start": 10 * SECOND,
         "error_rate": 0.0,
     }
     return Machine(**{**base, **changes})  # type: ignore[arg-type]
 
 
-def box(at: int = 0, **changes: object) -> BoxModel:
+def backend(at: int = 0, **changes: object) -> BackendModel:
     drawn = machine(**changes)
-    life = Life("s", "a", 0, at, drawn.capacity, drawn.cold_from, drawn.cold)
-    return BoxModel(drawn, FIGURES, life, now=at)
+    incarnation = BackendIncarnation(
+        "s", "a", 0, at, drawn.capacity, drawn.initial_capacity, drawn.slow_start
+    )
+    return BackendModel(drawn, FIGURES, incarnation, now=at)
 
 
 def job(work: int, deadline: int = FAR) -> Job:
@@ -49,7 +51,7 @@
 
 
 def test_two_cores_serve_two_at_full_speed_and_four_at_half() -> None:
-    model = box()
+    model = backend()
     for _ in range(2):
         model.arrive(job(1000))
     assert [j.work for j, _ in model.advance(999)] == []
@@ -61,23 +63,23 @@
 
 
 def test_past_slots_and_waiting_room_it_is_full() -> None:
-    model = box()
+    model = backend()
     verdicts = [model.arrive(job(1000)) for _ in range(7)]
-    assert verdicts == [Verdict.TAKEN] * 6 + [Verdict.FULL]
+    assert verdicts == [Admission.TAKEN] * 6 + [Admission.FULL]
 
 
 def test_overdue_in_the_waiting_room_never_runs() -> None:
-    model = box(slots=1, cores=1)
+    model = backend(slots=1, cores=1)
     model.arrive(job(1000))
     model.arrive(job(1000, deadline=500))
     ends = model.advance(5000)
-    assert [done for _, done in ends] == [Done.SERVED, Done.EXPIRED]
+    assert [done for _, done in ends] == [Completion.SERVED, Completion.EXPIRED]
 
 
 def test_hung_it_takes_and_ends_nothing_until_it_goes_on() -> None:
-    model = box()
+    model = backend()
     model.hung = True
-    assert model.arrive(job(1000)) is Verdict.TAKEN
+    assert model.arrive(job(1000)) is Admission.TAKEN
     assert model.advance(SECOND) == [] and model.next_end() is None
     model.hung = False
     assert len(model.advance(SECOND + 1001)) == 1
@@ -85,10 +87,10 @@
 
 def test_a_cold_box_has_its_share_at_the_start_and_all_at_the_end() -> None:
     start = 100 * SECOND
-    model = box(at=start, cores=1)
-    assert model.life.now(start) == pytest.approx(0.25)
-    assert model.life.now(start + 5 * SECOND) == pytest.approx(0.625)
-    assert model.life.now(start + 11 * SECOND) == 1.0
+    model = backend(at=start, cores=1)
+    assert model.incarnation.now(start) == pytest.approx(0.25)
+    assert model.incarnation.now(start + 5 * SECOND) == pytest.approx(0.625)
+    assert model.incarnation.now(start + 11 * SECOND) == 1.0
     model.arrive(job(100_000))
     model.advance(start + 370_000)  # 0.25 t + 0.0375 t² = 0.1 s of work at t = 0.379 s
     assert model.running
@@ -98,12 +100,12 @@
 
 def test_pushed_over_its_budget_it_falls_over() -> None:
     start = 100 * SECOND
-    model = box(at=start, slots=100, queue=1000)
+    model = backend(at=start, slots=100, queue=1000)
     # 2 cores x 0.25 x 4 x 2 s = 4 s of work in a window, and one largest request more
     verdicts = [model.arrive(job(SECOND // 2)) for _ in range(10)]
-    assert verdicts[:9] == [Verdict.TAKEN] * 9 and verdicts[9] is Verdict.FALLEN
-    warm = box(slots=100, queue=1000)
-    assert Verdict.FALLEN not in [warm.arrive(job(SECOND)) for _ in range(50)]
+    assert verdicts[:9] == [Admission.TAKEN] * 9 and verdicts[9] is Admission.FALLEN
+    warm = backend(slots=100, queue=1000)
+    assert Admission.FALLEN not in [warm.arrive(job(SECOND)) for _ in range(50)]
 
 
 @given(
@@ -114,24 +116,24 @@
     jobs: list[tuple[int, int]],
     looks: list[int],
 ) -> None:
-    model, at, taken, ended, latest = box(slots=3, queue=50), 0, 0, [], 0
+    model, at, admitted, ended, latest = backend(slots=3, queue=50), 0, 0, [], 0
     for pause, work in jobs:
         at += pause
         ended += model.advance(at)
-        taken += model.arrive(job(work)) is Verdict.TAKEN
+        admitted += model.arrive(job(work)) is Admission.TAKEN
     for pause in looks:
         at += pause
         ended += model.advance(at)
     while (due := model.next_end()) is not None:
         ended += model.advance(due)
         latest = due
-    assert len(ended) == taken == len({id(j) for j, _ in ended})
+    assert len(ended) == admitted == len({id(j) for j, _ in ended})
     total = sum(j.work for j, _ in ended)
     assert latest == 0 or model.now * 2 >= total - 2 * len(ended) - 2  # two cores do no more than that
 
 
 def test_a_hall_remembers_a_key_for_its_window() -> None:
-    memory = HallMemory(5 * SECOND)
+    memory = IdempotencyMemory(5 * SECOND)
     assert memory.first("k", 0)
     assert not memory.first("k", 5 * SECOND - 1)
     assert memory.first("k", 5 * SECOND)
@@ -153,11 +155,11 @@
     assert len(meter.sums) < 5 and len(meter.counted) < 20
 
 
-# The count keeper
+# The counter service
 
 
 def test_the_keeper_adds_forgets_and_turns_away() -> None:
-    model = KeeperModel(KeeperSpec(calls_per_s=100, parts=1, call_ms=1, queue_ms=20))
+    model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20))
     assert model.add("n", 2.0, SECOND, 0) == 2.0
     assert model.add("n", 1.5, 60 * SECOND, SECOND - 1) == 3.5  # later calls do not extend its life
     assert model.add("n", 1.0, SECOND, SECOND) == 1.0
@@ -166,7 +168,7 @@
 
 
 def test_slow_is_slower_and_a_flush_takes_its_share() -> None:
-    model = KeeperModel(KeeperSpec(calls_per_s=100, parts=1, call_ms=1, queue_ms=20), slower=5.0)
+    model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20), slower=5.0)
     assert model.serve("n", 0) == 51_000
     for n in range(100):
         model.add(f"n{n}", 1.0, 60 * SECOND, 0)
@@ -175,7 +177,7 @@
 
 
 def test_a_keepers_memory_is_that_of_the_names_that_live() -> None:
-    model = KeeperModel(KeeperSpec())
+    model = CounterModel(CounterSpec())
     for second in range(200):
         for n in range(20):
             model.add(f"{second}-{n}", 1.0, 5 * SECOND, second * SECOND)
@@ -209,44 +211,48 @@
     assert read_call(b"tally n 1e3 600000") == ("n", 1000.0, 60 * SECOND)
 
 
-# The roster
+# The discovery service
 
 
-def member(name: str, phase: str = "Ready") -> Member:
-    return Member(name, "a", "std", 0, phase, 0, (1, 2))
+def member(name: str, phase: str = "Ready") -> Endpoint:
+    return Endpoint(name, "a", "std", 0, phase, 0, (1, 2))
 
 
 def test_an_agent_tells_what_it_was_sent_and_no_more() -> None:
-    ledger = Ledger()
-    ledger.change(member("s1"), member("s2"))
-    ledger.fill(range(2))
-    revision = ledger.change(member("s1", "Terminating"))
-    assert [m.phase for m in ledger.whole(0)[1]] == ["Ready", "Ready"]
-    assert ledger.push(0, revision) and not ledger.push(0, revision)
-    reached, told, whole = ledger.since(0, revision - 1)
-    assert (reached, [(m.box, m.phase) for m in told], whole) == (revision, [("s1", "Terminating")], False)
-    assert ledger.since(1, revision - 1)[1] == []
-    last = ledger.change(member("s1", "Gone"))
-    ledger.push(1, last)  # a lost push: the next one brings both, the last word counts
-    assert [(m.box, m.phase) for m in ledger.since(1, revision - 1)[1]] == [("s1", "Gone")]
-    assert [m.box for m in ledger.whole(1)[1]] == ["s2"]
+    endpoints = EndpointList()
+    endpoints.change(member("s1"), member("s2"))
+    endpoints.fill(range(2))
+    revision = endpoints.change(member("s1", "Terminating"))
+    assert [m.phase for m in endpoints.complete_list(0)[1]] == ["Ready", "Ready"]
+    assert endpoints.push(0, revision) and not endpoints.push(0, revision)
+    reached, told, complete = endpoints.since(0, revision - 1)
+    assert (reached, [(m.backend, m.phase) for m in told], complete) == (
+        revision,
+        [("s1", "Terminating")],
+        False,
+    )
+    assert endpoints.since(1, revision - 1)[1] == []
+    last = endpoints.change(member("s1", "Gone"))
+    endpoints.push(1, last)  # a lost push: the next one brings both, the last word counts
+    assert [(m.backend, m.phase) for m in endpoints.since(1, revision - 1)[1]] == [("s1", "Gone")]
+    assert [m.backend for m in endpoints.complete_list(1)[1]] == ["s2"]
 
 
 def test_who_is_too_far_behind_or_ahead_gets_the_whole_list() -> None:
-    ledger = Ledger()
-    ledger.change(member("s0"))
-    ledger.fill(range(1))
+    endpoints = EndpointList()
+    endpoints.change(member("s0"))
+    endpoints.fill(range(1))
     for n in range(1500):
-        ledger.push(0, ledger.change(member(f"s{n % 5}")))
-    assert len(ledger.history) <= 1000
-    assert ledger.since(0, 2)[2]
-    assert ledger.since(0, 10**9)[2]
+        endpoints.push(0, endpoints.change(member(f"s{n % 5}")))
+    assert len(endpoints.history) <= 1000
+    assert endpoints.since(0, 2)[2]
+    assert endpoints.since(0, 10**9)[2]
 
 
 async def _answers_of_a_late_loop() -> list[bytes]:
     clock = [0]
-    keeper = Keeper(KeeperSpec(), lambda: clock[0], 1)
-    line = _Line(keeper, 0)
+    counter = CounterServer(CounterSpec(), lambda: clock[0], 1)
+    line = _CounterConnection(counter, 0)
     written: list[bytes] = []
     both = asyncio.Event()
 
@@ -266,5 +272,5 @@
 
 
 def test_a_late_keeper_still_answers_in_the_order_of_the_calls() -> None:
-    """Lost: two answers due together changed places, and a quiet store was told a greedy one's total."""
+    """Lost: two answers due together changed places, and a quiet tenant was told a greedy one's total."""
     assert asyncio.run(_answers_of_a_late_loop()) == [b"first", b"second"]
--- a/tests/testbed/test_quota_overshoot.py
+++ b/tests/testbed/test_quota_overshoot.py
@@ -1,4 +1,4 @@
-"""How far stores went over their quotas: the one pass against every span, and the report."""
+"""How far tenants went over their quotas: the one pass against every span, and the report."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.testbed.quota_overshoot import overshoot, stores
-from irisdeal.testbed.request_log import SECOND, Attempt, Books, End
+from irisdeal.testbed.quota_overshoot import overshoot, tenant_usage
+from irisdeal.testbed.request_log import SECOND, Attempt, End, RequestLog
 from irisdeal.testbed.scenario import parse
 
 TEXT = """
@@ -26,7 +26,7 @@
 """
 
 
-def attempt(at: int, trace: str, customer: int = 1, units: float = 1.0, door: int = 0) -> Attempt:
+def attempt(at: int, trace: str, customer: int = 1, units: float = 1.0, front_door: int = 0) -> Attempt:
     return Attempt(
         trace,
         "",
@@ -34,7 +34,7 @@
         "p",
         customer,
         units,
-        door,
+        front_door,
         "s",
         "a",
         0,
@@ -84,14 +84,14 @@
 
 
 def test_stores_are_told_worst_first_over_all_doors_and_once_for_each_try() -> None:
-    books = Books(
+    request_log = RequestLog(
         attempts=[
             attempt(0, "a", 1),
-            attempt(1, "a", 1, door=1),  # a further attempt takes nothing
-            *(attempt(n, f"b{n}", 2, door=n % 3) for n in range(10)),
+            attempt(1, "a", 1, front_door=1),  # a further attempt takes nothing
+            *(attempt(n, f"b{n}", 2, front_door=n % 3) for n in range(10)),
         ]
     )
-    found = stores(books, parse(TEXT))
-    assert [(use.customer, use.sent, use.doors) for use in found] == [(2, 10.0, 3), (1, 1.0, 1)]
+    found = tenant_usage(request_log, parse(TEXT))
+    assert [(use.customer, use.sent, use.front_doors) for use in found] == [(2, 10.0, 3), (1, 1.0, 1)]
     assert found[0].overshoot == pytest.approx(6.0, abs=1e-3) and found[0].allowed == 24.0
-    assert found[0].part == pytest.approx(0.25, abs=1e-3) and found[1].overshoot == 0.0
+    assert found[0].fraction == pytest.approx(0.25, abs=1e-3) and found[1].overshoot == 0.0
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -126,7 +126,7 @@
 def test_a_base_is_laid_under_key_by_key() -> None:
     made = parse('base = "calm"\nseconds = 7\n[fleet]\nboxes = 5\n')
     calm = load("calm")
-    assert (made.seconds, made.fleet.boxes) == (7.0, 5)
+    assert (made.seconds, made.fleet.backends) == (7.0, 5)
     assert made.fleet.kinds == calm.fleet.kinds and made.classes == calm.classes
 
 
@@ -154,7 +154,7 @@
 
 
 def test_the_load_is_what_was_asked() -> None:
-    """Work asked inside the quotas comes to `use` of what the boxes can do, within what few stores allow."""
+    """Work asked inside the quotas comes to `use` of what the backends can do, within what few tenants allow."""
     scenario = parse('base = "calm"\n[load]\nuse = 0.4\nfull = 0\nheavy = 0\nspiky = 0\n')
     day = draw(scenario, 3)
     units = sum(scenario.classes[a.kind].units for a in day.arrivals) / scenario.seconds
@@ -179,9 +179,9 @@
 
 
 def test_a_shorter_day_keeps_its_timeline_in_proportion() -> None:
-    scenario = load("keeper-down").resized(doors=1, seconds=10)
+    scenario = load("keeper-down").resized(front_doors=1, seconds=10)
     assert [f.at_s for f in scenario.faults] == [2.0, 6.5]
-    assert load("rolling-restart").resized(doors=1).faults[2].door == 0
+    assert load("rolling-restart").resized(front_doors=1).faults[2].front_door == 0
 
 
 def test_every_fault_says_what_it_is() -> None:
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -1,4 +1,4 @@
-"""Boxes and the keeper in processes of their own: the same calls, and books that are one."""
+"""Backends and the counter service in processes of their own: the same calls, and one request log."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from irisdeal.demo.processes import CannotRun, Deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.testbed.request_log import Books, Clock
+from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario import load, parse
-from irisdeal.testbed.site_processes import KEEPER, SiteError, Sites, _SharedMeter
+from irisdeal.testbed.site_processes import COUNTER_SITE, SiteError, Sites, _SharedMeter
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
@@ -57,39 +57,41 @@
 
 def test_a_day_with_faults_keeps_the_rules_and_every_site_saw_its_part(outcome: Outcome) -> None:
     assert outcome.kept, [breach.text() for breach in outcome.verdict.breaches]
-    assert {a.hall for a in outcome.books.attempts} == set(outcome.day.scenario.fleet.halls)
-    assert outcome.keeper_calls > 0
-    told = [text for _, text in outcome.books.faults]
+    assert {a.zone for a in outcome.request_log.attempts} == set(outcome.day.scenario.fleet.zones)
+    assert outcome.counter_calls > 0
+    told = [text for _, text in outcome.request_log.faults]
     assert any(text.startswith("the keeper lost") for text in told)
     assert not any("could not be played" in text for text in told)
 
 
 def test_the_books_of_all_processes_are_on_one_clock_and_in_order(outcome: Outcome) -> None:
-    books = outcome.books
-    times = [a.last_byte for a in books.attempts]
+    request_log = outcome.request_log
+    times = [a.last_byte for a in request_log.attempts]
     assert times == sorted(times)
-    by_trace = {taken.trace: taken for taken in books.taken}
-    assert books.attempts and all(by_trace[a.trace].at - 5_000 <= a.last_byte for a in books.attempts)
+    by_trace = {client_attempt.trace: client_attempt for client_attempt in request_log.client_attempts}
+    assert request_log.attempts and all(
+        by_trace[a.trace].at - 5_000 <= a.last_byte for a in request_log.attempts
+    )
 
 
 def test_faults_reach_the_process_that_has_what_they_are_for(outcome: Outcome) -> None:
-    books = outcome.books
-    again = [life for life in books.lives if life.life > 0]
-    assert len(again) == 2 and all(life.at > 0 for life in again)
-    assert {(h.source, h.target) for h in books.holds} == {("door 0", "hall-a")}
-    assert any(a.end.name == "SPOILT" for a in books.attempts)
+    request_log = outcome.request_log
+    again = [incarnation for incarnation in request_log.incarnations if incarnation.incarnation > 0]
+    assert len(again) == 2 and all(incarnation.at > 0 for incarnation in again)
+    assert {(h.source, h.target) for h in request_log.link_faults} == {("door 0", "hall-a")}
+    assert any(a.end.name == "SPOILT" for a in request_log.attempts)
 
 
 def test_a_site_that_dies_is_told_and_the_others_end() -> None:
     async def run() -> None:
-        sites = Sites(draw(parse(APART), 1), Clock(), Books())
+        sites = Sites(draw(parse(APART), 1), Clock(), RequestLog())
         await sites.start()
-        processes = [place.process for place in sites.places.values()]
-        sites.places["hall-a"].process.kill()
+        processes = [site_process.process for site_process in sites.site_processes.values()]
+        sites.site_processes["hall-a"].process.kill()
         with pytest.raises(SiteError, match="hall-a: its process has ended"):
-            await sites.places["hall-a"].ask("book")
+            await sites.site_processes["hall-a"].ask("collect")
         with pytest.raises(SiteError, match="no_such"):
-            await sites.places[KEEPER].ask("no_such")
+            await sites.site_processes[COUNTER_SITE].ask("no_such")
         sites.close()
         await sites.ended()
         assert all(process.returncode for process in processes)
@@ -104,7 +106,7 @@
 
         async def dies(sites: Sites) -> None:
             await start(sites)
-            sites.places["hall-b"].process.kill()
+            sites.site_processes["hall-b"].process.kill()
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Sites, "start", dies)
@@ -119,7 +121,7 @@
     here, there = _SharedMeter(day), _SharedMeter(day)
     plan = day.scenario.plans[0]
     here.add("t1", plan.name, 7, plan.rate / 2, 0)
-    there.hear(here.untold)
+    there.add_remote(here.unsent)
     there.add("t1", plan.name, 7, plan.rate / 2, 100)  # a further attempt of the same try
     seen = here.late + here.period
     assert here.percent(plan.name, 7, seen) == there.percent(plan.name, 7, seen) == 50
@@ -128,7 +130,7 @@
 def test_the_day_of_a_lost_zone_is_one_that_two_zones_only_just_carry() -> None:
     day = draw(load("zone-lost"), 1)
     fleet = day.scenario.fleet
-    halls = {h: sum(m.capacity for m in day.machines if m.hall == h) for h in fleet.halls}
-    whole, rest = sum(halls.values()), sum(halls.values()) - halls["hall-b"]
-    assert 0.75 < day.scenario.load.use * whole / rest < 0.95
-    assert fleet.apart and day.scenario.doors == 32
+    zones = {h: sum(m.capacity for m in day.machines if m.zone == h) for h in fleet.zones}
+    complete, rest = sum(zones.values()), sum(zones.values()) - zones["hall-b"]
+    assert 0.75 < day.scenario.load.use * complete / rest < 0.95
+    assert fleet.apart and day.scenario.front_doors == 32
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -1,4 +1,4 @@
-"""The stand-ins on real sockets, each alone, with their faults; and the hard cases of a whole platform."""
+"""The services of the testbed on real sockets, each with its faults; and the hard cases of a whole platform."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 import uvloop
 
 from irisdeal.testbed.audit import Rule
-from irisdeal.testbed.counter_service import Keeper
-from irisdeal.testbed.discovery_service import Member, Roster
+from irisdeal.testbed.counter_service import CounterServer
+from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.fault_proxy import Condition, Relay
 from irisdeal.testbed.http import ClientConnection
-from irisdeal.testbed.load_generator import Terminals
+from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
-from irisdeal.testbed.request_log import Books, Clock, End, Told
-from irisdeal.testbed.scenario import KeeperSpec, RosterSpec, parse
+from irisdeal.testbed.request_log import Clock, End, EndpointNotice, RequestLog
+from irisdeal.testbed.scenario import CounterSpec, DiscoverySpec, parse
 from irisdeal.testbed.workload import draw
 from tests.support.fake_peers import ask, read_message, socket_test
 from tests.support.front_door_rig import SMALL, play
@@ -37,117 +37,117 @@
     return True
 
 
-# The count keeper
+# The counter service
 
 
 @socket_test
 async def test_the_keeper_speaks_its_lines_in_order() -> None:
-    keeper = Keeper(KeeperSpec(), Clock(), 1)
-    await keeper.start(ONE)
-    reader, writer = await opened(keeper.ports[0])
+    counter = CounterServer(CounterSpec(), Clock(), 1)
+    await counter.start(ONE)
+    reader, writer = await opened(counter.ports[0])
     writer.write(b"tally a 2 4000\r\nping\r\ntally a -0.5 4000\r\nno call\r\n")
     lines = [await reader.readline() for _ in range(4)]
     assert lines == [b"ok 2\r\n", b"pong\r\n", b"ok 1.5\r\n", b"error\r\n"]
-    keeper.spoil = 1.0
+    counter.spoil = 1.0
     writer.write(b"tally a 1 4000\r\n")
     assert not (await reader.readline()).split()[1].isdigit()
-    assert keeper.model.counts["a"][0] == 2.5
-    keeper.close()
+    assert counter.model.counts["a"][0] == 2.5
+    counter.close()
     assert await gone(reader)
 
 
 @socket_test
 async def test_an_answer_whose_caller_has_gone_is_counted_all_the_same() -> None:
-    keeper = Keeper(KeeperSpec(call_ms=40), Clock(), 1)
-    await keeper.start(ONE)
-    _, writer = await opened(keeper.ports[0])
+    counter = CounterServer(CounterSpec(call_ms=40), Clock(), 1)
+    await counter.start(ONE)
+    _, writer = await opened(counter.ports[0])
     writer.write(b"tally a 2 4000\r\n")
-    while not keeper.calls:
+    while not counter.calls:
         await asyncio.sleep(0)
     writer.transport.abort()
-    while not keeper.late:
+    while not counter.late:
         await asyncio.sleep(0.001)
-    assert keeper.model.counts["a"][0] == 2.0
-    keeper.close()
+    assert counter.model.counts["a"][0] == 2.0
+    counter.close()
 
 
 @socket_test
 async def test_the_keeper_refuses_and_returns_empty_or_not_and_moves() -> None:
-    keeper = Keeper(KeeperSpec(), Clock(), 1)
-    await keeper.start(ONE)
-    port = keeper.ports[0]
+    counter = CounterServer(CounterSpec(), Clock(), 1)
+    await counter.start(ONE)
+    port = counter.ports[0]
     for empty, total in ((False, b"ok 2\r\n"), (True, b"ok 1\r\n")):
         reader, writer = await opened(port)
         writer.write(b"tally a 1 4000\r\n")
         await reader.readline()
-        keeper.refuse()
+        counter.refuse()
         assert await gone(reader)
         with pytest.raises(ConnectionError):
             await opened(port)
-        await keeper.restart(ONE, empty)
+        await counter.restart(ONE, empty)
         reader, writer = await opened(port)
         writer.write(b"tally a 1 4000\r\n")
         assert await reader.readline() == total
-    await keeper.move(ONE, patience=0.0)
-    assert keeper.ports[0] != port and await gone(reader)
-    keeper.close()
+    await counter.move(ONE, patience=0.0)
+    assert counter.ports[0] != port and await gone(reader)
+    counter.close()
 
 
 @socket_test
 async def test_the_keeper_holds_32_connections_of_a_door() -> None:
-    keeper = Keeper(KeeperSpec(), Clock(), 1)
-    await keeper.start(ONE)
-    lines = [await opened(keeper.ports[0]) for _ in range(33)]
+    counter = CounterServer(CounterSpec(), Clock(), 1)
+    await counter.start(ONE)
+    lines = [await opened(counter.ports[0]) for _ in range(33)]
     assert await gone(lines[32][0])
     lines[0][1].write(b"ping\r\n")
     assert await lines[0][0].readline() == b"pong\r\n"
-    keeper.close()
+    counter.close()
 
 
 @socket_test
 async def test_a_silent_keeper_answers_nothing_and_adds_nothing() -> None:
-    keeper = Keeper(KeeperSpec(), Clock(), 1)
-    await keeper.start(ONE)
-    reader, writer = await opened(keeper.ports[0])
-    keeper.silent = True
+    counter = CounterServer(CounterSpec(), Clock(), 1)
+    await counter.start(ONE)
+    reader, writer = await opened(counter.ports[0])
+    counter.unresponsive = True
     writer.write(b"tally a 1 4000\r\nping\r\n")
-    while not keeper.unanswered:
+    while not counter.unanswered:
         await asyncio.sleep(0)
-    keeper.silent = False
+    counter.unresponsive = False
     writer.write(b"tally b 1 4000\r\n")
-    assert await reader.readline() == b"ok 1\r\n" and set(keeper.model.counts) == {"b"}
-    keeper.close()
+    assert await reader.readline() == b"ok 1\r\n" and set(counter.model.counts) == {"b"}
+    counter.close()
 
 
 @socket_test
 async def test_a_split_keeper_counts_for_each_side_and_one_sides_counts_stay() -> None:
-    keeper = Keeper(KeeperSpec(), Clock(), 1)
-    await keeper.start(range(2))
-    lines = [await opened(keeper.ports[door]) for door in range(2)]
+    counter = CounterServer(CounterSpec(), Clock(), 1)
+    await counter.start(range(2))
+    lines = [await opened(counter.ports[front_door]) for front_door in range(2)]
 
-    async def add(door: int) -> float:
-        reader, writer = lines[door]
+    async def add(front_door: int) -> float:
+        reader, writer = lines[front_door]
         writer.write(b"tally a 1 60000\r\n")
         return float((await reader.readline()).split()[1])
 
     assert [await add(0), await add(1)] == [1.0, 2.0]
-    keeper.split([0], [1])
+    counter.split([0], [1])
     assert [await add(0), await add(0), await add(1)] == [3.0, 4.0, 3.0]
-    keeper.heal()
+    counter.heal()
     assert await add(1) == 5.0  # the second side's adds are lost
-    keeper.split([0], [1])
+    counter.split([0], [1])
     assert [await add(0), await add(1)] == [6.0, 6.0]
     assert await add(1) == 7.0
-    keeper.heal(door=1)
+    counter.heal(front_door=1)
     assert await add(0) == 8.0
-    keeper.close()
+    counter.close()
 
 
-# The roster
+# The discovery service
 
 
-def member(box: str, phase: str = "Ready") -> Member:
-    return Member(box, "hall-a", "std", 0, phase, 0, (9000,))
+def member(backend: str, phase: str = "Ready") -> Endpoint:
+    return Endpoint(backend, "hall-a", "std", 0, phase, 0, (9000,))
 
 
 async def get(
@@ -164,63 +164,69 @@
 
 @socket_test
 async def test_a_watch_hears_of_changes_when_its_agent_does() -> None:
-    books = Books()
-    roster = Roster(RosterSpec(notice_s=0.0, spread_ms=0), books, Clock(), 1)
-    roster.ledger.change(member("s1"))
-    await roster.start(ONE)
-    reader, writer = await opened(roster.ports[0])
-    whole = await get(reader, writer)
-    assert whole["complete"] is True
-    watch = asyncio.ensure_future(get(reader, writer, f"?index={whole['revision']}&wait=20000"))
-    while not roster.agents[0].watches:
+    request_log = RequestLog()
+    discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), request_log, Clock(), 1)
+    discovery.endpoints.change(member("s1"))
+    await discovery.start(ONE)
+    reader, writer = await opened(discovery.ports[0])
+    complete = await get(reader, writer)
+    assert complete["complete"] is True
+    watch = asyncio.ensure_future(get(reader, writer, f"?index={complete['revision']}&wait=20000"))
+    while not discovery.agents[0].watches:
         await asyncio.sleep(0)
-    roster.change(member("s1", "Terminating"))
+    discovery.change(member("s1", "Terminating"))
     told = await watch
     assert told["complete"] is False and told["members"][0]["phase"] == "Terminating"  # type: ignore[index]
-    assert [(t.box, t.phase) for t in books.told] == [("s1", "Ready"), ("s1", "Terminating")]
+    assert [(t.backend, t.phase) for t in request_log.endpoint_notices] == [
+        ("s1", "Ready"),
+        ("s1", "Terminating"),
+    ]
     empty = await get(reader, writer, f"?index={told['revision']}&wait=1")
     assert empty["members"] == []
-    roster.close()
+    discovery.close()
 
 
 @socket_test
 async def test_a_lost_push_comes_with_the_next_and_a_whole_list_tells_who_is_gone() -> None:
-    books = Books()
-    roster = Roster(RosterSpec(notice_s=0.0, spread_ms=0), books, Clock(), 1)
-    roster.ledger.change(member("s1"), member("s2"))
-    await roster.start(ONE)
-    reader, writer = await opened(roster.ports[0])
-    whole = await get(reader, writer)
-    roster.lose = 1.0
-    roster.change(member("s1", "Gone"))
+    request_log = RequestLog()
+    discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), request_log, Clock(), 1)
+    discovery.endpoints.change(member("s1"), member("s2"))
+    await discovery.start(ONE)
+    reader, writer = await opened(discovery.ports[0])
+    complete = await get(reader, writer)
+    discovery.lose = 1.0
+    discovery.change(member("s1", "Gone"))
     await asyncio.sleep(0)
-    assert (await get(reader, writer, f"?index={whole['revision']}&wait=0"))["members"] == []
-    roster.lose = 0.0
-    roster.change(member("s3"))
-    while roster.ledger.reached[0] < roster.ledger.revision:
+    assert (await get(reader, writer, f"?index={complete['revision']}&wait=0"))["members"] == []
+    discovery.lose = 0.0
+    discovery.change(member("s3"))
+    while discovery.endpoints.reached[0] < discovery.endpoints.revision:
         await asyncio.sleep(0)
     await get(reader, writer)
-    assert Told(0, books.told[-3].at, "s1", "Gone", 0) in books.told
-    roster.close()
+    assert (
+        EndpointNotice(0, request_log.endpoint_notices[-3].at, "s1", "Gone", 0)
+        in request_log.endpoint_notices
+    )
+    discovery.close()
 
 
 @socket_test
 async def test_a_silent_roster_says_nothing_and_a_moved_one_lets_go() -> None:
-    roster = Roster(RosterSpec(notice_s=0.0, spread_ms=0), Books(), Clock(), 1)
-    await roster.start(ONE)
-    port = roster.ports[0]
+    discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), RequestLog(), Clock(), 1)
+    await discovery.start(ONE)
+    port = discovery.ports[0]
     reader, writer = await opened(port)
-    roster.set_silent(True)
+    discovery.set_unresponsive(True)
     writer.write(b"GET /catalog/members HTTP/1.1\r\nHost: agent\r\n\r\n")
-    while not any(c.busy for c in roster.agents[0].connections):
+    while not any(c.busy for c in discovery.agents[0].connections):
         await asyncio.sleep(0)
-    roster.set_silent(False)
+    discovery.set_unresponsive(False)
     assert await gone(reader)  # that call is never answered
-    await roster.move(ONE)
-    assert roster.ports[0] != port
+    await discovery.move(ONE)
+    assert discovery.ports[0] != port
     with pytest.raises(ConnectionError):
         await opened(port)
-    roster.close()
+    discovery.close()
 
 
 # The relay
@@ -247,9 +253,9 @@
     reader, writer = await opened(port)
     writer.write(b"one")
     assert await reader.readexactly(3) == b"one"
-    relay.set(["hall"], Condition(silent=True))
+    relay.set(["hall"], Condition(stalled=True))
     writer.write(b"two")
-    while not any(side.held for side in relay.links[0].sides):
+    while not any(side.pending for side in relay.links[0].sides):
         await asyncio.sleep(0)
     _, late = await opened(port)  # silent is not cut: connections come up
     relay.heal()
@@ -264,14 +270,14 @@
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     reader, writer = await opened(port)
-    relay.set(["door"], Condition(silent=True, way="back"), "hall")
+    relay.set(["door"], Condition(stalled=True, direction="back"), "hall")
     writer.write(b"heard")
-    while not any(side.held and not side.source for side in relay.links[0].sides):
+    while not any(side.pending and not side.source for side in relay.links[0].sides):
         await asyncio.sleep(0)  # the echo came, so the question went out
-    relay.set(["door"], Condition(silent=True, way="out"), "hall")
+    relay.set(["door"], Condition(stalled=True, direction="out"), "hall")
     assert await reader.readexactly(5) == b"heard"
     writer.write(b"mute")
-    while not any(side.held and side.source for side in relay.links[0].sides):
+    while not any(side.pending and side.source for side in relay.links[0].sides):
         await asyncio.sleep(0)
     relay.heal()
     assert await reader.readexactly(4) == b"mute"
@@ -284,8 +290,8 @@
     relay = Relay(Clock(), [])
     (_, first), (port, second) = await echoing(relay, "door", "keeper"), await echoing(relay, "door", "hall")
     _, third = await echoing(relay, "other", "keeper")
-    relay.set(["door"], Condition(cut=True), "keeper")
-    assert [link.condition.cut for link in relay.links] == [True, False, False]
+    relay.set(["door"], Condition(partitioned=True), "keeper")
+    assert [link.condition.partitioned for link in relay.links] == [True, False, False]
     reader, writer = await opened(port)
     writer.write(b"x")
     assert await reader.readexactly(1) == b"x"
@@ -302,7 +308,7 @@
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     reader, writer = await opened(port)
-    relay.set(["hall"], Condition(cut=True))
+    relay.set(["hall"], Condition(partitioned=True))
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.3):
             await opened(port)
@@ -362,7 +368,7 @@
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     _, writer = await opened(port)
-    relay.set(["hall"], Condition(silent=True))
+    relay.set(["hall"], Condition(stalled=True))
     while not relay.links[0].sides:
         await asyncio.sleep(0)
     for _ in range(64):
@@ -375,7 +381,7 @@
     server.close()
 
 
-# A box
+# A backend
 
 
 async def platform(text: str = SMALL) -> Platform:
@@ -392,17 +398,17 @@
 @socket_test
 async def test_a_box_serves_reports_and_writes_its_book() -> None:
     made = await platform()
-    box = made.boxes[0]
-    reader, writer = await opened(box.ports[1])
+    backend = made.backends[0]
+    reader, writer = await opened(backend.ports[1])
     writer.write(check("t1"))
     line, headers, body = await read_message(reader)
     assert " 200 " in line and json.loads(body)["id"] == "t1"
     assert headers["endpoint-load-metrics"].startswith("TEXT latency_ms=") and "usage-percent" in headers
-    attempt = made.books.attempts[0]
-    assert (attempt.trace, attempt.door, attempt.box, attempt.end, attempt.body) == (
+    attempt = made.request_log.attempts[0]
+    assert (attempt.trace, attempt.front_door, attempt.backend, attempt.end, attempt.body) == (
         "t1",
         1,
-        box.name,
+        backend.name,
         End.SERVED,
         body,
     )
@@ -417,11 +423,11 @@
 @socket_test
 async def test_one_hall_drops_a_repeat_of_a_key() -> None:
     made = await platform()
-    same = [b for b in made.boxes if b.machine.hall == made.boxes[0].machine.hall]
-    other = next(b for b in made.boxes if b.machine.hall != made.boxes[0].machine.hall)
+    same = [b for b in made.backends if b.machine.zone == made.backends[0].machine.zone]
+    other = next(b for b in made.backends if b.machine.zone != made.backends[0].machine.zone)
     repeats = []
-    for n, box in enumerate((same[0], same[1], other)):
-        reader, writer = await opened(box.ports[0])
+    for n, backend in enumerate((same[0], same[1], other)):
+        reader, writer = await opened(backend.ports[0])
         writer.write(check(f"t{n}", "claim"))
         repeats.append(json.loads((await read_message(reader))[2])["repeat"])
     assert repeats == [False, True, False]
@@ -431,51 +437,51 @@
 @socket_test
 async def test_a_box_drains_crashes_and_comes_back_cold() -> None:
     made = await platform()
-    box = made.boxes[0]
-    reader, writer = await opened(box.ports[0])
-    box.drain()
+    backend = made.backends[0]
+    reader, writer = await opened(backend.ports[0])
+    backend.drain()
     writer.write(check("t1"))
     line, headers, _ = await read_message(reader)
     assert " 503 " in line and headers["x-never-ran"] == "1"
-    box.crash()
+    backend.crash()
     assert await gone(reader)
     with pytest.raises(ConnectionError):
-        await opened(box.ports[0])
-    await box.start(made.doors, cold=True)
-    reader, writer = await opened(box.ports[0])
+        await opened(backend.ports[0])
+    await backend.start(made.front_doors, warming_up=True)
+    reader, writer = await opened(backend.ports[0])
     writer.write(check("t2"))
     assert " 200 " in (await read_message(reader))[0]
-    assert [a.life for a in made.books.attempts] == [0, 1]
-    assert made.books.lives[-1].at > 0
+    assert [a.incarnation for a in made.request_log.attempts] == [0, 1]
+    assert made.request_log.incarnations[-1].at > 0
     made.close()
 
 
 @socket_test
 async def test_a_new_box_at_anothers_old_address_is_itself_in_the_book() -> None:
     made = await platform()
-    old = made.boxes[0]
+    old = made.backends[0]
     old.crash()
-    new = await made._new_box(cold=True, instead=old)
+    new = await made._new_backend(warming_up=True, instead=old)
     assert new.ports == old.ports and new.name != old.name
-    assert (new.machine.hall, new.machine.cell) == (old.machine.hall, old.machine.cell)
+    assert (new.machine.zone, new.machine.cell) == (old.machine.zone, old.machine.cell)
     reader, writer = await opened(old.ports[0])
     writer.write(check("t1"))
     assert json.loads((await read_message(reader))[2])["box"] == new.name
-    assert made.books.attempts[0].box == new.name
+    assert made.request_log.attempts[0].backend == new.name
     made.close()
 
 
 @socket_test
 async def test_a_hung_box_holds_and_answers_later() -> None:
     made = await platform()
-    box = made.boxes[0]
-    box.set_hung(True)
-    reader, writer = await opened(box.ports[0])
+    backend = made.backends[0]
+    backend.set_hung(True)
+    reader, writer = await opened(backend.ports[0])
     writer.write(check("t1"))
-    while not made.books.attempts:
+    while not made.request_log.attempts:
         await asyncio.sleep(0)
-    assert made.books.attempts[0].end is End.OPEN
-    box.set_hung(False)
+    assert made.request_log.attempts[0].end is End.OPEN
+    backend.set_hung(False)
     assert " 200 " in (await read_message(reader))[0]
     made.close()
 
@@ -484,7 +490,7 @@
 
 
 def test_a_link_that_falls_silent_with_hundreds_of_attempts_out_loses_no_request() -> None:
-    """Every box behind its link, slow enough that 200 attempts are out, then all links silent for good."""
+    """Every backend behind its link, slow enough that 200 attempts are out, then all links silent for good."""
     text = SMALL.replace("work_ms = 12", "work_ms = 700").replace("work_ms = 20", "work_ms = 700")
     text = text.replace("aim_ms = 400", "aim_ms = 2000").replace("aim_ms = 500", "aim_ms = 2000")
     text = text.replace("deadline_ms = 900", "deadline_ms = 2500").replace("retries = 1", "retries = 0")
@@ -494,16 +500,16 @@
     text += '[[at]]\nat_s = 2\ndo = "hall-slow"\nhall = "hall-a"\nms = 0\nfor_s = 0\n'  # links, no fault
     out = []
 
-    def silence(platform: Platform, _: Terminals) -> None:
+    def silence(platform: Platform, _: LoadGenerator) -> None:
         loop = asyncio.get_running_loop()
 
         def look() -> None:
-            count = sum(a.end is End.OPEN for a in platform.books.attempts)
+            count = sum(a.end is End.OPEN for a in platform.request_log.attempts)
             if count >= 200:
                 out.append(count)
                 assert isinstance(platform.relay, Relay)
                 for link in platform.relay.links:
-                    link.set(Condition(silent=True))
+                    link.set(Condition(stalled=True))
             elif not platform.closed:
                 loop.call_later(0.02, look)
 
@@ -512,14 +518,16 @@
     run = uvloop.run(play(text, during=silence))
     assert out and out[0] >= 200
     assert [b.text() for b in run.verdict.breaches] == []
-    assert all(taken.answers for taken in run.books.taken if taken.at)
+    assert all(
+        client_attempt.answers for client_attempt in run.request_log.client_attempts if client_attempt.at
+    )
 
 
 def test_a_hall_cut_off_breaks_no_rule_and_no_answer_is_missing() -> None:
     run = uvloop.run(play(SMALL + '[[at]]\nat_s = 0.8\ndo = "hall-cut"\nhall = "hall-b"\nfor_s = 1.2\n'))
     assert [b.text() for b in run.verdict.breaches] == []
-    assert run.verdict.looked[Rule.ANSWERS] > 200
-    assert {"hall-b is back"} <= {text for _, text in run.books.faults}
+    assert run.verdict.checked[Rule.ANSWERS] > 200
+    assert {"hall-b is back"} <= {text for _, text in run.request_log.faults}
 
 
 def test_a_terminal_sees_an_end_that_its_loop_has_yet_to_tell() -> None:
@@ -527,9 +535,9 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listening:
             _, connection = await loop.create_connection(ClientConnection, *listening.getsockname())
-            door, _ = listening.accept()
+            front_door, _ = listening.accept()
             assert not connection.ended()
-            door.close()
+            front_door.close()
             assert connection.usable() and connection.ended()
             connection.close()
 
