--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -9,7 +9,7 @@
 import secrets
 from collections.abc import Callable, Coroutine
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any, TypeVar, TypeVarTuple
+from typing import TypeVar, TypeVarTuple
 
 from returns.result import Failure, Result, Success
 
@@ -94,10 +94,11 @@
         """Run a blocking call in the disk's thread."""
         return await asyncio.get_running_loop().run_in_executor(self.thread, act, *args)
 
-    async def _run_to_end(self, act: Coroutine[Any, Any, T]) -> T:
+    async def _run_to_end(self, act: Coroutine[None, None, T]) -> T:
         """Run this to its end also where the caller is cancelled. OSError where the disk refuses."""
 
         async def run() -> Result[T, OSError]:
+            """Run it, with a refusal as a value: an error would be lost with a cancelled caller."""
             try:
                 return Success(await act)
             except OSError as error:
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -134,23 +134,25 @@
 def put(version_id: VersionId) -> Change:
     """Return the change to this version, where its number is above the current one; else nothing changes."""
 
-    def change(value: Value) -> Value:
+    def change_version(value: Value) -> Value:
+        """Replace the version by the newer one."""
         if version_id.number <= value.version_id.number:
             return value
         return replace(value, change=value.change + 1, version_id=version_id)
 
-    return change
+    return change_version
 
 
 def set_members(members: Members) -> Change:
     """Return the change to this member list, where it follows the current one; else nothing changes."""
 
-    def change(value: Value) -> Value:
+    def change_members(value: Value) -> Value:
+        """Replace the member list by the next one."""
         if not _follows(members, value.members):
             return value
         return replace(value, change=value.change + 1, members=members)
 
-    return change
+    return change_members
 
 
 def _follows(members: Members, current: Members) -> bool:
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -60,7 +60,7 @@
     # Transfer of versions
 
     def newest_id(self) -> VersionId:
-        """The newest version that is here: what a difference can be sent against."""
+        """Return the newest version that is here: what a difference can be sent against."""
         newest = self.acceptor.version_store.newest
         return newest.version_id if newest is not None else NO_VERSION
 
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -118,9 +118,8 @@
         started_at = now()
         self.rounds.announce_leaving()
         await asyncio.sleep(LEAVE_NOTICE_S)
-        while not self._may_leave() and now() < started_at + HANDOVER_TIMEOUT_S:
-            await asyncio.sleep(LEAVE_NOTICE_S)
-        event = Event.MEMBER_HANDED_OVER if self._may_leave() else Event.MEMBER_LEFT_EARLY
+        is_handed_over = await self._wait_for_handover(started_at + HANDOVER_TIMEOUT_S)
+        event = Event.MEMBER_HANDED_OVER if is_handed_over else Event.MEMBER_LEFT_EARLY
         log_event(event, seat=self.acceptor.seat)
         grace_s = self.settings.bound("grace_s", DEFAULT_GRACE_S)
         unanswered = await self.server.drain(started_at + grace_s - EXIT_RESERVE_S)
@@ -131,6 +130,14 @@
         self.metrics_server.close()
         self.peers.close()
 
+    async def _wait_for_handover(self, deadline: float) -> bool:
+        """Wait until the peers no longer need us; polled, as that depends on the clock as well as on reports."""
+        while now() < deadline:
+            if self._may_leave():
+                return True
+            await asyncio.sleep(LEAVE_NOTICE_S)
+        return self._may_leave()
+
     def _may_leave(self) -> bool:
         monitor = self.rounds.monitor
         return not self.proposer.ballot_lock.locked() and may_leave(
--- a/irisdeal/config_store/storage/chunk_assembler.py
+++ b/irisdeal/config_store/storage/chunk_assembler.py
@@ -14,10 +14,10 @@
 from irisdeal.config_store.configuration.difference import NoDifference, apply
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.storage.chunks import (
-    InvalidChunk,
+    InvalidChunkError,
     SyncState,
     VersionChunk,
-    VersionMismatch,
+    VersionMismatchError,
     decode_chunk,
 )
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -42,6 +42,7 @@
 
     @property
     def is_complete(self) -> bool:
+        """Whether all announced bytes are here."""
         return len(self.data) == self.size
 
     def includes(self, chunk: VersionChunk) -> bool:
@@ -50,12 +51,12 @@
         return announced == (self.version_id, self.length, self.base, self.size)
 
     def append(self, chunk: VersionChunk) -> None:
-        """Add the next chunk. InvalidChunk or NoDifference where it is not the next, or has a wrong length."""
+        """Add the next chunk. InvalidChunkError or NoDifference where it is not the next, or has a wrong length."""
         if chunk.offset != len(self.data):
-            raise InvalidChunk("doubled, or out of order")
+            raise InvalidChunkError("doubled, or out of order")
         data = chunk.expanded()
         if not 0 < len(data) <= self.size - chunk.offset:
-            raise InvalidChunk("no data, or more than was announced")
+            raise InvalidChunkError("no data, or more than was announced")
         self.data += data
         self.hash.update(data)
 
@@ -92,7 +93,7 @@
             return self._take(decode_chunk(encoded_chunk))
         except (NoDifference, TypeError, ValueError) as error:
             self.rejected_chunks += 1
-            if isinstance(error, VersionMismatch) or self.rejected_chunks > MAX_REJECTED_CHUNKS:
+            if isinstance(error, VersionMismatchError) or self.rejected_chunks > MAX_REJECTED_CHUNKS:
                 self._start_over()
             return None
 
@@ -114,11 +115,11 @@
         return self._finish() if self.transfer.is_complete else None
 
     def _start_transfer(self, chunk: VersionChunk) -> None:
-        """Start with this chunk. InvalidChunk where another transfer goes on, or it is not a first chunk."""
+        """Start with this chunk. InvalidChunkError where another transfer goes on, or it is not a first chunk."""
         if chunk.offset > 0 or self._goes_on():
-            raise InvalidChunk("of another version than the one that is arriving")
+            raise InvalidChunkError("of another version than the one that is arriving")
         if chunk.base and not self.version_store.has(chunk.base):
-            raise VersionMismatch("the base is not here")
+            raise VersionMismatchError("the base is not here")
         if not chunk.base:
             self.last_completed = NO_VERSION  # the source was told of it and did not have it as a base
         self.transfer = _Transfer(chunk.version_id, chunk.length, chunk.base, chunk.size)
@@ -134,14 +135,14 @@
         )
 
     def _finish(self) -> ConfigVersion:
-        """Add the complete version. VersionMismatch where it is not the one that was announced."""
+        """Add the complete version. VersionMismatchError where it is not the one that was announced."""
         transfer = self.transfer
         body, digest = bytes(transfer.data), transfer.hash.digest()
         if transfer.base:
             body = self._apply_difference(body)
             digest = hashlib.sha256(body).digest()
         if digest != transfer.version_id.digest:
-            raise VersionMismatch("the announced length, but another digest")
+            raise VersionMismatchError("the announced length, but another digest")
         version = ConfigVersion(transfer.version_id, body)
         self.transfer = _Transfer()
         self._on_completed(version.version_id)
@@ -151,11 +152,11 @@
     def _apply_difference(self, packed: bytes) -> bytes:
         base = self.version_store.get(self.transfer.base)
         if base is None:
-            raise VersionMismatch("the base is no longer here")
+            raise VersionMismatchError("the base is no longer here")
         try:
             return apply(base.body, packed, self.transfer.length)
         except NoDifference as error:
-            raise VersionMismatch(str(error)) from error
+            raise VersionMismatchError(str(error)) from error
 
     def _on_completed(self, version_id: VersionId) -> None:
         """Use it as a base, the only one after a fault until a version is as new as the caller's."""
--- a/irisdeal/config_store/storage/chunks.py
+++ b/irisdeal/config_store/storage/chunks.py
@@ -13,17 +13,18 @@
 
 from irisdeal.config_store.configuration.difference import unpack
 from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
+from irisdeal.runtime.errors import IrisdealError
 
 MAX_BODY_BYTES = 16 << 20  # of a body: what one frame of `irisdeal.rpc` can carry
 CHUNK_BYTES = 96 << 10  # of a body, some 27 KB compressed; at worst 0.4 s on a link of 2 Mbit/s
 DELTA_CHUNK_BYTES = 48 << 10  # of a packed difference
 
 
-class InvalidChunk(ValueError):
+class InvalidChunkError(IrisdealError, ValueError):
     """A chunk that does not continue the transfer under way; the transfer goes on with the next one."""
 
 
-class VersionMismatch(InvalidChunk):
+class VersionMismatchError(InvalidChunkError):
     """The chunks cannot become the version that they announce; the transfer starts again with a snapshot."""
 
 
@@ -77,7 +78,7 @@
 
     @property
     def base(self) -> bytes:
-        """A snapshot needs no base: the empty digest."""
+        """Digest of the base: empty, as a snapshot needs none."""
         return b""
 
     @property
@@ -135,21 +136,30 @@
 
 
 def decode_chunk(encoded: object) -> VersionChunk:
-    """Read a chunk. InvalidChunk where it is none, is damaged, or has impossible lengths."""
+    """Read a chunk. InvalidChunkError where it is none, is damaged, or has impossible lengths."""
     if not isinstance(encoded, list) or len(encoded) != 8:
-        raise InvalidChunk("chunk: wanted a list of eight fields")
+        raise InvalidChunkError("chunk: wanted a list of eight fields")
     number, digest, length, base, size, offset, check, data = encoded
-    if not all(type(figure) is int for figure in (number, length, size, offset, check)):
-        raise InvalidChunk("chunk: wanted whole numbers for number, lengths, offset and check")
-    if not all(type(field) is bytes for field in (digest, base, data)):
-        raise InvalidChunk("chunk: wanted bytes for digests and data")
+    if not _are_all(int, number, length, size, offset, check):
+        raise InvalidChunkError("chunk: wanted whole numbers for number, lengths, offset and check")
+    if not _are_all(bytes, digest, base, data):
+        raise InvalidChunkError("chunk: wanted bytes for digests and data")
     version_id = VersionId(number, digest)
     if checksum(version_id, length, base, size, offset, data) != check:
-        raise InvalidChunk("chunk: the checksum does not match")
-    if not (0 < length <= MAX_BODY_BYTES and 0 < size <= MAX_BODY_BYTES and 0 <= offset < size):
-        raise InvalidChunk("chunk: a length or the offset is out of range")
+        raise InvalidChunkError("chunk: the checksum does not match")
+    if not _are_possible(length, size, offset):
+        raise InvalidChunkError("chunk: a length or the offset is out of range")
     if base:
         return DeltaChunk(version_id, length, base, size, offset, data)
     if size != length:
-        raise InvalidChunk("chunk: a snapshot's size is not the length of its body")
+        raise InvalidChunkError("chunk: a snapshot's size is not the length of its body")
     return SnapshotChunk(version_id, length, offset, data)
+
+
+def _are_all(kind: type, *fields: object) -> bool:
+    """Whether each field is exactly of this type: a bool is no int here."""
+    return all(type(field) is kind for field in fields)
+
+
+def _are_possible(length: int, size: int, offset: int) -> bool:
+    return 0 < length <= MAX_BODY_BYTES and 0 < size <= MAX_BODY_BYTES and 0 <= offset < size
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -68,20 +68,25 @@
         for name in self.folder.names():
             if name.endswith(TEMPORARY_SUFFIX):
                 self.folder.remove(name)  # of a process that was killed while it wrote
-            if not (name.startswith("r") and name.endswith(SUFFIX)):
-                continue
-            try:
-                version = decode(self.folder.read(name))
-            except (OSError, ValueError) as error:
-                log_event(Event.FILE_DAMAGED, file=name, error=error)
-                continue
-            self.folder.sync(name)  # the process that wrote it may have been killed before it synced
-            self.version_ids[name] = version.version_id
-            versions.append(version)
+            elif name.startswith("r") and name.endswith(SUFFIX):
+                version = self._open_file(name)
+                if version is not None:
+                    versions.append(version)
         if versions:
             self.folder.sync_names()
         return versions
 
+    def _open_file(self, name: str) -> ConfigVersion | None:
+        """Return the version in this file, synced; None where it is damaged."""
+        try:
+            version = decode(self.folder.read(name))
+        except (OSError, ValueError) as error:
+            log_event(Event.FILE_DAMAGED, file=name, error=error)
+            return None
+        self.folder.sync(name)  # the process that wrote it may have been killed before it synced
+        self.version_ids[name] = version.version_id
+        return version
+
     def has(self, version_id: VersionId) -> bool:
         """Whether this version is on the disk, synced."""
         return version_id in self.version_ids.values()
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -143,15 +143,21 @@
             delta = self._delta_chunk(sync_state, version)
             if delta is not None:
                 return delta
-        if is_snapshot_begun and sync_state.version_id < sync_state.arriving < wanted:
-            begun = self.get(sync_state.arriving.digest)
-            if begun is not None and 0 < sync_state.offset < len(begun.body):
-                return self._snapshot_chunk(begun, sync_state.offset)
+        begun = self._begun_snapshot(sync_state, wanted) if is_snapshot_begun else None
+        if begun is not None:
+            return self._snapshot_chunk(begun, sync_state.offset)
         if resumes_wanted:
             return self._snapshot_chunk(version, sync_state.offset)
         first = self._shared_snapshot(version, sync_state.version_id) if by_snapshot else version
         return self._snapshot_chunk(first, 0)
 
+    def _begun_snapshot(self, sync_state: SyncState, wanted: VersionId) -> ConfigVersion | None:
+        """Return the older version that a receiver is in the middle of, where it is newer than what it has."""
+        if not sync_state.version_id < sync_state.arriving < wanted:
+            return None
+        begun = self.get(sync_state.arriving.digest)
+        return begun if begun is not None and 0 < sync_state.offset < len(begun.body) else None
+
     def _shared_snapshot(self, version: ConfigVersion, above: VersionId) -> ConfigVersion:
         """Return the snapshot, newer than `above`, for a receiver of `version` that has nothing near it.
 
