--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -26,9 +26,10 @@
 from irisdeal.demo.processes import Use, free_port, measure
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
+from irisdeal.testbed.front_door_settings import front_door_settings
 from irisdeal.testbed.http import ClientConnection, Request, ServerConnection
 from irisdeal.testbed.request_log import Clock, RequestLog
-from irisdeal.testbed.scenario import load
+from irisdeal.testbed.scenario_files import load
 
 BACKENDS = 4
 STORES = 200  # so many that none passes its quota
@@ -170,7 +171,7 @@
                     "counter": f"127.0.0.1:{keeper.ports[0]}",
                     "seed": "1",
                     "known": {"revision": 0, "complete": True, "members": []},
-                    "settings": scenario.settings(0),
+                    "settings": front_door_settings(scenario, 0),
                 }
             )
         )
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -25,7 +25,7 @@
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import SECOND
-from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -20,7 +20,7 @@
 from irisdeal.demo.run import Outcome, play
 from irisdeal.front_door.quota.account import EVEN, SECOND, Account
 from irisdeal.testbed.quota_overshoot import Refusals, refusals
-from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -24,7 +24,8 @@
 from irisdeal.demo.processes import find_deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.audit import Rule
-from irisdeal.testbed.scenario import Fault, Scenario, load
+from irisdeal.testbed.scenario import Fault, Scenario
+from irisdeal.testbed.scenario_files import load
 from irisdeal.testbed.service_report import recovery
 from irisdeal.testbed.workload import draw
 
--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -28,9 +28,10 @@
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
+from irisdeal.testbed.front_door_settings import front_door_settings
 from irisdeal.testbed.http import ServerConnection
 from irisdeal.testbed.request_log import Clock, RequestLog
-from irisdeal.testbed.scenario import load
+from irisdeal.testbed.scenario_files import load
 
 TICK = 0.001  # s
 
@@ -100,7 +101,7 @@
                 "discovery": f"127.0.0.1:{roster.ports[0]}",
                 "counter": f"127.0.0.1:{keeper.ports[0]}",
                 "seed": "1",
-                "settings": scenario.settings(0),
+                "settings": front_door_settings(scenario, 0),
                 "known": {"revision": 0, "complete": True, "members": []},
                 "routes": {"file": str(file), "watch_ms": 0},
             }
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -22,7 +22,7 @@
 from irisdeal.demo.processes import Deploy
 from irisdeal.demo.run import play as play_real
 from irisdeal.simulation.search.front_door_day import play as play_virtual
-from irisdeal.testbed import scenario as scenarios
+from irisdeal.testbed import scenario_files as scenarios
 from irisdeal.testbed.workload import draw
 
 HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -56,12 +56,13 @@
     import tomllib
 
     from irisdeal.simulation.search.schedule import scenario
-    from irisdeal.testbed.scenario import MOST_BYTES, ScenarioError
+    from irisdeal.testbed.scenario import ScenarioError
+    from irisdeal.testbed.scenario_files import MAX_BYTES
 
     try:
-        raw = file.open("rb").read(MOST_BYTES + 1)
-        if len(raw) > MOST_BYTES:
-            raise Unusable(f"{file}: over {MOST_BYTES} bytes")
+        raw = file.open("rb").read(MAX_BYTES + 1)
+        if len(raw) > MAX_BYTES:
+            raise Unusable(f"{file}: over {MAX_BYTES} bytes")
         table = tomllib.loads(raw.decode("utf-8"))
         if seed is not None:
             table["seed"] = seed
--- a/irisdeal/simulation/search/schedule.py
+++ b/irisdeal/simulation/search/schedule.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from irisdeal.testbed.scenario import FAULTS, Scenario, read
+from irisdeal.testbed.scenario import FAULTS, Scenario
+from irisdeal.testbed.scenario_files import read
 
 Table = dict[str, Any]
 
--- a/irisdeal/testbed/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -22,7 +22,8 @@
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.request_log import Clock, End, RequestLog
-from irisdeal.testbed.scenario import Scenario, ScenarioError, load
+from irisdeal.testbed.scenario import Scenario, ScenarioError
+from irisdeal.testbed.scenario_files import load
 from irisdeal.testbed.service_report import reckon
 from irisdeal.testbed.workload import draw, machine
 
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -20,6 +20,7 @@
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
+from irisdeal.testbed.front_door_settings import front_door_settings
 from irisdeal.testbed.loop_lag import LoopLagMonitor
 from irisdeal.testbed.request_log import Clock, Now, RequestLog, front_door_name
 from irisdeal.testbed.scenario import Fault
@@ -234,7 +235,7 @@
                 "complete": True,
                 "members": [m.to_json(front_door) for m in members],
             },
-            "settings": self.scenario.settings(front_door),
+            "settings": front_door_settings(self.scenario, front_door),
         }
 
     def write_config(self, front_door: int, listen: str, seed: int, path: Path) -> None:
--- a/irisdeal/testbed/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -1,27 +1,15 @@
-"""Scenarios in TOML: the fleet, the plans, the load, and a timeline of faults and signals.
+"""The model of a scenario: the fleet, the plans, the load, and a timeline of faults and signals.
 
-Everything is checked on reading. An error is one line with file, key and what was wanted (`ScenarioError`); an
-unknown key is an error too, since a key that is ignored is a setting forgotten. A scenario may name another one
-as its `base`: its tables are then laid over that one's, key by key.
+`scenario_files` reads it from TOML, `scenario_checks` rejects figures that make no sense, and
+`front_door_settings` derives the settings of the front doors.
 """
 
 from __future__ import annotations
 
-import re
-import tomllib
-from collections.abc import Iterator, Mapping
-from dataclasses import dataclass, field, fields, replace
-from importlib import resources
-from pathlib import Path
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass, field, replace
 
 from irisdeal.testbed.audit import Ceiling, Figures, KindRule
-from irisdeal.testbed.scenario_keys import field_of, key_of
-
-BUILT_IN = resources.files("irisdeal.testbed") / "scenarios"
-MOST_BYTES = 262_144  # of a scenario file
-MOST_BASES = 4  # a chain of bases longer than this is a circle
-MOST = {"doors": 64, "boxes": 200, "seconds": 3600.0, "processes": 8}  # what one machine can start
 
 
 class ScenarioError(ValueError):
@@ -190,26 +178,23 @@
     direction: str = "both"  # out, from the front doors; back, to them; both
 
     def text(self) -> str:
-        told = [self.do]
+        """The fault as a line of the report."""
         needs = FAULTS[self.do]
-        if "boxes" in needs:
-            told.append(f"{self.backends} boxes")
-        if "hall" in needs:
-            told.append(self.zone)
-        if "door" in needs:
-            told.append(f"door {self.front_door}")
-        if "to" in needs:
-            told.append(f"to {self.to}" + (f", {self.direction}" if "way" in needs else ""))
-        if "size" in needs:
-            told.append(f"size {self.size:g}")
-        if "ms" in needs:
-            told.append(f"{self.ms:g} ms")
+        texts = {
+            "boxes": f"{self.backends} boxes",
+            "hall": self.zone,
+            "door": f"door {self.front_door}",
+            "to": f"to {self.to}" + (f", {self.direction}" if "way" in needs else ""),
+            "size": f"size {self.size:g}",
+            "ms": f"{self.ms:g} ms",
+        }
+        phrases = [self.do, *(text for need, text in texts.items() if need in needs)]
         if self.for_s:
-            told.append(f"for {self.for_s:g} s")
-        return " ".join(told)
+            phrases.append(f"for {self.for_s:g} s")
+        return " ".join(phrases)
 
 
-# What can be done, and the keys that each needs beside `at_s`.
+# The faults, and the keys that each needs beside `at_s`, as scenario files name them.
 FAULTS: dict[str, tuple[str, ...]] = {
     "box-hang": ("boxes", "for_s"),  # take requests and answer none
     "box-slow": ("boxes", "for_s", "size"),  # so many times slower
@@ -295,9 +280,8 @@
 
     def doing(self, what: str) -> list[tuple[int, int, float]]:
         """When a fault of that name begins and ends (µs from the start), and its size, for each."""
-        return [
-            (_us(f.at_s * 1e3), _us((f.at_s + f.for_s) * 1e3), f.size) for f in self.faults if f.do == what
-        ]
+        faults = [fault for fault in self.faults if fault.do == what]
+        return [(microseconds(f.at_s * 1e3), microseconds((f.at_s + f.for_s) * 1e3), f.size) for f in faults]
 
     def burst(self, plan: Plan) -> float:
         """Units that a tenant's quota holds: two of the largest requests at least, four under a ceiling."""
@@ -316,416 +300,16 @@
         ceilings = {plan.name: c for plan in self.plans if (c := self.ceiling(plan)) is not None}
         rules = self.rules
         return Figures(
-            kinds={c.name: KindRule(c.repeat, c.group, _us(c.window_ms)) for c in self.classes},
+            kinds={c.name: KindRule(c.repeat, c.group, microseconds(c.window_ms)) for c in self.classes},
             ceilings=ceilings,
-            answer_grace=_us(rules.answer_grace_ms),
-            drain_grace=_us(rules.drain_grace_ms),
+            answer_grace=microseconds(rules.answer_grace_ms),
+            drain_grace=microseconds(rules.drain_grace_ms),
             fall_multiple=rules.fall_multiple,
-            fall_window=_us(rules.fall_ms),
+            fall_window=microseconds(rules.fall_ms),
             cells=dict(cells),
         )
 
-    def settings(self, rank: int) -> dict[str, Any]:
-        """The `settings` object of one front door's configuration (PROTOCOL, top; WIRE, SETTINGS)."""
-        repeats = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-        rules, front_door = self.rules, self.front_door
-        plans = []
-        for plan in self.plans:
-            ceiling = self.ceiling(plan) or Ceiling(0.0, 0.0, 0.0)
-            plans.append(
-                {
-                    "name": plan.name,
-                    "refill": plan.rate,
-                    "burst": self.burst(plan),
-                    "concurrency": plan.open,
-                    "hard_rate": ceiling.rate,
-                    "never_over_depth": ceiling.depth,
-                    "cap_slack": ceiling.slack,
-                    "value_factor": plan.price,
-                    "beyond_costs": plan.beyond_cost,
-                    "extra_worth": plan.beyond_value,
-                }
-            )
-        return {
-            "family": "gate",
-            "discovery": "pushed",
-            "peers_total": self.front_doors,
-            "rank": rank,
-            "locality": rank % len(self.fleet.zones),
-            "round_us": _us(front_door.tick_ms),
-            "zones": list(self.fleet.zones),
-            "kinds": [k.name for k in self.fleet.kinds],
-            "profiles": [
-                {
-                    "name": c.name,
-                    "slo_us": _us(c.latency_target_ms),
-                    "deadline_us": _us(c.deadline_ms),
-                    "repeat": repeats[c.repeat],
-                    "group": c.group,
-                    "window_us": _us(c.window_ms),
-                    "worth": c.value,
-                    "late_value": c.late_value,
-                    "stream": False,
-                }
-                for c in self.classes
-            ],
-            "packages": plans,
-            "safety": {
-                "grace_to_answer_us": _us(rules.answer_grace_ms),
-                "drain_grace_us": _us(rules.drain_grace_ms),
-                "start_capacity": rules.start_capacity,
-                "warm_up_us": int(rules.warm_up_s * 1e6),
-                "tip_multiple": rules.fall_multiple,
-                "fall_us": _us(rules.fall_ms),
-            },
-            "permissions": {
-                "max_attempts": front_door.max_attempts,
-                "parallel_tries": True,
-                "cancel": True,
-                "probes": False,
-                "retry_after": True,
-                "max_retry_after_us": _us(front_door.max_retry_after_ms),
-                "connect_timeout_us": _us(front_door.connect_timeout_ms),
-                "keepalive_us": int(self.fleet.idle_s * 1e6),
-            },
-            "family_info": {
-                "shared_counter": True,
-                "count_wait_us": _us(self.counter.timeout_ms),
-                "count_fee": self.counter.price,
-                "meter_us": int(self.fleet.meter_s * 1e6),
-                "settles": False,
-            },
-            "costs": {"cross_zone": 0.02, "waste": 0.03},
-            "report": {"columns": ["mean_ms", "load_share", "depth"], "source": "inline"},
-        }
-
 
-def _us(ms: float) -> int:
+def microseconds(ms: float) -> int:
+    """Whole µs of a duration in ms."""
     return round(ms * 1000)
-
-
-# Reading
-
-
-def names() -> list[str]:
-    """The built-in scenarios."""
-    return sorted(p.name.removesuffix(".toml") for p in BUILT_IN.iterdir() if p.name.endswith(".toml"))
-
-
-def load(name: str) -> Scenario:
-    """A built-in scenario by its name, or one from a file by its path. Raises `ScenarioError`."""
-    return _Reading(name).scenario(_merged(name, 0))
-
-
-def parse(text: str, where: str = "scenario") -> Scenario:
-    """A scenario from its text."""
-    return _Reading(where).scenario(_overlaid(_toml(text, where), where, 0))
-
-
-def read(table: Mapping[str, Any], where: str = "scenario") -> Scenario:
-    """A scenario from its tables, as TOML gives them; they are left as they are."""
-    return _Reading(where).scenario(_overlaid(dict(table), where, 0))
-
-
-def _merged(name: str, depth: int) -> dict[str, Any]:
-    if name in names():
-        text = (BUILT_IN / f"{name}.toml").read_text("utf-8")
-    else:
-        path = Path(name)
-        if "/" not in name and not name.endswith(".toml"):
-            raise ScenarioError(f"{name}: no such scenario: wanted a file, or one of {', '.join(names())}")
-        try:
-            raw = path.open("rb").read(MOST_BYTES + 1)
-        except OSError as error:
-            raise ScenarioError(f"{name}: {error.strerror}") from None
-        if len(raw) > MOST_BYTES:
-            raise ScenarioError(f"{name}: over {MOST_BYTES} bytes")
-        try:
-            text = raw.decode("utf-8")
-        except UnicodeDecodeError as error:
-            raise ScenarioError(f"{name}: not UTF-8 at byte {error.start}") from None
-    return _overlaid(_toml(text, name), name, depth)
-
-
-def _toml(text: str, where: str) -> dict[str, Any]:
-    try:
-        return tomllib.loads(text)
-    except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{where}: no TOML: {error}") from None
-
-
-def _overlaid(told: dict[str, Any], where: str, depth: int) -> dict[str, Any]:
-    base = told.pop("base", None)
-    if base is None:
-        return told
-    if not isinstance(base, str):
-        raise ScenarioError(f"{where}: base: wanted the name of a scenario, not {base!r}")
-    if depth >= MOST_BASES:
-        raise ScenarioError(f"{where}: base: a chain of over {MOST_BASES} scenarios, perhaps a circle")
-    return _over(_merged(base, depth + 1), told)
-
-
-def _over(under: dict[str, Any], upper: dict[str, Any]) -> dict[str, Any]:
-    made = dict(under)
-    for key, value in upper.items():
-        old = made.get(key)
-        made[key] = _over(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
-    return made
-
-
-@dataclass(frozen=True, slots=True)
-class _Reading:
-    """Reads one file; each error names it."""
-
-    where: str
-
-    def wrong(self, key: str, value: object, wanted: str) -> ScenarioError:
-        return ScenarioError(f"{self.where}: {key} is {value!r}: wanted {wanted}")
-
-    def scenario(self, told: dict[str, Any]) -> Scenario:
-        tables: dict[str, type] = {
-            "door": FrontDoorSpec,
-            "fleet": Fleet,
-            "load": Load,
-            "roster": DiscoverySpec,
-            "keeper": CounterSpec,
-            "rules": RulesSpec,
-        }
-        lists: dict[str, tuple[str, type]] = {"class": ("classes", Class), "plan": ("plans", Plan)}
-        plain: dict[str, Any] = {"name": Path(self.where).name.removesuffix(".toml")}
-        for key, value in told.items():
-            if key in tables:
-                plain[field_of(key)] = self.table(tables[key], value, key)
-            elif key in lists:
-                plain[lists[key][0]] = tuple(self.tables(lists[key][1], value, key))
-            elif key == "at":
-                plain["faults"] = tuple(self.fault(line, n) for n, line in enumerate(self.list(value, "at")))
-            elif key in ("name", "about", "seed", "seconds", "doors"):
-                plain[field_of(key)] = self.value(Scenario, field_of(key), value, key)
-            else:
-                known = ", ".join(
-                    ("name", "about", "base", "seed", "seconds", "doors", *tables, *lists, "at")
-                )
-                raise ScenarioError(f"{self.where}: {key}: no such key: wanted one of {known}")
-        made = Scenario(**plain)
-        self.check(made)
-        return made
-
-    def list(self, value: object, key: str) -> list[object]:
-        if not isinstance(value, list):
-            raise self.wrong(key, value, f"a list of tables, [[{key}]]")
-        return value
-
-    def tables(self, kind: type, value: object, key: str) -> Iterator[Any]:
-        for n, inner in enumerate(self.list(value, key)):
-            yield self.table(kind, inner, f"{key}[{n}]")
-
-    def table(self, kind: type, value: object, key: str) -> Any:
-        if not isinstance(value, dict):
-            raise self.wrong(key, value, "a table")
-        known = {key_of(f.name): f.name for f in fields(kind)}
-        made: dict[str, Any] = {}
-        for name, inner in value.items():
-            if kind is Fleet and name == "kind":
-                made["kinds"] = tuple(self.tables(Kind, inner, f"{key}.kind"))
-            elif name in known and not (kind is Fleet and name == "kinds"):
-                made[known[name]] = self.value(kind, known[name], inner, f"{key}.{name}")
-            else:
-                wanted = ", ".join(sorted(known.keys() - {"kinds"} | ({"kind"} if kind is Fleet else set())))
-                raise ScenarioError(f"{self.where}: {key}.{name}: no such key: wanted one of {wanted}")
-        try:
-            return kind(**made)
-        except TypeError as error:  # a key without a default is missing
-            missing = re.sub(r"\w+(?=')", lambda found: key_of(found[0]), str(error).rpartition(": ")[2])
-            raise ScenarioError(f"{self.where}: {key}: missing {missing}") from None
-
-    def value(self, kind: type, name: str, value: object, key: str) -> Any:
-        """A value of the field's type; whole numbers pass for decimals, nothing else for another."""
-        wanted = next(str(f.type) for f in fields(kind) if f.name == name)
-        number = isinstance(value, int | float) and not isinstance(value, bool)
-        if wanted == "float" and number:
-            return float(value)  # type: ignore[arg-type]
-        if wanted == "int" and isinstance(value, int) and not isinstance(value, bool):
-            return value
-        if wanted == "str" and isinstance(value, str):
-            return value
-        if wanted == "bool" and isinstance(value, bool):
-            return value
-        if wanted == "tuple[str, ...]" and isinstance(value, list) and all(isinstance(v, str) for v in value):
-            return tuple(value)
-        if wanted == "tuple[float, float]":
-            if number:
-                return float(value), float(value)  # type: ignore[arg-type]
-            if (
-                isinstance(value, list)
-                and len(value) == 2
-                and all(isinstance(v, int | float) and not isinstance(v, bool) for v in value)
-            ):
-                return float(value[0]), float(value[1])
-        raise self.wrong(
-            key,
-            value,
-            {
-                "float": "a number",
-                "int": "a whole number",
-                "str": "a text",
-                "bool": "true or false",
-                "tuple[str, ...]": "a list of texts",
-                "tuple[float, float]": "a number or [least, most]",
-            }[wanted],
-        )
-
-    def fault(self, line: object, n: int) -> Fault:
-        fault: Fault = self.table(Fault, line, f"at[{n}]")
-        if fault.do not in FAULTS:
-            raise self.wrong(f"at[{n}].do", fault.do, f"one of {', '.join(FAULTS)}")
-        assert isinstance(line, dict)
-        for key in FAULTS[fault.do]:
-            if key not in line:
-                raise ScenarioError(f"{self.where}: at[{n}]: {fault.do} needs {key}")
-        for key in set(line) - set(FAULTS[fault.do]) - {"at_s", "do", "empty"}:
-            raise ScenarioError(f"{self.where}: at[{n}].{key}: {fault.do} takes no such key")
-        return fault
-
-    def check(self, made: Scenario) -> None:
-        """Figures that are of the right type and make no sense."""
-
-        def need(holds: bool, key: str, value: object, wanted: str) -> None:
-            if not holds:
-                raise self.wrong(key, value, wanted)
-
-        def positive(thing: object, at: str, *names: str, share: bool = False) -> None:
-            for name in names:
-                value = getattr(thing, field_of(name))
-                need(
-                    0 < value <= 1 if share else value > 0,
-                    f"{at}.{name}",
-                    value,
-                    "over 0 and at most 1" if share else "over 0",
-                )
-
-        def nothing_below(thing: object, at: str, but: tuple[str, ...] = ()) -> None:
-            for f in fields(thing):  # type: ignore[arg-type]
-                value = getattr(thing, f.name)
-                for number in value if isinstance(value, tuple) else (value,):
-                    if isinstance(number, int | float) and f.name not in but:
-                        need(0 <= number < 1e9, f"{at}.{key_of(f.name)}", value, "from 0 to 1e9")
-                if str(f.type) == "tuple[float, float]":
-                    need(
-                        value[0] <= value[1],
-                        f"{at}.{key_of(f.name)}",
-                        list(value),
-                        "[least, most], in that order",
-                    )
-
-        need(0.5 <= made.seconds <= MOST["seconds"], "seconds", made.seconds, f"0.5 to {MOST['seconds']:g}")
-        need(0 <= made.seed < 2**63, "seed", made.seed, "0 to 2**63 - 1")
-        need(1 <= made.front_doors <= MOST["doors"], "doors", made.front_doors, f"1 to {MOST['doors']}")
-        need(bool(made.classes), "class", [], "at least one [[class]]")
-        need(bool(made.plans), "plan", [], "at least one [[plan]]")
-        fleet, load, rules, counter = made.fleet, made.load, made.rules, made.counter
-        tables: list[tuple[str, object]] = [
-            ("fleet", fleet),
-            ("load", load),
-            ("rules", rules),
-            ("keeper", counter),
-            ("roster", made.discovery),
-            ("door", made.front_door),
-        ]
-        tables += [(f"class[{n}]", c) for n, c in enumerate(made.classes)]
-        tables += [(f"plan[{n}]", p) for n, p in enumerate(made.plans)]
-        tables += [(f"fleet.kind[{n}]", k) for n, k in enumerate(fleet.kinds)]
-        tables += [(f"at[{n}]", f) for n, f in enumerate(made.faults)]
-        for at, table in tables:
-            nothing_below(table, at)
-        need(1 <= fleet.backends <= MOST["boxes"], "fleet.boxes", fleet.backends, f"1 to {MOST['boxes']}")
-        need(bool(fleet.zones), "fleet.halls", list(fleet.zones), "at least one hall")
-        need(bool(fleet.kinds), "fleet.kind", [], "at least one [[fleet.kind]]")
-        positive(fleet, "fleet", "cell", "report_every_ms", "idle_s", "meter_s")
-        for n, kind in enumerate(fleet.kinds):
-            positive(kind, f"fleet.kind[{n}]", "cores", "speed", "slots_per_core")
-            positive(kind, f"fleet.kind[{n}]", "cold_from", share=True)
-        positive(counter, "keeper", "calls_per_s", "parts", "timeout_ms")
-        positive(rules, "rules", "start_capacity", share=True)
-        positive(rules, "rules", "fall_multiple", "fall_ms")
-        positive(load, "load", "use", "try_share", "shift_s")
-        need(load.attempt_share <= 1, "load.try_share", load.attempt_share, "at most 1")
-        need(
-            load.spread[0] > 0 and load.spread[1] <= 1,
-            "load.spread",
-            list(load.spread),
-            "shares of the doors, over 0 and at most 1",
-        )
-        need(
-            load.full + load.heavy + load.spiky <= 1,
-            "load.full + heavy + spiky",
-            load.full + load.heavy + load.spiky,
-            "at most 1",
-        )
-        need(
-            1 <= load.processes <= MOST["processes"],
-            "load.processes",
-            load.processes,
-            f"1 to {MOST['processes']}",
-        )
-        need(load.backoff in ("none", "fixed", "exp"), "load.backoff", load.backoff, "none, fixed or exp")
-        for n, kind_ in enumerate(made.classes):
-            at = f"class[{n}]"
-            positive(kind_, at, "share", "work_ms", "aim_ms", "deadline_ms", "units", "worth")
-            need(
-                kind_.repeat in ("safe", "keyed", "unsafe"),
-                f"{at}.repeat",
-                kind_.repeat,
-                "safe, keyed or unsafe",
-            )
-            need(kind_.group in ("all", "zone", "cell"), f"{at}.group", kind_.group, "all, zone or cell")
-        for n, plan in enumerate(made.plans):
-            positive(plan, f"plan[{n}]", "share", "rate", "burst_s")
-        for n, fault in enumerate(made.faults):
-            at = f"at[{n}]"
-            needs = FAULTS[fault.do]
-            need(fault.at_s <= made.seconds, f"{at}.at_s", fault.at_s, f"within the {made.seconds:g} seconds")
-            if "boxes" in needs:
-                need(
-                    1 <= fault.backends <= fleet.backends,
-                    f"{at}.boxes",
-                    fault.backends,
-                    f"1 to {fleet.backends}",
-                )
-            if fault.do == "keeper-split":
-                need(fault.front_door > 0, f"{at}.door", fault.front_door, f"1 to {made.front_doors - 1}")
-            if fault.do.startswith("link-"):
-                need(
-                    0 < fault.front_door <= made.front_doors,
-                    f"{at}.door",
-                    fault.front_door,
-                    f"1 to {made.front_doors}",
-                )
-                ends = ("keeper", "roster", *fleet.zones)
-                need(fault.to in ends, f"{at}.to", fault.to, f"one of {', '.join(ends)}")
-                need(
-                    fault.direction in ("both", "out", "back"),
-                    f"{at}.way",
-                    fault.direction,
-                    "both, out or back",
-                )
-                need(
-                    fault.to in fleet.zones or not any(f.do == "door-reload" for f in made.faults),
-                    f"{at}.to",
-                    fault.to,
-                    "a hall, where keeper and roster move by door-reload",
-                )
-                continue
-            if "door" in needs:
-                need(
-                    fault.front_door < made.front_doors,
-                    f"{at}.door",
-                    fault.front_door,
-                    f"0 to {made.front_doors - 1}",
-                )
-            if "hall" in needs:
-                need(fault.zone in fleet.zones, f"{at}.hall", fault.zone, f"one of {', '.join(fleet.zones)}")
-            if fault.do in ("keeper-flush", "keeper-spoil", "box-spoil", "roster-lose", "hot-door"):
-                need(0 < fault.size <= 1, f"{at}.size", fault.size, "a share, over 0 and at most 1")
-            elif "size" in needs:
-                need(fault.size > 0, f"{at}.size", fault.size, "over 0")
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -38,7 +38,7 @@
 from irisdeal.simulation.search.search import Search, SearchError, judges
 from irisdeal.simulation.search.shrink import Shrinker
 from irisdeal.simulation.search.timeline import timeline
-from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 
 HERE = Path(__file__).parents[1] / "data"
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -17,7 +17,7 @@
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import FrontDoorIncarnation, RequestLog
-from irisdeal.testbed.scenario import parse as read
+from irisdeal.testbed.scenario_files import parse as read
 from irisdeal.testbed.workload import draw
 
 # A day of three seconds in which every rule has something to say: short grace, short fall, a low ceiling.
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -18,7 +18,7 @@
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Attempt, End
-from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
--- a/tests/testbed/test_load_processes.py
+++ b/tests/testbed/test_load_processes.py
@@ -21,7 +21,8 @@
     RequestLog,
     lay_together,
 )
-from irisdeal.testbed.scenario import ScenarioError, parse
+from irisdeal.testbed.scenario import ScenarioError
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
--- a/tests/testbed/test_quota_overshoot.py
+++ b/tests/testbed/test_quota_overshoot.py
@@ -8,7 +8,7 @@
 
 from irisdeal.testbed.quota_overshoot import overshoot, tenant_usage
 from irisdeal.testbed.request_log import SECOND, Attempt, End, RequestLog
-from irisdeal.testbed.scenario import parse
+from irisdeal.testbed.scenario_files import parse
 
 TEXT = """
 seconds = 10
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from irisdeal.testbed.scenario import FAULTS, Scenario, ScenarioError, load, names, parse
+from irisdeal.testbed.scenario import FAULTS, Scenario, ScenarioError
+from irisdeal.testbed.scenario_files import load, names, parse
 from irisdeal.testbed.workload import draw, mean_work, weights, work
 from tests.support.front_door_rig import SMALL
 
@@ -132,7 +133,7 @@
 
 def test_the_schedule_of_a_seed_is_the_same_under_any_hash_seed() -> None:
     code = (
-        "from irisdeal.testbed.workload import draw; from irisdeal.testbed.scenario import load;"
+        "from irisdeal.testbed.workload import draw; from irisdeal.testbed.scenario_files import load;"
         "print(draw(load('hot-door').resized(seconds=2), 7).digest())"
     )
     digests = {
--- a/tests/testbed/test_service_report.py
+++ b/tests/testbed/test_service_report.py
@@ -5,7 +5,8 @@
 import pytest
 
 from irisdeal.testbed.request_log import SECOND, Answer, Attempt, ClientAttempt, End, RequestLog
-from irisdeal.testbed.scenario import Scenario, parse
+from irisdeal.testbed.scenario import Scenario
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.service_report import Bucket, Share, reckon, recovery
 
 TEXT = """
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -11,7 +11,7 @@
 from irisdeal.demo.processes import CannotRun, Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import Clock, RequestLog
-from irisdeal.testbed.scenario import load, parse
+from irisdeal.testbed.scenario_files import load, parse
 from irisdeal.testbed.site_processes import COUNTER_SITE, SiteError, Sites, _SharedMeter
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -19,7 +19,8 @@
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Clock, End, EndpointNotice, RequestLog
-from irisdeal.testbed.scenario import CounterSpec, DiscoverySpec, parse
+from irisdeal.testbed.scenario import CounterSpec, DiscoverySpec
+from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 from tests.support.fake_peers import ask, read_message, socket_test
 from tests.support.front_door_rig import SMALL, play
