--- a/tests/cli/test_store.py
+++ b/tests/cli/test_store.py
@@ -363,6 +363,19 @@
     assert len(told["kept"]["decided"]["seats"]) == 1 and told["kept"]["decided"]["generation"] == "r3"
 
 
+def test_the_former_name_almanac_answers_as_a_deprecated_alias_with_a_warning(tmp_path: Path) -> None:
+    filled(DiskFolder(str(tmp_path)), *DISK)
+    for command in ("history", "verify", "export"):
+        renamed = CliRunner().invoke(main, ["store", command, str(tmp_path)])
+        former = CliRunner().invoke(main, ["almanac", command, str(tmp_path)])
+        assert former.exit_code == renamed.exit_code == 0
+        assert former.stdout == renamed.stdout and former.stdout
+        assert "DeprecationWarning" in former.stderr and "'almanac' is deprecated" in former.stderr
+        assert "deprecated" not in renamed.stderr
+    listed = CliRunner().invoke(main, ["--help"]).output
+    assert "almanac" not in listed and "store" in listed
+
+
 def test_every_command_of_the_pages_can_be_given() -> None:
     pages = Path(__file__).parents[2] / "docs" / "operate"
     text = "\n".join((pages / name).read_text("utf-8") for name in ("control.md", "control-runbook.md"))
