--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -32,7 +32,7 @@
     (
         "registry",
         "processor, doors quiet, beyond beats",
-    ): "as sums and words; `Registry.since` by a list of changes in their order, not a scan",
+    ): "as sums and words; `BackendTable.changed_since` by a list of changes in their order, not a scan",
     (
         "registry",
         "all that is told when doors start",
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -1,7 +1,7 @@
 """One day in virtual time: the doors' own program and the stand-ins, on machines and a network in memory.
 
 The door is the one that runs on sockets: `Program`, whole, with its signals, its drain and its configuration
-read as JSON. The stand-ins are those of `irisdeal demo`. What differs is told in docs/design/sim.md.
+read as JSON. The stand-ins are those of `irisdeal demo`. What differs is told in docs/design/simulation.md.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from irisdeal.testbed.workload import Day, stream
 
 EPOCH = 1_700_000_000_000_000  # µs: what the world's clock says at its own 0, as Unix time
-# µs of a door's CPU; docs/design/sim.md holds them against what real doors take.
+# µs of a door's CPU; docs/design/simulation.md holds them against what real doors take.
 DOOR_COSTS = Costs(turn=25, call=22, read=45, write=35, connection=110)
 BOOT = 150_000  # µs until a process that was started runs its first line of ours: reading the program
 READY_WITHIN, POLL = 30.0, 0.02  # s: as `demo/processes.py` has them, from DEPLOY
