--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -12,37 +12,13 @@
 from enum import Enum
 
 
-class CallKind(Enum):
-    """The calls between our processes. The values are the wire's, which peers of other versions parse."""
-
-    REPORT_STATE = "state"
-    PREPARE = "prepare"
-    ACCEPT = "accept"
-    PUSH_VERSION = "bring"
-    FETCH_VERSION = "fetch"
-    NOTIFY_COMMITTED = "decided"
-    WATCH_STORE = "watch"
-    PUT_CONFIGURATION = "put"
-    READ_CONFIGURATION = "read"
-    WATCH_REGISTRY = "news"
-    REPORT_INCARNATIONS = "lives"
-    REPORT_INTERVAL = "count"
-    RESERVE = "place"
-    RESERVE_QUEUED = "wait"
-    RELEASE = "ended"
-    REPLICATE_INCARNATIONS = "told"
-    LIST_BACKENDS = "all"
-    LIST_INCARNATIONS = "all_lives"
-    REPORT_TOTALS = "sums"
-    REPORT_LOADS = "loads"
-    BORROW_PERMITS = "lend"
-
-
 class RetryRule(Enum):
     """Who may send a call again after a connection reset or a time-out. The values are the page's text."""
 
     ANYONE = "anyone, at any time"  # idempotent: the second one changes nothing
-    CALLER = "the caller, or another proxy that it is sent to"  # the body identifies it, and the answer is the same
+    CALLER = (
+        "the caller, or another registry that it is sent to"  # the body identifies it; the answer is the same
+    )
     NEVER = "nobody"  # each one takes something
     PROXY_IF_NOT_RUN = "the proxy, where it has not run"
 
@@ -51,7 +27,7 @@
 class CallSpec:
     """One call: who makes it, who answers it, and what holds where its answer does not come."""
 
-    kind: str  # as on the wire
+    kind: str  # as on the wire: fixed, since versions stand side by side in a rolling upgrade
     caller: str
     callee: str
     retry: RetryRule
@@ -73,7 +49,7 @@
 
 _STORE_CALLS = (
     CallSpec(
-        kind=CallKind.REPORT_STATE.value,
+        kind="state",  # report on the members, the ballots and the versions
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -82,7 +58,7 @@
         after_timeout="calls again in the next round",
     ),
     CallSpec(
-        kind=CallKind.PREPARE.value,
+        kind="prepare",  # phase 1 of a ballot
         caller="config_store",
         callee="config_store",
         retry=RetryRule.CALLER,
@@ -91,7 +67,7 @@
         after_timeout=_BY_BALLOT,
     ),
     CallSpec(
-        kind=CallKind.ACCEPT.value,
+        kind="accept",  # phase 2 of a ballot
         caller="config_store",
         callee="config_store",
         retry=RetryRule.CALLER,
@@ -100,7 +76,7 @@
         after_timeout=_BY_BALLOT,
     ),
     CallSpec(
-        kind=CallKind.PUSH_VERSION.value,
+        kind="bring",  # push a chunk of a version
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -109,7 +85,7 @@
         after_timeout="pushes it again in the next round",
     ),
     CallSpec(
-        kind=CallKind.FETCH_VERSION.value,
+        kind="fetch",  # ask for a chunk of a version
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -118,7 +94,7 @@
         after_timeout="calls the next one that has it",
     ),
     CallSpec(
-        kind=CallKind.NOTIFY_COMMITTED.value,
+        kind="decided",  # a value was committed
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -128,7 +104,7 @@
         is_one_way=True,
     ),
     CallSpec(
-        kind=CallKind.WATCH_STORE.value,
+        kind="watch",  # long poll for what is committed
         caller="registry",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -138,7 +114,7 @@
         ends_with_caller=True,
     ),
     CallSpec(
-        kind=CallKind.PUT_CONFIGURATION.value,
+        kind="put",  # have a version committed
         caller="registry",
         callee="config_store",
         retry=RetryRule.CALLER,
@@ -147,7 +123,7 @@
         after_timeout="503: the operator sends it again",
     ),
     CallSpec(
-        kind=CallKind.READ_CONFIGURATION.value,
+        kind="read",  # linearizable read
         caller="registry",
         callee="config_store",
         retry=RetryRule.ANYONE,
@@ -159,7 +135,7 @@
 
 _REGISTRY_CALLS = (
     CallSpec(
-        kind=CallKind.WATCH_REGISTRY.value,
+        kind="news",  # long poll for backends and versions
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -169,7 +145,7 @@
         ends_with_caller=True,
     ),
     CallSpec(
-        kind=CallKind.REPORT_INCARNATIONS.value,
+        kind="lives",  # incarnations that the registry may have forgotten
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -178,7 +154,7 @@
         after_timeout="nothing: another registry has them, and heartbeats follow",
     ),
     CallSpec(
-        kind=CallKind.REPORT_INTERVAL.value,
+        kind="count",  # usage in an interval
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -187,7 +163,7 @@
         after_timeout="reports to the next one: counted twice in one total at most",
     ),
     CallSpec(
-        kind=CallKind.RESERVE.value,
+        kind="place",  # reserve a slot at a backend
         caller="proxy",
         callee="registry",
         retry=RetryRule.NEVER,
@@ -196,7 +172,7 @@
         after_timeout="calls another or goes by its own view; the slot of a late answer is released",
     ),
     CallSpec(
-        kind=CallKind.RESERVE_QUEUED.value,
+        kind="wait",  # likewise, queued until one is free
         caller="proxy",
         callee="registry",
         retry=RetryRule.NEVER,
@@ -206,7 +182,7 @@
         ends_with_caller=True,
     ),
     CallSpec(
-        kind=CallKind.RELEASE.value,
+        kind="ended",  # release a slot
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -216,7 +192,7 @@
         is_one_way=True,
     ),
     CallSpec(
-        kind=CallKind.REPLICATE_INCARNATIONS.value,
+        kind="told",  # replicate incarnations
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -225,7 +201,7 @@
         after_timeout="sends it again with the next heartbeat; the end of an incarnation is not acknowledged",
     ),
     CallSpec(
-        kind=CallKind.LIST_BACKENDS.value,
+        kind="all",  # list the backends; of the version before
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -234,7 +210,7 @@
         after_timeout="calls again 0.5 s later",
     ),
     CallSpec(
-        kind=CallKind.LIST_INCARNATIONS.value,
+        kind="all_lives",  # list the incarnations
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -243,7 +219,7 @@
         after_timeout="calls again 0.25 s later",
     ),
     CallSpec(
-        kind=CallKind.REPORT_TOTALS.value,
+        kind="sums",  # usage in an interval, of all proxies
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -253,7 +229,7 @@
         is_one_way=True,
     ),
     CallSpec(
-        kind=CallKind.REPORT_LOADS.value,
+        kind="loads",  # loads of the backends
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
@@ -263,7 +239,7 @@
         is_one_way=True,
     ),
     CallSpec(
-        kind=CallKind.BORROW_PERMITS.value,
+        kind="lend",  # borrow permits
         caller="registry",
         callee="registry",
         retry=RetryRule.NEVER,
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: answers in the order of asking, whatever a client does. Time is virtual."""
+"""The server side of HTTP/1.1: answers in the order of the requests, whatever a client does. Time is virtual."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.world = World(1)
         self.net = Network(self.world)
         self.steps, self.prepare = steps, prepare
-        self.heard = b""
+        self.received = b""
         self.ran: list[bytes] = []
         self.ended_at = 0.0
         self.over = False
@@ -54,7 +54,7 @@
 
         class Client(asyncio.Protocol):
             def data_received(self, data: bytes) -> None:
-                play.heard += data
+                play.received += data
 
             def connection_lost(self, exc: Exception | None) -> None:
                 play.ended_at = loop.time() - START / 1e6
@@ -78,73 +78,73 @@
         return 0
 
     def play(self) -> list[bytes]:
-        """First lines and bodies, in order."""
+        """Run the steps; return the first lines and the bodies of the answers, in order."""
         server = Machine(self.world, self.net, "server", Core(), Costs())
         client = Machine(self.world, self.net, "client", Core(), Costs())
         server.start(self.serve())
         client.start(self.ask())
         self.world.run(lambda: self.over, START + 60_000_000)
         assert not server.errors and not client.errors
-        return [line for line in self.heard.split(b"\r\n") if line.startswith((b"HTTP/1.1 ", b"did "))]
+        return [line for line in self.received.split(b"\r\n") if line.startswith((b"HTTP/1.1 ", b"did "))]
 
 
 def answers(*targets: int) -> list[bytes]:
-    """What they look like where each body is followed by the next head."""
+    """The answers to these targets, as `Play.play` returns them: each body is followed by the next head."""
     lines: list[bytes] = [b"HTTP/1.1 200 OK"]
     for target in targets[:-1]:
         lines.append(b"did /%dHTTP/1.1 200 OK" % target)
     return [*lines, b"did /%d" % targets[-1]]
 
 
-def test_answers_go_out_in_the_order_of_asking_however_long_each_takes() -> None:
+def test_answers_go_out_in_the_order_of_the_requests_however_long_each_takes() -> None:
     play = Play([BODIED % 1 + BODIED % 0 + (BODIED % 2)[:20], 0.05, (BODIED % 2)[20:]])
     assert play.play() == answers(1, 0, 2)
 
 
-def test_a_client_is_encouraged_when_its_earlier_requests_are_answered_and_not_before() -> None:
+def test_a_100_is_sent_once_the_earlier_requests_are_answered_and_not_before() -> None:
     play = Play([BODIED % 1 + EXPECTING % 2, 0.5, b"body"])
     assert play.play() == [b"HTTP/1.1 200 OK", b"did /1HTTP/1.1 100 Continue", b"HTTP/1.1 200 OK", b"did /2"]
     alone = Play([EXPECTING % 0, 0.1, b"body"])
     assert alone.play() == [b"HTTP/1.1 100 Continue", b"HTTP/1.1 200 OK", b"did /0"]
 
 
-def test_who_does_not_wait_for_the_encouragement_gets_none_out_of_order() -> None:
+def test_a_client_that_does_not_wait_for_a_100_gets_none_out_of_order() -> None:
     assert Play([BODIED % 1 + EXPECTING % 2 + b"body"]).play() == answers(1, 2)
 
 
-def test_a_body_that_is_refused_by_its_head_is_not_encouraged() -> None:
+def test_a_request_that_is_rejected_by_its_head_gets_no_100() -> None:
     def small(server: HttpServer) -> None:
         server.limits.max_body_bytes = 3
 
     assert Play([EXPECTING % 1], small).play() == [b"HTTP/1.1 413 Request Entity Too Large"]
 
 
-def test_what_came_whole_before_a_malformed_one_is_answered() -> None:
+def test_complete_requests_before_a_malformed_one_are_answered() -> None:
     play = Play([BODIED % 1 + BODIED % 2 + b"\x00\r\n\r\n"])
     assert play.play() == answers(1, 2) and play.ended_at > 0
 
 
-def test_what_came_whole_before_the_end_of_a_process_is_answered() -> None:
+def test_complete_requests_before_a_shutdown_are_answered() -> None:
     def leave(server: HttpServer) -> None:
         server.loop.call_later(0.15, setattr, server, "is_draining", True)
 
     play = Play([BODIED % 1 + BODIED % 2, 0.05], leave)
     assert play.play() == answers(1, 2)
-    assert play.heard.count(b"Connection: close") == 1
+    assert play.received.count(b"Connection: close") == 1
 
 
-def test_a_client_that_sends_no_more_has_its_answers_and_the_connection_ends() -> None:
+def test_after_a_half_close_the_answers_are_sent_and_the_connection_ends() -> None:
     play = Play([BODIED % 1 + BODIED % 2 + (BODIED % 3)[:30], "eof"])
     assert play.play() == answers(1, 2) and 0 < play.ended_at < 2.0 and len(play.ran) == 2
 
 
-def test_for_a_client_that_left_nothing_of_what_waits_is_begun_once_that_shows() -> None:
-    """Its end alone may be half of one, and it may want its answers: the first not taken shows it."""
+def test_waiting_requests_are_not_begun_once_their_client_is_seen_to_have_left() -> None:
+    """A FIN alone may be a half-close of a client that still reads: a reset by its first answer shows it left."""
     play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "abort"])
     assert play.play() == [] and play.ran == [b"/1", b"/2"]
 
 
-def test_a_body_that_comes_slowly_is_not_idle() -> None:
+def test_a_body_that_arrives_slowly_is_not_idle() -> None:
     def brief(server: HttpServer) -> None:
         server.limits.idle_timeout_s = 1.5
 
@@ -154,7 +154,7 @@
     assert Play(pieces, brief).play() == answers(0)
 
 
-def test_a_request_that_stops_midway_runs_nowhere() -> None:
+def test_an_incomplete_request_is_not_run() -> None:
     def brief(server: HttpServer) -> None:
         server.limits.idle_timeout_s = 1.5
 
@@ -162,21 +162,21 @@
     assert play.play() == [] and play.ran == [] and play.ended_at > 0
 
 
-# A client's end ends what is done for it, where the server is told so
+# A client that leaves ends the work for it, where the server is configured so
 
 
 def ends_at_eof(server: HttpServer) -> None:
     server.ends_at_eof = True
 
 
-def test_a_fin_ends_the_handler_and_what_waits_is_not_begun_and_promised() -> None:
+def test_a_fin_cancels_the_handler_and_waiting_requests_are_rejected_unrun() -> None:
     play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "eof"], ends_at_eof)
     play.play()
-    assert play.heard.count(b"HTTP/1.1 503 ") == 3 and play.ran == [b"/1"]
-    assert 0 < play.ended_at < 0.3 and play.heard.count(b"Connection: close") == 1
+    assert play.received.count(b"HTTP/1.1 503 ") == 3 and play.ran == [b"/1"]
+    assert 0 < play.ended_at < 0.3 and play.received.count(b"Connection: close") == 1
 
 
-def test_a_reset_ends_the_handler_whatever_the_server_was_told() -> None:
+def test_a_reset_cancels_the_handler_in_any_configuration() -> None:
     ended: list[float] = []
 
     def watched(server: HttpServer) -> None:
@@ -196,7 +196,7 @@
     assert not play.server.serving and not play.server.unanswered()
 
 
-def test_a_handler_that_shields_its_work_ends_it_and_nobody_is_answered_twice() -> None:
+def test_shielded_work_of_a_handler_completes_and_one_answer_is_sent() -> None:
     done: list[bytes] = []
 
     def shielding(server: HttpServer) -> None:
@@ -215,8 +215,8 @@
     assert play.play() == [b"HTTP/1.1 503 Service Unavailable"] and done == [b"/1"]
 
 
-class Gone:
-    """The transport of a client that has gone, which the system knows and we were not told."""
+class DepartedTransport:
+    """The transport of a client that has gone, which the kernel knows and asyncio does not yet."""
 
     def __init__(self) -> None:
         self.is_aborted = False
@@ -243,12 +243,12 @@
         self.is_aborted = True
 
 
-def test_a_client_that_the_system_knows_to_be_gone_leaves_no_connection_behind() -> None:
+def test_a_client_that_only_the_kernel_knows_to_be_gone_leaves_no_connection() -> None:
     async def main() -> bool:
         async def handle(request: Request) -> Answer:
             return Answer(200, close=True)
 
-        server, transport = HttpServer(handle, asyncio.get_running_loop()), Gone()
+        server, transport = HttpServer(handle, asyncio.get_running_loop()), DepartedTransport()
         connection = Connection(server)
         connection.connection_made(transport)  # type: ignore[arg-type]
         connection.data_received(BODIED % 0)
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -1,4 +1,4 @@
-"""A call between processes ends with who asked, where it is for him alone; a server ends by a drain."""
+"""Which calls between processes are cancelled with their caller, and how a server drains."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.server import RpcServer
 from irisdeal.simulation.machine import Machine
-from tests.rpc.test_calls import CallRig
+from tests.support.call_rig import CallRig
 
-HELD_S = 1.0  # that each call takes
-WAY_S = 0.01  # some ways there and back
+HANDLING_S = 1.0  # that each call takes
+ROUND_TRIPS_S = 0.01  # a few round trips
 
 
-class Answering:
-    """A server whose calls take `HELD_S`; which of them ended how, and when."""
+class SlowServer:
+    """A server whose calls take `HANDLING_S`; it records which of them ended how, and when."""
 
     def __init__(self) -> None:
-        self.begun: list[str] = []
+        self.started: list[str] = []
         self.ended: list[tuple[str, str, float]] = []
         self.server: RpcServer | None = None
 
@@ -36,10 +36,10 @@
         return self.server
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
-        self.begun.append(kind)
+        self.started.append(kind)
         loop = asyncio.get_running_loop()
         try:
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(HANDLING_S)
         except asyncio.CancelledError:
             self.ended.append((kind, "cancelled", loop.time()))
             raise
@@ -51,24 +51,26 @@
 
 
 KINDS = ("wait", "news", "watch", "put", "told", "read")
-HELD = {"wait", "news", "watch"}
+CALLER_BOUND = {"wait", "news", "watch"}
 
 
-def test_what_ends_with_its_asker_is_what_is_worked_on_for_him_alone() -> None:
-    assert {kind for kind in CALLS if ends_with_caller(kind)} == HELD
+def test_the_calls_that_end_with_their_caller() -> None:
+    assert {kind for kind in CALLS if ends_with_caller(kind)} == CALLER_BOUND
     assert not ends_with_caller("no such call")
 
 
-def gone(rig: CallRig, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]) -> tuple[Answering, float]:
-    """Calls of each kind, whose asker goes 0.2 s later; when he did."""
-    answering = Answering()
+def after_caller_is_gone(
+    rig: CallRig, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]
+) -> tuple[SlowServer, float]:
+    """Make calls of each kind, end their caller by `act` 0.2 s later; return when that was."""
+    answering = SlowServer()
     rig.serve(answering.make)
 
     async def scenario() -> float:
         client = rig.client()
         tasks = [asyncio.ensure_future(client.call(kind, None, 5.0)) for kind in KINDS]
         await asyncio.sleep(0.2)
-        assert sorted(answering.begun) == sorted(KINDS)
+        assert sorted(answering.started) == sorted(KINDS)
         at = asyncio.get_running_loop().time()
         act(client, tasks)
         await asyncio.sleep(2.0)
@@ -87,16 +89,16 @@
 
 
 @pytest.mark.parametrize("act", [cancel_all, close], ids=["cancelled", "connection ended"])
-def test_calls_that_are_held_for_an_asker_end_with_him_and_others_go_to_their_end(
+def test_caller_bound_calls_are_cancelled_with_their_caller_and_others_complete(
     act: Callable[[RpcClient, list[asyncio.Task[Any]]], None],
 ) -> None:
-    answering, at = gone(CallRig(), act)
-    assert answering.how() == {kind: "cancelled" if kind in HELD else "done" for kind in KINDS}
-    assert all(ended - at < WAY_S for kind, _, ended in answering.ended if kind in HELD)
+    answering, at = after_caller_is_gone(CallRig(), act)
+    assert answering.how() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
+    assert all(ended - at < ROUND_TRIPS_S for kind, _, ended in answering.ended if kind in CALLER_BOUND)
 
 
-def test_a_process_that_dies_takes_its_asks_with_it() -> None:
-    rig, answering = CallRig(), Answering()
+def test_caller_bound_calls_of_a_process_that_dies_are_cancelled() -> None:
+    rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
     other = Machine(rig.world, rig.net, "caller", rig.caller.core, rig.caller.costs)
 
@@ -113,19 +115,19 @@
         await asyncio.sleep(2.0)
 
     rig.play(scenario())
-    assert answering.how() == {kind: "cancelled" if kind in HELD else "done" for kind in KINDS}
+    assert answering.how() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
 
 
-def test_an_answer_that_came_as_its_asker_was_cancelled_is_heard_as_a_late_one() -> None:
-    """What it gave has to be given back: the place of a request whose client left in that moment."""
-    rig, answering = CallRig(), Answering()
+def test_an_answer_received_as_its_caller_is_cancelled_counts_as_late() -> None:
+    """What it granted has to be given back: the slot of a request whose client left in that moment."""
+    rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
     async def scenario() -> None:
         client = rig.client()
         for step in range(40):
             task = asyncio.ensure_future(client.call("wait", [step, "i-1", 1.0], 5.0))
-            await asyncio.sleep(HELD_S + 0.0001 * step)
+            await asyncio.sleep(HANDLING_S + 0.0001 * step)
             if not task.done():
                 task.cancel()
             await asyncio.sleep(0.05)
@@ -138,9 +140,9 @@
     assert rig.late, "no answer came in that moment"
 
 
-def test_a_given_up_call_does_not_count_for_its_connection() -> None:
-    """What was given up is answered by its end, so that nothing is waited for over this connection."""
-    rig, answering = CallRig(), Answering()
+def test_a_cancelled_call_is_answered_and_forgotten() -> None:
+    """A cancelled call is answered once its task has ended, so that nothing is pending over this connection."""
+    rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
     async def scenario() -> int:
@@ -159,8 +161,8 @@
 # Drains
 
 
-def test_a_drain_answers_what_is_at_work_ends_what_is_held_and_begins_nothing() -> None:
-    rig, answering = CallRig(), Answering()
+def test_a_drain_completes_calls_at_work_cancels_caller_bound_ones_and_begins_none() -> None:
+    rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
     async def scenario() -> tuple[dict[str, Any], Any, int]:
@@ -189,13 +191,13 @@
 
     ended, refused, cut = rig.play(scenario())
     for kind in KINDS:
-        assert isinstance(ended[kind], Failure if kind in HELD else Success), kind
+        assert isinstance(ended[kind], Failure if kind in CALLER_BOUND else Success), kind
     assert isinstance(refused, Failure) and isinstance(ended["told again"], Success)
     assert cut == 0
 
 
-def test_a_drain_is_over_by_its_time_and_tells_what_was_cut() -> None:
-    rig, answering = CallRig(), Answering()
+def test_a_drain_ends_by_its_deadline_and_returns_the_unanswered_calls() -> None:
+    rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
     async def scenario() -> tuple[Any, int, float]:
@@ -204,10 +206,10 @@
         await asyncio.sleep(0.2)
         assert answering.server is not None
         server, loop = answering.server, rig.host
-        begun, cut = loop.time(), []
+        started, cut = loop.time(), []
 
         async def drain() -> None:
-            cut.append((await server.drain(loop.time() + 0.3), loop.time() - begun))
+            cut.append((await server.drain(loop.time() + 0.3), loop.time() - started))
 
         loop.call_soon(lambda: loop.create_task(drain()))
         return await task, *(await until(cut))
@@ -216,16 +218,16 @@
     assert isinstance(answer, Failure) and cut == 1 and took < 0.4
 
 
-async def until(there: list[Any]) -> Any:
-    while not there:
+async def until(results: list[Any]) -> Any:
+    while not results:
         await asyncio.sleep(0.01)
-    return there[0]
+    return results[0]
 
 
-# The queue for places
+# The queue for slots
 
 
-def test_who_gives_up_waiting_for_a_place_leaves_the_queue_and_hands_on_his_turn() -> None:
+def test_a_cancelled_waiter_leaves_the_queue_and_passes_its_turn_on() -> None:
     async def main() -> tuple[list[str], int]:
         loop = asyncio.get_running_loop()
         registry = BackendTable(1.5)
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -1,8 +1,8 @@
-"""A judge on the wire: each answer to its caller, by id, whatever peers and networks do. Time is virtual.
+"""Random runs with a judge on the wire: each answer goes to its own call, whatever peers and networks do.
 
-The door's own server, attempts and connections stand between scripted clients and scripted backends; links
-and servers of ours talk through cuts, stills, resets and new lives. The judge knows only what was sent, what
-ran and what came back; it shares no code with what it judges. A seed is a day.
+Time is virtual. The proxy's server, attempts and connections stand between scripted clients and scripted backends;
+our RPC clients and servers talk through partitions, stalls, resets and restarts. The judge knows only what was
+sent, what ran and what came back; it shares no code with what it judges. Each seed is one run.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from irisdeal.simulation.network import Network, Way
 from irisdeal.simulation.world import START, Stuck, World
 
-DOOR = ("10.1.0.3", 80)
-LENGTH = 6.0  # s in which clients ask
+PROXY_ADDRESS = ("10.1.0.3", 80)
+LENGTH = 6.0  # s in which clients send requests
 CLOSING = 4.0  # s behind it, until the last deadline is over
 CLIENTS, BACKENDS = 6, 4
 PROMISES = {408, 421, 429, 503}
@@ -57,7 +57,7 @@
 SETTINGS = Settings(
     node_name="d",
     role="proxy",
-    ip=DOOR[0],
+    ip=PROXY_ADDRESS[0],
     zone="z",
     port_range=(7340, 7355),
     seed_peers=("10.1.0.4:1",),
@@ -69,7 +69,7 @@
 
 
 def parsed(data: bytes) -> tuple[list[tuple[bytes, dict[bytes, bytes], bytes]], bytes]:
-    """Whole messages with a length: first line, fields, body; and the rest."""
+    """Split off complete messages with a length: first line, fields, body; and the remaining bytes."""
     found = []
     while b"\r\n\r\n" in data:
         top, rest = data.split(b"\r\n\r\n", 1)
@@ -100,7 +100,7 @@
             self.breaches.append(f"UNASKED: {id_!r} ran as {line!r}")
 
     def answer(self, id_: bytes, status: int, fields: dict[bytes, bytes], body: bytes) -> None:
-        """An answer on the connection on which `id_` is the next that is owed one."""
+        """Record an answer on the connection on which `id_` is the next request to be answered."""
         self.answers[status] += 1
         named = fields.get(b"x-irisdeal-attempt-id", id_)
         if named != id_ or (status == 200 and body != b"did " + id_):
@@ -120,9 +120,9 @@
 
 
 class Backend(asyncio.Protocol):
-    """One connection to a scripted backend; what it does with each request is drawn."""
+    """One connection to a scripted backend; what it does with each request is drawn at random."""
 
-    def __init__(self, day: Day, incarnation: bytes) -> None:
+    def __init__(self, day: ProxyRun, incarnation: bytes) -> None:
         self.day, self.incarnation, self.rest, self.last, self.extra = day, incarnation, b"", b"m0", b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -207,9 +207,9 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection of a client: requests behind each other, not all whole, not all waited for."""
+    """One connection of a client: pipelined requests, not all complete, not all waited for."""
 
-    def __init__(self, day: Day, number: int) -> None:
+    def __init__(self, day: ProxyRun, number: int) -> None:
         self.day, self.number, self.owed, self.rest, self.open = day, number, cast(list[bytes], []), b"", True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -241,7 +241,7 @@
         )
 
     async def play(self) -> None:
-        """Ask a few at once, in pieces; then wait, or leave."""
+        """Send a few at once, in pieces; then wait, or leave."""
         chance = self.day.chance
         for _ in range(chance.randint(1, 6)):
             text = b"".join(self.ask() for _ in range(chance.randint(1, 4)))
@@ -264,8 +264,8 @@
         self.transport.close()
 
 
-class Day:
-    """One seed: a door, its backends, its clients."""
+class ProxyRun:
+    """One seed: a proxy, its backends, its clients."""
 
     def __init__(self, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.world = World(seed)
@@ -319,7 +319,7 @@
                 ),
                 False,
             )
-        await door.front.listen(DOOR)
+        await door.front.listen(PROXY_ADDRESS)
         self.made = door
         await self.loop().create_future()
         return 0
@@ -328,7 +328,7 @@
         while self.now() < LENGTH:
             await asyncio.sleep(self.chance.uniform(0.0, 0.2))
             try:
-                _, client = await self.loop().create_connection(lambda: Client(self, number), *DOOR)
+                _, client = await self.loop().create_connection(lambda: Client(self, number), *PROXY_ADDRESS)
             except OSError:
                 continue
             await client.play()
@@ -344,7 +344,7 @@
         machines = [self.backend(number, f"i-{number}") for number in range(BACKENDS)]
 
         def reuse() -> None:
-            """Another life stands at the address of one that is gone; the door learns of a third."""
+            """Start another incarnation at the address of one that is gone; the proxy is notified of a third."""
             machines[0].kill()
             self.backend(0, "i-9")
 
@@ -360,14 +360,14 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_each_answer_of_the_door_goes_to_its_request(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    day = Day(seed, monkeypatch)
+def test_each_answer_of_the_proxy_goes_to_its_request(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    day = ProxyRun(seed, monkeypatch)
     assert day.play() == []
     assert day.judge.answers[200] > 20 and day.judge.answers.total() > 40
 
 
-def test_a_day_has_the_same_verdict_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    first, second = Day(3, monkeypatch), Day(3, monkeypatch)
+def test_a_seed_has_the_same_verdict_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    first, second = ProxyRun(3, monkeypatch), ProxyRun(3, monkeypatch)
     first.play()
     second.play()
     assert first.judge.answers == second.judge.answers and first.judge.ran == second.judge.ran
@@ -424,7 +424,7 @@
         ("its own 503 is passed on", "REFUSED"),
     ],
 )
-def test_the_judge_finds_what_is_planted_in_the_door(
+def test_the_judge_finds_the_bugs_planted_in_the_proxy(
     bug: str,
     rule: str,
     monkeypatch: pytest.MonkeyPatch,
@@ -432,7 +432,7 @@
     _planted(bug, monkeypatch)
     found: list[str] = []
     for seed in range(6):
-        day = Day(seed, monkeypatch)
+        day = ProxyRun(seed, monkeypatch)
         try:
             found += day.play()
         except AssertionError:  # the plant broke it otherwise as well
@@ -443,8 +443,8 @@
 # Links
 
 
-class Talk:
-    """One caller and one answerer of ours; stills, resets, cuts and new lives between them."""
+class CallRun:
+    """Our client and our server; stalls, resets, partitions and restarts between them."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
@@ -533,8 +533,8 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_each_answer_of_a_link_goes_to_its_call_and_each_call_runs_once(seed: int) -> None:
-    talk = Talk(seed)
+def test_each_answer_of_a_client_goes_to_its_call_and_each_call_runs_once(seed: int) -> None:
+    talk = CallRun(seed)
     assert talk.play() == []
     assert talk.good > 40
 
@@ -547,7 +547,7 @@
         ("sent again", "ran 2 times"),
     ],
 )
-def test_the_judge_finds_what_is_planted_in_a_link(
+def test_the_judge_finds_the_bugs_planted_in_a_client(
     bug: str,
     breach: str,
     monkeypatch: pytest.MonkeyPatch,
@@ -559,9 +559,7 @@
 
             def one_for_all(self: Any, *given: Any) -> None:
                 made(self, *given)
-                self.pending = (
-                    shared  # numbers begin anew with each connection, and are known by number alone
-                )
+                self.pending = shared  # shared by all connections, whose request ids begin anew
 
             def lost(self: Any, exc: Exception | None) -> None:
                 self.is_open = False
@@ -584,4 +582,4 @@
                 return answer if isinstance(answer, Success) else await call(self, kind, body, within)
 
             monkeypatch.setattr(RpcClient, "call", again)
-    assert any(breach in found for seed in range(6) for found in Talk(seed).play())
+    assert any(breach in found for seed in range(6) for found in CallRun(seed).play())
--- a/tests/runtime/test_early_listen.py
+++ b/tests/runtime/test_early_listen.py
@@ -1,4 +1,4 @@
-"""Listening before all else."""
+"""Listening before the program's modules are loaded."""
 
 import socket
 from pathlib import Path
@@ -8,7 +8,7 @@
 from irisdeal.runtime.early_listen import bind_addresses, listen
 
 
-def test_only_the_section_bind_is_read_and_odd_lines_are_left() -> None:
+def test_only_the_section_bind_is_read_and_invalid_lines_are_skipped() -> None:
     text = (
         'front = "1.1.1.1:1"\n[bind]\nfront = "10.1.0.30:8782"\nreadiness = "odd"\n'
         '[limits]\nreadiness = "10.1.0.30:8789"\n'
@@ -16,7 +16,9 @@
     assert bind_addresses(text, ("front", "readiness")) == {"front": ("10.1.0.30", 8782)}
 
 
-def test_who_connects_before_it_is_loaded_waits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_connects_before_the_program_is_loaded_waits(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     settings = tmp_path / "settings.toml"
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -28,6 +30,6 @@
         assert list(listening) == ["front"]
 
 
-def test_settings_that_are_not_there_are_left_to_the_checked_reading(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_settings_are_left_to_the_checked_reading(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("IRISDEAL_SETTINGS", "/nowhere/settings.toml")
     assert listen("front") == {}
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -1,4 +1,4 @@
-"""A process's own figures: what the settings may say, and the text that is told."""
+"""The metrics of a process: the address in the settings, and the exported text."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.proxy.metrics import ProxyMetrics
 from irisdeal.registry.metrics import RegistryMetrics
+from irisdeal.runtime.errors import SettingsError
 from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_metrics_address
 from irisdeal.runtime.settings import Settings, parse_settings
 
@@ -26,7 +27,7 @@
 
 
 def samples(text: bytes) -> dict[tuple[str, str], float]:
-    """By name and the values of the labels."""
+    """The samples by name and label values."""
     return {
         (sample.name, ",".join(sample.labels.values())): sample.value
         for family in text_string_to_metric_families(text.decode())
@@ -40,18 +41,20 @@
 
 
 @pytest.mark.parametrize("text", ["metrics", "9100", "0/metrics", "70000/metrics", "-1/m", "x/metrics"])
-def test_another_text_is_refused_and_named(text: str) -> None:
-    assert "metrics: wanted PORT/PATH" in str(parse_settings({**GIVEN, "metrics": text}).failure())
+def test_an_invalid_metrics_address_is_rejected_by_name(text: str) -> None:
+    error = parse_settings({**GIVEN, "metrics": text}).failure()
+    assert "metrics: wanted PORT/PATH" in str(error)
+    assert type(error) is SettingsError and not error.is_retriable
 
 
-def test_an_address_has_its_path_whole() -> None:
+def test_a_metrics_address_keeps_its_whole_path() -> None:
     assert parse_metrics_address("9100/own/figures") == MetricsAddress(9100, "/own/figures")
 
 
 @pytest.mark.parametrize(
     "made", [ProxyMetrics(), RegistryMetrics(), StoreMetrics()], ids=["proxy", "registry", "store"]
 )
-def test_what_was_counted_is_told_and_what_was_not_stands_at_nought(made: Metrics) -> None:
+def test_counts_are_exported_and_what_was_not_counted_is_zero(made: Metrics) -> None:
     for counter in made.counters:
         counter.add("some" if counter.label else "", 2)
     for summary in made.summaries:
@@ -78,7 +81,7 @@
         (b"POST", b"/metrics", 405),
     ],
 )
-def test_the_page_is_there_and_no_other(method: bytes, target: bytes, status: int) -> None:
+def test_the_metrics_page_is_served_and_no_other(method: bytes, target: bytes, status: int) -> None:
     settings = Settings("n", "r", "10.0.0.1", "z", (7000, 7010), (), metrics="9100/metrics")
 
     async def ask() -> Answer:
