--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -65,8 +65,8 @@
     ) -> None:
         """`learn` is called with each value that our ballots decide.
 
-        `reports_conflicts`: a put of another body under a decided number is answered `PutOutcome.OTHER`, where it
-        counts as superseded otherwise.
+        `reports_conflicts`: a put of another body under a decided number is answered `PutOutcome.CONFLICT`;
+        otherwise it counts as superseded.
         """
         self.acceptor, self.peers, self.tasks, self.learn = acceptor, peers, tasks, learn
         self.reports_conflicts = reports_conflicts
@@ -90,7 +90,7 @@
             return outcome
         if len(self.pending_puts) >= MAX_PENDING_PUTS:
             log_event(Event.PUT_BACKLOG_FULL, generation=f"r{version.version_id.number}")
-            return PutOutcome.LATER
+            return PutOutcome.UNDECIDED
         if version.version_id not in self.pending_puts:
             future = asyncio.get_running_loop().create_future()
             self.pending_puts[version.version_id] = version, future
@@ -102,7 +102,7 @@
             async with asyncio.timeout(timeout_s):
                 return await asyncio.shield(done)
         except TimeoutError:
-            return PutOutcome.LATER
+            return PutOutcome.UNDECIDED
 
     def known_outcome(self, version_id: VersionId) -> PutOutcome | None:
         """Return the outcome by what is decided; None where that is below this put."""
@@ -110,7 +110,7 @@
         if decided.number < version_id.number:
             return None
         is_conflict = decided.number == version_id.number and decided.digest != version_id.digest
-        return PutOutcome.OTHER if self.reports_conflicts and is_conflict else PutOutcome.CONFIRMED
+        return PutOutcome.CONFLICT if self.reports_conflicts and is_conflict else PutOutcome.DECIDED
 
     def observe_ballot(self, ballot: Ballot) -> None:
         """Take note of a ballot that somebody reported."""
@@ -140,7 +140,7 @@
                 is_decided = await self._propose(version)
                 if not is_decided and version_id in self.pending_puts:
                     log_event(Event.VERSION_NOT_REPLICATED, generation=f"r{version_id.number}")
-                    self._answer(version_id, PutOutcome.LATER)
+                    self._answer(version_id, PutOutcome.UNDECIDED)
         finally:
             self.is_working = False
 
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -55,9 +55,9 @@
 class PutOutcome(IntEnum):
     """What became of a put. The numbers stand on the wire."""
 
-    LATER = 0  # not known, or not decided yet: to be sent again
-    CONFIRMED = 1  # decided, or superseded by what is decided
-    OTHER = 2  # another configuration is decided under this number
+    UNDECIDED = 0  # not known, or not decided yet: to be sent again
+    DECIDED = 1  # decided, or superseded by what is decided
+    CONFLICT = 2  # another configuration is decided under this number
 
 
 @dataclass(frozen=True, slots=True)
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -289,11 +289,11 @@
         return self.rounds.has_contact()
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """Have this version decided. After `PutOutcome.LATER` it may still come to be decided."""
+        """Have this version decided. After `PutOutcome.UNDECIDED` it may still come to be decided."""
         if not self.has_contact():
             generation = f"r{version.version_id.number}"
             log_event(Event.REQUEST_WITHOUT_CONTACT, call=PUT, generation=generation)
-            return PutOutcome.LATER
+            return PutOutcome.UNDECIDED
         return await self.proposer.put(version, PUT_TIMEOUT_S)
 
     async def read(self) -> ReadReply:
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -296,9 +296,9 @@
 
     async def _ordered(self, command: PutConfiguration) -> Answer:
         match await self.store_client.put(command.version):
-            case PutOutcome.CONFIRMED:
+            case PutOutcome.DECIDED:
                 return Answer(200, b"{}", JSON)
-            case PutOutcome.OTHER:
+            case PutOutcome.CONFLICT:
                 held = f"r{self.store_client.version_id.number}"
                 return Answer(
                     409, json.dumps({"error": "another body holds this number", "held": held}).encode(), JSON
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -292,13 +292,13 @@
     # Orders
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """Have it decided. LATER at once where no store has contact."""
+        """Have it decided. UNDECIDED at once where no store has contact."""
         body = [version.version_id.number, version.version_id.digest, version.body]
-        answer = await self._order("put", body, lambda told: told != PutOutcome.LATER)
+        answer = await self._order("put", body, lambda told: told != PutOutcome.UNDECIDED)
         try:
-            return PutOutcome(answer.value_or(PutOutcome.LATER))
+            return PutOutcome(answer.value_or(PutOutcome.UNDECIDED))
         except ValueError:
-            return PutOutcome.LATER
+            return PutOutcome.UNDECIDED
 
     async def read(self) -> tuple[bool, bytes | None]:
         """Whether it is known what holds, and its body; None where nothing was ever put."""
--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -142,7 +142,7 @@
     for number in range(100):
         stores.at(2.9 + number * 0.03, ask)
     stores.play(6.0)
-    assert when["outcome"] == PutOutcome.CONFIRMED and not wrong, wrong[:3]
+    assert when["outcome"] == PutOutcome.DECIDED and not wrong, wrong[:3]
     for host in rest:
         in_force = min(at for at, number in told[host] if number == 7)
         assert in_force - when["confirmed"] <= DECIDED_WITHIN_S + 0.03, host
@@ -174,7 +174,7 @@
 
     def decided(outcome: Any) -> None:
         when["decided"] = stores.world.seconds()
-        assert outcome == PutOutcome.CONFIRMED
+        assert outcome == PutOutcome.DECIDED
 
     wrong: list[str] = []
 
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -155,16 +155,16 @@
         told = await self.call(
             machine, host, "put", [order.version_id.number, order.version_id.digest, order.body]
         )
-        return PutOutcome.LATER if told is None else PutOutcome(told)
+        return PutOutcome.UNDECIDED if told is None else PutOutcome(told)
 
     async def until_taken(self, machine: Machine, hosts: list[str], order: ConfigVersion) -> PutOutcome:
         """As the operator does: to any of them, with a pause that grows."""
         for attempt in range(60):
             outcome = await self.put(machine, self.stage.chance.choice(hosts), order)
-            if outcome is not PutOutcome.LATER:
+            if outcome is not PutOutcome.UNDECIDED:
                 return outcome
             await pause(machine, min(0.5, 0.05 * 2**attempt))
-        return PutOutcome.LATER
+        return PutOutcome.UNDECIDED
 
     def caller(self, act: Act, after: float = 2.0) -> None:
         self.left += 1
@@ -209,7 +209,7 @@
         play.caller(order(number))
     play.play()
     print(f"{count} members, seed {seed}: {sorted(round(1000 * one) for one in took)} ms")
-    assert outcomes == [PutOutcome.CONFIRMED] * 8
+    assert outcomes == [PutOutcome.DECIDED] * 8
     assert max(took) < 2.5
 
 
@@ -226,20 +226,20 @@
         return act
 
     async def again(machine: Machine) -> None:
-        decided = next(text for outcome, text in found if outcome is PutOutcome.CONFIRMED)
+        decided = next(text for outcome, text in found if outcome is PutOutcome.DECIDED)
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.CONFIRMED
+            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.DECIDED
             assert await play.call(machine, host, "read", None) == [True, version(1, decided).body]
-        assert await play.until_taken(machine, play.hosts, version(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, version(2)) is PutOutcome.DECIDED
         for host in play.hosts:
-            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.CONFIRMED
+            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.DECIDED
         found.append([])
 
     play.caller(order("one", play.hosts[0]))
     play.caller(order("other", play.hosts[1]))
     play.caller(again, 6.0)
     play.play()
-    assert sorted(one[0] for one in found if one) == [PutOutcome.CONFIRMED, PutOutcome.OTHER]
+    assert sorted(one[0] for one in found if one) == [PutOutcome.DECIDED, PutOutcome.CONFLICT]
     assert found[-1] == []
 
 
@@ -249,7 +249,7 @@
     def known_outcome(self, version_id: VersionId) -> PutOutcome | None:
         found = super().known_outcome(version_id)
         is_above = self.acceptor.decided.version_id.number > version_id.number
-        return PutOutcome.OTHER if found is not None and is_above else found
+        return PutOutcome.CONFLICT if found is not None and is_above else found
 
 
 def test_an_order_that_is_refused_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -264,17 +264,17 @@
 
     async def act(machine: Machine) -> None:
         host = play.hosts[0]
-        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.DECIDED
         play.stage.cut(host, True)
         await pause(machine, 3.0)
         begun = machine.time()
-        assert await play.put(machine, host, version(2)) is PutOutcome.LATER
-        assert await play.put(machine, host, version(1)) is PutOutcome.LATER
-        assert await play.put(machine, host, version(1, "another")) is PutOutcome.LATER
+        assert await play.put(machine, host, version(2)) is PutOutcome.UNDECIDED
+        assert await play.put(machine, host, version(1)) is PutOutcome.UNDECIDED
+        assert await play.put(machine, host, version(1, "another")) is PutOutcome.UNDECIDED
         assert await play.call(machine, host, "read", None) == [False, None]
         assert (await play.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
         assert machine.time() - begun < 0.1
-        assert await play.until_taken(machine, play.hosts[1:], version(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts[1:], version(2)) is PutOutcome.DECIDED
         play.stage.cut(host, False)
         begun = machine.time()
         while await play.call(machine, host, "read", None) != [True, version(2).body]:
@@ -301,8 +301,8 @@
             await pause(machine, 0.05)
 
     async def orders_there(machine: Machine) -> None:
-        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.CONFIRMED
-        assert await play.put(machine, play.hosts[1], version(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.DECIDED
+        assert await play.put(machine, play.hosts[1], version(2)) is PutOutcome.DECIDED
 
     play.caller(asks, 3.0)
     play.play()
@@ -319,11 +319,11 @@
     play.stage.disks[host] = MemoryDisk()
 
     async def act(machine: Machine) -> None:
-        assert await play.until_taken(machine, others, version(1)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, others, version(1)) is PutOutcome.DECIDED
         play.stage.start(host)
         await pause(machine, 4.0)
         play.stage.kill(others[0])
-        assert await play.until_taken(machine, [host], version(2)) is PutOutcome.CONFIRMED
+        assert await play.until_taken(machine, [host], version(2)) is PutOutcome.DECIDED
         assert await play.call(machine, others[1], "read", None) == [True, version(2).body]
 
     play.caller(act)
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -187,7 +187,7 @@
     orders.at(8.0, put)
     orders.at(8.5, read)
     rig.play(10.0)
-    assert orders.done == [(0.0, PutOutcome.LATER), (0.0, (False, None))]
+    assert orders.done == [(0.0, PutOutcome.UNDECIDED), (0.0, (False, None))]
 
 
 def test_an_order_goes_to_the_own_store_and_to_another_where_that_is_gone() -> None:
@@ -199,7 +199,7 @@
     orders.at(4.0001, put)  # it has not been seen yet that it is gone
     orders.at(5.0, read)
     rig.play(6.0)
-    assert [answer for _, answer in orders.done] == [PutOutcome.CONFIRMED, PutOutcome.CONFIRMED, (True, b"")]
+    assert [answer for _, answer in orders.done] == [PutOutcome.DECIDED, PutOutcome.DECIDED, (True, b"")]
     assert all(took <= WAY for took, _ in orders.done)
     assert rig.stores[host].puts == [9]
     assert sum(len(rig.stores[other].puts) for other in rig.hosts[1:]) == 1
@@ -217,7 +217,7 @@
         rig.at(at, partial(answer, outcome))
         orders.at(at + 0.1, put)
     rig.play(6.0)
-    assert [told for _, told in orders.done] == [PutOutcome.OTHER, PutOutcome.LATER]
+    assert [told for _, told in orders.done] == [PutOutcome.CONFLICT, PutOutcome.UNDECIDED]
 
 
 def test_an_order_at_a_store_that_stands_still_ends_in_time() -> None:
@@ -229,8 +229,8 @@
     orders.at(5.0, put)  # by then another one is followed
     rig.play(9.0)
     (second, confirmed), (first, later) = sorted(orders.done, key=lambda done: done[0])
-    assert later in (PutOutcome.LATER, PutOutcome.CONFIRMED) and first <= store_client_module.PUT + WAY
-    assert confirmed is PutOutcome.CONFIRMED and second <= WAY
+    assert later in (PutOutcome.UNDECIDED, PutOutcome.DECIDED) and first <= store_client_module.PUT + WAY
+    assert confirmed is PutOutcome.DECIDED and second <= WAY
 
 
 # The list
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -138,16 +138,16 @@
     if held.number < version_id.number:
         return None
     return (
-        PutOutcome.OTHER
+        PutOutcome.CONFLICT
         if held.number == version_id.number and version_id not in self.pending_puts
-        else PutOutcome.CONFIRMED
+        else PutOutcome.DECIDED
     )
 
 
 async def alone_confirmed(self: Proposer, version: ConfigVersion, within: float) -> PutOutcome:
     """An order is confirmed once it is held here."""
     self.tasks.start(PUT(self, version, within))
-    return PutOutcome.CONFIRMED if await self.acceptor.save_version(version) else PutOutcome.LATER
+    return PutOutcome.DECIDED if await self.acceptor.save_version(version) else PutOutcome.UNDECIDED
 
 
 def never_woke(self: QuorumContact, moment: float) -> bool:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -273,7 +273,10 @@
         Sample("read", "not known", None, [False, None]),
     ]
     order = [first.version_id.number, first.version_id.digest, first.body]
-    samples += [Sample("put", end.name.lower(), order, int(end)) for end in PutOutcome]
+    # The names of the samples are keys of the recorded data.
+    outcomes = {"later": PutOutcome.UNDECIDED, "confirmed": PutOutcome.DECIDED, "other": PutOutcome.CONFLICT}
+    assert set(outcomes.values()) == set(PutOutcome)
+    samples += [Sample("put", name, order, int(outcome)) for name, outcome in outcomes.items()]
     asked = [SyncState(first.version_id).encode(), second.version_id.number, second.version_id.digest]
     samples += [Sample("fetch", "not here", asked)]
     for name, chunk in chunks().items():
