--- a/tests/system/test_docs.py
+++ b/tests/system/test_docs.py
@@ -12,6 +12,7 @@
 
 import pytest
 
+from irisdeal.rpc.calls import CALLS
 from irisdeal.runtime.events import Event
 
 ROOT = Path(__file__).parents[2]
@@ -155,6 +156,11 @@
 # Pages
 
 
+def test_the_readme_begins_with_the_two_commands() -> None:
+    commands = re.findall(r"^    (make \w+) ", (ROOT / "README.md").read_text("utf-8"), re.MULTILINE)
+    assert commands[:2] == ["make demo", "make test"]
+
+
 @pytest.mark.parametrize("page", PAGES, ids=name_of)
 def test_each_path_of_a_page_is_there(page: Path) -> None:
     missing = [path for path in paths_in(page.read_text("utf-8")) if not exists(path)]
@@ -250,13 +256,17 @@
     assert upwards == UPWARDS
 
 
-def test_each_module_of_the_diagrams_is_there() -> None:
+def test_the_diagrams_name_modules_members_and_calls_that_are_there() -> None:
     blocks = re.findall(r"```mermaid\n(.*?)```", ARCHITECTURE.read_text("utf-8"), re.DOTALL)
     assert len(blocks) == 2
     for block in blocks:
         named = re.findall(r"irisdeal/[\w/]+\.py", block)
         assert named
         assert not [path for path in named if not exists(path)]
+        members = set(re.findall(r"\b[A-Z]\w+\.[a-z_]\w*", block))
+        known = {name for path in named for name in defined(path)}
+        assert not members - known
+        assert set(re.findall(r'call "(\w+)"', block)) <= CALLS.keys()
 
 
 # On call
