--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -1,4 +1,4 @@
-"""Bodies told as differences and pieces: whole or nothing, whatever comes, and nothing wedges."""
+"""Versions transferred as deltas and snapshots: complete or not at all, whatever arrives, and never stuck."""
 
 from __future__ import annotations
 
@@ -42,51 +42,53 @@
     return ConfigVersion.of(data["generation"], json.dumps(data, **(spaced or SPLIT)).encode())
 
 
-def noise(number: int, length: int) -> ConfigVersion:
+def random_version(number: int, length: int) -> ConfigVersion:
     """A body that cannot be packed."""
     return ConfigVersion.of(f"r{number}", Random(number).randbytes(length))
 
 
 def versions(count: int, routes: int = 60) -> list[ConfigVersion]:
     chance, data = Random(5), configuration(routes)
-    words = [version(data)]
+    history = [version(data)]
     for number in range(2, count + 1):
         data = change(data, chance, f"r{number}")
-        words.append(version(data))
-    return words
+        history.append(version(data))
+    return history
 
 
-def holding(*words: ConfigVersion) -> VersionStore:
+def store_with(*history: ConfigVersion) -> VersionStore:
     version_store = VersionStore()
-    for held in words:
-        version_store.add(held)
+    for current in history:
+        version_store.add(current)
     return version_store
 
 
-def carry(
+def transfer(
     version_store: VersionStore,
     assembler: ChunkAssembler,
-    held: ConfigVersion | None,
+    current: ConfigVersion | None,
     want: ConfigVersion,
-    twist: Callable[[list[Any]], list[list[Any]]] = lambda chunk: [chunk],
-    most: int = 400,
+    tamper: Callable[[list[Any]], list[list[Any]]] = lambda chunk: [chunk],
+    max_chunks: int = 400,
 ) -> tuple[ConfigVersion, int]:
-    """The word, and the bytes of all parcels; `twist` is what the way makes of each."""
+    """The version, and the bytes of all chunks; `tamper` is what the network makes of each."""
     size = 0
-    for _ in range(most):
+    for _ in range(max_chunks):
         chunk = next_chunk(
-            version_store, assembler.sync_state(held.version_id if held else NO_VERSION), want.version_id
+            version_store,
+            assembler.sync_state(current.version_id if current else NO_VERSION),
+            want.version_id,
         )
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
-        for came in twist(chunk):
-            got = assembler.take(came)
-            if got is not None:
-                assert got.is_whole()
-                if got == want:
-                    return got, size
-                held = got
-    raise AssertionError("never whole")
+        for arrived in tamper(chunk):
+            received = assembler.take(arrived)
+            if received is not None:
+                assert received.is_whole()
+                if received == want:
+                    return received, size
+                current = received
+    raise AssertionError("never complete")
 
 
 # Differences
@@ -113,7 +115,7 @@
 
 def test_a_difference_that_is_too_long_is_none() -> None:
     with pytest.raises(NoDifference, match="new"):
-        difference(b"", noise(1, MOST_TOLD // 2 + 1).body)
+        difference(b"", random_version(1, MOST_TOLD // 2 + 1).body)
 
 
 @pytest.mark.parametrize(
@@ -137,7 +139,7 @@
         apply(b"0123456789", zlib.compress(cbor2.dumps(steps)), 20)
 
 
-def test_what_unfolds_to_too_much_is_refused_before_it_does() -> None:
+def test_what_decompresses_to_too_much_is_refused_before_it_does() -> None:
     bomb = zlib.compress(b"\0" * (MAX_BODY_BYTES * 4), 9)
     with pytest.raises(NoDifference, match="over"):
         unpack(bomb, CHUNK_BYTES)
@@ -147,34 +149,34 @@
         unpack(zlib.compress(b"abc")[:-1], 10)
 
 
-# Shelf
+# Store
 
 
-def test_the_last_words_are_kept_small_and_come_out_whole() -> None:
-    words = versions(MAX_OLDER_VERSIONS + 6)
-    version_store = holding(*words)
-    for held in words[-MAX_OLDER_VERSIONS - 1 :]:
-        assert version_store.get(held.version_id.digest) == held
-    assert version_store.get(words[0].version_id.digest) is None
+def test_the_last_versions_are_kept_small_and_unpack_complete() -> None:
+    history = versions(MAX_OLDER_VERSIONS + 6)
+    version_store = store_with(*history)
+    for current in history[-MAX_OLDER_VERSIONS - 1 :]:
+        assert version_store.get(current.version_id.digest) == current
+    assert version_store.get(history[0].version_id.digest) is None
     assert (
         len(version_store.older) == MAX_OLDER_VERSIONS
         and len(version_store.unpacked) <= MAX_UNPACKED_VERSIONS
     )
-    assert sum(len(packed) for _, packed, _ in version_store.older) < len(words[0].body)
+    assert sum(len(packed) for _, packed, _ in version_store.older) < len(history[0].body)
 
 
-def test_words_without_likeness_are_kept_within_bounds() -> None:
-    words = [noise(number, 3 << 20) for number in range(1, 6)]
-    version_store = holding(*words)
+def test_versions_without_likeness_are_kept_within_bounds() -> None:
+    history = [random_version(number, 3 << 20) for number in range(1, 6)]
+    version_store = store_with(*history)
     packed = sum(len(packed) for _, packed, _ in version_store.older)
     whole = sum(len(version.body) for version in version_store.unpacked.values())
     assert packed + whole <= version_store_module.MAX_OLDER_BYTES + MAX_UNPACKED_VERSIONS * (3 << 20)
-    assert version_store.get(words[-1].version_id.digest) == words[-1]
+    assert version_store.get(history[-1].version_id.digest) == history[-1]
 
 
-def test_a_word_held_again_is_the_newest() -> None:
+def test_a_version_added_again_is_the_newest() -> None:
     one, two, three = versions(3)
-    version_store = holding(one, two, three, one)
+    version_store = store_with(one, two, three, one)
     assert version_store.newest == one
     assert (
         version_store.get(two.version_id.digest) == two
@@ -182,7 +184,7 @@
     )
 
 
-def test_packed_is_once_for_all_askers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_difference_is_packed_once_for_all_receivers(monkeypatch: pytest.MonkeyPatch) -> None:
     counted = []
 
     def counting(base: bytes, wanted: bytes) -> bytes:
@@ -190,17 +192,17 @@
         return difference(base, wanted)
 
     one, two = versions(2)
-    version_store = holding(one, two)
+    version_store = store_with(one, two)
     monkeypatch.setattr(version_store_module, "difference", counting)
     for _ in range(85):
         assert next_chunk(version_store, SyncState(one.version_id), two.version_id) is not None
     assert len(counted) == 1
 
 
-def test_packed_parcels_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cached_chunks_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(chunk_cache, "MAX_CACHE_BYTES", 1 << 20)
-    body = noise(1, 3 << 20)
-    version_store = holding(body)
+    body = random_version(1, 3 << 20)
+    version_store = store_with(body)
     for offset in range(0, len(body.body), CHUNK_BYTES):
         assert (
             next_chunk(version_store, SyncState(NO_VERSION, body.version_id, offset), body.version_id)
@@ -213,86 +215,92 @@
     )
 
 
-# The way
+# Transfer
 
 
-def test_a_caller_with_one_of_the_last_words_gets_the_difference() -> None:
-    words = versions(MAX_OLDER_VERSIONS)
-    version_store = holding(*words)
-    for held in words[:-1]:
-        assembler = ChunkAssembler(holding(held))
-        _, size = carry(version_store, assembler, held, words[-1], most=1)
-        assert size < len(words[-1].body) // 6
+def test_a_receiver_with_one_of_the_last_versions_gets_a_delta() -> None:
+    history = versions(MAX_OLDER_VERSIONS)
+    version_store = store_with(*history)
+    for current in history[:-1]:
+        assembler = ChunkAssembler(store_with(current))
+        _, size = transfer(version_store, assembler, current, history[-1], max_chunks=1)
+        assert size < len(history[-1].body) // 6
 
 
-def test_the_whole_comes_in_bounded_pieces_and_goes_on_at_another_holder() -> None:
-    body = noise(4, 5 * CHUNK_BYTES + 7)
-    assembler, holders = ChunkAssembler(VersionStore()), [holding(body), holding(body)]
+def test_a_snapshot_comes_in_bounded_chunks_and_continues_from_another_source() -> None:
+    body = random_version(4, 5 * CHUNK_BYTES + 7)
+    assembler, sources = ChunkAssembler(VersionStore()), [store_with(body), store_with(body)]
     for turn in range(6):
-        chunk = next_chunk(holders[turn % 2], assembler.sync_state(NO_VERSION), body.version_id)
+        chunk = next_chunk(sources[turn % 2], assembler.sync_state(NO_VERSION), body.version_id)
         assert chunk is not None and len(cbor2.dumps(chunk)) < CHUNK_BYTES + 400
         assert assembler.sync_state(NO_VERSION).offset == turn * CHUNK_BYTES
-        got = assembler.take(chunk)
-    assert got == body
+        received = assembler.take(chunk)
+    assert received == body
 
 
-def test_a_long_difference_comes_in_pieces() -> None:
-    one = noise(1, 800_000)
+def test_a_long_delta_comes_in_chunks() -> None:
+    one = random_version(1, 800_000)
     two = ConfigVersion.of("r2", one.body[:400_000] + Random(9).randbytes(120_000) + one.body[400_000:])
-    assembler = ChunkAssembler(holding(one))
-    _, size = carry(holding(one, two), assembler, one, two, most=3)
+    assembler = ChunkAssembler(store_with(one))
+    _, size = transfer(store_with(one, two), assembler, one, two, max_chunks=3)
     assert size < 125_000
 
 
-def test_what_is_begun_goes_on_while_changes_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller with nothing, a piece at a time, while each ask finds a newer word."""
+def test_a_transfer_continues_while_versions_change(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A receiver with nothing, a chunk at a time, while each request finds a newer version."""
     monkeypatch.setattr(version_store_module, "CHUNK_BYTES", 12 << 10)
-    words = versions(60, routes=400)
-    begun = len(words[0].body) // (12 << 10) + 1
-    assert begun > 6
-    version_store, assembler, held, size = VersionStore(), ChunkAssembler(VersionStore()), NO_VERSION, 0
-    for number, newest in enumerate(words):
+    history = versions(60, routes=400)
+    started_at_number = len(history[0].body) // (12 << 10) + 1
+    assert started_at_number > 6
+    version_store, assembler, current, size = VersionStore(), ChunkAssembler(VersionStore()), NO_VERSION, 0
+    for number, newest in enumerate(history):
         version_store.add(newest)
-        chunk = next_chunk(version_store, assembler.sync_state(held), newest.version_id)
+        chunk = next_chunk(version_store, assembler.sync_state(current), newest.version_id)
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
-        got = assembler.take(chunk)
-        if got is not None:
-            held = got.version_id
-        if number >= begun + 1:
-            assert held == newest.version_id
-    assert size < len(words[-1].body)
+        received = assembler.take(chunk)
+        if received is not None:
+            current = received.version_id
+        if number >= started_at_number + 1:
+            assert current == newest.version_id
+    assert size < len(history[-1].body)
 
 
-def test_callers_that_begin_while_changes_go_on_share_one_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One more caller with each change, a piece at a time for each: all are done soon, packed once."""
+def test_receivers_that_start_while_versions_change_share_one_snapshot(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """One more receiver with each change, a chunk at a time for each: all complete soon, packed once."""
     monkeypatch.setattr(version_store_module, "CHUNK_BYTES", 12 << 10)
-    words = versions(50, routes=400)
-    pieces = -(-len(words[0].body) // (12 << 10))
+    history = versions(50, routes=400)
+    chunk_count = -(-len(history[0].body) // (12 << 10))
     version_store, callers = VersionStore(), list[tuple[ChunkAssembler, int]]()
-    held: dict[int, ConfigVersion] = {}
+    current: dict[int, ConfigVersion] = {}
     packed = set()
-    for number, newest in enumerate(words):
+    for number, newest in enumerate(history):
         version_store.add(newest)
         if number < 20:
             callers.append((ChunkAssembler(VersionStore(max_older=0)), number))
-        for assembler, begun in callers:
-            version_id = held[begun].version_id if begun in held else NO_VERSION
+        for assembler, started_at_number in callers:
+            version_id = current[started_at_number].version_id if started_at_number in current else NO_VERSION
             if version_id != newest.version_id:
                 chunk = next_chunk(
                     version_store, assembler.sync_state(version_id), newest.version_id, by_snapshot=True
                 )
                 packed |= {chunk[1]} if not chunk[3] else set()
-                got = assembler.take(chunk)
-                held.update({begun: got} if got else {})
-            if number > begun + pieces:
-                assert held[begun] == newest
-    assert packed == {words[0].version_id.digest}
+                received = assembler.take(chunk)
+                current.update({started_at_number: received} if received else {})
+            if number > started_at_number + chunk_count:
+                assert current[started_at_number] == newest
+    assert packed == {history[0].version_id.digest}
 
 
-def test_a_snapshot_far_from_the_newest_is_renewed_and_who_is_in_its_middle_ends_it() -> None:
-    one, two = noise(1, 3 * CHUNK_BYTES), noise(2, 3 * CHUNK_BYTES)
-    version_store, early, late = holding(one), ChunkAssembler(VersionStore()), ChunkAssembler(VersionStore())
+def test_a_snapshot_far_from_the_newest_is_renewed_and_a_receiver_in_its_middle_completes_it() -> None:
+    one, two = random_version(1, 3 * CHUNK_BYTES), random_version(2, 3 * CHUNK_BYTES)
+    version_store, early, late = (
+        store_with(one),
+        ChunkAssembler(VersionStore()),
+        ChunkAssembler(VersionStore()),
+    )
     early.take(next_chunk(version_store, early.sync_state(NO_VERSION), one.version_id, by_snapshot=True))
     version_store.add(two)
     chunk = next_chunk(version_store, late.sync_state(NO_VERSION), two.version_id, by_snapshot=True)
@@ -302,40 +310,40 @@
     assert len(version_store.unpacked) <= MAX_UNPACKED_VERSIONS
 
 
-def test_who_tells_no_others_keeps_the_newest_alone() -> None:
+def test_a_store_that_serves_no_others_keeps_the_newest_only() -> None:
     one, two = versions(2)
-    assembler, version_store = ChunkAssembler(VersionStore(max_older=0)), holding(one, two)
+    assembler, version_store = ChunkAssembler(VersionStore(max_older=0)), store_with(one, two)
     assembler.version_store.add(one)
-    assert carry(version_store, assembler, one, two, most=1)[0] == two
+    assert transfer(version_store, assembler, one, two, max_chunks=1)[0] == two
     assert assembler.version_store.get(one.version_id.digest) is None and not assembler.version_store.unpacked
 
 
-def test_who_is_behind_is_told_the_newest_only() -> None:
-    words = versions(12)
-    version_store, assembler = holding(*words), ChunkAssembler(holding(words[0]))
-    got = assembler.take(
-        next_chunk(version_store, assembler.sync_state(words[0].version_id), words[-1].version_id)
+def test_a_receiver_that_is_behind_is_sent_the_newest_only() -> None:
+    history = versions(12)
+    version_store, assembler = store_with(*history), ChunkAssembler(store_with(history[0]))
+    received = assembler.take(
+        next_chunk(version_store, assembler.sync_state(history[0].version_id), history[-1].version_id)
     )
-    assert got == words[-1]
+    assert received == history[-1]
 
 
 @settings(max_examples=60, deadline=None)
 @given(strategies.integers(0, 2**32), strategies.booleans())
-def test_parcels_torn_doubled_swapped_and_spliced_never_make_another_word(seed: int, known: bool) -> None:
-    """Two words and two ways; what comes out whole is the word, and after the last fault it comes."""
+def test_chunks_torn_doubled_swapped_and_spliced_never_make_another_version(seed: int, known: bool) -> None:
+    """Whatever is assembled is the announced version, and after the last fault it is assembled."""
     chance = Random(seed)
     one, two, three = (
-        noise(1, 3 * CHUNK_BYTES + 5),
-        noise(2, 3 * CHUNK_BYTES + 5),
-        noise(3, 2 * CHUNK_BYTES),
+        random_version(1, 3 * CHUNK_BYTES + 5),
+        random_version(2, 3 * CHUNK_BYTES + 5),
+        random_version(3, 2 * CHUNK_BYTES),
     )
     three = ConfigVersion.of(
         "r3", two.body[: 2 * CHUNK_BYTES] + three.body[:9000] + two.body[2 * CHUNK_BYTES :]
     )
-    version_store, faults = holding(one, two, three), [20]
+    version_store, faults = store_with(one, two, three), [20]
     old: list[list[Any]] = [[]]
 
-    def twist(chunk: list[Any]) -> list[list[Any]]:
+    def tamper(chunk: list[Any]) -> list[list[Any]]:
         before, old[0] = old[0], chunk
         if faults[0] == 0:
             return [chunk]
@@ -367,13 +375,13 @@
             ]
         )
 
-    held = two if known else None
-    assembler = ChunkAssembler(holding(*([two] if known else [])))
-    carry(version_store, assembler, held, three, twist, most=60)
+    current = two if known else None
+    assembler = ChunkAssembler(store_with(*([two] if known else [])))
+    transfer(version_store, assembler, current, three, tamper, max_chunks=60)
 
 
 @pytest.mark.parametrize(
-    "strange",
+    "malformed",
     [
         [],
         [1],
@@ -385,14 +393,14 @@
         [1, [1], 5, b"", 5, 0, 0, b"x"],
     ],
 )
-def test_what_is_no_parcel_changes_nothing(strange: Any) -> None:
-    body = noise(1, 2 * CHUNK_BYTES)
-    version_store, assembler = holding(body), ChunkAssembler(VersionStore())
+def test_a_malformed_chunk_changes_nothing(malformed: Any) -> None:
+    body = random_version(1, 2 * CHUNK_BYTES)
+    version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
     assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id))
-    assert assembler.take(strange) is None and assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
+    assert assembler.take(malformed) is None and assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
 
 
-def checked(
+def encoded_chunk(
     number: int,
     digest: bytes,
     length: int,
@@ -401,7 +409,7 @@
     offset: int,
     piece: bytes,
 ) -> list[Any]:
-    """A parcel whose check is right, whatever else is not."""
+    """A chunk whose checksum is right, whatever else is not."""
     check = chunks.checksum(VersionId(number, digest), length, base, size, offset, piece)
     return [number, digest, length, base, size, offset, check, piece]
 
@@ -409,8 +417,8 @@
 @pytest.mark.parametrize(
     "chunk",
     [
-        checked(9, b"d" * 32, MAX_BODY_BYTES + 1, b"", MAX_BODY_BYTES + 1, 0, b"x"),
-        checked(
+        encoded_chunk(9, b"d" * 32, MAX_BODY_BYTES + 1, b"", MAX_BODY_BYTES + 1, 0, b"x"),
+        encoded_chunk(
             9,
             b"d" * 32,
             CHUNK_BYTES,
@@ -419,139 +427,139 @@
             0,
             zlib.compress(b"\0" * MAX_BODY_BYTES),
         ),
-        checked(9, b"d" * 32, 10, b"", 10, 0, zlib.compress(b"")),
-        checked(9, b"d" * 32, 10, b"", 11, 0, zlib.compress(b"0123456789a")),
-        checked(9, b"d" * 32, 10, b"", 10, -1, zlib.compress(b"0123456789")),
-        checked(9, b"d" * 32, 10, b"none", 3, 0, b"abc"),
+        encoded_chunk(9, b"d" * 32, 10, b"", 10, 0, zlib.compress(b"")),
+        encoded_chunk(9, b"d" * 32, 10, b"", 11, 0, zlib.compress(b"0123456789a")),
+        encoded_chunk(9, b"d" * 32, 10, b"", 10, -1, zlib.compress(b"0123456789")),
+        encoded_chunk(9, b"d" * 32, 10, b"none", 3, 0, b"abc"),
     ],
 )
 def test_announced_lengths_are_bounded_and_checked(chunk: list[Any]) -> None:
-    body = noise(1, 3 * CHUNK_BYTES)
-    version_store, assembler = holding(body), ChunkAssembler(VersionStore())
+    body = random_version(1, 3 * CHUNK_BYTES)
+    version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
     for _ in range(2 * MAX_REJECTED_CHUNKS):
         assert assembler.take(chunk) is None
         assert len(assembler.transfer.data) <= CHUNK_BYTES
-    assert carry(version_store, assembler, None, body)[0] == body
+    assert transfer(version_store, assembler, None, body)[0] == body
 
 
-def test_a_wrong_word_whole_by_its_length_is_begun_anew() -> None:
-    """One holder tells another body under the same stamp; the next ask gets the whole from an honest one."""
+def test_a_wrong_version_of_the_announced_length_is_transferred_again() -> None:
+    """One source sends another body under the same id; the next request gets a snapshot from a correct one."""
     one, two = versions(2)
-    version_store, assembler = holding(one, two), ChunkAssembler(holding(one))
+    version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     lie = difference(one.body, one.body + b" " * (len(two.body) - len(one.body)))
     length = max(len(one.body), len(two.body))
-    chunk = checked(2, two.version_id.digest, length, one.version_id.digest, len(lie), 0, lie)
+    chunk = encoded_chunk(2, two.version_id.digest, length, one.version_id.digest, len(lie), 0, lie)
     assert assembler.take(chunk) is None
     assert assembler.sync_state(one.version_id) == SyncState()
-    assert carry(version_store, assembler, one, two)[0] == two
+    assert transfer(version_store, assembler, one, two)[0] == two
 
 
-def test_a_difference_that_never_comes_out_right_is_gone_round_by_the_snapshot(
+def test_a_delta_that_is_always_wrong_is_replaced_by_the_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A holder whose difference between two words is wrong each time."""
+    """A source whose difference between two versions is wrong each time."""
     one, two, three = versions(3)
-    version_store = holding(one)
+    version_store = store_with(one)
     next_chunk(version_store, SyncState(), one.version_id, by_snapshot=True)
     version_store.add(two)
     version_store.add(three)
     wrong = difference(b"", bytes(len(three.body)))
     version_store.cache.add(CacheKey.of_difference(three.version_id.digest, two.version_id.digest), wrong)
-    assembler = ChunkAssembler(holding(two))
-    told = []
+    assembler = ChunkAssembler(store_with(two))
+    bases = []
     for _ in range(4):
         sync_state = assembler.sync_state(two.version_id)
-        told.append(sync_state.version_id)
+        bases.append(sync_state.version_id)
         if assembler.take(next_chunk(version_store, sync_state, three.version_id, by_snapshot=True)) == three:
             break
-    assert told == [two.version_id, NO_VERSION, one.version_id] and assembler.version_store.newest == three
+    assert bases == [two.version_id, NO_VERSION, one.version_id] and assembler.version_store.newest == three
     assert assembler.sync_state(three.version_id) == SyncState(three.version_id)
 
 
-def test_a_base_that_is_not_here_is_no_use_and_the_whole_comes() -> None:
+def test_without_its_base_a_delta_is_rejected_and_a_snapshot_comes() -> None:
     one, two = versions(2)
     version_store, assembler = (
-        holding(one, two),
+        store_with(one, two),
         ChunkAssembler(VersionStore()),
-    )  # it says that it has one, whose body is gone
-    assert carry(version_store, assembler, one, two, most=2)[0] == two
+    )  # it reports to have version one, whose body is gone
+    assert transfer(version_store, assembler, one, two, max_chunks=2)[0] == two
 
 
-def test_a_word_from_two_sources_is_worked_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_version_from_two_sources_is_assembled_once(monkeypatch: pytest.MonkeyPatch) -> None:
     one, two = versions(2)
-    version_store, assembler = holding(one, two), ChunkAssembler(holding(one))
+    version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     chunk = next_chunk(version_store, assembler.sync_state(one.version_id), two.version_id)
     assert assembler.take(chunk) == two
     monkeypatch.setattr(chunk_assembler, "apply", None)
     assert assembler.take(chunk) == two
 
 
-def test_a_source_that_begins_anew_takes_over_only_when_the_first_is_gone() -> None:
-    one, two = noise(1, 4 * CHUNK_BYTES), noise(2, 4 * CHUNK_BYTES)
-    first, second, assembler = holding(one), holding(two), ChunkAssembler(VersionStore())
+def test_another_source_takes_over_only_when_the_first_is_gone() -> None:
+    one, two = random_version(1, 4 * CHUNK_BYTES), random_version(2, 4 * CHUNK_BYTES)
+    first, second, assembler = store_with(one), store_with(two), ChunkAssembler(VersionStore())
     assembler.take(next_chunk(first, assembler.sync_state(NO_VERSION), one.version_id))
     assembler.take(next_chunk(second, assembler.sync_state(NO_VERSION), two.version_id))
     assert assembler.sync_state(NO_VERSION).arriving == one.version_id
-    assert carry(second, assembler, None, two, most=4 + MAX_REJECTED_CHUNKS)[0] == two
+    assert transfer(second, assembler, None, two, max_chunks=4 + MAX_REJECTED_CHUNKS)[0] == two
 
 
-def test_who_lied_about_the_length_and_is_gone_does_not_keep_the_word_away() -> None:
-    body = noise(1, 4 * CHUNK_BYTES)
-    honest, assembler = holding(body), ChunkAssembler(VersionStore())
+def test_a_source_that_announced_a_wrong_length_does_not_keep_the_version_away() -> None:
+    body = random_version(1, 4 * CHUNK_BYTES)
+    source, assembler = store_with(body), ChunkAssembler(VersionStore())
     piece = zlib.compress(body.body[:CHUNK_BYTES])
-    assembler.take(checked(1, body.version_id.digest, 9 * CHUNK_BYTES, b"", 9 * CHUNK_BYTES, 0, piece))
+    assembler.take(encoded_chunk(1, body.version_id.digest, 9 * CHUNK_BYTES, b"", 9 * CHUNK_BYTES, 0, piece))
     assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
-    assert carry(honest, assembler, None, body, most=5 + MAX_REJECTED_CHUNKS)[0] == body
+    assert transfer(source, assembler, None, body, max_chunks=5 + MAX_REJECTED_CHUNKS)[0] == body
 
 
-def test_a_long_difference_without_its_base_is_refused_at_its_first_piece() -> None:
+def test_a_long_delta_without_its_base_is_rejected_at_its_first_chunk() -> None:
     assembler = ChunkAssembler(VersionStore())
-    assert assembler.take(checked(9, b"d" * 32, 10, b"none", 3, 0, b"a")) is None
+    assert assembler.take(encoded_chunk(9, b"d" * 32, 10, b"none", 3, 0, b"a")) is None
     assert not assembler.transfer.data
     assert assembler.sync_state(NO_VERSION) == SyncState()
 
 
-def test_the_next_piece_of_another_word_changes_nothing() -> None:
-    one, two = noise(1, 3 * CHUNK_BYTES), noise(2, 3 * CHUNK_BYTES)
-    version_store, assembler = holding(one, two), ChunkAssembler(VersionStore())
+def test_the_next_chunk_of_another_version_changes_nothing() -> None:
+    one, two = random_version(1, 3 * CHUNK_BYTES), random_version(2, 3 * CHUNK_BYTES)
+    version_store, assembler = store_with(one, two), ChunkAssembler(VersionStore())
     assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
     assembler.take(
         next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
     )
     assert assembler.sync_state(NO_VERSION) == SyncState(NO_VERSION, two.version_id, CHUNK_BYTES)
-    assert carry(version_store, assembler, None, two, most=2)[0] == two
+    assert transfer(version_store, assembler, None, two, max_chunks=2)[0] == two
 
 
 # Planted: each of these must be found by the tests above
 
 
 def test_a_difference_on_the_wrong_base_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A holder that takes the difference against the word before, whatever the caller has."""
-    words = versions(4)
-    version_store = holding(*words)
+    """A source that takes the difference against the version before, whatever the receiver has."""
+    history = versions(4)
+    version_store = store_with(*history)
     real = VersionStore.get
 
     def wrong(self: VersionStore, digest: bytes) -> ConfigVersion | None:
-        return real(self, words[2].version_id.digest if digest == words[0].version_id.digest else digest)
+        return real(self, history[2].version_id.digest if digest == history[0].version_id.digest else digest)
 
     monkeypatch.setattr(VersionStore, "get", wrong)
-    chunk = next_chunk(version_store, SyncState(words[0].version_id), words[3].version_id)
+    chunk = next_chunk(version_store, SyncState(history[0].version_id), history[3].version_id)
     monkeypatch.undo()
-    assert chunk[3] == words[0].version_id.digest
-    assembler = ChunkAssembler(holding(words[0]))
-    assert assembler.take(chunk) is None and assembler.sync_state(words[0].version_id) == SyncState()
-    assert carry(version_store, assembler, words[0], words[3], most=1)[0] == words[3]
+    assert chunk[3] == history[0].version_id.digest
+    assembler = ChunkAssembler(store_with(history[0]))
+    assert assembler.take(chunk) is None and assembler.sync_state(history[0].version_id) == SyncState()
+    assert transfer(version_store, assembler, history[0], history[3], max_chunks=1)[0] == history[3]
 
 
-def test_a_piece_of_another_word_spliced_in_is_found() -> None:
-    """Its head and check are made right, so only the digest can tell."""
-    one, two = noise(1, 2 * CHUNK_BYTES), noise(2, 2 * CHUNK_BYTES)
-    version_store, assembler = holding(one, two), ChunkAssembler(VersionStore())
+def test_a_chunk_of_another_version_spliced_in_is_found() -> None:
+    """Its header and checksum are made right, so only the digest can show it."""
+    one, two = random_version(1, 2 * CHUNK_BYTES), random_version(2, 2 * CHUNK_BYTES)
+    version_store, assembler = store_with(one, two), ChunkAssembler(VersionStore())
     assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
     other = next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
     assert (
         assembler.take(
-            checked(
+            encoded_chunk(
                 2,
                 two.version_id.digest,
                 2 * CHUNK_BYTES,
@@ -564,14 +572,14 @@
         is None
     )
     assert assembler.sync_state(NO_VERSION) == SyncState()
-    assert carry(version_store, assembler, None, two)[0] == two
+    assert transfer(version_store, assembler, None, two)[0] == two
 
 
-def test_a_piece_taken_twice_is_found() -> None:
-    body = noise(1, 3 * CHUNK_BYTES)
-    version_store, assembler = holding(body), ChunkAssembler(VersionStore())
+def test_a_chunk_taken_twice_is_found() -> None:
+    body = random_version(1, 3 * CHUNK_BYTES)
+    version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
     chunk = next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id)
     for _ in range(3):
         assert assembler.take(chunk) is None
     assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
-    assert carry(version_store, assembler, None, body, most=2)[0] == body
+    assert transfer(version_store, assembler, None, body, max_chunks=2)[0] == body
