--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -214,7 +214,7 @@
         status: int = 503,
     ) -> None:
         if attempt.end is End.OPEN:
-            attempt.end, attempt.ended = End.TURNED_AWAY, self.now()
+            attempt.end, attempt.ended = End.REJECTED, self.now()
         connection.context = None
         connection.reply(status, why.encode() + b"\n", "X-Never-Ran: 1\r\n" + self._figures(attempt), close)
 
--- a/irisdeal/testbed/digest_text.py
+++ b/irisdeal/testbed/digest_text.py
@@ -18,6 +18,7 @@
     "FrontDoorIncarnation": "DoorLife",
     "LinkFault": "Hold",
 }
+MEMBER_NAMES = {"REJECTED": "TURNED_AWAY"}
 FIELD_NAMES = {
     "backend": "box",
     "front_door": "door",
@@ -33,7 +34,8 @@
 def digest_text(value: object) -> str:
     """The text of a value: a dataclass, an enum's member, a list, tuple or dict of them, or a plain value."""
     if isinstance(value, Enum):
-        return repr(value)
+        name = MEMBER_NAMES.get(value.name, value.name)
+        return f"<{type(value).__name__}.{name}: {value.value!r}>"
     if is_dataclass(value) and not isinstance(value, type):
         name = type(value).__name__
         inner = (
--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -39,7 +39,7 @@
     OPEN = "still out"
     SERVED = "served"
     ERROR = "error"
-    TURNED_AWAY = "turned away"  # with X-Never-Ran: the front door was told that it never ran
+    REJECTED = "turned away"  # with X-Never-Ran: the front door knows that it never ran
     BROKEN = "connection ended"  # while the attempt was out
     SPOILT = "spoilt answer"
 
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -521,7 +521,7 @@
         trace
         for trace, tries in by_trace.items()
         if any(
-            later.first_byte > since and earlier.end is not End.TURNED_AWAY
+            later.first_byte > since and earlier.end is not End.REJECTED
             for n, later in enumerate(tries)
             for earlier in tries[:n]
         )
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -183,7 +183,7 @@
 
 
 def test_an_unsafe_request_again_only_after_proof() -> None:
-    first = attempt(SECOND, kind="file", end=End.TURNED_AWAY, ended=SECOND + 10 * MS, ran=False)
+    first = attempt(SECOND, kind="file", end=End.REJECTED, ended=SECOND + 10 * MS, ran=False)
     assert broken(attempts=[first, attempt(SECOND + 10 * MS, "s2", kind="file")]) == []
     assert broken(attempts=[first, attempt(SECOND + 9 * MS, "s2", kind="file")]) == [
         "EFFECTS: an unsafe request was sent again"
@@ -207,7 +207,7 @@
 def test_a_refusal_promises() -> None:
     refusal = Answer(SECOND + 20 * MS, 503, b"")
     running = attempt(SECOND, kind="claim")
-    away = attempt(SECOND, kind="claim", end=End.TURNED_AWAY, ended=SECOND + 10 * MS)
+    away = attempt(SECOND, kind="claim", end=End.REJECTED, ended=SECOND + 10 * MS)
     assert broken(client_attempts=[client_attempt(refusal, kind="claim")], attempts=[running]) == [
         "EFFECTS: refused, though it may have run"
     ]
