--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -82,7 +82,7 @@
 
 
 async def build(deploy: Deploy) -> None:
-    """The deployment's `build` line; quick where all is there already."""
+    """Run the deployment's `build` line; quick where everything is built already."""
     if not deploy.build:
         return
     made = await asyncio.create_subprocess_shell(
@@ -94,14 +94,14 @@
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that nobody has by now; by the time it is used somebody may."""
+    """Find a port of 127.0.0.1 that is free now; by the time it is used somebody may have it."""
     with socket.socket() as made:
         made.bind(("127.0.0.1", 0))
         return int(made.getsockname()[1])
 
 
 def own_host() -> str:
-    """An address of loopback that no other run on this machine has: by our process id.
+    """Return an address of loopback that no other run on this machine has: by our process id.
 
     A port that was looked for and given up is anybody's until its front door binds it; on an address of one's own
     nobody else looks. Where the system has the one address alone (not Linux), that one.
@@ -160,6 +160,7 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
+        """The addresses that the front doors listen on, in their order."""
         return [front_door.address for front_door in self.front_doors]
 
     async def start(self) -> None:
@@ -256,7 +257,7 @@
             )
 
     def _noticed(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
-        """The front leaves a dead front door out, unless another process stands there by now."""
+        """Remove a dead front door from the load, unless another process has its place by now."""
         if front_door.process is process and self.load_generator is not None:
             self.load_generator.front_door_down(front_door.number)
 
@@ -269,6 +270,7 @@
                 os.kill(process.pid, number)
 
     async def kill(self, front_door: int, down: float) -> None:
+        """Kill a front door with SIGKILL, and start it again after `down` s."""
         front_door_process = self.front_doors[front_door]
         if (
             front_door_process.process is None
@@ -285,6 +287,7 @@
         await self._start_again(front_door_process, turn)
 
     async def restart(self, front_door: int) -> None:
+        """End a front door with SIGTERM, and start it again once it has ended."""
         front_door_process = self.front_doors[front_door]
         if front_door_process.process is None or front_door_process.process.returncode is not None:
             return
@@ -294,6 +297,7 @@
         await self._start_again(front_door_process, turn)
 
     async def stall(self, front_door: int, seconds: float) -> None:
+        """Stop a front door with SIGSTOP for `seconds`."""
         front_door_process, start = self.front_doors[front_door], self.platform.now()
         process = front_door_process.process
         if process is None or process.returncode is not None:
@@ -307,6 +311,7 @@
                 self._signal(front_door_process, signal.SIGCONT)
 
     async def reload(self, front_door: int) -> None:
+        """Write a front door's configuration anew and send it SIGHUP."""
         front_door_process = self.front_doors[front_door]
         self.platform.write_config(
             front_door, front_door_process.listen, self.random.getrandbits(63), front_door_process.config
@@ -392,7 +397,7 @@
 
 
 def measure(pid: int, use: Use) -> None:
-    """What a process uses, from /proc; where there is none (not Linux) nothing is told."""
+    """Measure what a process uses, from /proc; nothing where there is none (not Linux)."""
     with suppress(OSError, ValueError, IndexError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         use.cpu = (int(fields[11]) + int(fields[12])) * 1_000_000 // TICKS - use.start_cpu
--- a/irisdeal/demo/report.py
+++ b/irisdeal/demo/report.py
@@ -14,7 +14,7 @@
 
 
 def as_json(outcome: Outcome) -> dict[str, Any]:
-    """The outcome as plain values; shares from 0 to 1, times in seconds unless a key names its unit."""
+    """Return the outcome as plain values; shares from 0 to 1, times in s unless a key names its unit."""
     service, day, verdict = outcome.service, outcome.day, outcome.verdict
     requests = _requests(outcome)
     return {
@@ -115,7 +115,7 @@
 
 
 def show(outcome: Outcome, console: Console, tenants: int = 5) -> None:
-    """The tables; `tenants` of those that went furthest over their quotas."""
+    """Print the tables, with `tenants` of those that exceeded their quotas most."""
     told = as_json(outcome)
     scenario, service = outcome.day.scenario, told["service"]
     if outcome.interrupted is not None:
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -49,6 +49,7 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken and no front door crashed."""
         return self.verdict.kept and not self.crashes
 
 
--- a/irisdeal/testbed/audit/answers.py
+++ b/irisdeal/testbed/audit/answers.py
@@ -16,7 +16,7 @@
 
 
 def answers(evidence: Evidence, timed: bool) -> Iterator[Breach]:
-    """The breaches of rule 11; how late an answer was counts only where `timed`."""
+    """Find the breaches of rule 11; how late an answer was counts only where `timed`."""
     incarnations: dict[int, list[FrontDoorIncarnation]] = defaultdict(list)
     for incarnation in evidence.request_log.front_doors:
         incarnations[incarnation.front_door].append(incarnation)
--- a/irisdeal/testbed/audit/ceilings.py
+++ b/irisdeal/testbed/audit/ceilings.py
@@ -14,7 +14,7 @@
 
 
 def ceilings(evidence: Evidence) -> Iterator[Breach]:
-    """The breaches of rule 15, the first of each tenant."""
+    """Find the breaches of rule 15, the first of each tenant."""
     ceilings = evidence.figures.ceilings
     firsts: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
     for attempts in evidence.attempts.values():
--- a/irisdeal/testbed/audit/drains.py
+++ b/irisdeal/testbed/audit/drains.py
@@ -12,7 +12,7 @@
 
 
 def drains(evidence: Evidence) -> Iterator[Breach]:
-    """The breaches of rule 13."""
+    """Find the breaches of rule 13."""
     history = _History(evidence.request_log)
     for attempt in evidence.request_log.attempts:
         evidence.verdict.checked[Rule.DRAINS] += 1
--- a/irisdeal/testbed/audit/effects.py
+++ b/irisdeal/testbed/audit/effects.py
@@ -12,7 +12,7 @@
 
 
 def effects(evidence: Evidence) -> Iterator[Breach]:
-    """The breaches of rule 12: attempts that the class forbids, and rejections of what may have run."""
+    """Find the breaches of rule 12: forbidden attempts, and rejections of what may have run."""
     for trace, attempts in evidence.attempts.items():
         rule = evidence.figures.kinds.get(attempts[0].kind)
         if rule is None or rule.repeat == "safe":
@@ -29,7 +29,7 @@
 def _first_forbidden(
     evidence: Evidence, trace: str, rule: KindRule, risky: list[Attempt], later: Attempt
 ) -> Iterator[Breach]:
-    """The first of the earlier attempts after which this one was forbidden."""
+    """Find the first of the earlier attempts after which this one was forbidden."""
     for earlier in risky:
         found = _forbidden(evidence, rule, earlier, later)
         if found is not None:
@@ -42,7 +42,7 @@
 def _forbidden(
     evidence: Evidence, rule: KindRule, earlier: Attempt, later: Attempt
 ) -> tuple[str, str] | None:
-    """What is wrong with a further attempt, and the rule's figure; None where it is allowed."""
+    """Return what is wrong with a further attempt, and the rule's figure; None where it is allowed."""
     if rule.repeat == "unsafe":
         return "an unsafe request was sent again", "only when each earlier attempt is known not to have run"
     if not _same_group(earlier, later, rule, evidence.figures.cells):
--- a/irisdeal/testbed/audit/model.py
+++ b/irisdeal/testbed/audit/model.py
@@ -84,7 +84,7 @@
         return not any(self.counts.values())
 
     def broken(self) -> set[Rule]:
-        """The rules that were broken."""
+        """Return the rules that were broken."""
         return {rule for rule, count in self.counts.items() if count}
 
     def record(self, breach: Breach) -> None:
--- a/irisdeal/testbed/audit/slow_start.py
+++ b/irisdeal/testbed/audit/slow_start.py
@@ -22,7 +22,7 @@
 
 
 def slow_start(evidence: Evidence) -> Iterator[Breach]:
-    """The breaches of rule 14: work over the budget of a window, and backends that failed by it."""
+    """Find the breaches of rule 14: work over the budget of a window, and backends that failed by it."""
     request_log, figures = evidence.request_log, evidence.figures
     incarnations = {(each.backend, each.incarnation): each for each in request_log.incarnations}
     sent = _sent_in_slow_start(request_log, incarnations)
@@ -48,7 +48,7 @@
 def _sent_in_slow_start(
     request_log: RequestLog, incarnations: dict[tuple[str, int], BackendIncarnation]
 ) -> dict[tuple[str, int], list[Informed]]:
-    """The attempts that each incarnation of a backend received during its slow start."""
+    """Group the attempts that each incarnation of a backend received during its slow start."""
     notified: dict[tuple[int, str, int], int] = {}  # by front door, backend and start in ms: when, in µs
     for notice in request_log.endpoint_notices:
         notified.setdefault((notice.front_door, notice.backend, notice.started // 1000), notice.at)
@@ -80,7 +80,7 @@
     figures: Figures,
     slack: Slack,
 ) -> tuple[Attempt, float, float] | None:
-    """The attempt that first exceeded the budget of a backend in slow start, with work and budget (µs).
+    """Find the attempt that first exceeded a backend's budget in slow start, with work and budget (µs).
 
     The budget of a window that ends now is multiple x present capacity x window (BENCH, How a day is judged),
     and one largest piece of work more, for chance. What our own loop stood still near that time came in one
--- a/irisdeal/testbed/audit/tolerance.py
+++ b/irisdeal/testbed/audit/tolerance.py
@@ -68,6 +68,7 @@
             self.link_faults[link_fault.source, link_fault.target].append(link_fault)
 
     def __call__(self, attempt: Attempt) -> int:
+        """Return the earliest moment, µs, at which the front door can have sent this attempt."""
         at = attempt.first_byte
         for link_fault in reversed(
             self.link_faults.get((front_door_name(attempt.front_door), attempt.zone), ())
--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -100,7 +100,7 @@
         self.ticks = loop.call_later(self.fleet.report_every_ms / 1000, self._tick)
 
     def crash(self) -> None:
-        """The process dies: connections are reset, new ones refused, what it held is lost."""
+        """End the process: connections are reset, new ones refused, pending work is lost."""
         self.up = False
         self.incarnations += 1
         for server in self.servers:
@@ -115,23 +115,28 @@
             self.closed(connection)
 
     def reset_connections(self) -> None:
+        """Reset all connections."""
         for connection in list(self.connections):
             connection.abort()
 
     def drain(self) -> None:
+        """Reject new requests from now on; running and queued ones end."""
         self.model.draining = True
 
     def set_hung(self, hung: bool) -> None:
+        """Start or end a hang, in which requests are admitted and none finishes."""
         self._advance()
         self.model.hung = hung
         self._arm()
 
     def set_slower(self, times: float) -> None:
+        """Run so many times slower than drawn."""
         self._advance()
         self.model.slower = times
         self._arm()
 
     def set_spoil(self, share: float) -> None:
+        """Spoil that share of the answers from now on."""
         self.spoil = share
 
     @property
@@ -146,16 +151,18 @@
         return ServerConnection(self, front_door, self.opened_count)
 
     def opened(self, connection: ServerConnection) -> None:
+        """Register a connection that was accepted."""
         self.connections[connection] = None
 
     def closed(self, connection: ServerConnection) -> None:
+        """Forget a connection; its open attempt ends as broken."""
         self.connections.pop(connection, None)
         if isinstance(attempt := connection.context, Attempt) and attempt.end is End.OPEN:
             attempt.end, attempt.ended = End.BROKEN, self.now()
         connection.context = None
 
     def asked(self, connection: ServerConnection, request: Request) -> None:
-        """A request arrived complete."""
+        """Handle a complete request."""
         headers = request.headers
         trace, kind = headers.get("x-trace-id", ""), self.classes.get(headers.get("x-qos", ""))
         if not trace:
@@ -260,7 +267,7 @@
             connection.reply(200, attempt.body, "Content-Type: application/json\r\n" + self._figures(attempt))
 
     def _figures(self, attempt: Attempt) -> str:
-        """The load report and the meter's figure, as header lines."""
+        """Format the load report and the meter's figure as header lines."""
         use = self.meter.percent(attempt.plan, attempt.customer, self.now())
         told = self.load_report
         return (
@@ -287,7 +294,7 @@
         self._arm()
 
     def _tick(self) -> None:
-        """A load report is refreshed now and then, and told late; idle connections end."""
+        """Refresh the load report, which is published late, and close idle connections."""
         loop = asyncio.get_running_loop()
         self.ticks = loop.call_later(self.fleet.report_every_ms / 1000, self._tick)
         self._advance()
--- a/irisdeal/testbed/backend_model.py
+++ b/irisdeal/testbed/backend_model.py
@@ -38,6 +38,8 @@
 
 
 class Completion(Enum):
+    """How a request that was admitted ends."""
+
     SERVED = auto()
     EXPIRED = auto()  # overdue when its turn came: never ran
 
@@ -130,7 +132,7 @@
         heapq.heappush(self.running, (self.progress + job.work, self.count, job))
 
     def arrive(self, job: Job) -> Admission:
-        """A request comes, now; call `advance` first."""
+        """Admit or reject a request that arrives now; call `advance` first."""
         if self.incarnation.at and self.now < self.incarnation.at + self.incarnation.slow_start:
             self.sent.append((self.now, job.work))
             while self.sent[0][0] <= self.now - self.figures.fall_window:
@@ -156,7 +158,7 @@
         return self.now + max(1, round((self.running[0][0] - self.progress) / rate + 0.5))
 
     def report(self, since: int) -> LoadReport:
-        """What it says of itself for the time since the last report, which began at `since` (µs)."""
+        """Make the load report since the last one, which began at `since` (µs)."""
         span = max(1, self.now - since)
         util = min(1.0, self.busy / (span * self.machine.cores))
         self.busy = 0.0
@@ -224,7 +226,7 @@
     counted: dict[str, int] = field(default_factory=dict)  # traces of the last periods
 
     def add(self, trace: str, plan: str, customer: int, units: float, now: int) -> None:
-        """A try came to a backend; its further attempts add nothing."""
+        """Count a request that reached a backend; its further attempts add nothing."""
         number = now // self.period
         if trace in self.counted:
             return
--- a/irisdeal/testbed/capacity_bound.py
+++ b/irisdeal/testbed/capacity_bound.py
@@ -24,7 +24,7 @@
 
 
 def reference(request_log: RequestLog, scenario: Scenario, start: int) -> float:
-    """The share of the value offered inside the quotas, 0 to 1, that no front door could have gone beyond."""
+    """Compute the largest share, 0 to 1, of the value offered within quotas that could be served."""
     begin, end = start + SECOND, start + round(scenario.seconds * SECOND)
     slot = max(LEAST_SLOT, -(-(end - begin) // MOST_SLOTS))
     kinds = {c.name: c for c in scenario.classes}
@@ -66,7 +66,7 @@
 
 
 def _fill(work: dict[tuple[int, int, float], float], capacity: list[float]) -> float:
-    """The value of the best feasible part of the work: the densest first, as much of each as fits."""
+    """Compute the value of the best feasible part of the work: the densest first, as much as fits."""
     slots = len(capacity)
     left = [[0.0] * slots for _ in range(slots)]  # of each span of slots
     for i in range(slots):
--- a/irisdeal/testbed/counter_service.py
+++ b/irisdeal/testbed/counter_service.py
@@ -40,6 +40,7 @@
     swept: int = 0
 
     def shard(self, name: str) -> int:
+        """Return the shard that has this name."""
         return zlib.crc32(name.encode()) % self.spec.shards
 
     def serve(self, name: str, now: int) -> int | None:
@@ -162,6 +163,7 @@
         self.keep_adds = False  # the sums by name grow all day: only tests that read them ask for it
 
     async def start(self, front_doors: range) -> None:
+        """Listen, with an address for each front door; the same addresses after a restart."""
         loop = asyncio.get_running_loop()
         for front_door in front_doors:
             if front_door not in self.servers:
@@ -172,7 +174,7 @@
                 self.ports[front_door] = int(server.sockets[0].getsockname()[1])
 
     def refuse(self) -> None:
-        """The process is gone: connections are reset, new ones refused."""
+        """End the process: connections are reset, new ones refused."""
         for server in self.servers.values():
             server.close()
         self.servers.clear()
@@ -186,7 +188,7 @@
         await self.start(front_doors)
 
     async def move(self, front_doors: range, patience: float = 1.5) -> None:
-        """New addresses; the old ones take no new connection and close the open ones after `patience` s.
+        """Take new addresses; the old ones accept no more and close what is open after `patience` s.
 
         (LATER, New configurations and restarts.)
         """
@@ -201,6 +203,7 @@
             loop.call_later(patience, line.close)
 
     def flush(self, share: float) -> int:
+        """Forget that share of the names; how many were lost."""
         return self.model.flush(share, self.random)
 
     async def forget(self, share: float) -> int:
@@ -240,6 +243,7 @@
         self.sides = {}
 
     def close(self) -> None:
+        """Stop serving."""
         self.refuse()
 
     def call(self, line: _CounterConnection, text: bytes) -> None:
--- a/irisdeal/testbed/digest_text.py
+++ b/irisdeal/testbed/digest_text.py
@@ -32,7 +32,7 @@
 
 
 def digest_text(value: object) -> str:
-    """The text of a value: a dataclass, an enum's member, a list, tuple or dict of them, or a plain value."""
+    """Return the text of a value: dataclasses, enum members, lists and tuples of them, or plain values."""
     if isinstance(value, Enum):
         name = MEMBER_NAMES.get(value.name, value.name)
         return f"<{type(value).__name__}.{name}: {value.value!r}>"
--- a/irisdeal/testbed/discovery_service.py
+++ b/irisdeal/testbed/discovery_service.py
@@ -37,7 +37,7 @@
     weight: float = 1.0
 
     def to_json(self, front_door: int) -> dict[str, Any]:
-        """The line as one front door is told it."""
+        """Return the endpoint as the protocol's JSON object for one front door."""
         return {
             "id": self.backend,
             "host_port": f"127.0.0.1:{self.ports[front_door]}",
@@ -72,7 +72,7 @@
         return self.revision
 
     def push(self, front_door: int, revision: int) -> bool:
-        """The agent of a front door has been sent everything up to that revision; whether that was news."""
+        """Bring the agent of a front door up to that revision; whether that was new to it."""
         if revision <= self.reached.get(front_door, 0):
             return False
         view = self.views.setdefault(front_door, {})
@@ -92,6 +92,7 @@
             self.views[front_door] = {name: member for name, (_, member) in self.members.items()}
 
     def complete_list(self, front_door: int) -> tuple[int, list[Endpoint]]:
+        """Return the agent's revision and all endpoints that it knows."""
         return self.reached.get(front_door, 0), list(self.views.get(front_door, {}).values())
 
     def since(self, front_door: int, index: int) -> tuple[int, list[Endpoint], bool]:
@@ -205,6 +206,7 @@
         self.known: dict[int, set[str]] = {}  # by front door: what it has been told is there
 
     async def start(self, front_doors: range) -> None:
+        """Give every agent the complete list, and listen."""
         self.endpoints.fill(front_doors)
         await self._listen(front_doors)
 
@@ -234,6 +236,7 @@
             self.agents[front_door].answer_watches()
 
     def set_unresponsive(self, unresponsive: bool) -> None:
+        """Stop answering calls, or answer again what waits."""
         self.unresponsive = unresponsive
         if not unresponsive:
             for agent in self.agents.values():
@@ -254,7 +257,7 @@
             loop.call_later(MOVED_PATIENCE, _close, agent)
 
     def wrote(self, front_door: int, members: list[Endpoint], complete: bool) -> None:
-        """What an agent has just written counts as told."""
+        """Log the notices in what an agent has just written."""
         now = self.now()
         named = {m.backend for m in members}
         known = self.known.setdefault(front_door, set())
@@ -272,6 +275,7 @@
                 known.add(member.backend)
 
     def close(self) -> None:
+        """Stop serving."""
         for agent in self.agents.values():
             _close(agent)
 
--- a/irisdeal/testbed/fault_proxy.py
+++ b/irisdeal/testbed/fault_proxy.py
@@ -43,6 +43,7 @@
 
     @property
     def withholds(self) -> bool:
+        """Whether any bytes are withheld, one way or both."""
         return self.stalled or self.partitioned
 
 
@@ -111,15 +112,18 @@
             loop.call_at(max(now, self.free_at) + condition.delay, other.finish)
 
     def put(self, data: bytes) -> None:
+        """Write bytes of the other end."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def finish(self) -> None:
+        """Close the connection once what was written is out."""
         self.over = True
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
+        """Reset the connection."""
         self.over = True
         if self.transport is not None:
             self.transport.abort()
@@ -152,6 +156,7 @@
 
     @property
     def port(self) -> int:
+        """The port that the link listens on."""
         assert self.listening is not None
         return int(self.listening.getsockname()[1])
 
@@ -229,6 +234,7 @@
             asyncio.get_running_loop().add_reader(self.listening, self._accept)
 
     def close(self) -> None:
+        """Stop listening, and reset all connections."""
         for filler in self.fillers:
             filler.close()
         if self.listening is not None:
@@ -246,19 +252,20 @@
         self.links: list[Link] = []
 
     async def add(self, source: str, target: str, to: Address) -> Address:
-        """A new link; the address to use in place of the target's."""
+        """Open a new link; the address to use in place of the target's."""
         link = Link(source, target, to, self.now, self.link_faults)
         self.links.append(link)
         return "127.0.0.1", await link.open()
 
     def between(self, names: Iterable[str], target: str = "") -> list[Link]:
-        """The links that touch one of these names; with a target, those that lead from one of them there."""
+        """Find the links that touch one of these names; with a target, those from one of them to it."""
         wanted = set(names)
         if target:
             return [link for link in self.links if link.source in wanted and link.target == target]
         return [link for link in self.links if link.source in wanted or link.target in wanted]
 
     def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
+        """Set the condition of the links that `between` finds."""
         for link in self.between(names, target):
             link.set(condition)
 
@@ -276,9 +283,11 @@
                 link.set(Condition(partitioned=True))
 
     def heal(self) -> None:
+        """Remove the faults of all links."""
         for link in self.links:
             link.set(Condition())
 
     def close(self) -> None:
+        """Close all links."""
         for link in self.links:
             link.close()
--- a/irisdeal/testbed/front_door_settings.py
+++ b/irisdeal/testbed/front_door_settings.py
@@ -12,7 +12,7 @@
 
 
 def front_door_settings(scenario: Scenario, rank: int) -> dict[str, Any]:
-    """The settings of the front door of this rank, as JSON values."""
+    """Return the settings of the front door of this rank, as JSON values."""
     return {
         "family": "gate",
         "discovery": "pushed",
--- a/irisdeal/testbed/http.py
+++ b/irisdeal/testbed/http.py
@@ -39,13 +39,17 @@
 class Owner(Protocol):
     """What a server connection needs of the server it belongs to."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the time, µs."""
 
-    def opened(self, connection: ServerConnection) -> None: ...
+    def opened(self, connection: ServerConnection) -> None:
+        """Register a new connection."""
 
-    def asked(self, connection: ServerConnection, request: Request) -> None: ...
+    def asked(self, connection: ServerConnection, request: Request) -> None:
+        """Handle a complete request."""
 
-    def closed(self, connection: ServerConnection) -> None: ...
+    def closed(self, connection: ServerConnection) -> None:
+        """Forget a connection that has ended."""
 
 
 class ServerConnection(asyncio.Protocol):
@@ -62,38 +66,46 @@
         self.context: object = None  # the owner's
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with its owner."""
         self.transport = cast(asyncio.Transport, transport)
         self.since = self.owner.now()
         self.owner.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the owner that the connection has ended."""
         self.transport = None
         self.owner.closed(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; malformed ones reset the connection."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.abort()
 
     def on_message_begin(self) -> None:
+        """Begin a request."""
         self.request = Request(self.owner.now())
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the request's target."""
         assert self.request is not None
         self.request.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field."""
         assert self.request is not None
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body, which is bounded by `MOST_MESSAGE`."""
         assert self.request is not None
         self.request.body += body
         if len(self.request.body) > MOST_MESSAGE:
             raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
+        """Pass the complete request to the owner."""
         request, self.request = self.request, None
         assert request is not None
         request.method = self.parser.get_method().decode("latin-1")
@@ -118,10 +130,12 @@
         return True
 
     def raw(self, data: bytes) -> None:
+        """Write bytes as they are."""
         if self.transport is not None:
             self.transport.write(data)
 
     def abort(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -150,13 +164,16 @@
         self.broken = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the user of the connection that it has ended."""
         self.transport = None
         self.on_end()
 
     def usable(self) -> bool:
+        """Whether a further request may be written."""
         return self.transport is not None and not self.transport.is_closing() and self.reusable
 
     def ended(self) -> bool:
@@ -168,16 +185,19 @@
         return self.readable(self.transport.get_extra_info("socket"))
 
     def write(self, data: bytes) -> None:
+        """Write a request."""
         assert self.transport is not None
         self.received = 0
         self.uses += 1
         self.transport.write(data)
 
     def close(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; malformed ones reset the connection."""
         self.received += len(data)
         try:
             self.parser.feed_data(data)
@@ -186,15 +206,19 @@
             self.close()
 
     def on_message_begin(self) -> None:
+        """Begin an answer."""
         self.headers, self.chunks = {}, deque()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body."""
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
+        """Pass a final answer on; interim ones are dropped."""
         status = self.parser.get_status_code()
         if status >= 200:
             self.reusable = self.parser.should_keep_alive()
--- a/irisdeal/testbed/load_generator.py
+++ b/irisdeal/testbed/load_generator.py
@@ -81,6 +81,7 @@
         self.stopped = True
 
     def close(self) -> None:
+        """Stop all requests and close all connections."""
         self.misbehaving_clients.close()
         for task in self.tasks:
             task.cancel()
@@ -88,14 +89,15 @@
             connection.close()
 
     def front_door_down(self, front_door: int) -> None:
-        """The front has noticed that a front door is dead."""
+        """Remove a front door that the load balancer has found dead."""
         self.alive.discard(front_door)
 
     def front_door_draining(self, front_door: int) -> None:
-        """A planned restart has begun: new connections come no more (PROTOCOL, Figures: for 0.2 to 0.4 s)."""
+        """Open no new connections to a front door that restarts (PROTOCOL, Figures: 0.2 to 0.4 s)."""
         self.leaving.add(front_door)
 
     def front_door_up(self, front_door: int) -> None:
+        """Use a front door again."""
         self.alive.add(front_door)
         self.leaving.discard(front_door)
 
@@ -109,7 +111,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _ask(self, arrival: Arrival) -> None:
-        """A first attempt and its retries, until one is served or the class's time is over."""
+        """Send a first attempt and its retries, until one is served or the class's time is over."""
         scenario, load = self.scenario, self.scenario.load
         kind, tenant = scenario.classes[arrival.kind], self.day.tenants[arrival.tenant]
         due = self.now()
@@ -163,7 +165,7 @@
         return refused or (unreached and (kind.repeat == "keyed" or not client_attempt.at))
 
     def _choose_front_door(self, tenant: int, last: int) -> int:
-        """The front door that the front gives this try to; `last` had the try before it, -1 for a first one."""
+        """Choose the front door of an attempt; `last` had the attempt before it, -1 for a first one."""
         if last in self.alive - self.leaving and self.random.random() >= self.scenario.load.elsewhere:
             return last
         told = self.day.tenants[tenant]
--- a/irisdeal/testbed/load_processes.py
+++ b/irisdeal/testbed/load_processes.py
@@ -69,6 +69,7 @@
 
     @property
     def pids(self) -> list[int]:
+        """The process ids."""
         return [process.pid for process in self.processes]
 
     async def prepare(self) -> None:
@@ -151,12 +152,15 @@
                     process.kill()
 
     def front_door_down(self, front_door: int) -> None:
+        """As `LoadGenerator.front_door_down`, in all processes."""
         self._say(f"down {front_door}")
 
     def front_door_draining(self, front_door: int) -> None:
+        """As `LoadGenerator.front_door_draining`, in all processes."""
         self._say(f"leaves {front_door}")
 
     def front_door_up(self, front_door: int) -> None:
+        """As `LoadGenerator.front_door_up`, in all processes."""
         self._say(f"up {front_door}")
 
 
--- a/irisdeal/testbed/loop_lag.py
+++ b/irisdeal/testbed/loop_lag.py
@@ -19,9 +19,11 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Start sampling."""
         self._check(asyncio.get_running_loop().time())
 
     def stop(self) -> None:
+        """Stop sampling."""
         if self.timer is not None:
             self.timer.cancel()
 
--- a/irisdeal/testbed/misbehaving_clients.py
+++ b/irisdeal/testbed/misbehaving_clients.py
@@ -68,6 +68,7 @@
             loop.call_later(max(0.0, wait + fault.at_s), self._begin, act, share, fault.for_s)
 
     def close(self) -> None:
+        """End all connections."""
         for task in self.tasks:
             task.cancel()
 
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -43,19 +43,23 @@
         """SIGSTOP, and SIGCONT after `seconds`; it is in `request logs.pauses` by then."""
 
     async def reload(self, front_door: int) -> None:
-        """The configuration file is written anew already: SIGHUP."""
+        """Send SIGHUP; the configuration file is written already."""
 
 
 class Links(Protocol):
     """Ways with faults between names: see `relay.Relay`."""
 
-    async def add(self, source: str, target: str, to: Address) -> Address: ...
+    async def add(self, source: str, target: str, to: Address) -> Address:
+        """Open a link; the address to use in place of the target's."""
 
-    def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None: ...
+    def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
+        """Set the condition of the links of these names, or of those to a target."""
 
-    def reset(self, names: Iterable[str], target: str = "") -> None: ...
+    def reset(self, names: Iterable[str], target: str = "") -> None:
+        """Reset the connections of these links."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all links."""
 
 
 class Platform:
@@ -115,6 +119,7 @@
     # Start and end
 
     async def start(self) -> None:
+        """Start all services."""
         if self.sites is not None:
             await self.sites.start()
         for _ in range(self.scenario.fleet.backends):
@@ -138,6 +143,7 @@
             await self.sites.gather()
 
     def close(self) -> None:
+        """Stop all services."""
         self.closed = True
         self.lateness.stop()
         for task in self.tasks:
@@ -159,7 +165,7 @@
     async def _new_backend(
         self, warming_up: bool, instead: BackendServer | RemoteBackend | None = None
     ) -> BackendServer | RemoteBackend:
-        """A machine of the next number; `instead` of another one it takes its addresses, zone and cell."""
+        """Start the machine of the next number; `instead` of another one it takes its addresses, zone, cell."""
         drawn = machine(self.scenario, self.day.seed, self.number)
         if instead is not None:
             drawn = replace(drawn, zone=instead.machine.zone, cell=instead.machine.cell)
@@ -219,7 +225,7 @@
         return f"127.0.0.1:{self.led.get('roster', self.discovery.ports)[front_door]}"
 
     def config(self, front_door: int, listen: str, seed: int) -> dict[str, Any]:
-        """What a front door is told (DEPLOY, What a front door is told)."""
+        """Return a front door's configuration (DEPLOY, What a front door is told)."""
         revision, members = self.discovery.endpoints.complete_list(front_door)
         spec = self.scenario.front_door
         report = {"report": str(self.reports / f"n{front_door}.sock")} if self.reports is not None else {}
@@ -265,6 +271,7 @@
             self.record_fault(f"could not be played: {error!r}")
 
     def record_fault(self, text: str) -> None:
+        """Log a line on the faults, with the time."""
         self.request_log.faults.append((self.now(), text))
 
     async def do(self, fault: Fault, front_doors: FrontDoors) -> None:
@@ -335,7 +342,7 @@
         self._free(backends)
 
     async def _crash(self, fault: Fault, _: FrontDoors) -> None:
-        """The process dies and comes up again cold; the discovery service knows only that it runs, late."""
+        """Crash backends and start them again, in slow start; discovery learns late, and only that they run."""
         backends = self._some(fault.backends)
         for backend in backends:
             backend.crash()
--- a/irisdeal/testbed/quota_overshoot.py
+++ b/irisdeal/testbed/quota_overshoot.py
@@ -37,7 +37,7 @@
 
 
 def overshoot(sent: Iterable[tuple[int, float]], rate: float, burst: float) -> tuple[float, int]:
-    """The most units over the quota in any span, and when (µs); 0 and 0 where it was kept.
+    """Compute the most units over the quota in any span, and when (µs); 0 and 0 where it was kept.
 
     `sent` is (time in µs, units), in order of time; `rate` in units a second.
     """
@@ -90,6 +90,7 @@
 
     @property
     def fraction(self) -> float:
+        """The rejections with quota left, as a fraction of all attempts."""
         return self.within_quota / self.asked if self.asked else 0.0
 
 
--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -30,6 +30,7 @@
         self.offset = time.time_ns() - time.monotonic_ns() if offset is None else offset
 
     def __call__(self) -> int:
+        """Return the time, µs."""
         return (time.monotonic_ns() + self.offset) // 1000
 
 
@@ -193,7 +194,7 @@
 
 
 def lay_together(*request_log: list[tuple[int, int]]) -> list[tuple[int, int]]:
-    """The stalls of several loops as those of one: where any stood still. In order, and none overlap."""
+    """Merge the stalls of several loops into those of one: where any was stalled. Sorted, disjoint."""
     spans = sorted((end - late, end) for stalls in request_log for end, late in stalls)
     found: list[tuple[int, int]] = []
     for begin, end in spans:
--- a/irisdeal/testbed/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -178,7 +178,7 @@
     direction: str = "both"  # out, from the front doors; back, to them; both
 
     def text(self) -> str:
-        """The fault as a line of the report."""
+        """Return the fault as a line of the report."""
         needs = FAULTS[self.do]
         texts = {
             "boxes": f"{self.backends} boxes",
@@ -256,7 +256,7 @@
     faults: tuple[Fault, ...] = ()
 
     def resized(self, front_doors: int | None = None, seconds: float | None = None) -> Scenario:
-        """The same day with another number of front doors or another length; the timeline is scaled with it.
+        """Change the number of front doors or the length; the timeline is scaled with it.
 
         A fault that names a front door which is not there goes to the last one.
         """
@@ -289,6 +289,7 @@
         return max(round(plan.rate * plan.burst_s), most * (4.0 if plan.ceiling else 2.0))
 
     def ceiling(self, plan: Plan) -> Ceiling | None:
+        """Return the hard ceiling of a plan; None where it has none."""
         if not plan.ceiling:
             return None
         depth = float(round(self.burst(plan) * plan.ceiling))
@@ -296,7 +297,7 @@
         return Ceiling(plan.rate * plan.ceiling, depth, max(depth * self.rules.ceiling_slack, most))
 
     def figures(self, cells: Mapping[str, int]) -> Figures:
-        """The rules' figures, as the front doors are told them."""
+        """Return the rules' figures, as the front doors' settings have them."""
         ceilings = {plan.name: c for plan in self.plans if (c := self.ceiling(plan)) is not None}
         rules = self.rules
         return Figures(
@@ -311,5 +312,5 @@
 
 
 def microseconds(ms: float) -> int:
-    """Whole µs of a duration in ms."""
+    """Convert a duration in ms to whole µs."""
     return round(ms * 1000)
--- a/irisdeal/testbed/scenario_files.py
+++ b/irisdeal/testbed/scenario_files.py
@@ -47,22 +47,22 @@
 
 
 def names() -> list[str]:
-    """The built-in scenarios."""
+    """List the built-in scenarios."""
     return sorted(p.name.removesuffix(".toml") for p in BUILT_IN.iterdir() if p.name.endswith(".toml"))
 
 
 def load(name: str) -> Scenario:
-    """A built-in scenario by its name, or one from a file by its path. Raises `ScenarioError`."""
+    """Read a built-in scenario by its name, or one from a file by its path. Raises `ScenarioError`."""
     return _Reading(name).scenario(_merged(name, 0))
 
 
 def parse(text: str, where: str = "scenario") -> Scenario:
-    """A scenario from its text."""
+    """Read a scenario from its text."""
     return _Reading(where).scenario(_overlaid(_toml(text, where), where, 0))
 
 
 def read(table: Mapping[str, Any], where: str = "scenario") -> Scenario:
-    """A scenario from its tables, as TOML gives them; they are left as they are."""
+    """Read a scenario from its tables, as TOML gives them; they are left as they are."""
     return _Reading(where).scenario(_overlaid(dict(table), where, 0))
 
 
@@ -160,7 +160,7 @@
             yield self.table(kind, inner, f"{key}[{n}]")
 
     def table(self, kind: type[Table], value: object, key: str) -> Table:
-        """A dataclass from its table. Unknown and missing keys are errors."""
+        """Make a dataclass from its table. Unknown and missing keys are errors."""
         if not isinstance(value, dict):
             raise self.wrong(key, value, "a table")
         known = {_key_in(kind, f.name): f.name for f in fields(kind)}  # type: ignore[arg-type]
@@ -180,7 +180,7 @@
             raise ScenarioError(f"{self.where}: {key}: missing {missing}") from None
 
     def value(self, kind: type, name: str, value: object, key: str) -> object:
-        """A value of the field's type; whole numbers pass for decimals, nothing else for another type."""
+        """Check a value against its field's type; whole numbers pass for decimals."""
         wanted = next(str(f.type) for f in fields(kind) if f.name == name)
         if wanted == "float" and _is_number(value):
             return float(value)  # type: ignore[arg-type]
@@ -197,7 +197,7 @@
         return tuple(value) if isinstance(value, list) else value
 
     def pair(self, value: object, key: str) -> tuple[float, float]:
-        """Least and most; a number alone is both."""
+        """Read least and most; a number alone is both."""
         if _is_number(value):
             return float(value), float(value)  # type: ignore[arg-type]
         if isinstance(value, list) and len(value) == 2 and all(map(_is_number, value)):
@@ -218,7 +218,7 @@
 
 
 def _key_in(kind: type, name: str) -> str:
-    """The key of a field; the kinds of machines are a list of tables called `kind`."""
+    """Return the key of a field; the kinds of machines are a list of tables called `kind`."""
     return "kind" if kind is Fleet and name == "kinds" else key_of(name)
 
 
--- a/irisdeal/testbed/scenario_keys.py
+++ b/irisdeal/testbed/scenario_keys.py
@@ -29,10 +29,10 @@
 
 
 def key_of(name: str) -> str:
-    """The key in a scenario file of the field called `name`."""
+    """Return the key in a scenario file of the field called `name`."""
     return KEY_OF_FIELD.get(name, name)
 
 
 def field_of(key: str) -> str:
-    """The name of the field that a scenario file sets by `key`."""
+    """Return the name of the field that a scenario file sets by `key`."""
     return FIELD_OF_KEY.get(key, key)
--- a/irisdeal/testbed/service_report.py
+++ b/irisdeal/testbed/service_report.py
@@ -83,7 +83,7 @@
 
 
 def reckon(request_log: RequestLog, scenario: Scenario, start: int) -> Service:
-    """The service of one run that began at `start` (µs)."""
+    """Compute the service of one run that began at `start` (µs)."""
     made = Service(
         kinds={c.name: Share() for c in scenario.classes}, plans={p.name: Share() for p in scenario.plans}
     )
@@ -156,7 +156,7 @@
 def manners(
     request_log: RequestLog, scenario: Scenario, manner_of: dict[int, str], start: int
 ) -> dict[str, MannerUse]:
-    """The same run by the manner in which tenants ask; `manner_of` by customer."""
+    """Compute the service by the manner in which tenants ask; `manner_of` by customer."""
     made = {manner: MannerUse() for manner in sorted(set(manner_of.values()))}
     for manner in manner_of.values():
         made[manner].tenants += 1
@@ -187,7 +187,7 @@
 
 
 def recovery(seconds: dict[int, Share], calm: dict[int, Share], last: float) -> float | None:
-    """s from the end of the last fault (`last`, s from the start) until service is back; None: it never is.
+    """Measure the s from the last fault's end (`last`, s from the start) until service is back; None: never.
 
     Back is a span of `SPAN` seconds no worse than the worst such span that a calm day of the same seed has
     in the same part: a span has few requests, so that the calm day itself moves up and down.
@@ -207,7 +207,7 @@
 
 
 def _worst(made: Service, slots: dict[int, Share], begin: int, end: int) -> None:
-    """The worst window, moved on by a second; a run shorter than one window is one window."""
+    """Find the worst window, moved on by a second; a run shorter than one window is one window."""
     made.worst = made.total.share
     for at in range(begin // SECOND, (end - WINDOW) // SECOND + 1):
         seconds = [slots[n] for n in range(at, at + WINDOW // SECOND) if n in slots]
--- a/irisdeal/testbed/site_processes.py
+++ b/irisdeal/testbed/site_processes.py
@@ -54,7 +54,7 @@
 
 
 async def _read(reader: asyncio.StreamReader) -> Any:
-    """The next frame; raises IncompleteReadError at the end of the stream."""
+    """Read the next frame; raises IncompleteReadError at the end of the stream."""
     size = int.from_bytes(await reader.readexactly(4), "big")
     if size > MOST_FRAME:
         raise SiteError(f"a frame of {size} bytes")
@@ -83,7 +83,7 @@
         self.unsent.append((trace, plan, customer, units, now))
 
     def add_remote(self, told: list[tuple[str, str, int, float, int]]) -> None:
-        """What another site has counted."""
+        """Add what another site has counted."""
         for trace, plan, customer, units, at in told:
             super().add(trace, plan, customer, units, at)
 
@@ -104,6 +104,7 @@
         self.late = LoopLagMonitor(self.request_log.stalls, self.now)
 
     def begin(self) -> None:
+        """Start monitoring the loop's lag and sharing the meter."""
         self.late.start()
         self._send_meter()
 
@@ -114,6 +115,7 @@
         asyncio.get_running_loop().call_later(METER_EVERY, self._send_meter)
 
     def add_remote_usage(self, told: list[tuple[str, str, int, float, int]]) -> None:
+        """Add what another site's meter has counted."""
         self.meter.add_remote(told)
 
     async def new_backend(
@@ -149,25 +151,30 @@
         return self.backends[name].started
 
     def call_backend(self, name: str, call: str, *arguments: Any) -> None:
+        """Call a method of a backend, unless it has failed meanwhile."""
         call_backend = self.backends[name]
         if call_backend.up or call == "crash":  # it may have fallen over meanwhile
             getattr(call_backend, call)(*arguments)
 
     async def call_counter(self, call: str, *arguments: Any) -> Any:
-        """A call of the counter service's; what it returns."""
+        """Call a method of the counter service; its result."""
         made = getattr(self.counter, call)(*arguments)
         return await made if asyncio.iscoroutine(made) else made
 
     def counter_ports(self) -> dict[int, int]:
+        """Return the counter service's ports by front door."""
         return self.counter.ports
 
     async def add_link(self, source: str, target: str, to: Address) -> Address:
+        """Open a link to this site; its address."""
         return await self.relay.add(source, target, to)
 
     def set_links(self, names: list[str], condition: Condition, target: str) -> None:
+        """As `Relay.set`."""
         self.relay.set(names, condition, target)
 
     def reset_links(self, names: list[str], target: str) -> None:
+        """As `Relay.reset`."""
         self.relay.reset(names, target)
 
     def collect(self) -> tuple[RequestLog, int]:
@@ -175,6 +182,7 @@
         return self.request_log, self.counter.calls
 
     def close(self) -> None:
+        """Stop everything in this process."""
         self.late.stop()
         for call_backend in self.backends.values():
             if call_backend.up:
@@ -236,7 +244,7 @@
         self.process.stdin.write(_frame((number, call, arguments)))
 
     def end(self) -> None:
-        """It is gone; whoever waits for it hears so."""
+        """Mark the process as ended, and fail the calls that wait for it."""
         self.gone = True
         for answer in self.waiting.values():
             if not answer.done():
@@ -253,6 +261,7 @@
         self.counter_calls = 0
 
     async def start(self) -> None:
+        """Start all processes."""
         await asyncio.gather(*(self._start(name) for name in (*self.day.scenario.fleet.zones, COUNTER_SITE)))
 
     async def _start(self, name: str) -> None:
@@ -340,6 +349,7 @@
         sites.backends[name] = self
 
     async def start(self, front_doors: range, warming_up: bool = False) -> None:
+        """As `BackendServer.start`."""
         if self.made:
             self.started = await self.site_process.ask("start_backend", self.name, warming_up)
         else:
@@ -349,19 +359,24 @@
         self.up = self.made = True
 
     def crash(self) -> None:
+        """As `BackendServer.crash`."""
         self.up = False
         self.site_process.notify("call_backend", self.name, "crash")
 
     def drain(self) -> None:
+        """As `BackendServer.drain`."""
         self.site_process.notify("call_backend", self.name, "drain")
 
     def set_hung(self, hung: bool) -> None:
+        """As `BackendServer.set_hung`."""
         self.site_process.notify("call_backend", self.name, "set_hung", hung)
 
     def set_slower(self, times: float) -> None:
+        """As `BackendServer.set_slower`."""
         self.site_process.notify("call_backend", self.name, "set_slower", times)
 
     def set_spoil(self, share: float) -> None:
+        """As `BackendServer.set_spoil`."""
         self.site_process.notify("call_backend", self.name, "set_spoil", share)
 
 
@@ -374,6 +389,7 @@
 
     @property
     def site_process(self) -> SiteProcess:
+        """The process that the counter service runs in."""
         return self.sites.site_processes[COUNTER_SITE]
 
     @property
@@ -382,33 +398,41 @@
         return self.sites.counter_calls
 
     async def start(self, front_doors: range) -> None:
+        """As `CounterServer.start`."""
         await self.site_process.ask("call_counter", "start", front_doors)
         self.ports = await self.site_process.ask("counter_ports")
 
     async def restart(self, front_doors: range, empty: bool) -> None:
+        """As `CounterServer.restart`."""
         await self.site_process.ask("call_counter", "restart", front_doors, empty)
 
     async def move(self, front_doors: range) -> None:
+        """As `CounterServer.move`."""
         await self.site_process.ask("call_counter", "move", front_doors)
         self.ports = await self.site_process.ask("counter_ports")
 
     def refuse(self) -> None:
+        """As `CounterServer.refuse`."""
         self.site_process.notify("call_counter", "refuse")
 
     def put(self, what: str, value: float) -> None:
+        """As `CounterServer.put`."""
         self.site_process.notify("call_counter", "put", what, value)
 
     async def forget(self, share: float) -> int:
+        """As `CounterServer.forget`."""
         return int(await self.site_process.ask("call_counter", "flush", share))
 
     def split(self, *groups: Iterable[int]) -> None:
+        """As `CounterServer.split`."""
         self.site_process.notify("call_counter", "split", *(list(group) for group in groups))
 
     def heal(self) -> None:
+        """As `CounterServer.heal`."""
         self.site_process.notify("call_counter", "heal")
 
     def close(self) -> None:
-        """It ends with its process."""
+        """Do nothing: it ends with its process."""
 
 
 class RemoteLinks:
@@ -418,6 +442,7 @@
         self.sites, self.near = sites, near
 
     async def add(self, source: str, target: str, to: Address) -> Address:
+        """As `Relay.add`."""
         site_process = self.sites.site_processes.get(target)
         if site_process is None:
             return await self.near.add(source, target, to)
@@ -425,23 +450,26 @@
         return host, port
 
     def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
+        """As `Relay.set`."""
         wanted = list(names)
         self.near.set(wanted, condition, target)
         for site_process in self.sites.site_processes.values():
             site_process.notify("set_links", wanted, condition, target)
 
     def reset(self, names: Iterable[str], target: str = "") -> None:
+        """As `Relay.reset`."""
         wanted = list(names)
         self.near.reset(wanted, target)
         for site_process in self.sites.site_processes.values():
             site_process.notify("reset_links", wanted, target)
 
     def close(self) -> None:
+        """As `Relay.close`."""
         self.near.close()
 
 
 async def _serve(reader: asyncio.StreamReader) -> None:
-    """The process of a site: until its parent's end of the pipe closes."""
+    """Serve the process of a site until its parent's end of the pipe closes."""
 
     def write(value: object) -> None:
         sys.stdout.buffer.write(_frame(value))
--- a/irisdeal/testbed/workload.py
+++ b/irisdeal/testbed/workload.py
@@ -22,7 +22,7 @@
 
 
 def stream(seed: int, *name: object) -> random.Random:
-    """A random stream of its own for each name."""
+    """Make a random stream for each name."""
     digest = hashlib.blake2b(repr((seed, *name)).encode(), digest_size=16).digest()
     return random.Random(int.from_bytes(digest))
 
@@ -85,13 +85,13 @@
     arrivals: tuple[Arrival, ...]
 
     def digest(self) -> str:
-        """A digest of the whole schedule: the same for the same seed."""
+        """Digest the whole schedule: the same for the same seed."""
         text = digest_text((self.machines, self.tenants, self.arrivals)).encode()
         return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
 def draw(scenario: Scenario, seed: int) -> Day:
-    """The day of this seed. ValueError where the load is past any use."""
+    """Draw the day of this seed. ValueError where the load is past any use."""
     machines = tuple(machine(scenario, seed, n) for n in range(scenario.fleet.backends))
     tenants = (*_tenants(scenario, seed, machines), *_flood(scenario, seed))
     expected = sum(s.rate for s in tenants) / mean_units(scenario) * scenario.seconds
@@ -102,7 +102,7 @@
 
 
 def machine(scenario: Scenario, seed: int, number: int) -> Machine:
-    """The backend of this number; numbers past the fleet's are those that come later."""
+    """Draw the backend of this number; numbers past the fleet's are those that come later."""
     fleet, rng = scenario.fleet, stream(seed, "machine", number)
     total = sum(k.share for k in fleet.kinds)
     # Kinds by their share without luck: the low-discrepancy sequence keeps a small fleet near its shares.
@@ -130,18 +130,19 @@
 
 
 def mean_units(scenario: Scenario) -> float:
+    """Return the mean units of a request."""
     shares = sum(c.share for c in scenario.classes)
     return sum(c.share * c.units for c in scenario.classes) / shares
 
 
 def mean_work(scenario: Scenario) -> float:
-    """Seconds of one core at speed 1 for one unit asked."""
+    """Return the mean work of a unit: s of one core at speed 1."""
     shares = sum(c.share for c in scenario.classes)
     return sum(c.share * c.work_ms for c in scenario.classes) / shares / 1e3 / mean_units(scenario)
 
 
 def _inside(manner: str, use: float) -> float:
-    """The share of its rate that a tenant uses inside its quota, about."""
+    """Estimate the share of its rate that a tenant uses within its quota."""
     return {"calm": use, "spiky": use + 0.1, "full": 0.92, "heavy": 1.0}[manner]
 
 
@@ -162,7 +163,7 @@
 
 
 def _flood(scenario: Scenario, seed: int) -> Iterator[Tenant]:
-    """The tenants that come once, at even times with luck between: `size` of them a second."""
+    """Draw the tenants that come once, at even times with chance between: `size` of them a second."""
     rng = stream(seed, "flood")
     for fault in scenario.faults:
         if fault.do == "flood":
@@ -251,12 +252,12 @@
 
 
 def trace(seed: int, ask: int, attempt: int) -> str:
-    """The id of a client attempt: 16 hex digits, never the same for two client attempts of one seed."""
+    """Return the id of a client attempt: 16 hex digits, never the same for two of one seed."""
     return hashlib.blake2b(f"{seed}:{ask}:{attempt}".encode(), digest_size=8).hexdigest()
 
 
 def claim_key(seed: int, ask: int) -> str:
-    """The key of a keyed request: the same for a client's retries of it."""
+    """Return the key of a keyed request: the same for a client's retries of it."""
     return hashlib.blake2b(f"key:{seed}:{ask}".encode(), digest_size=16).hexdigest()
 
 
@@ -293,5 +294,5 @@
 
 
 def window_of(start: int, seconds: float) -> tuple[int, int]:
-    """The part of a run that counts: from the first second on (BRIEF, Weights of service), in µs."""
+    """Return the part of a run that counts, µs: from the first second on (BRIEF, Weights of service)."""
     return start + SECOND, start + round(seconds * SECOND)
