--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -91,7 +91,7 @@
         self.sent: dict[bytes, tuple[bytes, bytes]] = {}  # id -> first line, body
         self.ran: Counter[bytes] = Counter()
         self.answers: Counter[int] = Counter()
-        self.promised: set[bytes] = set()
+        self.rejected_unrun: set[bytes] = set()
         self.breaches: list[str] = []
 
     def run(self, id_: bytes, line: bytes, body: bytes) -> None:
@@ -108,13 +108,13 @@
         if status == 200 and not self.ran[id_]:
             self.breaches.append(f"MIXED: {id_!r} succeeded and never ran")
         if status in PROMISES:
-            self.promised.add(id_)
+            self.rejected_unrun.add(id_)
 
     def close(self) -> list[str]:
         for id_, times in self.ran.items():
             if id_.startswith(b"m") and times > 1:
                 self.breaches.append(f"TWICE: {id_!r} ran {times} times")
-            if id_.startswith(b"m") and id_ in self.promised:
+            if id_.startswith(b"m") and id_ in self.rejected_unrun:
                 self.breaches.append(f"REFUSED: {id_!r} was promised and ran")
         return self.breaches
 
@@ -122,8 +122,14 @@
 class Backend(asyncio.Protocol):
     """One connection to a scripted backend; what it does with each request is drawn at random."""
 
-    def __init__(self, day: ProxyRun, incarnation: bytes) -> None:
-        self.day, self.incarnation, self.rest, self.last, self.extra = day, incarnation, b"", b"m0", b""
+    def __init__(self, proxy_run: ProxyRun, incarnation: bytes) -> None:
+        self.proxy_run, self.incarnation, self.rest, self.last, self.extra = (
+            proxy_run,
+            incarnation,
+            b"",
+            b"m0",
+            b"",
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -147,54 +153,54 @@
         )
 
     def serve(self, line: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        id_, day = fields[b"x-irisdeal-attempt-id"], self.day
+        id_, proxy_run = fields[b"x-irisdeal-attempt-id"], self.proxy_run
         line = line.rpartition(b" ")[0]
         if fields.get(b"x-irisdeal-target-backend") != self.incarnation:
-            return self.say(self.text(id_, 421))
-        how = day.chance.choice(FAULTS) if day.now() < LENGTH else "good"
+            return self.send(self.text(id_, 421))
+        how = proxy_run.chance.choice(FAULTS) if proxy_run.now() < LENGTH else "good"
         last, self.last = self.last, id_
         match how:
             case "promise":
-                return self.say(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n"))
+                return self.send(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n"))
             case "promise twice":
-                return self.say(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n") * 2)
+                return self.send(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n") * 2)
             case "reset":
                 return self.transport.abort()
-        day.judge.run(id_, line, body)
+        proxy_run.judge.run(id_, line, body)
         good = self.text(id_, 200)
         match how:
             case "500" | "503":
-                self.say(self.text(id_, int(how)))
+                self.send(self.text(id_, int(how)))
             case "run and reset":
                 self.transport.abort()
             case "cut":
-                self.say(good[: day.chance.randrange(len(good))], ends=True)
+                self.send(good[: proxy_run.chance.randrange(len(good))], ends=True)
             case "silent":
                 pass
             case "slow":
-                self.say(good, after=day.chance.uniform(0.3, 2.5))
+                self.send(good, after=proxy_run.chance.uniform(0.3, 2.5))
             case "twice":
-                self.say(good * 2)
+                self.send(good * 2)
             case "twice later":
                 self.extra = good  # in the place of the next answer
-                self.say(good, owed=False)
+                self.send(good, unanswered=False)
             case "of another":
-                self.say(self.text(last, 200))
+                self.send(self.text(last, 200))
             case "no id":
-                self.say(self.text(id_, 200, named=False))
+                self.send(self.text(id_, 200, named=False))
             case "close":
-                self.say(self.text(id_, 200, b"Connection: close\r\n"), ends=True)
+                self.send(self.text(id_, 200, b"Connection: close\r\n"), ends=True)
             case "torn":
-                at = day.chance.randrange(len(good))
-                self.say(good[:at])
-                self.say(good[at:], after=0.02)
+                at = proxy_run.chance.randrange(len(good))
+                self.send(good[:at])
+                self.send(good[at:], after=0.02)
             case "garbage":
-                self.say(b"\x00garbage\r\n\r\n")
+                self.send(b"\x00garbage\r\n\r\n")
             case _:
-                self.say(good)
+                self.send(good)
 
-    def say(self, data: bytes, after: float = 0.0, ends: bool = False, owed: bool = True) -> None:
-        if owed:
+    def send(self, data: bytes, after: float = 0.0, ends: bool = False, unanswered: bool = True) -> None:
+        if unanswered:
             data, self.extra = self.extra + data, b""
 
         def write() -> None:
@@ -203,14 +209,20 @@
                 if ends:
                     self.transport.close()
 
-        self.day.loop().call_later(after + self.day.chance.uniform(0.005, 0.08), write)
+        self.proxy_run.loop().call_later(after + self.proxy_run.chance.uniform(0.005, 0.08), write)
 
 
 class Client(asyncio.Protocol):
     """One connection of a client: pipelined requests, not all complete, not all waited for."""
 
-    def __init__(self, day: ProxyRun, number: int) -> None:
-        self.day, self.number, self.owed, self.rest, self.open = day, number, cast(list[bytes], []), b"", True
+    def __init__(self, proxy_run: ProxyRun, number: int) -> None:
+        self.proxy_run, self.number, self.unanswered, self.rest, self.is_open = (
+            proxy_run,
+            number,
+            cast(list[bytes], []),
+            b"",
+            True,
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -221,20 +233,20 @@
     def data_received(self, data: bytes) -> None:
         answers, self.rest = parsed(self.rest + data)
         for line, fields, body in answers:
-            if not self.owed:
-                self.day.judge.breaches.append(f"MIXED: {line!r} and no request waits")
+            if not self.unanswered:
+                self.proxy_run.judge.breaches.append(f"MIXED: {line!r} and no request waits")
                 return
-            self.day.judge.answer(self.owed.pop(0), int(line.split()[1]), fields, body)
+            self.proxy_run.judge.answer(self.unanswered.pop(0), int(line.split()[1]), fields, body)
 
     def ask(self) -> bytes:
-        day = self.day
-        kind = day.chance.choice((b"m", b"i"))
-        day.asked += 1
-        id_ = b"%s%d" % (kind, day.asked)
-        line, body = b"POST /%s/%d" % (kind, day.asked), b"text %d" % day.asked
-        day.judge.sent[id_] = (line, body)
-        self.owed.append(id_)
-        given = day.chance.choice((200, 600, 1500))
+        proxy_run = self.proxy_run
+        kind = proxy_run.chance.choice((b"m", b"i"))
+        proxy_run.asked += 1
+        id_ = b"%s%d" % (kind, proxy_run.asked)
+        line, body = b"POST /%s/%d" % (kind, proxy_run.asked), b"text %d" % proxy_run.asked
+        proxy_run.judge.sent[id_] = (line, body)
+        self.unanswered.append(id_)
+        given = proxy_run.chance.choice((200, 600, 1500))
         return (
             b"%s HTTP/1.1\r\nHost: h\r\nX-Irisdeal-Attempt-Id: %s\r\nX-Irisdeal-Deadline-Ms: %d\r\n"
             b"Content-Length: %d\r\n\r\n%s" % (line, id_, given, len(body), body)
@@ -242,13 +254,13 @@
 
     async def play(self) -> None:
         """Send a few at once, in pieces; then wait, or leave."""
-        chance = self.day.chance
+        chance = self.proxy_run.chance
         for _ in range(chance.randint(1, 6)):
             text = b"".join(self.ask() for _ in range(chance.randint(1, 4)))
             at = chance.randrange(len(text))
             self.transport.write(text[:at])
             await asyncio.sleep(chance.uniform(0.0, 0.03))
-            if not self.open:
+            if not self.is_open:
                 return
             if chance.random() < 0.05:
                 return self.transport.abort()  # midway
@@ -258,7 +270,7 @@
                 return self.transport.abort()
             if chance.random() < 0.05:
                 return self.transport.write_eof()
-            if not self.open:
+            if not self.is_open:
                 return
         await asyncio.sleep(2.0)
         self.transport.close()
@@ -272,8 +284,8 @@
         self.net = Network(self.world)
         self.chance = random.Random(seed)
         self.judge, self.asked, self.over = Judge(), 0, False
-        self.door = Machine(self.world, self.net, "door", Core(), Costs())
-        monkeypatch.setattr(connection_pool, "has_bytes", lambda file: self.net.has_bytes(self.door, file))
+        self.proxy = Machine(self.world, self.net, "door", Core(), Costs())
+        monkeypatch.setattr(connection_pool, "has_bytes", lambda file: self.net.has_bytes(self.proxy, file))
 
     def now(self) -> float:
         return (self.world.now - START) / 1e6
@@ -295,10 +307,10 @@
         machine.start(run())
         return machine
 
-    async def _door(self) -> int:
-        door = Proxy(SETTINGS)
-        door.chance = door.choice.chance = self.chance
-        door.sources.has_heard.set()
+    async def _proxy(self) -> int:
+        proxy = Proxy(SETTINGS)
+        proxy.chance = proxy.choice.chance = self.chance
+        proxy.sources.has_heard.set()
         rules = [
             {
                 "name": kind,
@@ -311,16 +323,16 @@
         ]
         sockets = [{"hostname": "h", "rules": rules}]
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": sockets}
-        door._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
+        proxy._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(BACKENDS):
-            door._on_incarnation(
+            proxy._on_incarnation(
                 BackendIncarnation(
                     f"i-{number}", "s", f"10.9.0.{number}:80", "z", 4, BackendState.READY, 1, 0.0
                 ),
                 False,
             )
-        await door.front.listen(PROXY_ADDRESS)
-        self.made = door
+        await proxy.front.listen(PROXY_ADDRESS)
+        self.running_proxy = proxy
         await self.loop().create_future()
         return 0
 
@@ -349,21 +361,21 @@
             self.backend(0, "i-9")
 
         self.world.at(START + 3_000_000, "reuse", reuse)
-        self.world.at(START + 4_000_000, "still", lambda: self.door.pause(START + 6_000_000))
-        self.door.start(self._door())
+        self.world.at(START + 4_000_000, "still", lambda: self.proxy.pause(START + 6_000_000))
+        self.proxy.start(self._proxy())
         clients = Machine(self.world, self.net, "clients", Core(), Costs())
         clients.start(self._clients())
         self.world.run(lambda: self.over, START + 60_000_000)
-        errors = [error for machine in (self.door, clients, *machines) for error in machine.errors]
+        errors = [error for machine in (self.proxy, clients, *machines) for error in machine.errors]
         assert not errors, errors
         return self.judge.close()
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_each_answer_of_the_proxy_goes_to_its_request(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    day = ProxyRun(seed, monkeypatch)
-    assert day.play() == []
-    assert day.judge.answers[200] > 20 and day.judge.answers.total() > 40
+    proxy_run = ProxyRun(seed, monkeypatch)
+    assert proxy_run.play() == []
+    assert proxy_run.judge.answers[200] > 20 and proxy_run.judge.answers.total() > 40
 
 
 def test_a_seed_has_the_same_verdict_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -432,11 +444,11 @@
     _planted(bug, monkeypatch)
     found: list[str] = []
     for seed in range(6):
-        day = ProxyRun(seed, monkeypatch)
+        proxy_run = ProxyRun(seed, monkeypatch)
         try:
-            found += day.play()
+            found += proxy_run.play()
         except AssertionError:  # the plant broke it otherwise as well
-            found += day.judge.close()
+            found += proxy_run.judge.close()
     assert any(breach.startswith(rule) for breach in found)
 
 
@@ -509,7 +521,7 @@
         elif answer.failure().never_sent and self.ran[number]:
             self.breaches.append(f"{number} ran and was told as never sent")
 
-    async def talk(self) -> int:
+    async def make_calls(self) -> int:
         client = RpcClient(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
         await asyncio.gather(*(self.one(client, number) for number in range(400)))
         await asyncio.sleep(5.0)
@@ -519,7 +531,7 @@
     def play(self) -> list[str]:
         for at in range(800, 9_000, 700):
             self.world.at(START + at * 1_000, "fault", self.fault)
-        self.caller.start(self.talk())
+        self.caller.start(self.make_calls())
         try:
             self.world.run(lambda: self.over, START + 60_000_000)
         except Stuck:
@@ -534,9 +546,9 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_each_answer_of_a_client_goes_to_its_call_and_each_call_runs_once(seed: int) -> None:
-    talk = CallRun(seed)
-    assert talk.play() == []
-    assert talk.good > 40
+    call_run = CallRun(seed)
+    assert call_run.play() == []
+    assert call_run.good > 40
 
 
 @pytest.mark.parametrize(
@@ -555,10 +567,10 @@
     connection = rpc_client._ClientConnection
     match bug:
         case "ids reused after a restart":
-            made, shared = connection.__init__, cast(dict[int, Any], {})
+            original_init, shared = connection.__init__, cast(dict[int, Any], {})
 
             def one_for_all(self: Any, *given: Any) -> None:
-                made(self, *given)
+                original_init(self, *given)
                 self.pending = shared  # shared by all connections, whose request ids begin anew
 
             def lost(self: Any, exc: Exception | None) -> None:
--- a/tests/rpc/test_call_specs.py
+++ b/tests/rpc/test_call_specs.py
@@ -23,9 +23,10 @@
     """Program, module and syntax tree of each file that may make or handle calls."""
     for program in (*PROGRAMS, "simulation"):
         for path in sorted((ROOT / "irisdeal" / program).rglob("*.py")):
-            if path.name != "__main__.py":
-                name = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
-                yield program, importlib.import_module(name), ast.parse(path.read_text("utf-8"))
+            name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
+            # A package stands in for its program's entry point, which must not be imported: it would listen.
+            name = name.removesuffix(".__init__").removesuffix(".__main__")
+            yield program, importlib.import_module(name), ast.parse(path.read_text("utf-8"))
 
 
 def _kind_in(node: ast.expr | None, module: ModuleType) -> str | None:
