--- a/benchmarks/capacity/places.py
+++ b/benchmarks/capacity/places.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.capacity.size import WHOLE
-from irisdeal.placement.placer import CROSSING
+from irisdeal.placement.placer import ZONE_COST
 
 BACKENDS = round(WHOLE.backends / WHOLE.services)
 DOORS = 1_500
@@ -186,7 +186,7 @@
         """The cost of a backend as a registry sees it: its own doors' at once, the others' as told; zones count."""
         box = self.boxes[at]
         out = sum(box.sums) - box.sums[gauge] + box.own[gauge]
-        return self.cost(out, box.pace) + (CROSSING if at % WHOLE.zones != gauge % WHOLE.zones else 0.0)
+        return self.cost(out, box.pace) + (ZONE_COST if at % WHOLE.zones != gauge % WHOLE.zones else 0.0)
 
     def cost(self, out: int, pace: float) -> float:
         return pace * max(1.0, (out + 1) / SLOTS) + 0.05 * self.chance.random()
--- a/irisdeal/placement/__init__.py
+++ b/irisdeal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests go, told by one registry to all doors of its zone; it knows at once what each backend has."""
+"""Placement of attempts on backends by a registry, for all proxies that ask it. No input or output here."""
--- a/irisdeal/placement/attempt_end.py
+++ b/irisdeal/placement/attempt_end.py
@@ -1,4 +1,4 @@
-"""How an attempt at a backend ended, as its proxy tells the registry that gave the place."""
+"""The result of an attempt at a backend, as its proxy reports it to the registry that placed it."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class AttemptResult(IntEnum):
-    """The end of an attempt, as its door tells it."""
+    """How an attempt ended. The numbers are told between processes and are fixed."""
 
-    GOOD = 0  # a whole answer
-    POOR = 1  # a whole answer, 5xx of its own
-    FULL = 2  # turned away: its queue is full
-    ENDED = 3  # another life stands there
-    FAILED = 4  # broken off, refused, no answer in the protocol
-    UNKNOWN = 5  # its time was over, or it was never used
-    ABANDONED = 6  # given up without an answer: another was quicker, or its client has left
+    SUCCESS = 0  # a complete response
+    SERVER_ERROR = 1  # a complete response with a status of 5xx of the backend's own
+    REJECTED = 2  # by the backend: its queue is full
+    WRONG_INCARNATION = 3  # another incarnation has the backend's address now
+    FAILED = 4  # broken off, refused, or no response in the protocol
+    UNKNOWN = 5  # its time was over, or it was never sent
+    ABANDONED = 6  # given up without a response: another attempt was quicker, or the client has left
--- a/irisdeal/placement/load_reports.py
+++ b/irisdeal/placement/load_reports.py
@@ -1,38 +1,40 @@
-"""How many requests each backend has out from the doors of other registries, as told a moment ago. No I/O here.
+"""Requests in flight at each backend from the proxies of other registries, by their last reports. No I/O here.
 
-Keys are short, as the words are many: `key` of a life's id.
+Backends go by short keys in these reports, as the reports are frequent.
 """
 
 from __future__ import annotations
 
 import zlib
 
-KEPT = 1.5  # s that a word counts
-TELL = 0.1  # s between two words of a registry: about a backend's usual time
-Out = dict[int, int]  # key of a life -> requests
+REPORT_KEPT_S = 1.5  # that a registry's report counts
+REPORT_INTERVAL_S = 0.1  # between two reports of a registry: about the typical latency of a backend
+InFlight = dict[int, int]  # short key of a backend's incarnation -> requests
 
 
-def key(id_: str) -> int:
-    """24 bits of a life's id: with 200 lives two share one on one day in a thousand, and are counted as one."""
+def short_key(id_: str) -> int:
+    """Return 24 bits of a hash of an id: with 200 backends two of them share a key with a chance of one in a
+    thousand, and are then counted as one."""
     return zlib.crc32(id_.encode()) & 0xFFFFFF
 
 
 class LoadReports:
-    """The latest sums of the other registries."""
+    """The latest load reports of the other registries."""
 
     def __init__(self) -> None:
-        self.others: dict[str, tuple[float, Out]] = {}
-
-    def hear(self, registry: str, sums: Out, now: float) -> None:
-        self.others[registry] = (now, sums)
-
-    def total(self, now: float) -> Out:
-        """What the doors of all other registries have out."""
-        total: Out = {}
-        for who, (at, out) in list(self.others.items()):
-            if now - at > KEPT:
-                del self.others[who]
+        self.reports: dict[str, tuple[float, InFlight]] = {}
+
+    def record(self, registry: str, in_flight: InFlight, now: float) -> None:
+        """Take a registry's report in place of its last one."""
+        self.reports[registry] = (now, in_flight)
+
+    def total(self, now: float) -> InFlight:
+        """Return the sum over all registries whose last report still counts."""
+        total: InFlight = {}
+        for registry, (received_at, in_flight) in list(self.reports.items()):
+            if now - received_at > REPORT_KEPT_S:
+                del self.reports[registry]
                 continue
-            for incarnation, count in out.items():
-                total[incarnation] = total.get(incarnation, 0) + count
+            for key, count in in_flight.items():
+                total[key] = total.get(key, 0) + count
         return total
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -1,300 +1,335 @@
-"""Places at backends, given out by a registry to its doors. Time and chance are arguments; no input or output.
-
-Rules this file obeys. A place is a hint: the door that asked checks the life against what it knows itself, and
-goes by its own view where no registry answers. A place that was given counts until its door tells its end, over
-whichever connection, until the connection over which it was given ends, or until its time is over, whichever is
-first. A backend is not called ill on the word of one door whose other attempts fail as well: that door may be cut
-off itself.
-
-Why there is a registry in between: 85 doors each see a backend once in seconds and fill the queue of one that
-looked free a second ago (seen on 75 doors, no trouble in sight: a tenth of the arrivals turned away by full
-backends with 57% of the slots in use, a quarter of the answers late). One registry sees all that its zone sends,
-and what the other registries have sent a tenth of a second ago.
+"""Placement of attempts on backends by a registry. Time and chance are arguments; no input or output.
+
+A placement is a hint: the proxy checks the backend against what it knows itself, and goes by its own view where
+no registry answers. A placement reserves a slot of the backend until its proxy reports the attempt's end, over
+whichever connection, until the connection over which it was given ends, or until its deadline, whichever is
+first. A backend is not taken to be unhealthy on the report of one proxy whose other attempts fail as well: that
+proxy may be cut off itself.
+
+Why a registry places: 85 proxies see one backend each once in seconds, and fill the queue of one that looked
+free a second ago (seen with 75 proxies and no fault: a tenth of the arrivals were rejected by full backends
+with 57% of the slots in use, a quarter of the responses late). One registry sees all that its zone sends, and
+what the other registries have sent a tenth of a second ago.
 """
 
 from __future__ import annotations
 
-import heapq
 import random
-from collections.abc import Hashable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Protocol
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
 from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.placement.load_reports import key
+from irisdeal.placement.load_reports import InFlight, short_key
+from irisdeal.placement.waiting_queues import WaitingQueues
 from irisdeal.rpc.calls import process_name
 
-CROSSING = (
-    0.6  # of a usual time, that another zone must be quicker by: its bytes are dear, its load is told late
-)
-REGION = 2.0  # likewise another region
-CONNECTING = 0.6  # likewise a new connection: it is dear, and takes its time
-PACE_WEIGHT = 0.08  # of the newest answer in a backend's pace: a whole zone's answers come together here
-ILL_WEIGHT = 0.15  # of the newest answer in a backend's share of poor ones
-ILL_COST = 4.0  # usual times that an attempt at a backend costs which answers poorly always
-DOOR_WEIGHT = 0.2  # of the newest attempt in a door's own share of failures
-ILL_DOOR = 0.5  # share of failures over all backends, beyond which a door is not believed
-MOST_WAITING = 4000  # asks that wait for room at one registry; more are answered at once
-JITTER = 0.05  # of its cost, so that two registries that know the same do not choose alike
-FIRST_NUMBERS = (
-    31  # bits: numbers of places begin anywhere there, so that an end told to a later life meets none
-)
-FREE = 1.0  # requests for each slot up to which a backend has room
+# Costs, in typical latencies of the service
+ZONE_COST = 0.6  # that another zone must be faster by: its bytes are dear, its load is reported late
+REGION_COST = 2.0  # likewise another region
+CONNECT_COST = 0.6  # of a new connection
+ERROR_COST = 4.0  # of a backend of which every attempt fails
+OVERLOAD_COST = 10.0  # of a backend that is ejected, saturated or suspect, where there is none else
+CHOICE_JITTER = 0.05  # of its cost, so that two registries with the same view do not choose alike
 
+SLOWDOWN_WEIGHT = 0.08  # of the newest response in a backend's slowdown: all of a zone come together here
+ERROR_WEIGHT = 0.15  # of the newest attempt in a backend's error rate
+PROXY_ERROR_WEIGHT = 0.2  # of the newest attempt in a proxy's own failure rate
+MAX_PROXY_FAILURE_RATE = 0.5  # over all backends, from which a proxy's reports of failures are not believed
+REJECTION_PAUSE_S = 0.1  # that a backend which rejected a request is taken to be saturated
+FREE_FACTOR = 1.0  # requests for each slot up to which a backend has capacity
 
-@dataclass(slots=True)
-class Place:
-    """One request at one backend, until its door tells its end."""
+# Bits: numbers of reservations begin anywhere there, so that an end reported to a later process meets none.
+FIRST_NUMBER_BITS = 31
 
-    door: str  # the connection over which it was given
-    backend: Backend
-    begun: float
-    crowd: float
-    until: float
+
+class PlacementNeeds(Protocol):
+    """What an attempt needs, as a proxy's request says it.
+
+    `zone`: of the proxy; `typical_latency_s`: of the service; `avoid`, `connected`: short keys of backends not
+    to use, and of those to which the proxy has an idle connection.
+    """
+
+    @property
+    def zone(self) -> str: ...
+
+    @property
+    def service(self) -> str: ...
+
+    @property
+    def typical_latency_s(self) -> float: ...
+
+    @property
+    def avoid(self) -> Iterable[int]: ...
+
+    @property
+    def connected(self) -> Iterable[int]: ...
 
 
 @dataclass(slots=True)
-class Waiting:
-    """Asks for a service that found no room, the least rank first."""
+class Reservation:
+    """A slot of a backend, until its proxy reports the attempt's end.
+
+    `proxy`: the connection over which it was given; `load_factor`: by which the load lengthens the attempt;
+    `deadline`: s, when it is dropped without a report.
+    """
 
-    heap: list[tuple[int, int, Hashable]] = field(default_factory=list)
-    dead: set[Hashable] = field(default_factory=set)  # those in it that wait no more
+    proxy: str
+    backend: Backend
+    started_at: float
+    load_factor: float
+    deadline: float
 
 
 class Placer:
-    """What one registry knows of backends' load, and whom it sends where."""
+    """What one registry knows of backends' load, and where it places attempts."""
 
     def __init__(self, regions: dict[str, str], chance: random.Random) -> None:
         """`regions`: the region of each zone."""
         self.regions, self.chance = regions, chance
         self.choice = BackendChoice(chance)
         self.backends: dict[str, Backend] = {}
-        self.keys: dict[int, Backend] = {}
+        self.by_key: dict[int, Backend] = {}
         self.services: dict[str, dict[str, list[Backend]]] = {}  # service -> zone -> backends
-        self.places: dict[int, Place] = {}
-        self.doors: dict[str, set[int]] = {}
-        self.failing: dict[str, float] = {}  # door -> its share of failures
-        self.waiting: dict[str, Waiting] = {}
-        self.number, self.asked = chance.getrandbits(FIRST_NUMBERS), 0
+        self.reservations: dict[int, Reservation] = {}
+        self.numbers_of: dict[str, set[int]] = {}  # connection of a proxy -> its reservations
+        self.failure_rates: dict[str, float] = {}  # of attempts, by proxy
+        self.waiting = WaitingQueues()
+        self.number = chance.getrandbits(FIRST_NUMBER_BITS)
 
     # Backends
 
-    def know(self, id_: str, service: str, zone: str, capacity: int, warm_at: float) -> Backend:
-        """A life that may be used."""
+    def add(self, id_: str, service: str, zone: str, capacity: int, warm_at: float) -> Backend:
+        """Add an incarnation that may be used, or update when its slow start ends."""
         backend = self.backends.get(id_)
         if backend is None:
-            backend = Backend(id_, service, ("", 0), zone, 0, max(1, capacity), warm_at, key=key(id_))
-            self.backends[id_] = self.keys[backend.key] = backend
+            backend = Backend(id_, service, ("", 0), zone, 0, max(1, capacity), warm_at, key=short_key(id_))
+            self.backends[id_] = self.by_key[backend.key] = backend
             self.services.setdefault(service, {}).setdefault(zone, []).append(backend)
         backend.warm_at = warm_at
         return backend
 
-    def retire(self, id_: str) -> None:
-        """A life that drains or is gone: nothing more goes there."""
+    def remove(self, id_: str) -> None:
+        """Place nothing more on an incarnation that drains or is gone."""
         backend = self.backends.pop(id_, None)
         if backend is not None:
             backend.is_draining = True
-            self.keys.pop(backend.key, None)
+            self.by_key.pop(backend.key, None)
             zones = self.services[backend.service]
             zones[backend.zone].remove(backend)
             if not zones[backend.zone]:
                 del zones[backend.zone]
 
-    # Places
+    # Reservations
 
-    def place(
-        self,
-        door: str,
-        zone: str,
-        service: str,
-        usual: float,
-        avoid: Iterable[int],
-        now: float,
-        until: float,
-        only_free: bool,
-        connected: Iterable[int] = (),
+    def reserve(
+        self, proxy: str, needs: PlacementNeeds, now: float, deadline: float, only_free: bool
     ) -> tuple[int, Backend, float] | None:
-        """A place's number, its backend and how many times its work the answer will take; None: no room, or none.
+        """Reserve a slot: its number, the backend, and the factor by which the load lengthens the attempt.
 
-        `usual`: s that such a request takes; `until`: when the place is void at the latest; without `only_free`
-        the best backend there is, full or not. `avoid`, `connected`: keys of the lives that the door will not use,
-        and of those to which it has a connection at rest.
+        `deadline`: s, when the reservation is dropped at the latest; `only_free`: only on a backend with
+        capacity, else on the best there is, full or not. None where there is none.
         """
-        backend = self._choose(zone, service, usual, frozenset(avoid), frozenset(connected), now, only_free)
+        backend = self._choose(needs, now, only_free)
         if backend is None:
             return None
-        crowd = self.choice.load_factor(backend)
+        load_factor = self.choice.load_factor(backend)
         self.choice.record_start(backend, now)
         self.number += 1
-        self.places[self.number] = Place(door, backend, now, crowd, until)
-        self.doors.setdefault(door, set()).add(self.number)
-        return self.number, backend, crowd
-
-    def _choose(
-        self,
-        zone: str,
-        service: str,
-        usual: float,
-        avoid: frozenset[int],
-        connected: frozenset[int],
-        now: float,
-        only_free: bool,
-    ) -> Backend | None:
-        zones = self.services.get(service, {})
-        best, least = self._best(zones.get(zone, ()), 0.0, usual, avoid, connected, now, True)
-        if best is not None and (least <= CROSSING + CONNECTING or len(zones) == 1):
+        self.reservations[self.number] = Reservation(proxy, backend, now, load_factor, deadline)
+        self.numbers_of.setdefault(proxy, set()).add(self.number)
+        return self.number, backend, load_factor
+
+    def _choose(self, needs: PlacementNeeds, now: float, only_free: bool) -> Backend | None:
+        """Return the cheapest backend; another zone is looked at only where the proxy's own has none at low
+        cost."""
+        zones = self.services.get(needs.service, {})
+        avoid, connected = frozenset(needs.avoid), frozenset(needs.connected)
+        latency_s = needs.typical_latency_s
+        best, cost = self._best_free(zones.get(needs.zone, ()), 0.0, latency_s, avoid, connected, now)
+        if best is not None and (cost <= ZONE_COST + CONNECT_COST or len(zones) == 1):
             return best
-        for other, backends in zones.items():
-            if other != zone:
-                crossing = CROSSING if self.regions.get(other) == self.regions.get(zone) else REGION
-                found, cost = self._best(backends, crossing, usual, avoid, connected, now, True)
-                if found is not None and (best is None or cost < least):
-                    best, least = found, cost
+        for zone, backends in zones.items():
+            if zone == needs.zone:
+                continue
+            distance_cost = self._distance_cost(zone, needs.zone)
+            found, found_cost = self._best_free(backends, distance_cost, latency_s, avoid, connected, now)
+            if found is not None and (best is None or found_cost < cost):
+                best, cost = found, found_cost
         if best is not None or only_free:
             return best
-        for other, backends in zones.items():
-            crossing = 0.0 if other == zone else CROSSING
-            found, cost = self._best(backends, crossing, usual, avoid, connected, now, False)
-            if found is not None and (best is None or cost < least):
-                best, least = found, cost
-        return best
+        return self._best_of_all(zones, needs.zone, latency_s, avoid, connected, now)
+
+    def _distance_cost(self, zone: str, from_zone: str) -> float:
+        return ZONE_COST if self.regions.get(zone) == self.regions.get(from_zone) else REGION_COST
 
-    def _best(
+    def _best_free(
         self,
         backends: Iterable[Backend],
-        crossing: float,
-        usual: float,
+        distance_cost: float,
+        latency_s: float,
         avoid: frozenset[int],
         connected: frozenset[int],
         now: float,
-        only_free: bool,
     ) -> tuple[Backend | None, float]:
-        """The cheapest and its cost in usual times beyond the first; dear and suspect ones are not `free`."""
+        """Return the cheapest of those with capacity, and its cost beyond one typical latency."""
         best, least = None, 0.0
-        choice = self.choice
-        for backend in backends:
+        cost_of, is_suspect = self._cost, self.choice.is_suspect
+        for (
+            backend
+        ) in backends:  # runs for each attempt: the checks of `_is_unhealthy` stand here without a call
             there = backend.in_flight + backend.in_flight_elsewhere
-            if (only_free and there >= backend.capacity * FREE) or backend.key in avoid:
+            if there >= backend.capacity * FREE_FACTOR or backend.key in avoid:
+                continue
+            if backend.is_unresponsive or backend.ejected_until > now or backend.saturated_until > now:
                 continue
-            shunned = (
-                backend.is_unresponsive
-                or backend.ejected_until > now
-                or backend.saturated_until > now
-                or (backend.in_flight and choice.is_suspect(backend, usual, now))
-            )
-            if shunned and only_free:
+            if backend.in_flight and is_suspect(backend, latency_s, now):
                 continue
-            cost = (
-                choice.expected_latency(backend, 1.0, now)
-                - 1.0
-                + crossing
-                + ILL_COST * backend.error_rate
-                + JITTER * self.chance.random()
-                + (10.0 if shunned else 0.0)
-            )
-            if backend.key not in connected:
-                cost += CONNECTING
+            cost = cost_of(backend, distance_cost, 0.0, connected, now)
             if best is None or cost < least:
                 best, least = backend, cost
         return best, least
 
-    def ended(self, door: str, number: int, how: AttemptResult, ratio: float, now: float) -> str | None:
-        """The end of a place; the service at which there may be room now. `ratio`: s it took over the usual."""
-        place = self.places.get(number)
-        name = process_name(door)
-        if place is None or process_name(place.door) != name:
+    def _best_of_all(
+        self,
+        zones: dict[str, list[Backend]],
+        own_zone: str,
+        latency_s: float,
+        avoid: frozenset[int],
+        connected: frozenset[int],
+        now: float,
+    ) -> Backend | None:
+        """Return the cheapest backend of all zones, full and unhealthy ones among them."""
+        best, least = None, 0.0
+        for zone, backends in zones.items():
+            distance_cost = 0.0 if zone == own_zone else ZONE_COST
+            for backend in backends:
+                if backend.key in avoid:
+                    continue
+                penalty = OVERLOAD_COST if self._is_unhealthy(backend, latency_s, now) else 0.0
+                cost = self._cost(backend, distance_cost, penalty, connected, now)
+                if best is None or cost < least:
+                    best, least = backend, cost
+        return best
+
+    def _is_unhealthy(self, backend: Backend, latency_s: float, now: float) -> bool:
+        return (
+            backend.is_unresponsive
+            or backend.ejected_until > now
+            or backend.saturated_until > now
+            or (backend.in_flight > 0 and self.choice.is_suspect(backend, latency_s, now))
+        )
+
+    def _cost(
+        self, backend: Backend, distance_cost: float, penalty: float, connected: frozenset[int], now: float
+    ) -> float:
+        cost = (
+            self.choice.expected_latency(backend, 1.0, now)
+            - 1.0
+            + distance_cost
+            + ERROR_COST * backend.error_rate
+            + CHOICE_JITTER * self.chance.random()
+            + penalty
+        )
+        return cost if backend.key in connected else cost + CONNECT_COST
+
+    # Ends of attempts
+
+    def end(
+        self, proxy: str, number: int, result: AttemptResult, latency_ratio: float, now: float
+    ) -> str | None:
+        """End a reservation, and learn from the attempt's result.
+
+        `latency_ratio`: the attempt's time over the typical latency. Returns the service that may have capacity
+        now; None where the proxy has no such reservation.
+        """
+        reservation = self.reservations.get(number)
+        name = process_name(proxy)
+        if reservation is None or process_name(reservation.proxy) != name:
             return None
-        del self.places[number]
-        self._freed(place.door, number)
-        backend, choice = place.backend, self.choice
-        choice.record_end(backend, place.begun)
-        bad = how in (AttemptResult.FAILED, AttemptResult.POOR)
-        if how not in (AttemptResult.UNKNOWN, AttemptResult.ABANDONED):
-            share = self.failing.get(name, 0.0)
-            self.failing[name] = share + DOOR_WEIGHT * ((how is AttemptResult.FAILED) - share)
-            if (
-                how in (AttemptResult.GOOD, AttemptResult.POOR, AttemptResult.FAILED)
-                and self.failing[name] < ILL_DOOR
-            ):
-                backend.error_rate += ILL_WEIGHT * (bad - backend.error_rate)
-        match how:
-            case AttemptResult.GOOD:
-                choice.record_slowdown(backend, ratio / place.crowd, now, PACE_WEIGHT)
-            case AttemptResult.POOR:  # as quick as it may be, it is no better for it
+        del self.reservations[number]
+        self._forget_number(reservation.proxy, number)
+        backend = reservation.backend
+        self.choice.record_end(backend, reservation.started_at)
+        if result is not AttemptResult.UNKNOWN and result is not AttemptResult.ABANDONED:
+            self._record_error(name, backend, result)
+        self._record_result(reservation, name, result, latency_ratio, now)
+        return backend.service
+
+    def _record_error(self, proxy: str, backend: Backend, result: AttemptResult) -> None:
+        """Update the failure rate of the proxy and, where the proxy is believed, the error rate of the backend."""
+        rate = self.failure_rates.get(proxy, 0.0)
+        is_failure = result is AttemptResult.FAILED
+        self.failure_rates[proxy] = rate = rate + PROXY_ERROR_WEIGHT * (is_failure - rate)
+        if rate >= MAX_PROXY_FAILURE_RATE:
+            return
+        if result in (AttemptResult.SUCCESS, AttemptResult.SERVER_ERROR, AttemptResult.FAILED):
+            is_error = result is not AttemptResult.SUCCESS
+            backend.error_rate += ERROR_WEIGHT * (is_error - backend.error_rate)
+
+    def _record_result(
+        self, reservation: Reservation, proxy: str, result: AttemptResult, latency_ratio: float, now: float
+    ) -> None:
+        backend, choice = reservation.backend, self.choice
+        is_believed = self.failure_rates.get(proxy, 0.0) < MAX_PROXY_FAILURE_RATE
+        match result:
+            case AttemptResult.SUCCESS:
+                slowdown = latency_ratio / reservation.load_factor
+                choice.record_slowdown(backend, slowdown, now, SLOWDOWN_WEIGHT)
+            case AttemptResult.SERVER_ERROR:  # a quick error is no sign of a fast backend
                 backend.last_response_at = now
-            case AttemptResult.FULL:
-                choice.record_rejection(backend, now, 0.1)
-            case AttemptResult.ENDED:
-                self.retire(backend.id)
-            case AttemptResult.FAILED if self.failing[name] < ILL_DOOR:
+            case AttemptResult.REJECTED:
+                choice.record_rejection(backend, now, REJECTION_PAUSE_S)
+            case AttemptResult.WRONG_INCARNATION:
+                self.remove(backend.id)
+            case AttemptResult.FAILED if is_believed:
                 choice.record_failure(backend, now)
-            case AttemptResult.ABANDONED if self.failing.get(name, 0.0) < ILL_DOOR:
-                choice.record_abandoned(backend, place.begun, ratio / place.crowd, now, PACE_WEIGHT)
-        return backend.service
+            case AttemptResult.ABANDONED if is_believed:
+                slowdown = latency_ratio / reservation.load_factor
+                choice.record_abandoned(backend, reservation.started_at, slowdown, now, SLOWDOWN_WEIGHT)
 
-    def _freed(self, door: str, number: int) -> None:
-        numbers = self.doors[door]
+    def _forget_number(self, proxy: str, number: int) -> None:
+        numbers = self.numbers_of[proxy]
         numbers.discard(number)
         if not numbers:
-            del self.doors[door]
+            del self.numbers_of[proxy]
 
-    def leave(self, door: str) -> set[str]:
-        """A door's connection ended: what was given over it is free. The services at which there may be room."""
+    def disconnect(self, proxy: str) -> set[str]:
+        """End the reservations that were given over a connection that is lost.
+
+        Returns the services that may have capacity now.
+        """
         services = set()
-        for number in self.doors.pop(door, set()):
-            place = self.places.pop(number)
-            self.choice.record_end(place.backend, place.begun)
-            services.add(place.backend.service)
-        self.failing.pop(process_name(door), None)
+        for number in self.numbers_of.pop(proxy, set()):
+            reservation = self.reservations.pop(number)
+            self.choice.record_end(reservation.backend, reservation.started_at)
+            services.add(reservation.backend.service)
+        self.failure_rates.pop(process_name(proxy), None)
         return services
 
-    def look(self, now: float) -> set[str]:
-        """Places whose time is over are void."""
+    def expire(self, now: float) -> set[str]:
+        """End the reservations past their deadlines. Returns the services that may have capacity now."""
         services = set()
-        for number, place in [(n, p) for n, p in self.places.items() if p.until < now]:
-            del self.places[number]
-            self._freed(place.door, number)
-            self.choice.record_end(place.backend, place.begun)
-            services.add(place.backend.service)
+        expired = [
+            (number, reservation)
+            for number, reservation in self.reservations.items()
+            if reservation.deadline < now
+        ]
+        for number, reservation in expired:
+            del self.reservations[number]
+            self._forget_number(reservation.proxy, number)
+            self.choice.record_end(reservation.backend, reservation.started_at)
+            services.add(reservation.backend.service)
         return services
 
-    # Who waits for room
-
-    def wait(self, service: str, rank: int, token: Hashable) -> bool:
-        """`token` waits for room at this service; False where too many do."""
-        heap = self.waiting.setdefault(service, Waiting()).heap
-        if len(heap) >= MOST_WAITING:
-            return False
-        self.asked += 1
-        heapq.heappush(heap, (rank, self.asked, token))
-        return True
-
-    def wait_no_more(self, service: str, token: Hashable) -> None:
-        """It is passed over when its turn comes, and swept out once half of all are such."""
-        waiting = self.waiting[service]
-        waiting.dead.add(token)
-        if 2 * len(waiting.dead) > len(waiting.heap):
-            waiting.heap = [entry for entry in waiting.heap if entry[2] not in waiting.dead]
-            heapq.heapify(waiting.heap)
-            waiting.dead.clear()
-
-    def next(self, service: str) -> Hashable | None:
-        """Who goes next at this service, taken out of those that wait."""
-        waiting = self.waiting.get(service)
-        while waiting is not None and waiting.heap:
-            token = heapq.heappop(waiting.heap)[2]
-            if token not in waiting.dead:
-                return token
-            waiting.dead.discard(token)
-        return None
-
-    # What the other registries have there
-
-    def sums(self) -> dict[int, int]:
-        """What our doors have at each backend, by its key."""
-        return {short: backend.in_flight for short, backend in self.keys.items() if backend.in_flight}
-
-    def others(self, sums: dict[int, int]) -> None:
-        """What the doors of all other registries have there."""
-        for short, backend in self.keys.items():
-            backend.in_flight_elsewhere = sums.get(short, 0)
+    # Load of the other registries
+
+    def in_flight(self) -> InFlight:
+        """Return the requests in flight at each backend from this registry's proxies."""
+        return {key: backend.in_flight for key, backend in self.by_key.items() if backend.in_flight}
+
+    def update_elsewhere(self, in_flight: InFlight) -> None:
+        """Take the requests in flight at each backend from all other registries' proxies."""
+        for key, backend in self.by_key.items():
+            backend.in_flight_elsewhere = in_flight.get(key, 0)
--- a/irisdeal/proxy/attempt_placement.py
+++ b/irisdeal/proxy/attempt_placement.py
@@ -170,7 +170,7 @@
             return None
         backend = self.services.get(needs.service, {}).get(reply.backend)
         if backend is not None and not backend.is_draining and reply.backend not in needs.tried:
-            return Placed(backend, reply.slowdown, placement.registry, reply.reservation)
+            return Placed(backend, reply.load_factor, placement.registry, reply.reservation)
         if has_place:
             self.registries.end_place(
                 placement.registry, ReservationEnd(reply.reservation, int(AttemptResult.UNKNOWN))
--- a/irisdeal/proxy/attempts.py
+++ b/irisdeal/proxy/attempts.py
@@ -135,11 +135,11 @@
     def _learn(self, how: AttemptResult, outcome: AttemptOutcome | None, ratio: float, now: float) -> None:
         choice, backend, usual = self.services.choice, self.placed.backend, self.admitted.usual
         match how:
-            case AttemptResult.GOOD:
+            case AttemptResult.SUCCESS:
                 choice.record_response(backend, usual, now - self.begun, self.placed.crowd, now)
-            case AttemptResult.FULL:
+            case AttemptResult.REJECTED:
                 choice.record_rejection(backend, now, usual.typical_latency_s)
-            case AttemptResult.ENDED:
+            case AttemptResult.WRONG_INCARNATION:
                 self.services.on_ended(backend.id)
             case AttemptResult.ABANDONED if self.sent.is_sent:
                 choice.record_abandoned(backend, self.begun, ratio / self.placed.crowd, now)
@@ -155,9 +155,9 @@
     """An attempt's end as the registry is told it."""
     match outcome.end:
         case End.ANSWER:
-            return AttemptResult.POOR if outcome.status >= 500 else AttemptResult.GOOD
+            return AttemptResult.SERVER_ERROR if outcome.status >= 500 else AttemptResult.SUCCESS
         case End.PROMISE:
-            return AttemptResult.ENDED if outcome.misdirected else AttemptResult.FULL
+            return AttemptResult.WRONG_INCARNATION if outcome.misdirected else AttemptResult.REJECTED
         case End.LOST if outcome.late:
             return (
                 AttemptResult.UNKNOWN
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -17,7 +17,7 @@
 from irisdeal.http1.server import HttpServer, Unanswered
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, LatencyEstimate
 from irisdeal.permits.allowance import Limit
-from irisdeal.placement.load_reports import key
+from irisdeal.placement.load_reports import short_key
 from irisdeal.proxy.admission import RequestPermit, TenantAdmission
 from irisdeal.proxy.attempt_placement import AttemptPlacer
 from irisdeal.proxy.attempts import (
@@ -203,7 +203,7 @@
                 near,
                 max(1, incarnation.capacity),
                 incarnation.warm_at,
-                key=key(incarnation.id),
+                key=short_key(incarnation.id),
             )
             self.backends[incarnation.id] = backend
             self.services.setdefault(incarnation.service, {})[incarnation.id] = backend
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -1,6 +1,6 @@
-"""What a proxy asks a registry before an attempt: a permit of the tenant, a repeat of its budget, a place.
+"""Admission of attempts: a permit of the tenant, a retry of the budget, and a backend, in one call of a proxy.
 
-One call asks for all three, so a request costs one way to the registry and back.
+One call asks for all three, so a request costs one round trip to the registry.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import ClaimResult
 from irisdeal.ratelimit.retry_budget import REGISTRY_SLACK_SHARE, RetryBudgets
+from irisdeal.registry import call_kinds
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
 from irisdeal.registry.placement_service import NO_BACKEND, PlacementService
@@ -18,6 +19,11 @@
 from irisdeal.rpc.server import DEFERRED
 from irisdeal.runtime.settings import Settings
 
+# Defaults of a deployment's bounds of retries
+RETRY_RATIO = 0.2  # retries for each request of a service
+RETRY_WINDOW_S = 10.0  # over which requests are counted
+RETRY_SLACK = 50.0  # retries beyond the ratio, over all registries
+
 OVER_QUOTA = PlacementReply(PlacementResult.OVER_QUOTA)
 OVER_BUDGET = PlacementReply(PlacementResult.OVER_BUDGET)
 NOT_ISSUING = PlacementReply(PlacementResult.NOT_ISSUING)
@@ -25,7 +31,7 @@
 
 
 class AdmissionService:
-    """The permits, repeats and places of one registry's process."""
+    """The permits, retry budgets and placements of one registry's process."""
 
     def __init__(
         self,
@@ -36,66 +42,60 @@
         age: Age,
         lend_from: Lend,
     ) -> None:
-        """`age`: of what is known as decided; `lend_from`: asks another registry for permits."""
+        """`age`: of the store's state that is known here; `lend_from`: asks another registry for permits."""
         self.loop, self.age = loop, age
         self.authority = IssuingAuthority(settings.ip)
-        self.places = PlacementService(settings.zones, backends, loop)
+        self.placements = PlacementService(settings.zones, backends, loop)
         self.quotas = QuotaService(settings, loop, incarnation, self.authority, age, lend_from)
         bound = settings.bound
-        slack = REGISTRY_SLACK_SHARE * bound("retry_slack", 50.0)
-        self.repeats = RetryBudgets(
-            bound("retry_ratio", 0.2), bound("retry_window_s", 10.0), slack, loop.time()
-        )
+        slack = REGISTRY_SLACK_SHARE * bound("retry_slack", RETRY_SLACK)
+        ratio, window_s = bound("retry_ratio", RETRY_RATIO), bound("retry_window_s", RETRY_WINDOW_S)
+        self.retry_budgets = RetryBudgets(ratio, window_s, slack, loop.time())
 
-    def quick(self, peer: str, kind: str, body: Any) -> Any:
-        """The answer to a call that needs no waiting; `DEFERRED` for all others."""
-        if kind == "ended":
-            self.places.ended(peer, ReservationEnd.decode(body))
+    def answer_at_once(self, caller: str, kind: str, body: object) -> Any:
+        """Answer a call that needs no waiting; `DEFERRED` for all others."""
+        if kind == call_kinds.END_RESERVATION:
+            self.placements.end(caller, ReservationEnd.decode(body))
             return None
-        if kind == "place":
-            reply = self._place_at_once(peer, PlacementRequest.decode(body))
+        if kind == call_kinds.RESERVE:
+            reply = self._admit_at_once(caller, PlacementRequest.decode(body))
             return DEFERRED if reply is None else reply.encode()
         return DEFERRED
 
-    def _place_at_once(self, peer: str, request: PlacementRequest) -> PlacementReply | None:
+    def _admit_at_once(self, caller: str, request: PlacementRequest) -> PlacementReply | None:
         """None where permits have to be borrowed first."""
         if not request.tenant:
-            return self._admitted(peer, request)
+            return self._place(caller, request)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._admitted(peer, request)
+                return self._place(caller, request)
             case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         if request.is_late or not self.quotas.can_borrow(request.tenant):
             return OVER_QUOTA
         return None
 
-    async def place(self, peer: str, body: Any) -> Any:
-        """An ask that found no permit here: one from another registry."""
-        request = PlacementRequest.decode(body)
+    async def borrow_and_admit(self, caller: str, request: PlacementRequest) -> PlacementReply:
+        """Admit a request that found no permit here, with one of another registry."""
         await self.quotas.borrow(request.tenant)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._admitted(peer, request).encode()
+                return self._place(caller, request)
             case ClaimResult.NOT_ISSUING:
-                return NOT_ISSUING.encode()
-        return OVER_QUOTA.encode()
+                return NOT_ISSUING
+        return OVER_QUOTA
 
-    def _admitted(self, peer: str, request: PlacementRequest) -> PlacementReply:
-        """What is answered to an ask that is within its quota."""
+    def _place(self, caller: str, request: PlacementRequest) -> PlacementReply:
+        """Place a request that is within its quota."""
         now = self.loop.time()
         if not request.is_repeat:
             if not request.is_counted:
-                self.repeats.record_request(request.service, now)
-        elif not self.repeats.consume(request.service, now, self._sharers(now)):
+                self.retry_budgets.record_request(request.service, now)
+        elif not self.retry_budgets.consume(request.service, now, self._budget_sharers(now)):
             return OVER_BUDGET
-        placed = self.places.place(peer, request)
-        return placed or (NO_BACKEND if request.max_wait_s <= 0 else WAIT)
+        reply = self.placements.reserve(caller, request)
+        return reply or (NO_BACKEND if request.max_wait_s <= 0 else WAIT)
 
-    def _sharers(self, now: float) -> int:
-        """Registries that share the slack of repeats; 0 where we may have no part in it."""
+    def _budget_sharers(self, now: float) -> int:
+        """Registries that share the slack of the retry budgets; 0 where this one may have no part in it."""
         return self.authority.issuers(now) if self.authority.may_issue(self.age(), now) else 0
-
-    async def wait(self, peer: str, body: Any) -> Any:
-        """An ask that found no room; its permit, if it needs one, is claimed."""
-        return (await self.places.wait(peer, PlacementRequest.decode(body))).encode()
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -1,8 +1,8 @@
 """The table of backends that a registry keeps, by incarnation. Time is an argument; no input or output.
 
-What is known of an incarnation only moves forward: by its count of heartbeats, and from ready to draining to gone.
-So two registries that merge reports in any order know the same, and a late heartbeat revives no incarnation. One
-that is gone stays in the table for a while as a tombstone.
+What is known of an incarnation only moves forward: by its count of heartbeats, and from ready to draining to
+gone. So two registries that merge reports in any order know the same, and a late heartbeat revives no
+incarnation. One that is gone stays in the table for a while as a tombstone.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 class BackendEntry:
     """An incarnation in the table.
 
-    `heartbeat_at`: s on the local clock, when the last heartbeat was received; `changed_in`: the table's version in
-    which watchers last saw it change.
+    `heartbeat_at`: s on the local clock, when the last heartbeat was received; `changed_in`: the table's
+    version in which watchers last saw it change.
     """
 
     incarnation: BackendIncarnation
@@ -136,7 +136,8 @@
         return has_changed
 
     def forgive_missed_heartbeats(self, now: float) -> None:
-        """This process itself was suspended: heartbeats that it could not receive are not held against backends."""
+        """This process itself was suspended: heartbeats that it could not receive are not held against
+        backends."""
         for entry in self.entries.values():
             if entry.incarnation.state is not BackendState.GONE:
                 entry.heartbeat_at = max(entry.heartbeat_at, now - self.unresponsive_after_s / 2)
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -1,4 +1,4 @@
-"""Calls from outside, decoded into command objects that are run elsewhere. No input or output here."""
+"""HTTP calls of backends and operators, decoded into commands that run elsewhere. No input or output here."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import parse_address
 
-MOST_BEAT = 4096  # bytes of a beat
+MAX_HEARTBEAT_BYTES = 4096  # far over what a heartbeat needs
 ID = re.compile(r"[\x21-\x7e]{1,200}")
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A backend says that it is there."""
+    """A backend reports that it is alive. Its fields are the operators' JSON; `call_count`: heartbeats so far."""
 
     id: str
     service: str
@@ -36,75 +36,75 @@
 
 @dataclass(frozen=True, slots=True)
 class Deregister:
-    """A backend says that it is gone."""
+    """A backend reports that it is gone."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """The operator gives a configuration, checked."""
+    """An operator puts a configuration, which is validated."""
 
     version: ConfigVersion
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """The operator asks for the newest configuration."""
+    """An operator reads the newest configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListBackends:
-    """Somebody asks how this program is."""
+    """An operator asks for the registry's state and its backends."""
 
 
 Command = Heartbeat | Deregister | PutConfiguration | ReadConfiguration | ListBackends
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """A call that is no command: the status and the reason."""
+class RejectedCall:
+    """A call that is no command: the HTTP status and the reason."""
 
     status: int
-    trouble: OperationError
+    error: OperationError
 
 
-def decode(method: bytes, target: bytes, body: bytes) -> Result[Command, Refusal]:
-    """The command in a call, or why it is none."""
+def decode(method: bytes, target: bytes, body: bytes) -> Result[Command, RejectedCall]:
+    """Return the command in a call, or why it is none."""
     path = target.partition(b"?")[0].decode("ascii", "replace")
-    parts = path.strip("/").split("/")
-    match method, parts:
+    segments = path.strip("/").split("/")
+    match method, segments:
         case b"POST", ["backends", id_, "heartbeat"]:
             return _heartbeat(id_, body)
         case b"POST", ["backends", id_, "deregister"]:
             if ID.fullmatch(id_):
                 return Success(Deregister(id_))
-            return Failure(Refusal(400, OperationError("deregister", id_, "the id cannot be used")))
+            return Failure(RejectedCall(400, OperationError("deregister", id_, "the id cannot be used")))
         case b"POST", ["config", "replace"]:
             return _put(body)
         case b"GET", ["config", "read"]:
             return Success(ReadConfiguration())
         case b"GET", ["status"]:
             return Success(ListBackends())
-    return Failure(Refusal(404, OperationError("call", path, "nothing is served here")))
+    return Failure(RejectedCall(404, OperationError("call", path, "nothing is served here")))
 
 
-def _heartbeat(id_: str, body: bytes) -> Result[Command, Refusal]:
+def _heartbeat(id_: str, body: bytes) -> Result[Command, RejectedCall]:
     try:
-        data: Any = json.loads(body) if len(body) <= MOST_BEAT else None
+        data: Any = json.loads(body) if len(body) <= MAX_HEARTBEAT_BYTES else None
         if not isinstance(data, dict) or not ID.fullmatch(id_):
-            raise ValueError(f"wanted an object of at most {MOST_BEAT} bytes and a printable id")
+            raise ValueError(f"wanted an object of at most {MAX_HEARTBEAT_BYTES} bytes and a printable id")
         heartbeat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
         if heartbeat.state not in ("ready", "draining"):
             raise ValueError(f"state: wanted ready or draining, got {heartbeat.state!r}")
         parse_address(heartbeat.address)
     except (dacite.DaciteError, ValueError, TypeError) as error:
-        return Failure(Refusal(400, OperationError("heartbeat", id_, str(error))))
+        return Failure(RejectedCall(400, OperationError("heartbeat", id_, str(error))))
     return Success(heartbeat)
 
 
-def _put(body: bytes) -> Result[Command, Refusal]:
+def _put(body: bytes) -> Result[Command, RejectedCall]:
     checked = read(body)
     if isinstance(checked, Failure):
-        return Failure(Refusal(400, checked.failure()))
+        return Failure(RejectedCall(400, checked.failure()))
     return Success(PutConfiguration(ConfigVersion.of(checked.unwrap().generation, body)))
--- a/irisdeal/registry/incarnation.py
+++ b/irisdeal/registry/incarnation.py
@@ -23,8 +23,8 @@
 class BackendIncarnation:
     """One start of a backend.
 
-    `capacity`: requests that it serves at once; `count`: heartbeats sent so far, which orders two reports of one
-    incarnation; `warm_at`: s on the local clock, when its slow start ends.
+    `capacity`: requests that it serves at once; `count`: heartbeats sent so far, which orders two reports of
+    one incarnation; `warm_at`: s on the local clock, when its slow start ends.
     """
 
     id: str
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -1,7 +1,7 @@
 """The messages that a registry answers, each with its encoding for the wire.
 
-Kinds of calls and the order of fields are fixed: processes of the version before and after stand side by side in a
-rolling upgrade. Each `decode` raises ValueError or TypeError where a body is not of the message's form.
+Kinds of calls and the order of fields are fixed: processes of the version before and after stand side by side
+in a rolling upgrade. Each `decode` raises ValueError or TypeError where a body is not of the message's form.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 class WatchRequest:
     """A proxy's long poll for whatever is newer than what it has.
 
-    `sync_state`: the configuration that it has; `registry_incarnation`: of the registry process that answered last,
-    0 for none; `table_version`: of that process's backend table as of that answer; `change`: the newest change of
-    the store that it has completely.
+    `sync_state`: the configuration that it has; `registry_incarnation`: of the registry process that answered
+    last, 0 for none; `table_version`: of that process's backend table as of that answer; `change`: the newest
+    change of the store that it has completely.
     """
 
     sync_state: SyncState
@@ -56,10 +56,11 @@
     """What has changed since a `WatchRequest`.
 
     `chunk`: of a newer configuration, encoded, as `ChunkAssembler.take` checks it; None for none;
-    `registry_incarnation`: of the process that answers; `table_version`: of its backend table; `backends`: those
-    that changed; `zones`: the zone of each core machine by IP; `age_ms`: how long ago the registry's state was
-    known to be current when the request came, or `NO_CONTACT_AGE_MS`; `change`: the newest change that the registry
-    has completely, or `OLDER_CHANGE` where the chunk is of an older version, whose transfer was under way.
+    `registry_incarnation`: of the process that answers; `table_version`: of its backend table; `backends`:
+    those that changed; `zones`: the zone of each core machine by IP; `age_ms`: how long ago the registry's
+    state was known to be current when the request came, or `NO_CONTACT_AGE_MS`; `change`: the newest change
+    that the registry has completely, or `OLDER_CHANGE` where the chunk is of an older version, whose transfer
+    was under way.
     """
 
     chunk: list[object] | None
@@ -176,29 +177,29 @@
 class PlacementReply:
     """The result; where it is `PLACED`, a slot of a backend is reserved.
 
-    `reservation`: its number, above 0; `backend`: the id of the incarnation; `slowdown`: by what factor the load
-    there lengthens the attempt.
+    `reservation`: its number, above 0; `backend`: the id of the incarnation; `load_factor`: by what factor the
+    load there lengthens the attempt.
     """
 
     result: PlacementResult
     reservation: int = 0
     backend: str = ""
-    slowdown: float = 0.0
+    load_factor: float = 0.0
 
     def encode(self) -> list[Any]:
         """The wire form: the reservation's number, or the result where there is none."""
         return [
             self.reservation if self.result is PlacementResult.PLACED else int(self.result),
             self.backend,
-            self.slowdown,
+            self.load_factor,
         ]
 
     @staticmethod
     def decode(fields: Any) -> PlacementReply:
         """Read the wire form."""
-        number, backend, slowdown = fields
+        number, backend, load_factor = fields
         if number > 0:
-            return PlacementReply(PlacementResult.PLACED, int(number), str(backend), float(slowdown))
+            return PlacementReply(PlacementResult.PLACED, int(number), str(backend), float(load_factor))
         return PlacementReply(PlacementResult(number))
 
 
@@ -275,9 +276,9 @@
 class IntervalReply:
     """The answer to an `IntervalReport`.
 
-    `position`: of the registry on the shared interval clock; `proxies`: how many there are; `number`: of the newest
-    completed interval; `reserve`: changes of the permits that the proxy holds; `totals`: of that interval, for the
-    tenants that were reported.
+    `position`: of the registry on the shared interval clock; `proxies`: how many there are; `number`: of the
+    newest completed interval; `reserve`: changes of the permits that the proxy holds; `totals`: of that
+    interval, for the tenants that were reported.
     """
 
     position: float
--- a/irisdeal/registry/metrics.py
+++ b/irisdeal/registry/metrics.py
@@ -1,4 +1,4 @@
-"""What a registry counts of its acknowledgements and of its end."""
+"""Metrics of a registry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RegistryMetrics(Metrics):
-    """The figures of one registry."""
+    """Metrics of one registry: its acknowledgements, the operators' calls, and its shutdown."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -1,11 +1,11 @@
 """Replication of backends between the registries of the core.
 
 Heartbeats are replicated in batches, and nobody waits for it. A drain or an end is replicated at once, and is
-acknowledged once a majority of the core has it on its disk (`ended_record.py`).
+acknowledged once a majority of the core has it on its disk (`tombstone_record.py`).
 
-A registry's table is complete while its process runs and, with its disk, beyond. One that starts without its record
-may have forgotten what it acknowledged: it synchronizes with the others first, and is not counted by others that
-synchronize.
+A registry's table is complete while its process runs and, with its disk, beyond. One that starts without its
+record may have forgotten what it acknowledged: it synchronizes with the others first, and is not counted by
+others that synchronize.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 from irisdeal.registry import call_kinds
 from irisdeal.registry.backend_table import MAX_INCARNATIONS, BackendTable
-from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
 from irisdeal.registry.messages import BackendSnapshot, BackendUpdate
 from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.registry.store_client import StoreClient
+from irisdeal.registry.tombstone_record import TombstoneRecord
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
 from irisdeal.runtime.events import Event, log_event
@@ -49,7 +49,7 @@
         settings: Settings,
         store_client: StoreClient,
         backends: BackendTable,
-        record: EndedRecord | None,
+        record: TombstoneRecord | None,
         metrics: RegistryMetrics,
         tasks: Tasks,
         on_change: Callable[[], None],
@@ -103,20 +103,20 @@
         if self.record is not None:
             await asyncio.wait({self.tasks.start(self._restore(self.record))}, timeout=RESTORE_S)
 
-    async def _restore(self, record: EndedRecord) -> None:
-        recorded = await record.open()
+    async def _restore(self, record: TombstoneRecord) -> None:
+        recorded = await record.load()
         for incarnation in recorded or ():
             self.backends.observe(incarnation, self.loop.time())
         self.is_complete = self.is_complete or recorded is not None
         if recorded is None and self.is_complete:
-            await record.begin(self._known())
+            await record.initialize(self._known())
 
     async def synchronize(self) -> None:
-        """Fetch all backends from enough of the others; until then, or until `SYNC_S` have passed, this registry
-        does not count as a complete source.
+        """Fetch all backends from enough of the others; until then, or until `SYNC_S` have passed, this
+        registry does not count as a complete source.
 
-        An end is acknowledged once a majority has it. Enough have answered when those that did not, with those that
-        are not complete, are no majority: each majority that has an end then has a member among those that
+        An end is acknowledged once a majority has it. Enough have answered when those that did not, with those
+        that are not complete, are no majority: each majority that has an end then has a member among those that
         answered.
         """
         if self.is_synchronizing:
@@ -155,7 +155,7 @@
         """What was to be fetched is here: from now on it is recorded."""
         if not self.is_complete:
             if self.record is not None:
-                await self.record.begin(self._known())
+                await self.record.initialize(self._known())
             self.is_complete = True
 
     def merge(self, observed: Iterable[ObservedIncarnation]) -> None:
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -1,4 +1,4 @@
-"""Places at backends for the proxies that ask this registry, and who waits for one."""
+"""Reserves backends' slots for the proxies that ask this registry, and queues requests that wait for capacity."""
 
 from __future__ import annotations
 
@@ -6,129 +6,131 @@
 import random
 
 from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.placement.load_reports import LoadReports
+from irisdeal.placement.load_reports import InFlight, LoadReports
 from irisdeal.placement.placer import Placer
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.incarnation import BackendState
-from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
-
-MOST_HOLD_S = 2.0  # that an ask may wait for room
-GRACE_S = 0.5  # beyond the proxy's own time that a place counts, if its proxy says nothing
+from irisdeal.registry.messages import (
+    LoadReport,
+    PlacementReply,
+    PlacementRequest,
+    PlacementResult,
+    ReservationEnd,
+)
+
+MAX_WAIT_S = 2.0  # that a request may wait for capacity
+REPORT_GRACE_S = 0.5  # beyond the attempt's deadline, that a reservation stands whose proxy reports no end
 NO_BACKEND = PlacementReply(PlacementResult.NO_BACKEND)
 
 
 class PlacementService:
-    """The places of one registry's process."""
+    """The placements of one registry's process."""
 
     def __init__(
-        self, zones: dict[str, str], backends: BackendTable, loop: asyncio.AbstractEventLoop
+        self, regions: dict[str, str], backends: BackendTable, loop: asyncio.AbstractEventLoop
     ) -> None:
-        """`zones`: their regions."""
+        """`regions`: the region of each zone."""
         self.backends, self.loop = backends, loop
-        self.placer = Placer(zones, random.Random())
+        self.placer = Placer(regions, random.Random())
         self.loads = LoadReports()
-        self.synced = 0
-        self.told: dict[int, int] = {}
+        self.applied_version = 0  # of the backend table
+        self.reported: InFlight = {}  # in the last load report
 
-    def place(
-        self, peer: str, request: PlacementRequest, is_any: bool = False, waited_s: float = 0.0
+    def reserve(
+        self, caller: str, request: PlacementRequest, only_free: bool = True, waited_s: float = 0.0
     ) -> PlacementReply | None:
-        """A place, None where there is no room. `is_any`: the best there is, full or not; `waited_s`: of its
-        time."""
+        """Reserve a slot; None where no backend has capacity.
+
+        `only_free`: else on the best backend there is, full or not; `waited_s`: how much of the request's time
+        has passed.
+        """
         now = self.loop.time()
-        self._sync()
-        until = now + request.time_left_s - waited_s + GRACE_S
-        placed = self.placer.place(
-            peer,
-            request.zone,
-            request.service,
-            request.typical_latency_s,
-            request.avoid,
-            now,
-            until,
-            not is_any,
-            request.connected,
-        )
-        if placed is None:
+        self._apply_backends()
+        deadline = now + request.time_left_s - waited_s + REPORT_GRACE_S
+        reserved = self.placer.reserve(caller, request, now, deadline, only_free)
+        if reserved is None:
             return None
-        number, backend, crowd = placed
-        return PlacementReply(PlacementResult.PLACED, number, backend.id, round(crowd, 2))
+        number, backend, load_factor = reserved
+        return PlacementReply(PlacementResult.PLACED, number, backend.id, round(load_factor, 2))
 
-    async def wait(self, peer: str, request: PlacementRequest) -> PlacementReply:
-        """Wait for room for `hold_s`; then the best there is, full or not."""
-        begun = self.loop.time()
-        until = begun + min(request.max_wait_s, MOST_HOLD_S)
+    async def reserve_when_free(self, caller: str, request: PlacementRequest) -> PlacementReply:
+        """Wait for capacity for `max_wait_s`; then take the best backend there is, full or not."""
+        started_at = self.loop.time()
+        deadline = started_at + min(request.max_wait_s, MAX_WAIT_S)
         while True:
             token: asyncio.Future[None] = self.loop.create_future()
-            if not self.placer.wait(request.service, request.rank, token):
+            if not self.placer.waiting.push(request.service, request.rank, token):
                 return NO_BACKEND
-            try:
-                async with asyncio.timeout_at(until):
-                    await token
-            except TimeoutError:
-                self.placer.wait_no_more(request.service, token)
-            except asyncio.CancelledError:  # who asked has gone
-                self._give_up(request.service, token)
-                raise
+            await self._wait_turn(request.service, token, deadline)
             now = self.loop.time()
-            is_last = now >= until
-            placed = self.place(peer, request, is_last, now - begun)
-            if placed is not None or is_last:
-                return placed or NO_BACKEND
+            is_last = now >= deadline
+            reply = self.reserve(caller, request, not is_last, now - started_at)
+            if reply is not None or is_last:
+                return reply or NO_BACKEND
+
+    async def _wait_turn(self, service: str, token: asyncio.Future[None], deadline: float) -> None:
+        """Wait until the token's turn or the deadline."""
+        try:
+            async with asyncio.timeout_at(deadline):
+                await token
+        except TimeoutError:
+            self.placer.waiting.cancel(service, token)
+        except asyncio.CancelledError:  # the caller has gone
+            self._give_up(service, token)
+            raise
 
     def _give_up(self, service: str, token: asyncio.Future[None]) -> None:
-        """It waits no more; had its turn come already, it is the next one's."""
+        """Wait no more; a turn that has come already goes to the next one."""
         if token.done() and not token.cancelled():
             self._wake(service)
         else:
-            self.placer.wait_no_more(service, token)
+            self.placer.waiting.cancel(service, token)
 
-    def ended(self, peer: str, end: ReservationEnd) -> None:
-        """The end of an attempt that had a place."""
-        service = self.placer.ended(
-            peer, end.reservation, AttemptResult(end.result), end.latency_ratio, self.loop.time()
-        )
+    def end(self, caller: str, end: ReservationEnd) -> None:
+        """End a reservation."""
+        result, now = AttemptResult(end.result), self.loop.time()
+        service = self.placer.end(caller, end.reservation, result, end.latency_ratio, now)
         if service is not None:
             self._wake(service)
 
-    def lost(self, peer: str) -> None:
-        """A proxy's connection ended, and with it the places that were given over it."""
-        for service in self.placer.leave(peer):
+    def disconnect(self, caller: str) -> None:
+        """End the reservations that were given over a connection that is lost."""
+        for service in self.placer.disconnect(caller):
             self._wake(service)
 
-    def look(self) -> None:
-        """Once in a while: places whose proxies said nothing; who waits looks again, as time alone changes much."""
-        self._sync()
-        for service in self.placer.look(self.loop.time()) | set(self.placer.waiting):
+    def refresh(self) -> None:
+        """Expire reservations; whoever waits is tried again, as time alone changes much."""
+        self._apply_backends()
+        for service in self.placer.expire(self.loop.time()) | set(self.placer.waiting.queues):
             self._wake(service)
 
-    def sums(self) -> dict[int, int] | None:
-        """What our proxies have at each backend, None where it is nought as it was."""
-        sums = self.placer.sums()
-        told, self.told = self.told, sums
-        self.placer.others(self.loads.total(self.loop.time()))
-        return sums if sums or told else None
+    def load_report(self, registry: str) -> LoadReport | None:
+        """Return the requests in flight from our proxies; None where there are none, as in the last report."""
+        in_flight = self.placer.in_flight()
+        last, self.reported = self.reported, in_flight
+        self.placer.update_elsewhere(self.loads.total(self.loop.time()))
+        return LoadReport(registry, in_flight) if in_flight or last else None
 
-    def hear_loads(self, registry: str, sums: dict[int, int]) -> None:
-        """What another registry's proxies have at each backend."""
-        self.loads.hear(registry, sums, self.loop.time())
+    def record_loads(self, report: LoadReport) -> None:
+        """Take another registry's load report."""
+        self.loads.record(report.registry, report.in_flight, self.loop.time())
 
     def _wake(self, service: str) -> None:
-        """Room for one more, perhaps: who goes next looks again."""
-        while (token := self.placer.next(service)) is not None:
+        """There may be capacity for one more: the next in the queue tries again."""
+        while (token := self.placer.waiting.pop(service)) is not None:
             assert isinstance(token, asyncio.Future)
             if not token.done():
                 token.set_result(None)
                 return
 
-    def _sync(self) -> None:
-        """The backends as the registry has them by now."""
-        if self.synced == self.backends.version:
+    def _apply_backends(self) -> None:
+        """Bring the placer up to the backend table's version."""
+        if self.applied_version == self.backends.version:
             return
-        for entry in self.backends.changed_since(self.synced):
+        for entry in self.backends.changed_since(self.applied_version):
             incarnation = entry.incarnation
             if incarnation.state is BackendState.READY:
-                backend = self.placer.know(
+                backend = self.placer.add(
                     incarnation.id,
                     incarnation.service,
                     incarnation.zone,
@@ -137,5 +139,5 @@
                 )
                 backend.is_unresponsive = entry.is_unresponsive
             else:
-                self.placer.retire(incarnation.id)
-        self.synced = self.backends.version
+                self.placer.remove(incarnation.id)
+        self.applied_version = self.backends.version
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -1,4 +1,4 @@
-"""A registry's part in the quotas: permits for requests and proxies, loans between registries, interval totals."""
+"""Quotas at one registry: permits for requests and proxies, loans between registries, totals per interval."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import ClaimResult, PermitIssuer
 from irisdeal.permits.messages import LendRequest
-from irisdeal.placement.load_reports import key
+from irisdeal.placement.load_reports import short_key
 from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
 from irisdeal.ratelimit.interval_counter import IntervalCounter, RegistrySum
 from irisdeal.ratelimit.messages import Usage
@@ -18,21 +18,31 @@
 from irisdeal.rpc.calls import process_name
 from irisdeal.runtime.settings import Settings
 
-SUM_AT = 0.45  # of an interval, when the sum of the one before is told: proxies have told theirs by 0.3
-LEND_S = 0.04  # for another registry to lend: the proxy that asked waits for 0.06
+# Share of an interval after which the sum of the one before is sent: proxies have reported theirs by 0.3.
+SUM_AT = 0.45
+LEND_TIMEOUT_S = 0.04  # of a call to another registry to lend: the proxy that asked waits for 0.06
 FRESH_SUM_S = 3 * INTERVAL_S  # that another registry's sum says whether it has permits to lend
-MOST_LENT = 64  # permits in one loan
+MAX_LOAN = 64  # permits in one loan
 
-Lend = Callable[
-    [str, LendRequest], Awaitable[int]
-]  # asks a registry; how many it lent, 0 where it did not answer
-Age = Callable[[], float | None]  # s, of the knowledge of what is decided; None where there is no contact
+# Asks a registry to lend; returns how many permits it lent, 0 where it did not answer.
+Lend = Callable[[str, LendRequest], Awaitable[int]]
+# Returns the age of the store's state that is known here, s; None where there is no contact.
+Age = Callable[[], float | None]
+
+# Defaults of a deployment's bounds of quotas
+QUOTA_WINDOW_S = 5.0  # over which a tenant's requests are judged
+QUOTA_EXCESS = 0.1  # share of the limit by which a window may exceed it
+QUOTA_SLACK = 20.0  # requests by which a window may exceed it besides
 
 
 def quota_rule(settings: Settings) -> QuotaRule:
-    """The deployment's bounds of quotas."""
+    """Return the deployment's bounds of quotas."""
     bound = settings.bound
-    return QuotaRule(bound("quota_window_s", 5.0), bound("quota_excess", 0.1), bound("quota_slack", 20.0))
+    return QuotaRule(
+        bound("quota_window_s", QUOTA_WINDOW_S),
+        bound("quota_excess", QUOTA_EXCESS),
+        bound("quota_slack", QUOTA_SLACK),
+    )
 
 
 class QuotaService:
@@ -50,15 +60,15 @@
         """`incarnation`: of this process."""
         self.ip, self.loop, self.age, self.lend_from = settings.ip, loop, age, lend_from
         self.issuer = PermitIssuer(incarnation, quota_rule(settings), authority, loop.time())
-        self.edge = SharedIntervalClock(loop.time())
+        self.clock = SharedIntervalClock(loop.time())
         self.counter = IntervalCounter(settings.ip)
-        self.borrowing: dict[str, asyncio.Future[None]] = {}
+        self.borrowing: dict[str, asyncio.Future[None]] = {}  # by tenant, while another registry is asked
         self.asked_for_loan: dict[
             tuple[str, str], float
-        ] = {}  # tenant and registry -> when it was asked last
+        ] = {}  # tenant and registry -> when it was last asked
 
     def configure(self, configuration: Configuration) -> None:
-        """The tenants' limits, as the operator set them last."""
+        """Take the tenants' limits of a configuration."""
         self.issuer.configure(
             {tenant.name: Limit(tenant.rate_per_s, tenant.burst) for tenant in configuration.tenants or ()}
         )
@@ -66,38 +76,40 @@
     # Permits
 
     def claim(self, tenant: str, is_late: bool) -> ClaimResult:
-        """A permit for a request that is to run now."""
+        """Claim a permit for a request that is to run now."""
         return self.issuer.claim(tenant, self.age(), self.loop.time(), is_late)
 
     def can_borrow(self, tenant: str) -> bool:
-        """Whether another registry is likely to lend, or is being asked."""
+        """Return whether another registry is likely to lend, or is being asked."""
         return tenant in self.borrowing or self._lender(tenant) is not None
 
     def _lender(self, tenant: str) -> str | None:
-        """The registry that is likely to have the most permits of this tenant; None where none is."""
+        """Return the registry that is likely to have the most permits of this tenant; None where none has any."""
         now = self.loop.time()
         spare = {
-            registry: self._spare(tenant, registry, told, now)
-            for registry, told in self.counter.sums.items()
-            if registry != self.ip and now - told.received_at < FRESH_SUM_S
+            registry: self._spare(tenant, registry, last_sum, now)
+            for registry, last_sum in self.counter.sums.items()
+            if registry != self.ip and now - last_sum.received_at < FRESH_SUM_S
         }
         lender = max(spare, key=lambda registry: spare[registry], default=None)
         return lender if lender is not None and spare[lender] >= 1.0 else None
 
-    def _spare(self, tenant: str, registry: str, told: RegistrySum, now: float) -> float:
-        """Permits that another registry is likely to have: by its last sum, or none after our last ask, and what it
-        refills by beyond its own proxies' asks since then."""
+    def _spare(self, tenant: str, registry: str, last_sum: RegistrySum, now: float) -> float:
+        """Return how many permits another registry is likely to have: those of its last sum, or none after our
+        last request for a loan, and what it has refilled since then beyond its own proxies' requests."""
         bucket = self.issuer.bucket(tenant, now)  # its refill and capacity are as ours
-        usage = told.usages.get(tenant)
-        if usage is None:  # nobody asks there
+        usage = last_sum.usages.get(tenant)
+        if usage is None:  # it has no requests of this tenant
             usage = Usage(ready=bucket.capacity)
         asked_at = self.asked_for_loan.get((tenant, registry), float("-inf"))
-        known_at, ready = (told.received_at, usage.ready) if told.received_at > asked_at else (asked_at, 0.0)
+        known_at, ready = asked_at, 0.0
+        if last_sum.received_at > asked_at:
+            known_at, ready = last_sum.received_at, usage.ready
         unused_per_s = max(0.0, bucket.refill_per_s - usage.requests / INTERVAL_S)
         return min(bucket.capacity, ready + unused_per_s * (now - known_at))
 
     async def borrow(self, tenant: str) -> None:
-        """Take over permits of another registry; who asks meanwhile waits for the same ones."""
+        """Borrow permits of another registry; callers meanwhile wait for the same loan."""
         if tenant in self.borrowing:
             await asyncio.shield(self.borrowing[tenant])
             return
@@ -115,11 +127,13 @@
     async def _borrow_from(self, lender: str, tenant: str) -> None:
         asked_at = self.loop.time()
         self.asked_for_loan[tenant, lender] = asked_at
-        room = int(self.issuer.bucket(tenant, asked_at).free_capacity(asked_at))
-        wanted = max(1, min(MOST_LENT, room))
+        free = int(self.issuer.bucket(tenant, asked_at).free_capacity(asked_at))
+        wanted = max(1, min(MAX_LOAN, free))
         lent = await self.lend_from(lender, LendRequest(tenant, wanted))
         now = self.loop.time()
-        is_in_time = now - asked_at <= 2 * LEND_S  # else we stood still, and the lender has refilled
+        is_in_time = (
+            now - asked_at <= 2 * LEND_TIMEOUT_S
+        )  # else this process was suspended, and the lender has refilled
         if (
             lent > 0
             and is_in_time
@@ -129,60 +143,62 @@
             self.issuer.bucket(tenant, now).add_borrowed(min(lent, wanted), now)
 
     def lend(self, request: LendRequest) -> int:
-        """Permits given to another registry, gone here: all but what our own proxies ask for in an interval, and at
-        most half of that."""
+        """Lend permits to another registry, which are gone here; return how many.
+
+        All but what this registry's own proxies request in an interval are lent, and at most half of them.
+        """
         own = self.counter.sums.get(self.ip)
         usage = own.usages.get(request.tenant) if own is not None else None
         asked = usage.requests if usage is not None else 0.0
-        wanted = min(request.wanted, MOST_LENT)
+        wanted = min(request.wanted, MAX_LOAN)
         return self.issuer.lend(request.tenant, wanted, asked, self.age(), self.loop.time())
 
     # Intervals
 
-    def report(self, peer: str, report: IntervalReport) -> IntervalReply:
-        """A proxy's report; what it may read."""
+    def report(self, caller: str, report: IntervalReport) -> IntervalReply:
+        """Take a proxy's report of an interval; answer it with the newest completed totals and its permits."""
         now = self.loop.time()
-        self.edge.observe_position(report.position, now)
+        self.clock.observe_position(report.position, now)
         if report.number >= 0:
-            self.counter.receive_report(key(process_name(peer)), report.number, report.usages, now)
+            self.counter.receive_report(short_key(process_name(caller)), report.number, report.usages, now)
         reserve = self.issuer.handle_report(report.held, self.age(), now)
         total = self.counter.total
-        told = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
-        return IntervalReply(round(self.edge.position(now), 4), total.proxies, total.number, reserve, told)
+        totals = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
+        return IntervalReply(round(self.clock.position(now), 4), total.proxies, total.number, reserve, totals)
 
-    def hear_sum(self, told: IntervalSum) -> None:
-        """Another registry's sum."""
+    def receive_sum(self, message: IntervalSum) -> None:
+        """Take another registry's sum of an interval."""
         now = self.loop.time()
-        self.edge.observe_position(told.position, now)
-        self.counter.receive_sum(told.registry, told.number, told.usages, told.proxies, now)
+        self.clock.observe_position(message.position, now)
+        self.counter.receive_sum(message.registry, message.number, message.usages, message.proxies, now)
 
-    async def intervals(self, tell: Callable[[IntervalSum], None]) -> None:
-        """Each interval: our sum of the one before, a while later; its total, once the running one is over."""
-        number = self.edge.number(self.loop.time())
+    async def run_intervals(self, send: Callable[[IntervalSum], None]) -> None:
+        """In each interval, send this registry's sum of the one before; at its end, complete that one's total."""
+        number = self.clock.number(self.loop.time())
         while True:
-            await asyncio.sleep(self.edge.seconds_until(number, self.loop.time()) + SUM_AT * INTERVAL_S)
-            tell(self.close(number - 1))
-            await asyncio.sleep(self.edge.seconds_until(number + 1, self.loop.time()))
+            await asyncio.sleep(self.clock.seconds_until(number, self.loop.time()) + SUM_AT * INTERVAL_S)
+            send(self.close(number - 1))
+            await asyncio.sleep(self.clock.seconds_until(number + 1, self.loop.time()))
             self.finish(number - 1)
-            number = max(number + 1, self.edge.number(self.loop.time()))
+            number = max(number + 1, self.clock.number(self.loop.time()))
 
     def close(self, number: int) -> IntervalSum:
-        """Our sum of an interval that is over, for the other registries."""
+        """Close an interval that is over; return this registry's sum, for the others."""
         now = self.loop.time()
-        forgotten = [key_ for key_, asked_at in self.asked_for_loan.items() if now - asked_at > FRESH_SUM_S]
-        for key_ in forgotten:
-            del self.asked_for_loan[key_]
+        old = [pair for pair, asked_at in self.asked_for_loan.items() if now - asked_at > FRESH_SUM_S]
+        for pair in old:
+            del self.asked_for_loan[pair]
         own = self.counter.close_interval(number, now)
         if self.issuer.may_issue(self.age(), now):
-            for tenant, count in self._ready_to_tell(own.usages.keys(), now).items():
+            for tenant, count in self._ready_to_report(own.usages.keys(), now).items():
                 own.usages.setdefault(tenant, Usage()).ready = round(count, 1)
         return IntervalSum(
-            self.ip, round(self.edge.position(now), 4), number, own.usages, sorted(own.proxies)
+            self.ip, round(self.clock.position(now), 4), number, own.usages, sorted(own.proxies)
         )
 
-    def _ready_to_tell(self, asked: Iterable[str], now: float) -> dict[str, float]:
-        """Permits that are ready here, of tenants that were asked for; and of others whose buckets are not
-        full, as a registry that says nothing of a tenant is taken to have a full one."""
+    def _ready_to_report(self, asked: Iterable[str], now: float) -> dict[str, float]:
+        """Return the permits that are ready here, by tenant: of those with requests, and of others whose
+        buckets are not full, as a registry that reports nothing of a tenant is taken to have a full bucket."""
         ready = self.issuer.partly_used(now)
         for tenant in asked:
             if self.issuer.is_limited(tenant):
@@ -190,5 +206,5 @@
         return ready
 
     def finish(self, number: int) -> None:
-        """The total of an interval is finished."""
+        """Complete the total of an interval."""
         self.counter.finish_interval(number, self.loop.time())
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -1,14 +1,15 @@
-"""What a registry knows of the store, and how old that is: one member's store is followed, its own where it can.
+"""What a registry knows of the configuration store, and how old that is: it follows one replica, its own if it
+can.
 
 Rules that must hold here:
-1. Knowledge is as of a moment of our steady clock: when our ask was sent, less the age that the store told of
-   its contact with a quorum. So what is told by whoever was cut off, stood still or answers late is old by itself.
-2. It counts only once the body of what is decided is here, whole.
+1. State is as of a moment of our steady clock: when our request was sent, less the age of the replica's contact
+   with a quorum that it reports. So a reply of a replica that was cut off, suspended or late is old by itself.
+2. It counts only once the body of the decided version is here, complete.
 3. It only moves forward: by `change`, or by a higher number where a core began anew.
-4. A store that is silent, or says that it has no contact, is left at once for another that has; our own is asked
-   on and followed again as soon as it can be.
-5. An order or a read goes to a store that has contact, and to the next where that one gives up at once: an order
-   may be sent twice, since its number and digest name it. Without any, the answer is that there is none, at once.
+4. A replica that does not answer, or reports that it has no contact, is left at once for another that has; our own
+   is probed on and followed again as soon as it has contact.
+5. A put or a read goes to a replica that has contact, and to the next where that one gives up at once: a put may be
+   sent twice, since its number and digest name it. Without any, the answer is that there is none, at once.
 """
 
 from __future__ import annotations
@@ -17,14 +18,15 @@
 import random
 from collections.abc import Callable, Iterable
 from enum import Enum
-from typing import Any
 
 from returns.result import Failure, Result
 
+from irisdeal.config_store import messages
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.members import Members, ip_of, majority
+from irisdeal.config_store.messages import PutRequest, ReadReply, WatchReply, WatchRequest
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -35,177 +37,190 @@
 from irisdeal.runtime.process import Tasks, run_periodically
 from irisdeal.runtime.settings import Settings
 
-HOLD = 1.0  # s that a store may hold a watch without news
-ANSWER = 0.4  # s for a short answer of a store
-PULSE = 0.2  # s between two asks for the age of what we know; on the same machine, so they cost no bytes on a link
-STALE = CONTACT_LEASE_S + PULSE + ANSWER  # s: knowledge that is older is no contact, whatever was said
-GRACE = 0.15  # s that another store is looked for before doors are told that there is no contact
-SEEK = (
-    0.5  # s between two looks for a store that has contact, times 0.75 to 1.25: registries do not ask as one
+MAX_POLL_S = 1.0  # that a replica may keep a long poll pending while nothing changes
+ANSWER_S = 0.4  # time-out of a short call to a replica
+PROBE_INTERVAL_S = (
+    0.2  # between two probes of the state's age; on the same machine, so they cost no bytes on a link
 )
-OWN = 0.1  # s between two looks at the own store meanwhile
-PUT = 0.95  # s for an order or a read: the caller goes elsewhere after a second of silence
-LEAST = 0.1  # s under which no further store is tried
-AGAIN = 0.5  # s after which an order may find a store: a round and its answers; told as Retry-After
-PAUSE = 0.05  # s before the next watch, where one was answered at once and nothing came of it
-AT_ONCE = -2  # as `change` of a watch: no store has it, so it answers at once
+STALE_S = (
+    CONTACT_LEASE_S + PROBE_INTERVAL_S + ANSWER_S
+)  # age from which state is no contact, whatever was reported
+FAILOVER_GRACE_S = (
+    0.15  # that another replica is searched for before proxies are notified of the lost contact
+)
+# Between two searches for a replica that has contact, times 0.75 to 1.25: registries do not search at once.
+SEARCH_INTERVAL_S = 0.5
+OWN_PROBE_INTERVAL_S = 0.1  # between two probes of the own replica meanwhile
+PUT_TIMEOUT_S = 0.95  # of a put or a read: the caller goes elsewhere after a second without an answer
+MIN_ATTEMPT_S = 0.1  # of the time-out, below which no further replica is asked
+RETRY_AFTER_S = 0.5  # after which a put may find a replica: a search and its answers; sent as Retry-After
+IDLE_POLL_PAUSE_S = 0.05  # before the next poll, where one was answered at once and brought nothing
+AT_ONCE = -2  # as `change` of a watch: no replica has it, so it answers at once
 
 
 class ProbeResult(Enum):
-    """What an ask showed of a store."""
+    """What a probe showed of a replica."""
 
     GOOD = 0
     NO_CONTACT = 1
-    SILENT = 2
+    UNREACHABLE = 2
 
 
 class StoreClient:
-    """The store as this registry knows it. Times are s of the loop's clock."""
+    """The configuration store as this registry knows it. Times are s of the loop's clock."""
 
     def __init__(
         self,
         settings: Settings,
         version_store: VersionStore,
         on_version: Callable[[ConfigVersion], None],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """`on_version`: a newer word is here; `changed`: it, the list, or whether there is contact is another."""
+        """`on_version`: called with a newer version; `on_change`: called when the version, the list of members
+        or whether there is contact has changed."""
         self.settings, self.ip, self.version_store = settings, settings.ip, version_store
-        self.on_version, self.changed = on_version, changed
+        self.on_version, self.on_change = on_version, on_change
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
         self.assembler = ChunkAssembler(version_store)
-        self.value = Value(-1, NO_VERSION, Members.first(ports.seeds(settings)))  # -1: none was told
+        self.value = Value(-1, NO_VERSION, Members.first(ports.seeds(settings)))  # -1: none was received
         self.version: ConfigVersion | None = None
         self.change = -1  # of the newest value whose body is here
         self.learners: frozenset[str] = frozenset()
-        self.source = self.ip  # whose store is followed
-        self.as_of = float("-inf")  # we know all that was decided by then
-        self.has_contact = False  # as doors were told last
-        self.older: set[str] = set()  # stores of which event 314 was told
+        self.source = self.ip  # whose replica is followed
+        self.as_of = float("-inf")  # everything is known here that was decided by then
+        self.has_contact = False  # as proxies were last notified
+        self.stale_replicas: set[str] = set()  # for which `STORE_STATE_STALE` was logged
         self.links: dict[str, RpcClient] = {}
-        self.seeking: asyncio.Task[None] | None = None
+        self.search: asyncio.Task[None] | None = None
         self.tasks = Tasks()
 
     def start(self) -> None:
-        self.tasks.start(self._watch())
-        self.tasks.start(run_periodically(PULSE, self._pulse))
+        """Follow the store in the background."""
+        self.tasks.start(self._follow())
+        self.tasks.start(run_periodically(PROBE_INTERVAL_S, self._probe_source))
 
     def stop(self) -> None:
+        """Follow the store no more."""
         self.tasks.cancel()
         for link in self.links.values():
             link.close()
 
     def reload(self, settings: Settings) -> None:
+        """Take the deployment's settings anew."""
         self.settings = settings
 
     # What is known
 
     @property
     def version_id(self) -> VersionId:
-        """Of the newest word that is here."""
+        """Of the newest version that is here."""
         return self.version.version_id if self.version is not None else NO_VERSION
 
     @property
     def members(self) -> Members:
+        """The store's members, as decided last."""
         return self.value.members
 
     def everyone(self) -> frozenset[str]:
-        """The machines whose registries are to be asked, told and shared with, this one among them."""
+        """The core machines: the members, the learners and this one; the seeds until a list was received."""
         seeds = ports.seeds(self.settings) if self.value.change < 0 else ()
         return self.members.ips() | self.learners | {self.ip, *seeds}
 
     def is_majority(self, ips: Iterable[str]) -> bool:
-        """Whether these machines are a majority of the list, and of the one before while a change is under way."""
+        """Whether these machines are a majority of the members, and of the former ones during a change."""
         ips = set(ips)
         lists = (frozenset(map(ip_of, seats)) for seats in (self.members.seats, self.members.former) if seats)
         return all(len(ips & machines) >= majority(machines) for machines in lists)
 
     def age(self) -> float | None:
-        """s since the moment by which we know all that was decided; None where there is no contact."""
-        age = self.loop.time() - self.as_of
-        return age if self.has_contact and age <= STALE else None
+        """Return the s since everything decided was known here; None where there is no contact."""
+        age_s = self.loop.time() - self.as_of
+        return age_s if self.has_contact and age_s <= STALE_S else None
 
-    # Following
+    # Following a replica
 
     def _link(self, ip: str) -> RpcClient:
         if ip not in self.links:
-            self.links[ip] = RpcClient(
-                ports.address_of(self.settings, ip, ports.CONFIG_STORE), f"gauge {self.ip}"
-            )
+            # The name is fixed: replicas of the version before read it.
+            address = ports.address_of(self.settings, ip, ports.CONFIG_STORE)
+            self.links[ip] = RpcClient(address, f"gauge {self.ip}")
         return self.links[ip]
 
     def _others(self) -> list[str]:
         return sorted(self.everyone() - {self.ip})
 
-    async def _watch(self) -> None:
-        """Ask for news, held while there is none."""
+    async def _follow(self) -> None:
+        """Poll the source for changes."""
         while True:
-            source, before, sent = self.source, self._progress(), self.loop.time()
-            probe_result = await self._ask(source, True)
+            source, before, sent_at = self.source, self._progress(), self.loop.time()
+            result = await self._poll(source, True)
             if source != self.source:
-                continue  # another one is followed by now
-            if probe_result is ProbeResult.GOOD:
-                self._found(source)
-                if before == self._progress() and self.loop.time() - sent < PAUSE:
-                    await asyncio.sleep(PAUSE)
+                continue  # another replica is followed by now
+            if result is ProbeResult.GOOD:
+                self._follow_replica(source)
+                if before == self._progress() and self.loop.time() - sent_at < IDLE_POLL_PAUSE_S:
+                    await asyncio.sleep(IDLE_POLL_PAUSE_S)
             else:
-                await self._seek()
+                await self._fail_over()
 
     def _progress(self) -> tuple[int, SyncState]:
         return self.value.change, self.assembler.sync_state(self.version_id)
 
-    async def _pulse(self) -> None:
-        """Ask how old our knowledge is, and whether our own store can be followed again."""
-        if self.seeking is not None:
+    async def _probe_source(self) -> None:
+        """Probe how old our state is, and whether our own replica can be followed again."""
+        if self.search is not None:
             return
         source = self.source
-        if source != self.ip and await self._ask(self.ip, False) is ProbeResult.GOOD:
-            return self._found(self.ip)
-        probe_result = await self._ask(source, False)
-        if source == self.source:
-            await self._seek() if probe_result is not ProbeResult.GOOD else self._found(source)
-
-    async def _seek(self) -> None:
-        """Find a store that has contact; both loops wait for the same search."""
-        if self.seeking is None:
-            self.seeking = self.tasks.start(self._search())
-        await asyncio.shield(self.seeking)
+        if source != self.ip and await self._poll(self.ip, False) is ProbeResult.GOOD:
+            return self._follow_replica(self.ip)
+        result = await self._poll(source, False)
+        if source != self.source:
+            return
+        if result is ProbeResult.GOOD:
+            self._follow_replica(source)
+        else:
+            await self._fail_over()
+
+    async def _fail_over(self) -> None:
+        """Find a replica that has contact; all who need one wait for the same search."""
+        if self.search is None:
+            self.search = self.tasks.start(self._search())
+        await asyncio.shield(self.search)
 
     async def _search(self) -> None:
-        lost = self.loop.call_later(GRACE, self._lost)
+        grace = self.loop.call_later(FAILOVER_GRACE_S, self._lose_contact)
         try:
             while True:
-                others = self._others()
-                asks = [self.tasks.start(self._ask_other(ip)) for ip in (self.ip, *others)]
-                for done in asyncio.as_completed(asks):
-                    ip, probe_result = await done
-                    if probe_result is ProbeResult.GOOD:
-                        return self._found(ip)
-                self._lost()
-                again = self.loop.time() + SEEK * (0.75 + 0.5 * self.chance.random())
-                while self.loop.time() < again:  # at a start of all machines the own store is there first
-                    await asyncio.sleep(OWN)
-                    if await self._ask(self.ip, False) is ProbeResult.GOOD:
-                        return self._found(self.ip)
+                probes = [self.tasks.start(self._probe(ip)) for ip in (self.ip, *self._others())]
+                for probe in asyncio.as_completed(probes):
+                    ip, result = await probe
+                    if result is ProbeResult.GOOD:
+                        return self._follow_replica(ip)
+                self._lose_contact()
+                next_at = self.loop.time() + SEARCH_INTERVAL_S * (0.75 + 0.5 * self.chance.random())
+                while self.loop.time() < next_at:  # at a start of all machines the own replica is there first
+                    await asyncio.sleep(OWN_PROBE_INTERVAL_S)
+                    if await self._poll(self.ip, False) is ProbeResult.GOOD:
+                        return self._follow_replica(self.ip)
         finally:
-            lost.cancel()
-            self.seeking = None
+            grace.cancel()
+            self.search = None
 
-    async def _ask_other(self, ip: str) -> tuple[str, ProbeResult]:
-        return ip, await self._ask(ip, False)
+    async def _probe(self, ip: str) -> tuple[str, ProbeResult]:
+        return ip, await self._poll(ip, False)
 
-    def _found(self, ip: str) -> None:
-        """This store has contact: it is followed."""
+    def _follow_replica(self, ip: str) -> None:
+        """Follow this replica: it has contact."""
         if ip != self.source:
             log_event(Event.LOCAL_STORE_FOLLOWED if ip == self.ip else Event.REMOTE_STORE_FOLLOWED, store=ip)
             self.source = ip
-        self._have_contact(self.loop.time() - self.as_of <= STALE)
+        self._set_contact(self.loop.time() - self.as_of <= STALE_S)
 
-    def _lost(self) -> None:
-        self._have_contact(False)
+    def _lose_contact(self) -> None:
+        self._set_contact(False)
 
-    def _have_contact(self, has_contact: bool) -> None:
+    def _set_contact(self, has_contact: bool) -> None:
         if has_contact != self.has_contact:
             self.has_contact = has_contact
             log_event(
@@ -213,56 +228,55 @@
                 store=self.source,
                 age=round(self.loop.time() - self.as_of, 2),
             )
-            self.changed()
+            self.on_change()
+
+    # Polls
 
-    async def _ask(self, ip: str, held: bool) -> ProbeResult:
-        """One watch; `held`: until there is news."""
-        sync_state, sent = self.assembler.sync_state(self.version_id), self.loop.time()
-        body = [sync_state.encode(), self.value.change if held else AT_ONCE]
-        answer = await self._link(ip).call("watch", body, HOLD + ANSWER if held else ANSWER)
+    async def _poll(self, ip: str, is_long: bool) -> ProbeResult:
+        """Poll a replica; `is_long`: it may wait for a change before it answers."""
+        sync_state, sent_at = self.assembler.sync_state(self.version_id), self.loop.time()
+        request = WatchRequest(sync_state, self.value.change if is_long else AT_ONCE)
+        timeout_s = MAX_POLL_S + ANSWER_S if is_long else ANSWER_S
+        answer = await self._link(ip).call(messages.WATCH, request.encode(), timeout_s)
         if isinstance(answer, Failure):
-            return ProbeResult.SILENT
+            return ProbeResult.UNREACHABLE
         try:
-            chunk, told, learners, age = answer.unwrap()
-            return self._hear(
-                ip, sync_state, sent, chunk, Value.decode(told), frozenset(map(str, learners)), int(age)
-            )
+            return self._apply(ip, sync_state, sent_at, WatchReply.decode(answer.unwrap()))
         except (ValueError, TypeError, IndexError) as error:
             log_event(Event.FRAME_INVALID, peer=ip, error=error)
-            return ProbeResult.SILENT
+            return ProbeResult.UNREACHABLE
 
-    def _hear(
-        self,
-        ip: str,
-        sync_state: SyncState,
-        sent: float,
-        chunk: list[Any] | None,
-        value: Value,
-        learners: frozenset[str],
-        age: int,
-    ) -> ProbeResult:
-        """`age`: ms, below 0 where the store has no contact."""
+    def _apply(self, ip: str, sync_state: SyncState, sent_at: float, reply: WatchReply) -> ProbeResult:
+        """Apply a reply to a request that was sent at `sent_at` with `sync_state`."""
+        value, has_contact = reply.value, reply.contact_age_ms >= 0
         if value.change < 0:  # its disk came empty: it knows nothing yet
             return ProbeResult.NO_CONTACT
+        as_of = sent_at - reply.contact_age_ms / 1000
         if value.change < self.value.change and value.version_id.number <= self.value.version_id.number:
-            if age >= 0 and sent - age / 1000 > self.as_of and ip not in self.older:
-                self.older.add(ip)
-                log_event(Event.STORE_STATE_STALE, store=ip, change=value.change, known=self.value.change)
+            if has_contact and as_of > self.as_of:
+                self._log_stale(ip, value)
             return ProbeResult.NO_CONTACT
-        self.older.discard(ip)
-        news = self._take_list(value, learners if age >= 0 else self.learners | learners)
-        news |= self._take_version(sync_state, chunk)
+        self.stale_replicas.discard(ip)
+        learners = frozenset(reply.learners)
+        has_changed = self._apply_members(value, learners if has_contact else self.learners | learners)
+        has_changed |= self._apply_chunk(sync_state, reply.encoded_chunk)
         if self.version_id == self.value.version_id:
-            news |= self.change != self.value.change
+            has_changed |= self.change != self.value.change
             self.change = self.value.change
-            if age >= 0:
-                self.as_of = max(self.as_of, sent - age / 1000)
-        if news:
-            self.changed()
-        return ProbeResult.GOOD if age >= 0 else ProbeResult.NO_CONTACT
-
-    def _take_list(self, value: Value, learners: frozenset[str]) -> bool:
-        """Whether the list of the core is another."""
+            if has_contact:
+                self.as_of = max(self.as_of, as_of)
+        if has_changed:
+            self.on_change()
+        return ProbeResult.GOOD if has_contact else ProbeResult.NO_CONTACT
+
+    def _log_stale(self, ip: str, value: Value) -> None:
+        """Log once that a replica reports contact with state older than what was decided."""
+        if ip not in self.stale_replicas:
+            self.stale_replicas.add(ip)
+            log_event(Event.STORE_STATE_STALE, store=ip, change=value.change, known=self.value.change)
+
+    def _apply_members(self, value: Value, learners: frozenset[str]) -> bool:
+        """Take the value and the learners; return whether the list of members has changed."""
         before, number = self.everyone(), self.members.number
         self.value, self.learners = value, learners
         gone = before - self.everyone()
@@ -278,47 +292,51 @@
             )
         return value.members.number != number
 
-    def _take_version(self, sync_state: SyncState, chunk: list[Any] | None) -> bool:
-        """Whether a newer word is here; another answer may have brought the same parcel meanwhile."""
-        if chunk is None or sync_state != self.assembler.sync_state(self.version_id):
+    def _apply_chunk(self, sync_state: SyncState, encoded_chunk: object) -> bool:
+        """Take a chunk, unless another answer has brought it meanwhile; return whether a newer version is here."""
+        if encoded_chunk is None or sync_state != self.assembler.sync_state(self.version_id):
             return False
-        version = self.assembler.take(chunk)
+        version = self.assembler.take(encoded_chunk)
         if version is None or version.version_id.number <= self.version_id.number:
             return False
         self.version = version
         self.on_version(version)
         return True
 
-    # Orders
+    # Puts and reads
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """Have it decided. UNDECIDED at once where no store has contact."""
-        body = [version.version_id.number, version.version_id.digest, version.body]
-        answer = await self._order("put", body, lambda told: told != PutOutcome.UNDECIDED)
+        """Have a version decided. UNDECIDED at once where no replica has contact."""
+        answer = await self._call_store(
+            messages.PUT, PutRequest(version).encode(), lambda outcome: outcome != PutOutcome.UNDECIDED
+        )
         try:
-            return PutOutcome(answer.value_or(PutOutcome.UNDECIDED))
+            outcome = answer.value_or(PutOutcome.UNDECIDED)
+            return PutOutcome(outcome) if isinstance(outcome, int) else PutOutcome.UNDECIDED
         except ValueError:
             return PutOutcome.UNDECIDED
 
     async def read(self) -> tuple[bool, bytes | None]:
-        """Whether it is known what holds, and its body; None where nothing was ever put."""
-        answer = await self._order("read", None, lambda told: bool(told[0]))
-        known, body = answer.value_or([False, None])
-        return bool(known), bytes(body) if known and body is not None else None
-
-    async def _order(
-        self, kind: str, body: Any, is_done: Callable[[Any], bool]
-    ) -> Result[Any, OperationError]:
-        """The first answer that is one; the last one where none is."""
-        answer: Result[Any, OperationError] = Failure(
+        """Return whether it is known what is decided, and its body; None where nothing was ever put."""
+        answer = await self._call_store(messages.READ, None, lambda reply: ReadReply.decode(reply).is_known)
+        if isinstance(answer, Failure):
+            return False, None
+        reply = ReadReply.decode(answer.unwrap())
+        return reply.is_known, reply.body
+
+    async def _call_store(
+        self, kind: str, body: list[object] | None, is_final: Callable[[object], bool]
+    ) -> Result[object, OperationError]:
+        """Call one replica after the other; return the first answer that is final, the last one where none is."""
+        answer: Result[object, OperationError] = Failure(
             OperationError(kind, "store", "no contact", never_sent=True)
         )
-        until = self.loop.time() + PUT
+        deadline = self.loop.time() + PUT_TIMEOUT_S
         for ip in dict.fromkeys((self.source, self.ip, *self._others())):
-            left = until - self.loop.time()
-            if self.age() is None or left < LEAST:
+            left_s = deadline - self.loop.time()
+            if self.age() is None or left_s < MIN_ATTEMPT_S:
                 break
-            answer = await self._link(ip).call(kind, body, left)
-            if not isinstance(answer, Failure) and is_done(answer.unwrap()):
+            answer = await self._link(ip).call(kind, body, left_s)
+            if not isinstance(answer, Failure) and is_final(answer.unwrap()):
                 break
         return answer
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -1,9 +1,9 @@
 """Answers the proxies' long polls: configuration, backends, core machines, and how old the registry's state is.
 
 A proxy sends what it has and is answered at once where there is more, else within `MAX_POLL_S`. The age in the
-answer is as of the moment at which the request came, at least 0: the proxy adds the time since it sent the request,
-which contains the time that the poll was pending. So a pending poll makes state look no older than it is by more
-than `MAX_POLL_S`.
+answer is as of the moment at which the request came, at least 0: the proxy adds the time since it sent the
+request, which contains the time that the poll was pending. So a pending poll makes state look no older than it
+is by more than `MAX_POLL_S`.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
         zones: dict[str, str],
         is_synchronized: Callable[[], bool],
     ) -> None:
-        """`incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether this
-        registry has fetched the backends that the others know."""
+        """`incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether
+        this registry has fetched the backends that the others know."""
         self.store_client, self.backends = store_client, backends
         self.incarnation, self.zones = incarnation, zones
         self.is_synchronized = is_synchronized
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -197,7 +197,7 @@
         service.finish(number)
 
     def _hear_sum(self, ip: str, told: IntervalSum) -> None:
-        self.registries[ip].service.hear_sum(told)
+        self.registries[ip].service.receive_sum(told)
 
     # A proxy
 
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -20,8 +20,8 @@
 from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
 from irisdeal.permits.outstanding import LEASE_GUARD_S, LEASE_S, OutstandingPermits
 from irisdeal.permits.prefetched import PrefetchedPermits
-from irisdeal.registry.authority_watch import AuthorityWatch
-from irisdeal.registry.list_record import ListRecord, decode, encode
+from irisdeal.registry.authority_monitor import AuthorityMonitor
+from irisdeal.registry.issuer_list_record import IssuerListRecord, decode, encode
 from irisdeal.registry.messages import PlacementRequest
 from irisdeal.runtime.process import Tasks
 
@@ -394,7 +394,7 @@
 
 @pytest.mark.parametrize("spoil", [lambda data: data[:-4], lambda data: b"", lambda data: b"x" + data])
 def test_a_torn_record_is_ignored(tmp_path: Path, spoil: Callable[[bytes], bytes]) -> None:
-    record = ListRecord(str(tmp_path))
+    record = IssuerListRecord(str(tmp_path))
     assert record.load() is None
     assert record.save(LISTED) and record.load() == LISTED
     assert decode(encode(LISTED)) == LISTED
@@ -408,14 +408,14 @@
         now, tasks = asyncio.get_running_loop().time(), Tasks()
         first = IssuingAuthority("a")
         first.observe_list(LISTED, now - GUARD_S - 0.1)
-        watch = AuthorityWatch(first, ListRecord(str(tmp_path)), lambda: KNOWN_S, tasks)
-        watch.look()
+        watch = AuthorityMonitor(first, IssuerListRecord(str(tmp_path)), lambda: KNOWN_S, tasks)
+        watch.check()
         await asyncio.gather(*tasks.running)
         assert watch.was_issuing and first.recorded == LISTED
         second = IssuingAuthority("a")
         second.observe_list(LISTED, now)
         assert not second.may_issue(KNOWN_S, now)
-        await AuthorityWatch(second, ListRecord(str(tmp_path)), lambda: KNOWN_S, tasks).recall()
+        await AuthorityMonitor(second, IssuerListRecord(str(tmp_path)), lambda: KNOWN_S, tasks).restore()
         assert second.may_issue(KNOWN_S, now)
 
     asyncio.run(run())
--- a/tests/proxy/test_sources.py
+++ b/tests/proxy/test_sources.py
@@ -29,7 +29,7 @@
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.proxy import config_apply, sources
 from irisdeal.proxy.sources import ENOUGH, Sources
-from irisdeal.registry import store_client as store_client_module
+from irisdeal.registry import store_client as following
 from irisdeal.registry import watch
 from irisdeal.simulation.machine import Core, Costs, Machine
 from irisdeal.simulation.network import Network
@@ -48,7 +48,7 @@
 # Between two asks that a quorum answers: the oldest that a store in order is, with a dead member beside it.
 STORE = STATUS_INTERVAL_S + STATUS_TIMEOUT_S + WAY
 # What a registry tells, and what a door makes of it when it comes and just before the next answer does.
-REGISTRY = STORE + store_client_module.PULSE + WAY
+REGISTRY = STORE + following.PROBE_INTERVAL_S + WAY
 DOOR = max(REGISTRY, watch.MAX_POLL_S) + WAY + watch.MAX_POLL_S + WAY
 # A decided word whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
@@ -56,7 +56,7 @@
 # a ballot at the next look.
 OPEN = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
-LEAVE_CUT = CONTACT_LEASE_S + store_client_module.PULSE + store_client_module.GRACE + WAY
+LEAVE_CUT = CONTACT_LEASE_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + WAY
 # One that says nothing: an ask that was sent just before.
 LEAVE_SILENT = sources.ASK
 # To another one, where all that was used was of no use.
@@ -76,15 +76,15 @@
     assert apply >= LEAVE_CUT + TURN + TAKEN  # also where both sources are cut off
     assert apply >= LEAVE_SILENT + TURN + TAKEN
     # a store alone is silent: another's is asked
-    assert apply >= store_client_module.ANSWER + store_client_module.PULSE + TURN + TAKEN
+    assert apply >= following.ANSWER_S + following.PROBE_INTERVAL_S + TURN + TAKEN
 
 
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
-    assert REGISTRY < store_client_module.STALE
+    assert REGISTRY < following.STALE_S
     assert max(REGISTRY, watch.MAX_POLL_S) + WAY < sources.OLD
     assert DOOR < sources.LOST
-    assert watch.MAX_POLL_S == sources.HOLD == store_client_module.HOLD
+    assert watch.MAX_POLL_S == sources.HOLD == following.MAX_POLL_S
 
 
 # Days
@@ -208,9 +208,7 @@
     assert not rig.late(APPLY)
     silent = [at for at, age in rig.posts[lost].ages if age < 0 and at > 1003]
     assert all(
-        1004
-        <= at
-        <= 1004 + store_client_module.ANSWER + store_client_module.PULSE + store_client_module.GRACE + 1
+        1004 <= at <= 1004 + following.ANSWER_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + 1
         for at in silent
     )
 
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -12,11 +12,11 @@
 import pytest
 
 from irisdeal.config_store.storage.version_files import write_atomically
-from irisdeal.registry import ended_record
-from irisdeal.registry.ended_record import EndedRecord
+from irisdeal.registry import tombstone_record
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
 from irisdeal.registry.peers import ANSWER_S, RegistryPeers
 from irisdeal.registry.server import RegistryServer
+from irisdeal.registry.tombstone_record import TombstoneRecord
 from irisdeal.simulation.cluster.cluster import Host, Stage
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
@@ -132,10 +132,10 @@
 
 
 def test_the_judge_finds_an_acknowledgement_before_the_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def too_early(self: EndedRecord, incarnations: Any, known: Any) -> bool:
+    async def too_early(self: TombstoneRecord, incarnations: Any, known: Any) -> bool:
         return True  # nothing is written
 
-    monkeypatch.setattr(EndedRecord, "save", too_early)
+    monkeypatch.setattr(TombstoneRecord, "save", too_early)
     assert any(closed(seed, "power") for seed in range(6))
 
 
@@ -160,24 +160,24 @@
 
 
 def test_a_record_is_whole_or_none() -> None:
-    data = ended_record.encode(LIVES)
-    assert ended_record.decode(data) == LIVES
+    data = tombstone_record.encode(LIVES)
+    assert tombstone_record.decode(data) == LIVES
     for size in range(len(data)):
         with pytest.raises((ValueError, TypeError)):
-            ended_record.decode(data[:size])
+            tombstone_record.decode(data[:size])
     for at in range(len(data)):
         with pytest.raises((ValueError, TypeError)):
-            ended_record.decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
+            tombstone_record.decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
 
 
 def test_each_loss_of_power_amid_a_write_leaves_the_old_record_or_the_new() -> None:
     seen = set()
     for acts in range(6):
         disk = MemoryDisk()
-        write_atomically(disk, ended_record.NAME, ended_record.encode(LIVES[:1]))
+        write_atomically(disk, tombstone_record.NAME, tombstone_record.encode(LIVES[:1]))
         disk.fail_at = disk.acts + acts
         with contextlib.suppress(OSError):
-            write_atomically(disk, ended_record.NAME, ended_record.encode(LIVES))
+            write_atomically(disk, tombstone_record.NAME, tombstone_record.encode(LIVES))
         for after in disk.outcomes():
-            seen.add(len(ended_record.decode(after.read(ended_record.NAME))))
+            seen.add(len(tombstone_record.decode(after.read(tombstone_record.NAME))))
     assert seen == {1, 2}
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -12,7 +12,7 @@
 
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.http1.messages import Answer, Request
-from irisdeal.registry import store_client as store_client_module
+from irisdeal.registry import store_client as following
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.messages import WatchReply, WatchRequest
 from irisdeal.registry.peers import SYNC_S
@@ -76,7 +76,7 @@
 
     def ask(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
         def act(station: RegistryServer) -> Awaitable[Answer]:
-            return station.outside(Request(method, target, [], body, station.loop.time()))
+            return station.control.handle(Request(method, target, [], body, station.loop.time()))
 
         self.on(seconds, host, act)
 
@@ -144,7 +144,7 @@
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
     full = [(at, states(one)) for at, one in told if one.age_ms >= 0]
     assert full and all(incarnations == {"i-1": BackendState.DRAINING} for _, incarnations in full), full[0]
-    assert full[0][0] <= 8.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + 10 * WAY
+    assert full[0][0] <= 8.0 + 1.25 * following.SEARCH_INTERVAL_S + following.ANSWER_S + 10 * WAY
 
 
 def test_a_registry_that_can_hear_too_few_goes_on_after_a_while(caplog: pytest.LogCaptureFixture) -> None:
@@ -159,7 +159,7 @@
     watch_news(rig, away, 5.1, 9.0)
     rig.play(9.1)
     full = [at for at, told in shown(rig, 5.0) if told.age_ms >= 0]
-    assert 5.0 + SYNC_S - 0.1 <= full[0] <= 5.0 + SYNC_S + 3 * store_client_module.ANSWER
+    assert 5.0 + SYNC_S - 0.1 <= full[0] <= 5.0 + SYNC_S + 3 * following.ANSWER_S
     assert sum("E317" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -191,8 +191,8 @@
     put, read, invalid, status, again = (answer for _, answer in rig.heard)
     for answer in (put, read):
         assert answer.status == 503
-        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % store_client_module.AGAIN
-        assert json.loads(answer.body)["retry_after_s"] == store_client_module.AGAIN
+        assert dict(answer.headers)[b"Retry-After"] == b"%.1f" % following.RETRY_AFTER_S
+        assert json.loads(answer.body)["retry_after_s"] == following.RETRY_AFTER_S
     assert [at for at, _ in rig.heard[:2]] == pytest.approx([7.0, 7.1]), "it is said at once"
     assert invalid.status == 400
     assert json.loads(status.body)["contact_age_s"] is None
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -13,8 +13,9 @@
 from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.messages import WatchReply
 from irisdeal.config_store.storage.chunks import SyncState
-from irisdeal.registry import store_client as store_client_module
+from irisdeal.registry import store_client as following
 from irisdeal.registry.store_client import StoreClient
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
@@ -93,15 +94,15 @@
         kept = rig.stores[host].watch
 
         def watch(sync_state: SyncState, change: int) -> Any:
-            asks[change != store_client_module.AT_ONCE] += 1
+            asks[change != following.AT_ONCE] += 1
             return kept(sync_state, change)
 
         rig.stores[host].watch = watch  # type: ignore[method-assign]
 
     rig.at(3.0, count)
     rig.play(13.0)
-    assert asks[0] <= 10 / store_client_module.PULSE + 2 and asks[1] <= 10 / store_client_module.HOLD + 2
-    assert asks[0] >= 10 / (store_client_module.PULSE + WAY) - 2
+    assert asks[0] <= 10 / following.PROBE_INTERVAL_S + 2 and asks[1] <= 10 / following.MAX_POLL_S + 2
+    assert asks[0] >= 10 / (following.PROBE_INTERVAL_S + WAY) - 2
 
 
 def test_without_its_own_store_it_follows_another_and_returns() -> None:
@@ -113,7 +114,7 @@
     def look() -> None:
         seen.append((rig.posts[host].store_client.source, rig.posts[host].store_client.has_contact))
 
-    rig.at(3.0 + store_client_module.GRACE + WAY, look)
+    rig.at(3.0 + following.FAILOVER_GRACE_S + WAY, look)
     rig.at(4.0, partial(rig.decide, 1, rig.hosts[1:]))
     rig.at(4.0 + WAY, lambda: seen.append((str(rig.posts[host].versions), True)))
     rig.at(6.0, lambda: rig.machines[host].insert(0, rig.start_store(host)))
@@ -174,9 +175,9 @@
     )
     rig.play(12.0)
     assert (
-        5.0 < lost[0] <= 5.0 + CONTACT_LEASE_S + store_client_module.PULSE + store_client_module.GRACE + WAY
+        5.0 < lost[0] <= 5.0 + CONTACT_LEASE_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + WAY
     )
-    assert back[0] <= 9.0 + 1.25 * store_client_module.SEEK + store_client_module.ANSWER + WAY
+    assert back[0] <= 9.0 + 1.25 * following.SEARCH_INTERVAL_S + following.ANSWER_S + WAY
 
 
 def test_an_order_without_contact_is_answered_at_once_and_not_refused_for_good() -> None:
@@ -229,7 +230,7 @@
     orders.at(5.0, put)  # by then another one is followed
     rig.play(9.0)
     (second, confirmed), (first, later) = sorted(orders.done, key=lambda done: done[0])
-    assert later in (PutOutcome.UNDECIDED, PutOutcome.DECIDED) and first <= store_client_module.PUT + WAY
+    assert later in (PutOutcome.UNDECIDED, PutOutcome.DECIDED) and first <= following.PUT_TIMEOUT_S + WAY
     assert confirmed is PutOutcome.DECIDED and second <= WAY
 
 
@@ -266,8 +267,8 @@
     rig.at(2.0, partial(rig.decide, 4, rig.hosts, Members(1, seats(*rig.hosts[:2]))))
     store_client = follower_of(rig)
     older = Value(0, rig.first.version_id, rig.first.members)
-    probe_result = store_client._hear(rig.hosts[1], SyncState(), 1003.0, None, older, frozenset(), 10)
-    assert probe_result is store_client_module.ProbeResult.NO_CONTACT
+    probe_result = store_client._apply(rig.hosts[1], SyncState(), 1003.0, WatchReply(None, older, (), 10))
+    assert probe_result is following.ProbeResult.NO_CONTACT
     assert store_client.members.number == 1 and store_client.version_id.number == 4
 
 
@@ -275,8 +276,8 @@
     rig = CoreRig(3, 0)
     store_client = follower_of(rig)
     unknown = Value(-1, rig.first.version_id, Members(-1, ()))
-    probe_result = store_client._hear(rig.hosts[1], SyncState(), 1003.0, None, unknown, frozenset(), -1)
-    assert probe_result is store_client_module.ProbeResult.NO_CONTACT
+    probe_result = store_client._apply(rig.hosts[1], SyncState(), 1003.0, WatchReply(None, unknown, (), -1))
+    assert probe_result is following.ProbeResult.NO_CONTACT
     assert store_client.members == rig.first.members
 
 
@@ -318,7 +319,7 @@
     held = ask_news(rig, host, 5.0, 0, incarnation)
     rig.play(7.0)
     took, told = at_once[0]
-    assert took <= WAY and 0 <= told[5] <= (0.9 + store_client_module.PULSE) * 1000
+    assert took <= WAY and 0 <= told[5] <= (0.9 + following.PROBE_INTERVAL_S) * 1000
     took, told = held[0]
     assert 1.0 <= took <= 1.0 + WAY
     # The ask lasted 1 s: the door makes of it 1 s and the ways, or what the registry knew if that is more.
@@ -339,13 +340,11 @@
     store_client = follower_of(rig)
     store_client.as_of = 0.0
     host, value = rig.hosts[0], store_client.value
-    probe_result = store_client._hear(host, SyncState(), 1002.0, None, value, frozenset(), 300)
-    assert probe_result is store_client_module.ProbeResult.GOOD
+    probe_result = store_client._apply(host, SyncState(), 1002.0, WatchReply(None, value, (), 300))
+    assert probe_result is following.ProbeResult.GOOD
     assert store_client.as_of == pytest.approx(1001.7), "however late the answer came"
-    probe_result = store_client._hear(host, SyncState(), 1002.5, None, value, frozenset(), -1)
-    assert probe_result is store_client_module.ProbeResult.NO_CONTACT and store_client.as_of == pytest.approx(
-        1001.7
-    )
+    probe_result = store_client._apply(host, SyncState(), 1002.5, WatchReply(None, value, (), -1))
+    assert probe_result is following.ProbeResult.NO_CONTACT and store_client.as_of == pytest.approx(1001.7)
 
 
 def test_an_age_counts_only_once_the_body_of_what_is_decided_is_here() -> None:
@@ -354,7 +353,7 @@
     store_client.as_of, host = 900.0, rig.hosts[0]
     newer = Value(5, ConfigVersion.of("r5", b"five").version_id, rig.first.members)
     assert (
-        store_client._hear(host, SyncState(), 1003.0, None, newer, frozenset(), 0)
-        is store_client_module.ProbeResult.GOOD
+        store_client._apply(host, SyncState(), 1003.0, WatchReply(None, newer, (), 0))
+        is following.ProbeResult.GOOD
     )
     assert store_client.as_of == 900.0 and store_client.change == 0 and store_client.value.change == 5
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -236,12 +236,12 @@
         )
         places = PlacementService({"z": "r"}, registry, loop)
         ask = PlacementRequest("z", "s", 0.1, [], 0, 1.5, 2.0)
-        taken = places.place("proxy 1#1", ask)
+        taken = places.reserve("proxy 1#1", ask)
         assert taken is not None and taken.result is PlacementResult.PLACED
         served: list[str] = []
 
         async def wait(name: str) -> None:
-            reply = await places.wait("proxy 1#1", ask)
+            reply = await places.reserve_when_free("proxy 1#1", ask)
             if reply.result is PlacementResult.PLACED:
                 served.append(name)
 
@@ -249,10 +249,10 @@
         await asyncio.sleep(0)
         waiting[1].cancel()
         await asyncio.sleep(0)
-        places.lost("proxy 1#1")  # the place is free: the first is woken
+        places.disconnect("proxy 1#1")  # the place is free: the first is woken
         waiting[0].cancel()  # in that moment
         await asyncio.wait(waiting, timeout=0.5)
-        left = sum(len(queue.heap) - len(queue.dead) for queue in places.placer.waiting.values())
+        left = len(places.placer.waiting)
         return served, left
 
     served, left = asyncio.run(main())
--- a/tests/rpc/test_late_messages.py
+++ b/tests/rpc/test_late_messages.py
@@ -49,17 +49,19 @@
         self.admission = AdmissionService(
             settings, registry, loop, 1, lambda: 0.0, lambda *_: asyncio.sleep(0, 0)
         )
-        self.places = self.admission.places
+        self.places = self.admission.placements
         registry.observe(BackendIncarnation("i", "s", "10.9.0.1:80", "z", 8, BackendState.READY, 1, 0.0), 0.0)
 
     def place(self, peer: str) -> int:
         ask = PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0)
-        reply = PlacementReply.decode(self.admission.quick(peer, "place", ask.encode()))
+        reply = PlacementReply.decode(self.admission.answer_at_once(peer, "place", ask.encode()))
         assert reply.result is PlacementResult.PLACED and reply.backend == "i"
         return reply.reservation
 
     def end(self, peer: str, number: int) -> None:
-        self.admission.quick(peer, "ended", ReservationEnd(number, int(AttemptResult.GOOD), 1.0).encode())
+        self.admission.answer_at_once(
+            peer, "ended", ReservationEnd(number, int(AttemptResult.SUCCESS), 1.0).encode()
+        )
 
     def out(self) -> int:
         return self.places.placer.backends["i"].in_flight
@@ -69,12 +71,12 @@
     rig = RegistryRig()
     rig.place("proxy d#1")
     rig.place("proxy d#3")
-    rig.places.lost("proxy d#2")  # it watched there
+    rig.places.disconnect("proxy d#2")  # it watched there
     assert rig.out() == 2
-    rig.places.lost("proxy d#1")  # its former connection, noticed late
+    rig.places.disconnect("proxy d#1")  # its former connection, noticed late
     assert rig.out() == 1
-    rig.places.lost("proxy d#3")
-    assert rig.out() == 0 and not rig.places.placer.doors
+    rig.places.disconnect("proxy d#3")
+    assert rig.out() == 0 and not rig.places.placer.numbers_of
 
 
 def test_a_lost_connection_leaves_a_proxys_permits_and_reported_usage() -> None:
@@ -87,7 +89,7 @@
     rig.admission.authority.observe_list(listed, rig.now)
     report = IntervalReport(1.0, 0, {"t": Usage(5.0)}, PrefetchReport(7, 1, 0, {}, {"t": 3}))
     granted = quotas.report("proxy d#3", report).reserve.changes["t"]
-    rig.places.lost("proxy d#3")
+    rig.places.disconnect("proxy d#3")
     assert granted > 0 and quotas.issuer.outstanding.total("t") == granted
     assert quotas.counter.reports
 
@@ -101,8 +103,8 @@
     rig.end("proxy d#3", number)
     rig.end("proxy d#1", number)
     assert rig.out() == 1
-    rig.places.lost("proxy d#1")
-    assert rig.out() == 1 and set(rig.places.placer.places) == {other}
+    rig.places.disconnect("proxy d#1")
+    assert rig.out() == 1 and set(rig.places.placer.reservations) == {other}
 
 
 def test_a_release_sent_to_a_later_incarnation_of_the_registry_frees_nothing() -> None:
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -31,9 +31,9 @@
 from irisdeal.config_store.storage.inspection import inspect_folder
 from irisdeal.config_store.storage.version_files import VersionFiles
 from irisdeal.permits.authority import IssuerList
-from irisdeal.registry.ended_record import EndedRecord
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
-from irisdeal.registry.list_record import ListRecord
+from irisdeal.registry.issuer_list_record import IssuerListRecord
+from irisdeal.registry.tombstone_record import TombstoneRecord
 from irisdeal.runtime.process import Tasks
 
 T = TypeVar("T")
@@ -171,8 +171,8 @@
     return IssuerList(7, frozenset(MACHINES))
 
 
-def ended_record(path: Path) -> EndedRecord:
-    return EndedRecord(DiskFolder(str(path / REGISTRY)))
+def ended_record(path: Path) -> TombstoneRecord:
+    return TombstoneRecord(DiskFolder(str(path / REGISTRY)))
 
 
 async def ended_written(path: Path, ended: list[BackendIncarnation]) -> None:
@@ -180,11 +180,11 @@
     if ended:
         assert await record.save(ended, [*ended, ready_life()])
     else:
-        assert await record.begin([ready_life()])
+        assert await record.initialize([ready_life()])
 
 
 def issuers_written(path: Path, told: IssuerList) -> None:
-    assert ListRecord(str(path)).save(told)
+    assert IssuerListRecord(str(path)).save(told)
 
 
 def life_told(incarnation: BackendIncarnation) -> dict[str, Any]:
@@ -203,18 +203,18 @@
 async def registry_read(path: Path) -> dict[str, Any]:
     """What a start reads; None for what is not there whole."""
     record = ended_record(path)
-    ended = await record.open()
-    listed = ListRecord(str(path)).load()
+    ended = await record.load()
+    listed = IssuerListRecord(str(path)).load()
     return {
         "ended": [life_told(incarnation) for incarnation in ended] if ended is not None else None,
-        "on_disk": {id_: int(state) for id_, state in sorted(record.kept.items())},
+        "on_disk": {id_: int(state) for id_, state in sorted(record.recorded.items())},
         "issuers": [listed.number, sorted(listed.machines)] if listed is not None else None,
     }
 
 
 async def registry_copied(source: Path, to: Path) -> None:
     """Write what is read here anew."""
-    ended, listed = await ended_record(source).open(), ListRecord(str(source)).load()
+    ended, listed = await ended_record(source).load(), IssuerListRecord(str(source)).load()
     if ended is not None:
         await ended_written(to, ended)
     if listed is not None:
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -246,7 +246,7 @@
 
         async def act() -> None:
             station = self.stations[host]
-            await station.outside(Request(method, target, [], body, station.loop.time()))
+            await station.control.handle(Request(method, target, [], body, station.loop.time()))
 
         self.on(seconds, host, "registry", act)
 
@@ -309,7 +309,7 @@
     async def end_places(self) -> None:
         assert self.client is not None
         for number, (registry, place) in enumerate(self.numbers):
-            how = AttemptResult.GOOD if number % 2 else AttemptResult.FAILED
+            how = AttemptResult.SUCCESS if number % 2 else AttemptResult.FAILED
             self.client.end_place(registry, ReservationEnd(place, int(how), 1.25 + number))
         self.numbers.clear()
 
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -256,7 +256,7 @@
         QuotaService.claim,
         QuotaService.lend,
         QuotaService.report,
-        QuotaService.hear_sum,
+        QuotaService.receive_sum,
         QuotaService.close,
     )
     with contextlib.ExitStack() as stack:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -291,6 +291,12 @@
 
 # The names of these samples in the recorded data, from which they may not move
 PLACEMENT_SAMPLES = {PlacementResult.NO_BACKEND: "no_place"}
+ATTEMPT_SAMPLES = {
+    AttemptResult.SUCCESS: "good",
+    AttemptResult.SERVER_ERROR: "poor",
+    AttemptResult.REJECTED: "full",
+    AttemptResult.WRONG_INCARNATION: "ended",
+}
 
 
 def _registry_samples() -> list[Sample]:
@@ -347,7 +353,11 @@
         Sample("lend", "a loan", LendRequest("t-1", 64).encode(), 4),
     ]
     samples += [
-        Sample("ended", how.name.lower(), ReservationEnd(1_579_233_161, int(how), 1.25).encode())
+        Sample(
+            "ended",
+            ATTEMPT_SAMPLES.get(how, how.name.lower()),
+            ReservationEnd(1_579_233_161, int(how), 1.25).encode(),
+        )
         for how in AttemptResult
     ]
     results = [
