--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -1,4 +1,4 @@
-"""The store's register: its ballots in random order, and the store's own program in virtual time."""
+"""The consensus register: ballots in random order, and the replicas' own program in virtual time."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @trying(deadline=None, max_examples=60)
 @given(st.integers(0, 2**32), st.sampled_from(sorted(PLANS)))
-def test_long_random_ways_break_no_rule(seed: int, name: str) -> None:
+def test_long_random_runs_break_no_rule(seed: int, name: str) -> None:
     chance, plan = random.Random(seed), PLANS[name]
     version_ids = [VersionId(number, bytes([number])) for number in range(1, 5)]
     programs = (*plan.programs[:-1], orders(*version_ids))
@@ -70,7 +70,7 @@
         _, state = chance.choice(steps)
 
 
-def test_a_base_with_another_list_is_finished_as_it_is() -> None:
+def test_a_value_with_another_member_list_is_proposed_unchanged() -> None:
     joint = FIRST.members.enter_joint(("a", "b", "d"))
     accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.version_id, joint))
     ballot = BallotAttempt(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
@@ -88,7 +88,7 @@
     assert ballot.on_accept_reply("a", True, ballot.ballot) is Step.DECIDED
 
 
-def test_an_empty_disk_is_never_what_a_ballot_begins_from() -> None:
+def test_a_ballot_never_starts_from_an_empty_disk() -> None:
     ballot = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
     ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN))
     ballot.on_prepare_reply("b", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
@@ -129,19 +129,19 @@
     return ConfigVersion.of(f"r{number}", b"r%d %s" % (number, text.encode()))
 
 
-Act = Callable[[Machine], Coroutine[Any, Any, None]]
+Script = Callable[[Machine], Coroutine[Any, Any, None]]
 
 
-class Play:
-    """A store in virtual time, and callers of it."""
+class SimulatedStore:
+    """A configuration store in virtual time, and its callers."""
 
     def __init__(self, count: int, seed: int, make: Callable[..., StoreReplica] = StoreReplica) -> None:
-        self.stage, self.left = Stage(count, seed, make), 0
-        self.hosts = list(self.stage.hosts)
+        self.cluster, self.left = Stage(count, seed, make), 0
+        self.hosts = list(self.cluster.hosts)
         self.failed: list[AssertionError] = []
         self.links: dict[tuple[str, str], RpcClient] = {}
         for host in self.hosts:
-            self.stage.start(host, True)
+            self.cluster.start(host, True)
 
     async def call(self, machine: Machine, host: str, kind: str, body: Any, within: float = 1.0) -> Any:
         """The answer, or None."""
@@ -152,23 +152,25 @@
         return answer.unwrap() if isinstance(answer, Success) else None
 
     async def put(self, machine: Machine, host: str, order: ConfigVersion) -> PutOutcome:
-        told = await self.call(
+        reply = await self.call(
             machine, host, "put", [order.version_id.number, order.version_id.digest, order.body]
         )
-        return PutOutcome.UNDECIDED if told is None else PutOutcome(told)
+        return PutOutcome.UNDECIDED if reply is None else PutOutcome(reply)
 
-    async def until_taken(self, machine: Machine, hosts: list[str], order: ConfigVersion) -> PutOutcome:
-        """As the operator does: to any of them, with a pause that grows."""
+    async def put_until_answered(
+        self, machine: Machine, hosts: list[str], order: ConfigVersion
+    ) -> PutOutcome:
+        """As the operator does: to any of them, with exponential backoff."""
         for attempt in range(60):
-            outcome = await self.put(machine, self.stage.chance.choice(hosts), order)
+            outcome = await self.put(machine, self.cluster.chance.choice(hosts), order)
             if outcome is not PutOutcome.UNDECIDED:
                 return outcome
             await pause(machine, min(0.5, 0.05 * 2**attempt))
         return PutOutcome.UNDECIDED
 
-    def caller(self, act: Act, after: float = 2.0) -> None:
+    def start_caller(self, act: Script, after: float = 2.0) -> None:
         self.left += 1
-        machine = self.stage.new_caller(f"caller-{len(self.stage.callers)}")
+        machine = self.cluster.new_caller(f"caller-{len(self.cluster.callers)}")
 
         async def run() -> int:
             await pause(machine, after)
@@ -181,70 +183,72 @@
 
         machine.start(run())
 
-    def play(self, most: float = 60.0) -> None:
-        self.stage.run(lambda: self.left == 0, most)
+    def run(self, max_s: float = 60.0) -> None:
+        self.cluster.run(lambda: self.left == 0, max_s)
         for failed in self.failed:
             raise failed
-        errors = [error for machine in self.stage.machines.values() for error in machine.errors]
+        errors = [error for machine in self.cluster.machines.values() for error in machine.errors]
         assert not errors, errors
 
 
 @pytest.mark.parametrize("count", (3, 4))
 @pytest.mark.parametrize("seed", range(6))
-def test_eight_orders_at_once_all_end(count: int, seed: int) -> None:
-    """No two ballots chase each other: all end within half of what a site gives, whatever the disks."""
-    play = Play(count, seed)
-    took: list[float] = []
+def test_eight_concurrent_puts_all_complete(count: int, seed: int) -> None:
+    """No two ballots preempt each other for ever: all end within half of the time limit, whatever the disks."""
+    store = SimulatedStore(count, seed)
+    durations_s: list[float] = []
     outcomes: list[PutOutcome] = []
 
-    def order(number: int) -> Act:
+    def order(number: int) -> Script:
         async def act(machine: Machine) -> None:
-            begun = machine.time()
-            outcomes.append(await play.until_taken(machine, [play.hosts[number % count]], version(number)))
-            took.append(machine.time() - begun)
+            started_at = machine.time()
+            outcomes.append(
+                await store.put_until_answered(machine, [store.hosts[number % count]], version(number))
+            )
+            durations_s.append(machine.time() - started_at)
 
         return act
 
     for number in range(1, 9):
-        play.caller(order(number))
-    play.play()
-    print(f"{count} members, seed {seed}: {sorted(round(1000 * one) for one in took)} ms")
+        store.start_caller(order(number))
+    store.run()
+    print(f"{count} members, seed {seed}: {sorted(round(1000 * one) for one in durations_s)} ms")
     assert outcomes == [PutOutcome.DECIDED] * 8
-    assert max(took) < 2.5
+    assert max(durations_s) < 2.5
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_two_bodies_under_one_number_and_orders_again(seed: int) -> None:
-    """One is decided, the other is told so; each number is confirmed again by any, whatever holds."""
-    play = Play(3, seed)
+def test_two_bodies_under_one_number_and_repeated_puts(seed: int) -> None:
+    """One is decided, the other conflicts; each replica confirms a repeated put, whatever is decided by then."""
+    store = SimulatedStore(3, seed)
     found: list[list[Any]] = []
 
-    def order(text: str, host: str) -> Act:
+    def order(text: str, host: str) -> Script:
         async def act(machine: Machine) -> None:
-            found.append([await play.until_taken(machine, [host], version(1, text)), text])
+            found.append([await store.put_until_answered(machine, [host], version(1, text)), text])
 
         return act
 
-    async def again(machine: Machine) -> None:
+    async def put_again(machine: Machine) -> None:
         decided = next(text for outcome, text in found if outcome is PutOutcome.DECIDED)
-        for host in play.hosts:
-            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.DECIDED
-            assert await play.call(machine, host, "read", None) == [True, version(1, decided).body]
-        assert await play.until_taken(machine, play.hosts, version(2)) is PutOutcome.DECIDED
-        for host in play.hosts:
-            assert await play.until_taken(machine, [host], version(1, decided)) is PutOutcome.DECIDED
+        for host in store.hosts:
+            assert await store.put_until_answered(machine, [host], version(1, decided)) is PutOutcome.DECIDED
+            assert await store.call(machine, host, "read", None) == [True, version(1, decided).body]
+        assert await store.put_until_answered(machine, store.hosts, version(2)) is PutOutcome.DECIDED
+        for host in store.hosts:
+            assert await store.put_until_answered(machine, [host], version(1, decided)) is PutOutcome.DECIDED
         found.append([])
 
-    play.caller(order("one", play.hosts[0]))
-    play.caller(order("other", play.hosts[1]))
-    play.caller(again, 6.0)
-    play.play()
+    store.start_caller(order("one", store.hosts[0]))
+    store.start_caller(order("other", store.hosts[1]))
+    store.start_caller(put_again, 6.0)
+    store.run()
     assert sorted(one[0] for one in found if one) == [PutOutcome.DECIDED, PutOutcome.CONFLICT]
     assert found[-1] == []
 
 
-class RefusesAgain(Proposer):
-    """Planted: an order that is not above what holds is told to be another."""
+class RefusesRepeatedPuts(Proposer):
+    """Planted: a put that is not above the decided version is answered as a conflict."""
 
     def known_outcome(self, version_id: VersionId) -> PutOutcome | None:
         found = super().known_outcome(version_id)
@@ -252,89 +256,89 @@
         return PutOutcome.CONFLICT if found is not None and is_above else found
 
 
-def test_an_order_that_is_refused_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("irisdeal.config_store.replica.Proposer", RefusesAgain)
+def test_a_refused_repetition_of_a_put_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("irisdeal.config_store.replica.Proposer", RefusesRepeatedPuts)
     with pytest.raises(AssertionError):
-        test_two_bodies_under_one_number_and_orders_again(0)
+        test_two_bodies_under_one_number_and_repeated_puts(0)
 
 
-def test_without_contact_nothing_is_confirmed_read_or_refused_and_it_is_said_at_once() -> None:
-    play = Play(3, 1)
+def test_without_contact_nothing_is_confirmed_read_or_refused_and_the_answer_is_immediate() -> None:
+    store = SimulatedStore(3, 1)
     done: list[float] = []
 
     async def act(machine: Machine) -> None:
-        host = play.hosts[0]
-        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.DECIDED
-        play.stage.cut(host, True)
+        host = store.hosts[0]
+        assert await store.put_until_answered(machine, store.hosts, version(1)) is PutOutcome.DECIDED
+        store.cluster.cut(host, True)
         await pause(machine, 3.0)
-        begun = machine.time()
-        assert await play.put(machine, host, version(2)) is PutOutcome.UNDECIDED
-        assert await play.put(machine, host, version(1)) is PutOutcome.UNDECIDED
-        assert await play.put(machine, host, version(1, "another")) is PutOutcome.UNDECIDED
-        assert await play.call(machine, host, "read", None) == [False, None]
-        assert (await play.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
-        assert machine.time() - begun < 0.1
-        assert await play.until_taken(machine, play.hosts[1:], version(2)) is PutOutcome.DECIDED
-        play.stage.cut(host, False)
-        begun = machine.time()
-        while await play.call(machine, host, "read", None) != [True, version(2).body]:
+        started_at = machine.time()
+        assert await store.put(machine, host, version(2)) is PutOutcome.UNDECIDED
+        assert await store.put(machine, host, version(1)) is PutOutcome.UNDECIDED
+        assert await store.put(machine, host, version(1, "another")) is PutOutcome.UNDECIDED
+        assert await store.call(machine, host, "read", None) == [False, None]
+        assert (await store.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
+        assert machine.time() - started_at < 0.1
+        assert await store.put_until_answered(machine, store.hosts[1:], version(2)) is PutOutcome.DECIDED
+        store.cluster.cut(host, False)
+        started_at = machine.time()
+        while await store.call(machine, host, "read", None) != [True, version(2).body]:
             await pause(machine, 0.05)
-        done.append(machine.time() - begun)
+        done.append(machine.time() - started_at)
 
-    play.caller(act)
-    play.play()
+    store.start_caller(act)
+    store.run()
     assert done and done[0] < 2.0, done
 
 
-def test_a_slow_disk_holds_up_neither_states_nor_contact() -> None:
-    play = Play(3, 2)
+def test_a_slow_disk_delays_neither_status_nor_contact() -> None:
+    store = SimulatedStore(3, 2)
     longest = [0.0]
 
     async def asks(machine: Machine) -> None:
-        play.stage.machines[play.hosts[0]].disk_time = 1_500_000
-        play.caller(orders_there, 0.0)
+        store.cluster.machines[store.hosts[0]].disk_time = 1_500_000
+        store.start_caller(orders_there, 0.0)
         for _ in range(60):
-            begun = machine.time()
-            assert await play.call(machine, play.hosts[0], "state", None) is not None
-            longest[0] = max(longest[0], machine.time() - begun)
-            assert play.stage.members[play.hosts[0]].has_contact()
+            started_at = machine.time()
+            assert await store.call(machine, store.hosts[0], "state", None) is not None
+            longest[0] = max(longest[0], machine.time() - started_at)
+            assert store.cluster.members[store.hosts[0]].has_contact()
             await pause(machine, 0.05)
 
     async def orders_there(machine: Machine) -> None:
-        assert await play.until_taken(machine, play.hosts, version(1)) is PutOutcome.DECIDED
-        assert await play.put(machine, play.hosts[1], version(2)) is PutOutcome.DECIDED
+        assert await store.put_until_answered(machine, store.hosts, version(1)) is PutOutcome.DECIDED
+        assert await store.put(machine, store.hosts[1], version(2)) is PutOutcome.DECIDED
 
-    play.caller(asks, 3.0)
-    play.play()
+    store.start_caller(asks, 3.0)
+    store.run()
     assert longest[0] < 0.02, longest
 
 
 @pytest.mark.parametrize("missing", (0, 2))
-def test_who_misses_the_first_start_comes_to_count(missing: int) -> None:
+def test_a_replica_that_misses_the_first_start_becomes_a_member(missing: int) -> None:
     """One of three seeds does not start with the others, and comes later: empty disk, `bootstrap` false."""
-    play = Play(3, 3)
-    host = play.hosts[missing]
-    others = [other for other in play.hosts if other != host]
-    play.stage.machines[host].kill()
-    play.stage.disks[host] = MemoryDisk()
+    store = SimulatedStore(3, 3)
+    host = store.hosts[missing]
+    others = [other for other in store.hosts if other != host]
+    store.cluster.machines[host].kill()
+    store.cluster.disks[host] = MemoryDisk()
 
     async def act(machine: Machine) -> None:
-        assert await play.until_taken(machine, others, version(1)) is PutOutcome.DECIDED
-        play.stage.start(host)
+        assert await store.put_until_answered(machine, others, version(1)) is PutOutcome.DECIDED
+        store.cluster.start(host)
         await pause(machine, 4.0)
-        play.stage.kill(others[0])
-        assert await play.until_taken(machine, [host], version(2)) is PutOutcome.DECIDED
-        assert await play.call(machine, others[1], "read", None) == [True, version(2).body]
+        store.cluster.kill(others[0])
+        assert await store.put_until_answered(machine, [host], version(2)) is PutOutcome.DECIDED
+        assert await store.call(machine, others[1], "read", None) == [True, version(2).body]
 
-    play.caller(act)
-    play.play()
+    store.start_caller(act)
+    store.run()
 
 
-def test_before_any_order_a_read_knows_that_there_is_none() -> None:
-    play = Play(3, 4)
+def test_before_any_put_a_read_knows_that_there_is_none() -> None:
+    store = SimulatedStore(3, 4)
 
     async def act(machine: Machine) -> None:
-        assert await play.call(machine, play.hosts[0], "read", None) == [True, None]
+        assert await store.call(machine, store.hosts[0], "read", None) == [True, None]
 
-    play.caller(act)
-    play.play()
+    store.start_caller(act)
+    store.run()
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -1,4 +1,4 @@
-"""The register searched state by state, and what the search finds when it is broken."""
+"""The states of the register searched exhaustively within bounds, and what the search finds with planted bugs."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 
 
 def _accepts_after_a_higher_promise(patch: pytest.MonkeyPatch) -> None:
-    def on_accept(kept: AcceptorState, ballot: Ballot, value: Value) -> tuple[bool, AcceptorState]:
-        good = ballot >= kept.accepted
-        return good, AcceptorState(max(ballot, kept.promised), ballot, value) if good else kept
+    def on_accept(state: AcceptorState, ballot: Ballot, value: Value) -> tuple[bool, AcceptorState]:
+        is_granted = ballot >= state.accepted
+        return is_granted, AcceptorState(max(ballot, state.promised), ballot, value) if is_granted else state
 
     patch.setattr(register, "on_accept", on_accept)
 
 
-def _promises_a_lower_one(patch: pytest.MonkeyPatch) -> None:
-    def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
-        return True, AcceptorState(ballot, kept.accepted, kept.value)
+def _promises_a_lower_ballot(patch: pytest.MonkeyPatch) -> None:
+    def on_prepare(state: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
+        return True, AcceptorState(ballot, state.accepted, state.value)
 
     patch.setattr(register, "on_prepare", on_prepare)
 
 
-def _old_majority_alone(patch: pytest.MonkeyPatch) -> None:
-    """No joint list: the next one is decided by the one before it, and holds at once."""
+def _old_majority_only(patch: pytest.MonkeyPatch) -> None:
+    """No joint list: the next list is decided by a quorum of the one before it, and counts at once."""
 
     def enter_joint(self: Members, seats: Iterable[str]) -> Members:
         return Members(self.number + 1, tuple(sorted(set(seats))))
@@ -57,11 +57,13 @@
     def set_members(members: Members) -> register.Change:
         return lambda value: replace(value, change=value.change + 1, members=members)
 
-    def on_prepare_reply(self: register.BallotAttempt, seat: str, good: bool, kept: AcceptorState) -> Step:
-        self.prepare_replies[seat] = kept
-        if self.step is Step.PREPARING and good and self.known.is_quorum(self.prepare_replies):
+    def on_prepare_reply(
+        self: register.BallotAttempt, seat: str, is_granted: bool, state: AcceptorState
+    ) -> Step:
+        self.prepare_replies[seat] = state
+        if self.step is Step.PREPARING and is_granted and self.known.is_quorum(self.prepare_replies):
             self.base = max(
-                self.prepare_replies.values(), key=lambda kept: (kept.accepted, kept.value.change)
+                self.prepare_replies.values(), key=lambda state: (state.accepted, state.value.change)
             ).value
             self.value, self.step = self.change(self.base), Step.ACCEPTING
         return self.step
@@ -73,20 +75,20 @@
 
 
 def _promises_one_ballot_twice(patch: pytest.MonkeyPatch) -> None:
-    """What makes a ballot that is used again harmful: it gets a quorum again."""
+    """What makes the reuse of a ballot harmful: it gets a quorum again."""
 
-    def on_prepare(kept: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
-        return (False, kept) if ballot < kept.promised else (True, replace(kept, promised=ballot))
+    def on_prepare(state: AcceptorState, ballot: Ballot) -> tuple[bool, AcceptorState]:
+        return (False, state) if ballot < state.promised else (True, replace(state, promised=ballot))
 
     patch.setattr(register, "on_prepare", on_prepare)
 
 
 def _learner_counted(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Members, "is_quorum", lambda self, heard: len(set(heard)) >= majority(self.seats))
+    patch.setattr(Members, "is_quorum", lambda self, answered: len(set(answered)) >= majority(self.seats))
     patch.setattr(Members, "voters", lambda self: frozenset({*self.seats, *self.former, "d"}))
 
 
-def _own_body_first(patch: pytest.MonkeyPatch) -> None:
+def _own_value_first(patch: pytest.MonkeyPatch) -> None:
     """The proposer does not take over what others accepted."""
     taken = register.BallotAttempt._highest
 
@@ -98,17 +100,17 @@
     patch.setattr(register.BallotAttempt, "_highest", highest)
 
 
-def _reads_what_is_not_safe(patch: pytest.MonkeyPatch) -> None:
+def _reads_without_quorum_of_one_ballot(patch: pytest.MonkeyPatch) -> None:
     def value_for_read(reports: Iterable[ReplicaStatus], known: Members) -> Value | None:
-        heard = list(reports)
-        if not known.is_quorum(one.seat for one in heard):
+        answered = list(reports)
+        if not known.is_quorum(one.seat for one in answered):
             return None
-        return max(heard, key=lambda one: one.accepted).value
+        return max(answered, key=lambda one: one.accepted).value
 
     patch.setattr(decided_value, "value_for_read", value_for_read)
 
 
-def _in_force_before_decided(patch: pytest.MonkeyPatch) -> None:
+def _applied_before_decided(patch: pytest.MonkeyPatch) -> None:
     def decided_among(reports: Iterable[ReplicaStatus]) -> Value | None:
         return max((one.value for one in reports), key=lambda value: value.change, default=None)
 
@@ -130,12 +132,12 @@
             "proposes two values",
         ),
         (_accepts_after_a_higher_promise, "two bodies under one number", {}, "does not take over"),
-        (_promises_a_lower_one, "two bodies under one number", {}, "does not take over"),
-        (_own_body_first, "two bodies under one number", {}, "two bodies|does not take over|change 1 is"),
-        (_old_majority_alone, "one in the place of another", {}, "does not take over"),
+        (_promises_a_lower_ballot, "two bodies under one number", {}, "does not take over"),
+        (_own_value_first, "two bodies under one number", {}, "two bodies|does not take over|change 1 is"),
+        (_old_majority_only, "one in the place of another", {}, "does not take over"),
         (_learner_counted, "a fourth member", {}, "does not take over"),
-        (_reads_what_is_not_safe, "a read", ONE_READ, "a read answers|does not take over"),
-        (_in_force_before_decided, "a read", ONE_READ, "a read answers|does not take over"),
+        (_reads_without_quorum_of_one_ballot, "a read", ONE_READ, "a read answers|does not take over"),
+        (_applied_before_decided, "a read", ONE_READ, "a read answers|does not take over"),
         (
             _nothing,
             "an empty disk",
--- a/tests/config_store/test_second_loss.py
+++ b/tests/config_store/test_second_loss.py
@@ -1,4 +1,4 @@
-"""A loss right after a replacement: the one that went counts no more, so the store must stand the next."""
+"""A loss right after a replacement: the former member counts no more, so the store must tolerate the next."""
 
 from __future__ import annotations
 
--- a/tests/config_store/test_store_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -1,7 +1,8 @@
-"""Five processes of the store over loopback sockets, our fault proxy between them; the judge has the history.
+"""Five processes of the configuration store over loopback sockets, a fault proxy between them.
 
-SIGSTOP, SIGKILL, a disk that is lost, cuts both ways and one way, one after the other, while two operators
-put bodies under the same numbers. Everything is bounded; processes are ended by their ids.
+SIGSTOP, SIGKILL, a lost disk, partitions both ways and one way, one after the other, while two operators put
+versions under the same numbers; the history must be linearizable. Everything is bounded; processes are ended by
+their ids.
 """
 
 from __future__ import annotations
@@ -90,7 +91,7 @@
         if wipe:
             shutil.rmtree(self.folder / f"disk{member}", ignore_errors=True)
 
-    def cut(self, member: int, out: bool, into: bool) -> None:
+    def partition(self, member: int, out: bool, into: bool) -> None:
         for (caller, called), gate in self.gates.items():
             if caller == member:
                 gate.shut(out, into)
@@ -109,7 +110,7 @@
 
 @dataclass
 class Operators:
-    """Two that put under the same numbers; what they saw."""
+    """Two operators that put under the same numbers; the history of their operations."""
 
     chance: random.Random
     ops: list[Op] = field(default_factory=list)
@@ -117,19 +118,19 @@
     over: bool = False
 
     async def put(self, member: int, version: ConfigVersion, who: str) -> Kind:
-        link, begun = RpcClient(Store.address(member), who), time.monotonic()
+        link, started_at = RpcClient(Store.address(member), who), time.monotonic()
         answer = await link.call(
             "put", [version.version_id.number, version.version_id.digest, version.body], 1.0
         )
         link.close()
-        told = int(answer.unwrap()) if isinstance(answer, Success) else 0
-        kind = (Kind.UNCLEAR, Kind.CONFIRMED, Kind.CONFLICT)[told]
+        outcome = int(answer.unwrap()) if isinstance(answer, Success) else 0
+        kind = (Kind.UNCLEAR, Kind.CONFIRMED, Kind.CONFLICT)[outcome]
         self.ops.append(
             Op(
                 kind,
                 version.version_id.number,
                 version.version_id.digest.hex(),
-                begun,
+                started_at,
                 time.monotonic(),
                 f"{who} at {member}",
             )
@@ -137,14 +138,14 @@
         return kind
 
     async def read(self, member: int, who: str) -> bool:
-        link, begun = RpcClient(Store.address(member), who), time.monotonic()
+        link, started_at = RpcClient(Store.address(member), who), time.monotonic()
         answer = await link.call("read", None, 1.0)
         link.close()
         if not isinstance(answer, Success) or not answer.unwrap()[0]:
             return False
         body = answer.unwrap()[1]
         number, digest = (int(body.split()[0][1:]), hashlib.sha256(body).hexdigest()) if body else (NONE, "")
-        self.ops.append(Op(Kind.READ, number, digest, begun, time.monotonic(), f"{who} at {member}"))
+        self.ops.append(Op(Kind.READ, number, digest, started_at, time.monotonic(), f"{who} at {member}"))
         return True
 
     async def operate(self, who: str) -> None:
@@ -160,7 +161,7 @@
             await asyncio.sleep(self.chance.uniform(0.0, 0.1))
 
     async def read_all(self, within: float) -> list[int]:
-        """The members that answered no read in time."""
+        """Return the members that answered no read in time."""
         waiting, until = list(range(COUNT)), time.monotonic() + within
         while waiting and time.monotonic() < until:
             waiting = [member for member in waiting if not await self.read(member, "end")]
@@ -169,14 +170,14 @@
 
 
 async def _faults(store: Store) -> list[tuple[str, float, float]]:
-    """One member lost at a time, then all; each loss by name, with its begin and when the next comes."""
+    """Lose one member at a time, then all; return each loss by name, with its start and the start of the next."""
     spans: list[tuple[str, float, float]] = []
 
     @contextlib.contextmanager
     def span(name: str) -> Iterator[None]:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         yield
-        spans.append((name, begun, time.monotonic()))
+        spans.append((name, started_at, time.monotonic()))
 
     with span("stopped"):
         store.running[0].send_signal(signal.SIGSTOP)
@@ -199,9 +200,9 @@
         ("cut", True, True),
     ):
         with span(name):
-            store.cut(3, out, into)
+            store.partition(3, out, into)
             await asyncio.sleep(2.0)
-            store.cut(3, False, False)
+            store.partition(3, False, False)
             await asyncio.sleep(BETWEEN)
     for member in range(COUNT):
         store.kill(member)
@@ -211,7 +212,7 @@
 
 
 async def _day(store: Store) -> tuple[list[Op], list[int], list[str]]:
-    """The history, the members that are silent at the end, the losses amid which nothing was confirmed."""
+    """Return the history, the members that answer no read at the end, and losses without a confirmed put."""
     operators = Operators(random.Random(7))
     await store.open_gates()
     for member in range(COUNT):
@@ -224,21 +225,22 @@
         await asyncio.sleep(1.0)
         operators.over = True
         await asyncio.gather(*working)
-        silent = await operators.read_all(READ_BY)
+        unanswering = await operators.read_all(READ_BY)
         idle = [
             name
-            for name, begun, ended in spans
+            for name, started_at, ended_at in spans
             if not any(
-                op.kind is Kind.CONFIRMED and begun <= op.start and op.end <= ended for op in operators.ops
+                op.kind is Kind.CONFIRMED and started_at <= op.start and op.end <= ended_at
+                for op in operators.ops
             )
         ]
-        return operators.ops, silent, idle
+        return operators.ops, unanswering, idle
     finally:
         await store.end()
 
 
-def test_five_processes_of_the_store_under_stops_kills_cuts_and_a_lost_disk(tmp_path: Path) -> None:
-    ops, silent, idle = asyncio.run(_day(Store(tmp_path)))
-    assert silent == [], f"members that answer no read at the end: {silent}"
+def test_five_processes_of_the_store_under_stops_kills_partitions_and_a_lost_disk(tmp_path: Path) -> None:
+    ops, unanswering, idle = asyncio.run(_day(Store(tmp_path)))
+    assert unanswering == [], f"members that answer no read at the end: {unanswering}"
     assert check(ops) == []
-    assert idle == [], f"losses of one member amid which no order was confirmed: {idle}"
+    assert idle == [], f"losses of one member during which no put was confirmed: {idle}"
--- a/tests/features/core.feature
+++ b/tests/features/core.feature
@@ -1,9 +1,9 @@
-Feature: one word, whatever fails
+Feature: one configuration, whatever fails
 
-  Scenario Outline: kills, losses of power and of disks, cuts, freezes, replacements, and a closing fault
+  Scenario Outline: kills, losses of power and of disks, partitions, freezes, replacements, and a closing fault
     Given a store in which is planted: nothing
     When the days of seeds <first> to <last> are played
-    Then the judge finds nothing, and <percent> percent of the orders were acknowledged
+    Then the judge finds nothing, and <percent> percent of the puts were acknowledged
 
     Examples:
       | first | last | percent |
@@ -41,7 +41,7 @@
       | accept not synced            | day: any     | 1    |
       | learner counted              | duels: wipe  | 7    |
       | lease from the answer        | day: one way | 22   |
-      | body in force before decided | duels: none  | 13   |
-      | an order again refused       | day: any     | 1    |
-      | read alone                   | day: any     | 1    |
-      | confirmed alone              | day: any     | 1    |
+      | value applied before decided | duels: none  | 13   |
+      | a repeated put refused       | day: any     | 1    |
+      | read without a quorum        | day: any     | 1    |
+      | confirmed without a quorum   | day: any     | 1    |
--- a/tests/features/steps/core_steps.py
+++ b/tests/features/steps/core_steps.py
@@ -1,4 +1,4 @@
-"""Days of the store in virtual time, with the program as it is and with bugs planted in it."""
+"""Simulated days of the configuration store, with the program as it is and with bugs planted in it."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     context.verdicts = [day_of(seed).play() for seed in range(first, last + 1)]
 
 
-@then("the judge finds nothing, and {percent:d} percent of the orders were acknowledged")
+@then("the judge finds nothing, and {percent:d} percent of the puts were acknowledged")
 def _(context: Any, percent: int) -> None:
     found = {verdict.seed: verdict.breaches for verdict in context.verdicts if verdict.breaches}
     assert not found, found
     assert sum(verdict.refused for verdict in context.verdicts) == 0
-    orders = sum(verdict.orders for verdict in context.verdicts)
-    assert sum(verdict.acknowledged for verdict in context.verdicts) >= orders * percent / 100
+    puts = sum(verdict.orders for verdict in context.verdicts)
+    assert sum(verdict.acknowledged for verdict in context.verdicts) >= puts * percent / 100
 
 
 # Probes
@@ -84,10 +84,10 @@
 @when("{play} of seed {seed:d} is played")
 def _(context: Any, play: str, seed: int) -> None:
     context.found = _breaches(context.bug, play, seed)
-    context.usual = _breaches("nothing", play, seed)
+    context.without_bug = _breaches("nothing", play, seed)
 
 
 @then("the judge finds it, and nothing where it is not planted")
 def _(context: Any) -> None:
     assert context.found
-    assert not context.usual, context.usual
+    assert not context.without_bug, context.without_bug
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -1,4 +1,4 @@
-"""Every loss of power between and amid the acts of an acceptor, on a folder in memory."""
+"""Every loss of power between and amid the disk operations of an acceptor, on a folder in memory."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 
 async def vote(acceptor: Acceptor, number: int, answered: list[AcceptorState]) -> None:
-    """A promise, a body and an accept; what was answered is noted."""
+    """Prepare a ballot, store a version, accept it; add each answered state to `answered`."""
     ballot = Ballot(number, "a")
-    good, _ = await acceptor.prepare(ballot)
-    assert good
+    is_granted, _ = await acceptor.prepare(ballot)
+    assert is_granted
     answered.append(acceptor.state)
     if not await acceptor.save_version(version(number)):
         raise OSError("refused")
-    given = await acceptor.accept(ballot, after(number))
-    assert given == (True, ballot)
+    result = await acceptor.accept(ballot, after(number))
+    assert result == (True, ballot)
     answered.append(acceptor.state)
 
 
@@ -55,9 +55,7 @@
     disk: MemoryDisk,
     act: Callable[[MemoryDisk, list[AcceptorState]], Any],
 ) -> Iterator[tuple[MemoryDisk, list[AcceptorState]]]:
-    """The disk and what was answered, with the act ended after each of its steps in turn; the last time
-    whole.
-    """
+    """Yield the disk and what was answered, with `act` failing at each disk operation in turn; complete at last."""
     step = 0
     while True:
         copy, answered = disk.copy(), list[AcceptorState]()
@@ -92,21 +90,21 @@
 
 
 def judge(context: Any, disk: MemoryDisk, least: AcceptorState) -> None:
-    """What is on this disk must be what was answered, or a later act of the same kind."""
-    context.looked += 1
+    """Check that this disk has the answered state, or a later one."""
+    context.opened += 1
 
     async def run() -> None:
         acceptor = await opened(disk)
-        kept = acceptor.state
-        good = (
+        state = acceptor.state
+        is_good = (
             acceptor.disk_id == FIRST
-            and kept.promised >= least.promised
-            and kept.accepted >= least.accepted
-            and kept.value.change >= least.value.change
-            and acceptor.has_version(kept.value.version_id)
+            and state.promised >= least.promised
+            and state.accepted >= least.accepted
+            and state.value.change >= least.value.change
+            and acceptor.has_version(state.value.version_id)
         )
-        if not good:
-            context.found.append((least, kept, acceptor.disk_id))
+        if not is_good:
+            context.found.append((least, state, acceptor.disk_id))
 
     asyncio.run(run())
 
@@ -120,9 +118,9 @@
     await vote(await opened(disk), number, answered)
 
 
-@when("power is lost at every act of one more")
+@when("power is lost at every disk operation of one more")
 def _(context: Any) -> None:
-    context.looked, context.found = 0, []
+    context.opened, context.found = 0, []
     for disk, answered in interrupted(
         context.disk, lambda disk, answered: one_more(disk, answered, context.count + 1)
     ):
@@ -130,23 +128,23 @@
             judge(context, lost, least(context, answered))
 
 
-@when("it is killed at every act of one more, starts again and then loses power")
+@when("it is killed at every disk operation of one more, starts again and then loses power")
 def _(context: Any) -> None:
-    """What the new process says of itself at its start counts as answered."""
-    context.looked, context.found = 0, []
+    """The state that the new process reports at its start counts as answered."""
+    context.opened, context.found = 0, []
     for disk, _ in interrupted(
         context.disk, lambda disk, answered: one_more(disk, answered, context.count + 1)
     ):
-        said = asyncio.run(opened(disk)).state
+        reported = asyncio.run(opened(disk)).state
         for lost in disk.outcomes():
-            judge(context, lost, said)
+            judge(context, lost, reported)
 
 
-@when("power is lost at every act of the first start")
+@when("power is lost at every disk operation of the first start")
 def _(context: Any) -> None:
-    """A name that was told is on the disk for good, or nobody ever has it again."""
-    context.looked, context.found = 0, []
-    told: set[str] = set()
+    """An identity that was reported is on the disk for good, or no disk ever has it again."""
+    context.opened, context.found = 0, []
+    reported: set[str] = set()
 
     async def start(disk: MemoryDisk, answered: list[AcceptorState]) -> None:
         acceptor = await opened(disk, START)
@@ -154,27 +152,27 @@
 
     for disk, answered in interrupted(context.disk, start):
         for lost in disk.outcomes():
-            context.looked += 1
+            context.opened += 1
             name = asyncio.run(opened(lost)).disk_id
-            if (answered and name != FIRST) or (name != FIRST and name in told):
+            if (answered and name != FIRST) or (name != FIRST and name in reported):
                 context.found.append(name)
-            told.add(name)
+            reported.add(name)
 
 
-@then("over {least:d} disks were looked at and none has lost what was answered")
-@then("over {least:d} disks were looked at and none tells a name that it has told before")
+@then("over {least:d} disks were opened and none has lost what was answered")
+@then("over {least:d} disks were opened and none reports an identity that was reported before")
 def _(context: Any, least: int) -> None:
-    assert context.looked > least, context.looked
+    assert context.opened > least, context.opened
     assert not context.found, context.found[:3]
 
 
 def flipped(disk: MemoryDisk, name: str) -> Iterator[MemoryDisk]:
     data = disk.read(name)
     chance = random.Random(4)
-    for place in [0, 3, 20, len(data) - 1, *(chance.randrange(len(data)) for _ in range(40))]:
-        spoilt = disk.copy()
-        spoilt.files[name].visible = data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
-        yield spoilt
+    for offset in [0, 3, 20, len(data) - 1, *(chance.randrange(len(data)) for _ in range(40))]:
+        damaged = disk.copy()
+        damaged.files[name].visible = data[:offset] + bytes([data[offset] ^ 1]) + data[offset + 1 :]
+        yield damaged
 
 
 @when("a byte of its file is flipped, wherever it is")
@@ -189,20 +187,20 @@
     assert all(acceptor.decided.change == -1 for acceptor in context.acceptors)
 
 
-@when("a byte of the newest body is flipped, wherever it is")
+@when("a byte of the newest version's file is flipped, wherever it is")
 def _(context: Any) -> None:
     name = max(name for name in context.disk.names() if name.endswith(".word"))
     context.acceptors = [asyncio.run(opened(disk)) for disk in flipped(context.disk, name)]
 
 
-@then("the body is not held and the ones before it are")
+@then("that version is missing and the ones before it are there")
 def _(context: Any) -> None:
     for acceptor in context.acceptors:
-        held = [
+        present = [
             acceptor.version_files.has(version(number).version_id) for number in range(1, context.count + 1)
         ]
         assert not acceptor.has_version(version(context.count).version_id)
-        assert held == [True] * (context.count - 1) + [False], held
+        assert present == [True] * (context.count - 1) + [False], present
 
 
 @when("the disk is full")
@@ -217,18 +215,18 @@
         try:
             await acceptor.prepare(Ballot(99, "b"))
         except OSError:
-            context.refused.append("promise")
+            context.refused.append("prepare")
         if not await acceptor.save_version(version(99)):
-            context.refused.append("body")
+            context.refused.append("version")
         assert acceptor.state == before
         context.disk.full = False
 
     asyncio.run(run())
 
 
-@then("a promise and a body are refused and nothing is lost")
+@then("a prepare and a version are refused and nothing is lost")
 def _(context: Any) -> None:
-    assert context.refused == ["promise", "body"], context.refused
+    assert context.refused == ["prepare", "version"], context.refused
     acceptor = asyncio.run(opened(context.disk))
     assert acceptor.state.value == after(context.count) and acceptor.has_version(
         acceptor.state.value.version_id
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -1,7 +1,6 @@
-"""Bugs planted in the store, each as one method put in place of another. `squall` days must find every one of
-them.
+"""Bugs planted in the configuration store, each as a method in place of another; simulated days must find them.
 
-`planted(name)` is the program with that bug while it lasts. Beside each stands what is wrong.
+`planted(name)` is a context in which the program has that bug. The docstring of each method says what is wrong.
 """
 
 from __future__ import annotations
@@ -42,15 +41,15 @@
 from irisdeal.config_store.replica import StoreReplica
 
 
-async def promise_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, AcceptorState]:
-    """A promise is kept in memory alone."""
+async def prepare_not_synced(self: Acceptor, ballot: Ballot) -> tuple[bool, AcceptorState]:
+    """A promise is in memory only."""
     async with self.write_lock:
         is_granted, self.state = on_prepare(self.state, ballot)
         return is_granted, self.state
 
 
 async def accept_not_synced(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
-    """What was accepted is kept in memory alone."""
+    """An accepted value is in memory only."""
     async with self.write_lock:
         if not self.has_version(value.version_id):
             return None
@@ -60,7 +59,7 @@
 
 
 async def accept_after_higher(self: Acceptor, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
-    """A ballot is accepted though a higher one was promised."""
+    """A ballot is accepted although a higher one was promised."""
     async with self.write_lock:
         if not self.has_version(value.version_id):
             return None
@@ -68,15 +67,15 @@
         return True, self.state.promised
 
 
-def old_majority_alone(self: Members, heard: Iterable[str]) -> bool:
-    """While the list changes, the old one decides alone."""
+def old_majority_only(self: Members, answered: Iterable[str]) -> bool:
+    """During a membership change, a quorum of the old list suffices."""
     seats = self.former or self.seats
-    return len(set(heard) & set(seats)) >= majority(seats)
+    return len(set(answered) & set(seats)) >= majority(seats)
 
 
-def learner_counted(self: Members, heard: Iterable[str]) -> bool:
+def learner_counted(self: Members, answered: Iterable[str]) -> bool:
     """Another disk at a member's address counts as the member."""
-    ips = set(map(ip_of, heard))
+    ips = set(map(ip_of, answered))
     return all(
         len(ips & set(map(ip_of, seats))) >= majority(seats) for seats in (self.seats, self.former) if seats
     )
@@ -95,7 +94,7 @@
 
 
 async def lease_from_answer(self: StatusRounds, ip: str) -> ReplicaStatus | None:
-    """Contact counts from when the answer came."""
+    """Contact counts from the arrival of the answer, not from the request."""
     answer = await self.peers.call(ip, "state", self.own_status().encode(), MOST_ANSWER)
     if not isinstance(answer, Success):
         return None
@@ -106,16 +105,18 @@
 
 
 async def value_unsafe(self: StoreReplica) -> Value | None:
-    """The highest value that a majority tells of, decided or not."""
+    """A read returns the highest value that a majority reports, decided or not."""
     known, own = self.rounds.members, self.rounds.own_status()
-    heard = await asyncio.gather(*(self.rounds.request_status(ip) for ip in sorted(known.ips() - {self.ip})))
-    reports = [own, *(report for report in heard if report)]
+    answered = await asyncio.gather(
+        *(self.rounds.request_status(ip) for ip in sorted(known.ips() - {self.ip}))
+    )
+    reports = [own, *(report for report in answered if report)]
     is_enough = known.is_quorum(report.seat for report in reports)
     return max(reports, key=lambda report: report.accepted).value if is_enough else None
 
 
-async def read_alone(self: StoreReplica) -> ReadReply:
-    """What this replica knows."""
+async def read_without_quorum(self: StoreReplica) -> ReadReply:
+    """A read returns what this replica knows, without asking a quorum."""
     version = self.acceptor.version(self.applied.version_id)
     return ReadReply(True, version.body if version is not None else None)
 
@@ -123,7 +124,7 @@
 async def undecided_applied(
     self: StoreReplica, request: AcceptRequest
 ) -> AcceptReply | VersionMissingReply | None:
-    """What was accepted is applied, before a majority has it."""
+    """A value is applied once it is accepted here, before a majority has it."""
     reply = await ACCEPT(self, request)
     if isinstance(reply, AcceptReply) and reply.is_accepted:
         self.applied = request.value
@@ -132,26 +133,26 @@
     return reply
 
 
-def again_refused(self: Proposer, version_id: VersionId) -> PutOutcome | None:
-    """An order that holds is refused when it comes again."""
-    held = self.acceptor.decided.version_id
-    if held.number < version_id.number:
+def repeated_put_refused(self: Proposer, version_id: VersionId) -> PutOutcome | None:
+    """A put of what is decided is answered as a conflict when it is repeated."""
+    decided = self.acceptor.decided.version_id
+    if decided.number < version_id.number:
         return None
     return (
         PutOutcome.CONFLICT
-        if held.number == version_id.number and version_id not in self.pending_puts
+        if decided.number == version_id.number and version_id not in self.pending_puts
         else PutOutcome.DECIDED
     )
 
 
-async def alone_confirmed(self: Proposer, version: ConfigVersion, within: float) -> PutOutcome:
-    """An order is confirmed once it is held here."""
+async def confirmed_without_quorum(self: Proposer, version: ConfigVersion, within: float) -> PutOutcome:
+    """A put is confirmed once this replica has stored it."""
     self.tasks.start(PUT(self, version, within))
     return PutOutcome.DECIDED if await self.acceptor.save_version(version) else PutOutcome.UNDECIDED
 
 
 def never_woke(self: QuorumContact, moment: float) -> bool:
-    """A process that stood still goes on as before."""
+    """A process that was suspended keeps its contact."""
     return False
 
 
@@ -159,10 +160,10 @@
 PREPARE, ACCEPT, PUT = StoreReplica.prepare, StoreReplica.accept, Proposer.put
 
 PLANTED: dict[str, list[tuple[Any, str, Any]]] = {
-    "promise not synced": [(Acceptor, "prepare", promise_not_synced)],
+    "prepare not synced": [(Acceptor, "prepare", prepare_not_synced)],
     "accept not synced": [(Acceptor, "accept", accept_not_synced)],
     "accept after a higher promise": [(Acceptor, "accept", accept_after_higher)],
-    "list changed with the old majority alone": [(Members, "is_quorum", old_majority_alone)],
+    "list changed by the old majority only": [(Members, "is_quorum", old_majority_only)],
     "learner counted": [
         (Members, "is_quorum", learner_counted),
         (StoreReplica, "prepare", any_disk_prepares),
@@ -172,16 +173,16 @@
         (StatusRounds, "request_status", lease_from_answer),
         (QuorumContact, "tick", never_woke),
     ],
-    "read without making safe": [(StoreReplica, "_value_from_statuses", value_unsafe)],
-    "read alone": [(StoreReplica, "read", read_alone)],
-    "body in force before decided": [(StoreReplica, "accept", undecided_applied)],
-    "an order again refused": [(Proposer, "known_outcome", again_refused)],
-    "confirmed alone": [(Proposer, "put", alone_confirmed)],
+    "read without deciding again": [(StoreReplica, "_value_from_statuses", value_unsafe)],
+    "read without a quorum": [(StoreReplica, "read", read_without_quorum)],
+    "value applied before decided": [(StoreReplica, "accept", undecided_applied)],
+    "a repeated put refused": [(Proposer, "known_outcome", repeated_put_refused)],
+    "confirmed without a quorum": [(Proposer, "put", confirmed_without_quorum)],
 }
 
 
 def planted(name: str) -> ExitStack:
-    """The program has this bug until the end of the `with`; "nothing": it is as it is."""
+    """Return a context in which the program has this bug; "nothing": the program as it is."""
     stack = ExitStack()
     for owner, method, instead in PLANTED.get(name, []):
         stack.enter_context(mock.patch.object(owner, method, instead))
