--- a/benchmarks/capacity/crowd.py
+++ b/benchmarks/capacity/crowd.py
@@ -66,7 +66,7 @@
     async def again(self) -> dict[str, Any]:
         """All doors end, and start at once with nothing known."""
         for door in self.doors:
-            door.sources.stop()
+            door.watcher.stop()
         await asyncio.sleep(0)  # their connections end
         self.shared = Shared()
         self.doors = [self._door(self.given["first"] + at) for at in range(self.given["doors"])]
@@ -76,7 +76,7 @@
 
     def report(self) -> dict[str, Any]:
         """Counts until now, and the newest configuration's number that all doors have."""
-        versions = [door.sources.version for door in self.doors]
+        versions = [door.watcher.configuration.version for door in self.doors]
         told: dict[str, Any] = {
             "tally": self.tally.counts,
             "doors": len(self.doors),
@@ -108,7 +108,7 @@
             case ["ask", rate, seconds]:
                 for number, door in enumerate(self.doors):
                     service = f"svc{number % self.given['services']:03d}"
-                    door.sources.tasks.start(
+                    door.watcher.tasks.start(
                         door.ask(float(rate), float(seconds), service, self.given["work"])
                     )
         return {}
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,8 +1,8 @@
 """Hollow doors and backends: the real protocol without clients, many in one process.
 
-A hollow door is the door's own `Sources` (the same asks, in the same order, at the same times) that keeps lives and
-words once for its process in place of once for itself, and a loop that tells its word of each interval. A hollow
-backend is its beats alone.
+A hollow door is the proxy's own `RegistryWatcher` (the same requests, in the same order, at the same times) that
+keeps backends and configurations once for its process in place of once for itself, and a loop that reports each
+interval. A hollow backend is its heartbeats alone.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import asyncio
 import json
 import random
+from collections.abc import Sequence
 from functools import partial
 from typing import Any
 
@@ -17,13 +18,20 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.permits.prefetched import PrefetchedPermits
+from irisdeal.proxy.backend_view import BackendView
+from irisdeal.proxy.config_receiver import ConfigReceiver
 from irisdeal.proxy.registry_client import RegistryClient
-from irisdeal.proxy.sources import ASK, Sources
+from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.interval_clock import INTERVAL_S, SharedIntervalClock
 from irisdeal.ratelimit.messages import Usage
-from irisdeal.registry.incarnation import BackendIncarnation
-from irisdeal.registry.messages import IntervalReport, PlacementRequest, PlacementResult, ReservationEnd
-from irisdeal.rpc.client import RpcClient
+from irisdeal.registry.incarnation import BackendIncarnation, IncarnationStatus, ObservedIncarnation
+from irisdeal.registry.messages import (
+    IncarnationReport,
+    IntervalReport,
+    PlacementRequest,
+    PlacementResult,
+    ReservationEnd,
+)
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
@@ -41,38 +49,50 @@
         self.news = 0  # lives that were told to us, each as often as it was
 
 
-class HollowSources(Sources):
-    """A door's sources that share what they know."""
+class SharedBackendView(BackendView):
+    """The backends of all hollow proxies of a process, kept once."""
 
-    def __init__(self, settings: Settings, shared: Shared) -> None:
-        super().__init__(settings, self._ignore_word, self._ignore_life)
+    def __init__(self, loop: asyncio.AbstractEventLoop, shared: Shared) -> None:
+        super().__init__(loop, lambda incarnation, is_unresponsive: None)
         self.shared = shared
 
-    def _ignore_word(self, version: ConfigVersion) -> None:
-        pass
-
-    def _ignore_life(self, incarnation: BackendIncarnation, silent: bool) -> None:
-        pass
-
-    def _hear_lives(self, ip: str, incarnations: list[Any]) -> None:
-        shared, now = self.shared, self.loop.time()
-        shared.news += len(incarnations)
-        for told, _ in incarnations:
-            if told[0] not in shared.incarnations or int(shared.incarnations[told[0]].state) < told[5]:
-                shared.incarnations[told[0]] = BackendIncarnation.decode(told, now)
-
-    def _hear_word(self, ip: str, sync_state: SyncState, chunk: list[Any] | None, change: int) -> None:
-        super()._hear_word(ip, sync_state, chunk, change)
-        if self.version is not None:  # one body for all doors of this process
-            self.version = self.shared.versions.setdefault(self.version.version_id.digest, self.version)
-
-    async def _tell_again(self, link: RpcClient) -> None:
-        now = self.loop.time()
-        await link.call(
-            "lives",
-            [[incarnation.encode(now), 0] for incarnation in self.shared.incarnations.values()],
-            ASK,
-        )
+    def receive(self, registry: str, reported: Sequence[IncarnationStatus]) -> None:
+        """Count the report, and keep what is newer."""
+        shared = self.shared
+        shared.news += len(reported)
+        for incarnation, _ in reported:
+            known = shared.incarnations.get(incarnation.id)
+            if known is None or known.state < incarnation.state:
+                shared.incarnations[incarnation.id] = incarnation
+
+    def report(self) -> IncarnationReport:
+        """Return what all hollow proxies know."""
+        known = self.shared.incarnations.values()
+        return IncarnationReport([ObservedIncarnation(incarnation, 0) for incarnation in known])
+
+
+class SharedConfigReceiver(ConfigReceiver):
+    """A configuration whose body all hollow proxies of a process share."""
+
+    def __init__(self, shared: Shared) -> None:
+        super().__init__(lambda version: None)
+        self.shared = shared
+
+    def receive(self, registry: str, sync_state: SyncState, chunk: object, change: int) -> None:
+        """Take in an answer; the version is replaced by its equal that another proxy has."""
+        super().receive(registry, sync_state, chunk, change)
+        if self.version is not None:
+            digest = self.version.version_id.digest
+            self.version = self.shared.versions.setdefault(digest, self.version)
+
+
+class HollowWatcher(RegistryWatcher):
+    """A proxy's watcher that shares what it knows with the others of its process."""
+
+    def __init__(self, settings: Settings, shared: Shared) -> None:
+        super().__init__(settings, lambda version: None, lambda incarnation, is_unresponsive: None)
+        self.configuration = SharedConfigReceiver(shared)
+        self.backends = SharedBackendView(self.loop, shared)
 
 
 class HollowDoor:
@@ -80,28 +100,28 @@
 
     def __init__(self, settings: Settings, shared: Shared, active: int, tenants: int) -> None:
         """`active`: tenants that ask here in an interval, of so many `tenants`."""
-        self.sources, self.chance = HollowSources(settings, shared), random.Random(settings.ip)
-        self.client = RegistryClient(settings, self.sources)
+        self.watcher, self.chance = HollowWatcher(settings, shared), random.Random(settings.ip)
+        self.client = RegistryClient(settings, self.watcher)
         self.held = PrefetchedPermits(self.chance.getrandbits(48))
         self.active, self.tenants = active, tenants
-        self.edge = SharedIntervalClock(self.sources.loop.time())
+        self.edge = SharedIntervalClock(self.watcher.loop.time())
         self.asked = self.placed = self.lost = self.versions = 0
 
     def start(self) -> None:
-        self.sources.start()
-        self.sources.tasks.start(self._counting())
+        self.watcher.start()
+        self.watcher.tasks.start(self._counting())
 
     @property
     def settled(self) -> bool:
         """Whether it has heard as many sources as a door asks at once, and has a configuration."""
-        return len(self.sources.answering) >= 2 and self.sources.version is not None
+        return len(self.watcher.answering) >= 2 and self.watcher.configuration.version is not None
 
     async def _counting(self) -> None:
         spread = INTERVAL_S * (0.04 + 0.24 * self.chance.random())
         while True:
-            now = self.sources.loop.time()
+            now = self.watcher.loop.time()
             await asyncio.sleep(self.edge.seconds_until(self.edge.number(now) + 1, now) + spread)
-            now = self.sources.loop.time()
+            now = self.watcher.loop.time()
             asked = {
                 f"tenant{self.chance.randrange(self.tenants):05d}": self.chance.randrange(1, 3)
                 for _ in range(min(self.active, self.tenants))
@@ -111,12 +131,12 @@
             reported = await self.client.report(partial(self._report, asked))
             if reported is not None:
                 self.versions += 1
-                now = self.sources.loop.time()
+                now = self.watcher.loop.time()
                 self.edge.observe_position(reported.reply.position, now)
                 self.held.receive_reply(reported.registry, reported.reply.reserve, reported.sent_at, now)
 
     def _report(self, asked: dict[str, int], registry: str) -> IntervalReport:
-        now = self.sources.loop.time()
+        now = self.watcher.loop.time()
         usages = {
             tenant: Usage(float(count), round(self.chance.random(), 3)) for tenant, count in asked.items()
         }
@@ -129,10 +149,10 @@
 
     async def ask(self, per_s: float, seconds: float, service: str, work: float) -> None:
         """Ask for a place and tell its end, `per_s` a second for so long; each place is held for `work` s."""
-        loop = self.sources.loop
+        loop = self.watcher.loop
         until = loop.time() + seconds
         while loop.time() < until:
-            self.sources.tasks.start(self._one(service, work))
+            self.watcher.tasks.start(self._one(service, work))
             await asyncio.sleep(self.chance.expovariate(per_s))
 
     async def _one(self, service: str, work: float) -> None:
@@ -140,15 +160,17 @@
         tenant = f"tenant{self.chance.randrange(self.tenants):05d}"
         connected = [self.chance.getrandbits(24) for _ in range(6)]  # lives to which a connection rests
         request = PlacementRequest(
-            self.sources.settings.zone, service, 0.19, [], 1002, 0.0, 1.0, tenant, connected=connected
+            self.watcher.settings.zone, service, 0.19, [], 1002, 0.0, 1.0, tenant, connected=connected
         )
-        placement = await self.client.place(request, 0.3)
+        placement = await self.client.request_placement(request, 0.3)
         if placement.reply.result is PlacementResult.NO_REGISTRY:
             self.lost += 1
         elif placement.reply.result is PlacementResult.PLACED:
             self.placed += 1
             await asyncio.sleep(work)
-            self.client.end_place(placement.registry, ReservationEnd(placement.reply.reservation, 0, 1.02))
+            self.client.end_reservation(
+                placement.registry, ReservationEnd(placement.reply.reservation, 0, 1.02)
+            )
 
 
 class Backends:
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -30,8 +30,8 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.proxy.config_apply import SLICE
-from irisdeal.proxy.table import Table
+from irisdeal.proxy.config_applier import SLICE_S
+from irisdeal.proxy.route_table import RouteTable
 from tests.support.configurations import change, configuration
 
 ROUTES = 19_000  # of the size aimed at
@@ -55,7 +55,7 @@
     while True:
         begun = time.process_time()
         try:
-            while time.process_time() - begun < SLICE:
+            while time.process_time() - begun < SLICE_S:
                 next(steps)
         except StopIteration as end:
             into.append(max(most, (time.process_time() - begun) * 1000))
@@ -100,21 +100,21 @@
         data = change(data, chance, f"r{number}")
         versions.append(ConfigVersion.of(f"r{number}", encoded(data)))
     timed(
-        partial(Table, timed(partial(read_whole, versions[0].body), times["whole read"]).unwrap()),
+        partial(RouteTable, timed(partial(read_whole, versions[0].body), times["whole read"]).unwrap()),
         times["whole table"],
     )
     version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(max_older=0))
     version_store.add(versions[0])
     snapshot, pieces = timed(partial(taking, version_store, assembler, None, versions[0]), times["snapshot"])
     before: Reading = run(reading(versions[0].body, None)).unwrap()
-    table, bytes_told = run(Table.building(before, None)), []
+    table, bytes_told = run(RouteTable.build(before, None)), []
     for held, version in pairwise(versions):
         timed(partial(telling, version_store, assembler, held, version), times["tell"])
         size, chunks = timed(partial(taking, version_store, assembler, held, version), times["take"])
         assert chunks == 1
         bytes_told.append(size)
         after = timed(partial(run, reading(version.body, before)), times["read"]).unwrap()
-        table = timed(partial(run, Table.building(after, table)), times["table"])
+        table = timed(partial(run, RouteTable.build(after, table)), times["table"])
         sliced(reading(version.body, before), times["slice"])
         before = after
     ms = {name: round(statistics.median(values), 2) for name, values in times.items()}
--- a/irisdeal/proxy/__init__.py
+++ b/irisdeal/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: takes clients' requests and carries them to backends, by the operator's word."""
+"""The gateway's proxy: admits clients' requests by the configuration in force and forwards them to backends."""
--- a/irisdeal/proxy/__main__.py
+++ b/irisdeal/proxy/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m irisdeal.proxy`: the proxy."""
+"""Entry point of the proxy's process: `python -m irisdeal.proxy`."""
 
 import sys
 
 from irisdeal.runtime.early_listen import listen
 
 if __name__ == "__main__":
-    listening = listen("front", "readiness")  # before the rest is loaded, which takes longer than all else
+    listening = listen("front", "readiness")  # before the rest is imported, which takes most of the start
     from irisdeal.proxy.process import Proxy
     from irisdeal.runtime.process import main
 
--- a/irisdeal/proxy/metrics.py
+++ b/irisdeal/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""What a proxy counts of the lives of its requests."""
+"""Metrics of a proxy: requests whose clients left, abandoned attempts, and the shutdown."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ProxyMetrics(Metrics):
-    """The figures of one proxy."""
+    """The counters and summaries of one proxy."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,5 +26,7 @@
             "Requests that came after the signal to end, by what became of them.",
             "outcome",
         )
-        self.cut = self.counter("cut_requests", "Requests without an answer at the end, by phase.", "phase")
+        self.unanswered = self.counter(
+            "cut_requests", "Requests without an answer at the end, by phase.", "phase"
+        )
         self.unsent = self.counter("unsent_bytes", "Bytes of answers that were not out at the end.")
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity import fit, page, places, sweep
 from benchmarks.capacity.configuration import make
-from benchmarks.capacity.hollow import HollowSources, Shared
+from benchmarks.capacity.hollow import HollowWatcher, Shared
 from benchmarks.capacity.laws import LAWS, configured
 from benchmarks.capacity.page import PAGE, TABLES, filled
 from benchmarks.capacity.play import Play
@@ -26,8 +26,8 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.proxy.sources import Sources
-from irisdeal.registry.incarnation import BackendIncarnation
+from irisdeal.proxy.registry_watcher import RegistryWatcher
+from irisdeal.registry.incarnation import BackendIncarnation, IncarnationStatus
 from irisdeal.rpc import client as rpc_client
 from irisdeal.rpc import server
 from irisdeal.rpc.client import RpcClient
@@ -77,14 +77,14 @@
             await asyncio.sleep(0.005)
 
 
-async def heard_from(make_sources: Callable[[], Sources]) -> list[list[tuple[str, Any]]]:
+async def heard_from(make_watcher: Callable[[], RegistryWatcher]) -> list[list[tuple[str, Any]]]:
     """All that two registries hear from a door: whole news, then one of a life that is silent, then none."""
     registries = [Registry() for _ in IPS]
     for ip, registry in zip(IPS, registries, strict=True):
         await registry.server.listen((ip, PORTS[0] + 1))
-    sources = make_sources()
+    watcher = make_watcher()
     roster = dict.fromkeys(IPS, "zone0")
-    sources.start()
+    watcher.start()
     try:
         for at, registry in enumerate(registries):  # in turn, so that both doors know the same
             await until(lambda registry=registry: len(registry.heard) >= 1)  # type: ignore[misc]
@@ -96,7 +96,7 @@
         await until(lambda: all(len(registry.heard) >= 4 for registry in registries))
         await asyncio.sleep(0.02)
     finally:
-        sources.stop()
+        watcher.stop()
         for registry in registries:
             registry.server.close()
     return [registry.heard for registry in registries]
@@ -118,8 +118,8 @@
 
 
 def test_a_hollow_door_says_what_a_real_one_says_to_the_same_news() -> None:
-    real = run(heard_from(lambda: Sources(settings(), ignore_word, ignore_life)))
-    hollow = run(heard_from(lambda: HollowSources(settings(), Shared())))
+    real = run(heard_from(lambda: RegistryWatcher(settings(), ignore_word, ignore_life)))
+    hollow = run(heard_from(lambda: HollowWatcher(settings(), Shared())))
     assert [[kind for kind, _ in heard][:3] for heard in real] == [["news", "news", "lives"]] * 2
     assert hollow == real
 
@@ -155,12 +155,14 @@
 def test_hollow_doors_of_one_process_keep_lives_and_words_once() -> None:
     async def main() -> None:
         shared = Shared()
-        doors = [HollowSources(settings(), shared) for _ in range(3)]
+        doors = [HollowWatcher(settings(), shared) for _ in range(3)]
         for door in doors:
-            door._hear_word(IPS[0], door._have(IPS[0]), chunk(), 1)
-            door._hear_lives(IPS[0], [[told(1), False]])
+            door.configuration.receive(IPS[0], door.configuration.sync_state(IPS[0]), chunk(), 1)
+            door.backends.receive(IPS[0], [IncarnationStatus.decode([told(1), False], 0.0)])
         assert len(shared.incarnations) == 1 and len(shared.versions) == 1
-        assert all(door.version is doors[0].version and not door.incarnations for door in doors)
+        version = doors[0].configuration.version
+        assert all(door.configuration.version is version for door in doors)
+        assert not any(door.backends.incarnations for door in doors)
 
     asyncio.run(main())
 
--- a/tests/proxy/test_sources.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -1,4 +1,4 @@
-"""Doors and registries while a core machine is cut off, cut one way, or frozen, in virtual time.
+"""Doors and registries while a core machine is cut off, cut watcher way, or frozen, in virtual time.
 
 When doors leave it, when what is decided is in force, and that what they say of the age of their knowledge is
 true.
@@ -27,8 +27,10 @@
 )
 from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.proxy import config_apply, sources
-from irisdeal.proxy.sources import ENOUGH, Sources
+from irisdeal.proxy import config_applier, registry_watcher
+from irisdeal.proxy.config_receiver import NEWEST_POSSIBLE
+from irisdeal.proxy.registry_selector import MIN_BACKOFF_S
+from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.registry import store_client as following
 from irisdeal.registry import watch
 from irisdeal.simulation.cpu import Core, Costs
@@ -59,11 +61,11 @@
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
 LEAVE_CUT = CONTACT_LEASE_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + WAY
 # One that says nothing: an ask that was sent just before.
-LEAVE_SILENT = sources.ASK
-# To another one, where all that was used was of no use.
-TURN = sources.MOST_PAUSE + 3 * WAY
-# A word that is here comes into force: not too soon after the one before, and after one that was given up.
-TAKEN = (1 + config_apply.MOST_DROPPED) * config_apply.PACE
+LEAVE_SILENT = registry_watcher.WATCH_TIMEOUT_S
+# To another watcher, where all that was used was of no use.
+TURN = registry_watcher.MAX_PAUSE_S + 3 * WAY
+# A word that is here comes into force: not too soon after the watcher before, and after one that was given up.
+TAKEN = (1 + config_applier.MAX_ABANDONED) * config_applier.MIN_INTERVAL_S
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
@@ -83,9 +85,9 @@
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
     assert REGISTRY < following.STALE_S
-    assert max(REGISTRY, watch.MAX_POLL_S) + WAY < sources.OLD
-    assert DOOR < sources.LOST
-    assert watch.MAX_POLL_S == sources.HOLD == following.MAX_POLL_S
+    assert max(REGISTRY, watch.MAX_POLL_S) + WAY < registry_watcher.MAX_AGE_S
+    assert DOOR < registry_watcher.CONTACT_LOST_AGE_S
+    assert watch.MAX_POLL_S == registry_watcher.LONG_POLL_S == following.MAX_POLL_S
 
 
 # Days
@@ -105,7 +107,7 @@
             ):
                 wrong.append(f"{now:.2f}: {door.ip} went back to r{number}")
             newest[door.ip] = number
-            age = door.sources.age(door.sources.loop.time())
+            age = door.watcher.age(door.watcher.loop.time())
             known = max((decided for at, decided in rig.decided if at <= now - age), default=-1)
             if number < known:
                 wrong.append(f"{now:.2f}: {door.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
@@ -136,7 +138,7 @@
     def look() -> None:
         for door in rig.doors:
             now = rig.world.seconds()
-            if host in door.sources.using and now - last.get(door.ip, since) < 3 * SLACK:
+            if host in door.watcher.selector.using and now - last.get(door.ip, since) < 3 * SLACK:
                 last[door.ip] = now  # later it may come to look again
 
     at = since
@@ -219,8 +221,8 @@
     changing(rig, 3.0, 14.0, cut)
 
     def cut_both() -> None:
-        cut.extend(rig.doors[0].sources.using)
-        both.extend(door for door in rig.doors if set(door.sources.using) == set(cut))
+        cut.extend(rig.doors[0].watcher.selector.using)
+        both.extend(door for door in rig.doors if set(door.watcher.selector.using) == set(cut))
         for host in cut:
             rig.cut(host)
 
@@ -246,7 +248,7 @@
     rig.at(13.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
     rig.at(27.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
     ages: list[float] = []
-    rig.at(27.0, lambda: ages.extend(door.sources.age(door.sources.loop.time()) for door in rig.doors))
+    rig.at(27.0, lambda: ages.extend(door.watcher.age(door.watcher.loop.time()) for door in rig.doors))
     wrong = looked_at(rig, 32.0)
     rig.play(32.0)
     assert not wrong, wrong[:3]
@@ -254,13 +256,13 @@
     assert all(rig.in_force(door, 32.0) == rig.decided[-1][1] for door in rig.doors)
     lines = Counter(record.getMessage()[:4] for record in caplog.records)
     assert lines["E411"] == lines["E412"] == 4
-    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.MAX_POLL_S + 2 / sources.LEFT, (
+    assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.MAX_POLL_S + 2 / MIN_BACKOFF_S, (
         "asks a second of a door"
     )
 
 
 def test_a_registry_that_returns_is_not_stormed() -> None:
-    """85 doors; one machine is dead for 6 s. What comes to it in a quarter of a second is bounded."""
+    """85 doors; watcher machine is dead for 6 s. What comes to it in a quarter of a second is bounded."""
     rig = CoreRig(4, 85, 6)
     lost = rig.hosts[0]
     changing(rig, 3.0, 4.0, [lost])
@@ -289,8 +291,8 @@
     rig.at(8.0, partial(rig.kill, lost))
     rig.play(20.0)
     for door in rig.doors:
-        assert lost not in door.sources.zones and lost not in door.sources.using
-        assert lost not in door.sources.fresh
+        assert lost not in door.watcher.selector.zones and lost not in door.watcher.selector.using
+        assert lost not in door.watcher.selector.known_as_of
         assert rig.in_force(door, 20.0) == 50
     for host in rest:
         assert lost not in rig.posts[host].store_client.links
@@ -299,15 +301,15 @@
 # What one answer does
 
 
-def alone(told: list[object]) -> Sources:
-    """Sources of a door without a network, in a loop that stands."""
+def alone(told: list[object]) -> RegistryWatcher:
+    """RegistryWatcher of a door without a network, in a loop that stands."""
     world = World(1)
     machine = Machine(world, Network(world), "d", Core(), Costs())
-    made: list[Sources] = []
+    made: list[RegistryWatcher] = []
 
     async def run() -> int:
         settings = settings_of("10.1.9.1", ["10.0.0.1", "10.1.0.1", "10.2.0.1"])
-        made.append(Sources(settings, told.append, lambda incarnation, silent: None))
+        made.append(RegistryWatcher(settings, told.append, lambda incarnation, silent: None))
         return 0
 
     machine.start(run())
@@ -317,23 +319,23 @@
 
 def test_age_counts_only_once_the_word_is_here() -> None:
     told: list[object] = []
-    one = alone(told)
-    assert one.age(1010.0) == float("inf")
-    assert one._hear_age("10.0.0.1", 1000.0, 300, 7)  # change 7, of which we have nothing
-    assert one.age(1010.0) == float("inf")
-    one.change = 7
-    one._hear_age("10.0.0.1", 1000.0, 300, 7)
-    assert one.age(1001.0) == pytest.approx(1.3)
-    one._hear_age("10.1.0.1", 1000.0, 900, 6)  # older: it takes nothing back
-    assert one.age(1001.0) == pytest.approx(1.3)
-    assert not one._hear_age("10.1.0.1", 1000.9, -1, 9)
+    watcher = alone(told)
+    assert watcher.age(1010.0) == float("inf")
+    assert watcher._receive_age("10.0.0.1", 1000.0, 300, 7)  # change 7, of which we have nothing
+    assert watcher.age(1010.0) == float("inf")
+    watcher.configuration.change = 7
+    watcher._receive_age("10.0.0.1", 1000.0, 300, 7)
+    assert watcher.age(1001.0) == pytest.approx(1.3)
+    watcher._receive_age("10.1.0.1", 1000.0, 900, 6)  # older: it takes nothing back
+    assert watcher.age(1001.0) == pytest.approx(1.3)
+    assert not watcher._receive_age("10.1.0.1", 1000.9, -1, 9)
 
 
 def test_a_source_whose_knowledge_is_old_is_no_better_than_one_without_contact() -> None:
-    one = alone([])
-    now = one.loop.time()
-    assert one._hear_age("10.0.0.1", now - 0.1, int((sources.OLD - 0.2) * 1000), 0)
-    assert not one._hear_age("10.0.0.1", now - 0.1, int(sources.OLD * 1000), 0)
+    watcher = alone([])
+    now = watcher.loop.time()
+    assert watcher._receive_age("10.0.0.1", now - 0.1, int((registry_watcher.MAX_AGE_S - 0.2) * 1000), 0)
+    assert not watcher._receive_age("10.0.0.1", now - 0.1, int(registry_watcher.MAX_AGE_S * 1000), 0)
 
 
 def next_chunk(version_store: VersionStore, sync_state: SyncState, wanted: VersionId) -> list[Any]:
@@ -345,44 +347,48 @@
 
 def test_while_a_word_comes_in_pieces_from_one_source_the_other_does_not_bring_it() -> None:
     told: list[object] = []
-    one, version_store, chance = alone(told), VersionStore(), random.Random(1)
+    watcher, version_store, chance = alone(told), VersionStore(), random.Random(1)
     version = ConfigVersion.of("r7", chance.randbytes(3 * CHUNK_BYTES))
     version_store.add(version)
     for piece in range(3):
-        sync_state = one._have("10.0.0.1")
-        assert one._have("10.1.0.1") == (SyncState(ENOUGH) if piece else sync_state)
-        one._hear_word("10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), 4)
-        assert one.change == (4 if piece == 2 else -1)
+        sync_state = watcher.configuration.sync_state("10.0.0.1")
+        assert watcher.configuration.sync_state("10.1.0.1") == (
+            SyncState(NEWEST_POSSIBLE) if piece else sync_state
+        )
+        watcher.configuration.receive(
+            "10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), 4
+        )
+        assert watcher.configuration.change == (4 if piece == 2 else -1)
     assert told == [version]
-    assert one._have("10.1.0.1").version_id == version.version_id
-    one._hear_word(
-        "10.1.0.1", SyncState(ENOUGH), next_chunk(version_store, SyncState(), version.version_id), 4
+    assert watcher.configuration.sync_state("10.1.0.1").version_id == version.version_id
+    watcher.configuration.receive(
+        "10.1.0.1", SyncState(NEWEST_POSSIBLE), next_chunk(version_store, SyncState(), version.version_id), 4
     )  # one that was on its way
     assert told == [version]
 
 
 def test_an_older_word_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
-    one, version_store = alone([]), VersionStore()
+    watcher, version_store = alone([]), VersionStore()
     version = ConfigVersion.of("r7", b"seven")
     version_store.add(version)
-    sync_state = one._have("10.0.0.1")
-    one._hear_word(
+    sync_state = watcher.configuration.sync_state("10.0.0.1")
+    watcher.configuration.receive(
         "10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), -1
     )  # the source has r8 by now
-    assert one.version_id == version.version_id
-    one._hear_age("10.0.0.1", 1000.0, 300, -1)
-    assert one.age(1001.0) == float("inf")
+    assert watcher.configuration.version_id == version.version_id
+    watcher._receive_age("10.0.0.1", 1000.0, 300, -1)
+    assert watcher.age(1001.0) == float("inf")
 
 
 def test_candidates_that_were_left_come_last_and_the_fresh_ones_of_our_zone_first() -> None:
-    one = alone([])
-    one.zones = {"10.0.0.1": "z0", "10.1.0.1": "z1", "10.2.0.1": "z2"}
-    assert one._candidates()[0] == "10.1.0.1"
-    one._deregister("10.1.0.1")
-    assert one._candidates()[-1] == "10.1.0.1"
-    first = one._candidates()[0]
-    one.fresh[first] = one.loop.time() - 30.0
-    assert one._candidates()[1] == first
-    before = one.left["10.1.0.1"]
-    one._deregister("10.1.0.1")
-    assert one.left["10.1.0.1"][1] == 2 * before[1]
+    watcher = alone([])
+    watcher.selector.zones = {"10.0.0.1": "z0", "10.1.0.1": "z1", "10.2.0.1": "z2"}
+    assert watcher.selector.candidates()[0] == "10.1.0.1"
+    watcher.selector.avoid("10.1.0.1")
+    assert watcher.selector.candidates()[-1] == "10.1.0.1"
+    first = watcher.selector.candidates()[0]
+    watcher.selector.known_as_of[first] = watcher.loop.time() - 30.0
+    assert watcher.selector.candidates()[1] == first
+    before = watcher.selector.avoided["10.1.0.1"]
+    watcher.selector.avoid("10.1.0.1")
+    assert watcher.selector.avoided["10.1.0.1"][1] == 2 * before[1]
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -12,10 +12,10 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.http1.messages import Answer, Request
 from irisdeal.permits.messages import PrefetchReply
-from irisdeal.proxy.backend_message import BackendRequest
-from irisdeal.proxy.outcome import AttemptOutcome, End
+from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
+from irisdeal.proxy.backend_request import BackendRequest
 from irisdeal.proxy.process import Proxy
-from irisdeal.proxy.table import Route
+from irisdeal.proxy.route_table import Route
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.cpu import Core, Costs
@@ -35,16 +35,19 @@
     bounds=("retry_slack=56",),
     bind=Bind(front="10.1.0.3:80", readiness="10.1.0.3:81"),
 )
-GOOD = AttemptOutcome(End.ANSWER, "", 200, [(b"X-Irisdeal-Backend-Seal", b"s")], b"body")
-OWN_500 = AttemptOutcome(End.ANSWER, "", 500, [], b"")
-LOST, UNSENT = AttemptOutcome(End.LOST, "cut"), AttemptOutcome(End.UNSENT, "refused")
-PROMISE = AttemptOutcome(End.PROMISE, "full", 503)
-LATE = AttemptOutcome(End.LOST, "no answer in time", late=True)
+GOOD = AttemptOutcome(AttemptEnd.RESPONSE, "", 200, [(b"X-Irisdeal-Backend-Seal", b"s")], b"body")
+OWN_500 = AttemptOutcome(AttemptEnd.RESPONSE, "", 500, [], b"")
+LOST, UNSENT = (
+    AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "cut"),
+    AttemptOutcome(AttemptEnd.NOT_SENT, "refused"),
+)
+PROMISE = AttemptOutcome(AttemptEnd.NOT_EXECUTED, "full", 503)
+LATE = AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "no answer in time", is_timed_out=True)
 Script = list[tuple[float, AttemptOutcome]]  # s, and the end of each attempt in turn
 
 
 class Play:
-    """One door, its table and three backends; `sent` are the attempts, by backend."""
+    """One proxy, its table and three backends; `sent` are the attempts, by backend."""
 
     def __init__(
         self,
@@ -55,20 +58,20 @@
         rate: float = 0.0,
         held: int = 0,
     ) -> None:
-        """`rate`: the tenant's limit; `held`: permits that the door holds ahead."""
+        """`rate`: the tenant's limit; `held`: permits that the proxy holds ahead."""
         self.world = World(1)
-        self.machine = Machine(self.world, Network(self.world), "door", Core(), Costs())
+        self.machine = Machine(self.world, Network(self.world), "proxy", Core(), Costs())
         self.kind, self.script, self.tries, self.keys = kind, list(script), tries, keys or rate > 0
         self.rate, self.held = rate, held
         self.sent: list[tuple[str, float]] = []
         self.messages: list[bytes] = []
         self.left = False
-        self.prepare: Callable[[Proxy], None] = lambda door: None
+        self.prepare: Callable[[Proxy], None] = lambda proxy: None
 
-    def door(self) -> Proxy:
-        door = Proxy(SETTINGS)
-        door.sources.has_heard.set()
-        door.admission.most_proxies, door.repeats.slack_from = 8, 0.0  # it runs since long
+    def proxy(self) -> Proxy:
+        proxy = Proxy(SETTINGS)
+        proxy.watcher.has_answered.set()
+        proxy.admission.max_reported_proxies, proxy.retry_budgets.slack_from = 8, 0.0  # it runs since long
         rule = {
             "name": "r",
             "kind": self.kind,
@@ -79,9 +82,9 @@
         body = {"generation": "r1", "pools": [{"name": "s"}], "sockets": [{"hostname": "h", "rules": [rule]}]}
         if self.keys:
             body["tenants"] = [{"name": "t", "api_keys": ["k"], "priority": 1, "rate_per_s": self.rate}]
-        door._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
+        proxy._on_version(ConfigVersion.of("r1", json.dumps(body).encode()))
         for number in range(3):
-            door._on_incarnation(
+            proxy._on_incarnation(
                 BackendIncarnation(
                     f"i-{number}", "s", f"10.9.0.{number}:80", "z", 2, BackendState.READY, 1, 0.0
                 ),
@@ -98,10 +101,10 @@
 
         if self.held:
             reply = PrefetchReply(1, True, {"t": self.held})
-            door.admission.held.receive_reply("g", reply, self.machine.time(), self.machine.time())
-        door.pool.send = send  # type: ignore[method-assign]
-        self.prepare(door)
-        return door
+            proxy.admission.prefetched.receive_reply("g", reply, self.machine.time(), self.machine.time())
+        proxy.pool.send = send  # type: ignore[method-assign]
+        self.prepare(proxy)
+        return proxy
 
     def ask(self, **headers: str) -> Answer:
         """The answer to one request; virtual time goes on for 3 s behind it."""
@@ -109,12 +112,12 @@
         self.made: Proxy | None = None
 
         async def run() -> int:
-            self.made = door = self.door()
+            self.made = proxy = self.proxy()
             named = {"Host": "h", "X-Irisdeal-Attempt-Id": "1", "X-Irisdeal-Deadline-Ms": "1500", **headers}
             fields = [(name.encode(), value.encode()) for name, value in named.items()]
             request = Request(b"POST", b"/a/x", fields, b"text", self.machine.time())
             request.departed_at = self.machine.time() if self.left else None
-            work: Awaitable[Answer] = door.serve(request)
+            work: Awaitable[Answer] = proxy.handler.serve(request)
             answers.append(await work)
             self.took = self.machine.time() - request.arrived_at
             return 0
@@ -134,7 +137,7 @@
     assert (answer.status, len(play.sent)) == ((200, 1) if held else (503, 0))
     assert held or any(name == b"Retry-After" for name, _ in answer.headers)
     assert held or play.took < 0.2, "a quarter of the aim is 0.1 s, and it was given up before half of it"
-    assert play.made is not None and play.made.admission.held.count("t", 0.0) == 0
+    assert play.made is not None and play.made.admission.prefetched.count("t", 0.0) == 0
 
 
 def test_a_tenant_without_a_limit_needs_no_permit() -> None:
@@ -214,8 +217,8 @@
 def test_no_second_where_all_are_busy() -> None:
     play = Play("idempotent", [(1.4, GOOD)])
 
-    def busy(door: Proxy) -> None:
-        for backend in door.backends.values():
+    def busy(proxy: Proxy) -> None:
+        for backend in proxy.directory.backends.values():
             backend.in_flight_elsewhere = 2.0
 
     play.prepare = busy
@@ -226,7 +229,7 @@
     play = Play("mutating", [(0.2, LATE)])
     play.ask()
     assert play.made is not None
-    assert all(backend.ejected_until < 0 for backend in play.made.backends.values())
+    assert all(backend.ejected_until < 0 for backend in play.made.directory.backends.values())
 
 
 def test_nothing_is_sent_for_a_client_that_has_left() -> None:
@@ -238,7 +241,7 @@
 
 def test_the_repeats_of_a_door_end_with_its_budget() -> None:
     play = Play("idempotent", [(0.01, LOST), (0.01, GOOD)])
-    play.prepare = lambda door: setattr(door.repeats, "slack", 0.0)
+    play.prepare = lambda proxy: setattr(proxy.retry_budgets, "slack", 0.0)
     assert play.ask().status == 502 and len(play.sent) == 1
 
 
@@ -280,10 +283,10 @@
     play = Play("idempotent", [(0.01, GOOD)])
     drawn: list[str] = []
 
-    def draw(door: Proxy) -> None:
+    def draw(proxy: Proxy) -> None:
         shares = (("small", 10.0), ("middle", 40.0), ("large", 100.0))
         route = Route("weighted", b"/a/", False, 0.4, 2.0, 2, 0, False, shares, 100.0)
-        drawn.extend(door._service(route) for _ in range(2000))
+        drawn.extend(proxy.handler._service(route) for _ in range(2000))
 
     play.prepare = draw
     assert play.ask().status == 200
@@ -296,11 +299,11 @@
 def test_a_draining_life_gets_nothing_and_a_late_word_does_not_bring_it_back() -> None:
     play = Play("mutating", [(0.01, GOOD)])
 
-    def drain(door: Proxy) -> None:
+    def drain(proxy: Proxy) -> None:
         for number in range(3):
             if number != 1:
                 for state in (BackendState.DRAINING, BackendState.READY):
-                    door._on_incarnation(
+                    proxy._on_incarnation(
                         BackendIncarnation(f"i-{number}", "s", "10.9.0.1:80", "z", 2, state, 9, 0.0), False
                     )
 
--- a/tests/proxy/test_request_drain.py
+++ b/tests/proxy/test_request_drain.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from irisdeal.proxy.drain_plan import MOST_QUIET_S, DrainPlan
+from irisdeal.proxy.drain_plan import MAX_QUIET_S, DrainPlan
 from tests.support.request_world import GRACE_S, Client, RequestWorld
 
 KEPT = 200  # connections
@@ -23,14 +23,14 @@
             await world.ask(next(works))
         await asyncio.sleep(3.0)
         world.terminate()
-        while not world.proxy.dead:
+        while not world.proxy_machine.dead:
             await world.ask(next(works))
             await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)
 
     world.play(act)
     assert world.without_end() == []
-    assert world.proxy.died_at is not None
+    assert world.proxy_machine.died_at is not None
 
 
 def test_who_was_answered_a_moment_ago_has_a_while_to_read_it() -> None:
@@ -40,7 +40,7 @@
         client = await world.connect()
         assert client is not None
         world.terminate()
-        await asyncio.sleep(MOST_QUIET_S - 0.3)
+        await asyncio.sleep(MAX_QUIET_S - 0.3)
         client.send(world.request(100, is_mutating=True), deadline_ms=2000)
         assert client.transport is not None
         client.transport.pause_reading()
@@ -58,7 +58,7 @@
 async def ended(world: RequestWorld) -> float:
     """s from now until the proxy has ended."""
     begun = world.now()
-    while not world.proxy.dead:
+    while not world.proxy_machine.dead:
         await asyncio.sleep(0.01)
     return world.now() - begun
 
@@ -136,7 +136,7 @@
     assert all(sent.status == 200 for sent in world.requests)
     assert all(client.is_told_to_close for client in clients[:50])
     assert all(client.transport is None for client in clients)
-    assert took[0] < MOST_QUIET_S + 4 * STEP_S, "it waits for nobody who is idle"
+    assert took[0] < MAX_QUIET_S + 4 * STEP_S, "it waits for nobody who is idle"
 
 
 def test_idle_clients_that_do_not_close_their_end_are_not_waited_for() -> None:
@@ -153,7 +153,7 @@
         took.append(await ended(world))
 
     world.play(act)
-    assert took[0] < MOST_QUIET_S + 4 * STEP_S
+    assert took[0] < MAX_QUIET_S + 4 * STEP_S
 
 
 def test_who_closes_his_kept_connections_is_not_waited_for() -> None:
@@ -168,7 +168,7 @@
         took.append(await ended(world))
 
     world.play(act)
-    assert took[0] < MOST_QUIET_S + 4 * STEP_S
+    assert took[0] < MAX_QUIET_S + 4 * STEP_S
 
 
 def test_a_request_that_is_half_read_at_the_end_is_promised() -> None:
@@ -179,13 +179,13 @@
         assert client is not None
         await asyncio.sleep(0.5)
         world.terminate()
-        await asyncio.sleep(MOST_QUIET_S - 0.5)
+        await asyncio.sleep(MAX_QUIET_S - 0.5)
         client.send(world.request(100), slice(0, 60))
         await asyncio.sleep(3.0)
 
     world.play(act)
     assert world.requests[0].status == 503 and not world.runs
-    assert world.proxy.dead
+    assert world.proxy_machine.dead
 
 
 def test_an_answer_that_a_slow_reader_takes_late_is_out_before_the_process_ends() -> None:
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -13,11 +13,12 @@
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.server import HttpServer
 from irisdeal.permits.allowance import Limit
-from irisdeal.proxy.attempts import Attempt, RequestAttempts
+from irisdeal.proxy.attempt import Attempt
+from irisdeal.proxy.attempt_outcome import AttemptOutcome
 from irisdeal.proxy.drain_plan import DrainPlan
-from irisdeal.proxy.outcome import AttemptOutcome
 from irisdeal.proxy.process import Proxy
 from irisdeal.proxy.registry_client import RegistryClient
+from irisdeal.proxy.request_attempts import RequestAttempts
 from tests.support.random_request_runs import RandomRun
 from tests.support.request_world import Client, Leaving, RequestWorld
 
@@ -49,9 +50,9 @@
 # In each phase, at random moments
 
 
-def few_slots(door: Proxy) -> None:
+def few_slots(proxy: Proxy) -> None:
     """One request of the tenant at a time."""
-    door.gate.slots = 1
+    proxy.admission.concurrency.slots = 1
 
 
 def prepared(phase: Phase) -> RequestWorld:
@@ -75,9 +76,9 @@
     phases: list[Phase] = []
 
     async def act() -> None:
-        door = world.door
-        assert door is not None
-        door.front.on_departed = lambda request: phases.append(request.phase)
+        proxy = world.proxy
+        assert proxy is not None
+        proxy.front.on_departed = lambda request: phases.append(request.phase)
         if world.registry is not None:
             world.registry.hold_s = 0.8
         if phase is Phase.CONNECTING:
@@ -94,19 +95,23 @@
             leaving.append(asyncio.ensure_future(leave_soon(client, chance, 0.2)))
         await asyncio.gather(*leaving)
         await asyncio.sleep(1.0)
-        assert {request for request in door.attempts if request.departed_at is not None} == begun(door)
+        assert {request for request in proxy.handler.attempts if request.departed_at is not None} == begun(
+            proxy
+        )
         if world.registry is not None:
             assert world.registry.waiting == 0
         await asyncio.sleep(4.0)
-        assert not door.attempts and not door.front.serving
-        assert not any(held.in_flight or held.waiting for held in door.gate.tenants.values())
-        assert not any(backend.in_flight for backend in door.backends.values())
+        assert not proxy.handler.attempts and not proxy.front.serving
+        assert not any(
+            held.in_flight or held.waiting for held in proxy.admission.concurrency.tenants.values()
+        )
+        assert not any(backend.in_flight for backend in proxy.directory.backends.values())
         assert world.registry is None or not world.registry.open
 
-    def begun(door: Proxy) -> set[Request]:
+    def begun(proxy: Proxy) -> set[Request]:
         return {
             request
-            for request, attempts in door.attempts.items()
+            for request, attempts in proxy.handler.attempts.items()
             if any(attempt.must_go_on for attempt in attempts.running)
         }
 
@@ -181,12 +186,12 @@
     world = RequestWorld()
 
     async def act() -> None:
-        door = world.door
-        assert door is not None
-        admission, limit, now = door.admission, Limit(5.0, 5.0), door.loop.time
+        proxy = world.proxy
+        assert proxy is not None
+        admission, limit, now = proxy.admission, Limit(5.0, 5.0), proxy.loop.time
         first = admission.ask("limited", limit, False)
         assert first is not None
-        first.give(now())
+        first.grant(now())
         until = first.send_by
         admission.end(first)
         second = admission.ask("limited", limit, False)
@@ -199,7 +204,7 @@
         assert late is not None and late.is_wanted(now()), "and not behind its time"
         sent = admission.ask("limited", limit, False)
         assert sent is not None
-        sent.give(now())
+        sent.grant(now())
         sent.use()
         admission.end(sent)
         assert not admission.returned, "one that was used is gone"
@@ -239,7 +244,7 @@
 
 
 def place_kept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RegistryClient, "end_place", lambda self, registry, end: None)
+    patch.setattr(RegistryClient, "end_reservation", lambda self, registry, end: None)
 
 
 def attempt_kept(patch: pytest.MonkeyPatch) -> None:
@@ -255,7 +260,7 @@
 
     def forgetful(self: RequestAttempts, outcome: AttemptOutcome) -> Answer | None:
         answer = take(self, outcome)
-        self.may_have_run = False
+        self.may_have_executed = False
         return answer
 
     patch.setattr(RequestAttempts, "_take", forgetful)
--- a/tests/proxy/test_routing_table.py
+++ b/tests/proxy/test_route_table.py
@@ -1,4 +1,4 @@
-"""Tables built by changes, and how a door takes them into force."""
+"""Tables built by changes, and how a proxy applies them."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from irisdeal.config_store.configuration.incremental_reading import Reading, reading
 from irisdeal.config_store.configuration.index import run
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.proxy import config_apply
-from irisdeal.proxy.config_apply import PACE, ConfigApply
-from irisdeal.proxy.table import Route, Table
+from irisdeal.proxy import config_applier
+from irisdeal.proxy.config_applier import MIN_INTERVAL_S, ConfigApplier
+from irisdeal.proxy.route_table import Route, RouteTable
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.process import Tasks
 from irisdeal.simulation.cpu import Core, Costs
@@ -33,7 +33,7 @@
     return found
 
 
-def scan(table: Table, host: bytes, path: bytes) -> Route | None:
+def scan(table: RouteTable, host: bytes, path: bytes) -> Route | None:
     """All routes of the host, one by one."""
     found = (
         [made for made in table.hosts[host].routes.values() if path.startswith(made.prefix)]
@@ -65,7 +65,7 @@
 @given(strategies.integers(0, 2**32))
 def test_find_is_the_plain_scan(seed: int) -> None:
     chance = Random(seed)
-    table = Table(read(nested(chance, chance.randrange(1, 30))).configuration)
+    table = RouteTable(read(nested(chance, chance.randrange(1, 30))).configuration)
     for _ in range(60):
         parts = [b"/", b"a", b"b", b"long", b"/a/", b"//"]
         path = b"".join(chance.choice(parts) for _ in range(chance.randrange(9)))
@@ -74,7 +74,7 @@
 
 
 def test_a_path_of_many_slashes_costs_as_far_as_prefixes_reach() -> None:
-    table = Table(read(nested(Random(1), 20)).configuration)
+    table = RouteTable(read(nested(Random(1), 20)).configuration)
     host = table.hosts[b"one.example"]
     looked = []
 
@@ -85,7 +85,7 @@
 
     host.routes = Counting(host.routes)
     host.find(b"/" * 16000)
-    assert len(looked) <= host.longest
+    assert len(looked) <= host.longest_prefix
 
 
 @settings(max_examples=12, deadline=None)
@@ -96,7 +96,7 @@
     chance = Random(f"changes {seed}")  # with 1 it would draw the names that are there
     data = configuration(60)
     made = read(data)
-    table, kept = Table(made.configuration), []
+    table, kept = RouteTable(made.configuration), []
     for number in range(2, 9):
         for _ in range(3):
             data = change(data, chance, f"r{number}")
@@ -106,27 +106,30 @@
                 data["sockets"].append({**moved, "hostname": f"new{number}.example"})
         kept.append((table, made.configuration))
         made = read(data, made)
-        table = run(Table.building(made, table))
-        equal(table, Table(made.configuration))
+        table = run(RouteTable.build(made, table))
+        equal(table, RouteTable(made.configuration))
     for old, was in kept:
-        equal(old, Table(was))
+        equal(old, RouteTable(was))
 
 
-def equal(one: Table, other: Table) -> None:
+def equal(one: RouteTable, other: RouteTable) -> None:
     assert (one.generation, one.limits) == (other.generation, other.limits)
     assert one.index == other.index and one.has_tenants == other.has_tenants
     assert dict(one.keys) == dict(other.keys) and dict(one.pools) == dict(other.pools)
     assert set(one.hosts) == set(other.hosts)
     for host, routes in one.hosts.items():
-        assert routes.routes == other.hosts[host].routes and routes.longest == other.hosts[host].longest
+        assert (
+            routes.routes == other.hosts[host].routes
+            and routes.longest_prefix == other.hosts[host].longest_prefix
+        )
 
 
 def test_one_change_makes_one_route_anew() -> None:
     data = configuration(100)
     made = read(data)
-    table = run(Table.building(made, None))
+    table = run(RouteTable.build(made, None))
     data["sockets"][2]["rules"][3]["effect"]["timeout_ms"] = 7000
-    after = run(Table.building(read(data, made), table))
+    after = run(RouteTable.build(read(data, made), table))
     same = [routes is table.hosts[host] for host, routes in after.hosts.items()]
     assert same.count(False) == 1
     changed = [
@@ -184,21 +187,21 @@
                 yield
             return (yield from reading(body, before))
 
-        monkeypatch.setattr(config_apply, "reading", slow)
+        monkeypatch.setattr(config_applier, "reading", slow)
 
-    def run(self, act: Callable[[ConfigApply], Awaitable[None]]) -> None:
+    def run(self, act: Callable[[ConfigApplier], Awaitable[None]]) -> None:
         world = World(1)
-        machine = Machine(world, Network(world), "door", Core(), Costs())
+        machine = Machine(world, Network(world), "proxy", Core(), Costs())
         done: list[int] = []
 
         async def main() -> int:
             self.clock = Clock()
-            self.monkeypatch.setattr(config_apply, "asyncio", self.clock)
+            self.monkeypatch.setattr(config_applier, "asyncio", self.clock)
 
-            def note(table: Table) -> None:
+            def note(table: RouteTable) -> None:
                 self.in_force.append((machine.time(), table.generation))
 
-            made = ConfigApply(note, Tasks())
+            made = ConfigApplier(note, Tasks())
             await act(made)
             done.append(1)
             return 0
@@ -211,8 +214,8 @@
 def test_a_short_word_is_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play(monkeypatch)
 
-    async def act(made: ConfigApply) -> None:
-        made.take(versions(1)[0])
+    async def act(made: ConfigApplier) -> None:
+        made.apply(versions(1)[0])
         assert [generation for _, generation in play.in_force] == ["r1"]
 
     play.run(act)
@@ -223,25 +226,28 @@
 ) -> None:
     play = Play(monkeypatch)
 
-    async def act(made: ConfigApply) -> None:
+    async def act(made: ConfigApplier) -> None:
         for version in versions(160):
-            made.take(version)
+            made.apply(version)
             await asyncio.sleep(22 / 160)
-        await asyncio.sleep(PACE)
+        await asyncio.sleep(MIN_INTERVAL_S)
 
     play.run(act)
     numbers = [int(generation[1:]) for _, generation in play.in_force]
     assert numbers == sorted(set(numbers)) and numbers[-1] == 160 and len(numbers) <= 75
-    assert max(later - earlier for (earlier, _), (later, _) in pairwise(play.in_force)) < PACE + 22 / 160
+    assert (
+        max(later - earlier for (earlier, _), (later, _) in pairwise(play.in_force))
+        < MIN_INTERVAL_S + 22 / 160
+    )
 
 
 def test_an_older_word_is_never_in_force_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play(monkeypatch)
 
-    async def act(made: ConfigApply) -> None:
+    async def act(made: ConfigApplier) -> None:
         one, two, three = versions(3)
         for version in (two, one, three, two, one):
-            made.take(version)
+            made.apply(version)
         await asyncio.sleep(1)
 
     play.run(act)
@@ -253,8 +259,8 @@
     play = Play(monkeypatch, steps=50, cost=0.005)
     turns: list[int] = []
 
-    async def act(made: ConfigApply) -> None:
-        made.take(versions(1)[0])
+    async def act(made: ConfigApplier) -> None:
+        made.apply(versions(1)[0])
         while not play.in_force:
             turns.append(1)
             await asyncio.sleep(0.005)
@@ -269,9 +275,9 @@
     """Words come faster than they can be taken in: nothing would be done if each dropped the one before."""
     play = Play(monkeypatch, steps=100, cost=0.005)
 
-    async def act(made: ConfigApply) -> None:
+    async def act(made: ConfigApplier) -> None:
         for version in versions(40):
-            made.take(version)
+            made.apply(version)
             await asyncio.sleep(0.3)
         await asyncio.sleep(2)
 
@@ -283,12 +289,12 @@
 def test_what_cannot_be_read_leaves_what_is_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play(monkeypatch)
 
-    async def act(made: ConfigApply) -> None:
-        made.take(versions(1)[0])
-        made.take(ConfigVersion.of("r2", b"{"))
+    async def act(made: ConfigApplier) -> None:
+        made.apply(versions(1)[0])
+        made.apply(ConfigVersion.of("r2", b"{"))
         await asyncio.sleep(1)
-        assert made.table is not None and made.table.generation == "r1" and not made.working
-        made.take(versions(3)[2])
+        assert made.table is not None and made.table.generation == "r1" and not made.is_working
+        made.apply(versions(3)[2])
 
     play.run(act)
     assert [generation for _, generation in play.in_force] == ["r1", "r3"]
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -18,9 +18,9 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.proxy import backend_connection, connection_pool
+from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.connection_pool import ConnectionPool
-from irisdeal.proxy.outcome import AttemptOutcome, End
 from irisdeal.proxy.process import Proxy
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.rpc import client as rpc_client
@@ -312,8 +312,8 @@
 
     async def _proxy(self) -> int:
         proxy = Proxy(SETTINGS)
-        proxy.chance = proxy.choice.chance = self.chance
-        proxy.sources.has_heard.set()
+        proxy.handler.chance = proxy.choice.chance = self.chance
+        proxy.watcher.has_answered.set()
         rules = [
             {
                 "name": kind,
@@ -391,18 +391,18 @@
 def _planted(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     match bug:
         case "matched by order alone":
-            monkeypatch.setattr(BackendConnection, "_answered", _any_answer)
+            monkeypatch.setattr(BackendConnection, "_complete", _any_answer)
         case "used again after a silence":
-            monkeypatch.setattr(BackendConnection, "give_up", lambda self: setattr(self, "done", None))
+            monkeypatch.setattr(BackendConnection, "give_up", lambda self: setattr(self, "response", None))
             monkeypatch.setattr(BackendConnection, "data_received", _whoever_waits)
-            monkeypatch.setattr(BackendConnection, "_answered", _any_answer)
+            monkeypatch.setattr(BackendConnection, "_complete", _any_answer)
         case "a reset is taken for unsent":
             lost = BackendConnection.connection_lost
 
             def unsent(self: BackendConnection, exc: Exception | None) -> None:
-                done, self.done = self.done, None
-                if done is not None and not done.done():
-                    done.set_result(AttemptOutcome(End.UNSENT, "reset"))
+                response, self.response = self.response, None
+                if response is not None and not response.done():
+                    response.set_result(AttemptOutcome(AttemptEnd.NOT_SENT, "reset"))
                 lost(self, exc)
 
             monkeypatch.setattr(BackendConnection, "connection_lost", unsent)
@@ -411,22 +411,24 @@
 
             async def again(self: ConnectionPool, *given: Any) -> AttemptOutcome:
                 outcome = await send(self, *given)
-                return AttemptOutcome(End.UNSENT, "silence") if outcome.late else outcome
+                return AttemptOutcome(AttemptEnd.NOT_SENT, "silence") if outcome.is_timed_out else outcome
 
             monkeypatch.setattr(ConnectionPool, "send", again)
         case "its own 503 is passed on":
-            monkeypatch.setattr(backend_connection, "PROMISES", ())
+            monkeypatch.setattr(backend_connection, "NOT_EXECUTED_STATUSES", ())
 
 
-def _any_answer(self: BackendConnection, spoilt: bool) -> None:
+def _any_answer(self: BackendConnection, is_spoilt: bool) -> None:
     headers = [field for field in self.headers if field[0].lower() != b"content-length"]
-    self._finish(AttemptOutcome(End.ANSWER, "", self.status, headers, b"".join(self.parts)), True)
+    self._finish(
+        AttemptOutcome(AttemptEnd.RESPONSE, "", self.status, headers, b"".join(self.body_chunks)), True
+    )
 
 
 def _whoever_waits(self: BackendConnection, data: bytes) -> None:
     self.parser.feed_data(data)
-    if self.whole:
-        self._answered(False)
+    if self.is_complete:
+        self._complete(False)
 
 
 @pytest.mark.parametrize(
--- a/tests/rpc/test_late_messages.py
+++ b/tests/rpc/test_late_messages.py
@@ -16,7 +16,7 @@
 from irisdeal.permits.messages import PrefetchReport
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
-from irisdeal.proxy.sources import Sources
+from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.admission import AdmissionService
 from irisdeal.registry.backend_table import BackendTable
@@ -140,14 +140,14 @@
             port_range=(6998, 7010),
             seed_peers=(f"{HOST}:1",),
         )
-        sources = Sources(settings, lambda version: None, lambda incarnation, silent: None)
-        sources.has_heard.set()
-        sources.answering.add(HOST)
-        client = RegistryClient(settings, sources)
+        watcher = RegistryWatcher(settings, lambda version: None, lambda incarnation, silent: None)
+        watcher.has_answered.set()
+        watcher.answering.add(HOST)
+        client = RegistryClient(settings, watcher)
         client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late_answer)
-        placement = await client.place(PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
+        placement = await client.request_placement(PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
         await asyncio.sleep(0.2)
-        return placement, client.silent_until
+        return placement, client.unresponsive_until
 
     placement, silent = rig.play(scenario())
     assert placement.reply.result is PlacementResult.NO_REGISTRY and placement.is_counted
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -1,5 +1,5 @@
 """A core and doors in virtual time, with cuts by direction: stand-in stores, the registries' own
-`StoreClient` and `WatchService`, the doors' own `Sources`.
+`StoreClient` and `WatchService`, the doors' own `RegistryWatcher`.
 
 A stand-in store keeps the rule of the real one: it has contact while a majority answered asks that it sent
 within the lease, and merges what these answers tell before it counts them. What is decided is put on a
@@ -25,7 +25,7 @@
 )
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.proxy.sources import Sources
+from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import WatchRequest
 from irisdeal.registry.store_client import StoreClient
@@ -211,13 +211,13 @@
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip = rig, ip
         self.versions: list[tuple[float, int]] = []
-        self.sources = Sources(rig.settings(ip), self.on_version, lambda incarnation, silent: None)
+        self.watcher = RegistryWatcher(rig.settings(ip), self.on_version, lambda incarnation, silent: None)
 
     def on_version(self, version: ConfigVersion) -> None:
         self.versions.append((self.rig.world.seconds(), version.version_id.number))
 
     async def run(self) -> int:
-        self.sources.start()
+        self.watcher.start()
         await asyncio.get_running_loop().create_future()
         return 0
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -27,7 +27,7 @@
 from irisdeal.permits.prefetched import PrefetchedPermits
 from irisdeal.placement.attempt_end import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
-from irisdeal.proxy.sources import Sources
+from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.messages import IntervalReport, PlacementRequest, ReservationEnd
 from irisdeal.registry.server import RegistryServer
@@ -155,7 +155,7 @@
         self.members: dict[str, StoreReplica] = {}
         self.stations: dict[str, RegistryServer] = {}
         self.processes: dict[tuple[str, str], Machine] = {}
-        self.sources: Sources | None = None
+        self.watcher: RegistryWatcher | None = None
         self.client: RegistryClient | None = None
         self.held = PrefetchedPermits(77)
         self.numbers: list[tuple[str, int]] = []  # places that are held: registry and number
@@ -219,9 +219,9 @@
     def start_proxy(self) -> None:
         async def program() -> None:
             settings = self.settings_for(PROXY, "proxy")
-            self.sources = Sources(settings, lambda version: None, lambda incarnation, silent: None)
-            self.client = RegistryClient(settings, self.sources)
-            self.sources.start()
+            self.watcher = RegistryWatcher(settings, lambda version: None, lambda incarnation, silent: None)
+            self.client = RegistryClient(settings, self.watcher)
+            self.watcher.start()
 
         self.launch(PROXY, "proxy", program)
 
@@ -303,7 +303,7 @@
             "connected": (5, 6),
             **changes,
         }
-        placement = await self.client.place(PlacementRequest(**asked), 0.5)
+        placement = await self.client.request_placement(PlacementRequest(**asked), 0.5)
         if placement.reply.reservation > 0:
             self.numbers.append((placement.registry, placement.reply.reservation))
 
@@ -311,7 +311,7 @@
         assert self.client is not None
         for number, (registry, place) in enumerate(self.numbers):
             how = AttemptResult.SUCCESS if number % 2 else AttemptResult.FAILED
-            self.client.end_place(registry, ReservationEnd(place, int(how), 1.25 + number))
+            self.client.end_reservation(registry, ReservationEnd(place, int(how), 1.25 + number))
         self.numbers.clear()
 
     async def ask_as_before(self) -> None:
--- a/tests/support/random_request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -53,7 +53,7 @@
         self.changes = self._drawn_changes(random.Random(seed + 1))
         self.tasks: set[asyncio.Task[Any]] = set()
         if self.few_slots:
-            self.world.prepare = lambda door: setattr(door.gate, "slots", 2)
+            self.world.prepare = lambda proxy: setattr(proxy.admission.concurrency, "slots", 2)
 
     @staticmethod
     def _drawn_changes(chance: random.Random) -> list[tuple[float, int]]:
@@ -191,17 +191,19 @@
     def _leftovers(self) -> list[str]:
         """What the proxy and the registry still hold for requests that are over."""
         world, found = self.world, []
-        door = world.door
-        assert door is not None
+        proxy = world.proxy
+        assert proxy is not None
         if world.registry is not None and (world.registry.waiting or world.registry.open):
             open_ = len(world.registry.open)
             found.append(f"{world.registry.waiting} asks and {open_} places are left at the registry")
-        if self.term_at is not None and not world.proxy.dead:
+        if self.term_at is not None and not world.proxy_machine.dead:
             found.append("the proxy does not end")
-        if not world.proxy.dead:
-            out = sum(backend.in_flight for backend in door.backends.values())
-            held = sum(held.in_flight + len(held.waiting) for held in door.gate.tenants.values())
-            if out or held or door.attempts or door.front.serving:
+        if not world.proxy_machine.dead:
+            out = sum(backend.in_flight for backend in proxy.directory.backends.values())
+            held = sum(
+                held.in_flight + len(held.waiting) for held in proxy.admission.concurrency.tenants.values()
+            )
+            if out or held or proxy.handler.attempts or proxy.front.serving:
                 found.append(f"{out} attempts, {held} places within bounds are left")
         return found
 
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -265,10 +265,10 @@
         self.requests: list[Sent] = []
         self.clients: list[Client] = []
         self.over = False
-        self.prepare: Callable[[Proxy], None] = lambda door: None
-        self.door: Proxy | None = None
+        self.prepare: Callable[[Proxy], None] = lambda proxy: None
+        self.proxy: Proxy | None = None
         self.ending: asyncio.Event | None = None
-        self.proxy = self._machine("proxy")
+        self.proxy_machine = self._machine("proxy")
         self.backend = self._machine("backend")
         self.client = self._machine("client")
         self.to_backend, self.to_proxy = NetworkLink(), NetworkLink()
@@ -278,7 +278,7 @@
         if has_registry:
             self.registry_machine = self._machine("registry")
             self.registry_machine.start(self._serve_registry())
-        self.proxy.start(self._serve_proxy())
+        self.proxy_machine.start(self._serve_proxy())
         self.backend.start(self._serve_backend())
 
     def _machine(self, name: str) -> Machine:
@@ -308,32 +308,36 @@
             bounds=BOUNDS,
             bind=Bind(front=f"{PROXY}:80", readiness=f"{PROXY}:81"),
         )
-        self.door = door = Proxy(settings)
+        self.proxy = proxy = Proxy(settings)
         self.ending = asyncio.Event()
-        door.sources.has_heard.set()
-        door.admission.most_proxies, door.admission.has_reported, door.repeats.slack_from = 8, True, 0.0
+        proxy.watcher.has_answered.set()
+        proxy.admission.max_reported_proxies, proxy.admission.has_reported, proxy.retry_budgets.slack_from = (
+            8,
+            True,
+            0.0,
+        )
         if self.registry is not None:
-            door.registries._by_nearness = lambda: [REGISTRY]  # type: ignore[method-assign]
-        door._on_version(self.configuration(1))
-        door.gate.slots = SLOTS
-        door._on_incarnation(
+            proxy.registries._by_nearness = lambda: [REGISTRY]  # type: ignore[method-assign]
+        proxy._on_version(self.configuration(1))
+        proxy.admission.concurrency.slots = SLOTS
+        proxy._on_incarnation(
             BackendIncarnation("i-0", "s", f"{BACKEND}:80", "z", 500, BackendState.READY, 1, 0.0), False
         )
-        door._on_incarnation(
+        proxy._on_incarnation(
             BackendIncarnation("i-1", "s", f"{BACKEND}:81", "z", 500, BackendState.READY, 1, 0.0), False
         )
-        self.prepare(door)
-        await door.start()
+        self.prepare(proxy)
+        await proxy.start()
         await self.ending.wait()
-        await door.stop()
+        await proxy.stop()
         return 0
 
     def reconfigure(self, number: int, idle_ms: int) -> None:
         """Another configuration comes into force, and SIGHUP says that the settings have changed."""
-        door = self.door
-        if door is not None and not self.proxy.dead:
-            self.proxy.call_soon(door._on_version, self.configuration(number, idle_ms))
-            self.proxy.call_soon(door.reload, door.settings)
+        proxy = self.proxy
+        if proxy is not None and not self.proxy_machine.dead:
+            self.proxy_machine.call_soon(proxy._on_version, self.configuration(number, idle_ms))
+            self.proxy_machine.call_soon(proxy.reload, proxy.settings)
 
     def configuration(self, number: int, idle_ms: int = 15_000) -> ConfigVersion:
         """Two routes, one of which may be repeated."""
@@ -388,11 +392,11 @@
         self.client.start(run())
 
         def has_bytes(number: int) -> bool:
-            return self.net.has_bytes(self.proxy, number)
+            return self.net.has_bytes(self.proxy_machine, number)
 
         with mock.patch.object(connection_pool, "has_bytes", has_bytes):
             self.world.run(lambda: self.over, START + int(most_s * 1e6))
-        errors = [*self.proxy.errors, *self.backend.errors, *self.client.errors]
+        errors = [*self.proxy_machine.errors, *self.backend.errors, *self.client.errors]
         assert not errors, errors
 
     def request(self, work_ms: int, is_mutating: bool = False) -> Sent:
@@ -426,7 +430,7 @@
     def terminate(self) -> None:
         """SIGTERM to the proxy."""
         assert self.ending is not None
-        self.proxy.call_soon(self.ending.set)
+        self.proxy_machine.call_soon(self.ending.set)
 
     # What the judge sees
 
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Success
 
 from irisdeal.config_store.configuration.cached_reading import read
-from irisdeal.proxy.table import Table
+from irisdeal.proxy.route_table import RouteTable
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
@@ -84,7 +84,7 @@
     longer = json.loads(json.dumps(rule_of(made)))
     longer.update(name="longer", pattern={"path_prefix": "/a/b/"})
     made["sockets"][0]["rules"].append(longer)
-    table = Table(read(json.dumps(made).encode()).unwrap())
+    table = RouteTable(read(json.dumps(made).encode()).unwrap())
     found = [table.find(b"h.example", path) for path in (b"/a/x", b"/a/b/x", b"/a/b", b"/b/", b"/a")]
     assert [route and route.name for route in found] == ["r", "longer", "r", None, None]
     assert table.find(b"other", b"/a/x") is None
