--- a/benchmarks/counted.py
+++ b/benchmarks/counted.py
@@ -73,7 +73,7 @@
             for proxy in world.proxies:
                 if world.chance.random() < 0.6:
                     for ip in world.registries:
-                        world.at(FLOOD + 0.5, world.cut.add, (proxy.name, ip))
+                        world.at(FLOOD + 0.5, world.partitioned.add, (proxy.name, ip))
         case "registry killed":
             world.at(FLOOD + 2, world.kill_registry, "g1")
         case "registries killed":
@@ -150,7 +150,7 @@
     for worst, one in played[:5]:
         print(
             f"{worst:.3f} seed {one.seed}: {one.proxies} proxies, {one.registries} registries, "
-            f"rate {one.rate:.1f}, burst {one.burst:.1f}; {'; '.join(one.told)}"
+            f"rate {one.rate:.1f}, burst {one.burst:.1f}; {'; '.join(one.events)}"
         )
     print(f"{len(played)} days, {sum(worst > 1.0 for worst, _ in played)} over the rule")
 
--- a/irisdeal/simulation/quota/faults.py
+++ b/irisdeal/simulation/quota/faults.py
@@ -1,4 +1,4 @@
-"""Random days of the quota world: one seed is one day, with floods, faults and changes at any moment."""
+"""Random fault schedules of the quota simulation: one seed gives floods, faults and changes at any moment."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from irisdeal.simulation.quota.world import QuotaWorld
 
-END_S = 30.0  # of a usual day
-LONG_END_S = 150.0  # of a day with a fault of over a minute
-MOST_ASKS = 12_000  # of a day: larger floods are shorter
+END_S = 30.0  # of most schedules
+LONG_END_S = 150.0  # of a schedule with a fault of over a minute
+MAX_REQUESTS = 12_000  # of a schedule: larger floods are shorter
 RESTART_S = (0.3, 3.0)  # that a process is away
 
 
 @dataclass
 class QuotaDay:
-    """A day's shape, and in words what happens in it."""
+    """The parameters of one schedule; `events`: what happens in it, as text. Times are s."""
 
     seed: int
     proxies: int
@@ -25,11 +25,11 @@
     burst: float
     drift: float
     end_s: float
-    told: list[str] = field(default_factory=list)
+    events: list[str] = field(default_factory=list)
 
 
 def draw(seed: int) -> QuotaDay:
-    """The shape of the day of this seed."""
+    """Return the parameters of the schedule of this seed."""
     chance = random.Random(seed)
     rate = 0.5 * 1000 ** chance.random()
     burst = rate * chance.choice((0.0, 1.0, 1.0, 5.0 * chance.random(), 25.0 * chance.random()))
@@ -45,7 +45,7 @@
 
 
 class QuotaDayPlayer:
-    """Plays the day of one seed."""
+    """Simulates the schedule of one seed."""
 
     def __init__(self, day: QuotaDay) -> None:
         self.day, self.chance = day, random.Random(day.seed + 1)
@@ -54,19 +54,19 @@
         self.next_registry = day.registries
 
     def play(self) -> float:
-        """The worst window's share of what is allowed."""
+        """Run the schedule; return the largest share of the allowed requests that ran in any window."""
         self._loads()
         for _ in range(self.chance.randint(1, 4)):
             fault = self.chance.choice(self._faults())
             at = self.chance.uniform(1.0, self.day.end_s - 8.0)
-            self.day.told.append(f"{at:.1f} s {fault.__name__.strip('_')}")
+            self.day.events.append(f"{at:.1f} s {fault.__name__.strip('_')}")
             fault(at)
         self.world.play(self.day.end_s + 2.0)
         return self.world.judge.worst()
 
     def _loads(self) -> None:
-        """A usual load, and floods that come and go, each at all proxies or at a part of them."""
-        world, budget = self.world, float(MOST_ASKS)
+        """Schedule normal load, and floods that come and go, each at all proxies or at some of them."""
+        world, budget = self.world, float(MAX_REQUESTS)
         since = 0.0
         while since < self.day.end_s and budget > 0:
             times = self.chance.choice((0.6, 0.9, 3.0, 6.0, 9.0))
@@ -80,7 +80,7 @@
 
     def _move_load(self, at: float) -> None:
         weights = [self.chance.paretovariate(1.2) for _ in self.names]
-        if self.chance.random() < 0.3:  # one zone has nearly all
+        if self.chance.random() < 0.3:  # one zone gets nearly all requests
             home = self.chance.randrange(self.day.registries)
             weights = [
                 weight if proxy.home == home else 0.01
@@ -92,10 +92,10 @@
         return [
             self._flapping_proxies,
             self._flapping_proxies,
-            self._cut_proxies,
-            self._cut_one_way,
-            self._cut_registries,
-            self._halves,
+            self._partition_proxies,
+            self._partition_one_direction,
+            self._partition_registries,
+            self._partition_into_halves,
             self._restart_registries,
             self._restart_registries,
             self._wiped_registries,
@@ -112,17 +112,17 @@
             self._slow_runs,
         ]
 
-    def _lasts(self) -> float:
-        """Mostly short, at times over a minute."""
+    def _draw_duration(self) -> float:
+        """Return the s that a fault lasts: mostly short, at times over a minute."""
         longest = 120.0 if self.day.end_s > END_S else 20.0
         return float(longest ** self.chance.random())
 
-    def _cut(self, pairs: Iterable[tuple[str, str]], at: float, until: float) -> None:
+    def _partition(self, pairs: Iterable[tuple[str, str]], at: float, until: float) -> None:
         for pair in pairs:
-            self.world.at(at, self.world.cut.add, pair)
-            self.world.at(until, self.world.cut.discard, pair)
+            self.world.at(at, self.world.partitioned.add, pair)
+            self.world.at(until, self.world.partitioned.discard, pair)
 
-    def _some(self, names: list[str]) -> list[str]:
+    def _sample(self, names: list[str]) -> list[str]:
         share = self.chance.choice((0.2, 0.5, 1.0))
         return [name for name in names if self.chance.random() < share] or names[:1]
 
@@ -132,42 +132,45 @@
     # Links
 
     def _flapping_proxies(self, at: float) -> None:
-        turn, until = self.chance.choice((0.1, 0.3, 0.5, 1.0, 2.0)), at + self._lasts()
-        for name in self._some(self.names):
+        turn, until = self.chance.choice((0.1, 0.3, 0.5, 1.0, 2.0)), at + self._draw_duration()
+        for name in self._sample(self.names):
             since = at + self.chance.random() * 2 * turn
             while since < until:
                 pairs = [(name, ip) for ip in self._ips()]
-                self._cut(pairs + [(ip, name) for ip in self._ips()], since, since + turn)
+                self._partition(pairs + [(ip, name) for ip in self._ips()], since, since + turn)
                 since += 2 * turn
 
-    def _cut_proxies(self, at: float) -> None:
-        until = at + self._lasts()
-        for name in self._some(self.names):
-            self._cut([(name, ip) for ip in self._ips()] + [(ip, name) for ip in self._ips()], at, until)
+    def _partition_proxies(self, at: float) -> None:
+        until = at + self._draw_duration()
+        for name in self._sample(self.names):
+            self._partition(
+                [(name, ip) for ip in self._ips()] + [(ip, name) for ip in self._ips()], at, until
+            )
 
-    def _cut_one_way(self, at: float) -> None:
-        until, to_proxy = at + self._lasts(), self.chance.random() < 0.5
-        for name in self._some(self.names):
-            self._cut([(ip, name) if to_proxy else (name, ip) for ip in self._ips()], at, until)
+    def _partition_one_direction(self, at: float) -> None:
+        until, to_proxy = at + self._draw_duration(), self.chance.random() < 0.5
+        for name in self._sample(self.names):
+            self._partition([(ip, name) if to_proxy else (name, ip) for ip in self._ips()], at, until)
 
-    def _cut_registries(self, at: float) -> None:
-        until = at + self._lasts()
-        for ip in self._some(self._ips()):
+    def _partition_registries(self, at: float) -> None:
+        until = at + self._draw_duration()
+        for ip in self._sample(self._ips()):
             others = [other for other in self._ips() if other != ip]
-            self._cut([(ip, other) for other in others] + [(other, ip) for other in others], at, until)
+            self._partition([(ip, other) for other in others] + [(other, ip) for other in others], at, until)
 
-    def _halves(self, at: float) -> None:
-        """Registries and proxies in two halves."""
-        until = at + self._lasts()
+    def _partition_into_halves(self, at: float) -> None:
+        """Partition registries and proxies into two halves."""
+        until = at + self._draw_duration()
         nodes = self._ips() + self.names
-        left = set(self._some(nodes))
-        self._cut(
-            [(one, other) for one in nodes for other in nodes if (one in left) != (other in left)], at, until
-        )
+        first_half = set(self._sample(nodes))
+        pairs = [
+            (one, other) for one in nodes for other in nodes if (one in first_half) != (other in first_half)
+        ]
+        self._partition(pairs, at, until)
 
     def _lossy(self, at: float) -> None:
         self.world.at(at, setattr, self.world, "loss", self.chance.choice((0.02, 0.1, 0.4)))
-        self.world.at(at + self._lasts(), setattr, self.world, "loss", 0.0)
+        self.world.at(at + self._draw_duration(), setattr, self.world, "loss", 0.0)
 
     def _lost_loans(self, at: float) -> None:
         for name, share in (("lend_lost", 0.3), ("lend_doubled", 0.2)):
@@ -175,16 +178,16 @@
 
     def _slow_runs(self, at: float) -> None:
         self.world.at(at, setattr, self.world, "run_delay_s", 0.15)
-        self.world.at(at + self._lasts(), setattr, self.world, "run_delay_s", 0.002)
+        self.world.at(at + self._draw_duration(), setattr, self.world, "run_delay_s", 0.002)
 
     # Processes
 
     def _restart_registries(self, at: float) -> None:
-        for ip in self._some(self._ips()):
+        for ip in self._sample(self._ips()):
             self._restarts(ip, at, is_wiped=False)
 
     def _wiped_registries(self, at: float) -> None:
-        for ip in self._some(self._ips()):
+        for ip in self._sample(self._ips()):
             self._restarts(ip, at, is_wiped=True)
 
     def _restarts(self, ip: str, at: float, is_wiped: bool) -> None:
@@ -200,18 +203,18 @@
                 self.world.at(at + self.chance.random(), self.world.restart_proxy, number)
 
     def _frozen_registries(self, at: float) -> None:
-        for ip in self._some(self._ips()):
+        for ip in self._sample(self._ips()):
             self.world.at(at, self.world.freeze, ip)
-            self.world.at(at + self._lasts(), self.world.thaw, ip)
+            self.world.at(at + self._draw_duration(), self.world.thaw, ip)
 
     def _frozen_proxies(self, at: float) -> None:
-        for name in self._some(self.names):
+        for name in self._sample(self.names):
             self.world.at(at, self.world.freeze, name)
-            self.world.at(at + self._lasts(), self.world.thaw, name)
+            self.world.at(at + self._draw_duration(), self.world.thaw, name)
 
     def _slow_registries(self, at: float) -> None:
-        until = at + self._lasts()
-        for ip in self._some(self._ips()):
+        until = at + self._draw_duration()
+        for ip in self._sample(self._ips()):
             self.world.at(at, self.world.slow_down, ip, self.chance.choice((0.05, 0.12, 0.3)))
             self.world.at(until, self.world.slow_down, ip, 0.0)
 
@@ -225,17 +228,19 @@
         self.world.at(at, self.world.add_registry, self._new_ip())
 
     def _removed_registry(self, at: float) -> None:
-        """Taken out of the list; its process goes on, and may be cut off from the others."""
+        """Remove a registry from the list; its process goes on, and may be partitioned from the others."""
         ip = self.chance.choice(self._ips())
         if self.chance.random() < 0.7:
             others = [other for other in self._ips() if other != ip]
-            self._cut(
-                [(ip, other) for other in others] + [(other, ip) for other in others], at, at + self._lasts()
+            self._partition(
+                [(ip, other) for other in others] + [(other, ip) for other in others],
+                at,
+                at + self._draw_duration(),
             )
         self.world.at(at + self.chance.random(), self.world.remove_registry, ip)
 
     def _replaced_registry(self, at: float) -> None:
-        """One is cut off, and another takes its place while it goes on."""
+        """Remove a registry that may be partitioned, and add another one while its process goes on."""
         self._removed_registry(at)
         self._added_registry(at + 1.0 + self.chance.random())
 
@@ -247,6 +252,6 @@
 
 
 def play(seed: int) -> tuple[float, QuotaDay]:
-    """The worst window of the day of this seed, and the day."""
+    """Run the schedule of this seed; return the share of the worst window, and the schedule."""
     day = draw(seed)
     return QuotaDayPlayer(day).play(), day
--- a/irisdeal/simulation/quota/judge.py
+++ b/irisdeal/simulation/quota/judge.py
@@ -1,5 +1,7 @@
-"""The judge of quotas: it knows when each request ran and which limits were set when, and shares no code with the
-program. The rule is written here from the users' page."""
+"""Checks rate limits from the times at which requests ran and limits were set.
+
+It shares no code with the program: the rule is written here from the users' page.
+"""
 
 from __future__ import annotations
 
@@ -18,27 +20,27 @@
     burst: float
 
     def allowed(self) -> float:
-        """Requests that may run in any window."""
+        """Return the requests that may run in any window."""
         return (self.rate * WINDOW_S + self.burst) * (1 + EXCESS) + SLACK
 
 
 class QuotaJudge:
-    """Counts what ran in each window."""
+    """Counts the requests that ran in each window, and compares them with the limits."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.settings = [Setting(float("-inf"), rate, burst)]
         self.ran: list[float] = []
 
-    def note_run(self, at: float) -> None:
-        """A request ran at a backend."""
+    def record_run(self, at: float) -> None:
+        """Record that a request ran at a backend."""
         self.ran.append(at)
 
-    def note_limit(self, at: float, rate: float, burst: float) -> None:
-        """Another limit was decided."""
+    def record_limit(self, at: float, rate: float, burst: float) -> None:
+        """Record that another limit was decided."""
         self.settings.append(Setting(at, rate, burst))
 
     def allowed(self, since: float, until: float) -> float:
-        """What may run between two moments: by the largest limit that may still bind."""
+        """Return the requests that may run between two times: by the largest limit that may still be in force."""
         most = 0.0
         for number, setting in enumerate(self.settings):
             next_at = self.settings[number + 1].at if number + 1 < len(self.settings) else float("inf")
@@ -47,7 +49,7 @@
         return most
 
     def worst(self) -> float:
-        """The largest share of what is allowed that ran in any window."""
+        """Return the largest share of the allowed requests that ran in any window; over 1 breaks the rule."""
         ran, first, worst = sorted(self.ran), 0, 0.0
         is_one = len(self.settings) == 1
         allowed = self.settings[0].allowed()
@@ -60,5 +62,5 @@
         return worst
 
     def served(self, since: float, until: float) -> int:
-        """What ran between two moments."""
+        """Return the number of requests that ran between two times."""
         return sum(since <= at < until for at in self.ran)
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -1,8 +1,8 @@
-"""Proxies and registries on one clock: what a tenant gets of its quota under floods and faults.
+"""Simulation of rate limits: what a tenant's requests get under floods and faults.
 
-The issuing side and what proxies hold are the program's own code (`irisdeal/permits/`,
-`registry/quota_service.py`); links, the store's decisions and a request's way are played here. The judge
-(`quota_judge.py`) knows only what ran when.
+Issuing, authority and prefetched permits are the program's own code (`irisdeal/permits/`,
+`registry/quota_service.py`); the network, the configuration store's decisions and the path of a request are
+simulated here. The judge (`judge.py`) knows only which request ran when.
 """
 
 from __future__ import annotations
@@ -10,7 +10,6 @@
 import heapq
 import random
 from collections.abc import Callable
-from typing import Any
 
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
@@ -22,17 +21,17 @@
 from irisdeal.simulation.quota.judge import QuotaJudge
 from irisdeal.simulation.quota.nodes import TENANT, Clock, ProxyNode, RegistryNode
 
-WAY_S = 0.0014  # between two machines
-PLACE_S = 0.06  # that a proxy waits for an answer to a request
-REPORT_S = 0.4  # likewise to a report
-LEFT_S = 0.5  # that a registry which was silent, or gives no permits, is not asked
-CONTACT_S = 0.2  # between two rounds of a registry with the store
-SEND_WITHIN_S = 0.35  # of the ask for a permit
-MOST_APPLY_S = 2.0  # that a proxy takes a configuration into force in
+NETWORK_DELAY_S = 0.0014  # s between two machines
+CLAIM_TIMEOUT_S = 0.06  # s that a proxy waits for the reply to a claim
+REPORT_TIMEOUT_S = 0.4  # s likewise to a report
+AVOIDANCE_S = 0.5  # s for which a registry that did not answer, or issues no permits, is avoided
+CONTACT_INTERVAL_S = 0.2  # s between two contacts of a registry with the configuration store
+SEND_WITHIN_S = 0.35  # s after the claim of its permit that a request is sent, or not at all
+MAX_APPLY_S = 2.0  # s within which a proxy applies a configuration
 
 
 class QuotaWorld:
-    """`proxies` and `registries`, and one tenant of `rate` and `burst`."""
+    """Proxies, registries and one tenant on a common schedule."""
 
     def __init__(
         self,
@@ -44,20 +43,24 @@
         drift: float = 0.0,
         started: bool = True,
     ) -> None:
-        """`drift`: clocks run up to this share too fast or too slow; `started`: the registries stand since long."""
+        """Set it up with one tenant of `rate` requests a second and `burst`.
+
+        `drift`: clocks run up to this share too fast or too slow; `started`: the registries have been members
+        for long.
+        """
         self.chance = random.Random(seed)
         self.time, self.drift = 0.0, drift
         self.limit = Limit(rate, rate if burst is None else burst)
         self.judge = QuotaJudge(self.limit.rate_per_s, self.limit.burst)
-        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self.number = self.incarnations = 0
         self.asked = self.refused = 0
         self.lend_lost = self.lend_doubled = self.loss = 0.0
         self.run_delay_s = 0.002  # the mean, from a permit to the run
         self.down: set[str] = set()
-        self.frozen: dict[str, list[tuple[Callable[..., None], tuple[Any, ...]]]] = {}
-        self.cut: set[tuple[str, str]] = set()  # ordered pairs: from, to
-        self.slow: dict[str, float] = {}  # registry -> s that it takes for an answer
+        self.frozen: dict[str, list[tuple[Callable[..., None], tuple[object, ...]]]] = {}
+        self.partitioned: set[tuple[str, str]] = set()  # ordered pairs: from, to
+        self.slow: dict[str, float] = {}  # registry -> s that it takes for a reply
         ips = [f"g{number}" for number in range(registries)]
         self.list = IssuerList(0, frozenset(ips))
         self.disks: dict[str, IssuerList] = {ip: self.list for ip in ips} if started else {}
@@ -69,7 +72,7 @@
         for number in range(proxies):
             self.at(0.02 + self.chance.random() * 0.12, self._report, number)
 
-    def _life(self) -> int:
+    def _next_incarnation(self) -> int:
         self.incarnations += 1
         return self.incarnations
 
@@ -78,11 +81,11 @@
         return Clock(lambda: self.time, speed, self.chance.uniform(100, 1000))
 
     def new_registry(self, ip: str) -> RegistryNode:
-        """A life of a registry, with what is on its disk."""
-        return RegistryNode(ip, self._life(), self._clock(), self.disks.get(ip), self._lend)
+        """Return a new incarnation of a registry, with what is on its disk."""
+        return RegistryNode(ip, self._next_incarnation(), self._clock(), self.disks.get(ip), self._lend)
 
     def _proxy(self, number: int, home: int) -> ProxyNode:
-        return ProxyNode(f"p{number}", self._life(), home, self._clock(), self.limit)
+        return ProxyNode(f"p{number}", self._next_incarnation(), home, self._clock(), self.limit)
 
     def _start_timers(self, ip: str) -> None:
         self.at(self.time + 0.001 * self.chance.random(), self._contact, ip)
@@ -90,52 +93,54 @@
 
     # Events
 
-    def at(self, at: float, act: Callable[..., None], *given: Any) -> None:
-        """Do this then."""
+    def at(self, at: float, act: Callable[..., None], *args: object) -> None:
+        """Schedule a call at a time in s."""
         self.number += 1
-        heapq.heappush(self.events, (at, self.number, act, given))
+        heapq.heappush(self.events, (at, self.number, act, args))
 
     def play(self, until: float) -> None:
-        """Up to this second."""
+        """Run until this time in s."""
         while self.events and self.events[0][0] < until:
-            self.time, _, act, given = heapq.heappop(self.events)
-            act(*given)
+            self.time, _, act, args = heapq.heappop(self.events)
+            act(*args)
 
     def load(self, since: float, until: float, times: float) -> None:
-        """The tenant asks for `times` its rate of now, at random proxies by their weights."""
+        """Schedule requests at `times` the current rate, at random proxies by their weights."""
         at, rate = since, self.limit.rate_per_s * times
         while (at := at + self.chance.expovariate(rate)) < until:
-            self.at(at, self._ask, self.chance.choices(range(len(self.proxies)), self.weights)[0])
+            self.at(at, self._start_request, self.chance.choices(range(len(self.proxies)), self.weights)[0])
 
-    # Links
+    # Network
 
-    def hears(self, sender: str, receiver: str) -> bool:
-        """Whether what one sends now comes to the other."""
+    def delivers(self, sender: str, receiver: str) -> bool:
+        """Whether a message that is sent now reaches the receiver."""
         is_lost = self.loss and self.chance.random() < self.loss
-        return not is_lost and receiver not in self.down and (sender, receiver) not in self.cut
+        return not is_lost and receiver not in self.down and (sender, receiver) not in self.partitioned
 
-    def _deliver(self, receiver: str, act: Callable[..., None], *given: Any) -> None:
-        """Now, or once the receiver goes on."""
+    def _deliver(self, receiver: str, act: Callable[..., None], *args: object) -> None:
+        """Call now, or once the receiver is no longer frozen."""
         if receiver in self.frozen:
-            self.frozen[receiver].append((act, given))
+            self.frozen[receiver].append((act, args))
         else:
-            act(*given)
+            act(*args)
 
-    # The store
+    # The configuration store
 
     def decide(self, machines: frozenset[str]) -> None:
-        """Another list of the core: joint with the one before it, then alone."""
+        """Decide another list of issuers: jointly with the one before it, then alone."""
         number = self.list.number + 1
         self.list = IssuerList(number, self.list.machines | machines)
-        self.at(self.time + 0.1 + 0.4 * self.chance.random(), self._settle, IssuerList(number, machines))
+        self.at(
+            self.time + 0.1 + 0.4 * self.chance.random(), self._complete_change, IssuerList(number, machines)
+        )
 
-    def _settle(self, settled: IssuerList) -> None:
-        if self.list.number == settled.number:
-            self.list = settled
+    def _complete_change(self, decided: IssuerList) -> None:
+        if self.list.number == decided.number:
+            self.list = decided
 
     def _contact(self, ip: str) -> None:
-        """A registry's round with the store: in contact where it and a majority of the list hear each other."""
-        self.at(self.time + CONTACT_S, self._contact, ip)
+        """Let a registry contact the store: it succeeds where it and a majority of the list reach each other."""
+        self.at(self.time + CONTACT_INTERVAL_S, self._contact, ip)
         if ip in self.down or ip in self.frozen:
             return
         reached = [
@@ -145,8 +150,8 @@
             or (
                 other not in self.down
                 and other not in self.frozen
-                and self.hears(ip, other)
-                and self.hears(other, ip)
+                and self.delivers(ip, other)
+                and self.delivers(other, ip)
             )
         ]
         if 2 * len(reached) > len(self.list.machines):
@@ -157,12 +162,11 @@
                 self.disks[ip] = node.authority.recorded = record
 
     def set_limit(self, rate: float, burst: float) -> None:
-        """The operator's change is decided; proxies take it into force within `MOST_APPLY_S`, where they hear
-        it."""
+        """Decide another limit; proxies that it reaches apply it within `MAX_APPLY_S`."""
         self.limit = Limit(rate, burst)
-        self.judge.note_limit(self.time, rate, burst)
+        self.judge.record_limit(self.time, rate, burst)
         for number in range(len(self.proxies)):
-            self.at(self.time + MOST_APPLY_S * self.chance.random(), self._apply, number, self.limit)
+            self.at(self.time + MAX_APPLY_S * self.chance.random(), self._apply, number, self.limit)
 
     def _apply(self, number: int, limit: Limit) -> None:
         proxy = self.proxies[number]
@@ -176,13 +180,13 @@
     # Between registries
 
     def _lend(self, borrower: str, lender: str, request: LendRequest) -> int:
-        if lender in self.frozen or not self.hears(borrower, lender):
+        if lender in self.frozen or not self.delivers(borrower, lender):
             return 0
         service = self.registries[lender].service
         if self.chance.random() < self.lend_doubled:
             service.lend(request)
         lent = service.lend(request)
-        is_lost = self.chance.random() < self.lend_lost or not self.hears(lender, borrower)
+        is_lost = self.chance.random() < self.lend_lost or not self.delivers(lender, borrower)
         return 0 if is_lost else lent
 
     def _sum(self, ip: str) -> None:
@@ -190,14 +194,14 @@
         if ip in self.down or ip in self.frozen:
             return
         service, number = self.registries[ip].service, int(self.time / INTERVAL_S) - 1
-        told = service.close(number)
+        registry_sum = service.close(number)
         for other in self.registries:
-            if other != ip and self.hears(ip, other):
-                self._deliver(other, self._hear_sum, other, told)
+            if other != ip and self.delivers(ip, other):
+                self._deliver(other, self._receive_sum, other, registry_sum)
         service.finish(number)
 
-    def _hear_sum(self, ip: str, told: IntervalSum) -> None:
-        self.registries[ip].service.receive_sum(told)
+    def _receive_sum(self, ip: str, registry_sum: IntervalSum) -> None:
+        self.registries[ip].service.receive_sum(registry_sum)
 
     # A proxy
 
@@ -205,65 +209,70 @@
         return (
             ip not in self.down
             and ip not in self.frozen
-            and not {(proxy.name, ip), (ip, proxy.name)} & self.cut
+            and not {(proxy.name, ip), (ip, proxy.name)} & self.partitioned
         )
 
-    def _order(self, proxy: ProxyNode) -> list[str]:
+    def _registries_in_order(self, proxy: ProxyNode) -> list[str]:
         ips = sorted(self.registries)
         turn = proxy.home % len(ips)
         return ips[turn:] + ips[:turn]
 
-    def _ask(self, number: int) -> None:
+    def _start_request(self, number: int) -> None:
         proxy = self.proxies[number]
         self.asked += 1
-        if not proxy.companion.admit(self.chance.random()):
+        if not proxy.throttle.admit(self.chance.random()):
             self.refused += 1
         else:
-            self._deliver(proxy.name, self._ask_next, number, proxy, self._order(proxy), self.time)
-
-    def _ask_next(self, number: int, proxy: ProxyNode, left: list[str], begun: float) -> None:
-        """Ask the next registry for a permit; without any, use one that is held."""
-        while left:
-            ip, left = left[0], left[1:]
-            is_left = (
-                max(proxy.silent_until.get(ip, 0.0), proxy.without_permits_until.get(ip, 0.0)) > self.time
+            self._deliver(
+                proxy.name, self._claim_from_next, number, proxy, self._registries_in_order(proxy), self.time
             )
-            if not is_left and ip not in self.down:
-                return self._ask_one(number, proxy, ip, left, begun)
-        if proxy is self.proxies[number] and proxy.held.consume(TENANT, proxy.clock.now()):
+
+    def _claim_from_next(
+        self, number: int, proxy: ProxyNode, remaining: list[str], started_at: float
+    ) -> None:
+        """Claim a permit at the next registry; without any, use a prefetched one."""
+        while remaining:
+            ip, remaining = remaining[0], remaining[1:]
+            is_avoided = (
+                max(proxy.unresponsive_until.get(ip, 0.0), proxy.without_permits_until.get(ip, 0.0))
+                > self.time
+            )
+            if not is_avoided and ip not in self.down:
+                return self._claim_from(number, proxy, ip, remaining, started_at)
+        if proxy is self.proxies[number] and proxy.prefetched.consume(TENANT, proxy.clock.now()):
             return self._run(self.time)
         self.refused += 1
 
-    def _ask_one(self, number: int, proxy: ProxyNode, ip: str, left: list[str], begun: float) -> None:
+    def _claim_from(
+        self, number: int, proxy: ProxyNode, ip: str, remaining: list[str], started_at: float
+    ) -> None:
+        next_claim = (number, proxy, remaining, started_at)
         asked_at = self.time
-        took = 2 * WAY_S + self.slow.get(ip, 0.0) * self.chance.random()
-        answers = ip not in self.frozen and took < PLACE_S
-        if not self.hears(proxy.name, ip):
+        took = 2 * NETWORK_DELAY_S + self.slow.get(ip, 0.0) * self.chance.random()
+        answers = ip not in self.frozen and took < CLAIM_TIMEOUT_S
+        if not self.delivers(proxy.name, ip):
             answers = False
         else:
             claim = self._claim(ip)
-            answers = answers and self.hears(ip, proxy.name)
+            answers = answers and self.delivers(ip, proxy.name)
         if not answers:
-            proxy.silent_until[ip] = self.time + PLACE_S + LEFT_S
-            self.at(
-                self.time + PLACE_S, self._deliver, proxy.name, self._ask_next, number, proxy, left, begun
-            )
+            proxy.unresponsive_until[ip] = self.time + CLAIM_TIMEOUT_S + AVOIDANCE_S
+            timed_out_at = self.time + CLAIM_TIMEOUT_S
+            self.at(timed_out_at, self._deliver, proxy.name, self._claim_from_next, *next_claim)
             return
         match claim:
             case ClaimResult.GRANTED:
                 self.at(asked_at + took, self._deliver, proxy.name, self._run, asked_at)
             case ClaimResult.NOT_ISSUING:
-                proxy.without_permits_until[ip] = self.time + LEFT_S
-                self.at(
-                    self.time + took, self._deliver, proxy.name, self._ask_next, number, proxy, left, begun
-                )
-            case _ if proxy.held.consume(TENANT, proxy.clock.now()):
+                proxy.without_permits_until[ip] = self.time + AVOIDANCE_S
+                self.at(self.time + took, self._deliver, proxy.name, self._claim_from_next, *next_claim)
+            case _ if proxy.prefetched.consume(TENANT, proxy.clock.now()):
                 self.at(self.time + took, self._deliver, proxy.name, self._run, asked_at)
             case _:
                 self.refused += 1
 
     def _claim(self, ip: str) -> ClaimResult:
-        """What the registry does with an ask, answered or not."""
+        """Let a registry handle a claim, whether its reply arrives or not."""
         if ip in self.frozen:
             self.frozen[ip].append((self._claim_late, (ip,)))
             return ClaimResult.NOT_ISSUING
@@ -273,10 +282,10 @@
         self.registries[ip].claim()
 
     def _run(self, asked_at: float) -> None:
-        """A request with a permit goes to a backend, in its time or not at all."""
+        """Send a request with a permit to a backend, in time or not at all."""
         sent_at = self.time + self.chance.expovariate(1 / self.run_delay_s)
         if sent_at < asked_at + SEND_WITHIN_S:
-            self.judge.note_run(sent_at + WAY_S)
+            self.judge.record_run(sent_at + NETWORK_DELAY_S)
         else:
             self.refused += 1
 
@@ -286,53 +295,53 @@
         if proxy.name in self.frozen:
             return
         interval, usage = int(self.time / INTERVAL_S) - 1, proxy.close()
-        for ip in self._order(proxy):
+        for ip in self._registries_in_order(proxy):
             if ip in self.down:
                 continue
             report, sent_at = proxy.report(ip, interval, usage), proxy.clock.now()
-            if not self._reaches(proxy, ip) or not self.hears(proxy.name, ip):
+            if not self._reaches(proxy, ip) or not self.delivers(proxy.name, ip):
                 if ip in self.frozen:
-                    self.frozen[ip].append((self._hear_late_report, (ip, proxy.name, report)))
+                    self.frozen[ip].append((self._receive_late_report, (ip, proxy.name, report)))
                 return
             delay = self.slow.get(ip, 0.0) * self.chance.random() * 4
-            self.at(self.time + WAY_S + delay, self._hear_report, ip, proxy, report, sent_at)
+            self.at(self.time + NETWORK_DELAY_S + delay, self._receive_report, ip, proxy, report, sent_at)
             return
 
-    def _hear_late_report(self, ip: str, name: str, report: IntervalReport) -> None:
+    def _receive_late_report(self, ip: str, name: str, report: IntervalReport) -> None:
         self.registries[ip].service.report(name, report)
 
-    def _hear_report(self, ip: str, proxy: ProxyNode, report: IntervalReport, sent_at: float) -> None:
+    def _receive_report(self, ip: str, proxy: ProxyNode, report: IntervalReport, sent_at: float) -> None:
         if ip in self.down or ip in self.frozen:
             return
         reply = self.registries[ip].service.report(proxy.name, report)
         if (
-            not self.hears(ip, proxy.name)
-            or proxy.clock.now() - sent_at > REPORT_S
+            not self.delivers(ip, proxy.name)
+            or proxy.clock.now() - sent_at > REPORT_TIMEOUT_S
             or proxy.name in self.frozen
         ):
-            return  # its answer is lost, or too late to count
-        proxy.held.receive_reply(ip, reply.reserve, sent_at, proxy.clock.now())
+            return  # the reply is lost, or too late
+        proxy.prefetched.receive_reply(ip, reply.reserve, sent_at, proxy.clock.now())
         if reply.number > proxy.newest_total and TENANT in reply.totals:
             proxy.newest_total = reply.number
-            proxy.companion.update_total(reply.totals[TENANT])
+            proxy.throttle.update_total(reply.totals[TENANT])
 
     # Faults
 
     def kill_registry(self, ip: str, is_wiped: bool = False) -> None:
-        """Its process ends; its disk may be lost too."""
+        """End its process; `is_wiped`: its disk is lost too."""
         self.down.add(ip)
         self.frozen.pop(ip, None)
         if is_wiped:
             self.disks.pop(ip, None)
 
     def start_registry(self, ip: str) -> None:
-        """Another life of it begins."""
+        """Start a new incarnation."""
         if ip in self.down:
             self.down.discard(ip)
             self.registries[ip] = self.new_registry(ip)
 
     def add_registry(self, ip: str) -> None:
-        """A new machine, and the list is decided to have it."""
+        """Start a registry on a new machine, and add it to the list."""
         self.registries[ip] = self.new_registry(ip)
         self._start_timers(ip)
         for proxy in self.proxies:
@@ -341,25 +350,25 @@
         self.decide(self.list.machines | {ip})
 
     def remove_registry(self, ip: str) -> None:
-        """The list is decided to be without it; its process goes on."""
+        """Remove it from the list; its process goes on."""
         if len(self.list.machines) > 1:
             self.decide(self.list.machines - {ip})
 
     def restart_proxy(self, number: int) -> None:
-        """Another life of it begins, which holds nothing."""
+        """Start a new incarnation, which has no permits."""
         self.frozen.pop(self.proxies[number].name, None)
         self.proxies[number] = self._proxy(number, self.proxies[number].home)
 
     def slow_down(self, ip: str, seconds: float) -> None:
-        """A registry takes up to so long for an answer."""
+        """Let a registry take up to so many s for a reply."""
         self.slow[ip] = seconds
 
     def freeze(self, name: str) -> None:
-        """It stands still: what comes waits, and is worked on once it goes on."""
+        """Pause a process: messages to it wait, and are handled once it resumes."""
         if name not in self.down:
             self.frozen.setdefault(name, [])
 
     def thaw(self, name: str) -> None:
-        """It goes on."""
-        for act, given in self.frozen.pop(name, []):
-            act(*given)
+        """Resume a paused process."""
+        for act, args in self.frozen.pop(name, []):
+            act(*args)
--- a/tests/features/quotas.feature
+++ b/tests/features/quotas.feature
@@ -1,112 +1,112 @@
-Feature: a tenant's quota holds in sum over doors, and is used
+Feature: a tenant's quota holds in sum over proxies, and is used
 
   Scenario Outline: a flood by one tenant
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 5.6 times that from second 12 to 22
     Then no window of 5 s has more than the rule allows by second 30
     And at least <served> percent of the rate ran from second 16 to 22
 
     Examples:
-      | doors | registries | rate | seed | served |
+      | proxies | registries | rate | seed | served |
       | 8     | 4          | 30   | 1    | 100    |
       | 11    | 3          | 70   | 2    | 100    |
       | 85    | 3          | 30   | 3    | 100    |
       | 85    | 4          | 5    | 13   | 100    |
 
-  Scenario Outline: a flood while doors are killed
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while proxies are killed
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 5.6 times that from second 12 to 22
-    And 60 percent of the doors are killed at second 15
+    And 60 percent of the proxies are killed at second 15
     Then no window of 5 s has more than the rule allows by second 30
 
     Examples:
-      | doors | registries | rate | seed |
+      | proxies | registries | rate | seed |
       | 8     | 4          | 30   | 4    |
       | 11    | 3          | 5    | 5    |
       | 8     | 4          | 70   | 6    |
 
-  Scenario Outline: a flood while doors hear nothing of the others
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while proxies are partitioned from the registries
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 5.6 times that from second 12 to 22
-    And 30 percent of the doors hear nothing from second 11 to 25
+    And 30 percent of the proxies are partitioned from second 11 to 25
     Then no window of 5 s has more than the rule allows by second 30
 
     Examples:
-      | doors | registries | rate | seed |
+      | proxies | registries | rate | seed |
       | 8     | 4          | 30   | 7    |
       | 11    | 3          | 70   | 8    |
       | 11    | 3          | 5    | 9    |
       | 85    | 4          | 150  | 14   |
 
-  Scenario Outline: a flood while most doors hear nothing from its first second
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while most proxies are partitioned from its first second
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
-    And 60 percent of the doors hear nothing from second 12.5 to 25
+    And 60 percent of the proxies are partitioned from second 12.5 to 25
     Then no window of 5 s has more than the rule allows by second 30
 
     Examples:
-      | doors | registries | rate | seed |
+      | proxies | registries | rate | seed |
       | 8     | 4          | 30   | 1    |
       | 11    | 3          | 30   | 2    |
       | 85    | 4          | 150  | 3    |
 
-  Scenario Outline: a flood while registries are killed and forget what they gave
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while registries are killed and lose their state
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
     And <killed> registries are killed at second 14 and back at 14.8
     Then no window of 5 s has more than the rule allows by second 30
 
     Examples:
-      | doors | registries | rate | seed | killed |
+      | proxies | registries | rate | seed | killed |
       | 8     | 4          | 150  | 1    | 1      |
       | 11    | 3          | 30   | 2    | 3      |
       | 85    | 4          | 150  | 3    | 4      |
 
-  Scenario: a flood while one word in ten is lost
-    Given 85 doors, 4 registries and a tenant of 70 a second, seed 15
-    When 10 percent of the words between processes are lost
+  Scenario: a flood while one message in ten is lost
+    Given 85 proxies, 4 registries and a tenant of 70 a second, seed 15
+    When 10 percent of the messages between processes are lost
     And it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
     Then no window of 5 s has more than the rule allows by second 30
 
-  Scenario Outline: a flood while registries stand still and go on
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while registries are paused and resume
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
-    And <still> registries stand still from second <since> to <until>
+    And <still> registries are paused from second <since> to <until>
     Then no window of 5 s has more than the rule allows by second 30
     And at least <served> percent of the rate ran from second 16 to 22
 
     Examples:
-      | doors | registries | rate | seed | still | since | until | served |
+      | proxies | registries | rate | seed | still | since | until | served |
       | 8     | 4          | 30   | 1    | 1     | 14.1  | 18.1  | 100    |
       | 8     | 3          | 150  | 2    | 1     | 8.6   | 12.6  | 100    |
       | 11    | 3          | 5    | 3    | 2     | 14.2  | 18.2  | 100    |
       | 85    | 4          | 150  | 4    | 2     | 14.2  | 18.2  | 60     |
       | 85    | 3          | 70   | 5    | 3     | 14.1  | 18.1  | 0      |
 
-  Scenario Outline: a flood while registries are cut from the others, and doors reach both
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while registries are partitioned from the others, and proxies reach both
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 42
-    And <cut> registries are cut from the others from second <since> to <until>
+    And <cut> registries are partitioned from the others from second <since> to <until>
     Then no window of 5 s has more than the rule allows by second 45
     And at least <served> percent of the rate ran from second 16 to 24
 
     Examples:
-      | doors | registries | rate | seed | cut | since | until | served |
+      | proxies | registries | rate | seed | cut | since | until | served |
       | 8     | 4          | 30   | 1    | 1   | 12.5  | 32.5  | 85     |
       | 11    | 3          | 70   | 2    | 1   | 11.5  | 33.5  | 75     |
       | 8     | 3          | 150  | 3    | 2   | 12.5  | 30.5  | 70     |
       | 85    | 4          | 150  | 4    | 2   | 18.1  | 38.1  | 50     |
 
   Scenario Outline: a flood while the list of registries changes
-    Given <doors> doors, 3 registries and a tenant of <rate> a second, seed <seed>
+    Given <proxies> proxies, 3 registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
     And a registry joins at second <join>
@@ -115,13 +115,13 @@
     And at least 75 percent of the rate ran from second 16 to 22
 
     Examples:
-      | doors | rate | seed | join |
+      | proxies | rate | seed | join |
       | 8     | 150  | 1    | 11.6 |
       | 11    | 70   | 2    | 12.2 |
       | 85    | 30   | 3    | 14.2 |
 
-  Scenario Outline: a flood while answers of lends are lost and lends run twice
-    Given <doors> doors, 4 registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: a flood while replies to loans are lost and loans run twice
+    Given <proxies> proxies, 4 registries and a tenant of <rate> a second, seed <seed>
     When 30 percent of lent permits never arrive and 20 percent are lent twice
     And it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
@@ -129,36 +129,36 @@
     And at least 60 percent of the rate ran from second 16 to 22
 
     Examples:
-      | doors | rate | seed |
+      | proxies | rate | seed |
       | 8     | 30   | 1    |
       | 11    | 150  | 2    |
 
-  Scenario Outline: a usual day refuses next to nothing
-    Given <doors> doors, <registries> registries and a tenant of <rate> a second, seed <seed>
+  Scenario Outline: normal load is hardly rejected
+    Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
     When it asks for 0.62 times that from second 4 to 40
     Then no window of 5 s has more than the rule allows by second 40
     And under <percent> percent were refused
 
     Examples:
-      | doors | registries | rate | seed | percent |
+      | proxies | registries | rate | seed | percent |
       | 8     | 4          | 30   | 10   | 0.1     |
       | 11    | 3          | 70   | 11   | 0.1     |
       | 11    | 3          | 5    | 12   | 0.5     |
       | 85    | 4          | 5    | 12   | 0.9     |
 
-  Scenario Outline: the judge finds what is planted
-    Given <doors> doors, 4 registries and a tenant of 150 a second, seed <seed>
+  Scenario Outline: the judge finds planted bugs
+    Given <proxies> proxies, 4 registries and a tenant of 150 a second, seed <seed>
     And in the registries is planted: <bug>
     When it asks for 0.62 times that from second 0 to 12
     And it asks for 9 times that from second 12 to 22
-    And 60 percent of the doors hear nothing from second 12.5 to 25
+    And 60 percent of the proxies are partitioned from second 12.5 to 25
     And <killed> registries are killed at second 14 and back at 14.8
     Then the judge finds a window with more than the rule allows by second 30
 
     Examples:
-      | doors | seed | killed | bug                                   |
+      | proxies | seed | killed | bug                                   |
       | 8     | 4    | 0      | a lender keeps what it lent           |
-      | 8     | 1    | 4      | one that starts takes all of the rate |
-      | 85    | 2    | 0      | what proxies hold is not counted      |
-      | 8     | 3    | 0      | a claim takes no token                |
-      | 8     | 1    | 0      | an answer of a loan counts five times |
+      | 8     | 1    | 4      | a restarted registry issues all of the rate |
+      | 85    | 2    | 0      | prefetched permits are not counted      |
+      | 8     | 3    | 0      | a claim consumes no permit                |
+      | 8     | 1    | 0      | the reply to a loan counts five times |
--- a/tests/features/steps/quota_steps.py
+++ b/tests/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Floods, kills, cuts and lost words over proxies and registries (`irisdeal/simulation/quota/world.py`)."""
+"""Floods, kills, partitions and lost messages over proxies and registries (`irisdeal/simulation/quota/world.py`)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from irisdeal.simulation.quota.world import QuotaWorld
 
 
-@given("{doors:d} doors, {registries:d} registries and a tenant of {rate:g} a second, seed {seed:d}")
-def _(context: Any, doors: int, registries: int, rate: float, seed: int) -> None:
-    context.world = QuotaWorld(doors, registries, rate, seed)
+@given("{proxies:d} proxies, {registries:d} registries and a tenant of {rate:g} a second, seed {seed:d}")
+def _(context: Any, proxies: int, registries: int, rate: float, seed: int) -> None:
+    context.world = QuotaWorld(proxies, registries, rate, seed)
 
 
 @when("it asks for {times:g} times that from second {since:g} to {until:g}")
@@ -21,7 +21,7 @@
     context.world.load(since, until, times)
 
 
-@when("{percent:d} percent of the doors are killed at second {at:g}")
+@when("{percent:d} percent of the proxies are killed at second {at:g}")
 def _(context: Any, percent: int, at: float) -> None:
     world = context.world
     for number in range(len(world.proxies)):
@@ -37,7 +37,7 @@
         world.at(until, world.start_registry, ip)
 
 
-@when("{count:d} registries stand still from second {at:g} to {until:g}")
+@when("{count:d} registries are paused from second {at:g} to {until:g}")
 def _(context: Any, count: int, at: float, until: float) -> None:
     world = context.world
     for ip in world.chance.sample(sorted(world.registries), count):
@@ -45,16 +45,16 @@
         world.at(until, world.thaw, ip)
 
 
-@when("{count:d} registries are cut from the others from second {at:g} to {until:g}")
+@when("{count:d} registries are partitioned from the others from second {at:g} to {until:g}")
 def _(context: Any, count: int, at: float, until: float) -> None:
     world = context.world
-    cut = world.chance.sample(sorted(world.registries), count)
-    for one in cut:
+    partitioned = world.chance.sample(sorted(world.registries), count)
+    for one in partitioned:
         for other in world.registries:
-            if other not in cut:
+            if other not in partitioned:
                 for pair in ((one, other), (other, one)):
-                    world.at(at, world.cut.add, pair)
-                    world.at(until, world.cut.discard, pair)
+                    world.at(at, world.partitioned.add, pair)
+                    world.at(until, world.partitioned.discard, pair)
 
 
 @when("a registry joins at second {at:g}")
@@ -76,18 +76,18 @@
     context.world.lend_lost, context.world.lend_doubled = lost / 100, twice / 100
 
 
-@when("{percent:d} percent of the doors hear nothing from second {since:g} to {until:g}")
+@when("{percent:d} percent of the proxies are partitioned from second {since:g} to {until:g}")
 def _(context: Any, percent: int, since: float, until: float) -> None:
     world = context.world
     for proxy in world.proxies:
         if world.chance.random() < percent / 100:
             for ip in world.registries:
                 for pair in ((proxy.name, ip), (ip, proxy.name)):
-                    world.at(since, world.cut.add, pair)
-                    world.at(until, world.cut.discard, pair)
+                    world.at(since, world.partitioned.add, pair)
+                    world.at(until, world.partitioned.discard, pair)
 
 
-@when("{percent:d} percent of the words between processes are lost")
+@when("{percent:d} percent of the messages between processes are lost")
 def _(context: Any, percent: int) -> None:
     context.world.loss = percent / 100
 
@@ -112,7 +112,7 @@
 
 
 def _planted(bug: str) -> tuple[type, str, Any]:
-    """The class, the name and what stands there instead."""
+    """Return the class, the name of its method, and the faulty replacement."""
     claim, lend, borrowed, bucket = (
         PermitBucket.claim,
         PermitBucket.lend,
@@ -122,13 +122,13 @@
     match bug:
         case "a lender keeps what it lent":
 
-            def lend_and_keep(self: PermitBucket, wanted: int, kept: float, now: float) -> int:
-                given = lend(self, wanted, kept, now)
+            def lend_and_keep(self: PermitBucket, wanted: int, retained: float, now: float) -> int:
+                given = lend(self, wanted, retained, now)
                 self.permits += given
                 return max(given, 5)
 
             return PermitBucket, "lend", lend_and_keep
-        case "one that starts takes all of the rate":
+        case "a restarted registry issues all of the rate":
 
             def all_at_once(self: PermitIssuer, tenant: str, now: float) -> PermitBucket:
                 is_new = tenant not in self.buckets
@@ -138,21 +138,21 @@
                 return made
 
             return PermitIssuer, "bucket", all_at_once
-        case "what proxies hold is not counted":
+        case "prefetched permits are not counted":
             return PermitIssuer, "_adjust", lambda self, holder, tenant, wanted, now: wanted
-        case "an answer of a loan counts five times":
+        case "the reply to a loan counts five times":
 
             def borrow_more(self: PermitBucket, count: int, now: float) -> None:
                 borrowed(self, count, now)
                 self.permits += 4 * count
 
             return PermitBucket, "add_borrowed", borrow_more
-        case "a claim takes no token":
+        case "a claim consumes no permit":
 
             def claim_free(self: PermitBucket, now: float, is_late: bool = False, cost: float = 1.0) -> bool:
-                had = claim(self, now, is_late, cost)
-                self.permits += had
-                return had
+                was_granted = claim(self, now, is_late, cost)
+                self.permits += was_granted
+                return was_granted
 
             return PermitBucket, "claim", claim_free
     raise ValueError(bug)
@@ -160,10 +160,10 @@
 
 @given("in the registries is planted: {bug}")
 def _(context: Any, bug: str) -> None:
-    owner, name, instead = _planted(bug)
-    kept = getattr(owner, name)
-    setattr(owner, name, instead)
-    context.add_cleanup(setattr, owner, name, kept)
+    owner, name, replacement = _planted(bug)
+    original = getattr(owner, name)
+    setattr(owner, name, replacement)
+    context.add_cleanup(setattr, owner, name, original)
 
 
 @then("the judge finds a window with more than the rule allows by second {until:g}")
--- a/tests/permits/test_quota_processes.py
+++ b/tests/permits/test_quota_processes.py
@@ -142,7 +142,7 @@
             while True:
                 _, fields = await read_head(reader)
                 await reader.readexactly(int(fields.get(b"content-length", b"0")))
-                judge.note_run(time.monotonic())
+                judge.record_run(time.monotonic())
                 writer.write(
                     b"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: "
                     + fields[b"x-irisdeal-attempt-id"]
--- a/tests/permits/test_quota_world.py
+++ b/tests/permits/test_quota_world.py
@@ -32,8 +32,8 @@
     """Partition one proxy from all registries, in both directions."""
     for ip in world.registries:
         for pair in ((name, ip), (ip, name)):
-            world.at(since, world.cut.add, pair)
-            world.at(until, world.cut.discard, pair)
+            world.at(since, world.partitioned.add, pair)
+            world.at(until, world.partitioned.discard, pair)
 
 
 def flapping(turn: float) -> Fault:
@@ -72,8 +72,8 @@
     """Partition one registry from the others for over a minute; proxies reach all."""
     for other in ("g1", "g2", "g3"):
         for pair in (("g0", other), (other, "g0")):
-            world.at(14.0, world.cut.add, pair)
-            world.at(80.0, world.cut.discard, pair)
+            world.at(14.0, world.partitioned.add, pair)
+            world.at(80.0, world.partitioned.discard, pair)
 
 
 @pytest.mark.parametrize("proxies", [8, 85])
@@ -154,9 +154,9 @@
     return self.ready(now) >= cost
 
 
-def _admit(self: QuotaWorld, number: int, proxy: Any, left: list[str], begun: float) -> None:
-    if left or self.time == begun:
-        return _ask_next(self, number, proxy, left, begun)
+def _admit(self: QuotaWorld, number: int, proxy: Any, remaining: list[str], started_at: float) -> None:
+    if remaining or self.time == started_at:
+        return _claim_from_next(self, number, proxy, remaining, started_at)
     return self._run(self.time)
 
 
@@ -168,14 +168,18 @@
     return int(request.wanted)
 
 
-_ask_next = world.QuotaWorld._ask_next
+_claim_from_next = world.QuotaWorld._claim_from_next
 
 
 @pytest.mark.parametrize(
     ("owner", "name", "planted"),
     [
         (PermitBucket, "claim", _claim_free),  # a permit is not deducted
-        (QuotaWorld, "_ask_next", _admit),  # a proxy admits a request where no registry answers in time
+        (
+            QuotaWorld,
+            "_claim_from_next",
+            _admit,
+        ),  # a proxy admits a request where no registry answers in time
         (
             IssuingAuthority,
             "may_issue",
