--- a/irisdeal/placement/load_reports.py
+++ b/irisdeal/placement/load_reports.py
@@ -13,8 +13,10 @@
 
 
 def short_key(id_: str) -> int:
-    """Return 24 bits of a hash of an id: with 200 backends two of them share a key with a chance of one in a
-    thousand, and are then counted as one."""
+    """Return 24 bits of a hash of an incarnation's id.
+
+    With 200 backends two of them share a key with a chance of one in a thousand, and are then counted as one.
+    """
     return zlib.crc32(id_.encode()) & 0xFFFFFF
 
 
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -45,26 +45,27 @@
 
 
 class PlacementNeeds(Protocol):
-    """What an attempt needs, as a proxy's request says it.
-
-    `zone`: of the proxy; `typical_latency_s`: of the service; `avoid`, `connected`: short keys of backends not
-    to use, and of those to which the proxy has an idle connection.
-    """
+    """What an attempt needs, as a proxy's request says it."""
 
     @property
-    def zone(self) -> str: ...
+    def zone(self) -> str:
+        """The proxy's zone."""
 
     @property
-    def service(self) -> str: ...
+    def service(self) -> str:
+        """The service that is called."""
 
     @property
-    def typical_latency_s(self) -> float: ...
+    def typical_latency_s(self) -> float:
+        """The service's typical latency, s."""
 
     @property
-    def avoid(self) -> Iterable[int]: ...
+    def avoid(self) -> Iterable[int]:
+        """Short keys of backends not to use."""
 
     @property
-    def connected(self) -> Iterable[int]: ...
+    def connected(self) -> Iterable[int]:
+        """Short keys of backends to which the proxy has an idle connection."""
 
 
 @dataclass(slots=True)
@@ -142,8 +143,10 @@
         return self.number, backend, load_factor
 
     def _choose(self, needs: PlacementNeeds, now: float, only_free: bool) -> Backend | None:
-        """Return the cheapest backend; another zone is looked at only where the proxy's own has none at low
-        cost."""
+        """Return the cheapest backend.
+
+        Another zone is looked at only where the proxy's own has none at low cost.
+        """
         zones = self.services.get(needs.service, {})
         avoid, connected = frozenset(needs.avoid), frozenset(needs.connected)
         latency_s = needs.typical_latency_s
--- a/irisdeal/placement/waiting_queues.py
+++ b/irisdeal/placement/waiting_queues.py
@@ -11,8 +11,10 @@
 
 @dataclass(slots=True)
 class WaitingQueue:
-    """Requests for one service. `heap`: rank, order of arrival, token; `cancelled`: tokens in it that wait no
-    more."""
+    """Requests for one service.
+
+    `heap`: rank, order of arrival, token; `cancelled`: tokens in it that wait no more.
+    """
 
     heap: list[tuple[int, int, Hashable]] = field(default_factory=list)
     cancelled: set[Hashable] = field(default_factory=set)
--- a/irisdeal/registry/admission.py
+++ b/irisdeal/registry/admission.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import ClaimResult
@@ -52,7 +51,7 @@
         ratio, window_s = bound("retry_ratio", RETRY_RATIO), bound("retry_window_s", RETRY_WINDOW_S)
         self.retry_budgets = RetryBudgets(ratio, window_s, slack, loop.time())
 
-    def answer_at_once(self, caller: str, kind: str, body: object) -> Any:
+    def answer_at_once(self, caller: str, kind: str, body: object) -> object:
         """Answer a call that needs no waiting; `DEFERRED` for all others."""
         if kind == call_kinds.END_RESERVATION:
             self.placements.end(caller, ReservationEnd.decode(body))
@@ -65,10 +64,10 @@
     def _admit_at_once(self, caller: str, request: PlacementRequest) -> PlacementReply | None:
         """None where permits have to be borrowed first."""
         if not request.tenant:
-            return self._place(caller, request)
+            return self._assign(caller, request)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._place(caller, request)
+                return self._assign(caller, request)
             case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         if request.is_late or not self.quotas.can_borrow(request.tenant):
@@ -80,12 +79,12 @@
         await self.quotas.borrow(request.tenant)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._place(caller, request)
+                return self._assign(caller, request)
             case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         return OVER_QUOTA
 
-    def _place(self, caller: str, request: PlacementRequest) -> PlacementReply:
+    def _assign(self, caller: str, request: PlacementRequest) -> PlacementReply:
         """Place a request that is within its quota."""
         now = self.loop.time()
         if not request.is_repeat:
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -45,7 +45,7 @@
     is_unresponsive: bool = False
 
     def status(self) -> IncarnationStatus:
-        """What watchers are notified of."""
+        """Return what watchers are notified of."""
         return IncarnationStatus(self.incarnation, self.is_unresponsive)
 
 
@@ -81,7 +81,7 @@
             entry.is_unresponsive, has_changed = False, True
         entry.incarnation = merged
         if has_changed:
-            self._mark_changed(entry)
+            self._bump_version(entry)
             if merged.state != known.state:
                 log_event(EVENT_OF_STATE[merged.state], id=incarnation.id, service=incarnation.service)
         return has_changed
@@ -96,7 +96,7 @@
             address=incarnation.address,
         )
 
-    def _mark_changed(self, entry: BackendEntry) -> None:
+    def _bump_version(self, entry: BackendEntry) -> None:
         self.version += 1
         entry.changed_in = self.version
 
@@ -122,11 +122,11 @@
                     del self.entries[entry.incarnation.id]
             elif elapsed_s > GONE_AFTER_S:
                 entry.incarnation = replace(entry.incarnation, state=BackendState.GONE)
-                self._mark_changed(entry)
+                self._bump_version(entry)
                 has_changed = True
             elif elapsed_s > self.unresponsive_after_s and not entry.is_unresponsive:
                 entry.is_unresponsive = has_changed = True
-                self._mark_changed(entry)
+                self._bump_version(entry)
                 log_event(
                     Event.BACKEND_UNRESPONSIVE,
                     id=entry.incarnation.id,
@@ -136,8 +136,10 @@
         return has_changed
 
     def forgive_missed_heartbeats(self, now: float) -> None:
-        """This process itself was suspended: heartbeats that it could not receive are not held against
-        backends."""
+        """Give backends time after this process was suspended.
+
+        Heartbeats that it could not receive are not held against them.
+        """
         for entry in self.entries.values():
             if entry.incarnation.state is not BackendState.GONE:
                 entry.heartbeat_at = max(entry.heartbeat_at, now - self.unresponsive_after_s / 2)
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -77,9 +77,7 @@
         case b"POST", ["backends", id_, "heartbeat"]:
             return _heartbeat(id_, body)
         case b"POST", ["backends", id_, "deregister"]:
-            if ID.fullmatch(id_):
-                return Success(Deregister(id_))
-            return Failure(RejectedCall(400, OperationError("deregister", id_, "the id cannot be used")))
+            return _deregister(id_)
         case b"POST", ["config", "replace"]:
             return _put(body)
         case b"GET", ["config", "read"]:
@@ -89,6 +87,12 @@
     return Failure(RejectedCall(404, OperationError("call", path, "nothing is served here")))
 
 
+def _deregister(id_: str) -> Result[Command, RejectedCall]:
+    if ID.fullmatch(id_):
+        return Success(Deregister(id_))
+    return Failure(RejectedCall(400, OperationError("deregister", id_, "the id cannot be used")))
+
+
 def _heartbeat(id_: str, body: bytes) -> Result[Command, RejectedCall]:
     try:
         data: Any = json.loads(body) if len(body) <= MAX_HEARTBEAT_BYTES else None
--- a/irisdeal/registry/control_api.py
+++ b/irisdeal/registry/control_api.py
@@ -130,7 +130,7 @@
         return Answer(200, json.dumps(body).encode(), JSON_HEADERS)
 
     def _closer_registry(self, zone: str) -> str | None:
-        """The control address of a registry in a backend's zone, where this one is in another."""
+        """Return the control address of a registry in a backend's zone, where this one is in another."""
         if zone == self.settings.zone:
             return None
         peers = self.peers
--- a/irisdeal/registry/incarnation.py
+++ b/irisdeal/registry/incarnation.py
@@ -37,7 +37,7 @@
     warm_at: float
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form: its time is told as ms left from `now`, as clocks differ."""
+        """Return the wire form: its time is told as ms left from `now`, as clocks differ."""
         return [
             self.id,
             self.service,
@@ -75,7 +75,7 @@
     age_ms: int
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.incarnation.encode(now), self.age_ms]
 
     @staticmethod
@@ -92,7 +92,7 @@
     is_unresponsive: bool
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.incarnation.encode(now), self.is_unresponsive]
 
     @staticmethod
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -41,7 +41,7 @@
     change: int
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.sync_state.encode(), self.registry_incarnation, self.table_version, self.change]
 
     @staticmethod
@@ -72,7 +72,7 @@
     change: int
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s of the local clock."""
         return [
             self.chunk,
             self.registry_incarnation,
@@ -126,7 +126,7 @@
     connected: Sequence[int] = ()
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         flags = IS_REPEAT * self.is_repeat + IS_COUNTED * self.is_counted + IS_LATE * self.is_late
         return [
             self.zone,
@@ -187,7 +187,7 @@
     load_factor: float = 0.0
 
     def encode(self) -> list[Any]:
-        """The wire form: the reservation's number, or the result where there is none."""
+        """Return the wire form: the reservation's number, or the result where there is none."""
         return [
             self.reservation if self.result is PlacementResult.PLACED else int(self.result),
             self.backend,
@@ -216,7 +216,7 @@
     latency_ratio: float = 0.0
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.reservation, self.result, self.latency_ratio]
 
     @staticmethod
@@ -234,7 +234,7 @@
     in_flight: dict[int, int]
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.registry, self.in_flight]
 
     @staticmethod
@@ -251,17 +251,17 @@
     """A proxy's report of an interval.
 
     `position`: on the shared interval clock; `number`: of the interval, below 0 where the proxy has none yet;
-    `usages`: what it was asked for; `held`: the permits that it holds.
+    `usages`: what it was asked for; `prefetched`: the permits that it holds unused.
     """
 
     position: float
     number: int
     usages: Usages
-    held: PrefetchReport
+    prefetched: PrefetchReport
 
     def encode(self) -> list[Any]:
-        """The wire form."""
-        return [self.position, self.number, encode_usages(self.usages), self.held.encode()]
+        """Return the wire form."""
+        return [self.position, self.number, encode_usages(self.usages), self.prefetched.encode()]
 
     @staticmethod
     def decode(fields: Any) -> IntervalReport:
@@ -288,7 +288,7 @@
     totals: Usages = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.position, self.proxies, self.number, self.reserve.encode(), encode_usages(self.totals)]
 
     @staticmethod
@@ -311,7 +311,7 @@
     proxies: Sequence[int]
 
     def encode(self) -> list[Any]:
-        """The wire form."""
+        """Return the wire form."""
         return [self.registry, self.position, self.number, encode_usages(self.usages), list(self.proxies)]
 
     @staticmethod
@@ -337,7 +337,7 @@
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s of the local clock."""
         return [each.encode(now) for each in self.observed]
 
     @staticmethod
@@ -359,7 +359,7 @@
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s of the local clock."""
         return [[each.encode(now) for each in self.observed], [self.ip, self.zone, self.control]]
 
     @staticmethod
@@ -382,7 +382,7 @@
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """The wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s of the local clock."""
         return [self.is_complete, [each.encode(now) for each in self.observed]]
 
     @staticmethod
--- a/irisdeal/registry/metrics.py
+++ b/irisdeal/registry/metrics.py
@@ -20,4 +20,4 @@
             "Drains and ends of backends that too few of the core were told in time.",
         )
         self.orders = self.counter("orders", "Orders of the operator, by the status answered.", "status")
-        self.cut_calls = self.counter("cut_calls", "Calls from outside without an answer at the end.")
+        self.unanswered_calls = self.counter("cut_calls", "Calls from outside without an answer at the end.")
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -72,11 +72,11 @@
     # Links
 
     def others(self) -> list[str]:
-        """The IPs of the core machines but this one."""
+        """Return the IPs of the core machines but this one."""
         return sorted(self.store_client.everyone() - {self.ip})
 
     def link(self, ip: str) -> RpcClient:
-        """The client of the registry on this machine."""
+        """Return the client of the registry on this machine."""
         if ip not in self.links:
             address = ports.address_of(self.settings, ip, ports.REGISTRY)
             self.links[ip] = RpcClient(address, HELLO_NAME.format(ip=self.ip))
@@ -112,12 +112,11 @@
             await record.initialize(self._known())
 
     async def synchronize(self) -> None:
-        """Fetch all backends from enough of the others; until then, or until `SYNC_S` have passed, this
-        registry does not count as a complete source.
+        """Fetch all backends from enough of the others.
 
-        An end is acknowledged once a majority has it. Enough have answered when those that did not, with those
-        that are not complete, are no majority: each majority that has an end then has a member among those that
-        answered.
+        Until then, or until `SYNC_S` have passed, this registry does not count as a complete source. An end is
+        acknowledged once a majority has it. Enough have answered when those that did not, with those that are not
+        complete, are no majority: each majority that has an end then has a member among those that answered.
         """
         if self.is_synchronizing:
             return
@@ -152,7 +151,7 @@
             self.merge(snapshot.observed)
 
     async def _complete(self) -> None:
-        """What was to be fetched is here: from now on it is recorded."""
+        """Begin to record: what was to be fetched is here."""
         if not self.is_complete:
             if self.record is not None:
                 await self.record.initialize(self._known())
@@ -172,8 +171,10 @@
     # Calls of other registries
 
     async def apply_update(self, update: BackendUpdate) -> None:
-        """Merge another registry's update. Raises OSError where an end in it could not be recorded on disk: the
-        other registry must not count this one then."""
+        """Merge another registry's update.
+
+        Raises OSError where an end in it could not be recorded on disk: the other registry must not count this one.
+        """
         self.zones[update.ip] = update.zone
         self.controls[update.ip] = update.control
         self.merge(update.observed)
@@ -222,19 +223,22 @@
         enough = asyncio.Event()
         body = self._update([ObservedIncarnation(incarnation, 0)]).encode(self.loop.time())
 
-        def count(ip: str) -> None:
+        def add(ip: str) -> None:
+            """Count a machine that has recorded the end."""
             recorded.add(ip)
             if self.store_client.is_majority(recorded):
                 enough.set()
 
         async def record_here() -> None:
+            """Record the end on this machine's disk."""
             if await self._record([incarnation]):
-                count(self.ip)
+                add(self.ip)
 
         async def replicate_to(ip: str) -> None:
+            """Replicate the end to another machine."""
             answer = await self.link(ip).call(call_kinds.UPDATE_BACKENDS, body, REPLICATION_S)
             if isinstance(answer, Success):
-                count(ip)
+                add(ip)
 
         self.tasks.start(record_here())
         for ip in self.others():
@@ -243,12 +247,12 @@
             async with asyncio.timeout(REPLICATION_S):
                 await enough.wait()
         except TimeoutError:
-            self._note_unacknowledged(incarnation, len(recorded))
+            self._report_unacknowledged(incarnation, len(recorded))
             return False
         self.metrics.acknowledged_ends.add(str(len(recorded)))
         return True
 
-    def _note_unacknowledged(self, incarnation: BackendIncarnation, recorded: int) -> None:
+    def _report_unacknowledged(self, incarnation: BackendIncarnation, recorded: int) -> None:
         log_event(
             Event.DRAIN_NOT_ACKNOWLEDGED,
             id=incarnation.id,
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -95,8 +95,11 @@
         return lender if lender is not None and spare[lender] >= 1.0 else None
 
     def _spare(self, tenant: str, registry: str, last_sum: RegistrySum, now: float) -> float:
-        """Return how many permits another registry is likely to have: those of its last sum, or none after our
-        last request for a loan, and what it has refilled since then beyond its own proxies' requests."""
+        """Return how many permits another registry is likely to have.
+
+        Those of its last sum, or none after our last request for a loan, and what it has refilled since then beyond
+        its own proxies' requests.
+        """
         bucket = self.issuer.bucket(tenant, now)  # its refill and capacity are as ours
         usage = last_sum.usages.get(tenant)
         if usage is None:  # it has no requests of this tenant
@@ -161,7 +164,7 @@
         self.clock.observe_position(report.position, now)
         if report.number >= 0:
             self.counter.receive_report(short_key(process_name(caller)), report.number, report.usages, now)
-        reserve = self.issuer.handle_report(report.held, self.age(), now)
+        reserve = self.issuer.handle_report(report.prefetched, self.age(), now)
         total = self.counter.total
         totals = {tenant: total.usages[tenant] for tenant in report.usages if tenant in total.usages}
         return IntervalReply(round(self.clock.position(now), 4), total.proxies, total.number, reserve, totals)
@@ -197,8 +200,11 @@
         )
 
     def _ready_to_report(self, asked: Iterable[str], now: float) -> dict[str, float]:
-        """Return the permits that are ready here, by tenant: of those with requests, and of others whose
-        buckets are not full, as a registry that reports nothing of a tenant is taken to have a full bucket."""
+        """Return the permits that are ready here, by tenant.
+
+        Those of tenants with requests, and of others whose buckets are not full, as a registry that reports nothing
+        of a tenant is taken to have a full bucket.
+        """
         ready = self.issuer.partly_used(now)
         for tenant in asked:
             if self.issuer.is_limited(tenant):
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -77,15 +77,7 @@
         self.store_client = StoreClient(settings, VersionStore(), self._on_version, self._on_store_change)
         self.had_contact = False
         self.tasks, self.metrics = Tasks(), RegistryMetrics()
-        self.peers = RegistryPeers(
-            settings,
-            self.store_client,
-            self.backends,
-            _tombstone_record(settings, folder),
-            self.metrics,
-            self.tasks,
-            lambda: self.watch.wake(),
-        )
+        self.peers = self._new_peers(folder)
         self.watch = WatchService(
             self.store_client,
             self.backends,
@@ -102,8 +94,29 @@
             self.store_client.age,
             self.tasks,
         )
-        self.control = ControlApi(
-            settings,
+        self.control = self._new_control_api()
+        self.checked_at = self.loop.time()
+        self.handlers = self._handlers()
+        self.server = RpcServer(
+            self.handle, self.admission.answer_at_once, self.admission.placements.disconnect
+        )
+        self.http = HttpServer(self.control.handle, self.loop)
+        self.metrics_server = MetricsServer(settings, self.metrics, self.loop)
+
+    def _new_peers(self, folder: Folder | None) -> RegistryPeers:
+        return RegistryPeers(
+            self.settings,
+            self.store_client,
+            self.backends,
+            _tombstone_record(self.settings, folder),
+            self.metrics,
+            self.tasks,
+            lambda: self.watch.wake(),
+        )
+
+    def _new_control_api(self) -> ControlApi:
+        return ControlApi(
+            self.settings,
             self.store_client,
             self.backends,
             self.peers,
@@ -112,13 +125,6 @@
             self.tasks,
             self.watch.wake,
         )
-        self.checked_at = self.loop.time()
-        self.handlers = self._handlers()
-        self.server = RpcServer(
-            self.handle, self.admission.answer_at_once, self.admission.placements.disconnect
-        )
-        self.http = HttpServer(self.control.handle, self.loop)
-        self.metrics_server = MetricsServer(settings, self.metrics, self.loop)
 
     # Life cycle
 
@@ -137,20 +143,22 @@
         await self.metrics_server.start()
 
     async def stop(self) -> None:
-        """Shut down gracefully: proxies go to other registries at once, HTTP requests that were read are
-        answered."""
+        """Shut down gracefully.
+
+        Proxies go to other registries at once, HTTP requests that were read are answered.
+        """
         now = self.loop.time()
         ends_at = now + self.settings.bound("grace_s", GRACE_S) - END_S
         self.server.begin_drain(SERVED_WHILE_DRAINING)
         unanswered = await self.http.drain(now + ACCEPTING_S, ends_at)
-        cut_off = await self.server.drain(ends_at)
-        if unanswered.requests or unanswered.unsent_bytes or cut_off:
-            self.metrics.cut_calls.add(amount=len(unanswered.requests))
+        internal = await self.server.drain(ends_at)
+        if unanswered.requests or unanswered.unsent_bytes or internal:
+            self.metrics.unanswered_calls.add(amount=len(unanswered.requests))
             log_event(
                 Event.REGISTRY_CALLS_UNANSWERED,
                 calls=len(unanswered.requests),
                 unsent_bytes=unanswered.unsent_bytes,
-                internal=cut_off,
+                internal=internal,
             )
         self.store_client.stop()
         self.tasks.cancel()
@@ -169,7 +177,7 @@
             self.admission.quotas.configure(checked.unwrap())
 
     def _on_store_change(self) -> None:
-        """A newer configuration, another list of members, or contact with the store was lost or regained."""
+        """Follow a newer configuration, another list of members, or contact with the store lost or regained."""
         if self.store_client.value.change >= 0:
             members = self.store_client.members
             self.admission.authority.observe_list(IssuerList(members.number, members.ips()), self.loop.time())
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -1,7 +1,6 @@
-"""What a registry knows of the configuration store, and how old that is: it follows one replica, its own if it
-can.
+"""What a registry knows of the configuration store, and how old that is.
 
-Rules that must hold here:
+It follows one replica, its own if it can. Rules that must hold here:
 1. State is as of a moment of our steady clock: when our request was sent, less the age of the replica's contact
    with a quorum that it reports. So a reply of a replica that was cut off, suspended or late is old by itself.
 2. It counts only once the body of the decided version is here, complete.
@@ -76,8 +75,11 @@
         on_version: Callable[[ConfigVersion], None],
         on_change: Callable[[], None],
     ) -> None:
-        """`on_version`: called with a newer version; `on_change`: called when the version, the list of members
-        or whether there is contact has changed."""
+        """Follow the store once `start` is called.
+
+        `on_version`: called with a newer version; `on_change`: called when the version, the list of members or
+        whether there is contact has changed.
+        """
         self.settings, self.ip, self.version_store = settings, settings.ip, version_store
         self.on_version, self.on_change = on_version, on_change
         self.loop = asyncio.get_running_loop()
@@ -123,7 +125,7 @@
         return self.value.members
 
     def everyone(self) -> frozenset[str]:
-        """The core machines: the members, the learners and this one; the seeds until a list was received."""
+        """Return the core machines: members, learners and this one; the seeds until a list was received."""
         seeds = ports.seeds(self.settings) if self.value.change < 0 else ()
         return self.members.ips() | self.learners | {self.ip, *seeds}
 
@@ -249,9 +251,9 @@
     def _apply(self, ip: str, sync_state: SyncState, sent_at: float, reply: WatchReply) -> ProbeResult:
         """Apply a reply to a request that was sent at `sent_at` with `sync_state`."""
         value, has_contact = reply.value, reply.contact_age_ms >= 0
+        as_of = sent_at - reply.contact_age_ms / 1000
         if value.change < 0:  # its disk came empty: it knows nothing yet
             return ProbeResult.NO_CONTACT
-        as_of = sent_at - reply.contact_age_ms / 1000
         if value.change < self.value.change and value.version_id.number <= self.value.version_id.number:
             if has_contact and as_of > self.as_of:
                 self._log_stale(ip, value)
--- a/irisdeal/registry/tombstone_record.py
+++ b/irisdeal/registry/tombstone_record.py
@@ -48,8 +48,10 @@
         self.lock = asyncio.Lock()
 
     async def load(self) -> list[BackendIncarnation] | None:
-        """Return what is recorded; None where there is no record, or a damaged one, so that an earlier process
-        may have known more."""
+        """Return what is recorded.
+
+        None where there is no record, or a damaged one, so that an earlier process may have known more.
+        """
         try:
             async with self.lock:
                 return await asyncio.get_running_loop().run_in_executor(None, self._load)
@@ -86,8 +88,10 @@
             return await self._write(known) and all(map(self.has, wanted))
 
     async def initialize(self, known: Iterable[BackendIncarnation]) -> bool:
-        """Write the record though there may be no tombstone: from now on the file shows that this machine
-        forgot none."""
+        """Write the record though there may be no tombstone.
+
+        From now on the file shows that this machine forgot none.
+        """
         async with self.lock:
             return await self._write(known)
 
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -31,8 +31,11 @@
         zones: dict[str, str],
         is_synchronized: Callable[[], bool],
     ) -> None:
-        """`incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether
-        this registry has fetched the backends that the others know."""
+        """Answer from these.
+
+        `incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether this
+        registry has fetched the backends that the others know.
+        """
         self.store_client, self.backends = store_client, backends
         self.incarnation, self.zones = incarnation, zones
         self.is_synchronized = is_synchronized
