--- a/irisdeal/config_store/storage/chunk_assembler.py
+++ b/irisdeal/config_store/storage/chunk_assembler.py
@@ -121,7 +121,7 @@
         if chunk.base and not self.version_store.has(chunk.base):
             raise VersionMismatchError("the base is not here")
         if not chunk.base:
-            self.last_completed = NO_VERSION  # the source was told of it and did not have it as a base
+            self.last_completed = NO_VERSION  # it was offered as a base, and the source had no use for it
         self.transfer = _Transfer(chunk.version_id, chunk.length, chunk.base, chunk.size)
 
     def _goes_on(self) -> bool:
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -48,6 +48,10 @@
     length: int
 
 
+def _has_begun_snapshot(sync_state: SyncState) -> bool:
+    return sync_state.arriving != NO_VERSION and sync_state.offset > 0
+
+
 class VersionStore:
     """The last versions of this process, within bounds.
 
@@ -137,26 +141,31 @@
         version = self.get(wanted.digest)
         if version is None or len(version.body) > MAX_BODY_BYTES:
             return None
-        is_snapshot_begun = sync_state.arriving != NO_VERSION and sync_state.offset > 0
-        resumes_wanted = is_snapshot_begun and sync_state.arriving == wanted
-        if not resumes_wanted:
-            delta = self._delta_chunk(sync_state, version)
+        if not (_has_begun_snapshot(sync_state) and sync_state.arriving == wanted):
+            delta = self._delta_chunk(sync_state, wanted, version)
             if delta is not None:
                 return delta
-        begun = self._begun_snapshot(sync_state, wanted) if is_snapshot_begun else None
-        if begun is not None:
-            return self._snapshot_chunk(begun, sync_state.offset)
-        if resumes_wanted:
-            return self._snapshot_chunk(version, sync_state.offset)
+        return self._next_snapshot_chunk(sync_state, wanted, version, by_snapshot)
+
+    def _next_snapshot_chunk(
+        self, sync_state: SyncState, wanted: VersionId, version: ConfigVersion, by_snapshot: bool
+    ) -> SnapshotChunk:
+        """Continue the snapshot that a receiver is in the middle of, or start one."""
+        if _has_begun_snapshot(sync_state):
+            if sync_state.arriving == wanted:
+                return self._snapshot_chunk(version, sync_state.offset)
+            older = self._begun_older_version(sync_state, wanted)
+            if older is not None:
+                return self._snapshot_chunk(older, sync_state.offset)
         first = self._shared_snapshot(version, sync_state.version_id) if by_snapshot else version
         return self._snapshot_chunk(first, 0)
 
-    def _begun_snapshot(self, sync_state: SyncState, wanted: VersionId) -> ConfigVersion | None:
+    def _begun_older_version(self, sync_state: SyncState, wanted: VersionId) -> ConfigVersion | None:
         """Return the older version that a receiver is in the middle of, where it is newer than what it has."""
         if not sync_state.version_id < sync_state.arriving < wanted:
             return None
-        begun = self.get(sync_state.arriving.digest)
-        return begun if begun is not None and 0 < sync_state.offset < len(begun.body) else None
+        older = self.get(sync_state.arriving.digest)
+        return older if older is not None and sync_state.offset < len(older.body) else None
 
     def _shared_snapshot(self, version: ConfigVersion, above: VersionId) -> ConfigVersion:
         """Return the snapshot, newer than `above`, for a receiver of `version` that has nothing near it.
@@ -183,13 +192,15 @@
             self.cache.add(key, packed)
         return SnapshotChunk(version.version_id, len(version.body), offset, packed)
 
-    def _delta_chunk(self, sync_state: SyncState, version: ConfigVersion) -> DeltaChunk | None:
+    def _delta_chunk(
+        self, sync_state: SyncState, wanted: VersionId, version: ConfigVersion
+    ) -> DeltaChunk | None:
         """Return the next chunk of the difference against what the receiver has; None where there is none."""
         base = sync_state.version_id.digest
         packed = self._packed_difference(base, version)
         if packed is None:
             return None
-        is_begun = sync_state.arriving == version.version_id and sync_state.offset < 0
+        is_begun = sync_state.arriving == wanted and sync_state.offset < 0
         offset = -sync_state.offset if is_begun else 0
         if offset >= len(packed):
             offset = 0
