--- a/tests/system/test_docs.py
+++ b/tests/system/test_docs.py
@@ -212,6 +212,22 @@
     assert not wrong
 
 
+def test_each_constant_that_a_page_names_is_in_the_code() -> None:
+    """`NAME_IN_CAPITALS` in any page but a history is a word of the code."""
+    sources = [
+        path for path in tracked() if re.match(r"(irisdeal|tests|benchmarks|deploy)/.*\.(py|toml)$", path)
+    ]
+    words = {word for path in sources for word in re.findall(r"\w+", (ROOT / path).read_text("utf-8"))}
+    wrong = [
+        (name_of(page), name)
+        for page in PAGES
+        if not name_of(page).startswith(HISTORIES)
+        for name in re.findall(r"`([A-Z][A-Z0-9_]{2,})`", without_blocks(page.read_text("utf-8")))
+        if name not in words
+    ]
+    assert not wrong
+
+
 # Glossary
 
 
