--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -24,9 +24,10 @@
 
 import cbor2
 
-from irisdeal.config_store.configuration.incremental_reading import Reading, reading
-from irisdeal.config_store.configuration.index import run
-from irisdeal.config_store.configuration.schema import read_whole
+from irisdeal.config_store.configuration.incremental_reading import read_incrementally
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
+from irisdeal.config_store.configuration.parsing import parse_configuration
+from irisdeal.config_store.configuration.stepwise import run_to_completion
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -100,22 +101,26 @@
         data = change(data, chance, f"r{number}")
         versions.append(ConfigVersion.of(f"r{number}", encoded(data)))
     timed(
-        partial(RouteTable, timed(partial(read_whole, versions[0].body), times["whole read"]).unwrap()),
+        partial(
+            RouteTable, timed(partial(parse_configuration, versions[0].body), times["whole read"]).unwrap()
+        ),
         times["whole table"],
     )
     version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(max_older=0))
     version_store.add(versions[0])
     snapshot, pieces = timed(partial(taking, version_store, assembler, None, versions[0]), times["snapshot"])
-    before: Reading = run(reading(versions[0].body, None)).unwrap()
-    table, bytes_told = run(RouteTable.build(before, None)), []
+    before: ParsedConfiguration = run_to_completion(read_incrementally(versions[0].body, None)).unwrap()
+    table, bytes_told = run_to_completion(RouteTable.build(before, None)), []
     for held, version in pairwise(versions):
         timed(partial(telling, version_store, assembler, held, version), times["tell"])
         size, chunks = timed(partial(taking, version_store, assembler, held, version), times["take"])
         assert chunks == 1
         bytes_told.append(size)
-        after = timed(partial(run, reading(version.body, before)), times["read"]).unwrap()
-        table = timed(partial(run, RouteTable.build(after, table)), times["table"])
-        sliced(reading(version.body, before), times["slice"])
+        after = timed(
+            partial(run_to_completion, read_incrementally(version.body, before)), times["read"]
+        ).unwrap()
+        table = timed(partial(run_to_completion, RouteTable.build(after, table)), times["table"])
+        sliced(read_incrementally(version.body, before), times["slice"])
         before = after
     ms = {name: round(statistics.median(values), 2) for name, values in times.items()}
     return {
--- a/irisdeal/config_store/configuration/cached_reading.py
+++ b/irisdeal/config_store/configuration/cached_reading.py
@@ -1,65 +1,34 @@
-"""The configuration as the operator writes it, read; what one process reads one after the other shares its work."""
+"""Parsing of the configurations that one process receives one after the other, which shares work between them."""
 
 from __future__ import annotations
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.config_store.configuration.incremental_reading import Reading, reading
-from irisdeal.config_store.configuration.index import run
-from irisdeal.config_store.configuration.schema import (
-    KINDS,
-    MOST_FAULTS,
-    MOST_OVER_MS,
-    Configuration,
-    Effect,
-    Limits,
-    Pattern,
-    Pool,
-    Rule,
-    Share,
-    Socket,
-    Tenant,
-    faults,
-    read_whole,
-)
+from irisdeal.config_store.configuration.incremental_reading import read_incrementally
+from irisdeal.config_store.configuration.model import Configuration
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
+from irisdeal.config_store.configuration.stepwise import run_to_completion
 from irisdeal.runtime.errors import OperationError
 
-__all__ = [
-    "KINDS",
-    "MOST_FAULTS",
-    "MOST_OVER_MS",
-    "Configuration",
-    "Effect",
-    "Limits",
-    "Pattern",
-    "Pool",
-    "Rule",
-    "Share",
-    "Socket",
-    "Tenant",
-    "faults",
-    "read",
-    "read_whole",
-]
 
-
-class _Last:
-    """The last valid reading of this process: what the next one takes over. It changes cost alone, no result."""
+class _ParsingCache:
+    """The last valid configuration of this process, from which the next one is parsed. It changes cost alone."""
 
     def __init__(self) -> None:
-        self.reading: Reading | None = None
+        self.last: ParsedConfiguration | None = None
 
-    def read(self, body: bytes) -> Result[Reading, OperationError]:
-        found = run(reading(body, self.reading))
+    def parse(self, body: bytes) -> Result[ParsedConfiguration, OperationError]:
+        """Return the valid configuration in these bytes, or what makes it invalid."""
+        found = run_to_completion(read_incrementally(body, self.last))
         if isinstance(found, Success):
-            self.reading = found.unwrap()
+            self.last = found.unwrap()
         return found
 
 
-_last = _Last()
+_cache = _ParsingCache()
 
 
-def read(body: bytes) -> Result[Configuration, OperationError]:
-    """The valid configuration in these bytes, or what makes it invalid."""
-    found = _last.read(body)
+def parse_cached(body: bytes) -> Result[Configuration, OperationError]:
+    """Return the valid configuration in these bytes, or an error that names all that is wrong."""
+    found = _cache.parse(body)
     return Failure(found.failure()) if isinstance(found, Failure) else Success(found.unwrap().configuration)
--- a/irisdeal/config_store/configuration/incremental_reading.py
+++ b/irisdeal/config_store/configuration/incremental_reading.py
@@ -1,370 +1,346 @@
-"""Reading a configuration anew only where it changed: what is alike, byte for byte, is taken over from the reading
-before. No input or output here.
+"""Parsing a configuration again only where it changed. No input or output here.
 
-The bytes of two versions are walked together (`difference.walk`). An entry of a list (a tenant, a pool, a rule of
-a host) is an object, and so ends where it ends whatever stands around it: where its bytes are alike, its value is.
-New entries are read with `dacite`, and checked as all entries are; what concerns several (names, keys and places
-that are there twice, services that are gone) is checked against the index.
+What is equal, byte for byte, is taken over from the previous version. The bytes of two versions are walked together
+(`delta.align`). An entry of a list (a tenant, a pool, a rule of a host) is an object, and so ends where it ends
+whatever stands around it: where its bytes are equal, its value is. New entries are parsed with `dacite`, and
+validated as all entries are; what concerns several (names, keys and routes that are there twice, services that were
+removed) is checked against the index.
 
-Only a valid configuration comes out of this way. At the least oddness (a fault, a key twice, bytes that are no
-ASCII, another shape) the whole is read and checked at once, so that faults are told as ever; `read_whole` is the
-measure.
+Only a valid configuration comes out of this way. At the least doubt (an error, a key twice, bytes that are no
+ASCII, another shape) the whole is parsed and validated in one go by `parse_configuration`, so that errors read the
+same.
 """
 
 from __future__ import annotations
 
-import json
-import re
 from bisect import bisect_left, bisect_right
-from collections.abc import Callable, Generator, Iterator
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Callable, Generator
+from typing import Any, NamedTuple, TypeVar
 
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.config_store.configuration.difference import walk
-from irisdeal.config_store.configuration.index import STEP, Changes, Index
-from irisdeal.config_store.configuration.schema import (
-    READING,
-    Configuration,
-    Limits,
-    Pool,
-    Rule,
-    Socket,
-    Tenant,
-    host_faults,
-    read_whole,
-    rule_faults,
-    tenant_faults,
+from irisdeal.config_store.configuration.delta import DeltaStep, align
+from irisdeal.config_store.configuration.index import Index, IndexChanges
+from irisdeal.config_store.configuration.json_cursor import JsonCursor, UnsupportedShapeError
+from irisdeal.config_store.configuration.model import Configuration, Limits, Pool, Rule, Socket, Tenant
+from irisdeal.config_store.configuration.outline import (
+    EntryList,
+    HostEntry,
+    Outline,
+    ParsedConfiguration,
+    PreviousEntries,
 )
-from irisdeal.config_store.configuration.version import number
+from irisdeal.config_store.configuration.parsing import parse_configuration, parse_entry
+from irisdeal.config_store.configuration.stepwise import ENTRIES_PER_PAUSE
+from irisdeal.config_store.configuration.validation import validate_hostname, validate_rule, validate_tenant
+from irisdeal.config_store.configuration.version import generation_number
 from irisdeal.runtime.errors import OperationError
 
-BLANK = re.compile(r"[ \t\n\r]*")
-EACH = 8  # entries read with dacite between two pauses, some 0.6 ms
-LEAST_ALIKE = 64  # bytes alike in a row that are worth a look
+E = TypeVar("E")
 
+PARSED_PER_PAUSE = 8  # entries parsed with dacite between two pauses, some 0.6 ms
+MIN_EQUAL_BYTES = 64  # in a row that are worth a search for entries
 
-class Odd(ValueError):
-    """Not the usual shape: the whole is read at once."""
+ParseEntry = Callable[[int], Generator[None, None, tuple[E, int]]]  # offset of an entry -> its value and end
 
 
-@dataclass(slots=True)
-class Entries:
-    """The entries of one list: where each begins and ends, counted from `base` of who asks, and its value."""
+class EqualBytes(NamedTuple):
+    """Bytes from an offset on that are equal in the previous body: where they stand there, and how many."""
 
-    starts: list[int] = field(default_factory=list)
-    ends: list[int] = field(default_factory=list)
-    values: list[Any] = field(default_factory=list)
+    previous_offset: int
+    length: int
 
-    def add(self, start: int, end: int, value: Any) -> None:
-        self.starts.append(start)
-        self.ends.append(end)
-        self.values.append(value)
 
+NO_EQUAL_BYTES = EqualBytes(-1, 0)
 
-@dataclass(frozen=True, slots=True)
-class Host:
-    """One entry of `sockets`: places of its rules count from its begin."""
 
-    socket: Socket
-    rules: Entries
+class ListRead(NamedTuple):
+    """A list that was read: all entries, the values that are new, and the offset of its end."""
 
+    entries: EntryList[Any]
+    new_values: list[Any]
+    end: int
 
-@dataclass(frozen=True, slots=True)
-class Outline:
-    """Where the entries of a body are."""
 
-    pools: Entries = field(default_factory=Entries)
-    hosts: Entries = field(default_factory=Entries)
-    tenants: Entries = field(default_factory=Entries)
+class _EntryReader:
+    """Reads lists of entries of one body, beside the previous version."""
 
+    def __init__(self, body: bytes, previous: ParsedConfiguration | None) -> None:
+        self.cursor = JsonCursor(body)
+        self.parsed = 0  # entries, with dacite
+        self.outline = previous.outline if previous is not None else None
+        self.copies: list[DeltaStep] = []
+        if previous is not None and self.outline is not None:
+            self.copies = [
+                step
+                for step in align(previous.body, body)
+                if step.base_offset >= 0 and step.length >= MIN_EQUAL_BYTES
+            ]
+        self.copy_offsets = [step.target_offset for step in self.copies]
 
-@dataclass(frozen=True, slots=True)
-class Reading:
-    """A valid configuration, and what the next reading takes over. `outline`: None where the body was odd."""
-
-    body: bytes
-    configuration: Configuration
-    index: Index
-    outline: Outline | None
-
-
-class _Old:
-    """The list of the version before, and which of its entries were taken over."""
-
-    def __init__(self, entries: Entries, base: int = 0) -> None:
-        self.entries, self.base = entries, base
-        self.taken = bytearray(len(entries.starts))
-
-    def left(self) -> Iterator[int]:
-        """Those that were not taken over."""
-        at = self.taken.find(0)
-        while at >= 0:
-            yield at
-            at = self.taken.find(0, at + 1)
-
-
-class _Scan:
-    """One pass over a body beside the reading before."""
-
-    def __init__(self, body: bytes, before: Reading | None) -> None:
-        if not body.isascii():
-            raise Odd("bytes beyond ASCII: places of bytes and of characters differ")
-        self.text = body.decode("ascii")
-        self.decode = json.JSONDecoder().raw_decode
-        self.read = 0
-        self.outline = before.outline if before is not None else None
-        runs = (
-            [run for run in walk(before.body, body) if run[0] >= 0 and run[2] >= LEAST_ALIKE]
-            if (before is not None and self.outline is not None)
-            else []
-        )
-        self.places = [to for _, to, _ in runs]
-        self.runs = runs
-        self.changes = Changes()
-
-    # The text
-
-    def skip(self, at: int) -> int:
-        found = BLANK.match(self.text, at)
-        assert found is not None
-        return found.end()
-
-    def expect(self, at: int, wanted: str) -> int:
-        """The place after it and blanks."""
-        at = self.skip(at)
-        if self.text[at : at + 1] != wanted:
-            raise Odd(f"at {at}: wanted {wanted}")
-        return self.skip(at + 1)
-
-    def members(
-        self,
-        at: int,
-        value: Callable[[str, int], Generator[None, None, int]],
-    ) -> Generator[None, None, int]:
-        """Walk an object: `value` reads what a key has from a place on and says where it ends; where all ends."""
-        at, seen = self.expect(at, "{"), set()
-        if self.text[at : at + 1] == "}":
-            return at + 1
-        while True:
-            key, at = self.decode(self.text, at)
-            if not isinstance(key, str) or key in seen:
-                raise Odd("a key twice, or none")
-            seen.add(key)
-            at = self.skip((yield from value(key, self.expect(at, ":"))))
-            if self.text[at : at + 1] == "}":
-                return at + 1
-            at = self.expect(at, ",")
-
-    def alike(self, at: int) -> tuple[int, int]:
-        """The place in the body before where the bytes from here on are alike, and how many; (-1, 0) for none."""
-        which = bisect_right(self.places, at) - 1
+    def equal_bytes(self, offset: int) -> EqualBytes:
+        """Return the bytes from here on that are equal in the previous body."""
+        which = bisect_right(self.copy_offsets, offset) - 1
         if which < 0:
-            return -1, 0
-        old, to, count = self.runs[which]
-        return (old + at - to, to + count - at) if at < to + count else (-1, 0)
-
-    def items(
-        self,
-        at: int,
-        base: int,
-        old: _Old | None,
-        make: Callable[[int], Generator[None, None, tuple[Any, int]]],
-    ) -> Generator[None, None, tuple[Entries, list[Any], int]]:
-        """Walk a list: its entries, the values of those that are new, and where it ends. Places count from `base`.
-
-        `make` reads the entry that begins at a place, and says where it ends.
+            return NO_EQUAL_BYTES
+        base_offset, target_offset, length = self.copies[which]
+        skipped = offset - target_offset
+        return EqualBytes(base_offset + skipped, length - skipped) if skipped < length else NO_EQUAL_BYTES
+
+    def read_list(
+        self, offset: int, base: int, previous: PreviousEntries[E] | None, parse: ParseEntry[E]
+    ) -> Generator[None, None, ListRead]:
+        """Walk a list.
+
+        Args:
+            offset: of its begin.
+            base: the offset from which the offsets of its entries count.
+            previous: the list in the previous version; its entries that are equal are taken over.
+            parse: reads the entry that begins at an offset.
         """
-        entries, new = Entries(), list[Any]()
-        at = self.expect(at, "[")
-        if self.text[at : at + 1] == "]":
-            return entries, new, at + 1
+        cursor = self.cursor
+        entries: EntryList[E] = EntryList()
+        new_values: list[E] = []
+        offset = cursor.expect(offset, "[")
+        if cursor.has(offset, "]"):
+            return ListRead(entries, new_values, offset + 1)
         while True:
-            end = self._take(at, base, old, entries) if old is not None else -1
+            end = self._take_over(offset, base, previous, entries) if previous is not None else -1
             if end < 0:
-                value, end = yield from make(at)
-                entries.add(at - base, end - base, value)
-                new.append(value)
-            at = self.skip(end)
-            if self.text[at : at + 1] == "]":
-                return entries, new, at + 1
-            at = self.expect(at, ",")
-
-    def _take(self, at: int, base: int, old: _Old, entries: Entries) -> int:
-        """Take over all entries that are alike from here on: where the last of them ends, or -1."""
-        place, room = self.alike(at)
-        if room <= 0:
+                value, end = yield from parse(offset)
+                entries.append(offset - base, end - base, value)
+                new_values.append(value)
+            offset = cursor.skip_blanks(end)
+            if cursor.has(offset, "]"):
+                return ListRead(entries, new_values, offset + 1)
+            offset = cursor.expect(offset, ",")
+
+    def _take_over(self, offset: int, base: int, previous: PreviousEntries[E], entries: EntryList[E]) -> int:
+        """Take over all entries that are equal from here on; return where the last of them ends, or -1 for none."""
+        previous_offset, length = self.equal_bytes(offset)
+        if length <= 0:
             return -1
-        place -= old.base
-        first = bisect_left(old.entries.starts, place)
-        last = bisect_right(old.entries.ends, place + room)
-        if first >= last or old.entries.starts[first] != place or 1 in old.taken[first:last]:
+        previous_offset -= previous.base
+        old = previous.entries
+        first = bisect_left(old.starts, previous_offset)
+        last = bisect_right(old.ends, previous_offset + length)
+        if first >= last or old.starts[first] != previous_offset or 1 in previous.taken[first:last]:
             return -1
-        old.taken[first:last] = b"\1" * (last - first)
-        shift = at - base - place
-        entries.starts += [start + shift for start in old.entries.starts[first:last]]
-        entries.ends += [end + shift for end in old.entries.ends[first:last]]
-        entries.values += old.entries.values[first:last]
+        previous.take(first, last)
+        entries.extend_from(old, first, last, offset - base - previous_offset)
         return entries.ends[-1] + base
 
-    # The entries
+    def entry_parser(self, kind: type[E]) -> ParseEntry[E]:
+        """Return what parses an entry of this type."""
 
-    def entry(self, kind: type) -> Callable[[int], Generator[None, None, tuple[Any, int]]]:
-        def make(at: int) -> Generator[None, None, tuple[Any, int]]:
-            self.read += 1
-            if self.read % EACH == 0:
+        def parse(offset: int) -> Generator[None, None, tuple[E, int]]:
+            """Return the entry at this offset, and the offset of its end."""
+            self.parsed += 1
+            if self.parsed % PARSED_PER_PAUSE == 0:
                 yield
-            data, end = self.decode(self.text, at)
+            data, end = self.cursor.decode(self.cursor.text, offset)
             if not isinstance(data, dict):
-                raise Odd("an entry that is no object")
-            return dacite.from_dict(kind, data, READING), end
-
-        return make
-
-    def host(self, old: _Old | None) -> Callable[[int], Generator[None, None, tuple[Any, int]]]:
-        def make(at: int) -> Generator[None, None, tuple[Any, int]]:
-            begun, name = at, ""
-            before = self._host_before(at, old)
-            rules: tuple[Entries, list[Rule]] | None = None
-            old_rules = _Old(before[0].rules, before[1]) if before is not None else None
-
-            def value(key: str, at: int) -> Generator[None, None, int]:
-                nonlocal name, rules
-                if key == "rules":
-                    entries, new, end = yield from self.items(at, begun, old_rules, self.entry(Rule))
-                    rules = entries, new
-                    return end
-                data, end = self.decode(self.text, at)
-                if key == "hostname":
-                    if not isinstance(data, str) or host_faults(data):
-                        raise Odd("hostname")
-                    name = data
-                return end
-
-            end = yield from self.members(at, value)
-            if not name or rules is None:
-                raise Odd("a socket without hostname or rules")
-            entries, new = rules
-            self.changes.new_rules += [(name, rule) for rule in new]
-            if before is not None and old_rules is not None:
-                self._host_after(before[0], old_rules, name)
-            return Host(Socket(name, tuple(entries.values)), entries), end
-
-        return make
-
-    def _host_before(self, at: int, old: _Old | None) -> tuple[Host, int] | None:
-        """The entry that this one follows, and where it began; taken over here, but for what is not alike."""
-        place, room = self.alike(at)
-        if old is None or room <= 0:
-            return None
-        which = bisect_right(old.entries.starts, place) - 1
-        if which < 0 or place >= old.entries.ends[which] or old.taken[which]:
-            return None
-        old.taken[which] = 1
-        return old.entries.values[which], old.entries.starts[which]
-
-    def _host_after(self, before: Host, old_rules: _Old, name: str) -> None:
-        was, rules = before.socket.hostname, before.socket.rules
-        self.changes.gone_rules += [(was, rules[index]) for index in old_rules.left()]
-        if was.lower() != name.lower():
-            moved = [rule for index, rule in enumerate(rules) if old_rules.taken[index]]
-            self.changes.gone_rules += [(was, rule) for rule in moved]
-            self.changes.new_rules += [(name, rule) for rule in moved]
-
-    # The whole
-
-    def configuration(self) -> Generator[None, None, tuple[Configuration, Outline]]:
-        parts: dict[str, Any] = {}
-        lists = {"pools": Entries(), "sockets": Entries(), "tenants": Entries()}
-        outline = self.outline
-        pools = _Old(outline.pools if outline else Entries())
-        hosts = _Old(outline.hosts if outline else Entries())
-        tenants = _Old(outline.tenants if outline else Entries())
-        new: dict[str, list[Any]] = {"pools": [], "sockets": [], "tenants": []}
-        makes = {
-            "pools": (pools, self.entry(Pool)),
-            "sockets": (hosts, self.host(hosts)),
-            "tenants": (tenants, self.entry(Tenant)),
-        }
-
-        def value(key: str, at: int) -> Generator[None, None, int]:
-            if key in makes and self.text[at : at + 1] == "[":
-                old, make = makes[key]
-                lists[key], new[key], end = yield from self.items(at, 0, old, make)
-                parts[key] = tuple(lists[key].values)
-                yield
-                return end
-            data, end = self.decode(self.text, at)
-            if key in ("pools", "sockets") or (key == "tenants" and data is not None):
-                raise Odd(f"{key}: no list")
-            parts[key] = data
+                raise UnsupportedShapeError("an entry that is no object")
+            return parse_entry(kind, data), end
+
+        return parse
+
+
+class _HostParser:
+    """Parses entries of `sockets`; what changed in their rules is noted in `changes`."""
+
+    def __init__(
+        self, reader: _EntryReader, previous: PreviousEntries[HostEntry], changes: IndexChanges
+    ) -> None:
+        self.reader = reader
+        self.previous = previous
+        self.changes = changes
+
+    def parse(self, offset: int) -> Generator[None, None, tuple[HostEntry, int]]:
+        """Return the host that begins at this offset, and the offset of its end."""
+        reader, hostname = self.reader, ""
+        rules: ListRead | None = None
+        found = self._take_previous(offset)
+        previous_rules = PreviousEntries(found[0].rules, found[1]) if found is not None else None
+
+        def read_value(key: str, at: int) -> Generator[None, None, int]:
+            """Read what a key of the host has; return the offset of its end."""
+            nonlocal hostname, rules
+            if key == "rules":
+                rules = yield from reader.read_list(at, offset, previous_rules, reader.entry_parser(Rule))
+                return rules.end
+            data, end = reader.cursor.decode(reader.cursor.text, at)
+            if key == "hostname":
+                hostname = _checked_hostname(data)
             return end
 
-        end = yield from self.members(0, value)
-        if self.skip(end) != len(self.text):
-            raise Odd("more after the end")
-        number(parts.get("generation"))
-        if "sockets" not in parts or "pools" not in parts:
-            raise Odd("not all there")
-        limits = dacite.from_dict(Limits, parts["limits"], READING) if "limits" in parts else Limits()
-        changes = self.changes
-        for which in hosts.left():
-            socket = hosts.entries.values[which].socket
-            changes.gone_rules += [(socket.hostname, rule) for rule in socket.rules]
-        changes.gone_pools = [pools.entries.values[which] for which in pools.left()]
-        changes.gone_tenants = [tenants.entries.values[which] for which in tenants.left()]
-        changes.new_pools, changes.new_tenants = new["pools"], new["tenants"]
-        sockets = tuple(host.socket for host in lists["sockets"].values)
+        end = yield from reader.cursor.walk_object(offset, read_value)
+        if not hostname or rules is None:
+            raise UnsupportedShapeError("a socket without hostname or rules")
+        self.changes.added_rules += [(hostname, rule) for rule in rules.new_values]
+        if found is not None and previous_rules is not None:
+            self._record_changes(found[0], previous_rules, hostname)
+        return HostEntry(Socket(hostname, tuple(rules.entries.values)), rules.entries), end
+
+    def _take_previous(self, offset: int) -> tuple[HostEntry, int] | None:
+        """Return the entry of the previous version that this one follows, and its offset; None where there is none.
+
+        It is taken over here, but for what is not equal.
+        """
+        previous_offset, length = self.reader.equal_bytes(offset)
+        if length <= 0:
+            return None
+        old = self.previous.entries
+        which = bisect_right(old.starts, previous_offset) - 1
+        if which < 0 or previous_offset >= old.ends[which] or self.previous.taken[which]:
+            return None
+        self.previous.take(which, which + 1)
+        return old.values[which], old.starts[which]
+
+    def _record_changes(self, previous: HostEntry, rules: PreviousEntries[Rule], hostname: str) -> None:
+        """Note the rules that were removed, and those that stand under another hostname now."""
+        old_name, old_rules = previous.socket.hostname, previous.socket.rules
+        self.changes.removed_rules += [(old_name, old_rules[position]) for position in rules.removed()]
+        if old_name.lower() != hostname.lower():
+            moved = [rule for position, rule in enumerate(old_rules) if rules.taken[position]]
+            self.changes.removed_rules += [(old_name, rule) for rule in moved]
+            self.changes.added_rules += [(hostname, rule) for rule in moved]
+
+
+def _checked_hostname(data: object) -> str:
+    if not isinstance(data, str) or validate_hostname(data):
+        raise UnsupportedShapeError("hostname")
+    return data
+
+
+class _ConfigurationReader:
+    """Reads one body beside the previous version. `changes` says what differs, once all was read."""
+
+    def __init__(self, body: bytes, previous: ParsedConfiguration | None) -> None:
+        self.reader = _EntryReader(body, previous)
+        self.changes = IndexChanges()
+        self.has_outline = self.reader.outline is not None
+        outline = self.reader.outline or Outline()
+        self.pools = PreviousEntries(outline.pools)
+        self.hosts = PreviousEntries(outline.hosts)
+        self.tenants = PreviousEntries(outline.tenants)
+        self.lists = {name: ListRead(EntryList(), [], 0) for name in ("pools", "sockets", "tenants")}
+        self.fields: dict[str, Any] = {}  # by key, as far as they were read
+
+    def read(self) -> Generator[None, None, tuple[Configuration, Outline]]:
+        """Return the configuration and where its entries stand; pauses now and then."""
+        cursor = self.reader.cursor
+        end = yield from cursor.walk_object(0, self._read_value)
+        if cursor.skip_blanks(end) != len(cursor.text):
+            raise UnsupportedShapeError("more after the end")
+        fields = self.fields
+        generation_number(fields.get("generation"))
+        if "sockets" not in fields or "pools" not in fields:
+            raise UnsupportedShapeError("a list is missing")
+        limits = parse_entry(Limits, fields["limits"]) if "limits" in fields else Limits()
+        self._record_changes()
+        pools, hosts, tenants = (self.lists[name].entries for name in ("pools", "sockets", "tenants"))
+        sockets = tuple(host.socket for host in hosts.values)
         return (
-            Configuration(parts["generation"], sockets, parts["pools"], parts.get("tenants"), limits),
-            Outline(lists["pools"], lists["sockets"], lists["tenants"]),
+            Configuration(fields["generation"], sockets, fields["pools"], fields.get("tenants"), limits),
+            Outline(pools, hosts, tenants),
         )
 
-
-def _check(configuration: Configuration, index: Index, changes: Changes) -> Generator[None, None, None]:
-    """Odd where a new entry has a fault, or one that stayed names a service that is gone."""
-    for count, (_, rule) in enumerate(changes.new_rules):
-        if count % STEP == STEP - 1:
-            yield
-        if rule_faults(rule, index.pools):
-            raise Odd(f"rule {rule.name!r}")
-    for count, tenant in enumerate(changes.new_tenants):
-        if count % STEP == STEP - 1:
+    def _read_value(self, key: str, offset: int) -> Generator[None, None, int]:
+        """Read what a key of the configuration has; return the offset of its end."""
+        cursor = self.reader.cursor
+        if key in self.lists and cursor.has(offset, "["):
+            self.lists[key] = found = yield from self._read_list(key, offset)
+            self.fields[key] = tuple(found.entries.values)
             yield
-        if tenant_faults(tenant):
-            raise Odd(f"tenant {tenant.name!r}")
-    gone = {pool.name for pool in changes.gone_pools if pool.name not in index.pools}
-    for socket in configuration.sockets if gone else ():
+            return found.end
+        data, end = cursor.decode(cursor.text, offset)
+        if key in ("pools", "sockets") or (key == "tenants" and data is not None):
+            raise UnsupportedShapeError(f"{key}: no list")
+        self.fields[key] = data
+        return end
+
+    def _read_list(self, key: str, offset: int) -> Generator[None, None, ListRead]:
+        reader = self.reader
+        if key == "pools":
+            return (yield from reader.read_list(offset, 0, self.pools, reader.entry_parser(Pool)))
+        if key == "tenants":
+            return (yield from reader.read_list(offset, 0, self.tenants, reader.entry_parser(Tenant)))
+        hosts = _HostParser(reader, self.hosts, self.changes)
+        return (yield from reader.read_list(offset, 0, self.hosts, hosts.parse))
+
+    def _record_changes(self) -> None:
+        """Note what was removed and added; rules of hosts that go on were noted as these were parsed."""
+        changes = self.changes
+        for position in self.hosts.removed():
+            socket = self.hosts.entries.values[position].socket
+            changes.removed_rules += [(socket.hostname, rule) for rule in socket.rules]
+        changes.removed_pools = [self.pools.entries.values[position] for position in self.pools.removed()]
+        changes.removed_tenants = [
+            self.tenants.entries.values[position] for position in self.tenants.removed()
+        ]
+        changes.added_pools = self.lists["pools"].new_values
+        changes.added_tenants = self.lists["tenants"].new_values
+
+
+def _check(configuration: Configuration, index: Index, changes: IndexChanges) -> Generator[None, None, None]:
+    """Check new entries, and that those that stayed name no service that was removed.
+
+    Raises:
+        UnsupportedShapeError: an entry is invalid.
+    """
+    yield from _check_added(index, changes)
+    removed = {pool.name for pool in changes.removed_pools if pool.name not in index.pools}
+    for socket in configuration.sockets if removed else ():
         yield
         for rule in socket.rules:
-            if any(share.service in gone for share in rule.shares()):
-                raise Odd(f"rule {rule.name!r}")
+            if any(share.service in removed for share in rule.shares()):
+                raise UnsupportedShapeError(f"rule {rule.name!r}")
+
+
+def _check_added(index: Index, changes: IndexChanges) -> Generator[None, None, None]:
+    """Validate the entries that are new."""
+    for count, (_, rule) in enumerate(changes.added_rules):
+        if count % ENTRIES_PER_PAUSE == ENTRIES_PER_PAUSE - 1:
+            yield
+        if validate_rule(rule, index.pools):
+            raise UnsupportedShapeError(f"rule {rule.name!r}")
+    for count, tenant in enumerate(changes.added_tenants):
+        if count % ENTRIES_PER_PAUSE == ENTRIES_PER_PAUSE - 1:
+            yield
+        if validate_tenant(tenant):
+            raise UnsupportedShapeError(f"tenant {tenant.name!r}")
+
 
+def read_incrementally(
+    body: bytes, previous: ParsedConfiguration | None
+) -> Generator[None, None, Result[ParsedConfiguration, OperationError]]:
+    """Return the valid configuration in these bytes, or what makes it invalid; pauses each ms or so.
 
-def reading(body: bytes, before: Reading | None) -> Generator[None, None, Result[Reading, OperationError]]:
-    """The reading of a valid configuration, or what makes it invalid; pauses each ms or so.
+    What has another shape, or is invalid, is parsed in one go, without pauses.
 
-    Only what is odd, or invalid, is read in one go.
+    Args:
+        body: the bytes.
+        previous: the last valid configuration, from which equal entries are taken over.
     """
-    if before is not None and before.body == body:
-        return Success(before)
+    if previous is not None and previous.body == body:
+        return Success(previous)
     try:
-        scan = _Scan(body, before)
+        reader = _ConfigurationReader(body, previous)
         yield
-        configuration, outline = yield from scan.configuration()
-        based = before.index if before is not None and scan.outline is not None else Index()
+        configuration, outline = yield from reader.read()
+        base = previous.index if previous is not None and reader.has_outline else Index()
         yield
-        index = yield from based.changing(scan.changes)
-        yield from _check(configuration, index, scan.changes)
-        return Success(Reading(body, configuration, index, outline))
+        index = yield from base.apply_changes(reader.changes)
+        yield from _check(configuration, index, reader.changes)
+        return Success(ParsedConfiguration(body, configuration, index, outline))
     except (dacite.DaciteError, ValueError, TypeError, KeyError, AttributeError, RecursionError):
-        pass  # Odd, Clash, or no JSON: told by the whole reading
+        pass  # what is wrong is said below, by the parsing in one go
     yield
-    whole = read_whole(body)
-    if isinstance(whole, Failure):
-        return Failure(whole.failure())
-    configuration = whole.unwrap()
-    index = yield from Index().changing(Changes.all_of(configuration))
-    return Success(Reading(body, configuration, index, None))
+    complete = parse_configuration(body)
+    if isinstance(complete, Failure):
+        return Failure(complete.failure())
+    configuration = complete.unwrap()
+    index = yield from Index().apply_changes(IndexChanges.all_of(configuration))
+    return Success(ParsedConfiguration(body, configuration, index, None))
--- a/irisdeal/config_store/configuration/version.py
+++ b/irisdeal/config_store/configuration/version.py
@@ -1,4 +1,7 @@
-"""A version of the operator's word, whole; which one holds is decided in `register.py`. No input or output here."""
+"""A version of the configuration, complete, and its identity. No input or output here.
+
+Which version is in force is decided by the register (`consensus/register.py`).
+"""
 
 from __future__ import annotations
 
@@ -7,11 +10,11 @@
 from dataclasses import dataclass
 from functools import total_ordering
 
-GENERATION = re.compile(r"r([0-9]{1,18})")
+GENERATION = re.compile(r"r([0-9]{1,18})")  # 18 digits fit in a signed integer of 64 bits
 
 
-def number(generation: object) -> int:
-    """The number of `r12`. ValueError where it is none."""
+def generation_number(generation: object) -> int:
+    """Return the number of a generation, 12 of `r12`. Raises ValueError where it is none."""
     found = GENERATION.fullmatch(generation) if isinstance(generation, str) else None
     if found is None:
         raise ValueError(f"generation: wanted r and a number, got {generation!r}")
@@ -21,7 +24,12 @@
 @total_ordering
 @dataclass(frozen=True, slots=True)
 class VersionId:
-    """What two words are compared by: the number, and where two operators gave one number, the digest."""
+    """Identity and order of a version.
+
+    Attributes:
+        number: the number of its generation.
+        digest: SHA-256 of its body; decides where two operators gave one number to different bodies.
+    """
 
     number: int
     digest: bytes
@@ -30,20 +38,21 @@
         return (self.number, self.digest) < (other.number, other.digest)
 
 
-NO_VERSION = VersionId(-1, b"")
+NO_VERSION = VersionId(-1, b"")  # before any: lower than all there are
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigVersion:
-    """A whole configuration, byte for byte as the operator sent it."""
+    """A complete version: its identity, and its body byte for byte as the operator sent it."""
 
     version_id: VersionId
     body: bytes
 
     @staticmethod
     def of(generation: object, body: bytes) -> ConfigVersion:
-        """ValueError where the generation is none."""
-        return ConfigVersion(VersionId(number(generation), hashlib.sha256(body).digest()), body)
+        """Return the version of this generation with this body. Raises ValueError where the generation is none."""
+        return ConfigVersion(VersionId(generation_number(generation), hashlib.sha256(body).digest()), body)
 
-    def is_whole(self) -> bool:
+    def is_intact(self) -> bool:
+        """Whether the body has the digest that the identity names."""
         return hashlib.sha256(self.body).digest() == self.version_id.digest
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -187,7 +187,7 @@
     async def save_version(self, version: ConfigVersion) -> bool:
         """Keep this version, synced; return False where the disk refuses."""
         if not check_invariant(
-            version.is_whole(), "a stored version is complete", number=version.version_id.number
+            version.is_intact(), "a stored version is complete", number=version.version_id.number
         ):
             return False
         return await self._run_to_end(self._save_version(version))
--- a/irisdeal/config_store/storage/chunk_assembler.py
+++ b/irisdeal/config_store/storage/chunk_assembler.py
@@ -11,7 +11,7 @@
 
 import hashlib
 
-from irisdeal.config_store.configuration.difference import NoDifference, apply
+from irisdeal.config_store.configuration.delta import DeltaError, apply_delta
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.storage.chunks import (
     InvalidChunkError,
@@ -51,7 +51,7 @@
         return announced == (self.version_id, self.length, self.base, self.size)
 
     def append(self, chunk: VersionChunk) -> None:
-        """Add the next chunk. InvalidChunkError or NoDifference where it is not the next, or has a wrong length."""
+        """Add the next chunk. InvalidChunkError or DeltaError where it is not the next, or has a wrong length."""
         if chunk.offset != len(self.data):
             raise InvalidChunkError("doubled, or out of order")
         data = chunk.expanded()
@@ -91,7 +91,7 @@
         """
         try:
             return self._take(decode_chunk(encoded_chunk))
-        except (NoDifference, TypeError, ValueError) as error:
+        except (DeltaError, TypeError, ValueError) as error:
             self.rejected_chunks += 1
             if isinstance(error, VersionMismatchError) or self.rejected_chunks > MAX_REJECTED_CHUNKS:
                 self._start_over()
@@ -154,8 +154,8 @@
         if base is None:
             raise VersionMismatchError("the base is no longer here")
         try:
-            return apply(base.body, packed, self.transfer.length)
-        except NoDifference as error:
+            return apply_delta(base.body, packed, self.transfer.length)
+        except DeltaError as error:
             raise VersionMismatchError(str(error)) from error
 
     def _on_completed(self, version_id: VersionId) -> None:
--- a/irisdeal/config_store/storage/chunks.py
+++ b/irisdeal/config_store/storage/chunks.py
@@ -11,7 +11,7 @@
 import zlib
 from dataclasses import dataclass
 
-from irisdeal.config_store.configuration.difference import unpack
+from irisdeal.config_store.configuration.delta import decompress
 from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.runtime.errors import IrisdealError
 
@@ -88,7 +88,7 @@
 
     def expanded(self) -> bytes:
         """Return the part of the body. ValueError where it is damaged or longer than was announced."""
-        return unpack(self.data, min(CHUNK_BYTES, self.length - self.offset))
+        return decompress(self.data, min(CHUNK_BYTES, self.length - self.offset))
 
     def encode(self) -> list[object]:
         """Return the fields in the order of the wire."""
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -48,7 +48,7 @@
     if not newline or check != _check(header) or len(fields) != 4 or fields[0] != MAGIC:
         raise ValueError("no word")
     version = ConfigVersion(VersionId(int(fields[1]), bytes.fromhex(fields[2])), body)
-    if str(len(body)) != fields[3] or not version.is_whole():
+    if str(len(body)) != fields[3] or not version.is_intact():
         raise ValueError("torn")
     return version
 
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -14,7 +14,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from irisdeal.config_store.configuration.difference import LEVEL, NoDifference, apply, difference
+from irisdeal.config_store.configuration.delta import COMPRESSION_LEVEL, DeltaError, apply_delta, encode_delta
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.storage.chunk_cache import CacheKey, ChunkCache
 from irisdeal.config_store.storage.chunks import (
@@ -77,8 +77,8 @@
         if self.max_older == 0:
             return
         try:
-            packed = difference(version.body, previous.body)
-        except NoDifference:
+            packed = encode_delta(version.body, previous.body)
+        except DeltaError:
             self.older.clear()  # each of these can be made from the one after it alone
             self._add_unpacked(previous)
             return
@@ -122,7 +122,7 @@
 
     def _unpack_older(self, body: bytes, digest: bytes) -> ConfigVersion | None:
         for older in self.older:
-            body = apply(body, older.packed, older.length)
+            body = apply_delta(body, older.packed, older.length)
             if older.version_id.digest == digest:
                 version = ConfigVersion(older.version_id, body)
                 self._add_unpacked(version)
@@ -188,7 +188,7 @@
         key = CacheKey.of_snapshot(version.version_id.digest, offset)
         packed = self.cache.get(key)
         if packed is None:
-            packed = zlib.compress(version.body[offset : offset + CHUNK_BYTES], LEVEL)
+            packed = zlib.compress(version.body[offset : offset + CHUNK_BYTES], COMPRESSION_LEVEL)
             self.cache.add(key, packed)
         return SnapshotChunk(version.version_id, len(version.body), offset, packed)
 
@@ -225,7 +225,7 @@
     def _difference_or_empty(base: ConfigVersion, version: ConfigVersion) -> bytes:
         """Return the packed difference; empty, and cached as that, where there is none or it is too long."""
         try:
-            packed = difference(base.body, version.body)
-        except NoDifference:
+            packed = encode_delta(base.body, version.body)
+        except DeltaError:
             return b""
         return b"" if len(packed) * MIN_DELTA_RATIO > len(version.body) else packed
--- a/irisdeal/proxy/config_applier.py
+++ b/irisdeal/proxy/config_applier.py
@@ -7,7 +7,8 @@
 
 from returns.result import Failure
 
-from irisdeal.config_store.configuration.incremental_reading import Reading, reading
+from irisdeal.config_store.configuration.incremental_reading import read_incrementally
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
 from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.proxy.route_table import RouteTable
 from irisdeal.runtime.events import Event, log_event
@@ -31,7 +32,7 @@
         """`on_applied`: called with each route table, at once when it is complete."""
         self.on_applied, self.tasks = on_applied, tasks
         self.loop = asyncio.get_running_loop()
-        self.reading: Reading | None = None
+        self.reading: ParsedConfiguration | None = None
         self.table: RouteTable | None = None
         self.newest: VersionId | None = None
         self.pending: ConfigVersion | None = None
@@ -66,7 +67,7 @@
 
     def _steps(self, version: ConfigVersion) -> Steps:
         """Read a version and build its route table, in small steps."""
-        result = yield from reading(version.body, self.reading)
+        result = yield from read_incrementally(version.body, self.reading)
         if isinstance(result, Failure):
             log_event(Event.CONFIGURATION_UNREADABLE, trouble=result.failure())
             return None
--- a/irisdeal/proxy/route_table.py
+++ b/irisdeal/proxy/route_table.py
@@ -7,9 +7,10 @@
 
 from immutables import Map
 
-from irisdeal.config_store.configuration.incremental_reading import Reading
-from irisdeal.config_store.configuration.index import STEP, Index, run
-from irisdeal.config_store.configuration.schema import Configuration, Limits, Rule
+from irisdeal.config_store.configuration.index import Index
+from irisdeal.config_store.configuration.model import Configuration, Limits, Rule
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
+from irisdeal.config_store.configuration.stepwise import ENTRIES_PER_PAUSE, run_to_completion
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +97,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self._fill(configuration, Index.of(configuration), Map())
-        run(self._build_hosts(None))
+        run_to_completion(self._build_hosts(None))
 
     def _fill(self, configuration: Configuration, index: Index, hosts: Map[bytes, HostRoutes]) -> None:
         self.generation = configuration.generation
@@ -106,7 +107,7 @@
         self.pools, self.tenants, self.keys = index.pools, index.tenants, index.keys
 
     @staticmethod
-    def build(reading: Reading, before: RouteTable | None) -> Generator[None, None, RouteTable]:
+    def build(reading: ParsedConfiguration, before: RouteTable | None) -> Generator[None, None, RouteTable]:
         """Build the table of this reading in steps; unchanged parts of the table before are taken over."""
         table = RouteTable.__new__(RouteTable)
         table._fill(reading.configuration, reading.index, before.hosts if before is not None else Map())
@@ -123,7 +124,7 @@
             encoded = host.encode()
             hosts[encoded] = HostRoutes(rules, hosts.get(encoded))
             cost += len(rules)
-            if cost >= STEP:
+            if cost >= ENTRIES_PER_PAUSE:
                 cost = 0
                 yield
         if len(hosts) > len(self.index.hosts):
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -10,7 +10,7 @@
 import dacite
 from returns.result import Failure, Result, Success
 
-from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.cached_reading import parse_cached
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import parse_address
@@ -108,7 +108,7 @@
 
 
 def _put(body: bytes) -> Result[Command, RejectedCall]:
-    checked = read(body)
+    checked = parse_cached(body)
     if isinstance(checked, Failure):
         return Failure(RejectedCall(400, checked.failure()))
     return Success(PutConfiguration(ConfigVersion.of(checked.unwrap().generation, body)))
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
 
-from irisdeal.config_store.configuration.cached_reading import Configuration
+from irisdeal.config_store.configuration.model import Configuration
 from irisdeal.permits.allowance import Limit, QuotaRule
 from irisdeal.permits.authority import IssuingAuthority
 from irisdeal.permits.issuer import ClaimResult, PermitIssuer
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -9,7 +9,7 @@
 
 from returns.result import Success
 
-from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.cached_reading import parse_cached
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -172,7 +172,7 @@
     # Changes in the store
 
     def _on_version(self, version: ConfigVersion) -> None:
-        checked = read(version.body)
+        checked = parse_cached(version.body)
         if isinstance(checked, Success):
             self.admission.quotas.configure(checked.unwrap())
 
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -22,7 +22,7 @@
 from benchmarks.capacity.runs import BENCH, CHECK, FIT, RUNS, load
 from benchmarks.capacity.size import DOOR_BYTES, WHOLE, Size, part
 from benchmarks.capacity.tally import Tally
-from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.cached_reading import parse_cached
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
@@ -209,7 +209,7 @@
 def test_the_made_up_configuration_is_valid_and_as_long_as_its_formula_says() -> None:
     small = part(30)
     body = make(small, 7)
-    configuration = read(body).unwrap()
+    configuration = parse_cached(body).unwrap()
     assert (configuration.generation, len(configuration.pools)) == ("r7", small.services)
     assert len(configuration.tenants or ()) == small.tenants
     assert abs(len(body) / 1e6 / configured(small) - 1) < 0.05
--- a/tests/config_store/test_incremental_reading.py
+++ b/tests/config_store/test_incremental_reading.py
@@ -1,4 +1,4 @@
-"""Configurations read anew only where they changed: always what the whole reading says."""
+"""Configurations that are parsed again only where they changed: always what parsing in one go says."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from hypothesis import given, settings, strategies
 from returns.result import Failure, Success
 
-from irisdeal.config_store.configuration import incremental_reading as readings
-from irisdeal.config_store.configuration import schema as entries
-from irisdeal.config_store.configuration.cached_reading import read, read_whole
-from irisdeal.config_store.configuration.incremental_reading import Reading, reading
-from irisdeal.config_store.configuration.index import Index, run
+from irisdeal.config_store.configuration import incremental_reading
+from irisdeal.config_store.configuration.cached_reading import parse_cached
+from irisdeal.config_store.configuration.incremental_reading import read_incrementally
+from irisdeal.config_store.configuration.index import Index
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
+from irisdeal.config_store.configuration.parsing import parse_configuration
+from irisdeal.config_store.configuration.stepwise import run_to_completion
 from tests.support.configurations import change, configuration
 
 DUMPS: list[dict[str, Any]] = [{"separators": (",", ":")}, {}, {"indent": 1}, {"ensure_ascii": False}]
@@ -26,7 +28,7 @@
     return json.dumps(data, **DUMPS[style]).encode()
 
 
-def same(made: Reading) -> None:
+def has_own_index(made: ParsedConfiguration) -> None:
     """The index is that of the configuration."""
     index = Index.of(made.configuration)
     assert made.index == index
@@ -34,20 +36,20 @@
         assert made.index.hosts[host] == rules
 
 
-def agree(text: bytes, before: Reading | None) -> Reading | None:
-    """Both readings say the same of these bytes, also in the words of their fault."""
-    whole, made = read_whole(text), run(reading(text, before))
-    if isinstance(whole, Failure):
+def agree(text: bytes, before: ParsedConfiguration | None) -> ParsedConfiguration | None:
+    """Both ways say the same of these bytes, also in the text of their error."""
+    complete, made = parse_configuration(text), run_to_completion(read_incrementally(text, before))
+    if isinstance(complete, Failure):
         assert isinstance(made, Failure)
-        told, wanted = made.failure(), whole.failure()
-        assert (told.step, told.peer) == (wanted.step, wanted.peer)
-        assert _without_value(told.detail) == _without_value(wanted.detail)
+        error, expected = made.failure(), complete.failure()
+        assert (error.step, error.peer) == (expected.step, expected.peer)
+        assert _without_value(error.detail) == _without_value(expected.detail)
         return before
     assert isinstance(made, Success), made
-    assert made.unwrap().configuration == whole.unwrap() and made.unwrap().body == text
-    reading_now: Reading = made.unwrap()
-    same(reading_now)
-    return reading_now
+    assert made.unwrap().configuration == complete.unwrap() and made.unwrap().body == text
+    parsed: ParsedConfiguration = made.unwrap()
+    has_own_index(parsed)
+    return parsed
 
 
 def _without_value(detail: str) -> str:
@@ -56,7 +58,7 @@
 
 
 def spoil(data: dict[str, Any], chance: Random) -> Any:
-    """One of the faults that there are, or an odd shape that may be valid."""
+    """One of the errors that there are, or an unusual shape that may be valid."""
     data = copy.deepcopy(data)
     rules, tenants, pools = data["sockets"][0]["rules"], data["tenants"], data["pools"]
     rule, other = chance.choice(rules), chance.choice(data["sockets"])["rules"][0]
@@ -168,8 +170,8 @@
 
 @settings(max_examples=80, deadline=None)
 @given(strategies.integers(0, 2**32))
-def test_what_is_read_by_changes_is_what_is_read_whole(seed: int) -> None:
-    """Versions one after the other, some of them invalid or odd: each read after the last valid one."""
+def test_an_incremental_reading_is_what_parsing_in_one_go_gives(seed: int) -> None:
+    """Versions one after the other, some invalid or of another shape: each read after the last valid one."""
     chance, data = Random(seed), configuration(3 + seed % 20, seed % 5)
     style, before = chance.randrange(4), agree(body(data), None)
     for number in range(2, 8):
@@ -193,7 +195,7 @@
 
 def test_only_what_changed_is_read_with_dacite(monkeypatch: pytest.MonkeyPatch) -> None:
     chance, data = Random("changes"), configuration(400)
-    before = run(reading(body(data), None)).unwrap()
+    before = run_to_completion(read_incrementally(body(data), None)).unwrap()
     counted: list[type] = []
     real = dacite.from_dict
 
@@ -204,13 +206,13 @@
     monkeypatch.setattr(dacite, "from_dict", counting)
     for number in range(2, 30):
         data = change(data, chance, f"r{number}")
-        after = run(reading(body(data), before)).unwrap()
+        after = run_to_completion(read_incrementally(body(data), before)).unwrap()
         assert len(counted) <= 4, counted
         counted.clear()
         shared = {id(tenant) for tenant in before.configuration.tenants or ()}
         assert sum(id(tenant) not in shared for tenant in after.configuration.tenants or ()) <= 2
         before = after
-    same(before)
+    has_own_index(before)
 
 
 def test_all_of_one_host_is_not_read_again_for_one_route(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -218,47 +220,47 @@
     data["sockets"] = [
         {"hostname": "one.example", "rules": [rule for socket in data["sockets"] for rule in socket["rules"]]}
     ]
-    before = run(reading(body(data), None)).unwrap()
+    before = run_to_completion(read_incrementally(body(data), None)).unwrap()
     data["sockets"][0]["rules"][200]["effect"]["timeout_ms"] = 9000
-    monkeypatch.setattr(readings, "EACH", 1)
-    pauses = len(list(reading(body(data), before)))
+    monkeypatch.setattr(incremental_reading, "PARSED_PER_PAUSE", 1)
+    pauses = len(list(read_incrementally(body(data), before)))
     assert pauses <= 6
 
 
 def test_a_pool_that_is_gone_is_missed_by_rules_that_did_not_change() -> None:
     data = configuration(60)
-    before = run(reading(body(data), None)).unwrap()
+    before = run_to_completion(read_incrementally(body(data), None)).unwrap()
     gone = data["pools"].pop(0)
-    made = run(reading(body(data), before))
+    made = run_to_completion(read_incrementally(body(data), before))
     assert isinstance(made, Failure) and gone["name"] in str(made.failure())
 
 
 def test_reading_pauses_often_and_only_the_newest_goes_on() -> None:
     """A long one is many steps; who drops it midway has changed nothing."""
     data = configuration(800)
-    before = run(reading(body(configuration(20)), None)).unwrap()
+    before = run_to_completion(read_incrementally(body(configuration(20)), None)).unwrap()
     kept = copy.copy(before)
-    steps = reading(body(data), before)
+    steps = read_incrementally(body(data), before)
     assert sum(1 for _ in zip(range(100), steps, strict=False)) == 100
     steps.close()
     assert before == kept
-    same(before)
+    has_own_index(before)
 
 
 def test_read_shares_work_and_gives_the_same() -> None:
     data = configuration(50)
-    one = read(body(data)).unwrap()
-    assert read(body(data)).unwrap() is one
-    assert one == read_whole(body(data)).unwrap()
-    assert isinstance(read(b"{"), Failure) and read(body(data)).unwrap() is one
+    one = parse_cached(body(data)).unwrap()
+    assert parse_cached(body(data)).unwrap() is one
+    assert one == parse_configuration(body(data)).unwrap()
+    assert isinstance(parse_cached(b"{"), Failure) and parse_cached(body(data)).unwrap() is one
 
 
 @pytest.mark.parametrize("keys", ["abc", {"a": 1}, 7, None, [7], [None]])
 def test_keys_that_are_no_list_of_texts_are_a_fault(keys: Any) -> None:
     data = configuration(20)
     data["tenants"][0]["api_keys"] = keys
-    assert isinstance(read_whole(body(data)), Failure)
-    assert isinstance(run(reading(body(data), None)), Failure)
+    assert isinstance(parse_configuration(body(data)), Failure)
+    assert isinstance(run_to_completion(read_incrementally(body(data), None)), Failure)
 
 
 @pytest.mark.parametrize("value", ["\ud800", "a\udfff"])
@@ -274,7 +276,7 @@
                 data["sockets"][0]["rules"][0]["pattern"]["path_prefix"] = f"/{value}/"
             case "host":
                 data["sockets"][0]["hostname"] = value
-        found = entries.read_whole(body(data))
+        found = parse_configuration(body(data))
         assert isinstance(found, Failure) and "no text" in str(found.failure())
 
 
@@ -289,5 +291,5 @@
         "weighted": data["sockets"][0]["rules"][0]["effect"],
     }.get(field, data)
     place[field] = value
-    assert isinstance(read_whole(body(data)), Failure)
-    assert isinstance(run(reading(body(data), None)), Failure)
+    assert isinstance(parse_configuration(body(data)), Failure)
+    assert isinstance(run_to_completion(read_incrementally(body(data), None)), Failure)
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -12,7 +12,13 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from irisdeal.config_store.configuration.difference import MOST_TOLD, NoDifference, apply, difference, unpack
+from irisdeal.config_store.configuration.delta import (
+    MAX_DELTA_BYTES,
+    DeltaError,
+    apply_delta,
+    decompress,
+    encode_delta,
+)
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.storage import chunk_assembler, chunk_cache, chunks
 from irisdeal.config_store.storage import version_store as version_store_module
@@ -84,7 +90,7 @@
         for arrived in tamper(chunk):
             received = assembler.take(arrived)
             if received is not None:
-                assert received.is_whole()
+                assert received.is_intact()
                 if received == want:
                     return received, size
                 current = received
@@ -103,19 +109,19 @@
     for _ in range(changes):
         data = change(data, chance, f"r{chance.randrange(2, 99)}")
     wanted = json.dumps(data, **spaced).encode()
-    packed = difference(base, wanted)
-    assert apply(base, packed, len(wanted)) == wanted
+    packed = encode_delta(base, wanted)
+    assert apply_delta(base, packed, len(wanted)) == wanted
     assert len(packed) < 200 + 200 * changes < len(wanted)
 
 
 @given(strategies.binary(max_size=300), strategies.binary(max_size=300))
 def test_any_bytes_have_a_difference(base: bytes, wanted: bytes) -> None:
-    assert apply(base, difference(base, wanted), len(wanted)) == wanted
+    assert apply_delta(base, encode_delta(base, wanted), len(wanted)) == wanted
 
 
 def test_a_difference_that_is_too_long_is_none() -> None:
-    with pytest.raises(NoDifference, match="new"):
-        difference(b"", random_version(1, MOST_TOLD // 2 + 1).body)
+    with pytest.raises(DeltaError, match="new"):
+        encode_delta(b"", random_version(1, MAX_DELTA_BYTES // 2 + 1).body)
 
 
 @pytest.mark.parametrize(
@@ -135,18 +141,18 @@
     ],
 )
 def test_a_strange_difference_is_refused(steps: Any) -> None:
-    with pytest.raises(NoDifference):
-        apply(b"0123456789", zlib.compress(cbor2.dumps(steps)), 20)
+    with pytest.raises(DeltaError):
+        apply_delta(b"0123456789", zlib.compress(cbor2.dumps(steps)), 20)
 
 
 def test_what_decompresses_to_too_much_is_refused_before_it_does() -> None:
     bomb = zlib.compress(b"\0" * (MAX_BODY_BYTES * 4), 9)
-    with pytest.raises(NoDifference, match="over"):
-        unpack(bomb, CHUNK_BYTES)
-    with pytest.raises(NoDifference):
-        apply(b"", bomb, MAX_BODY_BYTES)
-    with pytest.raises(NoDifference, match="torn"):
-        unpack(zlib.compress(b"abc")[:-1], 10)
+    with pytest.raises(DeltaError, match="over"):
+        decompress(bomb, CHUNK_BYTES)
+    with pytest.raises(DeltaError):
+        apply_delta(b"", bomb, MAX_BODY_BYTES)
+    with pytest.raises(DeltaError, match="torn"):
+        decompress(zlib.compress(b"abc")[:-1], 10)
 
 
 # Store
@@ -189,11 +195,11 @@
 
     def counting(base: bytes, wanted: bytes) -> bytes:
         counted.append(1)
-        return difference(base, wanted)
+        return encode_delta(base, wanted)
 
     one, two = versions(2)
     version_store = store_with(one, two)
-    monkeypatch.setattr(version_store_module, "difference", counting)
+    monkeypatch.setattr(version_store_module, "encode_delta", counting)
     for _ in range(85):
         assert next_chunk(version_store, SyncState(one.version_id), two.version_id) is not None
     assert len(counted) == 1
@@ -446,7 +452,7 @@
     """One source sends another body under the same id; the next request gets a snapshot from a correct one."""
     one, two = versions(2)
     version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
-    lie = difference(one.body, one.body + b" " * (len(two.body) - len(one.body)))
+    lie = encode_delta(one.body, one.body + b" " * (len(two.body) - len(one.body)))
     length = max(len(one.body), len(two.body))
     chunk = encoded_chunk(2, two.version_id.digest, length, one.version_id.digest, len(lie), 0, lie)
     assert assembler.take(chunk) is None
@@ -463,7 +469,7 @@
     next_chunk(version_store, SyncState(), one.version_id, by_snapshot=True)
     version_store.add(two)
     version_store.add(three)
-    wrong = difference(b"", bytes(len(three.body)))
+    wrong = encode_delta(b"", bytes(len(three.body)))
     version_store.cache.add(CacheKey.of_difference(three.version_id.digest, two.version_id.digest), wrong)
     assembler = ChunkAssembler(store_with(two))
     bases = []
@@ -490,7 +496,7 @@
     version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     chunk = next_chunk(version_store, assembler.sync_state(one.version_id), two.version_id)
     assert assembler.take(chunk) == two
-    monkeypatch.setattr(chunk_assembler, "apply", None)
+    monkeypatch.setattr(chunk_assembler, "apply_delta", None)
     assert assembler.take(chunk) == two
 
 
--- a/tests/proxy/test_route_table.py
+++ b/tests/proxy/test_route_table.py
@@ -13,8 +13,9 @@
 from hypothesis import example, given, settings, strategies
 from returns.result import Result
 
-from irisdeal.config_store.configuration.incremental_reading import Reading, reading
-from irisdeal.config_store.configuration.index import run
+from irisdeal.config_store.configuration.incremental_reading import read_incrementally
+from irisdeal.config_store.configuration.outline import ParsedConfiguration
+from irisdeal.config_store.configuration.stepwise import run_to_completion
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.proxy import config_applier
 from irisdeal.proxy.config_applier import MIN_INTERVAL_S, ConfigApplier
@@ -28,8 +29,10 @@
 from tests.support.configurations import change, configuration, route
 
 
-def read(data: dict[str, Any], before: Reading | None = None) -> Reading:
-    found: Reading = run(reading(json.dumps(data).encode(), before)).unwrap()
+def read(data: dict[str, Any], before: ParsedConfiguration | None = None) -> ParsedConfiguration:
+    found: ParsedConfiguration = run_to_completion(
+        read_incrementally(json.dumps(data).encode(), before)
+    ).unwrap()
     return found
 
 
@@ -106,7 +109,7 @@
                 data["sockets"].append({**moved, "hostname": f"new{number}.example"})
         kept.append((table, made.configuration))
         made = read(data, made)
-        table = run(RouteTable.build(made, table))
+        table = run_to_completion(RouteTable.build(made, table))
         equal(table, RouteTable(made.configuration))
     for old, was in kept:
         equal(old, RouteTable(was))
@@ -127,9 +130,9 @@
 def test_one_change_makes_one_route_anew() -> None:
     data = configuration(100)
     made = read(data)
-    table = run(RouteTable.build(made, None))
+    table = run_to_completion(RouteTable.build(made, None))
     data["sockets"][2]["rules"][3]["effect"]["timeout_ms"] = 7000
-    after = run(RouteTable.build(read(data, made), table))
+    after = run_to_completion(RouteTable.build(read(data, made), table))
     same = [routes is table.hosts[host] for host, routes in after.hosts.items()]
     assert same.count(False) == 1
     changed = [
@@ -178,16 +181,16 @@
         self.clock: Clock | None = None
 
         def slow(
-            body: bytes, before: Reading | None
-        ) -> Generator[None, None, Result[Reading, OperationError]]:
+            body: bytes, before: ParsedConfiguration | None
+        ) -> Generator[None, None, Result[ParsedConfiguration, OperationError]]:
             self.begun += 1
             for _ in range(steps):
                 assert self.clock is not None
                 self.clock.spent += cost
                 yield
-            return (yield from reading(body, before))
+            return (yield from read_incrementally(body, before))
 
-        monkeypatch.setattr(config_applier, "reading", slow)
+        monkeypatch.setattr(config_applier, "read_incrementally", slow)
 
     def run(self, act: Callable[[ConfigApplier], Awaitable[None]]) -> None:
         world = World(1)
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from irisdeal.config_store.configuration.cached_reading import read
+from irisdeal.config_store.configuration.cached_reading import parse_cached
 from irisdeal.proxy.route_table import RouteTable
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import Deregister, Heartbeat, PutConfiguration, decode
@@ -67,16 +67,16 @@
 def test_each_fault_is_told_by_its_place(name: str) -> None:
     text, spoil = FAULTS[name]
     made = configuration()
-    assert isinstance(read(json.dumps(made).encode()), Success)
+    assert isinstance(parse_cached(json.dumps(made).encode()), Success)
     spoil(made)
-    answer = read(json.dumps(made).encode())
+    answer = parse_cached(json.dumps(made).encode())
     assert isinstance(answer, Failure) and text in str(answer.failure())
 
 
 def test_a_configuration_that_is_cut_short_is_refused_wherever_it_is_cut() -> None:
     body = json.dumps(configuration()).encode()
     for length in range(len(body)):
-        assert isinstance(read(body[:length]), Failure)
+        assert isinstance(parse_cached(body[:length]), Failure)
 
 
 def test_the_longest_prefix_has_the_path() -> None:
@@ -84,7 +84,7 @@
     longer = json.loads(json.dumps(rule_of(made)))
     longer.update(name="longer", pattern={"path_prefix": "/a/b/"})
     made["sockets"][0]["rules"].append(longer)
-    table = RouteTable(read(json.dumps(made).encode()).unwrap())
+    table = RouteTable(parse_cached(json.dumps(made).encode()).unwrap())
     found = [table.find(b"h.example", path) for path in (b"/a/x", b"/a/b/x", b"/a/b", b"/b/", b"/a")]
     assert [route and route.name for route in found] == ["r", "longer", "r", None, None]
     assert table.find(b"other", b"/a/x") is None
@@ -136,7 +136,9 @@
     assert isinstance(made, Heartbeat) and (made.id, made.call_count) == ("i-1", 4)
     assert isinstance(decode(b"POST", b"/backends/i-1/deregister", b"").unwrap(), Deregister)
     put = decode(b"POST", b"/config/replace", json.dumps(configuration()).encode()).unwrap()
-    assert isinstance(put, PutConfiguration) and put.version.version_id.number == 7 and put.version.is_whole()
+    assert (
+        isinstance(put, PutConfiguration) and put.version.version_id.number == 7 and put.version.is_intact()
+    )
     for wrong in (
         {**heartbeat, "state": "gone"},
         {**heartbeat, "address": "x"},
