--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -137,8 +137,9 @@
 
     Example: irisdeal demo --scenario hall-cut --doors 4 --seed 7
     """
-    from irisdeal.demo.processes import CannotRun, find_deploy
-    from irisdeal.demo.report import as_json, show
+    from irisdeal.demo.processes import DemoError, find_deploy
+    from irisdeal.demo.report import as_json
+    from irisdeal.demo.tables import show
     from irisdeal.testbed import scenario_files as scenarios
     from irisdeal.testbed.scenario import ScenarioError
     from irisdeal.testbed.workload import draw
@@ -155,7 +156,7 @@
         day = draw(scenario.resized(doors, seconds), scenario.seed if seed is None else seed)
         deploy = find_deploy(Path.cwd(), deploy_file)
         outcome = _play(day, deploy, out is not None and str(out) == "-", reports)
-    except (ScenarioError, CannotRun, ValueError) as error:
+    except (ScenarioError, DemoError, ValueError) as error:
         raise Unusable(str(error)) from None
     if out is not None:
         text = json.dumps(as_json(outcome), indent=1)
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -33,7 +33,7 @@
 TICKS = os.sysconf("SC_CLK_TCK")  # of CPU time a second, as /proc counts it
 
 
-class CannotRun(Exception):
+class DemoError(Exception):
     """The demo cannot be played on this machine as asked; the text says why."""
 
 
@@ -69,15 +69,15 @@
     for candidate in candidates:
         if candidate.is_file():
             try:
-                front_door_process = tomllib.loads(candidate.read_text("utf-8"))
+                deployment = tomllib.loads(candidate.read_text("utf-8"))
             except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-                raise CannotRun(f"{candidate}: {error}") from None
-            run, build = front_door_process.get("run"), front_door_process.get("build", "")
+                raise DemoError(f"{candidate}: {error}") from None
+            run, build = deployment.get("run"), deployment.get("build", "")
             if not isinstance(run, str) or not isinstance(build, str):
-                raise CannotRun(f"{candidate}: run: wanted the line that starts a door")
+                raise DemoError(f"{candidate}: run: wanted the line that starts a door")
             return Deploy(candidate.resolve().parent.parent, run, build)
     if path is not None:
-        raise CannotRun(f"{path}: no such file")
+        raise DemoError(f"{path}: no such file")
     return Deploy(start, f"exec {sys.executable} -m irisdeal")
 
 
@@ -90,7 +90,7 @@
     )
     text, _ = await made.communicate()
     if made.returncode:
-        raise CannotRun(f"the build line failed: {text.decode('utf-8', 'replace').strip()[-400:]}")
+        raise DemoError(f"the build line failed: {text.decode('utf-8', 'replace').strip()[-400:]}")
 
 
 def free_port() -> int:
@@ -164,7 +164,7 @@
         return [front_door.address for front_door in self.front_doors]
 
     async def start(self) -> None:
-        """All front doors, ready. Raises `CannotRun` where one does not come up."""
+        """All front doors, ready. Raises `DemoError` where one does not come up."""
         await asyncio.gather(*(self._start(front_door) for front_door in self.front_doors))
         self.sampler = asyncio.get_running_loop().create_task(self._sample())
 
@@ -172,20 +172,12 @@
         self.platform.write_config(
             front_door.number, front_door.listen, self.random.getrandbits(63), front_door.config
         )
-        environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
-        environment |= {
-            "EDGE_NAME": f"n{front_door.number}",
-            "EDGE_LISTEN": front_door.listen,
-            "EDGE_DISCOVERY": self.platform.discovery_address(front_door.number),
-            "EDGE_CONFIG": str(front_door.config),
-            "TMPDIR": str(self.folder),
-        }
         front_door.process = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
             self.deploy.run,
             cwd=self.deploy.root,
-            env=environment,
+            env=self._environment(front_door),
             start_new_session=True,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
@@ -203,22 +195,36 @@
         front_door.watcher = loop.create_task(
             self._watch(front_door, front_door.process, front_door.incarnation)
         )
+        await self._wait_until_ready(front_door)
+        front_door.incarnation.ready = self.platform.now()
+        measure(front_door.process.pid, front_door.uses[-1])
+        front_door.uses[-1].start_cpu = front_door.uses[-1].cpu or 0
+
+    def _environment(self, front_door: _FrontDoor) -> dict[str, str]:
+        environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
+        return environment | {
+            "EDGE_NAME": f"n{front_door.number}",
+            "EDGE_LISTEN": front_door.listen,
+            "EDGE_DISCOVERY": self.platform.discovery_address(front_door.number),
+            "EDGE_CONFIG": str(front_door.config),
+            "TMPDIR": str(self.folder),
+        }
+
+    async def _wait_until_ready(self, front_door: _FrontDoor) -> None:
         try:
             async with asyncio.timeout(READY_WITHIN):
                 while not await self._healthy(front_door):
-                    if front_door.process.returncode is not None:
+                    process = front_door.process  # another one, where the timeline has restarted it meanwhile
+                    if process is not None and process.returncode is not None:
                         await asyncio.sleep(POLL)
                         last = bytes(front_door.log[-400:]).decode("utf-8", "replace").strip()
-                        raise CannotRun(
+                        raise DemoError(
                             f"door {front_door.number} ended at its start with exit code "
-                            f"{front_door.process.returncode}: {last}"
+                            f"{process.returncode}: {last}"
                         )
                     await asyncio.sleep(POLL)
         except TimeoutError:
-            raise CannotRun(f"door {front_door.number} was not ready after {READY_WITHIN:g} s") from None
-        front_door.incarnation.ready = self.platform.now()
-        measure(front_door.process.pid, front_door.uses[-1])
-        front_door.uses[-1].start_cpu = front_door.uses[-1].cpu or 0
+            raise DemoError(f"door {front_door.number} was not ready after {READY_WITHIN:g} s") from None
 
     async def _healthy(self, front_door: _FrontDoor) -> bool:
         try:
@@ -271,54 +277,48 @@
 
     async def kill(self, front_door: int, down: float) -> None:
         """Kill a front door with SIGKILL, and start it again after `down` s."""
-        front_door_process = self.front_doors[front_door]
-        if (
-            front_door_process.process is None
-            or front_door_process.incarnation is None
-            or front_door_process.process.returncode is not None
-        ):
+        target = self.front_doors[front_door]
+        if target.process is None or target.incarnation is None or target.process.returncode is not None:
             return
-        front_door_process.wanted = False
-        front_door_process.turn = turn = front_door_process.turn + 1
-        front_door_process.incarnation.killed = self.platform.now()
-        self._kill_group(front_door_process)
-        await front_door_process.process.wait()
+        target.wanted = False
+        target.turn = turn = target.turn + 1
+        target.incarnation.killed = self.platform.now()
+        self._kill_group(target)
+        await target.process.wait()
         await asyncio.sleep(down)
-        await self._start_again(front_door_process, turn)
+        await self._restart_process(target, turn)
 
     async def restart(self, front_door: int) -> None:
         """End a front door with SIGTERM, and start it again once it has ended."""
-        front_door_process = self.front_doors[front_door]
-        if front_door_process.process is None or front_door_process.process.returncode is not None:
+        target = self.front_doors[front_door]
+        if target.process is None or target.process.returncode is not None:
             return
-        front_door_process.turn = turn = front_door_process.turn + 1
-        self._end(front_door_process)
-        await self._wait(front_door_process)
-        await self._start_again(front_door_process, turn)
+        target.turn = turn = target.turn + 1
+        self._end(target)
+        await self._wait(target)
+        await self._restart_process(target, turn)
 
     async def stall(self, front_door: int, seconds: float) -> None:
         """Stop a front door with SIGSTOP for `seconds`."""
-        front_door_process, start = self.front_doors[front_door], self.platform.now()
-        process = front_door_process.process
+        target, start = self.front_doors[front_door], self.platform.now()
+        process = target.process
         if process is None or process.returncode is not None:
             return
-        self._signal(front_door_process, signal.SIGSTOP)
+        self._signal(target, signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
             self.platform.request_log.pauses.append((front_door, start, self.platform.now()))
-            if front_door_process.process is process:
-                self._signal(front_door_process, signal.SIGCONT)
+            if target.process is process:
+                self._signal(target, signal.SIGCONT)
 
     async def reload(self, front_door: int) -> None:
         """Write a front door's configuration anew and send it SIGHUP."""
-        front_door_process = self.front_doors[front_door]
-        self.platform.write_config(
-            front_door, front_door_process.listen, self.random.getrandbits(63), front_door_process.config
-        )
-        self._signal(front_door_process, signal.SIGHUP)
+        target = self.front_doors[front_door]
+        self.platform.write_config(front_door, target.listen, self.random.getrandbits(63), target.config)
+        self._signal(target, signal.SIGHUP)
 
-    async def _start_again(self, front_door: _FrontDoor, turn: int) -> None:
+    async def _restart_process(self, front_door: _FrontDoor, turn: int) -> None:
         if (
             self.platform.closed or front_door.turn != turn
         ):  # a kill amid a restart's drain: one start, not two
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.demo.processes import CannotRun, Deploy, FrontDoorProcesses, Use, build, make_folder
+from irisdeal.demo.processes import DemoError, Deploy, FrontDoorProcesses, Use, build, make_folder
 from irisdeal.testbed.audit import Verdict, audit
 from irisdeal.testbed.capacity_bound import reference
 from irisdeal.testbed.load_generator import LoadGenerator
@@ -21,7 +21,8 @@
 from irisdeal.testbed.workload import Day
 
 QUIET_PERIOD = 0.3  # s after the last answer: what a front door still sends shows
-PROGRESS = 0.2  # s between two words on how far it is
+PROGRESS = 0.2  # s between two reports of progress
+START_DELAY = 50_000  # µs from the last preparation to the day's start
 
 
 @dataclass(slots=True)
@@ -66,75 +67,125 @@
     `progress` hears the seconds played, `started` the front doors' process ids once all are ready. `reports` is a
     folder for the sockets of the front doors' own reports, nN.sock each.
 
-    Raises `CannotRun` where the front doors cannot be built or started. Whatever happens, every process that was
+    Raises `DemoError` where the front doors cannot be built or started. Whatever happens, every process that was
     started here has ended on return.
     """
     stop = interrupted or asyncio.Event()
     await build(deploy)
-    platform = Platform(day)
-    platform.reports = reports
-    try:
-        await platform.start()
-    except SiteError as error:
-        platform.close()
-        await platform.ended()
-        raise CannotRun(str(error)) from None
+    platform = await _start_platform(day, reports)
     with make_folder() as folder:
         front_doors = FrontDoorProcesses(platform, deploy, Path(folder), day.seed)
-        shards = day.scenario.load.processes
-        load_generator = (
-            LoadGenerator(day, platform.request_log, platform.now, front_doors.addresses)
-            if shards == 1
-            else LoadProcesses(day, platform.request_log, platform.clock, front_doors.addresses, shards)
-        )
-        front_doors.load_generator = load_generator
-        interrupted_at: float | None = None
+        load = _make_load(platform, front_doors)
+        front_doors.load_generator = load
         try:
-            await front_doors.start()
-            if isinstance(load_generator, LoadProcesses):
-                await load_generator.prepare()
-            started([incarnation.pid for incarnation in platform.request_log.front_doors])
-            before = os.times()
-            start = platform.now() + 50_000
-            platform.play(start, front_doors)
-            running = asyncio.get_running_loop().create_task(load_generator.run(start))
-            waiting = asyncio.get_running_loop().create_task(stop.wait())
-            while not running.done():
-                await asyncio.wait({running, waiting}, timeout=PROGRESS, return_when=asyncio.FIRST_COMPLETED)
-                seconds = (platform.now() - start) / 1e6
-                progress(max(0.0, min(seconds, day.scenario.seconds)))
-                if waiting.done() and interrupted_at is None:
-                    interrupted_at = max(0.0, seconds)
-                    load_generator.stop()
-            waiting.cancel()
-            await running
-            await asyncio.sleep(QUIET_PERIOD)
-            after = os.times()
-            await front_doors.stop()
-            await platform.gather()
+            played = await _play_day(platform, front_doors, load, _Observer(stop, progress, started))
         except (LoadProcessError, SiteError) as error:
-            raise CannotRun(str(error)) from None
+            raise DemoError(str(error)) from None
         finally:
             front_doors.kill_all()
-            load_generator.close()
+            load.close()
             platform.close()
             await platform.ended()
-    scenario = (
-        day.scenario if interrupted_at is None else day.scenario.resized(seconds=max(0.5, interrupted_at))
-    )
-    own = round((after.user + after.system - before.user - before.system) * 1e6)
+    return _outcome(platform, front_doors, played)
+
+
+@dataclass(frozen=True, slots=True)
+class _Observer:
+    """Who watches a run: `stop` ends it early, `progress` and `started` are told of it."""
+
+    stop: asyncio.Event
+    progress: Callable[[float], None]
+    started: Callable[[list[int]], None]
+
+
+@dataclass(frozen=True, slots=True)
+class _Played:
+    """A day that was played: its start and the CPU time of this process in µs, and s until an interrupt."""
+
+    start: int
+    own_cpu: int
+    interrupted_at: float | None
+
+
+async def _start_platform(day: Day, reports: Path | None) -> Platform:
+    platform = Platform(day)
+    platform.reports = reports
+    try:
+        await platform.start()
+    except SiteError as error:
+        platform.close()
+        await platform.ended()
+        raise DemoError(str(error)) from None
+    return platform
+
+
+def _make_load(platform: Platform, front_doors: FrontDoorProcesses) -> LoadGenerator | LoadProcesses:
+    day, request_log, addresses = platform.day, platform.request_log, front_doors.addresses
+    shards = day.scenario.load.processes
+    if shards == 1:
+        return LoadGenerator(day, request_log, platform.now, addresses)
+    return LoadProcesses(day, request_log, platform.clock, addresses, shards)
+
+
+async def _play_day(
+    platform: Platform,
+    front_doors: FrontDoorProcesses,
+    load: LoadGenerator | LoadProcesses,
+    observer: _Observer,
+) -> _Played:
+    await front_doors.start()
+    if isinstance(load, LoadProcesses):
+        await load.prepare()
+    observer.started([process.pid for process in platform.request_log.front_doors])
+    before = os.times()
+    start = platform.now() + START_DELAY
+    platform.play(start, front_doors)
+    interrupted_at = await _run_load(platform, load, observer, start)
+    await asyncio.sleep(QUIET_PERIOD)
+    after = os.times()
+    await front_doors.stop()
+    await platform.gather()
+    own_cpu = round((after.user + after.system - before.user - before.system) * 1e6)
+    return _Played(start, own_cpu, interrupted_at)
+
+
+async def _run_load(
+    platform: Platform, load: LoadGenerator | LoadProcesses, observer: _Observer, start: int
+) -> float | None:
+    """Run the load to its end; s from the start at which it was interrupted, None for a complete day."""
+    interrupted_at: float | None = None
+    running = asyncio.get_running_loop().create_task(load.run(start))
+    waiting = asyncio.get_running_loop().create_task(observer.stop.wait())
+    while not running.done():
+        await asyncio.wait({running, waiting}, timeout=PROGRESS, return_when=asyncio.FIRST_COMPLETED)
+        seconds = (platform.now() - start) / 1e6
+        observer.progress(max(0.0, min(seconds, platform.scenario.seconds)))
+        if waiting.done() and interrupted_at is None:
+            interrupted_at = max(0.0, seconds)
+            load.stop()
+    waiting.cancel()
+    await running
+    return interrupted_at
+
+
+def _outcome(platform: Platform, front_doors: FrontDoorProcesses, played: _Played) -> Outcome:
+    day, request_log, start = platform.day, platform.request_log, played.start
+    scenario = day.scenario
+    if played.interrupted_at is not None:
+        scenario = scenario.resized(seconds=max(0.5, played.interrupted_at))
+    manner_of = {tenant.customer: tenant.manner for tenant in day.tenants}
     return Outcome(
         day,
-        platform.request_log,
-        audit(platform.request_log, platform.figures),
-        reckon(platform.request_log, scenario, start),
-        [front_doors.use(d) for d in platform.front_doors],
-        own,
+        request_log,
+        audit(request_log, platform.figures),
+        reckon(request_log, scenario, start),
+        [front_doors.use(number) for number in platform.front_doors],
+        played.own_cpu,
         start,
         front_doors.crashes,
-        interrupted_at,
+        played.interrupted_at,
         platform.counter.calls,
-        reference(platform.request_log, scenario, start),
-        tenant_usage(platform.request_log, scenario),
-        manners(platform.request_log, scenario, {s.customer: s.manner for s in day.tenants}, start),
+        reference(request_log, scenario, start),
+        tenant_usage(request_log, scenario),
+        manners(request_log, scenario, manner_of, start),
     )
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import CannotRun, Deploy, FrontDoorProcesses, find_deploy
+from irisdeal.demo.processes import DemoError, Deploy, FrontDoorProcesses, find_deploy
 from irisdeal.testbed.audit import audit
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
@@ -164,7 +164,7 @@
     deploy_file(tmp_path)
     assert find_deploy(inner).root == tmp_path
     (tmp_path / "deploy" / "balancer.toml").write_text("run = 3\n")
-    with pytest.raises(CannotRun, match="run: wanted the line"):
+    with pytest.raises(DemoError, match="run: wanted the line"):
         find_deploy(inner)
 
 
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import CannotRun, Deploy
+from irisdeal.demo.processes import DemoError, Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario_files import load, parse
@@ -110,7 +110,7 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Sites, "start", dies)
-            with pytest.raises(CannotRun, match="hall-b"):
+            with pytest.raises(DemoError, match="hall-b"):
                 await play(day, HERE)
 
     uvloop.run(run())
