--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -23,7 +23,8 @@
 
 import uvloop
 
-from irisdeal.demo.processes import Use, free_port, measure
+from irisdeal.demo.deployment import free_port
+from irisdeal.demo.usage import Use, measure
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.front_door_settings import front_door_settings
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from irisdeal.demo.processes import Deploy
+from irisdeal.demo.deployment import Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import SECOND
 from irisdeal.testbed.scenario_files import parse
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -16,7 +16,7 @@
 import sys
 from pathlib import Path
 
-from irisdeal.demo.processes import Deploy
+from irisdeal.demo.deployment import Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.front_door.quota.account import EVEN, SECOND, Account
 from irisdeal.testbed.quota_overshoot import Refusals, refusals
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from irisdeal.demo.processes import find_deploy
+from irisdeal.demo.deployment import find_deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.audit import Rule
 from irisdeal.testbed.scenario import Fault, Scenario
--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks.door_cost import Instant, Load
-from irisdeal.demo.processes import free_port
+from irisdeal.demo.deployment import free_port
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.server.config import parse
 from irisdeal.front_door.server.program import Program
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -19,7 +19,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from irisdeal.demo.processes import Deploy
+from irisdeal.demo.deployment import Deploy
 from irisdeal.demo.run import play as play_real
 from irisdeal.simulation.search.front_door_day import play as play_virtual
 from irisdeal.testbed import scenario_files as scenarios
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -22,7 +22,7 @@
 from irisdeal.cli.zones import zones
 
 if TYPE_CHECKING:
-    from irisdeal.demo.processes import Deploy
+    from irisdeal.demo.deployment import Deploy
     from irisdeal.demo.run import Outcome
     from irisdeal.testbed.workload import Day
 
@@ -137,7 +137,7 @@
 
     Example: irisdeal demo --scenario hall-cut --doors 4 --seed 7
     """
-    from irisdeal.demo.processes import DemoError, find_deploy
+    from irisdeal.demo.deployment import DemoError, find_deploy
     from irisdeal.demo.report import as_json
     from irisdeal.demo.tables import show
     from irisdeal.testbed import scenario_files as scenarios
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -7,18 +7,16 @@
 from __future__ import annotations
 
 import asyncio
-import itertools
 import os
 import random
 import signal
-import socket
-import sys
 import tempfile
-import tomllib
 from contextlib import suppress
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from irisdeal.demo.deployment import DemoError, Deploy, own_address
+from irisdeal.demo.usage import Use, measure
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.load_processes import LoadProcesses
 from irisdeal.testbed.platform import Platform
@@ -30,99 +28,6 @@
 POLL = 0.02  # s between two looks at a front door's health while it starts
 SAMPLE = 0.5  # s between two looks at a front door's memory and descriptors
 KEPT_LOG = 20_000  # bytes of a front door's log that are kept for the report
-TICKS = os.sysconf("SC_CLK_TCK")  # of CPU time a second, as /proc counts it
-
-
-class DemoError(Exception):
-    """The demo cannot be played on this machine as asked; the text says why."""
-
-
-@dataclass(slots=True)
-class Use:
-    """What one process used. CPU in µs since it was ready; memory in bytes and descriptors, the most of each.
-
-    None where this machine does not tell.
-    """
-
-    cpu: int | None = None
-    start_cpu: int = 0  # µs until it was ready: reading the program, not serving
-    memory: int | None = None
-    files: int | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Deploy:
-    """How front doors are built and run: the two lines and the folder that they are run in."""
-
-    root: Path
-    run: str
-    build: str = ""
-
-
-def find_deploy(start: Path, path: Path | None = None) -> Deploy:
-    """`deploy/balancer.toml` in a folder or above it; without one, this interpreter's own `-m irisdeal`."""
-    candidates = (
-        [path]
-        if path is not None
-        else [folder / "deploy" / "balancer.toml" for folder in (start, *start.parents)]
-    )
-    for candidate in candidates:
-        if candidate.is_file():
-            try:
-                deployment = tomllib.loads(candidate.read_text("utf-8"))
-            except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-                raise DemoError(f"{candidate}: {error}") from None
-            run, build = deployment.get("run"), deployment.get("build", "")
-            if not isinstance(run, str) or not isinstance(build, str):
-                raise DemoError(f"{candidate}: run: wanted the line that starts a door")
-            return Deploy(candidate.resolve().parent.parent, run, build)
-    if path is not None:
-        raise DemoError(f"{path}: no such file")
-    return Deploy(start, f"exec {sys.executable} -m irisdeal")
-
-
-async def build(deploy: Deploy) -> None:
-    """Run the deployment's `build` line; quick where everything is built already."""
-    if not deploy.build:
-        return
-    made = await asyncio.create_subprocess_shell(
-        deploy.build, cwd=deploy.root, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT
-    )
-    text, _ = await made.communicate()
-    if made.returncode:
-        raise DemoError(f"the build line failed: {text.decode('utf-8', 'replace').strip()[-400:]}")
-
-
-def free_port() -> int:
-    """Find a port of 127.0.0.1 that is free now; by the time it is used somebody may have it."""
-    with socket.socket() as made:
-        made.bind(("127.0.0.1", 0))
-        return int(made.getsockname()[1])
-
-
-def own_host() -> str:
-    """Return an address of loopback that no other run on this machine has: by our process id.
-
-    A port that was looked for and given up is anybody's until its front door binds it; on an address of one's own
-    nobody else looks. Where the system has the one address alone (not Linux), that one.
-    """
-    pid = os.getpid()  # 22 bits at most (proc(5), pid_max)
-    host = f"127.{64 + (pid >> 16) % 64}.{pid >> 8 & 255}.{pid & 255}"
-    with socket.socket() as made:
-        try:
-            made.bind((host, 0))
-        except OSError:
-            return "127.0.0.1"
-    return host
-
-
-PORTS = itertools.count(10_000)  # of the front doors of this process, each used once
-
-
-def own_address() -> tuple[str, int]:
-    """Where a front door is to listen."""
-    host = own_host()
-    return host, free_port() if host == "127.0.0.1" else next(PORTS)
 
 
 @dataclass(slots=True)
@@ -141,6 +46,7 @@
 
     @property
     def listen(self) -> str:
+        """The address as host:port."""
         return f"{self.address[0]}:{self.address[1]}"
 
 
@@ -396,17 +302,6 @@
         return total
 
 
-def measure(pid: int, use: Use) -> None:
-    """Measure what a process uses, from /proc; nothing where there is none (not Linux)."""
-    with suppress(OSError, ValueError, IndexError):
-        fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        use.cpu = (int(fields[11]) + int(fields[12])) * 1_000_000 // TICKS - use.start_cpu
-        for line in Path(f"/proc/{pid}/status").read_text().splitlines():
-            if line.startswith("VmHWM:"):
-                use.memory = int(line.split()[1]) * 1024
-        use.files = max(use.files or 0, len(os.listdir(f"/proc/{pid}/fd")))
-
-
 def make_folder() -> tempfile.TemporaryDirectory[str]:
     """Where the front doors' configurations stand while the demo runs."""
     return tempfile.TemporaryDirectory(prefix="irisdeal-demo-")
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.demo.processes import DemoError, Deploy, FrontDoorProcesses, Use, build, make_folder
+from irisdeal.demo.deployment import DemoError, Deploy, build
+from irisdeal.demo.processes import FrontDoorProcesses, make_folder
+from irisdeal.demo.usage import Use
 from irisdeal.testbed.audit import Verdict, audit
 from irisdeal.testbed.capacity_bound import reference
 from irisdeal.testbed.load_generator import LoadGenerator
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -13,7 +13,8 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import DemoError, Deploy, FrontDoorProcesses, find_deploy
+from irisdeal.demo.deployment import DemoError, Deploy, find_deploy
+from irisdeal.demo.processes import FrontDoorProcesses
 from irisdeal.testbed.audit import audit
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
@@ -272,7 +273,7 @@
 
 def test_two_runs_side_by_side_have_addresses_of_their_own() -> None:
     """Lost: a port was looked for, given up and bound later, so that another run could take it meanwhile."""
-    code = "from irisdeal.demo.processes import own_address\nprint(own_address(), own_address())\ninput()"
+    code = "from irisdeal.demo.deployment import own_address\nprint(own_address(), own_address())\ninput()"
     runs = [
         subprocess.Popen(
             [sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
--- a/tests/testbed/test_load_processes.py
+++ b/tests/testbed/test_load_processes.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import Deploy
+from irisdeal.demo.deployment import Deploy
 from irisdeal.demo.run import play
 from irisdeal.testbed.capacity_bound import reference
 from irisdeal.testbed.load_processes import LoadProcessError, LoadProcesses
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.processes import DemoError, Deploy
+from irisdeal.demo.deployment import DemoError, Deploy
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario_files import load, parse
