--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -19,7 +19,7 @@
 from irisdeal.testbed.quota_overshoot import TenantUsage, tenant_usage
 from irisdeal.testbed.request_log import RequestLog
 from irisdeal.testbed.service_report import MannerUse, Service, manners, reckon
-from irisdeal.testbed.site_processes import SiteError
+from irisdeal.testbed.site_frames import SiteError
 from irisdeal.testbed.workload import Day
 
 QUIET_PERIOD = 0.3  # s after the last answer: what a front door still sends shows
--- a/irisdeal/testbed/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -15,7 +15,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from irisdeal.testbed.backend import BackendServer
+from irisdeal.testbed.backend import BackendContext, BackendServer
 from irisdeal.testbed.backend_model import IdempotencyMemory, Meter
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
@@ -91,14 +91,16 @@
     backend = BackendServer(
         f"s-{options.number}",
         drawn,
-        scenario.fleet,
-        scenario.classes,
-        scenario.figures({}),
-        request_log,
-        Clock(),
-        options.seed,
         IdempotencyMemory(window),
-        meter,
+        BackendContext(
+            scenario.fleet,
+            scenario.classes,
+            scenario.figures({}),
+            request_log,
+            Clock(),
+            options.seed,
+            meter,
+        ),
     )
     await backend.start(range(options.doors), options.cold)
 
--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -10,7 +10,7 @@
 import asyncio
 import json
 import random
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from functools import partial
 from typing import cast
 
@@ -36,6 +36,20 @@
 )
 
 
+@dataclass(frozen=True, slots=True)
+class BackendContext:
+    """What the backends of one run share. `front_door_zones` by number of the front door; empty: the same zone."""
+
+    fleet: Fleet
+    classes: tuple[Class, ...]
+    figures: Figures
+    request_log: RequestLog
+    now: Now
+    seed: int
+    meter: Meter
+    front_door_zones: tuple[str, ...] = ()
+
+
 class BackendServer:
     """One backend. `listen` opens its addresses, `crash` and `start` are its restarts."""
 
@@ -43,21 +57,15 @@
         self,
         name: str,
         machine: Machine,
-        fleet: Fleet,
-        classes: tuple[Class, ...],
-        figures: Figures,
-        request_log: RequestLog,
-        now: Now,
-        seed: int,
         memory: IdempotencyMemory,
-        meter: Meter,
-        front_door_zones: tuple[str, ...] = (),
+        context: BackendContext,
     ) -> None:
-        self.name, self.machine, self.fleet, self.figures = name, machine, fleet, figures
-        self.request_log, self.now, self.seed, self.memory, self.meter = request_log, now, seed, memory, meter
-        self.classes = {c.name: c for c in classes}
-        self.front_door_zones = front_door_zones
-        self.random: random.Random = stream(seed, "box", name)
+        self.name, self.machine, self.memory = name, machine, memory
+        self.fleet, self.figures, self.meter = context.fleet, context.figures, context.meter
+        self.request_log, self.now, self.seed = context.request_log, context.now, context.seed
+        self.classes = {c.name: c for c in context.classes}
+        self.front_door_zones = context.front_door_zones
+        self.random: random.Random = stream(self.seed, "box", name)
         self.ports: dict[int, int] = {}  # by front door, kept over restarts
         self.servers: list[asyncio.Server] = []
         self.connections: dict[ServerConnection, None] = {}  # in the order they came, as all that ends many
@@ -65,7 +73,7 @@
         self.spoil = 0.0  # share of answers that come spoilt
         self.up = self.fell = False
         self.model: BackendModel = BackendModel(
-            machine, figures, BackendIncarnation(name, machine.zone, 0, 0, 1.0, 1.0, 0)
+            machine, self.figures, BackendIncarnation(name, machine.zone, 0, 0, 1.0, 1.0, 0)
         )
         self.load_report = LoadReport()
         self.report_since = 0
@@ -174,6 +182,13 @@
         took = work(self.seed, trace, kind)
         if connection.requests == 1:
             took += round(self.fleet.handshake_ms * 1000)  # a new connection costs work as a handshake would
+        attempt = self._log_attempt(connection, request, kind, took)
+        if len(self.connections) > self.fleet.connections_per_core * self.machine.cores:
+            return self._reject(connection, attempt, "too many connections", close=True)
+        self._admit(connection, request, attempt)
+
+    def _log_attempt(self, connection: ServerConnection, request: Request, kind: Class, took: int) -> Attempt:
+        headers, trace = request.headers, request.headers["x-trace-id"]
         quota = dict(item.partition("=")[::2] for item in headers.get("quota-info", "").split(","))
         attempt = Attempt(
             trace,
@@ -194,12 +209,13 @@
         self.request_log.attempts.append(attempt)
         self.meter.add(trace, attempt.plan, attempt.customer, attempt.units, request.last_byte)
         connection.context = attempt
-        if len(self.connections) > self.fleet.connections_per_core * self.machine.cores:
-            return self._turn_away(connection, attempt, "too many connections", close=True)
+        return attempt
+
+    def _admit(self, connection: ServerConnection, request: Request, attempt: Attempt) -> None:
         self._advance()
         job = Job(
-            took,
-            request.last_byte + _wait(headers.get("x-expires-in", "")),
+            attempt.work,
+            request.last_byte + _wait(request.headers.get("x-expires-in", "")),
             request.last_byte,
             tag=(connection, attempt),
         )
@@ -209,10 +225,10 @@
             self.request_log.fallen.append((self.name, self.incarnation.incarnation, self.now()))
             return self.crash()
         if verdict is not Admission.TAKEN:
-            return self._turn_away(connection, attempt, verdict.name.lower())
+            return self._reject(connection, attempt, verdict.name.lower())
         self._arm()
 
-    def _turn_away(
+    def _reject(
         self,
         connection: ServerConnection,
         attempt: Attempt,
@@ -231,7 +247,7 @@
         for job, done in self.model.advance(max(self.now(), self.model.now)):
             connection, attempt = cast(tuple[ServerConnection, Attempt], job.tag)
             if done is Completion.EXPIRED:
-                self._turn_away(connection, attempt, "overdue", status=504)
+                self._reject(connection, attempt, "overdue", status=504)
             else:
                 self._answer(connection, attempt)
 
@@ -269,10 +285,10 @@
     def _figures(self, attempt: Attempt) -> str:
         """Format the load report and the meter's figure as header lines."""
         use = self.meter.percent(attempt.plan, attempt.customer, self.now())
-        told = self.load_report
+        load = self.load_report
         return (
-            f"Usage-Percent: {use}\r\nEndpoint-Load-Metrics: TEXT latency_ms={told.latency_ms:.1f}, "
-            f"util={told.util:.3f}, queue={told.queue}\r\n"
+            f"Usage-Percent: {use}\r\nEndpoint-Load-Metrics: TEXT latency_ms={load.latency_ms:.1f}, "
+            f"util={load.util:.3f}, queue={load.queue}\r\n"
         )
 
     def _arm(self) -> None:
--- a/irisdeal/testbed/http.py
+++ b/irisdeal/testbed/http.py
@@ -7,6 +7,7 @@
 
 import asyncio
 import select
+import socket
 from collections import deque
 from collections.abc import Callable
 from typing import Any, Protocol, cast
@@ -140,7 +141,7 @@
             self.transport.abort()
 
 
-def readable_now(sock: Any) -> bool:
+def readable_now(sock: socket.socket) -> bool:
     """Whether a read of this socket would return at once, asked of the kernel."""
     poller = select.poll()
     poller.register(sock.fileno(), select.POLLIN)
@@ -177,8 +178,10 @@
         return self.transport is not None and not self.transport.is_closing() and self.reusable
 
     def ended(self) -> bool:
-        """Something waits to be read where no answer is due: the peer's end, mostly, which the loop has yet
-        to tell of. A client that looks before it writes does not lose a request to it.
+        """Whether bytes, or the peer's end, wait to be read where no answer is due.
+
+        The event loop may not have read them yet: a client that checks this before it writes does not lose a
+        request to a connection that has ended.
         """
         if self.transport is None or self.transport.is_closing():
             return True
--- a/irisdeal/testbed/load_generator.py
+++ b/irisdeal/testbed/load_generator.py
@@ -155,35 +155,35 @@
         answer = client_attempt.answers[0] if client_attempt.answers else None
         if answer is not None and answer.status == 200:
             return False
-        refused = answer is not None and answer.status in (429, 503)
-        unreached = not client_attempt.at or (
-            not client_attempt.answers and bool(client_attempt.disconnected_at)
-        )  # a dead front door's are the client's
         kind = next(c for c in self.scenario.classes if c.name == client_attempt.kind)
-        if kind.repeat == "safe":
+        if kind.repeat == "safe" or not client_attempt.at:
             return True
-        return refused or (unreached and (kind.repeat == "keyed" or not client_attempt.at))
+        if answer is not None:
+            return answer.status in (429, 503)
+        return bool(client_attempt.disconnected_at) and kind.repeat == "keyed"
 
     def _choose_front_door(self, tenant: int, last: int) -> int:
         """Choose the front door of an attempt; `last` had the attempt before it, -1 for a first one."""
         if last in self.alive - self.leaving and self.random.random() >= self.scenario.load.elsewhere:
             return last
-        told = self.day.tenants[tenant]
-        front_doors = [(told.first + n) % len(self.front_doors) for n in range(told.spread)]
-        shares = weights(self.day.seed, self.scenario, tenant, told.spread, self.now() - self.start)
-        able = [
-            (d, w)
-            for d, w in zip(front_doors, shares, strict=True)
-            if d in self.alive and (d not in self.leaving or any(c.usable() for c in self.idle[d]))
-        ]
-        able = able or [(d, 1.0) for d in (self.alive or set(front_doors))]
+        first, spread = self.day.tenants[tenant].first, self.day.tenants[tenant].spread
+        front_doors = [(first + n) % len(self.front_doors) for n in range(spread)]
+        shares = weights(self.day.seed, self.scenario, tenant, spread, self.now() - self.start)
+        able = [pair for pair in zip(front_doors, shares, strict=True) if self._reachable(pair[0])]
+        able = able or [(front_door, 1.0) for front_door in (self.alive or set(front_doors))]
         return self.random.choices([d for d, _ in able], [w + 1e-9 for _, w in able])[0]
 
+    def _reachable(self, front_door: int) -> bool:
+        """Whether a request can be sent: a front door that drains takes none on new connections."""
+        if front_door not in self.alive:
+            return False
+        return front_door not in self.leaving or any(c.usable() for c in self.idle[front_door])
+
     # One try
 
     async def _attempt(self, client_attempt: ClientAttempt, first: int, spread: int) -> None:
-        for again in (False, True):
-            connection = None if again else self._rested(client_attempt.front_door)
+        for repeated in (False, True):
+            connection = None if repeated else self._rested(client_attempt.front_door)
             kept = connection is not None
             for _ in range(CONNECTS):  # a new one may be closed before our loop comes to write on it
                 if connection is None or connection.ended():
@@ -205,11 +205,7 @@
         ended: asyncio.Future[None] = loop.create_future()
 
         def answered(status: int, headers: dict[str, str], body: bytes) -> None:
-            try:
-                advice = float(headers["retry-after"]) if "retry-after" in headers else None
-            except ValueError:
-                advice = None
-            client_attempt.answers.append(Answer(self.now(), status, body, advice))
+            client_attempt.answers.append(Answer(self.now(), status, body, _retry_after(headers)))
             if not ended.done():
                 ended.set_result(None)
 
@@ -276,3 +272,11 @@
             return None
         self.open[connection] = None
         return connection
+
+
+def _retry_after(headers: dict[str, str]) -> float | None:
+    """Return the advice of `Retry-After`, s; None where it is missing or malformed."""
+    try:
+        return float(headers["retry-after"]) if "retry-after" in headers else None
+    except ValueError:
+        return None
--- a/irisdeal/testbed/load_processes.py
+++ b/irisdeal/testbed/load_processes.py
@@ -165,6 +165,7 @@
 
 
 async def _play(reader: asyncio.StreamReader) -> bytes:
+    """Play one shard as the parent commands; its pickled report, or nothing where the parent has gone."""
     size = int.from_bytes(await reader.readexactly(4), "big")
     shard = pickle.loads(await reader.readexactly(size))
     assert isinstance(shard, LoadShard)
@@ -174,8 +175,28 @@
     )
     sys.stdout.buffer.write(b"ready\n")
     sys.stdout.buffer.flush()
+    lag = LoopLagMonitor(request_log.stalls, now)
+    if not await _obey(reader, load_generator, lag):
+        load_generator.close()
+        tasks = (*load_generator.tasks, *load_generator.misbehaving_clients.tasks)
+        await asyncio.gather(*tasks, return_exceptions=True)
+        return b""
+    await asyncio.sleep(LATE_WATCH)  # what answers an attempt that was given up just now is still seen
+    lag.stop()
+    load_generator.close()
+    return pickle.dumps(
+        ShardReport(request_log.client_attempts, request_log.stalls, request_log.misbehaving_clients)
+    )
+
+
+async def _obey(reader: asyncio.StreamReader, load_generator: LoadGenerator, lag: LoopLagMonitor) -> bool:
+    """Follow the parent's commands until the day is played; whether the parent is still there."""
+    actions = {
+        "down": load_generator.front_door_down,
+        "leaves": load_generator.front_door_draining,
+        "up": load_generator.front_door_up,
+    }
     played: asyncio.Task[None] | None = None
-    late = LoopLagMonitor(request_log.stalls, now)
     commands = asyncio.get_running_loop().create_task(reader.readline())
     while played is None or not played.done():
         await asyncio.wait({commands, *([played] if played else [])}, return_when=asyncio.FIRST_COMPLETED)
@@ -183,30 +204,17 @@
             continue
         what, _, value = commands.result().decode().strip().partition(" ")
         if what == "start":
-            late.start()
+            lag.start()
             played = asyncio.get_running_loop().create_task(load_generator.run(int(value)))
         elif what == "stop":
             load_generator.stop()
-        elif what == "":  # the parent has gone
-            load_generator.close()
-            await asyncio.gather(
-                *load_generator.tasks, *load_generator.misbehaving_clients.tasks, return_exceptions=True
-            )
-            return b""
+        elif what == "":
+            return False
         else:
-            {
-                "down": load_generator.front_door_down,
-                "leaves": load_generator.front_door_draining,
-                "up": load_generator.front_door_up,
-            }[what](int(value))
+            actions[what](int(value))
         commands = asyncio.get_running_loop().create_task(reader.readline())
     commands.cancel()
-    await asyncio.sleep(LATE_WATCH)  # what answers a client attempt that was given up just now is still seen
-    late.stop()
-    load_generator.close()
-    return pickle.dumps(
-        ShardReport(request_log.client_attempts, request_log.stalls, request_log.misbehaving_clients)
-    )
+    return True
 
 
 async def _main() -> None:
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -10,21 +10,22 @@
 import asyncio
 import json
 import logging
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Iterable
 from dataclasses import replace
 from pathlib import Path
 from typing import Any, Protocol
 
-from irisdeal.testbed.backend import BackendServer
+from irisdeal.testbed.backend import BackendContext, BackendServer
 from irisdeal.testbed.backend_model import IdempotencyMemory, Meter
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
+from irisdeal.testbed.fault_players import FAULT_PLAYERS
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
 from irisdeal.testbed.front_door_settings import front_door_settings
 from irisdeal.testbed.loop_lag import LoopLagMonitor
+from irisdeal.testbed.remote_services import RemoteBackend, RemoteCounter, RemoteLinks, Sites
 from irisdeal.testbed.request_log import Clock, Now, RequestLog, front_door_name
 from irisdeal.testbed.scenario import Fault
-from irisdeal.testbed.site_processes import RemoteBackend, RemoteCounter, RemoteLinks, Sites
 from irisdeal.testbed.workload import Day, machine, stream
 
 log = logging.getLogger("irisdeal.testbed")
@@ -90,6 +91,17 @@
         )
         self.cells: dict[str, int] = {}
         self.figures = self.scenario.figures(self.cells)
+        zones = fleet.zones
+        self.context = BackendContext(
+            fleet,
+            self.scenario.classes,
+            self.figures,
+            self.request_log,
+            self.now,
+            seed,
+            self.meter,
+            tuple(zones[number % len(zones)] for number in self.front_doors),
+        )
         self.backends: list[BackendServer | RemoteBackend] = []
         self.number = 0  # of machines made
         # Backends and counter service in processes of their own, if the scenario says so; not in virtual time.
@@ -123,8 +135,8 @@
         if self.sites is not None:
             await self.sites.start()
         for _ in range(self.scenario.fleet.backends):
-            await self._new_backend(warming_up=False)
-        self.discovery.endpoints.change(*(self._member(backend, "Ready") for backend in self.backends))
+            await self.new_backend(warming_up=False)
+        self.discovery.endpoints.change(*(self.endpoint_of(backend, "Ready") for backend in self.backends))
         await self.discovery.start(self.front_doors)
         await self.counter.start(self.front_doors)
         for name, ports in (("keeper", self.counter.ports), ("roster", self.discovery.ports)):
@@ -162,7 +174,7 @@
         if self.sites is not None:
             await self.sites.ended()
 
-    async def _new_backend(
+    async def new_backend(
         self, warming_up: bool, instead: BackendServer | RemoteBackend | None = None
     ) -> BackendServer | RemoteBackend:
         """Start the machine of the next number; `instead` of another one it takes its addresses, zone, cell."""
@@ -173,23 +185,10 @@
         self.number += 1
         self.cells[name] = drawn.cell
         self.figures.cells[name] = drawn.cell
-        zones = self.scenario.fleet.zones
         backend: BackendServer | RemoteBackend = (
             RemoteBackend(self.sites, name, drawn)
             if self.sites is not None
-            else BackendServer(
-                name,
-                drawn,
-                self.scenario.fleet,
-                self.scenario.classes,
-                self.figures,
-                self.request_log,
-                self.now,
-                self.day.seed,
-                self.memories[drawn.zone],
-                self.meter,
-                tuple(zones[d % len(zones)] for d in self.front_doors),
-            )
+            else BackendServer(name, drawn, self.memories[drawn.zone], self.context)
         )
         backend.ports = dict(instead.ports) if instead is not None else {}
         await backend.start(self.front_doors, warming_up)
@@ -205,7 +204,8 @@
             }
         return backend
 
-    def _member(self, backend: BackendServer | RemoteBackend, phase: str) -> Endpoint:
+    def endpoint_of(self, backend: BackendServer | RemoteBackend, phase: str) -> Endpoint:
+        """Return the entry of a backend in the list of endpoints."""
         ports = self.link_ports.get(backend.name, backend.ports)
         return Endpoint(
             backend.name,
@@ -277,205 +277,17 @@
     async def do(self, fault: Fault, front_doors: FrontDoors) -> None:
         """Play one fault to its end."""
         self.record_fault(fault.text())
-        table: dict[str, Callable[[Fault, FrontDoors], Awaitable[None]]] = {
-            "box-hang": self._hang,
-            "box-slow": self._slow,
-            "box-crash": self._crash,
-            "box-replace": self._replace,
-            "box-drain": self._drain,
-            "box-add": self._add,
-            "box-spoil": self._spoil,
-            "keeper-silent": self._counter_unresponsive,
-            "keeper-refuse": self._counter_refuse,
-            "keeper-slow": self._counter_slow,
-            "keeper-flush": self._counter_flush,
-            "keeper-spoil": self._counter_spoil,
-            "keeper-split": self._counter_split,
-            "roster-silent": self._discovery_unresponsive,
-            "roster-late": self._discovery_late,
-            "roster-lose": self._discovery_lose,
-            "hall-cut": self._zone_cut_off,
-            "hall-slow": self._zone_slow,
-            "hall-reset": self._zone_reset,
-            "link-cut": self._link,
-            "link-silent": self._link,
-            "link-slow": self._link,
-            "link-reset": self._link,
-            "door-kill": self._front_door_kill,
-            "door-restart": self._front_door_restart,
-            "door-stall": self._front_door_stall,
-            "door-reload": self._front_door_reload,
-        }
-        if (
-            play := table.get(fault.do)
-        ) is not None:  # the rest is drawn into the day or the load generators'
-            await play(fault, front_doors)
+        play = FAULT_PLAYERS.get(fault.do)
+        if play is not None:  # the others are drawn into the day, or belong to the load generator
+            await play(self, fault, front_doors)
 
-    def _some(self, count: int) -> list[BackendServer | RemoteBackend]:
-        """Backends that are up and in no other fault, drawn by the seed; they are this fault's until `_free`."""
+    def pick_backends(self, count: int) -> list[BackendServer | RemoteBackend]:
+        """Draw backends that are up and in no other fault; they are in this one until `release_backends`."""
         able = [b for b in self.backends if b.up and b.name not in self.struck]
         backends = self.random.sample(able, min(count, len(able)))
         self.struck |= {backend.name for backend in backends}
         return backends
 
-    def _free(self, backends: list[BackendServer | RemoteBackend]) -> None:
+    def release_backends(self, backends: list[BackendServer | RemoteBackend]) -> None:
+        """End a fault of these backends."""
         self.struck -= {backend.name for backend in backends}
-
-    async def _hang(self, fault: Fault, _: FrontDoors) -> None:
-        backends = self._some(fault.backends)
-        for backend in backends:
-            backend.set_hung(True)
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            if backend.up:
-                backend.set_hung(False)
-        self._free(backends)
-
-    async def _slow(self, fault: Fault, _: FrontDoors) -> None:
-        backends = self._some(fault.backends)
-        for backend in backends:
-            backend.set_slower(fault.size)
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            if backend.up:
-                backend.set_slower(1.0)
-        self._free(backends)
-
-    async def _crash(self, fault: Fault, _: FrontDoors) -> None:
-        """Crash backends and start them again, in slow start; discovery learns late, and only that they run."""
-        backends = self._some(fault.backends)
-        for backend in backends:
-            backend.crash()
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            await backend.start(self.front_doors, warming_up=True)
-        self.discovery.change(*(self._member(backend, "Ready") for backend in backends))
-        self._free(backends)
-        self.record_fault(f"{len(backends)} boxes are up again, cold")
-
-    async def _replace(self, fault: Fault, _: FrontDoors) -> None:
-        """Machines go for good; others, with new ids, take their addresses, which the old list still has."""
-        backends = self._some(fault.backends)
-        for backend in backends:
-            backend.crash()
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            gone = self._member(backend, "Gone")
-            new = await self._new_backend(warming_up=True, instead=backend)
-            self.discovery.change(gone, self._member(new, "Ready"))
-        self.record_fault(f"{len(backends)} new boxes stand at the old addresses, cold")
-
-    async def _drain(self, fault: Fault, _: FrontDoors) -> None:
-        backends = self._some(fault.backends)
-        self.discovery.change(*(self._member(backend, "Terminating") for backend in backends))
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            backend.drain()
-        self.discovery.change(*(self._member(backend, "Gone") for backend in backends))
-        self.record_fault(f"{len(backends)} boxes are gone")
-
-    async def _add(self, fault: Fault, _: FrontDoors) -> None:
-        made = [await self._new_backend(warming_up=True) for _ in range(fault.backends)]
-        self.discovery.change(*(self._member(backend, "Ready") for backend in made))
-
-    async def _spoil(self, fault: Fault, _: FrontDoors) -> None:
-        backends = self._some(fault.backends)
-        for backend in backends:
-            backend.set_spoil(fault.size)
-        await asyncio.sleep(fault.for_s)
-        for backend in backends:
-            backend.set_spoil(0.0)
-        self._free(backends)
-
-    async def _counter_unresponsive(self, fault: Fault, _: FrontDoors) -> None:
-        self.counter.put("silent", 1)
-        await asyncio.sleep(fault.for_s)
-        self.counter.put("silent", 0)
-        self.record_fault("the keeper answers again")
-
-    async def _counter_refuse(self, fault: Fault, _: FrontDoors) -> None:
-        self.counter.refuse()
-        await asyncio.sleep(fault.for_s)
-        await self.counter.restart(self.front_doors, fault.empty)
-        self.record_fault(f"the keeper is back, {'empty' if fault.empty else 'with its counts'}")
-
-    async def _counter_slow(self, fault: Fault, _: FrontDoors) -> None:
-        self.counter.put("slower", fault.size)
-        await asyncio.sleep(fault.for_s)
-        self.counter.put("slower", 1.0)
-
-    async def _counter_flush(self, fault: Fault, _: FrontDoors) -> None:
-        self.record_fault(f"the keeper lost {await self.counter.forget(fault.size)} names")
-
-    async def _counter_spoil(self, fault: Fault, _: FrontDoors) -> None:
-        self.counter.put("spoil", fault.size)
-        await asyncio.sleep(fault.for_s)
-        self.counter.put("spoil", 0.0)
-
-    async def _counter_split(self, fault: Fault, _: FrontDoors) -> None:
-        self.counter.split(self.front_doors[: fault.front_door], self.front_doors[fault.front_door :])
-        await asyncio.sleep(fault.for_s)
-        self.counter.heal()
-        self.record_fault("the keeper is one again, with the counts of the first doors' side")
-
-    async def _discovery_unresponsive(self, fault: Fault, _: FrontDoors) -> None:
-        self.discovery.set_unresponsive(True)
-        await asyncio.sleep(fault.for_s)
-        self.discovery.set_unresponsive(False)
-
-    async def _discovery_late(self, fault: Fault, _: FrontDoors) -> None:
-        self.discovery.later = fault.size
-        await asyncio.sleep(fault.for_s)
-        self.discovery.later = 0.0
-
-    async def _discovery_lose(self, fault: Fault, _: FrontDoors) -> None:
-        self.discovery.lose = fault.size
-        await asyncio.sleep(fault.for_s)
-        self.discovery.lose = 0.0
-
-    async def _zone_cut_off(self, fault: Fault, _: FrontDoors) -> None:
-        self.relay.set([fault.zone], Condition(partitioned=True))
-        await asyncio.sleep(fault.for_s)
-        self.relay.set([fault.zone], Condition())
-        self.record_fault(f"{fault.zone} is back")
-
-    async def _zone_slow(self, fault: Fault, _: FrontDoors) -> None:
-        self.relay.set([fault.zone], Condition(delay=fault.ms / 1000))
-        await asyncio.sleep(fault.for_s)
-        self.relay.set([fault.zone], Condition())
-
-    async def _zone_reset(self, fault: Fault, _: FrontDoors) -> None:
-        self.relay.reset([fault.zone])
-
-    async def _link(self, fault: Fault, _: FrontDoors) -> None:
-        front_doors = [front_door_name(front_door) for front_door in self.front_doors[: fault.front_door]]
-        if fault.do == "link-reset":
-            return self.relay.reset(front_doors, fault.to)
-        self.relay.set(
-            front_doors,
-            {
-                "link-cut": Condition(partitioned=True),
-                "link-silent": Condition(stalled=True, direction=fault.direction),
-                "link-slow": Condition(delay=fault.ms / 1000),
-            }[fault.do],
-            fault.to,
-        )
-        await asyncio.sleep(fault.for_s)
-        self.relay.set(front_doors, Condition(), fault.to)
-        self.record_fault(f"{len(front_doors)} doors have their ways to {fault.to} again")
-
-    async def _front_door_kill(self, fault: Fault, front_doors: FrontDoors) -> None:
-        await front_doors.kill(fault.front_door, fault.for_s)
-
-    async def _front_door_restart(self, fault: Fault, front_doors: FrontDoors) -> None:
-        await front_doors.restart(fault.front_door)
-
-    async def _front_door_stall(self, fault: Fault, front_doors: FrontDoors) -> None:
-        await front_doors.stall(fault.front_door, fault.for_s)
-
-    async def _front_door_reload(self, fault: Fault, front_doors: FrontDoors) -> None:
-        """Discovery and counter service move for all front doors, each of which reloads on SIGHUP."""
-        await self.discovery.move(self.front_doors)
-        await self.counter.move(self.front_doors)
-        for front_door in self.front_doors:
-            await front_doors.reload(front_door)
--- a/irisdeal/testbed/service_report.py
+++ b/irisdeal/testbed/service_report.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from irisdeal.testbed.request_log import SECOND, Attempt, ClientAttempt, End, RequestLog
-from irisdeal.testbed.scenario import Scenario
+from irisdeal.testbed.scenario import Class, Plan, Scenario
 
 SPAN = 2  # seconds that are looked at together: one has few requests
 WINDOW = 10 * SECOND  # µs; the worst 10 s of BRIEF, Weights of service
@@ -90,51 +90,74 @@
     kinds = {c.name: c for c in scenario.classes}
     plans = {p.name: p for p in scenario.plans}
     begin, end = start + SECOND, start + round(scenario.seconds * SECOND)
-    by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
-    for client_attempt in request_log.client_attempts:
-        by_ask[client_attempt.ask].append(client_attempt)
     firsts = _firsts(request_log.attempts)
     inside = _inside(request_log, scenario, firsts)
     offers, slots = _buckets(scenario), defaultdict[int, Share](Share)
-    beyond = total = 0.0
-    for trace, attempt in firsts.items():
-        total += attempt.units
-        beyond += 0.0 if inside[trace] else attempt.units
-    for client_attempts in sorted(by_ask.values(), key=lambda t: t[0].due):
+    for client_attempts in _requests(request_log):
         first, kind, plan = client_attempts[0], kinds[client_attempts[0].kind], plans[client_attempts[0].plan]
-        value = kind.value * plan.price * first.units
         bucket = offers(first.plan, first.customer)
         offered = bucket.take(first.due, first.units, first.due + round(kind.work_ms * 1000))
         if not begin <= first.due < end:
             continue
+        value = kind.value * plan.price * first.units
         made.first_attempts += 1
         made.client_attempts += len(client_attempts)
-        offered_value = value if offered else value * plan.beyond_value
-        good = 0.0
-        for client_attempt in client_attempts:
-            answer = client_attempt.answers[0] if client_attempt.answers else None
-            if answer is None or answer.status != 200:
-                refused = answer is not None and answer.status in (429, 503)
-                made.refused += refused
-                made.failed += not refused
-                continue
-            made.latencies.append(answer.at - client_attempt.at)
-            earned = value * (1.0 if inside.get(client_attempt.trace, False) else plan.beyond_value)
-            in_time = answer.at - first.due <= kind.latency_target_ms * 1000
-            good = max(good, earned * (1.0 if in_time else kind.late_value))
-            made.inside_per_s += inside.get(client_attempt.trace, False)
+        good = _served(made, client_attempts, value, inside, kind, plan)
         for share in (made.total, made.kinds[first.kind], made.plans[first.plan], slots[first.due // SECOND]):
-            share.offered += offered_value
+            share.offered += value if offered else value * plan.beyond_value
             share.served += good
     made.latencies.sort()
     made.attempts = len(request_log.attempts)
     made.inside_per_s /= max(0.1, (end - begin) / 1e6)
-    made.beyond_units = beyond / total if total else 0.0
+    made.beyond_units = _beyond(firsts, inside)
     _worst(made, slots, begin, end)
     made.seconds = {n - begin // SECOND + 1: slots[n] for n in sorted(slots)}
     return made
 
 
+def _requests(request_log: RequestLog) -> list[list[ClientAttempt]]:
+    """Group the client attempts of each request; in the order of their first attempts."""
+    by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
+    for client_attempt in request_log.client_attempts:
+        by_ask[client_attempt.ask].append(client_attempt)
+    return sorted(by_ask.values(), key=lambda client_attempts: client_attempts[0].due)
+
+
+def _served(
+    made: Service,
+    client_attempts: list[ClientAttempt],
+    value: float,
+    inside: dict[str, bool],
+    kind: Class,
+    plan: Plan,
+) -> float:
+    """Count the answers to one request in `made`; the value that it was served with."""
+    good = 0.0
+    for client_attempt in client_attempts:
+        answer = client_attempt.answers[0] if client_attempt.answers else None
+        if answer is None or answer.status != 200:
+            refused = answer is not None and answer.status in (429, 503)
+            made.refused += refused
+            made.failed += not refused
+            continue
+        made.latencies.append(answer.at - client_attempt.at)
+        within = inside.get(client_attempt.trace, False)
+        earned = value * (1.0 if within else plan.beyond_value)
+        in_time = answer.at - client_attempts[0].due <= kind.latency_target_ms * 1000
+        good = max(good, earned * (1.0 if in_time else kind.late_value))
+        made.inside_per_s += within
+    return good
+
+
+def _beyond(firsts: dict[str, Attempt], inside: dict[str, bool]) -> float:
+    """Return the share of the units first forwarded that were beyond quotas."""
+    beyond = total = 0.0
+    for trace, attempt in firsts.items():
+        total += attempt.units
+        beyond += 0.0 if inside[trace] else attempt.units
+    return beyond / total if total else 0.0
+
+
 @dataclass(slots=True)
 class MannerUse:
     """What the tenants of one manner got: asks and, of those, the ones inside the quota (BENCH, as above)."""
@@ -152,6 +175,16 @@
             return 0.0
         return self.waits[min(len(self.waits) - 1, int(share * len(self.waits)))] / 1000
 
+    def add(self, due: int, answered: list[int], target: float, inside: bool) -> None:
+        """Add a request due at `due` with its good answers (µs); `target` is its latency target in µs."""
+        self.asks += 1
+        if inside:
+            self.inside += 1
+            self.unserved += not answered
+            self.late += bool(answered) and min(answered) - due > target
+        if answered:
+            self.waits.append(min(answered) - due)
+
 
 def manners(
     request_log: RequestLog, scenario: Scenario, manner_of: dict[int, str], start: int
@@ -161,26 +194,16 @@
     for manner in manner_of.values():
         made[manner].tenants += 1
     kinds = {c.name: c for c in scenario.classes}
-    by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
-    for client_attempt in request_log.client_attempts:
-        by_ask[client_attempt.ask].append(client_attempt)
     offers, begin, end = _buckets(scenario), start + SECOND, start + round(scenario.seconds * SECOND)
-    for client_attempts in sorted(by_ask.values(), key=lambda t: t[0].due):
+    for client_attempts in _requests(request_log):
         first, kind = client_attempts[0], kinds[client_attempts[0].kind]
         inside = offers(first.plan, first.customer).take(
             first.due, first.units, first.due + round(kind.work_ms * 1000)
         )
         if not begin <= first.due < end:
             continue
-        use = made[manner_of[first.customer]]
-        use.asks += 1
-        good = [t.answers[0].at for t in client_attempts if t.answers and t.answers[0].status == 200]
-        if inside:
-            use.inside += 1
-            use.unserved += not good
-            use.late += bool(good) and min(good) - first.due > kind.latency_target_ms * 1000
-        if good:
-            use.waits.append(min(good) - first.due)
+        answered = [t.answers[0].at for t in client_attempts if t.answers and t.answers[0].status == 200]
+        made[manner_of[first.customer]].add(first.due, answered, kind.latency_target_ms * 1000, inside)
     for use in made.values():
         use.waits.sort()
     return made
@@ -243,8 +266,8 @@
 
     def __call__(self, plan: str, customer: int) -> Bucket:
         if (bucket := self.get((plan, customer))) is None:
-            told = self.plans[plan]
-            bucket = self[plan, customer] = Bucket(told.rate, self.scenario.burst(told), told.open)
+            found = self.plans[plan]
+            bucket = self[plan, customer] = Bucket(found.rate, self.scenario.burst(found), found.open)
         return bucket
 
 
--- a/irisdeal/testbed/workload.py
+++ b/irisdeal/testbed/workload.py
@@ -241,16 +241,20 @@
         at = 0.0
         while (at := at + rng.expovariate(top / units)) < scenario.seconds:
             now = round(at * 1e6)
-            spike = next((times for start, end, times in tenant.spikes if start <= now < end), None)
-            rate = tenant.rate if spike is None else spike * plan_rate
-            rate *= math.prod(size for start, end, size in swells if start <= now < end)
-            if rng.random() * top < rate:
+            if rng.random() * top < _rate(tenant, plan_rate, swells, now):
                 found.append((now, n, rng.choices(kinds, weights)[0]))
     found.sort()
     for ask, (now, n, kind) in enumerate(found):
         yield Arrival(now, n, kind, ask)
 
 
+def _rate(tenant: Tenant, plan_rate: float, swells: list[tuple[int, int, float]], now: int) -> float:
+    """Return the units a second that a tenant asks at `now` (µs from the start), with spikes and swells."""
+    spike = next((times for start, end, times in tenant.spikes if start <= now < end), None)
+    rate = tenant.rate if spike is None else spike * plan_rate
+    return rate * math.prod(size for start, end, size in swells if start <= now < end)
+
+
 def trace(seed: int, ask: int, attempt: int) -> str:
     """Return the id of a client attempt: 16 hex digits, never the same for two of one seed."""
     return hashlib.blake2b(f"{seed}:{ask}:{attempt}".encode(), digest_size=8).hexdigest()
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -10,9 +10,11 @@
 
 from irisdeal.demo.deployment import DemoError, Deploy
 from irisdeal.demo.run import Outcome, play
+from irisdeal.testbed.remote_services import Sites
 from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario_files import load, parse
-from irisdeal.testbed.site_processes import COUNTER_SITE, SiteError, Sites, _SharedMeter
+from irisdeal.testbed.site_frames import COUNTER_SITE, SiteError
+from irisdeal.testbed.site_processes import _SharedMeter
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -462,7 +462,7 @@
     made = await platform()
     old = made.backends[0]
     old.crash()
-    new = await made._new_backend(warming_up=True, instead=old)
+    new = await made.new_backend(warming_up=True, instead=old)
     assert new.ports == old.ports and new.name != old.name
     assert (new.machine.zone, new.machine.cell) == (old.machine.zone, old.machine.cell)
     reader, writer = await opened(old.ports[0])
