--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -66,8 +66,8 @@
 ) -> Outcome:
     """Play a day with real front doors. Ends early, in good order, once `interrupted` is set.
 
-    `progress` hears the seconds played, `started` the front doors' process ids once all are ready. `reports` is a
-    folder for the sockets of the front doors' own reports, nN.sock each.
+    `progress` is called with the seconds played, `started` with the front doors' process ids once all are ready.
+    `reports` is a folder for the sockets of the front doors' own reports, nN.sock each.
 
     Raises `DemoError` where the front doors cannot be built or started. Whatever happens, every process that was
     started here has ended on return.
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observer:
-    """Who watches a run: `stop` ends it early, `progress` and `started` are told of it."""
+    """Who watches a run: `stop` ends it early, `progress` and `started` are notified of it."""
 
     stop: asyncio.Event
     progress: Callable[[float], None]
--- a/irisdeal/testbed/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -105,6 +105,7 @@
     await backend.start(range(options.doors), options.cold)
 
     def report() -> dict[str, Any]:
+        """Count the attempts by how they ended."""
         attempts = request_log.attempts
         return {
             "attempts": len(attempts),
--- a/irisdeal/testbed/audit/__init__.py
+++ b/irisdeal/testbed/audit/__init__.py
@@ -31,7 +31,7 @@
 
 
 def audit(request_log: RequestLog, figures: Figures, timed: bool = True) -> Verdict:
-    """Judge one run. The request logs must be complete: every attempt and try of the run is in them.
+    """Judge one run. The request logs must be complete: all attempts of clients and at backends are in them.
 
     Not `timed`, how late an answer came is left out, and that alone: for a front door in the test services' own
     loop, whose lateness is theirs and the machine's.
--- a/irisdeal/testbed/audit/answers.py
+++ b/irisdeal/testbed/audit/answers.py
@@ -43,9 +43,11 @@
 
     @property
     def backends(self) -> tuple[str, ...]:
+        """The backends that received an attempt, each once."""
         return tuple(dict.fromkeys(a.backend for a in self.attempts))
 
     def breach(self, what: str, times: tuple[int, ...], figure: str) -> Breach:
+        """Make a breach of rule 11."""
         return Breach(Rule.ANSWERS, what, self.client_attempt.trace, self.backends, times, figure)
 
 
@@ -108,7 +110,7 @@
 
 
 def _excused(client_attempt: ClientAttempt, incarnations: Iterable[FrontDoorIncarnation]) -> bool:
-    """Its front door was killed while it held the try (not so late after SIGTERM that all should be answered)."""
+    """Whether its front door was killed with it pending (not so late that all should be answered)."""
     for incarnation in incarnations:
         # Its sockets go on taking until it has ended, a moment after the signal.
         if (
--- a/irisdeal/testbed/backend_model.py
+++ b/irisdeal/testbed/backend_model.py
@@ -34,7 +34,7 @@
     TAKEN = auto()
     FULL = auto()
     DRAINING = auto()
-    FALLEN = auto()  # with this one it fell over
+    FALLEN = auto()  # with this one the budget was exceeded, and the backend failed
 
 
 class Completion(Enum):
@@ -214,7 +214,7 @@
 
 @dataclass(slots=True)
 class Meter:
-    """The use of each tenant over all backends, in percent of its rate, told late (PROTOCOL, `Usage-Percent`).
+    """The use of each tenant over all backends, in percent of its rate, published late (PROTOCOL, `Usage-Percent`).
 
     `period` and `late` in µs; `rates` gives units a second by plan.
     """
--- a/irisdeal/testbed/counter_service.py
+++ b/irisdeal/testbed/counter_service.py
@@ -90,6 +90,7 @@
         self.idle: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Accept, unless the front door has too many connections."""
         self.transport = cast(asyncio.Transport, transport)
         if len(self.counter.lines[self.front_door]) >= MOST_CONNECTIONS:
             self.transport.abort()
@@ -98,6 +99,7 @@
         self._rest()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self.transport = None
         self.counter.lines[self.front_door].pop(self, None)
         if self.idle is not None:
@@ -109,10 +111,12 @@
         self.idle = asyncio.get_running_loop().call_later(IDLE, self.close)
 
     def close(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Serve each complete line."""
         self._rest()
         *lines, self.rest = (self.rest + data).split(b"\n")
         for line in lines:
@@ -156,7 +160,7 @@
         self.servers: dict[int, asyncio.Server] = {}
         self.unresponsive = False
         self.spoil = 0.0  # share of answers that come spoilt
-        # Its book: calls, calls rejected, calls that got no answer, answers whose caller had gone,
+        # Counted: calls, calls rejected, calls that got no answer, answers whose caller had gone,
         # and what each front door added, by name.
         self.calls = self.busy = self.unanswered = self.late = 0
         self.added: defaultdict[tuple[int, str], float] = defaultdict(float)
--- a/irisdeal/testbed/discovery_service.py
+++ b/irisdeal/testbed/discovery_service.py
@@ -123,12 +123,15 @@
         self.opened_count = 0
 
     def now(self) -> int:
+        """Return the time, µs."""
         return self.discovery.now()
 
     def opened(self, connection: ServerConnection) -> None:
+        """Register a connection."""
         self.connections[connection] = None
 
     def closed(self, connection: ServerConnection) -> None:
+        """Forget a connection and its watches."""
         self.connections.pop(connection, None)
         for watch in [w for w in self.watches if w.connection is connection]:
             self._end(watch)
@@ -139,6 +142,7 @@
         self.watches.remove(watch)
 
     def asked(self, connection: ServerConnection, request: Request) -> None:
+        """Answer a call, or keep it as a watch until there is a change or its time is over."""
         target = urlsplit(request.target)
         if request.method != "GET" or target.path != "/catalog/members":
             connection.reply(404)
@@ -203,7 +207,7 @@
         self.unresponsive = False
         self.later = 0.0  # s more than usual
         self.lose = 0.0  # share of pushes that never come
-        self.known: dict[int, set[str]] = {}  # by front door: what it has been told is there
+        self.known: dict[int, set[str]] = {}  # by front door: backends notified and not gone
 
     async def start(self, front_doors: range) -> None:
         """Give every agent the complete list, and listen."""
--- a/irisdeal/testbed/fault_proxy.py
+++ b/irisdeal/testbed/fault_proxy.py
@@ -60,12 +60,14 @@
         self.ended = self.over = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the side with its link."""
         self.transport = cast(asyncio.Transport, transport)
         self.link.sides.add(self)
         if self.over:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the other side once the pending bytes are out."""
         self.transport = None
         self.over = True
         self.link.sides.discard(self)
@@ -73,6 +75,7 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
+        """Queue bytes; an overfull queue pauses their sender."""
         self.pending.append(data)
         self.size += len(data)
         link_fault = self.link.link_fault
--- a/irisdeal/testbed/http.py
+++ b/irisdeal/testbed/http.py
@@ -149,7 +149,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a terminal. Answers go to `on_answer(status, headers, body)` as they arrive complete."""
+    """One connection of a client. Answers go to `on_answer(status, headers, body)` as they arrive complete."""
 
     def __init__(self, readable: Callable[[Any], bool] = readable_now) -> None:
         self.readable = readable
--- a/irisdeal/testbed/load_generator.py
+++ b/irisdeal/testbed/load_generator.py
@@ -20,16 +20,16 @@
 from irisdeal.testbed.request_log import Answer, ClientAttempt, Now, RequestLog
 from irisdeal.testbed.workload import Arrival, Day, claim_key, stream, trace, weights
 
-LATE_WATCH = 0.5  # s that a connection is still read after its try was given up: a late answer is seen
+LATE_WATCH = 0.5  # s that a connection is still read after its attempt was given up: a late answer is seen
 CONNECT_TIMEOUT = 1.0  # s
-CONNECTS = 3  # for one try, where new connections end before a word is written on them
+CONNECTS = 3  # for one attempt, where new connections end before a word is written on them
 MIN_ATTEMPT = 0.02  # s left below which a client asks no more
 STEP = 0.25  # s: how far ahead arrivals are put on the loop's timers
 Address = tuple[str, int]
 
 
 class LoadGenerator:
-    """All tenants of a day. `run` plays it; `request logs.taken` holds each try."""
+    """All tenants of a day. `run` plays it; `RequestLog.client_attempts` has each attempt."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         shard: int = 0,
         shards: int = 1,
     ) -> None:
-        """`part` of `parts` processes, where the day's first attempts are shared out (`crowd.py`)."""
+        """`shard` of `shards` processes, where the day's first attempts are shared out (`load_processes.py`)."""
         self.day, self.request_log, self.now, self.front_doors = day, request_log, now, front_doors
         self.scenario = day.scenario
         self.alive: set[int] = set(range(len(front_doors)))
@@ -59,7 +59,7 @@
         )
 
     async def run(self, start: int) -> None:
-        """Ask as drawn from `start` (µs) on, and wait until every try has ended."""
+        """Ask as drawn from `start` (µs) on, and wait until every attempt has ended."""
         self.start = start
         loop = asyncio.get_running_loop()
         self.misbehaving_clients.play((start - self.now()) / 1e6)
@@ -179,7 +179,7 @@
             return False
         return front_door not in self.leaving or any(c.usable() for c in self.idle[front_door])
 
-    # One try
+    # One attempt
 
     async def _attempt(self, client_attempt: ClientAttempt, first: int, spread: int) -> None:
         for repeated in (False, True):
@@ -205,11 +205,13 @@
         ended: asyncio.Future[None] = loop.create_future()
 
         def answered(status: int, headers: dict[str, str], body: bytes) -> None:
+            """Record a final answer."""
             client_attempt.answers.append(Answer(self.now(), status, body, _retry_after(headers)))
             if not ended.done():
                 ended.set_result(None)
 
         def lost() -> None:
+            """Record the connection's end."""
             self.open.pop(connection, None)
             if connection.broken:
                 client_attempt.stray += 1 if client_attempt.answers else 0
--- a/irisdeal/testbed/load_processes.py
+++ b/irisdeal/testbed/load_processes.py
@@ -23,7 +23,7 @@
 from irisdeal.testbed.workload import Day
 
 READY_WITHIN = 20.0  # s for a process to come up
-ENDS_WITHIN = 60.0  # s for a book to be handed over once the last try has ended
+ENDS_WITHIN = 60.0  # s for a report to be handed over once the last attempt has ended
 MAX_REPORT = 1 << 30  # bytes: a length over this is noise on the pipe
 
 
@@ -101,7 +101,7 @@
                 raise LoadProcessError(f"a process of terminals did not come up within {READY_WITHIN:g} s")
 
     async def run(self, start: int) -> None:
-        """Play from `start` (µs) on, until every try has ended; then lay the request logs together."""
+        """Play from `start` (µs) on, until every attempt has ended; then merge the request logs."""
         self._say(f"start {start}")
         found = await asyncio.gather(*(self._receive_report(process) for process in self.processes))
         for report in found:
--- a/irisdeal/testbed/misbehaving_clients.py
+++ b/irisdeal/testbed/misbehaving_clients.py
@@ -29,23 +29,27 @@
         self.full = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin, without reading where the client never reads."""
         self.transport = cast(asyncio.Transport, transport)
         if not self.reads:
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
+        """Count received bytes."""
         self.received += len(data)
 
     def pause_writing(self) -> None:
+        """Note that the peer reads no more."""
         self.full = True
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Note the end."""
         if not self.ended.done():
             self.ended.set_result(None)
 
 
 class MisbehavingClients:
-    """All misbehaving clients of one process; `book` counts how they ended."""
+    """All misbehaving clients of one process; `outcomes` counts how they ended."""
 
     def __init__(
         self,
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -84,43 +84,23 @@
         fleet, seed = self.scenario.fleet, day.seed
         window = round(max(c.window_ms for c in self.scenario.classes) * 1000)
         self.memories = {zone: IdempotencyMemory(window) for zone in fleet.zones}
-        self.meter = Meter(
-            round(fleet.meter_s * 1e6),
-            round(fleet.meter_late_ms * 1000),
-            {p.name: p.rate for p in self.scenario.plans},
-        )
+        self.meter = self._meter()
         self.cells: dict[str, int] = {}
         self.figures = self.scenario.figures(self.cells)
-        zones = fleet.zones
-        self.context = BackendContext(
-            fleet,
-            self.scenario.classes,
-            self.figures,
-            self.request_log,
-            self.now,
-            seed,
-            self.meter,
-            tuple(zones[number % len(zones)] for number in self.front_doors),
-        )
+        self.context = self._backend_context()
         self.backends: list[BackendServer | RemoteBackend] = []
         self.number = 0  # of machines made
         # Backends and counter service in processes of their own, if the scenario says so; not in virtual time.
         self.sites = Sites(day, self.clock, self.request_log) if fleet.apart and links is None else None
-        self.counter: CounterServer | RemoteCounter = (
-            RemoteCounter(self.sites) if self.sites else CounterServer(self.scenario.counter, self.now, seed)
-        )
+        self.counter = self._counter()
         self.discovery = DiscoveryServer(self.scenario.discovery, self.request_log, self.now, seed)
-        self.relay: Links = links or Relay(self.now, self.request_log.link_faults)
-        if self.sites is not None:
-            self.relay = RemoteLinks(self.sites, Relay(self.now, self.request_log.link_faults))
+        self.relay = links or self._links()
         self.link_ports: dict[str, dict[int, int]] = {}  # by backend, the port that each front door is given
         ends = {f.to for f in self.scenario.faults if f.do.startswith("link-")}
-        self.relayed = bool(ends & set(fleet.zones)) or any(
-            f.do.startswith("hall-") for f in self.scenario.faults
-        )
-        self.led = {
-            name: dict[int, int]() for name in ("keeper", "roster") if name in ends
-        }  # ports by front door
+        zone_faults = any(f.do.startswith("hall-") for f in self.scenario.faults)
+        self.relayed = bool(ends & set(fleet.zones)) or zone_faults  # backends are reached through links
+        # Ports by front door of the services that are reached through links.
+        self.led = {name: dict[int, int]() for name in ("keeper", "roster") if name in ends}
         self.random = stream(seed, "faults")
         self.struck: set[str] = set()  # backends that a fault has; those that are gone stay
         self.tasks: set[asyncio.Task[None]] = set()
@@ -128,6 +108,33 @@
         self.monitors_lag = True  # in virtual time these loops are never late
         self.closed = False
 
+    def _counter(self) -> CounterServer | RemoteCounter:
+        if self.sites is not None:
+            return RemoteCounter(self.sites)
+        return CounterServer(self.scenario.counter, self.now, self.day.seed)
+
+    def _links(self) -> Links:
+        relay = Relay(self.now, self.request_log.link_faults)
+        return relay if self.sites is None else RemoteLinks(self.sites, relay)
+
+    def _meter(self) -> Meter:
+        fleet, rates = self.scenario.fleet, {p.name: p.rate for p in self.scenario.plans}
+        return Meter(round(fleet.meter_s * 1e6), round(fleet.meter_late_ms * 1000), rates)
+
+    def _backend_context(self) -> BackendContext:
+        fleet = self.scenario.fleet
+        zones = fleet.zones
+        return BackendContext(
+            fleet,
+            self.scenario.classes,
+            self.figures,
+            self.request_log,
+            self.now,
+            self.day.seed,
+            self.meter,
+            tuple(zones[number % len(zones)] for number in self.front_doors),
+        )
+
     # Start and end
 
     async def start(self) -> None:
--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What came back on a client's connection for one try."""
+    """What a client received on its connection for one attempt."""
 
     at: int  # µs, of the last byte
     status: int
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One try of a client at one front door. It is taken from `at` on; 0 where no connection came up."""
+    """One attempt of a client at one front door, sent at `at`; 0 where no connection came up."""
 
     trace: str
     ask: int  # the first attempt and its retries share this number
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointNotice:
-    """One line of the list as a front door was told it."""
+    """One entry of the endpoint list as a front door was notified of it."""
 
     front_door: int
     at: int  # µs, when the agent wrote it, or must be taken to have
--- a/irisdeal/testbed/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -112,7 +112,7 @@
     backoff_ms: float = 80.0
     honour: float = 0.6
     notice_s: float = 2.0
-    reuse: bool = True  # else each try comes on a connection of its own
+    reuse: bool = True  # else each attempt has a connection of its own
     processes: int = 1  # that the load generators run in
 
 
@@ -198,10 +198,10 @@
 FAULTS: dict[str, tuple[str, ...]] = {
     "box-hang": ("boxes", "for_s"),  # take requests and answer none
     "box-slow": ("boxes", "for_s", "size"),  # so many times slower
-    "box-crash": ("boxes", "for_s"),  # the process dies, and starts again, cold, after for_s
-    "box-replace": ("boxes", "for_s"),  # a new id, cold, at the old one's address after for_s
+    "box-crash": ("boxes", "for_s"),  # the process dies, and starts again, in slow start, after for_s
+    "box-replace": ("boxes", "for_s"),  # a new id, in slow start, at the old one's address after for_s
     "box-drain": ("boxes", "for_s"),  # Terminating; gone after for_s
-    "box-add": ("boxes",),  # new backends, cold
+    "box-add": ("boxes",),  # new backends, in slow start
     "box-spoil": ("boxes", "for_s", "size"),  # that share of answers comes spoilt or cut
     "keeper-silent": ("for_s",),  # no answers; back with its counts
     "keeper-refuse": ("for_s",),  # connections refused; back with its counts, or `empty`
--- a/irisdeal/testbed/scenario_checks.py
+++ b/irisdeal/testbed/scenario_checks.py
@@ -40,19 +40,23 @@
     scenario: Scenario
 
     def need(self, fulfilled: bool, key: str, value: object, wanted: str) -> None:
+        """Raise `ScenarioError` unless this is fulfilled."""
         if not fulfilled:
             raise ScenarioError(f"{self.where}: {key} is {value!r}: wanted {wanted}")
 
     def positive(self, table: object, at: str, *keys: str) -> None:
+        """Require values over 0."""
         for key in keys:
             value = getattr(table, field_of(key))
             self.need(value > 0, f"{at}.{key}", value, "over 0")
 
     def positive_share(self, table: object, at: str, key: str) -> None:
+        """Require a value over 0 and at most 1."""
         value = getattr(table, field_of(key))
         self.need(0 < value <= 1, f"{at}.{key}", value, "over 0 and at most 1")
 
     def top(self) -> None:
+        """Check length, seed and front doors, and that there are classes and plans."""
         made = self.scenario
         self.need(0.5 <= made.seconds <= MAX_SECONDS, "seconds", made.seconds, f"0.5 to {MAX_SECONDS:g}")
         self.need(0 <= made.seed < 2**63, "seed", made.seed, "0 to 2**63 - 1")
@@ -81,6 +85,7 @@
             self.in_range(table, at)
 
     def in_range(self, table: object, at: str) -> None:
+        """Check that no number of a table is negative or beyond use."""
         for f in fields(table):  # type: ignore[arg-type]
             value, key = getattr(table, f.name), f"{at}.{key_of(f.name)}"
             for number in value if isinstance(value, tuple) else (value,):
@@ -90,6 +95,7 @@
                 self.need(value[0] <= value[1], key, list(value), "[least, most], in that order")
 
     def fleet(self) -> None:
+        """Check the fleet."""
         fleet = self.scenario.fleet
         self.need(1 <= fleet.backends <= MAX_BACKENDS, "fleet.boxes", fleet.backends, f"1 to {MAX_BACKENDS}")
         self.need(bool(fleet.zones), "fleet.halls", list(fleet.zones), "at least one hall")
@@ -100,11 +106,13 @@
             self.positive_share(kind, f"fleet.kind[{number}]", "cold_from")
 
     def services(self) -> None:
+        """Check the counter service and the figures of the rules."""
         self.positive(self.scenario.counter, "keeper", "calls_per_s", "parts", "timeout_ms")
         self.positive_share(self.scenario.rules, "rules", "start_capacity")
         self.positive(self.scenario.rules, "rules", "fall_multiple", "fall_ms")
 
     def load(self) -> None:
+        """Check the load."""
         load = self.scenario.load
         self.positive(load, "load", "use", "try_share", "shift_s")
         self.need(load.attempt_share <= 1, "load.try_share", load.attempt_share, "at most 1")
@@ -120,15 +128,18 @@
         )
 
     def request_class(self, kind: Class, at: str) -> None:
+        """Check a class of requests."""
         self.positive(kind, at, "share", "work_ms", "aim_ms", "deadline_ms", "units", "worth")
         repeats = ("safe", "keyed", "unsafe")
         self.need(kind.repeat in repeats, f"{at}.repeat", kind.repeat, "safe, keyed or unsafe")
         self.need(kind.group in ("all", "zone", "cell"), f"{at}.group", kind.group, "all, zone or cell")
 
     def plan(self, plan: Plan, at: str) -> None:
+        """Check a plan."""
         self.positive(plan, at, "share", "rate", "burst_s")
 
     def fault(self, fault: Fault, at: str) -> None:
+        """Check a fault of the timeline."""
         made, needs = self.scenario, FAULTS[fault.do]
         self.need(
             fault.at_s <= made.seconds, f"{at}.at_s", fault.at_s, f"within the {made.seconds:g} seconds"
@@ -152,6 +163,7 @@
             self.need(fault.size > 0, f"{at}.size", fault.size, "over 0")
 
     def link_fault(self, fault: Fault, at: str) -> None:
+        """Check a fault of links."""
         made = self.scenario
         front_doors, zones = made.front_doors, made.fleet.zones
         self.need(0 < fault.front_door <= front_doors, f"{at}.door", fault.front_door, f"1 to {front_doors}")
--- a/irisdeal/testbed/scenario_files.py
+++ b/irisdeal/testbed/scenario_files.py
@@ -119,9 +119,11 @@
     where: str
 
     def wrong(self, key: str, value: object, wanted: str) -> ScenarioError:
+        """Make the error of a value that is not as wanted."""
         return ScenarioError(f"{self.where}: {key} is {value!r}: wanted {wanted}")
 
     def scenario(self, table: dict[str, Any]) -> Scenario:
+        """Make the scenario from its tables."""
         tables: dict[str, type] = {
             "door": FrontDoorSpec,
             "fleet": Fleet,
@@ -151,11 +153,13 @@
         return made
 
     def list(self, value: object, key: str) -> list[object]:
+        """Require a list of tables."""
         if not isinstance(value, list):
             raise self.wrong(key, value, f"a list of tables, [[{key}]]")
         return value
 
     def tables(self, kind: type[Table], value: object, key: str) -> Iterator[Table]:
+        """Make a dataclass from each of a list of tables."""
         for n, inner in enumerate(self.list(value, key)):
             yield self.table(kind, inner, f"{key}[{n}]")
 
@@ -205,6 +209,7 @@
         raise self.wrong(key, value, WANTED["tuple[float, float]"])
 
     def fault(self, line: object, n: int) -> Fault:
+        """Make a fault with the keys that its kind needs, and no others."""
         fault = self.table(Fault, line, f"at[{n}]")
         if fault.do not in FAULTS:
             raise self.wrong(f"at[{n}].do", fault.do, f"one of {', '.join(FAULTS)}")
--- a/irisdeal/testbed/service_report.py
+++ b/irisdeal/testbed/service_report.py
@@ -165,8 +165,8 @@
     tenants: int = 0
     asks: int = 0
     inside: int = 0
-    unserved: int = 0  # of those inside: no good answer to any try
-    late: int = 0  # of those inside: served, but past the aim
+    unserved: int = 0  # of those inside: no good answer to any attempt
+    late: int = 0  # of those inside: served, but past the latency target
     waits: list[int] = field(default_factory=list)  # µs from the first attempt to the good answer, sorted
 
     def percentile(self, share: float) -> float:
@@ -248,7 +248,7 @@
 
 
 def _inside(request_log: RequestLog, scenario: Scenario, firsts: dict[str, Attempt]) -> dict[str, bool]:
-    """For each try, whether it was inside its tenant's quota when it was first forwarded."""
+    """For each attempt, whether it was within its tenant's quota when it was first forwarded."""
     buckets = _buckets(scenario)
     return {
         trace: buckets(a.plan, a.customer).take(
--- a/irisdeal/testbed/site_processes.py
+++ b/irisdeal/testbed/site_processes.py
@@ -42,6 +42,7 @@
         self.unsent: list[tuple[str, str, int, float, int]] = []
 
     def add(self, trace: str, plan: str, customer: int, units: float, now: int) -> None:
+        """Count a request, here and for the other sites."""
         super().add(trace, plan, customer, units, now)
         self.unsent.append((trace, plan, customer, units, now))
 
@@ -171,6 +172,7 @@
         self.on_down = on_down
 
     def crash(self) -> None:
+        """End the process, and report it."""
         super().crash()
         self.on_down(self.name)
 
@@ -179,6 +181,7 @@
     """Serve the process of a site until its parent's end of the pipe closes."""
 
     def write(value: object) -> None:
+        """Write a frame to the parent."""
         sys.stdout.buffer.write(encode_frame(value))
         sys.stdout.buffer.flush()
 
