--- a/tests/features/steps/quota_steps.py
+++ b/tests/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Floods, kills, partitions and lost messages over proxies and registries (`irisdeal/simulation/quota/world.py`)."""
+"""Floods, kills, partitions and lost messages over proxies and registries, in the quota simulation."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -1,4 +1,4 @@
-"""The world in virtual time: its clock, its machines, and what its network promises and does not."""
+"""The simulation's clock, machines and network: what they guarantee and what they do not."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from irisdeal.simulation.transport import SOCKET_BUFFER_BYTES, SimulatedTransport
 from irisdeal.simulation.world import START, World
 
-HERE = ("127.0.0.1", 700)
+ADDRESS = ("127.0.0.1", 700)
 
 
 class Peer(asyncio.Protocol):
-    """Keeps what it hears."""
+    """Keeps what it receives."""
 
     def __init__(self, answers: bytes = b"", reads: bool = True, half: bool = False) -> None:
         self.answers, self.reads, self.half = answers, reads, half
-        self.heard = b""
-        self.pieces = 0
+        self.received = b""
+        self.segments = 0
         self.transport: Any = None
         self.lost: list[Exception | None] = []
         self.eof = self.full = False
@@ -41,8 +41,8 @@
             transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.heard += data
-        self.pieces += 1
+        self.received += data
+        self.segments += 1
         if self.answers:
             self.transport.write(self.answers)
 
@@ -61,11 +61,13 @@
 
 
 class Rig:
-    """Two machines and what lies between them."""
+    """Two machines and the link between them."""
 
-    def __init__(self, seed: int = 1, way: NetworkLink | None = None, files: int = 100, **costs: int) -> None:
+    def __init__(
+        self, seed: int = 1, link: NetworkLink | None = None, files: int = 100, **costs: int
+    ) -> None:
         self.world = World(seed)
-        self.net = Network(self.world, way or NetworkLink())
+        self.net = Network(self.world, link or NetworkLink())
         self.server = Machine(self.world, self.net, "server", Core(), Costs(**costs), files=files)
         self.client = Machine(self.world, self.net, "client", Core(), Costs())
         self.peers: list[Peer] = []
@@ -75,7 +77,7 @@
             self.peers.append(peer := make())
             return peer
 
-        self.net.serve(self.server, made, HERE)
+        self.net.serve(self.server, made, ADDRESS)
 
     def run(self, work: Coroutine[Any, Any, Any], seconds: float = 60.0) -> Any:
         """Run on the client's machine to its end."""
@@ -91,12 +93,12 @@
         return done[0]
 
     async def connect(self, peer: Peer | None = None) -> Peer:
-        _, made = await self.client.create_connection(lambda: peer or Peer(), *HERE)
+        _, made = await self.client.create_connection(lambda: peer or Peer(), *ADDRESS)
         assert isinstance(made, Peer)
         return made
 
 
-def test_timers_of_one_moment_go_in_the_order_they_were_set() -> None:
+def test_simultaneous_timers_fire_in_the_order_they_were_set() -> None:
     rig, order = Rig(), list[int]()
 
     async def work() -> None:
@@ -113,7 +115,7 @@
     assert rig.world.now == START + 1_000_000  # and no time was spent waiting
 
 
-def test_asyncio_works_as_it_does_elsewhere() -> None:
+def test_asyncio_works_as_on_a_real_loop() -> None:
     rig = Rig()
 
     async def work() -> list[str]:
@@ -138,25 +140,25 @@
     assert rig.run(work()) == ["timed out", "event", "b", "a", "cancelled True 1"]
 
 
-def test_a_turn_takes_its_core_and_what_is_on_it_waits() -> None:
-    """One core for two machines: the second begins when the first is done, and its timer is late."""
+def test_a_turn_occupies_its_core_and_others_on_it_wait() -> None:
+    """The second machine's turn starts when the first's has ended, and its timer is late."""
     world = World(1)
     net, core = Network(world), Core()
     one = Machine(world, net, "one", core, Costs(call=5_000))
     two = Machine(world, net, "two", core, Costs(call=1_000))
-    began = []
-    one.call_soon(lambda: began.append(("one", one.instant())))
-    two.call_later(0.001, lambda: began.append(("two", two.instant())))
+    ran_at = []
+    one.call_soon(lambda: ran_at.append(("one", one.instant())))
+    two.call_later(0.001, lambda: ran_at.append(("two", two.instant())))
     world.at(START + 100_000, "end", lambda: None)
     with pytest.raises(SimulationStalledError, match="nothing is due"):
         world.run(lambda: False, START + 10**9)
-    assert began == [("one", START + 5_000), ("two", START + 6_000)]
+    assert ran_at == [("one", START + 5_000), ("two", START + 6_000)]
     assert two.max_timer_delay == 4_000
     assert core.free_at == START + 6_000
 
 
-def test_three_that_are_always_busy_share_their_core_evenly() -> None:
-    """Lost: the first to be busy kept it, and the others' timers were a second late, as under no kernel."""
+def test_three_busy_machines_share_a_core_evenly() -> None:
+    """Once the first busy machine kept the core, and the others' timers were a second late, as under no kernel."""
     world = World(1)
     net, core, counts = Network(world), Core(), [0, 0, 0]
     machines = [Machine(world, net, str(n), core, Costs(call=1_000)) for n in range(3)]
@@ -172,7 +174,7 @@
     assert sum(counts) >= 299 and max(counts) - min(counts) <= 1
 
 
-def test_grains_are_counted_as_the_real_loop_counts_them() -> None:
+def test_timers_are_rounded_as_by_the_real_loop() -> None:
     world = World(1)
     machine = Machine(world, Network(world), "door", Core(), Costs(turn=300), timer_resolution=1_000)
     seen = []
@@ -183,7 +185,7 @@
     assert seen == [(1_000, (START + 1_000) / 1e6)]
 
 
-def test_a_world_that_waits_for_nothing_says_who_waits() -> None:
+def test_a_stalled_simulation_names_the_waiting_tasks() -> None:
     rig = Rig()
 
     async def forever() -> None:
@@ -198,7 +200,7 @@
         rig.run(asyncio.sleep(9), seconds=3)
 
 
-def test_a_world_that_spins_is_ended_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_livelock_ends_the_simulation_and_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(worlds, "MAX_SIMULTANEOUS_EVENTS", 1_000)
     rig = Rig()
 
@@ -210,8 +212,8 @@
         rig.run(spin())
 
 
-def test_bytes_come_in_order_in_pieces_and_then_the_end() -> None:
-    rig = Rig(way=NetworkLink(delay=200, jitter=900))
+def test_bytes_arrive_in_order_in_segments_and_then_the_end() -> None:
+    rig = Rig(link=NetworkLink(delay=200, jitter=900))
     rig.serve()
 
     async def work() -> Peer:
@@ -223,14 +225,14 @@
         return peer
 
     peer = rig.run(work())
-    assert rig.peers[0].heard == b"".join(b"%04d" % n for n in range(200))
+    assert rig.peers[0].received == b"".join(b"%04d" % n for n in range(200))
     assert rig.peers[0].eof and rig.peers[0].lost == [None] and peer.lost == [None]
-    assert rig.peers[0].pieces > 1
+    assert rig.peers[0].segments > 1
     assert not any(isinstance(f, SimulatedTransport) for f in rig.server.files.values())
     assert len(rig.server.files) == 1  # what listens
 
 
-def test_closed_over_unread_bytes_a_connection_is_reset() -> None:
+def test_closing_with_unread_bytes_resets_the_connection() -> None:
     rig = Rig()
     rig.serve(lambda: Peer(reads=False))
 
@@ -245,7 +247,7 @@
     assert isinstance(rig.run(work()).lost[0], ConnectionResetError)
 
 
-def test_what_comes_after_a_close_is_answered_with_a_reset() -> None:
+def test_bytes_that_arrive_after_a_close_are_answered_with_a_reset() -> None:
     """A half-closed end that writes on: the other process is not there any more."""
     rig = Rig()
     rig.serve()
@@ -263,8 +265,8 @@
     assert isinstance(rig.run(work()).lost[0], ConnectionResetError)
 
 
-def test_a_killed_process_loses_what_it_had_not_written_and_nothing_else() -> None:
-    rig = Rig(way=NetworkLink(delay=10_000, jitter=0))
+def test_a_killed_process_loses_only_what_it_had_not_written() -> None:
+    rig = Rig(link=NetworkLink(delay=10_000, jitter=0))
     rig.serve(lambda: Peer(answers=b"answer"))
 
     async def work() -> Peer:
@@ -276,13 +278,13 @@
         return peer
 
     peer = rig.run(work())
-    assert peer.heard == b"answer" and peer.eof
+    assert peer.received == b"answer" and peer.eof
     assert rig.server.exit_code == -signal.SIGKILL
 
 
-def test_what_a_turn_was_to_write_after_the_kill_does_not_leave() -> None:
+def test_a_turn_that_is_killed_sends_nothing_more() -> None:
     """The turn of a slow machine began before the kill and would have written after it."""
-    rig = Rig(way=NetworkLink(delay=10_000, jitter=0), read=5_000, write=5_000)
+    rig = Rig(link=NetworkLink(delay=10_000, jitter=0), read=5_000, write=5_000)
     rig.serve(lambda: Peer(answers=b"answer"))
 
     async def work() -> Peer:
@@ -293,25 +295,25 @@
         await asyncio.sleep(0.1)
         return peer
 
-    assert rig.run(work()).heard == b""
+    assert rig.run(work()).received == b""
 
 
-def test_a_full_queue_drops_and_the_connection_comes_up_a_second_later() -> None:
+def test_a_full_accept_queue_drops_a_syn_that_is_retransmitted_a_second_later() -> None:
     rig = Rig()
     port = ListeningSocket(rig.net, rig.server)
-    port.bind(HERE)
+    port.bind(ADDRESS)
     port.listen(1)
-    taken: list[Any] = []
+    accepted: list[Any] = []
 
     async def work() -> float:
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(rig.connect()) for _ in range(3)]
         done, waiting = await asyncio.wait(tasks, timeout=0.5)
         assert len(done) == 2 and len(waiting) == 1 and port.dropped == 1
-        taken.append(port.accept())
-        begun = loop.time()
+        accepted.append(port.accept())
+        started_at = loop.time()
         await waiting.pop()
-        return loop.time() - begun
+        return loop.time() - started_at
 
     assert 0.4 < rig.run(work()) < 0.6  # the SYN's second try, 1 s after its first
     with pytest.raises(BlockingIOError):
@@ -319,14 +321,14 @@
             port.accept()
 
 
-def test_nobody_listens_or_the_way_is_cut() -> None:
-    way = NetworkLink()
-    rig = Rig(way=way)
+def test_connecting_is_refused_without_a_listener_and_times_out_in_a_partition() -> None:
+    link = NetworkLink()
+    rig = Rig(link=link)
 
     async def work() -> list[str]:
         seen = []
         for cut in (False, True):
-            way.is_partitioned = cut
+            link.is_partitioned = cut
             try:
                 async with asyncio.timeout(0.25):
                     await rig.connect()
@@ -338,30 +340,30 @@
     assert not rig.client.files
 
 
-def test_a_silent_way_holds_all_and_gives_it_in_order() -> None:
-    way = NetworkLink()
-    rig = Rig(way=way)
+def test_a_stalled_link_queues_segments_and_delivers_them_in_order() -> None:
+    link = NetworkLink()
+    rig = Rig(link=link)
     rig.serve()
 
     async def work() -> None:
         peer = await rig.connect()
         peer.transport.write(b"one ")
         await asyncio.sleep(0.1)
-        way.is_stalled = True
+        link.is_stalled = True
         peer.transport.write(b"two ")
         await asyncio.sleep(0.1)
         peer.transport.write(b"three")
         peer.transport.close()
         await asyncio.sleep(5)
-        assert rig.peers[0].heard == b"one " and not rig.peers[0].eof
-        rig.net.restore(way)
+        assert rig.peers[0].received == b"one " and not rig.peers[0].eof
+        rig.net.restore(link)
         await asyncio.sleep(0.1)
 
     rig.run(work())
-    assert rig.peers[0].heard == b"one two three" and rig.peers[0].eof
+    assert rig.peers[0].received == b"one two three" and rig.peers[0].eof
 
 
-def test_a_peer_that_does_not_read_fills_the_window_and_stops_the_sender() -> None:
+def test_a_peer_that_does_not_read_fills_the_socket_buffer_and_stops_the_sender() -> None:
     rig = Rig()
     rig.serve(lambda: Peer(reads=False))
 
@@ -376,21 +378,21 @@
         return peer
 
     peer = rig.run(work())
-    assert not peer.full and len(rig.peers[0].heard) == 800_000
+    assert not peer.full and len(rig.peers[0].received) == 800_000
 
 
 def test_a_rate_makes_bytes_take_time() -> None:
-    rig = Rig(way=NetworkLink(delay=0, jitter=0, rate=100_000))
+    rig = Rig(link=NetworkLink(delay=0, jitter=0, rate=100_000))
     rig.serve(lambda: Peer(answers=b"."))
 
     async def work() -> float:
         loop = asyncio.get_running_loop()
         peer = await rig.connect()
-        begun = loop.time()
+        started_at = loop.time()
         peer.transport.write(bytes(20_000))
-        while not peer.heard:
+        while not peer.received:
             await asyncio.sleep(0.001)
-        return loop.time() - begun
+        return loop.time() - started_at
 
     assert 0.19 < rig.run(work()) < 0.22
 
@@ -405,7 +407,7 @@
         await asyncio.sleep(0.1)
         assert len(rig.peers) == 2 and len(rig.server.files) == 3
         with pytest.raises(OSError, match="Too many open files"):
-            await rig.net.connect(rig.server, Peer, HERE)
+            await rig.net.connect(rig.server, Peer, ADDRESS)
         rig.peers[0].transport.close()
         await asyncio.sleep(0.1)
         assert len(rig.server.files) == 2
@@ -416,18 +418,18 @@
 def test_signals_end_a_process_unless_it_handles_or_ignores_them() -> None:
     world = World(1)
     net = Network(world)
-    heard: list[int] = []
-    plain, deaf, handles = (Machine(world, net, name, Core(), Costs()) for name in ("a", "b", "c"))
-    deaf.ignore(signal.SIGHUP)
-    handles.add_signal_handler(signal.SIGHUP, heard.append, 1)
-    for machine in (plain, deaf, handles):
+    received: list[int] = []
+    plain, ignoring, handles = (Machine(world, net, name, Core(), Costs()) for name in ("a", "b", "c"))
+    ignoring.ignore(signal.SIGHUP)
+    handles.add_signal_handler(signal.SIGHUP, received.append, 1)
+    for machine in (plain, ignoring, handles):
         machine.signal(signal.SIGHUP)
     world.at(START + 1, "end", lambda: None)
     world.run(lambda: world.now > START, START + 10)
-    assert (plain.exit_code, deaf.dead, handles.dead, heard) == (-signal.SIGHUP, False, False, [1])
+    assert (plain.exit_code, ignoring.dead, handles.dead, received) == (-signal.SIGHUP, False, False, [1])
 
 
-def test_a_paused_process_goes_on_where_it_stood() -> None:
+def test_a_paused_process_resumes_where_it_stopped() -> None:
     rig = Rig()
     rig.serve(lambda: Peer(answers=b"!"))
 
@@ -436,11 +438,11 @@
         peer = await rig.connect()
         await asyncio.sleep(0.1)
         rig.server.pause(rig.world.now + 700_000)
-        begun = loop.time()
+        started_at = loop.time()
         peer.transport.write(b"?")
-        while not peer.heard:
+        while not peer.received:
             await asyncio.sleep(0.01)
-        return loop.time() - begun
+        return loop.time() - started_at
 
     assert 0.69 < rig.run(work()) < 0.73
 
@@ -454,7 +456,7 @@
     kill=st.one_of(st.none(), st.floats(0, 0.6)),
     silent=st.booleans(),
 )
-def test_what_is_heard_is_always_the_begin_of_what_was_written(
+def test_received_bytes_are_always_a_prefix_of_those_written(
     seed: int,
     sizes: list[int],
     jitter: int,
@@ -462,9 +464,9 @@
     kill: float | None,
     silent: bool,
 ) -> None:
-    """TCP's promise, whatever happens on the way; all of it where nobody dies."""
-    way = NetworkLink(jitter=jitter, loss=loss)
-    rig = Rig(seed, way)
+    """TCP's guarantee, whatever happens on the link; all bytes arrive where no process dies."""
+    link = NetworkLink(jitter=jitter, loss=loss)
+    rig = Rig(seed, link)
     rig.serve()
     sent = b"".join(bytes([n % 256]) * size for n, size in enumerate(sizes))
 
@@ -477,17 +479,17 @@
                 break
             peer.transport.write(bytes([n % 256]) * size)
             if silent and n == 2:
-                way.is_stalled = True
+                link.is_stalled = True
             await asyncio.sleep(0.05)
-        rig.net.restore(way)
+        rig.net.restore(link)
         peer.transport.close()
         await asyncio.sleep(20)
 
     rig.run(work())
-    heard = rig.peers[0].heard if rig.peers else b""
-    assert sent.startswith(heard)
+    received = rig.peers[0].received if rig.peers else b""
+    assert sent.startswith(received)
     if kill is None:
-        assert heard == sent and rig.peers[0].eof
+        assert received == sent and rig.peers[0].eof
         assert len(rig.server.files) == 1 and not rig.client.files
 
 
