--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -91,7 +91,7 @@
 LIMIT = 2 * SECOND + 8 * MS + 50 * MS
 
 
-def test_one_answer_in_time_that_a_box_made_is_right() -> None:
+def test_one_answer_in_time_that_a_backend_made_is_right() -> None:
     assert broken(client_attempts=[client_attempt(OK)], attempts=[attempt(SECOND)]) == []
 
 
@@ -146,11 +146,11 @@
     )
 
 
-def test_a_try_that_came_to_no_door_is_owed_nothing() -> None:
+def test_an_attempt_that_came_to_no_front_door_is_owed_nothing() -> None:
     assert broken(client_attempts=[client_attempt(at=0)]) == []
 
 
-def test_what_a_killed_door_held_is_the_clients() -> None:
+def test_what_a_killed_front_door_held_is_the_clients() -> None:
     incarnation = FrontDoorIncarnation(0, 1, started=0, killed=SECOND + 500 * MS)
     verdict = audit(
         RequestLog(
@@ -175,7 +175,7 @@
     assert broken(client_attempts=[client_attempt()], front_doors=[soon]) == []
 
 
-def test_a_crossed_try_that_reached_no_box_is_not_lost() -> None:
+def test_a_crossed_attempt_that_reached_no_backend_is_not_lost() -> None:
     assert broken(client_attempts=[client_attempt(crossed=True)]) == []
     assert broken(client_attempts=[client_attempt(crossed=True)], attempts=[attempt(SECOND)]) == [
         "ANSWERS: never answered"
@@ -221,7 +221,7 @@
     )
 
 
-def test_drains_count_from_what_this_process_was_told() -> None:
+def test_drains_count_from_what_this_process_was_notified() -> None:
     told = [
         EndpointNotice(0, SECOND, "s1", "Ready", 0),
         EndpointNotice(0, 2 * SECOND, "s1", "Terminating", 0),
@@ -261,7 +261,7 @@
     assert broken(endpoint_notices=told, attempts=[attempt(limit + 1)], front_doors=incarnations) == []
 
 
-def test_what_a_door_does_late_since_we_stopped_it_is_excused() -> None:
+def test_what_a_front_door_does_late_since_we_stopped_it_is_excused() -> None:
     late = client_attempt(Answer(LIMIT + 400 * MS, 502, b""))
     assert broken(client_attempts=[late]) == ["ANSWERS: answered too late"]
     assert broken(client_attempts=[late], pauses=[(0, 2 * SECOND, 2 * SECOND + 400 * MS)]) == []
@@ -277,7 +277,7 @@
     assert broken(client_attempts=[gone], pauses=[(0, SECOND + 1, SECOND + 900 * MS)]) == []
 
 
-def test_a_drain_that_a_stopped_door_could_not_hear_is_excused() -> None:
+def test_a_drain_that_a_stopped_front_door_could_not_hear_is_excused() -> None:
     told = [EndpointNotice(0, SECOND, "s1", "Terminating", 0)]
     limit = 2 * SECOND + 50 * MS
     late = attempt(limit + 300 * MS)
@@ -350,7 +350,7 @@
     assert broken(attempts=again) == []  # further attempts take nothing
 
 
-def test_a_breach_names_the_request_the_boxes_the_times_and_the_figure() -> None:
+def test_a_breach_names_the_request_the_backends_the_times_and_the_figure() -> None:
     verdict = audit(
         RequestLog(attempts=[attempt(SECOND, kind="claim"), attempt(SECOND + 5, "s2", kind="claim")]), FIGURES
     )
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -165,7 +165,7 @@
     assert run.verdict.broken() == {Rule.DRAINS}
 
 
-def test_a_flooded_cold_box_is_caught() -> None:
+def test_a_flooded_cold_backend_is_caught() -> None:
     run = played(DAY, make=FloodsCold)
     assert Rule.COLD in run.verdict.broken()
     assert "4 times its capacity" in next(b for b in run.verdict.breaches if b.rule is Rule.COLD).figure
@@ -189,7 +189,7 @@
     assert any(b.what == "never answered" for b in run.verdict.breaches)
 
 
-def test_an_answer_that_no_box_made_is_caught() -> None:
+def test_an_answer_that_no_backend_made_is_caught() -> None:
     run = played(SMALL, spoil=answers_itself)
     assert run.verdict.broken() == {Rule.ANSWERS}
     assert all("no box made" in b.what for b in run.verdict.breaches)
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -48,7 +48,7 @@
     return True
 
 
-def test_a_short_day_is_played_told_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_short_day_is_played_reported_and_leaves_nothing(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
     scenario = tmp_path / "small.toml"
     scenario.write_text('about = "small"\n' + SMALL)
@@ -135,13 +135,13 @@
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr + done.stdout
 
 
-def test_a_door_that_does_not_start_is_told_with_its_last_words(tmp_path: Path) -> None:
+def test_a_front_door_that_does_not_start_is_reported_with_its_last_words(tmp_path: Path) -> None:
     path = deploy_file(tmp_path, "echo no luck today >&2; exit 3")
     done = demo("--deploy", str(path))
     assert done.returncode == 2 and "exit code 3" in done.stderr and "no luck today" in done.stderr
 
 
-def test_a_door_that_ends_by_itself_is_a_crash(tmp_path: Path) -> None:
+def test_a_front_door_that_ends_by_itself_is_a_crash(tmp_path: Path) -> None:
     program = (
         "import sys; sys.argv = ['x']; import asyncio, threading, os;"
         "threading.Timer(1.5, lambda: os._exit(9)).start();"
@@ -169,7 +169,9 @@
         find_deploy(inner)
 
 
-def test_a_door_killed_between_a_boxs_answer_and_the_clients_is_the_clients_to_retry(tmp_path: Path) -> None:
+def test_a_front_door_killed_between_a_backends_answer_and_the_clients_is_the_clients_to_retry(
+    tmp_path: Path,
+) -> None:
     """Stopped while its backend answers, then killed: the answer is made, and never passed on."""
     text = SMALL.replace("share = 0.6", "share = 0.001").replace("share = 0.2", "share = 1", 1)
     text = text.replace("window_ms = 600", "window_ms = 5000")
@@ -225,7 +227,7 @@
     uvloop.run(run())
 
 
-def test_a_platform_door_imports_nothing_of_the_tool() -> None:
+def test_a_platform_front_door_imports_nothing_of_the_tool() -> None:
     code = (
         "import sys, irisdeal.front_door.server.program, irisdeal.__main__;"
         "print([m for m in sys.modules if m.partition('.')[0] in "
@@ -249,7 +251,7 @@
     "what",
     [["backend"], ["counter"], ["discovery", "--member", "127.0.0.1:9"], ["relay", "--to", "127.0.0.1:9"]],
 )
-def test_each_stand_in_runs_alone(what: list[str]) -> None:
+def test_each_service_runs_alone(what: list[str]) -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "irisdeal.testbed", *what], cwd=ROOT, text=True, stdout=subprocess.PIPE
     )
@@ -260,7 +262,7 @@
     assert process.returncode == 0 and isinstance(json.loads(book), dict)
 
 
-def test_a_stand_in_that_cannot_be_used_says_so() -> None:
+def test_a_service_that_cannot_be_used_says_so() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "irisdeal.testbed", "backend", "--scenario", "none"],
         cwd=ROOT,
--- a/tests/testbed/test_load_processes.py
+++ b/tests/testbed/test_load_processes.py
@@ -44,7 +44,7 @@
 )
 
 
-def test_two_processes_ask_what_one_would_and_their_books_are_one() -> None:
+def test_two_processes_ask_what_one_would_and_their_request_logs_are_one() -> None:
     day = draw(parse(CROWDED).resized(seconds=2), 5)
     outcome = uvloop.run(play(day, HERE))
     assert outcome.kept, [breach.text() for breach in outcome.verdict.breaches]
@@ -70,7 +70,7 @@
     assert 0.0 < outcome.service.total.share <= outcome.reference <= 1.0
 
 
-def test_a_process_that_dies_is_told_and_the_others_end() -> None:
+def test_a_process_that_dies_is_reported_and_the_others_end() -> None:
     async def run() -> None:
         day = draw(parse(CROWDED), 1)
         clock = Clock()
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -85,7 +85,7 @@
     assert len(model.advance(SECOND + 1001)) == 1
 
 
-def test_a_cold_box_has_its_share_at_the_start_and_all_at_the_end() -> None:
+def test_a_cold_backend_has_its_share_at_the_start_and_all_at_the_end() -> None:
     start = 100 * SECOND
     model = backend(at=start, cores=1)
     assert model.incarnation.now(start) == pytest.approx(0.25)
@@ -132,7 +132,7 @@
     assert latest == 0 or model.now * 2 >= total - 2 * len(ended) - 2  # two cores do no more than that
 
 
-def test_a_hall_remembers_a_key_for_its_window() -> None:
+def test_a_zone_remembers_a_key_for_its_window() -> None:
     memory = IdempotencyMemory(5 * SECOND)
     assert memory.first("k", 0)
     assert not memory.first("k", 5 * SECOND - 1)
@@ -142,7 +142,7 @@
     assert len(memory.seen) <= 5001
 
 
-def test_the_meter_tells_late_and_counts_a_try_once() -> None:
+def test_the_meter_tells_late_and_counts_an_attempt_once() -> None:
     meter = Meter(SECOND, SECOND // 2, {"p": 10.0})
     for _ in range(3):
         meter.add("t1", "p", 7, 4.0, 200_000)
@@ -158,7 +158,7 @@
 # The counter service
 
 
-def test_the_keeper_adds_forgets_and_turns_away() -> None:
+def test_the_counter_service_adds_forgets_and_turns_away() -> None:
     model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20))
     assert model.add("n", 2.0, SECOND, 0) == 2.0
     assert model.add("n", 1.5, 60 * SECOND, SECOND - 1) == 3.5  # later calls do not extend its life
@@ -271,6 +271,6 @@
     return written
 
 
-def test_a_late_keeper_still_answers_in_the_order_of_the_calls() -> None:
+def test_a_late_counter_service_still_answers_in_the_order_of_the_calls() -> None:
     """Lost: two answers due together changed places, and a quiet tenant was told a greedy one's total."""
     assert asyncio.run(_answers_of_a_late_loop()) == [b"first", b"second"]
--- a/tests/testbed/test_quota_overshoot.py
+++ b/tests/testbed/test_quota_overshoot.py
@@ -54,7 +54,7 @@
     assert overshoot([], 2.0, 2.0) == (0.0, 0)
 
 
-def test_what_goes_over_is_told_with_its_moment() -> None:
+def test_what_goes_over_is_reported_with_its_moment() -> None:
     assert overshoot([(0, 2.0), (SECOND, 5.0), (9 * SECOND, 1.0)], 2.0, 2.0) == (3.0, SECOND)
     # A quiet time gives back no more than the burst.
     assert overshoot([(0, 1.0), (100 * SECOND, 4.0)], 2.0, 2.0) == (2.0, 100 * SECOND)
@@ -83,7 +83,7 @@
     assert overshoot(sent, rate, burst)[0] == pytest.approx(worst, abs=1e-6)
 
 
-def test_stores_are_told_worst_first_over_all_doors_and_once_for_each_try() -> None:
+def test_tenants_are_reported_worst_first_over_all_front_doors_and_once_for_each_attempt() -> None:
     request_log = RequestLog(
         attempts=[
             attempt(0, "a", 1),
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -169,7 +169,7 @@
     assert 0.96 < sum(drawn) / len(drawn) / (kind.work_ms * 1000) < 1.04
 
 
-def test_a_rush_and_a_hot_door_are_in_the_day() -> None:
+def test_a_rush_and_a_hot_front_door_are_in_the_day() -> None:
     rush = '[[at]]\nat_s = 1\ndo = "rush"\nfor_s = 1\nsize = 3\n'
     day = draw(parse(SMALL + rush), 1)
     seconds = [sum(1 for a in day.arrivals if a.at // 1_000_000 == n) for n in range(3)]
--- a/tests/testbed/test_service_report.py
+++ b/tests/testbed/test_service_report.py
@@ -80,7 +80,7 @@
     assert service.refused == 1
 
 
-def test_a_retry_belongs_to_its_first_try() -> None:
+def test_a_retry_belongs_to_its_first_attempt() -> None:
     service = reckon(request_log((1, 0, 2000, 0), (1, 1, 2040, 50)), scenario(), START)
     assert (service.first_attempts, service.client_attempts, service.total.share) == (1, 2, 1.0)
 
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -66,7 +66,7 @@
     assert not any("could not be played" in text for text in told)
 
 
-def test_the_books_of_all_processes_are_on_one_clock_and_in_order(outcome: Outcome) -> None:
+def test_the_request_logs_of_all_processes_are_on_one_clock_and_in_order(outcome: Outcome) -> None:
     request_log = outcome.request_log
     times = [a.last_byte for a in request_log.attempts]
     assert times == sorted(times)
@@ -84,7 +84,7 @@
     assert any(a.end.name == "SPOILT" for a in request_log.attempts)
 
 
-def test_a_site_that_dies_is_told_and_the_others_end() -> None:
+def test_a_site_that_dies_is_reported_and_the_others_end() -> None:
     async def run() -> None:
         sites = Sites(draw(parse(APART), 1), Clock(), RequestLog())
         await sites.start()
@@ -118,7 +118,7 @@
     uvloop.run(run())
 
 
-def test_what_one_site_counts_another_tells_and_a_try_counts_once() -> None:
+def test_what_one_site_counts_another_tells_and_an_attempt_counts_once() -> None:
     day = draw(parse(APART), 1)
     here, there = _SharedMeter(day), _SharedMeter(day)
     plan = day.scenario.plans[0]
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -42,7 +42,7 @@
 
 
 @socket_test
-async def test_the_keeper_speaks_its_lines_in_order() -> None:
+async def test_the_counter_service_speaks_its_lines_in_order() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     reader, writer = await opened(counter.ports[0])
@@ -73,7 +73,7 @@
 
 
 @socket_test
-async def test_the_keeper_refuses_and_returns_empty_or_not_and_moves() -> None:
+async def test_the_counter_service_refuses_and_returns_empty_or_not_and_moves() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     port = counter.ports[0]
@@ -95,7 +95,7 @@
 
 
 @socket_test
-async def test_the_keeper_holds_32_connections_of_a_door() -> None:
+async def test_the_counter_service_holds_32_connections_of_a_front_door() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     lines = [await opened(counter.ports[0]) for _ in range(33)]
@@ -106,7 +106,7 @@
 
 
 @socket_test
-async def test_a_silent_keeper_answers_nothing_and_adds_nothing() -> None:
+async def test_a_silent_counter_service_answers_nothing_and_adds_nothing() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     reader, writer = await opened(counter.ports[0])
@@ -121,7 +121,7 @@
 
 
 @socket_test
-async def test_a_split_keeper_counts_for_each_side_and_one_sides_counts_stay() -> None:
+async def test_a_split_counter_service_counts_for_each_side_and_one_sides_counts_stay() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(range(2))
     lines = [await opened(counter.ports[front_door]) for front_door in range(2)]
@@ -212,7 +212,7 @@
 
 
 @socket_test
-async def test_a_silent_roster_says_nothing_and_a_moved_one_lets_go() -> None:
+async def test_a_silent_discovery_service_says_nothing_and_a_moved_one_lets_go() -> None:
     discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), RequestLog(), Clock(), 1)
     await discovery.start(ONE)
     port = discovery.ports[0]
@@ -397,7 +397,7 @@
 
 
 @socket_test
-async def test_a_box_serves_reports_and_writes_its_book() -> None:
+async def test_a_backend_serves_reports_and_writes_its_book() -> None:
     made = await platform()
     backend = made.backends[0]
     reader, writer = await opened(backend.ports[1])
@@ -422,7 +422,7 @@
 
 
 @socket_test
-async def test_one_hall_drops_a_repeat_of_a_key() -> None:
+async def test_one_zone_drops_a_repeat_of_a_key() -> None:
     made = await platform()
     same = [b for b in made.backends if b.machine.zone == made.backends[0].machine.zone]
     other = next(b for b in made.backends if b.machine.zone != made.backends[0].machine.zone)
@@ -436,7 +436,7 @@
 
 
 @socket_test
-async def test_a_box_drains_crashes_and_comes_back_cold() -> None:
+async def test_a_backend_drains_crashes_and_comes_back_cold() -> None:
     made = await platform()
     backend = made.backends[0]
     reader, writer = await opened(backend.ports[0])
@@ -458,7 +458,7 @@
 
 
 @socket_test
-async def test_a_new_box_at_anothers_old_address_is_itself_in_the_book() -> None:
+async def test_a_new_backend_at_anothers_old_address_is_itself_in_the_book() -> None:
     made = await platform()
     old = made.backends[0]
     old.crash()
@@ -473,7 +473,7 @@
 
 
 @socket_test
-async def test_a_hung_box_holds_and_answers_later() -> None:
+async def test_a_hung_backend_holds_and_answers_later() -> None:
     made = await platform()
     backend = made.backends[0]
     backend.set_hung(True)
@@ -524,7 +524,7 @@
     )
 
 
-def test_a_hall_cut_off_breaks_no_rule_and_no_answer_is_missing() -> None:
+def test_a_zone_cut_off_breaks_no_rule_and_no_answer_is_missing() -> None:
     run = uvloop.run(play(SMALL + '[[at]]\nat_s = 0.8\ndo = "hall-cut"\nhall = "hall-b"\nfor_s = 1.2\n'))
     assert [b.text() for b in run.verdict.breaches] == []
     assert run.verdict.checked[Rule.ANSWERS] > 200
