--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -32,7 +32,7 @@
 PATIENCE_S = 9.0  # that a client waits for an answer
 WARM = 40  # requests before a SIGTERM: a proxy that has answered few takes less after it
 READING_S = 5.0  # that a slow reader takes for its answer
-BEAT_S = 0.4  # between two heartbeats of the backend
+HEARTBEAT_S = 0.4  # between two heartbeats of the backend
 SETTINGS = """
 node_name = "{name}"
 role = "{name}"
@@ -250,12 +250,12 @@
                 process.kill()
             process.wait(5)
 
-    async def beat(self) -> None:
-        """The backend says that it is there, for ever."""
+    async def send_heartbeats(self) -> None:
+        """Send the backend's heartbeats, for ever."""
         count = 0
         while True:
             count += 1
-            word = {
+            heartbeat = {
                 "service": "s",
                 "address": f"{CORE}:{BACKEND}",
                 "zone": "z",
@@ -265,8 +265,8 @@
                 "warmup_left_ms": 0,
                 "call_count": count,
             }
-            await call(CORE, CONTROL, "POST /backends/i-1/heartbeat", json.dumps(word).encode())
-            await asyncio.sleep(BEAT_S)
+            await call(CORE, CONTROL, "POST /backends/i-1/heartbeat", json.dumps(heartbeat).encode())
+            await asyncio.sleep(HEARTBEAT_S)
 
 
 @contextlib.asynccontextmanager
@@ -274,7 +274,7 @@
     """A gateway that serves."""
     processes = GatewayProcesses(folder)
     await processes.backend.listen(CORE, BACKEND)
-    beating = asyncio.ensure_future(processes.beat())
+    heartbeats = asyncio.ensure_future(processes.send_heartbeats())
     try:
         for role in ("config_store", "registry", "proxy"):
             processes.start(role)
@@ -288,7 +288,7 @@
             await asyncio.sleep(0.1)
         yield processes
     finally:
-        beating.cancel()
+        heartbeats.cancel()
         processes.backend.close()
         processes.end()
 
--- a/tests/proxy/test_backend_connection.py
+++ b/tests/proxy/test_backend_connection.py
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_status_that_promises_is_none_without_the_backends_word_for_it(status: int) -> None:
+def test_a_status_that_says_not_executed_counts_only_with_the_backends_header(status: int) -> None:
     outcome, _ = played([WHOLE.replace(b"200 OK", b"%d X" % status).replace(SEAL, b"")])
     assert outcome is not None and outcome.end is AttemptEnd.MAY_HAVE_EXECUTED
     outcome, _ = played([WHOLE.replace(b"200 OK", b"500 X").replace(SEAL, b"")])
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -1,7 +1,6 @@
-"""Doors and registries while a core machine is cut off, cut watcher way, or frozen, in virtual time.
+"""Proxies and registries while a core machine is cut off, cut one way, or frozen, in virtual time.
 
-When doors leave it, when what is decided is in force, and that what they say of the age of their knowledge is
-true.
+When proxies leave it, when what is decided is in force, and that the ages of knowledge that they state are true.
 
 Bounds are computed here from the constants of the program, and held against those of the four deployments.
 """
@@ -50,12 +49,12 @@
 
 # Between two asks that a quorum answers: the oldest that a store in order is, with a dead member beside it.
 STORE = STATUS_INTERVAL_S + STATUS_TIMEOUT_S + WAY
-# What a registry tells, and what a door makes of it when it comes and just before the next answer does.
+# What a registry states, and what a proxy makes of it when it comes and just before the next answer does.
 REGISTRY = STORE + following.PROBE_INTERVAL_S + WAY
-DOOR = max(REGISTRY, watch.MAX_POLL_S) + WAY + watch.MAX_POLL_S + WAY
-# A decided word whose announcement was lost: one round of a store in contact, then held asks are answered.
+PROXY = max(REGISTRY, watch.MAX_POLL_S) + WAY + watch.MAX_POLL_S + WAY
+# A decided version whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
-# Confirmed by a member that is cut off before anybody heard: seen open in a round, left so for a while, then
+# Confirmed by a member that is cut off before anybody received it: seen open in a round, left so for a while, then
 # a ballot at the next look.
 OPEN = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
@@ -64,7 +63,7 @@
 LEAVE_SILENT = registry_watcher.WATCH_TIMEOUT_S
 # To another watcher, where all that was used was of no use.
 TURN = registry_watcher.MAX_PAUSE_S + 3 * WAY
-# A word that is here comes into force: not too soon after the watcher before, and after one that was given up.
+# A version that is here comes into force: not too soon after the one before, and after one that was given up.
 TAKEN = (1 + config_applier.MAX_ABANDONED) * config_applier.MIN_INTERVAL_S
 
 
@@ -73,7 +72,7 @@
     contact, apply, _ = DEPLOYMENTS[name]
     assert apply >= APPLY + TAKEN
     assert apply >= OPEN + TAKEN
-    assert apply >= DOOR  # by age alone: whoever is told nothing new knows that there was nothing
+    assert apply >= PROXY  # by age alone: whoever is notified of nothing new knows that there was nothing
     assert contact >= LEAVE_CUT + TURN + TAKEN
     assert contact >= LEAVE_SILENT + TURN + TAKEN
     assert apply >= LEAVE_CUT + TURN + TAKEN  # also where both sources are cut off
@@ -86,7 +85,7 @@
     assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
     assert REGISTRY < following.STALE_S
     assert max(REGISTRY, watch.MAX_POLL_S) + WAY < registry_watcher.MAX_AGE_S
-    assert DOOR < registry_watcher.CONTACT_LOST_AGE_S
+    assert PROXY < registry_watcher.CONTACT_LOST_AGE_S
     assert watch.MAX_POLL_S == registry_watcher.LONG_POLL_S == following.MAX_POLL_S
 
 
@@ -94,23 +93,23 @@
 
 
 def looked_at(rig: CoreRig, until: float) -> list[str]:
-    """What is wrong at any moment: a word taken back, or an age that says more than is known."""
+    """What is wrong at any moment: a version taken back, or an age that says more than is known."""
     wrong: list[str] = []
     newest: dict[str, int] = {}
 
     def look() -> None:
         now = rig.world.seconds()
-        for door in rig.doors:
-            number = rig.in_force(door, now)
-            if number < newest.get(door.ip, -1) or any(
-                after[1] <= before[1] for before, after in pairwise(door.versions)
+        for proxy in rig.doors:
+            number = rig.in_force(proxy, now)
+            if number < newest.get(proxy.ip, -1) or any(
+                after[1] <= before[1] for before, after in pairwise(proxy.versions)
             ):
-                wrong.append(f"{now:.2f}: {door.ip} went back to r{number}")
-            newest[door.ip] = number
-            age = door.watcher.age(door.watcher.loop.time())
+                wrong.append(f"{now:.2f}: {proxy.ip} went back to r{number}")
+            newest[proxy.ip] = number
+            age = proxy.watcher.age(proxy.watcher.loop.time())
             known = max((decided for at, decided in rig.decided if at <= now - age), default=-1)
             if number < known:
-                wrong.append(f"{now:.2f}: {door.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
+                wrong.append(f"{now:.2f}: {proxy.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
         for host, post in rig.posts.items():
             age_ = post.store_client.age()
             known = max((n for at, n in rig.decided if age_ is not None and at <= now - age_), default=-1)
@@ -132,14 +131,14 @@
 
 
 def uses(rig: CoreRig, host: str, since: float, until: float) -> dict[str, float]:
-    """When each door that used this source was last seen to use it, filled in while the day is played."""
+    """When each proxy that used this source was last seen to use it, filled in while the day is played."""
     last: dict[str, float] = {}
 
     def look() -> None:
-        for door in rig.doors:
+        for proxy in rig.doors:
             now = rig.world.seconds()
-            if host in door.watcher.selector.using and now - last.get(door.ip, since) < 3 * SLACK:
-                last[door.ip] = now  # later it may come to look again
+            if host in proxy.watcher.selector.using and now - last.get(proxy.ip, since) < 3 * SLACK:
+                last[proxy.ip] = now  # later it may come to look again
 
     at = since
     while at < until:
@@ -148,7 +147,7 @@
     return last
 
 
-CUTS = {"both ways": {}, "hears nobody": {"away": False}, "is heard by nobody": {"here": False}}
+CUTS = {"both ways": {}, "receives nothing": {"away": False}, "reaches nobody": {"here": False}}
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (4, 2)])
@@ -170,7 +169,7 @@
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (4, 2)])
-def test_a_core_machine_is_cut_off_from_the_doors_as_well(count: int, seed: int) -> None:
+def test_a_core_machine_is_cut_off_from_the_proxies_as_well(count: int, seed: int) -> None:
     rig = CoreRig(count, 5, seed)
     lost = rig.hosts[0]
     changing(rig, 2.0, 26.0, [lost])
@@ -195,12 +194,12 @@
     assert not wrong, wrong[:3]
     assert not rig.late(APPLY)
     woke = [age for at, age in rig.posts[lost].ages if 1008.0 <= at < 1008.0 + 3 * WAY]
-    assert all(age < 0 or age <= 3 * WAY * 1000 for age in woke), "told of contact from before the freeze"
+    assert all(age < 0 or age <= 3 * WAY * 1000 for age in woke), "stated contact from before the freeze"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_only_the_store_of_a_machine_stands_still(seed: int) -> None:
-    """Its registry asks another's; no door needs to leave."""
+    """Its registry asks another's; no proxy needs to leave."""
     rig = CoreRig(3, 6, seed)
     lost = rig.hosts[0]
     changing(rig, 2.0, 12.0, [lost])
@@ -216,13 +215,13 @@
     )
 
 
-def test_two_of_five_are_cut_off_and_doors_that_used_both_turn_in_time() -> None:
+def test_two_of_five_are_cut_off_and_proxies_that_used_both_turn_in_time() -> None:
     rig, cut, both = CoreRig(5, 12, 4), list[str](), list[DoorPost]()
     changing(rig, 3.0, 14.0, cut)
 
     def cut_both() -> None:
         cut.extend(rig.doors[0].watcher.selector.using)
-        both.extend(door for door in rig.doors if set(door.watcher.selector.using) == set(cut))
+        both.extend(proxy for proxy in rig.doors if set(proxy.watcher.selector.using) == set(cut))
         for host in cut:
             rig.cut(host)
 
@@ -235,7 +234,7 @@
     assert rig.late(CONTACT_LEASE_S / 2, since=8.0), "nobody had to wait for the turn: nothing is shown"
 
 
-def test_without_any_contact_doors_keep_what_they_have_say_so_once_and_do_not_press(
+def test_without_any_contact_proxies_keep_their_state_log_it_once_and_do_not_press(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO", "irisdeal")
@@ -248,21 +247,21 @@
     rig.at(13.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
     rig.at(27.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
     ages: list[float] = []
-    rig.at(27.0, lambda: ages.extend(door.watcher.age(door.watcher.loop.time()) for door in rig.doors))
+    rig.at(27.0, lambda: ages.extend(proxy.watcher.age(proxy.watcher.loop.time()) for proxy in rig.doors))
     wrong = looked_at(rig, 32.0)
     rig.play(32.0)
     assert not wrong, wrong[:3]
     assert all(19.0 - STORE <= age <= 19.0 + STORE for age in ages), ages
-    assert all(rig.in_force(door, 32.0) == rig.decided[-1][1] for door in rig.doors)
+    assert all(rig.in_force(proxy, 32.0) == rig.decided[-1][1] for proxy in rig.doors)
     lines = Counter(record.getMessage()[:4] for record in caplog.records)
     assert lines["E411"] == lines["E412"] == 4
     assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.MAX_POLL_S + 2 / MIN_BACKOFF_S, (
-        "asks a second of a door"
+        "requests a second of a proxy"
     )
 
 
 def test_a_registry_that_returns_is_not_stormed() -> None:
-    """85 doors; watcher machine is dead for 6 s. What comes to it in a quarter of a second is bounded."""
+    """85 proxies; one machine is dead for 6 s. What comes to it in a quarter of a second is bounded."""
     rig = CoreRig(4, 85, 6)
     lost = rig.hosts[0]
     changing(rig, 3.0, 4.0, [lost])
@@ -290,10 +289,10 @@
     rig.at(6.0, lambda: rig.decide(50, rest, Members(1, tuple(seat(host, FIRST) for host in rest))))
     rig.at(8.0, partial(rig.kill, lost))
     rig.play(20.0)
-    for door in rig.doors:
-        assert lost not in door.watcher.selector.zones and lost not in door.watcher.selector.using
-        assert lost not in door.watcher.selector.known_as_of
-        assert rig.in_force(door, 20.0) == 50
+    for proxy in rig.doors:
+        assert lost not in proxy.watcher.selector.zones and lost not in proxy.watcher.selector.using
+        assert lost not in proxy.watcher.selector.known_as_of
+        assert rig.in_force(proxy, 20.0) == 50
     for host in rest:
         assert lost not in rig.posts[host].store_client.links
 
@@ -301,15 +300,15 @@
 # What one answer does
 
 
-def alone(told: list[object]) -> RegistryWatcher:
-    """RegistryWatcher of a door without a network, in a loop that stands."""
+def isolated_watcher(received: list[object]) -> RegistryWatcher:
+    """The watcher of a proxy without a network, in a loop that stands."""
     world = World(1)
     machine = Machine(world, Network(world), "d", Core(), Costs())
     made: list[RegistryWatcher] = []
 
     async def run() -> int:
         settings = settings_of("10.1.9.1", ["10.0.0.1", "10.1.0.1", "10.2.0.1"])
-        made.append(RegistryWatcher(settings, told.append, lambda incarnation, silent: None))
+        made.append(RegistryWatcher(settings, received.append, lambda incarnation, silent: None))
         return 0
 
     machine.start(run())
@@ -317,9 +316,9 @@
     return made[0]
 
 
-def test_age_counts_only_once_the_word_is_here() -> None:
-    told: list[object] = []
-    watcher = alone(told)
+def test_age_counts_only_once_the_version_is_here() -> None:
+    received: list[object] = []
+    watcher = isolated_watcher(received)
     assert watcher.age(1010.0) == float("inf")
     assert watcher._receive_age("10.0.0.1", 1000.0, 300, 7)  # change 7, of which we have nothing
     assert watcher.age(1010.0) == float("inf")
@@ -332,7 +331,7 @@
 
 
 def test_a_source_whose_knowledge_is_old_is_no_better_than_one_without_contact() -> None:
-    watcher = alone([])
+    watcher = isolated_watcher([])
     now = watcher.loop.time()
     assert watcher._receive_age("10.0.0.1", now - 0.1, int((registry_watcher.MAX_AGE_S - 0.2) * 1000), 0)
     assert not watcher._receive_age("10.0.0.1", now - 0.1, int(registry_watcher.MAX_AGE_S * 1000), 0)
@@ -345,9 +344,9 @@
     return chunk.encode()
 
 
-def test_while_a_word_comes_in_pieces_from_one_source_the_other_does_not_bring_it() -> None:
-    told: list[object] = []
-    watcher, version_store, chance = alone(told), VersionStore(), random.Random(1)
+def test_while_one_registry_sends_a_version_in_chunks_the_other_does_not_send_it() -> None:
+    received: list[object] = []
+    watcher, version_store, chance = isolated_watcher(received), VersionStore(), random.Random(1)
     version = ConfigVersion.of("r7", chance.randbytes(3 * CHUNK_BYTES))
     version_store.add(version)
     for piece in range(3):
@@ -359,16 +358,16 @@
             "10.0.0.1", sync_state, next_chunk(version_store, sync_state, version.version_id), 4
         )
         assert watcher.configuration.change == (4 if piece == 2 else -1)
-    assert told == [version]
+    assert received == [version]
     assert watcher.configuration.sync_state("10.1.0.1").version_id == version.version_id
     watcher.configuration.receive(
         "10.1.0.1", SyncState(NEWEST_POSSIBLE), next_chunk(version_store, SyncState(), version.version_id), 4
     )  # one that was on its way
-    assert told == [version]
+    assert received == [version]
 
 
-def test_an_older_word_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
-    watcher, version_store = alone([]), VersionStore()
+def test_an_older_version_that_was_on_its_way_is_not_taken_for_the_newest() -> None:
+    watcher, version_store = isolated_watcher([]), VersionStore()
     version = ConfigVersion.of("r7", b"seven")
     version_store.add(version)
     sync_state = watcher.configuration.sync_state("10.0.0.1")
@@ -381,7 +380,7 @@
 
 
 def test_candidates_that_were_left_come_last_and_the_fresh_ones_of_our_zone_first() -> None:
-    watcher = alone([])
+    watcher = isolated_watcher([])
     watcher.selector.zones = {"10.0.0.1": "z0", "10.1.0.1": "z1", "10.2.0.1": "z2"}
     assert watcher.selector.candidates()[0] == "10.1.0.1"
     watcher.selector.avoid("10.1.0.1")
--- a/tests/proxy/test_request_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -239,13 +239,13 @@
     assert not play.sent
 
 
-def test_the_repeats_of_a_door_end_with_its_budget() -> None:
+def test_the_retries_of_a_proxy_end_with_its_budget() -> None:
     play = Play("idempotent", [(0.01, LOST), (0.01, GOOD)])
     play.prepare = lambda proxy: setattr(proxy.retry_budgets, "slack", 0.0)
     assert play.ask().status == 502 and len(play.sent) == 1
 
 
-def test_a_backend_hears_the_tenant_and_never_the_key() -> None:
+def test_a_backend_receives_the_tenant_and_never_the_key() -> None:
     play = Play("mutating", [(0.01, GOOD)], keys=True)
     answer = play.ask(
         **{
@@ -296,7 +296,7 @@
             assert abs(part.count(name) - share) <= 3, (first, name)
 
 
-def test_a_draining_life_gets_nothing_and_a_late_word_does_not_bring_it_back() -> None:
+def test_a_draining_incarnation_gets_nothing_and_a_late_report_does_not_bring_it_back() -> None:
     play = Play("mutating", [(0.01, GOOD)])
 
     def drain(proxy: Proxy) -> None:
--- a/tests/proxy/test_route_table.py
+++ b/tests/proxy/test_route_table.py
@@ -214,7 +214,7 @@
         assert done
 
 
-def test_a_short_word_is_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_short_version_is_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play(monkeypatch)
 
     async def act(made: ConfigApplier) -> None:
@@ -244,7 +244,7 @@
     )
 
 
-def test_an_older_word_is_never_in_force_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_older_version_is_never_in_force_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play(monkeypatch)
 
     async def act(made: ConfigApplier) -> None:
@@ -257,7 +257,7 @@
     assert [generation for _, generation in play.in_force] == ["r2", "r3"]
 
 
-def test_others_go_on_while_a_long_word_is_taken_in(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_others_go_on_while_a_long_version_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
     """50 steps of 5 ms: who waits for the loop has it after each."""
     play = Play(monkeypatch, steps=50, cost=0.005)
     turns: list[int] = []
