--- a/irisdeal/front_door/overload/__init__.py
+++ b/irisdeal/front_door/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What a front door decides when more comes than it has room for. Pure: no I/O, no clock of its own."""
+"""Overload protection of a front door: connection slots, accept backlog, event loop lag. No I/O, no own clock."""
--- a/irisdeal/front_door/overload/backlog.py
+++ b/irisdeal/front_door/overload/backlog.py
@@ -1,78 +1,98 @@
-"""How long the kernel's queue of connections may be, so that nothing waits in it for longer than is worth it.
+"""Length of the kernel's accept queue, adapted so that no connection waits in it for too long.
 
-What waits there has been accepted by the machine, and a request that is written to it is owed an answer
-before its client's time is up (PROTOCOL, The rules on sockets). A door that is short of CPU takes from the
-queue at some rate, so a queue of `rate * wait` is waited in for `wait` at most (Little's law). What comes
-beyond that the kernel does not let in: its client's connect does not come up, and nothing was taken. The
-queue's length may be set anew on a listening socket at any time (listen(2)).
+A connection in the accept queue is established, and a request that is written to it must be answered before
+its client's deadline (PROTOCOL, The rules on sockets). A front door that is short of CPU accepts at some
+rate, so in a queue of `rate * wait` connections each waits for `wait` at most (Little's law). Beyond that
+the kernel refuses: the client's connect does not complete, and no request was accepted. The length of a
+listening socket's queue may be changed at any time (listen(2)).
 
-The rate is taken only while the queue does not empty: else it tells what came, not what the door can do.
-Times are seconds on the caller's clock.
+The rate is measured only while the queue does not empty: otherwise it would be the arrival rate, not the
+capacity of the front door. Times are seconds on the caller's clock.
 """
 
 from __future__ import annotations
 
-MOST = 512  # connections: a storm of hundreds is let in; at 1,000 a second they wait half a second
-LEAST = 32  # connections: a handful that comes at once is no overload
-# s: most retries still have so much when they come; what has less may be answered 58 ms late
-# (PROTOCOL, The rules on sockets). At 0.25 some of a rush on a starved core were read too late to refuse.
-WAIT = 0.05
-SPAN = 0.1  # s over which a rate is taken
-GROWTH = 2.0  # times a second that the queue may grow again
-CHANGE = 0.2  # share by which a length must change to be set anew: each costs a call to the kernel
+MAX_LENGTH = 512  # connections: a burst of hundreds is accepted; at 1,000 a second they wait half a second
+MIN_LENGTH = 32  # connections: a handful that arrives at once is no overload
+# Most retries still have this much time when they arrive; one with less may be answered 58 ms late
+# (PROTOCOL, The rules on sockets). At 0.25 s some of a burst on a starved core were read too late to reject.
+TARGET_WAIT_S = 0.05
+RATE_WINDOW_S = 0.1  # over which the accept rate is measured
+GROWTH_PER_S = 2.0  # factor by which the queue may grow again in a second
+MIN_CHANGE_RATIO = 0.2  # smaller changes are not applied: each costs a system call
+SMOOTHING = 0.5  # weight of a new measurement: one slow turn of the loop is no trend
 
 
 class Backlog:
-    """Reckons the queue's length from what is taken from it."""
+    """Computes the accept queue's length from the connections accepted from it."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
-        self.length = most  # as set in the kernel
-        self._exact = float(most)
-        self._taken = 0
-        self._since: float | None = None  # of the span in which the queue has not been empty
-        self._at = 0.0  # of the last growth
+    def __init__(self, max_length: int = MAX_LENGTH) -> None:
+        """Start with `max_length` connections, which is also the upper bound."""
+        self.max_length = max_length
+        self.length = max_length  # as set in the kernel
+        self._exact_length = float(max_length)
+        self._accepted_in_window = 0
+        self._window_started_at: float | None = None  # None while the queue is empty
+        self._adjusted_at = 0.0
         self._empty_at = 0.0  # when the queue was last seen empty
-        self._rate = 0.0  # connections a second, as last taken while it did not empty
+        self._accept_rate_per_s = 0.0  # as last measured while the queue did not empty
 
-    def begin(self, now: float) -> None:
-        """Listening begins now: nothing has waited for longer."""
+    def start_listening(self, now: float) -> None:
+        """Record that listening starts: no connection can have waited since before `now`."""
         self._empty_at = now
 
-    def took(self, count: int, more: bool, now: float) -> int | None:
-        """`count` connections were accepted by `now`; `more` wait. The new length, or None to leave it."""
-        if not more:
-            self._empty_at = now
-            if self._since is None and self._exact < self.most:
-                self._exact = min(float(self.most), self._exact * GROWTH ** max(0.0, now - self._at))
-            self._since, self._at = None, now
-        elif self._since is None:
-            self._since, self._taken = now, 0
+    def record_accepted(self, count: int, more_waiting: bool, now: float) -> int | None:
+        """Record `count` accepted connections; return the length to set, or None to leave it.
+
+        `more_waiting` says that the queue did not empty.
+        """
+        if not more_waiting:
+            self._record_empty(now)
+        elif self._window_started_at is None:
+            self._window_started_at = now
+            self._accepted_in_window = 0
         else:
-            self._taken += count
-            if (span := now - self._since) >= SPAN:
-                self._rate = self._taken / span
-                # Half of the way each time: one slow turn is no trend.
-                self._exact += 0.5 * (self._taken / span * WAIT - self._exact)
-                self._exact = min(float(self.most), max(float(LEAST), self._exact))
-                self._since, self._taken, self._at = now, 0, now
-        return self._wanted()
+            self._accepted_in_window += count
+            self._measure_rate(now - self._window_started_at, now)
+        return self._length_to_set()
 
-    def waited(self, now: float) -> float:
-        """How long, at most, one that is accepted now has waited in the queue, in s.
+    def max_wait_s(self, now: float) -> float:
+        """Return an upper bound on the time that a connection accepted now has waited, in s.
 
-        Nothing where the queue was empty when last looked at. Else it came after it last was; and there were
-        at most `length` + 1 ahead of it, which were taken at the rate of late (Little's law). An overestimate
-        costs a client some of its time, an underestimate an answer that comes too late.
+        It is 0 where the queue was empty when last looked at. Otherwise the connection arrived after that,
+        and at most `length` + 1 were ahead of it, accepted at the recent rate (Little's law). An overestimate
+        costs a client some of its time, an underestimate a response that comes too late.
         """
-        if self._since is None:
+        if self._window_started_at is None:
             return 0.0
-        since = max(0.0, now - self._empty_at)
-        return min(since, (self.length + 1) / self._rate) if self._rate else since
+        since_empty_s = max(0.0, now - self._empty_at)
+        if not self._accept_rate_per_s:
+            return since_empty_s
+        return min(since_empty_s, (self.length + 1) / self._accept_rate_per_s)
+
+    def _record_empty(self, now: float) -> None:
+        self._empty_at = now
+        if self._window_started_at is None and self._exact_length < self.max_length:
+            growth = GROWTH_PER_S ** max(0.0, now - self._adjusted_at)
+            self._exact_length = min(float(self.max_length), self._exact_length * growth)
+        self._window_started_at = None
+        self._adjusted_at = now
+
+    def _measure_rate(self, window_s: float, now: float) -> None:
+        if window_s < RATE_WINDOW_S:
+            return
+        self._accept_rate_per_s = self._accepted_in_window / window_s
+        target_length = self._accept_rate_per_s * TARGET_WAIT_S
+        self._exact_length += SMOOTHING * (target_length - self._exact_length)
+        self._exact_length = min(float(self.max_length), max(float(MIN_LENGTH), self._exact_length))
+        self._window_started_at = now
+        self._accepted_in_window = 0
+        self._adjusted_at = now
 
-    def _wanted(self) -> int | None:
-        wanted = round(self._exact)
-        if abs(wanted - self.length) <= CHANGE * self.length and not (wanted == self.most != self.length):
+    def _length_to_set(self) -> int | None:
+        wanted = round(self._exact_length)
+        reaches_maximum = wanted == self.max_length != self.length
+        if abs(wanted - self.length) <= MIN_CHANGE_RATIO * self.length and not reaches_maximum:
             return None
         self.length = wanted
         return wanted
--- a/irisdeal/front_door/server/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -14,7 +14,12 @@
 import httptools
 
 from irisdeal.front_door.decisions.interface import Plan, Repeat
-from irisdeal.front_door.overload.places import IDLE_FOR, SILENT_FOR, Places, Stage
+from irisdeal.front_door.overload.connection_slots import (
+    MIN_IDLE_S,
+    MIN_UNUSED_S,
+    ConnectionSlots,
+    ConnectionState,
+)
 from irisdeal.front_door.server.backends import small_reads
 from irisdeal.front_door.server.client_request import (
     ClientRequest,
@@ -46,7 +51,9 @@
 MARGIN = 10_000  # µs of a client's time that the way here and back, and our own turn, may take
 SLOW_REQUEST = 1.5  # s for a request's bytes to come, and for the first byte of a connection
 IDLE_CONNECTION = 15.0  # s between requests
-CROWDED = 0.85  # from this share of the places on, answers end their connections, and idle ones get IDLE_FOR
+CROWDED = (
+    0.85  # from this share of the places on, answers end their connections, and idle ones get MIN_IDLE_S
+)
 # s that answers may wait for a client that does not read them: what the most patient usual one waits for its
 # answer; and in a crowd. Its requests have ended by then, and its place is wanted.
 UNREAD, UNREAD_IN_CROWD = 5.0, 1.0
@@ -114,7 +121,9 @@
         self.waiting: deque[ClientRequest] = deque()
         self.in_message = self.in_trailer = self.closing = self.full = self.broken = self.paused = False
         self.spoke = False  # has sent a whole request
-        self.queued = round(side.listener.backlog.waited(side.loop.time()) * 1e6)  # µs before it was accepted
+        self.queued = round(
+            side.listener.backlog.max_wait_s(side.loop.time()) * 1e6
+        )  # µs before it was accepted
         self.since = side.now()  # of the last change between idle and busy
         self.begun = self.since  # of the request that comes in
         self.full_since = 0.0  # of a client that does not read its answers; 0.0 while it does
@@ -227,7 +236,7 @@
 
     def on_message_begin(self) -> None:
         self.in_message, self.in_trailer, self.begun = True, False, self.side.now()
-        self.side.places.move(self, Stage.BUSY, self.begun)
+        self.side.slots.set_state(self, ConnectionState.BUSY, self.begun)
         self._reset()
         if self.side.budget is not None:
             self.pace = self.side.new_pace(self.begun)
@@ -301,7 +310,7 @@
         try:
             if len(self.waiting) >= MOST_PIPELINED:
                 raise Malformed(503, "too many requests at once")
-            if not (side.places.claim(self, side.now()) and side.budget.admits()):
+            if not (side.slots.claim_regular_slot(self, side.now()) and side.budget.admits()):
                 raise Malformed(503, "no room: try again")
             if parser.get_method() == b"GET":
                 raise Malformed(400, "GET with a body")
@@ -351,10 +360,12 @@
             return request.reply(503, b"too many requests at once\n")
         if self.url.partition(b"?")[0] == b"/_health":
             able = self.side.door.can_serve() and not self.side.draining
-            if self.side.places.in_reserve(self):  # full is not unwell: left out, it would drown the others
+            if self.side.slots.has_reserve_slot(
+                self
+            ):  # full is not unwell: left out, it would drown the others
                 request.then_close = self.closing = True
             return request.reply(200 if able else 503, b"ready\n" if able else b"not ready\n")
-        if not self.side.places.claim(self, self.since):
+        if not self.side.slots.claim_regular_slot(self, self.since):
             return self._turn_away(request)
         try:
             if not self.hop <= CONNECTION_OPTIONS:
@@ -389,7 +400,7 @@
         """No place is free: refused before the module has seen it, so that nothing was sent on for it."""
         request.then_close = self.closing = True
         settings = self.side.config.settings
-        delay = min(round(self.side.places.advice(self.since) * 1e6), settings.longest_advice)
+        delay = min(round(self.side.slots.retry_after_s(self.since) * 1e6), settings.longest_advice)
         request.reply(503, b"no place: try again\n", retry_after(delay if settings.may_advise else 0))
 
     def _read(self, request: ClientRequest, parser: httptools.HttpRequestParser) -> None:
@@ -550,7 +561,7 @@
                 return self._linger() if self.broken else self._close()
         self.since = self.side.now()
         if self.is_idle():
-            self.side.places.move(self, Stage.IDLE, self.since)
+            self.side.slots.set_state(self, ConnectionState.IDLE, self.since)
         self._read_on()
 
     def _close(self) -> None:
@@ -561,7 +572,7 @@
     def _ends(self) -> None:
         now = self.side.now()
         self.closing, self.ends_at = True, now + LINGER
-        self.side.places.move(self, Stage.ENDING, now)
+        self.side.slots.set_state(self, ConnectionState.CLOSING, now)
 
     def _linger(self) -> None:
         """Closed with bytes unread, a connection is reset, and the answer on its way is lost."""
@@ -676,7 +687,7 @@
         self.classes = {name.encode(): n for n, name in enumerate(config.classes)}
         self.plans = {name.encode(): n for n, name in enumerate(config.plans)}
         self.most_units = [most_units(plan) for plan in config.settings.plans]
-        self.places: Places[Client] = Places(most, reserve)
+        self.slots: ConnectionSlots[Client] = ConnectionSlots(most, reserve)
         self.open_traces: set[bytes] = set()
         self.draining = False
         self.router: Router | None = None
@@ -719,7 +730,7 @@
 
     @property
     def connections(self) -> Collection[Client]:
-        return self.places.stages
+        return self.slots.states
 
     def listen(self, beside: bool = False) -> None:
         self.listener.listen(self.config.listen, beside)
@@ -736,21 +747,21 @@
     def admit(self) -> Client:
         """A new connection; there is room for it."""
         client = Client(self)
-        self.places.enter(client, client.since)
+        self.slots.add(client, client.since)
         return client
 
     def room(self) -> bool:
         """Whether a connection that waits may be accepted; where all places are taken, one is made free."""
         waiting = self.listener.socket
-        if self.places.room() or waiting is None or not self.host.has_bytes(waiting.fileno()):
+        if self.slots.can_accept() or waiting is None or not self.host.has_bytes(waiting.fileno()):
             return True  # with none waiting, nothing need be closed for it
         asked = False
-        for client in self.places.candidates(self.now()):
-            stage = self.places.stages[client]
-            if stage is Stage.FRESH:
+        for client in self.slots.eviction_candidates(self.now()):
+            stage = self.slots.states[client]
+            if stage is ConnectionState.NEW:
                 client.dismiss()  # it goes once it has read why
                 asked = True
-            elif asked and stage is Stage.IDLE:
+            elif asked and stage is ConnectionState.IDLE:
                 break
             elif client.make_room():
                 self.left(client)  # its descriptor is closed within this turn; `limits.OWN` has room for it
@@ -759,18 +770,18 @@
 
     def left(self, client: Client) -> None:
         """A connection has gone."""
-        self.places.leave(client, self.now())
+        self.slots.remove(client, self.now())
         self.listener.release()
 
     def crowded(self) -> bool:
-        return len(self.places) > CROWDED * self.places.most
+        return len(self.slots) > CROWDED * self.slots.regular_slots
 
     def _sweep(self) -> None:
         self.loop.call_later(SWEEP, self._sweep)
         self.sweep()
 
     def sweep(self) -> None:
-        now, longest_idle = self.now(), IDLE_FOR if self.crowded() else IDLE_CONNECTION
+        now, longest_idle = self.now(), MIN_IDLE_S if self.crowded() else IDLE_CONNECTION
         for client in list(self.connections):
             client.check(now, longest_idle)
         self.listener.release()  # some may have been silent long enough by now
@@ -781,7 +792,7 @@
 
     def retire_idle(self) -> None:
         """Close what is idle; one that came just now gets the time to speak."""
-        fresh = self.now() - SILENT_FOR
+        fresh = self.now() - MIN_UNUSED_S
         for client in [c for c in self.connections if c.is_idle()]:
             if client.spoke:
                 client.retire()
--- a/irisdeal/front_door/server/listener.py
+++ b/irisdeal/front_door/server/listener.py
@@ -69,7 +69,7 @@
             made.close()
             raise
         self.socket = made
-        self.backlog.begin(self.loop.time())
+        self.backlog.start_listening(self.loop.time())
         self.loop.add_reader(made, self._accept)
 
     def adopt(self, listening: socket.socket) -> None:
@@ -77,7 +77,7 @@
         listening.setblocking(False)
         listening.listen(self.backlog.length)
         self.socket = listening
-        self.backlog.begin(self.loop.time())
+        self.backlog.start_listening(self.loop.time())
         self.loop.add_reader(listening, self._accept)
 
     def suspend(self) -> None:
@@ -124,7 +124,7 @@
         count = self._take()
         if self.socket is not None:
             more = self.host.has_bytes(self.socket.fileno())
-            if (length := self.backlog.took(count, more, self.loop.time())) is not None:
+            if (length := self.backlog.record_accepted(count, more, self.loop.time())) is not None:
                 self.socket.listen(length)  # a listening socket takes a new length as it is
 
     def _take(self) -> int:
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -32,7 +32,7 @@
     Wake,
     Woken,
 )
-from irisdeal.front_door.overload.lateness import Lateness
+from irisdeal.front_door.overload.event_loop_lag import EventLoopLag
 from irisdeal.front_door.server.backends import Answer, Attempt, Outlet, Pool
 from irisdeal.front_door.server.client_request import ClientRequest
 from irisdeal.front_door.server.clients import retry_after
@@ -98,7 +98,7 @@
         self.events = Batch()
         self.scheduled = self.list_known = False
         self.drain_by = 0  # when all must be answered; 0 while in service
-        self.late = Lateness()
+        self.event_loop_lag = EventLoopLag()
         self.watch: QueueWatch | None = None  # where a report is to be had
         self.on_listed: Callable[[ServerList], None] = lambda _: None
         self.on_refetch: Callable[[], None] = lambda: None
@@ -412,12 +412,12 @@
         if now < due:  # the loop counts from the start of its turn: a long one makes its timers early
             self._after(due - now, self._woken, token, due)
             return
-        self.late.note((now - due) / 1e6, now / 1e6)
+        self.event_loop_lag.record((now - due) / 1e6, now / 1e6)
         self.post(Woken(token))
 
     def lateness(self) -> int:
         """µs by which what clients write is read late by now, beyond the usual."""
-        return round(self.late.beyond_usual(self.clock.now() / 1e6) * 1e6)
+        return round(self.event_loop_lag.excess_s(self.clock.now() / 1e6) * 1e6)
 
     def _close_idle(self, action: CloseIdle) -> None:
         self.pool.close_idle(action.server)
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -185,7 +185,7 @@
     def resize(self, sockets: int) -> None:
         """So many descriptors are ours from now on; what is over goes as it ends."""
         limits = share(sockets, self.config.operator is not None)
-        self.clients.places.most, self.clients.places.reserve = limits.clients, limits.reserve
+        self.clients.slots.regular_slots, self.clients.slots.reserve_slots = limits.clients, limits.reserve
         self.pool.most = limits.backends
 
     def held(self) -> int:
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -33,7 +33,7 @@
     door, pool, clients = program.door, program.pool, program.clients
     found = [
         f"drain:{program.stopping:d}",
-        f"clients:{_size(len(clients.places), 1, 10, 40)}{clients.crowded():d}",
+        f"clients:{_size(len(clients.slots), 1, 10, 40)}{clients.crowded():d}",
         f"queue held:{clients.listener.held:d}",
         f"open:{_size(len(door.requests), 1, 4, 16)}",
         f"pool:{_size(len(pool.all), 1, 8, 24)}",
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -152,7 +152,7 @@
     script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
     async with running(script) as door:
         clients = door.program.clients
-        clients.listener.backlog.waited = lambda now: 0.3  # type: ignore[method-assign]
+        clients.listener.backlog.max_wait_s = lambda now: 0.3  # type: ignore[method-assign]
         line, _, _ = await door.call(ask(X_Expires_In="200m"))
         assert line.split()[1] == "503" and not [e for e in script.seen if isinstance(e, Arrival)]
         reader, writer = await door.client()
@@ -162,7 +162,9 @@
         assert (await read_message(reader))[0].split()[1] == "429"
         first, second = (e.time_left for e in script.seen if isinstance(e, Arrival))
         assert 600_000 < first <= 690_000 and 900_000 < second <= 990_000
-        door.program.door.late.note(0.25, door.program.door.clock.now() / 1e6)  # the loop was late just now
+        door.program.door.event_loop_lag.record(
+            0.25, door.program.door.clock.now() / 1e6
+        )  # the loop was late just now
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
         *_, third = (e.time_left for e in script.seen if isinstance(e, Arrival))
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -362,7 +362,9 @@
                     to_door.write(answer())
                     assert (await read_message(reader))[0] == "HTTP/1.1 200 OK"
                     sockets = new.program.config.sockets
-                    halves = [one.program.pool.most + one.program.clients.places.most for one in (old, new)]
+                    halves = [
+                        one.program.pool.most + one.program.clients.slots.regular_slots for one in (old, new)
+                    ]
                     assert sum(halves) < sockets and gateway.share == HALF
                     end(old)
                     await until(new, Stage.ALONE)
--- a/tests/front_door/test_patience.py
+++ b/tests/front_door/test_patience.py
@@ -9,7 +9,7 @@
 import pytest
 
 from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send
-from irisdeal.front_door.overload.places import SILENT_FOR
+from irisdeal.front_door.overload.connection_slots import MIN_UNUSED_S
 from irisdeal.front_door.server.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
 from irisdeal.front_door.server.limits import OWN, share
 from irisdeal.front_door.server.listener import Listener
@@ -205,7 +205,7 @@
 
 
 def shrink(side: ClientSide, most: int, reserve: int) -> None:
-    side.places.most, side.places.reserve = most, reserve
+    side.slots.regular_slots, side.slots.reserve_slots = most, reserve
 
 
 @socket_test
@@ -399,7 +399,7 @@
         [one] = side.connections
         side.retire_idle()
         assert not one.ends_at
-        hand.time += SILENT_FOR
+        hand.time += MIN_UNUSED_S
         side.retire_idle()
         assert (await ended(reader)).startswith(b"HTTP/1.1 408 ")
 
@@ -421,6 +421,6 @@
                 lengths.append(length)
 
         listener.socket = Heard()  # type: ignore[assignment]
-        listener.backlog.took = lambda count, more, now: 77  # type: ignore[method-assign]
+        listener.backlog.record_accepted = lambda count, more_waiting, now: 77  # type: ignore[method-assign]
         await connected(door, 1)
         assert set(lengths) == {77}
--- a/tests/front_door/test_upgrade.py
+++ b/tests/front_door/test_upgrade.py
@@ -186,6 +186,6 @@
 
 def test_a_first_burst_has_waited_no_longer_than_the_door_listens() -> None:
     backlog = Backlog()
-    backlog.begin(5000.0)  # the loop's clock does not begin with the door
-    backlog.took(64, True, 5000.02)
-    assert backlog.waited(5000.02) <= 0.021
+    backlog.start_listening(5000.0)  # the loop's clock does not begin with the door
+    backlog.record_accepted(64, True, 5000.02)
+    assert backlog.max_wait_s(5000.02) <= 0.021
