--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -82,7 +82,7 @@
         self.world.run(lambda: bool(over), START + round((until + 1) * 1e6))
 
 
-WORD = ConfigVersion.of("r7", b"seven")
+VERSION = ConfigVersion.of("r7", b"seven")
 
 
 def confirmed_then_cut(stores: Stores, hears: int) -> dict[str, float]:
@@ -110,7 +110,7 @@
         def done(outcome: Any) -> None:
             when["outcome"] = outcome
 
-        stores.on(first, lambda one: one.put(WORD), done)
+        stores.on(first, lambda one: one.put(VERSION), done)
 
     stores.at(3.0, prepare)
     return when
@@ -192,7 +192,7 @@
 
     stores.at(2.9, prepare)
     stores.at(begun, lambda: stores.net.cuts.update((other, late) for other in others))
-    stores.at(begun + 0.02, lambda: stores.on(others[0], lambda one: one.put(WORD), decided))
+    stores.at(begun + 0.02, lambda: stores.on(others[0], lambda one: one.put(VERSION), decided))
     stores.at(begun + 0.3, stores.net.join)
     for number in range(60):
         stores.at(begun + number * 0.02, ask)
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -36,7 +36,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.world import World
-from tests.support.core_rig import CoreRig, DoorPost, settings_of
+from tests.support.core_rig import CoreRig, WatchingProxy, settings_of
 
 DEPLOYMENTS = {  # s: contact_ms, apply_ms, revert_slack_ms
     "cmpsu-gateway": (3.0, 2.5, 0.25),
@@ -99,7 +99,7 @@
 
     def look() -> None:
         now = rig.world.seconds()
-        for proxy in rig.doors:
+        for proxy in rig.proxies:
             number = rig.in_force(proxy, now)
             if number < newest.get(proxy.ip, -1) or any(
                 after[1] <= before[1] for before, after in pairwise(proxy.versions)
@@ -110,7 +110,7 @@
             known = max((decided for at, decided in rig.decided if at <= now - age), default=-1)
             if number < known:
                 wrong.append(f"{now:.2f}: {proxy.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
-        for host, post in rig.posts.items():
+        for host, post in rig.watched_registries.items():
             age_ = post.store_client.age()
             known = max((n for at, n in rig.decided if age_ is not None and at <= now - age_), default=-1)
             if post.store_client.version_id.number < known:
@@ -135,7 +135,7 @@
     last: dict[str, float] = {}
 
     def look() -> None:
-        for proxy in rig.doors:
+        for proxy in rig.proxies:
             now = rig.world.seconds()
             if host in proxy.watcher.selector.using and now - last.get(proxy.ip, since) < 3 * SLACK:
                 last[proxy.ip] = now  # later it may come to look again
@@ -164,7 +164,7 @@
     assert max(used.values()) - 4.0 <= LEAVE_CUT + SLACK
     assert not wrong, wrong[:3]
     assert not rig.late(APPLY)
-    ages = [age for at, age in rig.posts[lost].ages if 1004 + LEAVE_CUT < at < 1024]
+    ages = [age for at, age in rig.watched_registries[lost].ages if 1004 + LEAVE_CUT < at < 1024]
     assert set(ages) <= {-1}, "it went on saying that it was in contact"
 
 
@@ -173,7 +173,7 @@
     rig = CoreRig(count, 5, seed)
     lost = rig.hosts[0]
     changing(rig, 2.0, 26.0, [lost])
-    rig.at(4.0, partial(rig.cut, lost, from_doors=True))
+    rig.at(4.0, partial(rig.cut, lost, from_proxies=True))
     rig.at(24.0, rig.net.join)
     used, wrong = uses(rig, lost, 4.0, 8.0), looked_at(rig, 27.0)
     rig.play(27.0)
@@ -193,7 +193,7 @@
     assert used and max(used.values()) - 4.0 <= LEAVE_SILENT + SLACK
     assert not wrong, wrong[:3]
     assert not rig.late(APPLY)
-    woke = [age for at, age in rig.posts[lost].ages if 1008.0 <= at < 1008.0 + 3 * WAY]
+    woke = [age for at, age in rig.watched_registries[lost].ages if 1008.0 <= at < 1008.0 + 3 * WAY]
     assert all(age < 0 or age <= 3 * WAY * 1000 for age in woke), "stated contact from before the freeze"
 
 
@@ -208,7 +208,7 @@
     rig.play(14.0)
     assert not wrong, wrong[:3]
     assert not rig.late(APPLY)
-    silent = [at for at, age in rig.posts[lost].ages if age < 0 and at > 1003]
+    silent = [at for at, age in rig.watched_registries[lost].ages if age < 0 and at > 1003]
     assert all(
         1004 <= at <= 1004 + following.ANSWER_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + 1
         for at in silent
@@ -216,12 +216,12 @@
 
 
 def test_two_of_five_are_cut_off_and_proxies_that_used_both_turn_in_time() -> None:
-    rig, cut, both = CoreRig(5, 12, 4), list[str](), list[DoorPost]()
+    rig, cut, both = CoreRig(5, 12, 4), list[str](), list[WatchingProxy]()
     changing(rig, 3.0, 14.0, cut)
 
     def cut_both() -> None:
-        cut.extend(rig.doors[0].watcher.selector.using)
-        both.extend(proxy for proxy in rig.doors if set(proxy.watcher.selector.using) == set(cut))
+        cut.extend(rig.proxies[0].watcher.selector.using)
+        both.extend(proxy for proxy in rig.proxies if set(proxy.watcher.selector.using) == set(cut))
         for host in cut:
             rig.cut(host)
 
@@ -244,15 +244,15 @@
         rig.at(8.0, partial(rig.cut, host))
     rig.at(28.0, rig.net.join)
     asked: list[int] = []
-    rig.at(13.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
-    rig.at(27.0, lambda: asked.append(sum(len(post.ages) for post in rig.posts.values())))
+    rig.at(13.0, lambda: asked.append(sum(len(post.ages) for post in rig.watched_registries.values())))
+    rig.at(27.0, lambda: asked.append(sum(len(post.ages) for post in rig.watched_registries.values())))
     ages: list[float] = []
-    rig.at(27.0, lambda: ages.extend(proxy.watcher.age(proxy.watcher.loop.time()) for proxy in rig.doors))
+    rig.at(27.0, lambda: ages.extend(proxy.watcher.age(proxy.watcher.loop.time()) for proxy in rig.proxies))
     wrong = looked_at(rig, 32.0)
     rig.play(32.0)
     assert not wrong, wrong[:3]
     assert all(19.0 - STORE <= age <= 19.0 + STORE for age in ages), ages
-    assert all(rig.in_force(proxy, 32.0) == rig.decided[-1][1] for proxy in rig.doors)
+    assert all(rig.in_force(proxy, 32.0) == rig.decided[-1][1] for proxy in rig.proxies)
     lines = Counter(record.getMessage()[:4] for record in caplog.records)
     assert lines["E411"] == lines["E412"] == 4
     assert (asked[1] - asked[0]) / 14 / 4 <= 2 * 1.0 / watch.MAX_POLL_S + 2 / MIN_BACKOFF_S, (
@@ -270,8 +270,8 @@
     came: list[tuple[float, int]] = []
 
     def look() -> None:
-        if rig.world.seconds() > 10.0 and rig.posts[lost].server.listening is not None:
-            came.append((rig.world.seconds(), len(rig.posts[lost].server.connections)))
+        if rig.world.seconds() > 10.0 and rig.watched_registries[lost].server.listening is not None:
+            came.append((rig.world.seconds(), len(rig.watched_registries[lost].server.connections)))
 
     rig.every(0.25, 22.0, look)
     rig.play(22.0)
@@ -289,12 +289,12 @@
     rig.at(6.0, lambda: rig.decide(50, rest, Members(1, tuple(seat(host, FIRST) for host in rest))))
     rig.at(8.0, partial(rig.kill, lost))
     rig.play(20.0)
-    for proxy in rig.doors:
+    for proxy in rig.proxies:
         assert lost not in proxy.watcher.selector.zones and lost not in proxy.watcher.selector.using
         assert lost not in proxy.watcher.selector.known_as_of
         assert rig.in_force(proxy, 20.0) == 50
     for host in rest:
-        assert lost not in rig.posts[host].store_client.links
+        assert lost not in rig.watched_registries[host].store_client.links
 
 
 # What one answer does
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -21,7 +21,7 @@
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 from tests.registry.test_drain import Caller, DrainRig
-from tests.registry.test_server import heartbeat, news_of, states
+from tests.registry.test_server import heartbeat, poll, states
 
 BACKENDS = 8
 FOUND_BY = (16, 30, 39)  # seeds: all that do of the first 40
@@ -39,15 +39,15 @@
         self.struck_at = 0.0
         super().__init__(count, seed)
 
-    def start_post(self, host: str) -> Machine:
+    def start_registry_process(self, host: str) -> Machine:
         machine = Host(cast(Stage, self), host)
         machine.disk_time = self.chance.choice((500, 2_000, 5_000, 60_000))
         self.machines.setdefault(host, []).append(machine)
 
         async def run() -> int:
-            station = self.stations[host] = RegistryServer(self.settings(host), self.disks[host])
-            await station.start()
-            await station.loop.create_future()
+            server = self.servers[host] = RegistryServer(self.settings(host), self.disks[host])
+            await server.start()
+            await server.loop.create_future()
             return 0
 
         work: Coroutine[Any, Any, int] = run()
@@ -119,10 +119,10 @@
 
 def ask_if_up(rig: ClosingRig, host: str) -> None:
     machine = rig.machines[host][-1]
-    if not machine.dead and host in rig.stations and rig.world.seconds() > rig.struck_at > 0:
-        station = rig.stations[host]
-        if station.loop is machine:
-            rig.on(rig.world.seconds(), host, news_of)
+    if not machine.dead and host in rig.servers and rig.world.seconds() > rig.struck_at > 0:
+        server = rig.servers[host]
+        if server.loop is machine:
+            rig.on(rig.world.seconds(), host, poll)
 
 
 @pytest.mark.parametrize("how", ["kill", "power", "wipe"])
--- a/tests/registry/test_drain.py
+++ b/tests/registry/test_drain.py
@@ -12,7 +12,7 @@
 from irisdeal.registry.server import RegistryServer
 from irisdeal.simulation.cpu import Core, Costs
 from irisdeal.simulation.machine import Machine
-from tests.registry.test_server import StationRig, heartbeat
+from tests.registry.test_server import ServerRig, heartbeat
 
 ORDER = b'{"generation": "r9", "sockets": [], "pools": []}'
 
@@ -35,7 +35,7 @@
         return int(head.split()[1]) if end else 0
 
 
-class DrainRig(StationRig):
+class DrainRig(ServerRig):
     """Registries that end as their processes do, and callers over the network."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
@@ -44,13 +44,13 @@
         self.caller: Machine | None = None
         super().__init__(count, seed)
 
-    def start_post(self, host: str) -> Machine:
+    def start_registry_process(self, host: str) -> Machine:
         async def run() -> int:
-            station = self.stations[host] = RegistryServer(self.settings(host))
+            server = self.servers[host] = RegistryServer(self.settings(host))
             self.ending[host] = asyncio.Event()
-            await station.start()
+            await server.start()
             await self.ending[host].wait()
-            await station.stop()
+            await server.stop()
             return 0
 
         def make() -> Coroutine[Any, Any, int]:
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -1,4 +1,4 @@
-"""A registry's process beside stand-in stores: when it counts as a source, and what operators hear."""
+"""A registry's process beside fake stores: when it counts as a source, and what operators are answered."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 WAY = 0.04  # s there and back with the work at both ends
 
 
-class StationRig(CoreRig):
-    """With whole registries in place of those that only tell news."""
+class ServerRig(CoreRig):
+    """With complete registries in place of those that only answer polls."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
-        self.stations: dict[str, RegistryServer] = {}
+        self.servers: dict[str, RegistryServer] = {}
         self.heard: list[tuple[float, Any]] = []
         super().__init__(count, 0, seed)
 
     def settings(self, ip: str) -> Settings:
-        of, is_first = settings_of(ip, self.hosts), ip not in self.stations
+        of, is_first = settings_of(ip, self.hosts), ip not in self.servers
         return Settings(
             bootstrap=is_first,
             node_name=of.node_name,
@@ -45,11 +45,11 @@
             bind=Bind(control=f"{ip}:8000"),
         )
 
-    def start_post(self, host: str) -> Machine:
+    def start_registry_process(self, host: str) -> Machine:
         async def run() -> int:
-            station = self.stations[host] = RegistryServer(self.settings(host))
-            await station.start()
-            await station.loop.create_future()
+            server = self.servers[host] = RegistryServer(self.settings(host))
+            await server.start()
+            await server.loop.create_future()
             return 0
 
         def make() -> Coroutine[Any, Any, int]:
@@ -58,25 +58,25 @@
         return self.process(host, make)
 
     def start_registry(self, host: str) -> None:
-        self.start_post(host)
+        self.start_registry_process(host)
 
     def on(self, seconds: float, host: str, act: Callable[[RegistryServer], Awaitable[Any]]) -> None:
         """At this second in this registry's process; what it gives is in `heard`, with when."""
 
         def begin() -> None:
-            station, machine = self.stations[host], self.machines[host][-1]
+            server, machine = self.servers[host], self.machines[host][-1]
 
             async def run() -> None:
-                answer = await act(station)
+                answer = await act(server)
                 self.heard.append((self.world.seconds(), answer))
 
-            machine.call_soon(lambda: station.tasks.start(run()))
+            machine.call_soon(lambda: server.tasks.start(run()))
 
         self.at(seconds, begin)
 
     def ask(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
-        def act(station: RegistryServer) -> Awaitable[Answer]:
-            return station.control.handle(Request(method, target, [], body, station.loop.time()))
+        def act(server: RegistryServer) -> Awaitable[Answer]:
+            return server.control.handle(Request(method, target, [], body, server.loop.time()))
 
         self.on(seconds, host, act)
 
@@ -96,35 +96,35 @@
     ).encode()
 
 
-def news_of(station: RegistryServer) -> Awaitable[WatchReply]:
-    """What a door that knows nothing is told."""
-    return station.watch.poll(WatchRequest(SyncState(), 0, 0, -1))
+def poll(server: RegistryServer) -> Awaitable[WatchReply]:
+    """Poll as a proxy that has nothing."""
+    return server.watch.poll(WatchRequest(SyncState(), 0, 0, -1))
 
 
 def states(told: WatchReply) -> dict[str, BackendState]:
     return {status.incarnation.id: status.incarnation.state for status in told.backends}
 
 
-def watch_news(rig: StationRig, host: str, since: float, until: float) -> None:
+def poll_repeatedly(rig: ServerRig, host: str, since: float, until: float) -> None:
     at = since
     while at < until:
-        rig.on(at, host, news_of)
+        rig.on(at, host, poll)
         at += 0.02
 
 
-def drained_and_then(rig: StationRig, at: float) -> None:
+def drained_and_then(rig: ServerRig, at: float) -> None:
     """A backend beats, and says at this second that it drains; which is acknowledged."""
     rig.ask(2.0, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", heartbeat())
     rig.ask(at, rig.hosts[1], b"POST", b"/backends/i-1/heartbeat", heartbeat("draining", 2))
 
 
-def shown(rig: StationRig, since: float) -> list[tuple[float, WatchReply]]:
+def shown(rig: ServerRig, since: float) -> list[tuple[float, WatchReply]]:
     return [(at, told) for at, told in rig.heard if at >= since and isinstance(told, WatchReply)]
 
 
 @pytest.mark.parametrize("how", ["restarted", "frozen", "cut off"])
 def test_a_registry_that_was_away_counts_only_once_it_knows_the_ends_that_were_acknowledged(how: str) -> None:
-    rig = StationRig(3)
+    rig = ServerRig(3)
     away = rig.hosts[0]
     match how:
         case "restarted":
@@ -138,7 +138,7 @@
             rig.at(7.9, partial(rig.net.lose, away))
             rig.at(8.0, rig.net.join)
     drained_and_then(rig, 5.0)
-    watch_news(rig, away, 8.001, 11.0)
+    poll_repeatedly(rig, away, 8.001, 11.0)
     rig.play(11.1)
     told = shown(rig, 8.0)
     assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
@@ -150,13 +150,13 @@
 def test_a_registry_that_can_hear_too_few_goes_on_after_a_while(caplog: pytest.LogCaptureFixture) -> None:
     """Two of three registries are gone for good, the stores are well: nobody may wait for ever."""
     caplog.set_level("INFO", "irisdeal")
-    rig = StationRig(3)
+    rig = ServerRig(3)
     away, *rest = rig.hosts
     for host in rest:
         rig.at(3.0, rig.machines[host][1].kill)
     rig.at(4.0, lambda: rig.machines[away].pop(1).kill())
     rig.at(5.0, partial(rig.start_registry, away))
-    watch_news(rig, away, 5.1, 9.0)
+    poll_repeatedly(rig, away, 5.1, 9.0)
     rig.play(9.1)
     full = [at for at, told in shown(rig, 5.0) if told.age_ms >= 0]
     assert 5.0 + SYNC_S - 0.1 <= full[0] <= 5.0 + SYNC_S + 3 * following.ANSWER_S
@@ -177,7 +177,7 @@
 
 
 def test_orders_and_reads_without_contact_get_503_with_when_to_come_back_and_invalid_ones_400() -> None:
-    rig = StationRig(3)
+    rig = ServerRig(3)
     host = rig.hosts[0]
     rig.at(4.0, partial(rig.cut, host))
     valid = json.dumps({"generation": "r9", "sockets": [], "pools": []}).encode()
@@ -200,7 +200,7 @@
 
 
 def test_another_body_under_a_decided_number_is_a_409() -> None:
-    rig = StationRig(3)
+    rig = ServerRig(3)
     host = rig.hosts[0]
     rig.at(3.0, lambda: setattr(rig.stores[host], "outcome", 2))
     rig.ask(4.0, host, b"POST", b"/config/replace", b'{"generation": "r9", "sockets": [], "pools": []}')
@@ -209,11 +209,11 @@
 
 
 def test_a_machine_that_left_is_told_nothing_and_no_backend_is_sent_to_it() -> None:
-    rig = StationRig(3)
+    rig = ServerRig(3)
     one, other, gone = rig.hosts
     rig.play(2.0)
-    station = rig.stations[one]
-    peers = station.peers
+    server = rig.servers[one]
+    peers = server.peers
     assert peers.zones.keys() == set(rig.hosts) and gone in peers.links
     rig.ask(2.1, one, b"POST", b"/backends/i-2/heartbeat", heartbeat().replace(b'"z0"', b'"z2"'))
     before = rig.first.members
@@ -225,6 +225,6 @@
     first, second = (json.loads(answer.body) for _, answer in rig.heard)
     assert first == {"beat_target": f"{gone}:8000"} and second == {}
     assert gone not in peers.links and gone not in peers.zones
-    assert station.backends.observe(
+    assert server.backends.observe(
         BackendIncarnation("i-3", "s", "a:1", "z0", 1, BackendState.READY, 1, 0.0), 1.0
     )
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -54,23 +54,26 @@
 
     def at(self, seconds: float, act: Callable[[StoreClient], Awaitable[Any]]) -> None:
         def begin() -> None:
-            post, machine = self.rig.posts[self.host], self.rig.machines[self.host][-1]
+            watched_registry, machine = (
+                self.rig.watched_registries[self.host],
+                self.rig.machines[self.host][-1],
+            )
 
             async def run() -> None:
                 begun = self.rig.world.seconds()
-                answer = await act(post.store_client)
+                answer = await act(watched_registry.store_client)
                 self.done.append((self.rig.world.seconds() - begun, answer))
 
-            machine.call_soon(lambda: post.store_client.tasks.start(run()))
+            machine.call_soon(lambda: watched_registry.store_client.tasks.start(run()))
 
         self.rig.at(seconds, begin)
 
 
-WORD = ConfigVersion.of("r9", b"nine")
+VERSION = ConfigVersion.of("r9", b"nine")
 
 
 def put(store_client: StoreClient) -> Awaitable[PutOutcome]:
-    return store_client.put(WORD)
+    return store_client.put(VERSION)
 
 
 def read(store_client: StoreClient) -> Awaitable[tuple[bool, bytes | None]]:
@@ -82,9 +85,9 @@
     rig.at(3.0, partial(rig.decide, 1, rig.hosts))
     rig.play(3.0 + WAY)
     for host in rig.hosts:
-        store_client = rig.posts[host].store_client
+        store_client = rig.watched_registries[host].store_client
         assert store_client.source == host and store_client.has_contact
-        assert store_client.change == 1 and rig.posts[host].versions == [1]
+        assert store_client.change == 1 and rig.watched_registries[host].versions == [1]
 
 
 def test_asks_of_a_store_are_few() -> None:
@@ -113,11 +116,16 @@
     seen: list[tuple[str, bool]] = []
 
     def look() -> None:
-        seen.append((rig.posts[host].store_client.source, rig.posts[host].store_client.has_contact))
+        seen.append(
+            (
+                rig.watched_registries[host].store_client.source,
+                rig.watched_registries[host].store_client.has_contact,
+            )
+        )
 
     rig.at(3.0 + following.FAILOVER_GRACE_S + WAY, look)
     rig.at(4.0, partial(rig.decide, 1, rig.hosts[1:]))
-    rig.at(4.0 + WAY, lambda: seen.append((str(rig.posts[host].versions), True)))
+    rig.at(4.0 + WAY, lambda: seen.append((str(rig.watched_registries[host].versions), True)))
     rig.at(6.0, lambda: rig.machines[host].insert(0, rig.start_store(host)))
     rig.at(8.0, look)
     rig.play(8.1)
@@ -138,14 +146,14 @@
 
     def go_back() -> None:
         one = rig.stores[host]
-        one.value, one.version = rig.first, rig.first_word
+        one.value, one.version = rig.first, rig.first_version
         one.take = lambda value, version: None  # type: ignore[method-assign]
 
     rig.at(5.0, go_back)
     rig.play(8.0)
-    store_client = rig.posts[host].store_client
+    store_client = rig.watched_registries[host].store_client
     assert store_client.source != host and store_client.has_contact
-    assert rig.posts[host].versions == [1, 2] and store_client.change == 2
+    assert rig.watched_registries[host].versions == [1, 2] and store_client.change == 2
     assert sum("E314" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -159,7 +167,7 @@
         9.0,
         lambda: (
             lost.append(rig.world.seconds())
-            if (rig.world.seconds() > 5 and rig.posts[host].store_client.age() is None)
+            if (rig.world.seconds() > 5 and rig.watched_registries[host].store_client.age() is None)
             else None
         ),
     )
@@ -170,7 +178,7 @@
         12.0,
         lambda: (
             back.append(rig.world.seconds())
-            if (rig.world.seconds() > 9 and rig.posts[host].store_client.age() is not None)
+            if (rig.world.seconds() > 9 and rig.watched_registries[host].store_client.age() is not None)
             else None
         ),
     )
@@ -240,7 +248,7 @@
 
 def follower_of(rig: CoreRig) -> StoreClient:
     rig.play(3.0)
-    return rig.posts[rig.hosts[0]].store_client
+    return rig.watched_registries[rig.hosts[0]].store_client
 
 
 def seats(*hosts: str) -> tuple[str, ...]:
@@ -292,16 +300,17 @@
 
     rig.at(3.0, lambda: setattr(rig.stores[host], "watch", strange))
     rig.play(6.0)
-    assert rig.posts[host].store_client.source != host and rig.posts[host].store_client.has_contact
-    assert rig.posts[host].store_client.tasks.running
+    assert (
+        rig.watched_registries[host].store_client.source != host
+        and rig.watched_registries[host].store_client.has_contact
+    )
+    assert rig.watched_registries[host].store_client.tasks.running
 
 
-# What doors are told
+# Polls of proxies
 
 
-def ask_news(
-    rig: CoreRig, host: str, at: float, change: int, incarnation: int = 0
-) -> list[tuple[float, Any]]:
+def poll_at(rig: CoreRig, host: str, at: float, change: int, incarnation: int = 0) -> list[tuple[float, Any]]:
     async def ask() -> Any:
         link = RpcClient((host, 7000 + ports.REGISTRY), "proxy 10.9.9.9")
         answer = await link.call("news", [SyncState().encode(), incarnation, 0, change], 2.0)
@@ -314,10 +323,10 @@
 def test_the_age_that_is_told_is_of_when_the_ask_came() -> None:
     rig = CoreRig(3, 0)
     host = rig.hosts[0]
-    at_once = ask_news(rig, host, 4.0, 0)
+    at_once = poll_at(rig, host, 4.0, 0)
     rig.play(4.5)
     incarnation = at_once[0][1][1]
-    held = ask_news(rig, host, 5.0, 0, incarnation)
+    held = poll_at(rig, host, 5.0, 0, incarnation)
     rig.play(7.0)
     took, told = at_once[0]
     assert took <= WAY and 0 <= told[5] <= (0.9 + following.PROBE_INTERVAL_S) * 1000
@@ -330,8 +339,8 @@
 def test_a_registry_that_has_not_learned_the_backends_says_that_it_has_no_contact() -> None:
     rig = CoreRig(3, 0)
     host = rig.hosts[0]
-    rig.at(3.0, lambda: setattr(rig.posts[host], "is_full", False))
-    told = ask_news(rig, host, 4.0, 0)
+    rig.at(3.0, lambda: setattr(rig.watched_registries[host], "is_synchronized", False))
+    told = poll_at(rig, host, 4.0, 0)
     rig.play(5.0)
     assert told[0][1][5] == -1
 
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -1,7 +1,7 @@
-"""A core and doors in virtual time, with cuts by direction: stand-in stores, the registries' own
-`StoreClient` and `WatchService`, the doors' own `RegistryWatcher`.
+"""A core and proxies in virtual time, with partitions by direction: fake stores, the registries' own
+`StoreClient` and `WatchService`, the proxies' own `RegistryWatcher`.
 
-A stand-in store keeps the rule of the real one: it has contact while a majority answered asks that it sent
+A fake store keeps the rule of the real one: it has contact while a majority answered asks that it sent
 within the lease, and merges what these answers tell before it counts them. What is decided is put on a
 majority by the test and reaches all others by their rounds alone: the slowest way there is.
 """
@@ -89,13 +89,13 @@
             self._transmit(sock, size, what, call, *args)
 
 
-class StandIn:
+class FakeStore:
     """One store. It shares nothing with the real one but `QuorumContact`, `Value` and the parcels."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip, self.seat = rig, ip, seat(ip, FIRST)
         self.settings = rig.settings(ip)
-        self.value, self.version = rig.first, rig.first_word
+        self.value, self.version = rig.first, rig.first_version
         self.learners: list[str] = []
         self.version_store = VersionStore()
         self.contact = QuorumContact()
@@ -170,16 +170,18 @@
         return [chunk.encode() if chunk else None, self.value.encode(), self.learners, age]
 
 
-class Post:
-    """One registry: what it knows of the store, and what it tells doors."""
+class WatchedRegistry:
+    """One registry: its store client, and its answers to the polls of proxies."""
 
     def __init__(self, rig: CoreRig, ip: str, incarnation: int) -> None:
         self.settings = rig.settings(ip)
-        self.ip, self.versions, self.is_full = ip, list[int](), True
+        self.ip, self.versions, self.is_synchronized = ip, list[int](), True
         self.backends, self.waking = BackendTable(1.5), [0]
         self.store_client = StoreClient(self.settings, VersionStore(), self.on_version, self.changed)
         zones = {host: zone_of(host) for host in rig.hosts}
-        self.watch = WatchService(self.store_client, self.backends, incarnation, zones, lambda: self.is_full)
+        self.watch = WatchService(
+            self.store_client, self.backends, incarnation, zones, lambda: self.is_synchronized
+        )
         self.server = RpcServer(self.handle)
         self.ages: list[tuple[float, int]] = []
 
@@ -205,7 +207,7 @@
         return None
 
 
-class DoorPost:
+class WatchingProxy:
     """One door's ear: when each word came, and which sources it used when."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
@@ -223,25 +225,25 @@
 
 
 class CoreRig:
-    """`count` core machines, each with a store and a registry, and doors."""
+    """`count` core machines, each with a store and a registry, and proxies."""
 
-    def __init__(self, count: int, doors: int, seed: int = 1, delay: int = 700, jitter: int = 300) -> None:
+    def __init__(self, count: int, proxies: int, seed: int = 1, delay: int = 700, jitter: int = 300) -> None:
         """`delay`, `jitter`: µs of each way between machines."""
         self.world = World(seed)
         self.net = CutNetwork(self.world, NetworkLink(delay, jitter))
         self.hosts = [f"10.{number}.0.1" for number in range(count)]
         self.first = Value(0, NO_VERSION, Members.first(self.hosts))
-        self.first_word = ConfigVersion(NO_VERSION, b"")
+        self.first_version = ConfigVersion(NO_VERSION, b"")
         self.machines: dict[str, list[Machine]] = {}
-        self.stores: dict[str, StandIn] = {}
-        self.posts: dict[str, Post] = {}
-        self.doors: list[DoorPost] = []
+        self.stores: dict[str, FakeStore] = {}
+        self.watched_registries: dict[str, WatchedRegistry] = {}
+        self.proxies: list[WatchingProxy] = []
         self.decided: list[tuple[float, int]] = []
         self.incarnations = 100
         for host in self.hosts:
             self.start(host)
-        for number in range(doors):
-            self.start_door(f"10.{number % count}.9.{number + 1}")
+        for number in range(proxies):
+            self.start_watching_proxy(f"10.{number % count}.9.{number + 1}")
 
     def settings(self, ip: str) -> Settings:
         return settings_of(ip, self.hosts)
@@ -259,31 +261,31 @@
 
     def start(self, host: str) -> None:
         self.start_store(host)
-        self.start_post(host)
+        self.start_registry_process(host)
 
     def start_store(self, host: str) -> Machine:
         def store() -> Coroutine[Any, Any, int]:
-            self.stores[host] = StandIn(self, host)
+            self.stores[host] = FakeStore(self, host)
             return self.stores[host].run()
 
         return self.process(host, store)
 
-    def start_post(self, host: str) -> Machine:
+    def start_registry_process(self, host: str) -> Machine:
         self.incarnations += 1
         incarnation = self.incarnations
 
-        def post() -> Coroutine[Any, Any, int]:
-            self.posts[host] = Post(self, host, incarnation)
-            return self.posts[host].run()
+        def watched_registry() -> Coroutine[Any, Any, int]:
+            self.watched_registries[host] = WatchedRegistry(self, host, incarnation)
+            return self.watched_registries[host].run()
 
-        return self.process(host, post)
+        return self.process(host, watched_registry)
 
-    def start_door(self, ip: str) -> None:
-        def door() -> Coroutine[Any, Any, int]:
-            self.doors.append(DoorPost(self, ip))
-            return self.doors[-1].run()
+    def start_watching_proxy(self, ip: str) -> None:
+        def proxy() -> Coroutine[Any, Any, int]:
+            self.proxies.append(WatchingProxy(self, ip))
+            return self.proxies[-1].run()
 
-        self.process(ip, door)
+        self.process(ip, proxy)
 
     # Acts
 
@@ -297,7 +299,7 @@
             at += seconds
 
     def decide(self, number: int, holders: list[str], members: Members | None = None) -> None:
-        """A majority holds this word now; all others hear of it in their rounds."""
+        """A majority has this version now; all others receive it in their rounds."""
         newest = max((store.value for store in self.stores.values()), key=lambda value: value.change)
         version = ConfigVersion.of(f"r{number}", b"r%d" % number)
         value = Value(newest.change + 1, version.version_id, members or newest.members)
@@ -305,9 +307,9 @@
             self.stores[host].take(value, version)
         self.decided.append((self.world.seconds(), number))
 
-    def cut(self, host: str, away: bool = True, here: bool = True, from_doors: bool = False) -> None:
+    def cut(self, host: str, away: bool = True, here: bool = True, from_proxies: bool = False) -> None:
         """Between this core machine and the others: `away`, what it sends; `here`, what they send."""
-        for other in {*self.hosts, *((door.ip for door in self.doors) if from_doors else ())} - {host}:
+        for other in {*self.hosts, *((proxy.ip for proxy in self.proxies) if from_proxies else ())} - {host}:
             if away:
                 self.net.cuts.add((host, other))
             if here:
@@ -334,16 +336,16 @@
 
     # What was seen
 
-    def in_force(self, door: DoorPost, at: float) -> int:
+    def in_force(self, proxy: WatchingProxy, at: float) -> int:
         """The number in force at a door at this second."""
-        return max((number for when, number in door.versions if when <= at), default=-1)
+        return max((number for when, number in proxy.versions if when <= at), default=-1)
 
     def late(self, bound: float, since: float = 0.0) -> list[tuple[str, int, float]]:
         """Doors at which a word decided after `since` was not in force `bound` s later."""
         return [
-            (door.ip, number, at)
+            (proxy.ip, number, at)
             for at, number in self.decided
             if at >= since
-            for door in self.doors
-            if at + bound <= self.world.seconds() and self.in_force(door, at + bound) < number
+            for proxy in self.proxies
+            if at + bound <= self.world.seconds() and self.in_force(proxy, at + bound) < number
         ]
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -153,7 +153,7 @@
         self.disks: dict[tuple[str, str], MemoryDisk] = {}
         self.started: set[tuple[str, str]] = set()
         self.members: dict[str, StoreReplica] = {}
-        self.stations: dict[str, RegistryServer] = {}
+        self.servers: dict[str, RegistryServer] = {}
         self.processes: dict[tuple[str, str], Machine] = {}
         self.watcher: RegistryWatcher | None = None
         self.client: RegistryClient | None = None
@@ -208,11 +208,11 @@
 
         return self.launch(host, "store", program)
 
-    def start_post(self, host: str) -> Machine:
+    def start_registry_process(self, host: str) -> Machine:
         async def program() -> None:
             settings = self.settings_for(host, "registry")
-            station = self.stations[host] = RegistryServer(settings, self.disk(host, "registry"))
-            await station.start()
+            server = self.servers[host] = RegistryServer(settings, self.disk(host, "registry"))
+            await server.start()
 
         return self.launch(host, "registry", program)
 
@@ -246,8 +246,8 @@
         """A call from outside at a registry."""
 
         async def act() -> None:
-            station = self.stations[host]
-            await station.control.handle(Request(method, target, [], body, station.loop.time()))
+            server = self.servers[host]
+            await server.control.handle(Request(method, target, [], body, server.loop.time()))
 
         self.on(seconds, host, "registry", act)
 
@@ -268,7 +268,7 @@
 
     def start_again(self, host: str, role: str) -> None:
         """With its disk as it is, and no first start."""
-        (self.start_store if role == "store" else self.start_post)(host)
+        (self.start_store if role == "store" else self.start_registry_process)(host)
 
     def lose(self, host: str, role: str, wipe: bool = False) -> None:
         self.processes[host, role].kill()
