--- a/irisdeal/registry/__init__.py
+++ b/irisdeal/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: which backends there are, by life; it takes the outside calls for itself and the store."""
+"""The registry: which backends there are, by incarnation; it takes the HTTP calls for itself and the store."""
--- a/irisdeal/registry/incarnation.py
+++ b/irisdeal/registry/incarnation.py
@@ -37,7 +37,7 @@
     warm_at: float
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form: its time is told as ms left from `now`, as clocks differ."""
+        """Return the wire form: its time is sent as ms left from `now`, as clocks differ."""
         return [
             self.id,
             self.service,
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -162,7 +162,7 @@
 
 
 class PlacementResult(IntEnum):
-    """The result of a `PlacementRequest`; all but `PLACED` are told on the wire by their numbers."""
+    """The result of a `PlacementRequest`; all but `PLACED` stand on the wire by their numbers."""
 
     PLACED = 1
     NO_BACKEND = 0
