--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -16,14 +16,14 @@
 from irisdeal.front_door.server.host import Host
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.streaming.budget import Budget
+    from irisdeal.front_door.streaming.byte_budget import ByteBudget
 
 log = logging.getLogger("irisdeal.backends")
 
 MOST_BODY = 65_536
 MOST_HEAD = 16_384
 MOST_STREAM = 64 << 20  # bytes of an answer that is passed on: twice the longest there are
-READ = 65_536  # bytes that one read of a stream brings at most: `irisdeal.front_door.streaming.budget.READ`
+READ = 65_536  # bytes that one read of a stream brings at most: `MAX_READ_BYTES` of the byte budget
 UNSENT = 65_536  # bytes of a body that may wait for a backend to read
 SOON = 0.1  # s after its head: an answer of unknown length is passed on from here
 OWS = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
@@ -167,7 +167,7 @@
 
 
 def small_reads(transport: asyncio.Transport) -> None:
-    """No read of this connection brings more than a budget reckons with (`budget.READ`)."""
+    """No read of this connection brings more than a budget reckons with (`byte_budget.MAX_READ_BYTES`)."""
     made = transport.get_extra_info("socket")
     if made is not None:
         made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ // 2)
@@ -502,7 +502,7 @@
     ) -> None:
         self.host = host or Host()
         self.loop, self.most, self.rest_time, self.stall_time = loop, most, REST, STALLED
-        self.budget: Budget | None = None  # where long bodies are passed on
+        self.budget: ByteBudget | None = None  # where long bodies are passed on
         self.stream_stall = 0.0
         self.connect_timeout = config.connect_timeout / 1e6
         self.keep = self.longest = config.keepalive / 1e6 * IDLE_SHARE
--- a/irisdeal/front_door/server/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -35,8 +35,8 @@
 from irisdeal.front_door.server.listener import Listener
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.streaming.budget import Budget
-    from irisdeal.front_door.streaming.pace import Pace
+    from irisdeal.front_door.streaming.byte_budget import ByteBudget
+    from irisdeal.front_door.streaming.progress import ReceiveProgress
 
 log = logging.getLogger("irisdeal.clients")
 
@@ -128,7 +128,9 @@
         self.begun = self.since  # of the request that comes in
         self.full_since = 0.0  # of a client that does not read its answers; 0.0 while it does
         self.unread = 0  # bytes that waited for it at the last look
-        self.pace: Pace | None = None  # where long bodies are passed on: how the message comes in
+        self.receive_progress: ReceiveProgress | None = (
+            None  # where long bodies are passed on: how the message comes in
+        )
         self.upload: UploadStream | None = None  # the body that comes in, passed on as it comes
         self.choked, self.choked_since = False, 0.0  # by its backend: not read meanwhile
         self.ends_at = 0.0  # when the connection is cut, once it closes
@@ -228,8 +230,8 @@
         ):
             self.paused = False
             self.begun = self.side.now()  # what we did not read was not slow
-            if self.pace is not None:
-                self.pace.read_on(self.begun)
+            if self.receive_progress is not None:
+                self.receive_progress.reading_resumed(self.begun)
             self.transport.resume_reading()
 
     # The parser's calls
@@ -239,7 +241,7 @@
         self.side.slots.set_state(self, ConnectionState.BUSY, self.begun)
         self._reset()
         if self.side.budget is not None:
-            self.pace = self.side.new_pace(self.begun)
+            self.receive_progress = self.side.new_receive_progress(self.begun)
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -283,15 +285,15 @@
         self.in_trailer = True
         if self.named.get(b"expect", b"").lower() == b"100-continue" and self.transport and not self.waiting:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if self.pace is not None:
-            self.pace.head_is_whole(self.side.now())
+        if self.receive_progress is not None:
+            self.receive_progress.head_complete(self.side.now())
             if self.length is not None and self.length > self.side.replay:
                 self._begin_upload()
 
     def on_body(self, body: bytes) -> None:
         self.body_size += len(body)
-        if self.pace is not None:
-            self.pace.came(len(body), self.side.now())
+        if self.receive_progress is not None:
+            self.receive_progress.received(len(body), self.side.now())
         if self.body_size > self.side.most_body:
             raise Malformed(413, f"body over {self.side.most_body} bytes")
         if self.upload is not None:
@@ -310,7 +312,7 @@
         try:
             if len(self.waiting) >= MOST_PIPELINED:
                 raise Malformed(503, "too many requests at once")
-            if not (side.slots.claim_regular_slot(self, side.now()) and side.budget.admits()):
+            if not (side.slots.claim_regular_slot(self, side.now()) and side.budget.can_admit()):
                 raise Malformed(503, "no room: try again")
             if parser.get_method() == b"GET":
                 raise Malformed(400, "GET with a body")
@@ -508,7 +510,7 @@
     ) -> ResponseStream | None:
         """Pass an answer on as it comes; None where it cannot be."""
         budget = self.side.budget
-        if budget is None or not budget.admits() or self.transport is None or self.transport.is_closing():
+        if budget is None or not budget.can_admit() or self.transport is None or self.transport.is_closing():
             return None
         if request.answer or request.flow:
             return None
@@ -649,7 +651,11 @@
             if self.transport is not None:
                 self.transport.abort()
         elif self.broken or (self.in_message and not self.paused):
-            slow = now - self.begun > SLOW_REQUEST if self.pace is None else self.pace.is_slow(now)
+            slow = (
+                now - self.begun > SLOW_REQUEST
+                if self.receive_progress is None
+                else self.receive_progress.is_too_slow(now)
+            )
             if slow:
                 self._reject(Malformed(408, "request came too slowly"))
                 for request in [r for r in self.waiting if not r.answer]:  # what is open ahead of it ends too
@@ -698,10 +704,10 @@
         self.pending = 0
         self.uploading = 0  # of these, with their body on the way
         # Where long bodies are passed on (`flows.py`), else None:
-        self.budget: Budget | None = None
+        self.budget: ByteBudget | None = None
         self.most_body = self.replay = MOST_BODY
         self.slow_request, self.unread = SLOW_REQUEST, UNREAD
-        self.new_pace: Callable[[float], Pace]
+        self.new_receive_progress: Callable[[float], ReceiveProgress]
         self.new_upload: Callable[[Client, int | None], UploadStream]
         self.new_flow: Callable[[ClientRequest, bytes, bool, Callable[[], None]], ResponseStream]
         self.listener = Listener(self.admit, loop, self.room, self.host)
--- a/irisdeal/front_door/server/flows.py
+++ b/irisdeal/front_door/server/flows.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from irisdeal.front_door.streaming.budget import LEAST, Budget
-from irisdeal.front_door.streaming.pace import REPLAY
+from irisdeal.front_door.streaming.byte_budget import MIN_BUFFER_BYTES, ByteBudget
+from irisdeal.front_door.streaming.progress import MAX_REPLAY_BYTES
 
 if TYPE_CHECKING:
     from irisdeal.front_door.server.backends import Backend
@@ -33,10 +33,15 @@
         request: ClientRequest,
         head: bytes,
         chunked: bool,
-        budget: Budget,
+        budget: ByteBudget,
         on_over: Callable[[], None],
     ) -> None:
-        self.request, self.client, self.chunked, self.loan = request, request.where, chunked, budget.enter()
+        self.request, self.client, self.chunked, self.allowance = (
+            request,
+            request.where,
+            chunked,
+            budget.admit(),
+        )
         self.on_over = on_over
         self.source: Backend | None = None
         self.parts: list[bytes] = [head]  # until it is this answer's turn on its connection
@@ -62,7 +67,7 @@
                 self._feed_on(transport.get_write_buffer_size())
 
     def _feed_on(self, held: int) -> None:
-        if self.source is not None and not self.loan.allows(held):
+        if self.source is not None and not self.allowance.allows(held):
             self.source.hold()
 
     def end(self) -> None:
@@ -95,10 +100,10 @@
             return False
         if not self.opened:
             self.opened = True
-            transport.set_write_buffer_limits(high=LEAST)
+            transport.set_write_buffer_limits(high=MIN_BUFFER_BYTES)
             parts, self.parts, self.waiting = self.parts, [], 0
             transport.writelines(parts)
-            if self.source is not None and self.loan.allows(transport.get_write_buffer_size()):
+            if self.source is not None and self.allowance.allows(transport.get_write_buffer_size()):
                 self.source.release()
         if self.ended:
             transport.set_write_buffer_limits()
@@ -122,16 +127,16 @@
     def _finish(self) -> None:
         self.over = True
         self.parts = []
-        self.loan.end()
+        self.allowance.release()
         self.on_over()
 
 
 class Upload:
     """A request's body on its way to a backend, collected as far as it can be sent again."""
 
-    def __init__(self, client: ClientConnection, length: int | None, budget: Budget) -> None:
+    def __init__(self, client: ClientConnection, length: int | None, budget: ByteBudget) -> None:
         """`length` is None for chunks."""
-        self.client, self.length, self.loan = client, length, budget.enter()
+        self.client, self.length, self.allowance = client, length, budget.admit()
         self.parts: list[bytes] = []  # from the first byte, or what has not been passed on once `spent`
         self.next = 0  # of the parts: the first that the sink has not had
         self.held = 0  # bytes of all parts
@@ -169,12 +174,12 @@
         while sink is not None and self.next < len(self.parts) and not sink.choked:
             sink.put(self.parts[self.next])
             self.next += 1
-        may_hold = self.loan.allows(self.held)
-        if self.next and (self.size > REPLAY or not may_hold):
+        may_hold = self.allowance.allows(self.held)
+        if self.next and (self.size > MAX_REPLAY_BYTES or not may_hold):
             self.held -= sum(map(len, self.parts[: self.next]))
             del self.parts[: self.next]
             self.next, self.spent = 0, True
-            may_hold = self.loan.allows(self.held)
+            may_hold = self.allowance.allows(self.held)
         if sink is not None and self.whole and self.next == len(self.parts):
             sink.end_body(LAST_CHUNK if self.length is None else b"")
         self.client.choke(not (self.whole or self.over or may_hold))
@@ -183,4 +188,4 @@
         """Its request has ended, or its body has been passed on for good."""
         if not self.over:
             self.over, self.parts, self.sink = True, [], None
-            self.loan.end()
+            self.allowance.release()
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -113,15 +113,18 @@
 
     def _pass_long_bodies_on(self, config: Config) -> None:
         from irisdeal.front_door.server.flows import Outflow, Upload
-        from irisdeal.front_door.streaming import pace
-        from irisdeal.front_door.streaming.budget import Budget
+        from irisdeal.front_door.streaming import progress
+        from irisdeal.front_door.streaming.byte_budget import ByteBudget
 
-        budget, side = Budget(config.memory), self.clients
+        budget, side = ByteBudget(config.memory), self.clients
         side.budget = self.pool.budget = budget
-        self.pool.stall_time, self.pool.stream_stall = pace.PIECE, pace.ANSWER_STANDS
-        side.most_body, side.replay = pace.LONGEST, pace.REPLAY
-        side.slow_request, side.unread = pace.HEAD, pace.ANSWER_STANDS
-        side.new_pace = pace.Pace
+        self.pool.stall_time, self.pool.stream_stall = (
+            progress.SMALL_RESPONSE_IDLE_TIMEOUT_S,
+            progress.RESPONSE_IDLE_TIMEOUT_S,
+        )
+        side.most_body, side.replay = progress.MAX_BODY_BYTES, progress.MAX_REPLAY_BYTES
+        side.slow_request, side.unread = progress.HEAD_TIMEOUT_S, progress.RESPONSE_IDLE_TIMEOUT_S
+        side.new_receive_progress = progress.ReceiveProgress
         side.new_upload = lambda client, length: Upload(client, length, budget)
         side.new_flow = lambda request, head, chunked, on_over: Outflow(
             request, head, chunked, budget, on_over
--- a/irisdeal/front_door/streaming/__init__.py
+++ b/irisdeal/front_door/streaming/__init__.py
@@ -1,1 +1,1 @@
-"""Byte budget and progress rules for bodies that are passed on as they come; no input or output."""
+"""Byte budget and progress rules for bodies that are streamed through a front door. No I/O, no own clock."""
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -20,8 +20,18 @@
     Result,
     Send,
 )
-from irisdeal.front_door.streaming.budget import LEAST, READ, Budget, Loan
-from irisdeal.front_door.streaming.pace import HEAD, RATE, STAND, Pace
+from irisdeal.front_door.streaming.byte_budget import (
+    MAX_READ_BYTES,
+    MIN_BUFFER_BYTES,
+    ByteBudget,
+    StreamAllowance,
+)
+from irisdeal.front_door.streaming.progress import (
+    BODY_IDLE_TIMEOUT_S,
+    HEAD_TIMEOUT_S,
+    MIN_BODY_BYTES_PER_S,
+    ReceiveProgress,
+)
 from tests.front_door.test_operator import OPERATOR, figures
 from tests.support.decisions_rig import CEILED, MS, SECOND, Desk, of
 from tests.support.fake_peers import (
@@ -42,58 +52,60 @@
 # Pure rules
 
 
-def test_all_together_stay_within_the_budget_and_each_gets_on() -> None:
-    budget, chance = Budget(80 << 20), random.Random(4)
-    loans: dict[Loan, int] = {}
+def test_all_streams_stay_within_the_budget_and_each_makes_progress() -> None:
+    budget, chance = ByteBudget(80 << 20), random.Random(4)
+    allowances: dict[StreamAllowance, int] = {}
     for _ in range(4000):
-        if chance.random() < 0.4 and budget.admits():
-            loans[budget.enter()] = 0
-        elif loans:
-            loan = chance.choice(list(loans))
+        if chance.random() < 0.4 and budget.can_admit():
+            allowances[budget.admit()] = 0
+        elif allowances:
+            allowance = chance.choice(list(allowances))
             if chance.random() < 0.2:
-                del loans[loan]
-                loan.end()
-                loan.end()
+                del allowances[allowance]
+                allowance.release()
+                allowance.release()
             else:  # it is fed one read where it may be
-                loans[loan] = held = chance.choice([0, loans[loan]])
-                if loan.allows(held):
-                    loans[loan] += READ
-        assert sum(loans.values()) <= budget.most
-        assert all(loan.allows(LEAST) for loan in loans) and budget.streams == len(loans)
-    assert budget.seats > 100
-    for loan in loans:
-        loan.end()
-    assert (budget.free, budget.streams) == (budget.most // 2, 0)
-
-
-def test_one_stream_alone_is_lent_half_of_what_there_is() -> None:
-    budget = Budget(80 << 20)
-    loan = budget.enter()
-    assert loan.allows(4 << 20) and not loan.allows(budget.most)
-    assert budget.enter().allows(1 << 20)  # something is left for others
-
-
-def test_a_head_has_its_time_and_a_body_may_be_slow_but_not_stand() -> None:
-    pace = Pace(10.0)
-    assert not pace.is_slow(10.0 + HEAD) and pace.is_slow(10.1 + HEAD)
-    pace.head_is_whole(12.0)
+                allowances[allowance] = held = chance.choice([0, allowances[allowance]])
+                if allowance.allows(held):
+                    allowances[allowance] += MAX_READ_BYTES
+        assert sum(allowances.values()) <= budget.total_bytes
+        assert all(allowance.allows(MIN_BUFFER_BYTES) for allowance in allowances)
+        assert budget.streams == len(allowances)
+    assert budget.max_streams > 100
+    for allowance in allowances:
+        allowance.release()
+    assert (budget.grantable_bytes, budget.streams) == (budget.total_bytes // 2, 0)
+
+
+def test_one_stream_alone_is_granted_half_of_the_budget() -> None:
+    budget = ByteBudget(80 << 20)
+    allowance = budget.admit()
+    assert allowance.allows(4 << 20) and not allowance.allows(budget.total_bytes)
+    assert budget.admit().allows(1 << 20)  # something is left for others
+
+
+def test_a_head_has_a_timeout_and_a_body_may_be_slow_but_not_idle() -> None:
+    progress = ReceiveProgress(10.0)
+    assert not progress.is_too_slow(10.0 + HEAD_TIMEOUT_S) and progress.is_too_slow(10.1 + HEAD_TIMEOUT_S)
+    progress.head_complete(12.0)
     now = 12.0
     for _ in range(200):  # 64 kB a second, for long
         now += 0.5
-        pace.came(32_000, now)
-        assert not pace.is_slow(now)
-    assert not pace.is_slow(now + STAND) and pace.is_slow(now + STAND + 0.1)
-    slow = Pace(0.0)
-    slow.head_is_whole(0.0)
+        progress.received(32_000, now)
+        assert not progress.is_too_slow(now)
+    assert not progress.is_too_slow(now + BODY_IDLE_TIMEOUT_S)
+    assert progress.is_too_slow(now + BODY_IDLE_TIMEOUT_S + 0.1)
+    slow = ReceiveProgress(0.0)
+    slow.head_complete(0.0)
     times = [n * 0.1 for n in range(1, 200)]
     for at in times:
-        slow.came(int(RATE / 40), at)
-    assert slow.is_slow(times[-1])  # it trickles
-    read = Pace(0.0)
-    read.head_is_whole(0.0)
-    read.came(1000, 0.1)
-    read.read_on(60.0)  # it was not read for a minute
-    assert not read.is_slow(60.0 + STAND - 0.2)
+        slow.received(int(MIN_BODY_BYTES_PER_S / 40), at)
+    assert slow.is_too_slow(times[-1])  # it trickles
+    read = ReceiveProgress(0.0)
+    read.head_complete(0.0)
+    read.received(1000, 0.1)
+    read.reading_resumed(60.0)  # it was not read for a minute
+    assert not read.is_too_slow(60.0 + BODY_IDLE_TIMEOUT_S - 0.2)
 
 
 # The module
@@ -300,7 +312,10 @@
         assert client.transport is not None
         budget = door.program.clients.budget
         assert budget is not None
-        assert client.transport.get_write_buffer_size() <= LEAST + budget.most // 4 + 2 * READ
+        assert (
+            client.transport.get_write_buffer_size()
+            <= MIN_BUFFER_BYTES + budget.total_bytes // 4 + 2 * MAX_READ_BYTES
+        )
         assert not sending.done()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert hashlib.sha256((await read_answer(reader))[2]).digest() == hashlib.sha256(data).digest()
@@ -478,6 +493,6 @@
             for _ in range(20):
                 await asyncio.sleep(0.01)
                 held = max(held, await peak(door))
-            assert budget.streams == streams and 0 < held <= budget.most
+            assert budget.streams == streams and 0 < held <= budget.total_bytes
 
     run()
