--- a/irisdeal/front_door/server/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -12,7 +12,7 @@
 import time
 
 from irisdeal.front_door.server.config import Config, load
-from irisdeal.front_door.server.socket_state import has_bytes
+from irisdeal.runtime.socket_state import has_bytes
 
 
 class Host:
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Iterable
 
-from irisdeal.front_door.server.socket_state import has_bytes
 from irisdeal.load_balancing.backend_choice import Backend
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.backend_request import BackendRequest
+from irisdeal.runtime.socket_state import has_bytes
 
 CONNECT_TIMEOUT_S = 0.25  # an accept queue that is full answers after seconds
 MUTATING_IDLE_SHARE = (
