--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -1,6 +1,6 @@
 """The list of backends: a watch from the list held, or the whole, for as long as the program runs.
 
-What is asked when is decided in `irisdeal/front_door/membership/asking.py`.
+What is asked when is decided in `irisdeal/front_door/membership/polling_schedule.py`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import httptools
 
 from irisdeal.front_door.decisions.interface import ListKind, ServerEntry, ServerList, ServerState
-from irisdeal.front_door.membership.asking import Asking, turn
+from irisdeal.front_door.membership.polling_schedule import PollingSchedule, polling_period_s
 from irisdeal.front_door.server.config import Address, Config, address
 
 log = logging.getLogger("irisdeal.discovery")
@@ -207,7 +207,9 @@
     def __init__(self, config: Config, found: Found, draw: Callable[[], float]) -> None:
         self.place, self.found, self.reader = config.discovery, found, Reader(config)
         told_on_its_own = config.settings.list_is_pushed
-        self.asking = Asking(draw, 0.0 if told_on_its_own else turn(config.settings.gateways))
+        self.schedule = PollingSchedule(
+            draw, 0.0 if told_on_its_own else polling_period_s(config.settings.gateways)
+        )
         self.call: Call | None = None
         self.task: asyncio.Task[None] | None = None
         self.known = config.known
@@ -218,14 +220,14 @@
             told, places = self.reader.read(self.known, ListKind.REMEMBERED)
             self.found(told, places)
             if told.entries:  # the watch goes on from it; what is too old is answered with the whole
-                self.asking.version = told.version
+                self.schedule.version = told.version
         except ValueError as error:
             log.warning("known list passed over: %s", error)
             self.found(ServerList(ListKind.REMEMBERED, 0, ()), {})
 
     def refetch(self) -> None:
         """Make the next call one for the whole list."""
-        self.asking.forget()
+        self.schedule.reset()
         if self.call is not None:
             self.call.close()
 
@@ -244,11 +246,11 @@
         """Ask another discovery, whose versions are its own; the list held stands until it answers."""
         self.stop()
         self.place = place
-        self.asking.forget()
+        self.schedule.reset()
         self.start()
 
     async def _run(self) -> None:
-        if pause := self.asking.first():
+        if pause := self.schedule.initial_delay_s():
             await asyncio.sleep(pause)
         while True:
             try:
@@ -256,18 +258,18 @@
                 continue
             except Refused as error:
                 log.warning("discovery: %s", error)
-                pause = self.asking.refused(error.retry_after)
+                pause = self.schedule.rejected(error.retry_after)
             except (OSError, TimeoutError) as error:
                 log.warning("discovery: %s", error or "timed out")
-                pause = self.asking.broken()
+                pause = self.schedule.broken()
                 self._close()
             except ValueError as error:
                 log.warning("discovery: %s", error)
-                pause = self.asking.odd()
+                pause = self.schedule.invalid_response()
                 self._close()
             except Exception:  # an error of ours must not end the watch
                 log.exception("discovery")
-                self.asking.odd()
+                self.schedule.invalid_response()
                 self._close()
                 pause = OWN_ERROR
             await asyncio.sleep(pause)
@@ -279,20 +281,22 @@
 
     async def _next(self) -> None:
         """One call: asked again at once after the last, or what changes between counts as told unheard."""
-        ask = self.asking.next()
-        path = b"/catalog/members" + (b"" if ask.is_whole else b"?index=%d&wait=%d" % (ask.version, ask.wait))
+        ask = self.schedule.next_call()
+        path = b"/catalog/members" + (
+            b"" if ask.is_full_list else b"?index=%d&wait=%d" % (ask.version, ask.watch_ms)
+        )
         asked = asyncio.get_running_loop().time()
-        async with asyncio.timeout(ask.patience):
+        async with asyncio.timeout(ask.timeout_s):
             if self.call is None or not self.call.usable():
                 self.call = call = Call(self.place)
                 await asyncio.get_running_loop().create_connection(lambda: call, *self.place)
             text = await self.call.get(path)
         told, places = self.reader.read(json.loads(text))
-        if told.kind is ListKind.CHANGES and (ask.is_whole or told.version < ask.version):
+        if told.kind is ListKind.CHANGES and (ask.is_full_list or told.version < ask.version):
             raise ValueError("changes to a list that is not held")
         news = bool(told.entries) or told.kind is ListKind.COMPLETE
         if news:
             self.found(told, places)
         elif asyncio.get_running_loop().time() < asked + IDLE_PAUSE:
             await asyncio.sleep(IDLE_PAUSE)  # one that answers each watch at once must not take the core
-        self.asking.answered(told.version, not ask.is_whole)
+        self.schedule.succeeded(told.version, not ask.is_full_list)
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -252,7 +252,7 @@
         told = pack(gateway, program.host.now(), HALF)
         told["sockets"] = program.config.sockets - keeps
         told["list"] = program.discovery.reader.write(
-            program.discovery.asking.version,
+            program.discovery.schedule.version,
             [s.listed() for s in gateway.servers.values()],
             program.door.places,
         )
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -40,7 +40,7 @@
         f"idle:{_size(sum(map(len, pool.idle.values())), 1, 8)}",
         f"rest:{pool.keep < 0.9 * pool.longest:d}",
         f"retired:{any(c.retired for c in pool.all):d}",
-        f"list:{program.discovery.asking.version < 0:d}{program.discovery.call is not None:d}",
+        f"list:{program.discovery.schedule.version < 0:d}{program.discovery.call is not None:d}",
     ]
     if (counter := door.counter) is not None:
         lines = counter.lines
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -98,8 +98,8 @@
 def _lost_on_reconnect() -> list[Patch]:
     def made(old: Any) -> Any:
         async def run(self: Discovery) -> None:
-            if (self.call is None or not self.call.usable()) and self.asking.version >= 0:
-                self.asking.version += 1
+            if (self.call is None or not self.call.usable()) and self.schedule.version >= 0:
+                self.schedule.version += 1
             await old(self)
 
         return run
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -350,7 +350,7 @@
                     await until(old, Stage.YIELDED)
                     assert new.program.clients.port() == old.program.clients.port()
                     assert (await operate(new, "/ready"))[0] == "HTTP/1.1 200 OK"
-                    assert new.program.discovery.asking.version == 7
+                    assert new.program.discovery.schedule.version == 7
                     gateway = new.program.door.decider
                     assert isinstance(gateway, Gateway) and list(gateway.barred) == [b"s-2"]
                     assert " 404 " in (await operate(new, "/backends/enable?target=s-9", "POST"))[0]
