--- a/benchmarks/fair_queue.py
+++ b/benchmarks/fair_queue.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from irisdeal.front_door.queueing.fair import Entry, FairQueue
+from irisdeal.front_door.queueing.fair_queue import Entry, FairQueue
 
 DEEP = 4  # requests of each store that wait
 OPERATIONS = 20_000  # of one round
--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -7,7 +7,6 @@
 import sys
 import time
 from collections.abc import Iterable
-from dataclasses import asdict
 from pathlib import Path
 
 import click
@@ -17,9 +16,15 @@
 from rich.text import Text
 
 from irisdeal.cli.reports import fetch
-from irisdeal.front_door.queueing.top import BadReport, Door, Row, merge, read
+from irisdeal.front_door.queueing.reports import (
+    AccountSummary,
+    FrontDoorSummary,
+    InvalidReportError,
+    parse_report,
+    top_accounts,
+)
 
-Answer = tuple[Door, list[Row]] | str  # a report, or why there is none
+Answer = tuple[FrontDoorSummary, list[AccountSummary]] | str  # a report, or why there is none
 
 
 @click.group()
@@ -110,21 +115,21 @@
     """One door's report, or in words why there is none."""
     try:
         told = await fetch(path)
-        return told if isinstance(told, str) else read(told)
-    except BadReport as error:
+        return told if isinstance(told, str) else parse_report(told)
+    except InvalidReportError as error:
         return str(error)
 
 
-def _reports(answers: dict[Path, Answer]) -> list[tuple[Door, list[Row]]]:
+def _reports(answers: dict[Path, Answer]) -> list[tuple[FrontDoorSummary, list[AccountSummary]]]:
     return [answer for answer in answers.values() if not isinstance(answer, str)]
 
 
 def _plain(answers: dict[Path, Answer], count: int) -> dict[str, object]:
     reports = _reports(answers)
     return {
-        "doors": [asdict(door) for door, _ in reports],
+        "doors": [door.as_json() for door, _ in reports],
         "silent": {str(path): why for path, why in answers.items() if isinstance(why, str)},
-        "stores": [{**asdict(row), "wait": row.mean_wait} for row in merge(reports, count)],
+        "stores": [row.as_json() for row in top_accounts(reports, count)],
     }
 
 
@@ -151,31 +156,31 @@
     for door, _ in sorted(reports, key=lambda report: report[0].name):
         doors.add_row(
             door.name,
-            str(door.queued),
-            f"{door.bytes / 1024:.0f}",
-            str(door.queues),
-            str(door.given_way),
-            str(door.out),
+            str(door.waiting),
+            f"{door.waiting_bytes / 1024:.0f}",
+            str(door.flows),
+            str(door.dropped),
+            str(door.in_flight),
             f"{door.window:.0f}",
-            str(door.asked),
+            str(door.received),
             str(door.sent),
-            str(door.refused),
+            str(door.rejected),
         )
     silent = [Text(f"{path}: {why}", style="red") for path, why in answers.items() if isinstance(why, str)]
     stores = _table("Stores that lately ask most, over these doors; waits in ms")
     for name in ("store", "plan", "share", "asked", "sent", "refused", "wait", "longest", "advice", "doors"):
         stores.add_column(name, justify="left" if name in ("store", "plan") else "right", no_wrap=True)
-    for row in merge(reports, count):
+    for row in top_accounts(reports, count):
         stores.add_row(
             row.customer.lstrip("0") or "0",
             row.plan,
             f"{100 * row.share:.1f}%",
-            str(row.asked),
+            str(row.received),
             str(row.sent),
-            str(row.refused),
-            "-" if row.mean_wait is None else f"{row.mean_wait:.1f}",
-            f"{row.longest:.0f}",
-            f"{row.heeded}/{row.heeded + row.ignored}",
-            str(len(row.doors)),
+            str(row.rejected),
+            "-" if row.mean_wait_ms is None else f"{row.mean_wait_ms:.1f}",
+            f"{row.max_wait_ms:.0f}",
+            f"{row.retries_in_time}/{row.retries_in_time + row.retries_early}",
+            str(len(row.front_doors)),
         )
     return Group(doors, *silent, "", stores)
--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -46,7 +46,7 @@
 )
 from irisdeal.front_door.decisions.records import Request, Server, Try
 from irisdeal.front_door.decisions.tenant import FEW_WAYS, NEAR, SECOND, Customer
-from irisdeal.front_door.queueing.fair import FairQueue
+from irisdeal.front_door.queueing.fair_queue import FairQueue
 from irisdeal.front_door.quota.account import Account
 from irisdeal.front_door.quota.call import Call
 from irisdeal.front_door.quota.crowding import Crowding, Way
@@ -486,7 +486,7 @@
                 self._answer(request)
                 continue
             if lack > 0 or (customer.bound and customer.out >= customer.bound):
-                queue.hold(flow)
+                queue.block(flow)
                 customer.held.append(flow)
                 if lack > 0 and customer.looks_at <= self.now:
                     customer.looks_at = ready + NO_SERVER_PAUSE
@@ -506,7 +506,7 @@
             self._send(request, server)
             if self.zones.troubled:
                 self._trial(request)
-        queue.rest()
+        queue.end_busy_period()
 
     def _look_again(self) -> None:
         if self.looks_at <= self.now:
@@ -516,7 +516,7 @@
     def _free(self, customer: Customer) -> None:
         """Its bound or its ceiling may have room again."""
         while customer.held:
-            self.queue.free(customer.held.pop())
+            self.queue.unblock(customer.held.pop())
 
     def _send(self, request: Request, server: Server) -> None:
         request.customer.out += 1
@@ -663,7 +663,7 @@
         if request.ended or (request.uploading and request.tries):
             return
         flow = request.entry.flow
-        if self.now >= request.last or (flow and (not flow.held or self.now >= request.waits_till)):
+        if self.now >= request.last or (flow and (not flow.is_blocked or self.now >= request.waits_till)):
             self._answer(request)
         else:  # it is out, or waits for its count or for room of its own
             self._plan(
--- a/irisdeal/front_door/decisions/records.py
+++ b/irisdeal/front_door/decisions/records.py
@@ -7,7 +7,7 @@
 
 from irisdeal.front_door.decisions.interface import Arrival, Plan, ServerEntry
 from irisdeal.front_door.decisions.tenant import Customer
-from irisdeal.front_door.queueing.fair import Entry
+from irisdeal.front_door.queueing.fair_queue import Entry
 from irisdeal.front_door.quota.call import Call
 
 
--- a/irisdeal/front_door/decisions/tenant.py
+++ b/irisdeal/front_door/decisions/tenant.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from irisdeal.front_door.decisions.interface import Arrival, Settings
-from irisdeal.front_door.queueing.fair import Flow
+from irisdeal.front_door.queueing.fair_queue import Flow
 from irisdeal.front_door.quota.account import Account
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
--- a/irisdeal/front_door/queueing/__init__.py
+++ b/irisdeal/front_door/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided about requests that wait: whose turn it is, who gives way, when to come back. Pure."""
+"""Fair queueing of waiting requests, and the statistics of its accounts. No I/O, no own clock."""
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -41,7 +41,7 @@
 from irisdeal.front_door.server.host import Host
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.queueing.watch import QueueWatch
+    from irisdeal.front_door.queueing.queue_statistics import QueueStatistics
 
 log = logging.getLogger("irisdeal.front_door.server")
 
@@ -99,7 +99,7 @@
         self.scheduled = self.list_known = False
         self.drain_by = 0  # when all must be answered; 0 while in service
         self.event_loop_lag = EventLoopLag()
-        self.watch: QueueWatch | None = None  # where a report is to be had
+        self.statistics: QueueStatistics | None = None  # where a report is to be had
         self.on_listed: Callable[[ServerList], None] = lambda _: None
         self.on_refetch: Callable[[], None] = lambda: None
         self.on_over: Callable[[ClientRequest], None] = lambda _: None  # answered, and no attempt is out
@@ -161,8 +161,8 @@
         self.last_number += 1
         client.number = number = self.last_number
         request = self.requests[number] = Open(client, now, now + (left if client.upload is None else FAR))
-        if self.watch is not None:
-            self.watch.took((client.customer, client.plan), client.is_retry, now)
+        if self.statistics is not None:
+            self.statistics.record_received((client.customer, client.plan), client.is_retry, now)
         self.unanswered += 1
         uploading = client.upload is not None  # its time counts from its last byte
         if not uploading:
@@ -316,8 +316,8 @@
         attempt = Attempt(action.request, len(request.attempts), action.server, now, self._ended)
         request.attempts.append(attempt)
         request.out += 1
-        if self.watch is not None and not attempt.number:
-            self.watch.went((request.client.customer, request.client.plan), now - request.taken)
+        if self.statistics is not None and not attempt.number:
+            self.statistics.record_sent((request.client.customer, request.client.plan), now - request.taken)
         place = self.places.get(action.server)
         left = request.gives_up - now
         if action.timeout > 0:
@@ -387,9 +387,9 @@
         if request is not None and not request.final:
             delay = min(action.retry_after, self.settings.longest_advice) if self.settings.may_advise else 0
             status = 503 if request.attempts else 429
-            if self.watch is not None:
+            if self.statistics is not None:
                 client = request.client
-                self.watch.refused_one((client.customer, client.plan), delay, self.clock.now())
+                self.statistics.record_rejected((client.customer, client.plan), delay, self.clock.now())
             request.client.reply(status, b"refused: try again\n", retry_after(delay))
             self._final(action.request, request)
 
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.queueing.top import VERSION
-from irisdeal.front_door.queueing.watch import QueueWatch
+from irisdeal.front_door.queueing.queue_statistics import QueueStatistics
+from irisdeal.front_door.queueing.reports import VERSION
 
 if TYPE_CHECKING:
     from irisdeal.front_door.server.loop import Door
@@ -56,7 +56,7 @@
         self.path, self.door, self.loop = path, door, loop
         self.readers: set[_Reader] = set()
         self.server: asyncio.Server | None = None
-        door.watch = self.watch = QueueWatch()
+        door.statistics = self.statistics = QueueStatistics()
 
     async def start(self) -> None:
         """Listen. OSError where the path cannot be had; one that a dead door left behind is taken over."""
@@ -77,7 +77,7 @@
     def told(self) -> dict[str, Any]:
         """The report as plain values."""
         door, config = self.door, self.door.config
-        watch = self.watch.told(door.clock.now(), STORES)
+        watch = self.statistics.report(door.clock.now(), STORES)
         for store in watch["stores"]:
             store["plan_name"] = config.plans[store["plan"]]
         made: dict[str, Any] = {
@@ -96,7 +96,7 @@
                 "entries": queue.entries,
                 "bytes": queue.bytes,
                 "flows": queue.flows,
-                "given_way": queue.given_way,
+                "given_way": queue.dropped,
             }
             made["out"], made["window"] = decider.out, round(decider.window, 2)
             made["zones"] = decider.zones.told(door.clock.now())
--- a/tests/cli/test_queues.py
+++ b/tests/cli/test_queues.py
@@ -17,7 +17,7 @@
 from click.testing import CliRunner
 
 from irisdeal.cli.main import main
-from irisdeal.front_door.queueing.top import BadReport, merge, read
+from irisdeal.front_door.queueing.reports import InvalidReportError, parse_report, top_accounts
 from irisdeal.front_door.server.config import ConfigError
 from irisdeal.front_door.server.report import MOST_READERS
 from tests.support.fake_peers import (
@@ -247,12 +247,14 @@
     "bad", [[], {}, {"version": 2}, {**report(a=1.0), "queue": {}}, {**report(), "watch": 3}]
 )
 def test_what_is_no_report_is_said_so(bad: object) -> None:
-    with pytest.raises(BadReport, match="report"):
-        read(bad)
+    with pytest.raises(InvalidReportError, match="report"):
+        parse_report(bad)
 
 
 def test_no_doors_make_no_rows() -> None:
-    assert merge([], 5) == [] and merge([read(report(asked=0, a=0.0))], 5)[0].share == 0.0
+    assert (
+        top_accounts([], 5) == [] and top_accounts([parse_report(report(asked=0, a=0.0))], 5)[0].share == 0.0
+    )
 
 
 def test_help_has_an_example() -> None:
--- a/tests/front_door/test_fair_queue.py
+++ b/tests/front_door/test_fair_queue.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.front_door.queueing.fair import MEMORY, STALE, Entry, FairQueue, Flow
+from irisdeal.front_door.queueing.fair_queue import DEMAND_DECAY_US, MAX_STALE_ENTRIES, Entry, FairQueue, Flow
 
 Queue = FairQueue[tuple[str, int]]
 ROOM = 10**6
@@ -29,7 +29,7 @@
 
 def put(
     q: Queue,
-    store: str,
+    account: str,
     number: int = 0,
     cost: float = 1.0,
     plan: Hashable = "p",
@@ -38,8 +38,8 @@
     now: int = 0,
     size: int = 1,
 ) -> tuple[Entry[tuple[str, int]], list[tuple[str, int]]]:
-    entry = Entry((store, number), cost, size, now)
-    return entry, q.push(band, plan, store, entry, weight, now)
+    entry = Entry((account, number), cost, size, now)
+    return entry, q.push(band, plan, account, entry, weight, now)
 
 
 def take(q: Queue, least: int = 0) -> tuple[str, int] | None:
@@ -106,9 +106,9 @@
     for n in range(1, 20):
         put(q, "stuck", n)
         put(q, "other", n)
-    q.hold(stuck)
+    q.block(stuck)
     assert [take(q) for _ in range(10)] == [("other", n) for n in range(1, 11)]
-    q.free(stuck)
+    q.unblock(stuck)
 
 
 def test_a_freed_queue_takes_turns_and_not_all_it_missed() -> None:
@@ -117,10 +117,10 @@
     for n in range(1, 40):
         put(q, "stuck", n)
         put(q, "other", n)
-    q.hold(stuck)
+    q.block(stuck)
     for _ in range(20):
         take(q)
-    q.free(stuck)
+    q.unblock(stuck)
     next_ones = [item[0] for _ in range(10) if (item := take(q)) is not None]
     assert 4 <= next_ones.count("stuck") <= 6
 
@@ -138,7 +138,7 @@
 def test_a_flood_of_new_stores_takes_its_room_from_its_own_plan() -> None:
     q, now = queue(), 0
     for n in range(400):  # both plans have asked alike for longer than the memory
-        now += MEMORY // 100
+        now += DEMAND_DECAY_US // 100
         for plan in ("flooded", "calm"):
             put(q, f"{plan}{n % 20}", n, plan=plan, now=now)
         drain(q)
@@ -152,7 +152,7 @@
     assert sum(name.startswith("calm") for name in first) > 1.5 * unfair
 
 
-def test_plans_weigh_what_they_asked_and_a_quiet_one_has_its_least_part() -> None:
+def test_plans_weigh_by_recent_demand_and_a_quiet_one_has_the_minimum() -> None:
     q = queue()
     for n in range(300):
         put(q, "large", n, plan="a")
@@ -183,35 +183,35 @@
 def test_a_store_that_was_held_with_its_last_request_may_be_served_again() -> None:
     q = queue()
     entry, _ = put(q, "a")
-    q.hold(flow_of(entry))
+    q.block(flow_of(entry))
     q.remove(entry)
     put(q, "a", 1)
     assert take(q) == ("a", 1)
 
 
-def test_at_rest_all_is_forgotten_that_stores_and_plans_had() -> None:
+def test_the_end_of_a_busy_period_resets_accounts_and_plans() -> None:
     q = queue()
     for n in range(5):
         put(q, "a", n, plan="p")
     drain(q)
-    q.rest()
+    q.end_busy_period()
     assert q.flows == 0
     put(q, "a", plan="p")
     put(q, "b", plan="z")
     assert drain(q) == ["a", "b"]  # alike again, so the one that came first
     put(q, "c")
-    with pytest.raises(ValueError, match="wanted none at rest"):
-        q.rest()
+    with pytest.raises(ValueError, match="wanted none at the end of a busy period"):
+        q.end_busy_period()
 
 
-def test_the_longest_queue_gives_way_and_never_the_newest_quiet_store() -> None:
+def test_the_longest_flow_is_dropped_from_and_never_the_newest_quiet_account() -> None:
     q = queue(entries=100)
     for n in range(90):
         put(q, "greedy", n)
     for n in range(95):
         _, gone = put(q, f"quiet{n}")
-        assert all(store == "greedy" for store, _ in gone)
-    assert q.entries == 100 and q.given_way == 85
+        assert all(account == "greedy" for account, _ in gone)
+    assert q.entries == 100 and q.dropped == 85
     _, gone = put(q, "greedy", 99)
     assert gone == [("greedy", 99)]  # its own newest
 
@@ -243,14 +243,14 @@
                 q.remove(entry)
             waiting.clear()
         heaps = [len(node.heap) for node in (*q.bands, *(p for plans in q._plans for p in plans.values()))]
-        assert q.entries <= 200 and q.flows <= 302 and max(heaps) <= 2 * 200 + STALE + 2
+        assert q.entries <= 200 and q.flows <= 302 and max(heaps) <= 2 * 200 + MAX_STALE_ENTRIES + 2
 
 
 def test_departures_without_any_service_leave_no_places_behind() -> None:
     q = queue()
     for n in range(5000):  # the fleet hangs: nothing is served, and clients come and go
         q.remove(put(q, f"s{n % 7}", n)[0])
-    assert all(len(p.heap) <= STALE + 2 for p in q._plans[0].values())
+    assert all(len(p.heap) <= MAX_STALE_ENTRIES + 2 for p in q._plans[0].values())
     assert q.head() is None
 
 
@@ -291,7 +291,7 @@
             waiting.append(entry)
             flow = flow_of(entry)
             assert flow.parent is not None
-            if len(flow.entries) == 1 and flow.start == flow.parent.virtual:
+            if len(flow.entries) == 1 and flow.start_tag == flow.parent.virtual_time:
                 behind[entry] = defaultdict(int)
         elif kind == "serve" and (best := q.head()) is not None:
             flow = flow_of(best)
@@ -310,12 +310,12 @@
         elif kind in ("hold", "free") and waiting:
             flow = flow_of(waiting[a % len(waiting)])
             if kind == "hold":
-                q.hold(flow)
+                q.block(flow)
                 for entry in flow.entries:
                     behind.pop(entry, None)
             else:
-                q.free(flow)
-        able = [e for e in waiting if not flow_of(e).held]
+                q.unblock(flow)
+        able = [e for e in waiting if not flow_of(e).is_blocked]
         assert (q.head() is not None) == bool(able) and q.entries == len(waiting)
     assert all(order == sorted(order) for order in orders.values())
 
@@ -361,18 +361,18 @@
     fluid server of rate r that serves this store alone, less its own time there, and one longest request of
     each other store and its own time here."""
     rng = random.Random(seed)
-    stores = rng.randrange(2, 9)
-    weights = [rng.uniform(0.2, 3.0) for _ in range(stores)]
+    accounts = rng.randrange(2, 9)
+    weights = [rng.uniform(0.2, 3.0) for _ in range(accounts)]
     parts = [w / sum(weights) for w in weights]
-    longest = [rng.uniform(0.5, 5.0) for _ in range(stores)]
+    longest = [rng.uniform(0.5, 5.0) for _ in range(accounts)]
     arrivals: list[tuple[float, int, float]] = []
-    for s in range(stores):
+    for s in range(accounts):
         at = 0.0
         for _ in range(rng.randrange(1, 30)):
             at += rng.choice([0.0, rng.expovariate(parts[s] / longest[s]), rng.expovariate(0.05)])
             arrivals.append((at, s, longest[s] * rng.uniform(0.1, 1.0)))
     arrivals.sort()
-    expected, ready = [], [0.0] * stores  # when a fluid server of its own would begin each
+    expected, ready = [], [0.0] * accounts  # when a fluid server of its own would begin each
     for at, s, cost in arrivals:
         begins = max(at, ready[s])
         ready[s] = begins + cost / parts[s]
@@ -381,7 +381,7 @@
     while place < len(arrivals) or q.entries:
         if not q.entries and arrivals[place][0] > clock:
             clock = arrivals[place][0]
-            q.rest()
+            q.end_busy_period()
         while place < len(arrivals) and arrivals[place][0] <= clock:
             _, s, cost = arrivals[place]
             put(q, f"{s}", place, cost, weight=weights[s])
--- a/tests/front_door/test_layout.py
+++ b/tests/front_door/test_layout.py
@@ -50,7 +50,7 @@
         "irisdeal.front_door.decisions.tenant",
         "irisdeal.front_door.decisions.interface",
         "irisdeal.front_door.decisions.records",
-        "irisdeal.front_door.queueing.fair",
+        "irisdeal.front_door.queueing.fair_queue",
         "irisdeal.front_door.quota.account",
         "irisdeal.front_door.quota.call",
         "irisdeal.front_door.quota.crowding",
--- a/tests/front_door/test_queue_watch.py
+++ b/tests/front_door/test_queue_statistics.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from irisdeal.front_door.queueing.sketch import Sketch
-from irisdeal.front_door.queueing.watch import ENDS, QueueWatch
+from irisdeal.front_door.queueing.heavy_hitters import HeavyHitterSketch
+from irisdeal.front_door.queueing.queue_statistics import WAIT_BUCKETS_MS, QueueStatistics
 
 SECOND = 1_000_000
 
@@ -18,7 +18,7 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(1, 5)), max_size=300), st.integers(1, 12))
 def test_an_estimate_is_over_by_at_most_its_error(stream: list[tuple[int, int]], most: int) -> None:
-    sketch: Sketch[int] = Sketch(most, 10**12)
+    sketch: HeavyHitterSketch[int] = HeavyHitterSketch(most, 10**12)
     exact: Counter[int] = Counter()
     for key, weight in stream:
         sketch.add(key, float(weight), 0)
@@ -34,7 +34,7 @@
 
 
 def test_weights_fade_by_half_and_the_landmark_moves_unseen() -> None:
-    sketch: Sketch[str] = Sketch(4, SECOND)
+    sketch: HeavyHitterSketch[str] = HeavyHitterSketch(4, SECOND)
     sketch.add("old", 8.0, 5 * SECOND)
     sketch.add("new", 1.0, 8 * SECOND)
     assert {h.key: round(h.weight, 9) for h in sketch.top(4, 8 * SECOND)} == {"old": 1.0, "new": 1.0}
@@ -45,7 +45,7 @@
 
 
 def test_the_least_goes_after_the_landmark_has_moved() -> None:
-    sketch: Sketch[str] = Sketch(2, SECOND)
+    sketch: HeavyHitterSketch[str] = HeavyHitterSketch(2, SECOND)
     sketch.add("a", 1.0, 0)
     sketch.add("b", 5.0, 0)
     sketch.add("b", 5.0, 100 * SECOND)
@@ -55,50 +55,54 @@
 @pytest.mark.parametrize(("most", "half"), [(0, 1), (1, 0)])
 def test_bounds_are_checked(most: int, half: int) -> None:
     with pytest.raises(ValueError, match="wanted both over 0"):
-        Sketch(most, half)
+        HeavyHitterSketch(most, half)
 
 
 def test_the_heaviest_store_is_first_and_memory_is_flat_under_a_flood() -> None:
-    watch, rng, now = QueueWatch(64), random.Random(4), 0
+    statistics, rng, now = QueueStatistics(64), random.Random(4), 0
     for n in range(20_000):
         now += 6_000
-        watch.took((10_000 + n, 0), False, now)
+        statistics.record_received((10_000 + n, 0), False, now)
         if rng.random() < 0.2:
-            watch.took((7, 1), False, now)
-            watch.went((7, 1), 3_000)
-    told = watch.told(now, 3)
-    assert told["stores_watched"] == 64 and len(watch._records) == len(watch._heavy) == 64
-    first = told["stores"][0]
+            statistics.record_received((7, 1), False, now)
+            statistics.record_sent((7, 1), 3_000)
+    report = statistics.report(now, 3)
+    assert report["stores_watched"] == 64 and len(statistics._records) == len(statistics._demand) == 64
+    first = report["stores"][0]
     assert (first["customer"], first["plan"]) == (f"{7:016x}", 1)
-    assert abs(first["share"] - 1 / 6) < 0.05 + first["share_error"] and told["asked"] > 23_000
+    assert abs(first["share"] - 1 / 6) < 0.05 + first["share_error"] and report["asked"] > 23_000
 
 
 def test_who_heeds_advice_and_who_does_not() -> None:
-    watch = QueueWatch()
+    statistics = QueueStatistics()
     for store, back in ((1, 500_000), (2, 90_000)):
-        watch.took((store, 0), False, 0)
-        watch.refused_one((store, 0), 500_000, 0)
-        watch.took((store, 0), True, back)
-        watch.took((store, 0), True, back + 1)  # no advice stands any more: neither
-    told = {
-        s["customer"][-1]: (s["advice_heeded"], s["advice_ignored"]) for s in watch.told(SECOND, 9)["stores"]
+        statistics.record_received((store, 0), False, 0)
+        statistics.record_rejected((store, 0), 500_000, 0)
+        statistics.record_received((store, 0), True, back)
+        statistics.record_received((store, 0), True, back + 1)  # no advice stands any more: neither
+    report = {
+        s["customer"][-1]: (s["advice_heeded"], s["advice_ignored"])
+        for s in statistics.report(SECOND, 9)["stores"]
     }
-    assert told == {"1": (1, 0), "2": (0, 1)} and (watch.heeded, watch.ignored) == (1, 1)
+    assert report == {"1": (1, 0), "2": (0, 1)} and (
+        statistics.retries_in_time,
+        statistics.retries_early,
+    ) == (1, 1)
 
 
 def test_a_retry_a_little_early_has_heeded() -> None:
-    watch = QueueWatch()
-    watch.took((1, 0), False, 0)
-    watch.refused_one((1, 0), 500_000, 0)
-    watch.took((1, 0), True, 485_000)
-    assert (watch.heeded, watch.ignored) == (1, 0)
+    statistics = QueueStatistics()
+    statistics.record_received((1, 0), False, 0)
+    statistics.record_rejected((1, 0), 500_000, 0)
+    statistics.record_received((1, 0), True, 485_000)
+    assert (statistics.retries_in_time, statistics.retries_early) == (1, 0)
 
 
 def test_waits_are_told_as_a_histogram() -> None:
-    watch = QueueWatch()
-    watch.took((1, 0), False, 0)
+    statistics = QueueStatistics()
+    statistics.record_received((1, 0), False, 0)
     for waited in (0, 1_000, 1_001, 3_000_000):
-        watch.went((1, 0), waited)
-    counts = watch.told(0, 1)["waits_ms"]["counts"]
-    assert counts[0] == 2 and counts[1] == 1 and counts[len(ENDS)] == 1
-    assert watch.told(0, 1)["stores"][0]["longest_wait_ms"] == 3000.0
+        statistics.record_sent((1, 0), waited)
+    counts = statistics.report(0, 1)["waits_ms"]["counts"]
+    assert counts[0] == 2 and counts[1] == 1 and counts[len(WAIT_BUCKETS_MS)] == 1
+    assert statistics.report(0, 1)["stores"][0]["longest_wait_ms"] == 3000.0
--- a/tests/front_door/test_waiting.py
+++ b/tests/front_door/test_waiting.py
@@ -6,7 +6,7 @@
 
 from irisdeal.front_door.decisions import gateway as gateway_module
 from irisdeal.front_door.decisions.interface import Arrival, Refuse, RequestEnded, Result, Send, Woken
-from irisdeal.front_door.queueing.fair import FairQueue
+from irisdeal.front_door.queueing.fair_queue import FairQueue
 from tests.support.decisions_rig import (
     CAPPED,
     CEILED,
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -235,8 +235,8 @@
         "'irisdeal.testbed', 'irisdeal.demo', 'irisdeal.cli', 'irisdeal.front_door.routes', "
         "'irisdeal.front_door.sources', "
         "'irisdeal.front_door.server.routed', 'irisdeal.front_door.server.report', "
-        "'irisdeal.front_door.queueing.watch', "
-        "'irisdeal.front_door.queueing.top', 'irisdeal.front_door.queueing.sketch'))])"
+        "'irisdeal.front_door.queueing.queue_statistics', "
+        "'irisdeal.front_door.queueing.reports', 'irisdeal.front_door.queueing.heavy_hitters'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
