--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -1,6 +1,7 @@
 """The decisions of one gateway. Settings, events and actions are in `interface.py`; read it first.
 
-The ordinary path is the demand split of Padala et al. (port allocator); see docs/design/front-door-decisions.md.
+The ordinary path is the demand split of Padala et al. (port allocator); see
+docs/design/front-door-decisions.md.
 """
 
 from __future__ import annotations
--- a/irisdeal/testbed/fault_players.py
+++ b/irisdeal/testbed/fault_players.py
@@ -4,19 +4,16 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING
 
 from irisdeal.testbed.fault_proxy import Condition
+from irisdeal.testbed.fault_target import FaultTarget, FrontDoors
 from irisdeal.testbed.request_log import front_door_name
 from irisdeal.testbed.scenario import Fault
 
-if TYPE_CHECKING:  # the platform imports this module
-    from irisdeal.testbed.platform import FrontDoors, Platform
+FaultPlayer = Callable[[FaultTarget, Fault, FrontDoors], Awaitable[None]]
 
-FaultPlayer = Callable[["Platform", Fault, "FrontDoors"], Awaitable[None]]
 
-
-async def _hang(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _hang(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
         backend.set_hung(True)
@@ -27,7 +24,7 @@
     platform.release_backends(backends)
 
 
-async def _slow(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _slow(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
         backend.set_slower(fault.size)
@@ -38,7 +35,7 @@
     platform.release_backends(backends)
 
 
-async def _crash(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _crash(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     """Crash backends and start them again, in slow start; discovery learns late, and only that they run."""
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
@@ -51,7 +48,7 @@
     platform.record_fault(f"{len(backends)} boxes are up again, cold")
 
 
-async def _replace(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _replace(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     """Machines go for good; others, with new ids, take their addresses, which the old list still has."""
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
@@ -64,7 +61,7 @@
     platform.record_fault(f"{len(backends)} new boxes stand at the old addresses, cold")
 
 
-async def _drain(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _drain(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     backends = platform.pick_backends(fault.backends)
     platform.discovery.change(*(platform.endpoint_of(backend, "Terminating") for backend in backends))
     await asyncio.sleep(fault.for_s)
@@ -74,12 +71,12 @@
     platform.record_fault(f"{len(backends)} boxes are gone")
 
 
-async def _add(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _add(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     made = [await platform.new_backend(warming_up=True) for _ in range(fault.backends)]
     platform.discovery.change(*(platform.endpoint_of(backend, "Ready") for backend in made))
 
 
-async def _spoil(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _spoil(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
         backend.set_spoil(fault.size)
@@ -89,79 +86,79 @@
     platform.release_backends(backends)
 
 
-async def _counter_unresponsive(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_unresponsive(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.counter.put("silent", 1)
     await asyncio.sleep(fault.for_s)
     platform.counter.put("silent", 0)
     platform.record_fault("the keeper answers again")
 
 
-async def _counter_refuse(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_refuse(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.counter.refuse()
     await asyncio.sleep(fault.for_s)
     await platform.counter.restart(platform.front_doors, fault.empty)
     platform.record_fault(f"the keeper is back, {'empty' if fault.empty else 'with its counts'}")
 
 
-async def _counter_slow(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_slow(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.counter.put("slower", fault.size)
     await asyncio.sleep(fault.for_s)
     platform.counter.put("slower", 1.0)
 
 
-async def _counter_flush(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_flush(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.record_fault(f"the keeper lost {await platform.counter.forget(fault.size)} names")
 
 
-async def _counter_spoil(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_spoil(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.counter.put("spoil", fault.size)
     await asyncio.sleep(fault.for_s)
     platform.counter.put("spoil", 0.0)
 
 
-async def _counter_split(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _counter_split(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.counter.split(platform.front_doors[: fault.front_door], platform.front_doors[fault.front_door :])
     await asyncio.sleep(fault.for_s)
     platform.counter.heal()
     platform.record_fault("the keeper is one again, with the counts of the first doors' side")
 
 
-async def _discovery_unresponsive(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _discovery_unresponsive(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.discovery.set_unresponsive(True)
     await asyncio.sleep(fault.for_s)
     platform.discovery.set_unresponsive(False)
 
 
-async def _discovery_late(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _discovery_late(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.discovery.later = fault.size
     await asyncio.sleep(fault.for_s)
     platform.discovery.later = 0.0
 
 
-async def _discovery_lose(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _discovery_lose(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.discovery.lose = fault.size
     await asyncio.sleep(fault.for_s)
     platform.discovery.lose = 0.0
 
 
-async def _zone_cut_off(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _zone_cut_off(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.relay.set([fault.zone], Condition(partitioned=True))
     await asyncio.sleep(fault.for_s)
     platform.relay.set([fault.zone], Condition())
     platform.record_fault(f"{fault.zone} is back")
 
 
-async def _zone_slow(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _zone_slow(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.relay.set([fault.zone], Condition(delay=fault.ms / 1000))
     await asyncio.sleep(fault.for_s)
     platform.relay.set([fault.zone], Condition())
 
 
-async def _zone_reset(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _zone_reset(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     platform.relay.reset([fault.zone])
 
 
-async def _link(platform: Platform, fault: Fault, _: FrontDoors) -> None:
+async def _link(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
     front_doors = [front_door_name(front_door) for front_door in platform.front_doors[: fault.front_door]]
     if fault.do == "link-reset":
         return platform.relay.reset(front_doors, fault.to)
@@ -179,19 +176,19 @@
     platform.record_fault(f"{len(front_doors)} doors have their ways to {fault.to} again")
 
 
-async def _front_door_kill(platform: Platform, fault: Fault, front_doors: FrontDoors) -> None:
+async def _front_door_kill(platform: FaultTarget, fault: Fault, front_doors: FrontDoors) -> None:
     await front_doors.kill(fault.front_door, fault.for_s)
 
 
-async def _front_door_restart(platform: Platform, fault: Fault, front_doors: FrontDoors) -> None:
+async def _front_door_restart(platform: FaultTarget, fault: Fault, front_doors: FrontDoors) -> None:
     await front_doors.restart(fault.front_door)
 
 
-async def _front_door_stall(platform: Platform, fault: Fault, front_doors: FrontDoors) -> None:
+async def _front_door_stall(platform: FaultTarget, fault: Fault, front_doors: FrontDoors) -> None:
     await front_doors.stall(fault.front_door, fault.for_s)
 
 
-async def _front_door_reload(platform: Platform, fault: Fault, front_doors: FrontDoors) -> None:
+async def _front_door_reload(platform: FaultTarget, fault: Fault, front_doors: FrontDoors) -> None:
     """Discovery and counter service move for all front doors, each of which reloads on SIGHUP."""
     await platform.discovery.move(platform.front_doors)
     await platform.counter.move(platform.front_doors)
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -10,17 +10,17 @@
 import asyncio
 import json
 import logging
-from collections.abc import Iterable
 from dataclasses import replace
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Any
 
 from irisdeal.testbed.backend import BackendContext, BackendServer
 from irisdeal.testbed.backend_model import IdempotencyMemory, Meter
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.fault_players import FAULT_PLAYERS
-from irisdeal.testbed.fault_proxy import Address, Condition, Relay
+from irisdeal.testbed.fault_proxy import Relay
+from irisdeal.testbed.fault_target import FrontDoors, Links
 from irisdeal.testbed.front_door_settings import front_door_settings
 from irisdeal.testbed.loop_lag import LoopLagMonitor
 from irisdeal.testbed.remote_services import RemoteBackend, RemoteCounter, RemoteLinks, Sites
@@ -31,38 +31,6 @@
 log = logging.getLogger("irisdeal.testbed")
 
 
-class FrontDoors(Protocol):
-    """What the timeline does to front doors."""
-
-    async def kill(self, front_door: int, down: float) -> None:
-        """SIGKILL, and start again after `down` s."""
-
-    async def restart(self, front_door: int) -> None:
-        """SIGTERM, and start again once it has ended."""
-
-    async def stall(self, front_door: int, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after `seconds`; it is in `request logs.pauses` by then."""
-
-    async def reload(self, front_door: int) -> None:
-        """Send SIGHUP; the configuration file is written already."""
-
-
-class Links(Protocol):
-    """Ways with faults between names: see `relay.Relay`."""
-
-    async def add(self, source: str, target: str, to: Address) -> Address:
-        """Open a link; the address to use in place of the target's."""
-
-    def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
-        """Set the condition of the links of these names, or of those to a target."""
-
-    def reset(self, names: Iterable[str], target: str = "") -> None:
-        """Reset the connections of these links."""
-
-    def close(self) -> None:
-        """Close all links."""
-
-
 class Platform:
     """All test services of one run."""
 
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -194,7 +194,9 @@
 @pytest.mark.parametrize("count", (3, 4))
 @pytest.mark.parametrize("seed", range(6))
 def test_eight_concurrent_puts_all_complete(count: int, seed: int) -> None:
-    """No two ballots preempt each other for ever: all end within half of the time limit, whatever the disks."""
+    """No two ballots preempt each other for ever: all end within half of the time limit, whatever
+    the disks.
+    """
     store = SimulatedStore(count, seed)
     durations_s: list[float] = []
     outcomes: list[PutOutcome] = []
@@ -219,7 +221,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_bodies_under_one_number_and_repeated_puts(seed: int) -> None:
-    """One is decided, the other conflicts; each replica confirms a repeated put, whatever is decided by then."""
+    """One is decided, the other conflicts; each replica confirms a repeated put, whatever is
+    decided by then.
+    """
     store = SimulatedStore(3, seed)
     found: list[list[Any]] = []
 
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -1,4 +1,6 @@
-"""The states of the register searched exhaustively within bounds, and what the search finds with planted bugs."""
+"""The states of the register searched exhaustively within bounds, and what the search finds with planted
+bugs.
+"""
 
 from __future__ import annotations
 
--- a/tests/config_store/test_store_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -1,8 +1,8 @@
 """Five processes of the configuration store over loopback sockets, a fault proxy between them.
 
 SIGSTOP, SIGKILL, a lost disk, partitions both ways and one way, one after the other, while two operators put
-versions under the same numbers; the history must be linearizable. Everything is bounded; processes are ended by
-their ids.
+versions under the same numbers; the history must be linearizable. Everything is bounded; processes are ended
+by their ids.
 """
 
 from __future__ import annotations
@@ -170,7 +170,9 @@
 
 
 async def _faults(store: Store) -> list[tuple[str, float, float]]:
-    """Lose one member at a time, then all; return each loss by name, with its start and the start of the next."""
+    """Lose one member at a time, then all; return each loss by name, with its start and the start of the
+    next.
+    """
     spans: list[tuple[str, float, float]] = []
 
     @contextlib.contextmanager
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -449,7 +449,9 @@
 
 
 def test_a_wrong_version_of_the_announced_length_is_transferred_again() -> None:
-    """One source sends another body under the same id; the next request gets a snapshot from a correct one."""
+    """One source sends another body under the same id; the next request gets a snapshot from a
+    correct one.
+    """
     one, two = versions(2)
     version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     lie = encode_delta(one.body, one.body + b" " * (len(two.body) - len(one.body)))
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -55,7 +55,9 @@
     disk: MemoryDisk,
     act: Callable[[MemoryDisk, list[AcceptorState]], Any],
 ) -> Iterator[tuple[MemoryDisk, list[AcceptorState]]]:
-    """Yield the disk and what was answered, with `act` failing at each disk operation in turn; complete at last."""
+    """Yield the disk and what was answered, with `act` failing at each disk operation in turn; complete at
+    last.
+    """
     step = 0
     while True:
         copy, answered = disk.copy(), list[AcceptorState]()
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,6 @@
-"""The server side of HTTP/1.1: answers in the order of the requests, whatever a client does. Time is virtual."""
+"""The server side of HTTP/1.1: answers in the order of the requests, whatever a client does. Time
+is virtual.
+"""
 
 from __future__ import annotations
 
@@ -140,7 +142,9 @@
 
 
 def test_waiting_requests_are_not_begun_once_their_client_is_seen_to_have_left() -> None:
-    """A FIN alone may be a half-close of a client that still reads: a reset by its first answer shows it left."""
+    """A FIN alone may be a half-close of a client that still reads: a reset by its first answer
+    shows it left.
+    """
     play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "abort"])
     assert play.play() == [] and play.ran == [b"/1", b"/2"]
 
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -180,7 +180,9 @@
 
 
 def conserve(seed: int) -> None:
-    """Lost and delayed reports, proxies on clocks of their own, registries that restart without their state."""
+    """Lost and delayed reports, proxies on clocks of their own, registries that restart without
+    their state.
+    """
     chance = random.Random(seed)
     issuer, all_prefetched = (
         make_issuer(),
--- a/tests/permits/test_quota_world.py
+++ b/tests/permits/test_quota_world.py
@@ -1,4 +1,6 @@
-"""No tenant exceeds its limit under any fault: incidents of the past, random fault schedules, planted bugs."""
+"""No tenant exceeds its limit under any fault: incidents of the past, random fault schedules,
+planted bugs.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -1,6 +1,7 @@
 """Proxies and registries while a core machine is cut off, cut one way, or frozen, in virtual time.
 
-When proxies leave it, when what is decided is in force, and that the ages of knowledge that they state are true.
+When proxies leave it, when what is decided is in force, and that the ages of knowledge that they state are
+true.
 
 Bounds are computed here from the constants of the program, and held against those of the four deployments.
 """
@@ -54,8 +55,8 @@
 PROXY = max(REGISTRY, watch.MAX_POLL_S) + WAY + watch.MAX_POLL_S + WAY
 # A decided version whose announcement was lost: one round of a store in contact, then held asks are answered.
 APPLY = STORE + 2 * WAY
-# Confirmed by a member that is cut off before anybody received it: seen open in a round, left so for a while, then
-# a ballot at the next look.
+# Confirmed by a member that is cut off before anybody received it: seen open in a round, left so for a while,
+# then a ballot at the next look.
 OPEN = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 2 * WAY
 # A source whose machine is cut off from the core: its store's lease, the next look, another one looked for.
 LEAVE_CUT = CONTACT_LEASE_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + WAY
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -165,7 +165,9 @@
 
 @pytest.mark.parametrize("count", range(1, 8))
 def test_enough_were_heard_when_every_majority_has_a_member_among_them(count: int) -> None:
-    """The rule of `RegistryPeers.synchronize` by counting: any majority, the one that forgot among it or not."""
+    """The rule of `RegistryPeers.synchronize` by counting: any majority, the one that forgot among
+    it or not.
+    """
     seats = set(range(count))
     majorities = [set(some) for some in itertools.combinations(seats, count // 2 + 1)]
     for size in range(count):
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -141,7 +141,9 @@
 
 
 def test_a_cancelled_call_is_answered_and_forgotten() -> None:
-    """A cancelled call is answered once its task has ended, so that nothing is pending over this connection."""
+    """A cancelled call is answered once its task has ended, so that nothing is pending over this
+    connection.
+    """
     rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -1,8 +1,8 @@
 """Random runs with a judge on the wire: each answer goes to its own call, whatever peers and networks do.
 
-Time is virtual. The proxy's server, attempts and connections stand between scripted clients and scripted backends;
-our RPC clients and servers talk through partitions, stalls, resets and restarts. The judge knows only what was
-sent, what ran and what came back; it shares no code with what it judges. Each seed is one run.
+Time is virtual. The proxy's server, attempts and connections stand between scripted clients and scripted
+backends; our RPC clients and servers talk through partitions, stalls, resets and restarts. The judge knows
+only what was sent, what ran and what came back; it shares no code with what it judges. Each seed is one run.
 """
 
 from __future__ import annotations
@@ -359,7 +359,9 @@
         machines = [self.backend(number, f"i-{number}") for number in range(BACKENDS)]
 
         def reuse() -> None:
-            """Start another incarnation at the address of one that is gone; the proxy is notified of a third."""
+            """Start another incarnation at the address of one that is gone; the proxy is notified
+            of a third.
+            """
             machines[0].kill()
             self.backend(0, "i-9")
 
--- a/tests/rpc/test_call_specs.py
+++ b/tests/rpc/test_call_specs.py
@@ -1,4 +1,6 @@
-"""The specification of the calls: it has all that the programs send and handle, and the page says the same."""
+"""The specification of the calls: it has all that the programs send and handle, and the page says
+the same.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -1,6 +1,8 @@
-"""Bugs planted in the configuration store, each as a method in place of another; simulated days must find them.
+"""Bugs planted in the configuration store, each as a method in place of another; simulated days must find
+them.
 
-`planted(name)` is a context in which the program has that bug. The docstring of each method says what is wrong.
+`planted(name)` is a context in which the program has that bug. The docstring of each method says what is
+wrong.
 """
 
 from __future__ import annotations
--- a/tests/system/test_docs.py
+++ b/tests/system/test_docs.py
@@ -23,17 +23,18 @@
 
 # The users' plain words, each of which has a row in the glossary.
 USERS_WORDS = """
-told; whole; held; turned away; sent on; try; further try, second copy; drains, leaves; cold; ramp; aim; worth;
-trouble, mishap; ill, sick; thrown out, kept apart; probe; beat; life; list; news, word; duty; holder, keeper; hold;
-fence; mates, fellows, kin; copy; part, piece; place; mark; letter, note, errand; book, ledger; round, ballot;
-promise, vote; settle; mend; silence; cut; share; ceiling; shed; line, queue of waiting; pause that grows;
-repeatable; pinned; kept prefix, memory of a prompt; reads the prompt; makes tokens; put back, pushed out; lot;
-helper; saves; room; hand in
+told; whole; held; turned away; sent on; try; further try, second copy; drains, leaves; cold; ramp;
+aim; worth; trouble, mishap; ill, sick; thrown out, kept apart; probe; beat; life; list; news, word;
+duty; holder, keeper; hold; fence; mates, fellows, kin; copy; part, piece; place; mark; letter,
+note, errand; book, ledger; round, ballot; promise, vote; settle; mend; silence; cut; share;
+ceiling; shed; line, queue of waiting; pause that grows; repeatable; pinned; kept prefix, memory of
+a prompt; reads the prompt; makes tokens; put back, pushed out; lot; helper; saves; room; hand in
 """
 
 # Names of the programs and packages before they were renamed: no page but a history says them.
 WITHDRAWN = re.compile(r"\b(gauge|almanac|squall|mast|telegraph|vane|cresspulley)s?\b", re.IGNORECASE)
-# What keeps such a name for good: the folder on disk, the deprecated command, names that peers parse on the wire.
+# What keeps such a name for good: the folder on disk, the deprecated command, names that peers parse on the
+# wire.
 KEPT_NAMES = ("almanac-data", "irisdeal almanac", "gauge IP", "almanac IP")
 HISTORIES = ("docs/incidents/", "docs/ROADMAP.md", "docs/review.md", "CHANGELOG.md")
 
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -309,7 +309,8 @@
         )
         == []
     )
-    # Two thirds must come from front doors that had been told of this start: four of ten came from front door 0.
+    # Two thirds must come from front doors that had been told of this start: four of ten came from front door
+    # 0.
     assert len(broken(incarnations=[incarnation], attempts=ten, endpoint_notices=told[1:])) == 0
     assert (
         len(
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -155,7 +155,9 @@
 
 
 def test_the_load_is_what_was_asked() -> None:
-    """Work asked inside the quotas comes to `use` of what the backends can do, within what few tenants allow."""
+    """Work asked inside the quotas comes to `use` of what the backends can do, within what few
+    tenants allow.
+    """
     scenario = parse('base = "calm"\n[load]\nuse = 0.4\nfull = 0\nheavy = 0\nspiky = 0\n')
     day = draw(scenario, 3)
     units = sum(scenario.classes[a.kind].units for a in day.arrivals) / scenario.seconds
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -1,4 +1,6 @@
-"""The services of the testbed on real sockets, each with its faults; and the hard cases of a whole platform."""
+"""The services of the testbed on real sockets, each with its faults; and the hard cases of a whole
+platform.
+"""
 
 from __future__ import annotations
 
@@ -491,7 +493,9 @@
 
 
 def test_a_link_that_falls_silent_with_hundreds_of_attempts_out_loses_no_request() -> None:
-    """Every backend behind its link, slow enough that 200 attempts are out, then all links silent for good."""
+    """Every backend behind its link, slow enough that 200 attempts are out, then all links silent
+    for good.
+    """
     text = SMALL.replace("work_ms = 12", "work_ms = 700").replace("work_ms = 20", "work_ms = 700")
     text = text.replace("aim_ms = 400", "aim_ms = 2000").replace("aim_ms = 500", "aim_ms = 2000")
     text = text.replace("deadline_ms = 900", "deadline_ms = 2500").replace("retries = 1", "retries = 0")
