--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -24,9 +24,9 @@
 from itertools import accumulate
 from typing import Any, Protocol
 
-from irisdeal.front_door.quota.account import Account
-from irisdeal.front_door.quota.call import Call, Purpose
-from irisdeal.front_door.quota.crowding import Crowding, Way
+from irisdeal.front_door.quota.counter_calls import CallPurpose, CounterCall
+from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
+from irisdeal.front_door.quota.quota_account import QuotaAccount
 
 SECOND = 1_000_000
 START = 1_000_000 * SECOND
@@ -95,7 +95,7 @@
 class Desk(Protocol):
     """A way to decide tries at all doors."""
 
-    def ask(self, one: Try, now: int) -> bool | list[Call]:
+    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
         """Whether a try goes out, or the calls that decide it."""
         ...
 
@@ -103,14 +103,14 @@
 class All:
     """Lets all in."""
 
-    def ask(self, one: Try, now: int) -> bool | list[Call]:
+    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
         return True
 
 
 class Known:
     """Knows each store at once: the end of the scale."""
 
-    def ask(self, one: Try, now: int) -> bool | list[Call]:
+    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
         return one.store.flow(now) >= one.units
 
 
@@ -118,24 +118,24 @@
     """The program's accounts, decided as the module decides."""
 
     def __init__(self, doors: int, chance: random.Random) -> None:
-        self.chance, self.accounts = chance, dict[tuple[int, int], Account]()
-        self.crowding = [Crowding() for _ in range(doors)]
+        self.chance, self.accounts = chance, dict[tuple[int, int], QuotaAccount]()
+        self.crowding = [CounterOverload() for _ in range(doors)]
 
-    def account(self, one: Try, now: int) -> Account:
+    def account(self, one: Try, now: int) -> QuotaAccount:
         key, (rate, burst) = (one.door, one.store.key), PLANS[one.store.plan][:2]
         if key not in self.accounts:
-            self.accounts[key] = Account(one.store.key, rate, burst, len(one.store.doors), now)
+            self.accounts[key] = QuotaAccount(one.store.key, rate, burst, len(one.store.doors), now)
         return self.accounts[key]
 
-    def ask(self, one: Try, now: int) -> bool | list[Call]:
+    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
         account = self.account(one, now)
-        account.ask(one.units, now)
-        if account.is_vain(now, self.chance.random()):
+        account.record_demand(one.units, now)
+        if account.rejects_without_call(now, self.chance.random()):
             return False
-        way = self.crowding[one.door].way(one.number > 1, self.chance.random())
-        if way is Way.ASK:
+        way = self.crowding[one.door].admission_path(one.number > 1, self.chance.random())
+        if way is AdmissionPath.CLAIM:
             return [account.claim(one.units, now, self.chance.random())]
-        return account.by_itself(one.units, now) if way is Way.ALONE else False
+        return account.admit_locally(one.units, now) if way is AdmissionPath.LOCAL else False
 
 
 @dataclass
@@ -219,7 +219,7 @@
         self.sums["tries"] += 1
         self._decided(one, self.desk.ask(one, self.now))
 
-    def _decided(self, one: Try, goes: bool | list[Call]) -> None:
+    def _decided(self, one: Try, goes: bool | list[CounterCall]) -> None:
         if isinstance(goes, list):
             for call in goes:
                 self._call(one, call)
@@ -240,7 +240,7 @@
             door = self.random.choices(one.store.doors, cum_weights=one.store.weights)[0]
             self.at(self.now + PAUSE, self._try, Try(one.store, one.kind, door, one.number + 1))
 
-    def _call(self, one: Try, call: Call) -> None:
+    def _call(self, one: Try, call: CounterCall) -> None:
         """The keeper: parts by name, each with one line."""
         self.sums["calls"] += 1
         if self.silent[0] <= (self.now - START) / SECOND < self.silent[1]:
@@ -255,25 +255,25 @@
         self.sums["late"] += begin + service + WAY - self.now > 30_000
         self.at(begin + service + WAY, self._answered, one, call, total)
 
-    def _answered(self, one: Try, call: Call, total: float) -> None:
+    def _answered(self, one: Try, call: CounterCall, total: float) -> None:
         assert isinstance(self.desk, Counted)
         self.desk.crowding[one.door].answered()
-        holds, calls = self.desk.account(one, self.now).answered(call, total, self.now)
+        holds, calls = self.desk.account(one, self.now).counter_answered(call, total, self.now)
         self._decided(one, calls)
-        if holds is not None and call.purpose in (Purpose.CLAIM, Purpose.READ):
+        if holds is not None and call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
             self._decided(one, holds)
 
-    def _turned_away(self, one: Try, call: Call) -> None:
+    def _turned_away(self, one: Try, call: CounterCall) -> None:
         assert isinstance(self.desk, Counted)
-        self.desk.crowding[one.door].turned_away()
-        if call.purpose in (Purpose.CLAIM, Purpose.READ):
+        self.desk.crowding[one.door].rejected()
+        if call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
             self._decided(one, False)
 
-    def _unanswered(self, one: Try, call: Call) -> None:
+    def _unanswered(self, one: Try, call: CounterCall) -> None:
         assert isinstance(self.desk, Counted)
         self.desk.crowding[one.door].unanswered()
-        if call.purpose in (Purpose.CLAIM, Purpose.READ):
-            self._decided(one, self.desk.account(one, self.now).by_itself(one.units, self.now))
+        if call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
+            self._decided(one, self.desk.account(one, self.now).admit_locally(one.units, self.now))
 
 
 WAYS: dict[str, Callable[[int, int], Desk]] = {
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -4,7 +4,7 @@
     python -m benchmarks.many_doors --seeds 20 --fault silent
 
 Each customer comes through all twelve doors, so that a door sees one of them once in seconds; what it may
-have is known to the keeper alone. Bounds are those at the top of `irisdeal/front_door/quota/account.py`; figures
+have is known to the keeper alone. Bounds: those of `irisdeal/front_door/quota/quota_account.py`; figures
 are by the boxes' books. Columns: rules kept, the worst store's units over its quota, the bound, what quiet stores
 asked, the share of it that was refused with half of the store or more left, and what was served.
 """
@@ -18,7 +18,7 @@
 
 from irisdeal.demo.deployment import Deploy
 from irisdeal.demo.run import Outcome, play
-from irisdeal.front_door.quota.account import EVEN, SECOND, Account
+from irisdeal.front_door.quota.quota_account import LOCAL_SHARES, US_PER_S, QuotaAccount
 from irisdeal.testbed.quota_overshoot import Refusals, refusals
 from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
@@ -85,10 +85,10 @@
 def bound(fault: str) -> float:
     """Units by which a store may pass its quota at most."""
     _, again, alone = FAULTS[fault]
-    account = Account(0, 1.0, 6.0, DOORS, 0)
-    most = (1 + again) * (account.burst + account.flow(account.slot))
+    account = QuotaAccount(0, 1.0, 6.0, DOORS, 0)
+    most = (1 + again) * (account.burst + account.refill(account.slot_us))
     if alone:
-        most += DOORS * LARGEST + EVEN * (account.burst + account.flow(round(alone * SECOND)))
+        most += DOORS * LARGEST + LOCAL_SHARES * (account.burst + account.refill(round(alone * US_PER_S)))
     return most
 
 
--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -48,9 +48,9 @@
 from irisdeal.front_door.decisions.records import Request, Server, Try
 from irisdeal.front_door.decisions.tenant import FEW_WAYS, NEAR, SECOND, Customer
 from irisdeal.front_door.queueing.fair_queue import FairQueue
-from irisdeal.front_door.quota.account import Account
-from irisdeal.front_door.quota.call import Call
-from irisdeal.front_door.quota.crowding import Crowding, Way
+from irisdeal.front_door.quota.counter_calls import CounterCall
+from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
+from irisdeal.front_door.quota.quota_account import QuotaAccount
 from irisdeal.front_door.zones.belief import Word, Zones
 
 ROOM, FILL, LEFT = 0.90, 0.7, 0.5  # parts that the chance aims at: of rate, cap, what is left of a burst
@@ -103,8 +103,8 @@
         self.customers: dict[tuple[int, int], Customer] = {}
         self.requests: dict[int, Request] = {}
         self.calls: dict[int, deque[tuple[Request, float, int]]] = {}
-        self.claims: dict[int, deque[tuple[Customer, Call, Request | None]]] = {}
-        self.crowding = Crowding()
+        self.claims: dict[int, deque[tuple[Customer, CounterCall, Request | None]]] = {}
+        self.counter_overload = CounterOverload()
         self.words: dict[int, deque[Word]] = {}
         self.zones = Zones(
             settings.gateways,
@@ -395,27 +395,27 @@
             call = age > (spare / 4 if near else spare)
         (self._call if call and self.settings.counter and room else self._admit)(request)
 
-    def _arrival_claimed(self, request: Request, account: Account, again: bool) -> None:
+    def _arrival_claimed(self, request: Request, account: QuotaAccount, again: bool) -> None:
         """The count decides, unless what it told before does, or it has no time."""
-        account.ask(request.units, self.now)
-        if account.is_vain(self.now, self.random.random()):
+        account.record_demand(request.units, self.now)
+        if account.rejects_without_call(self.now, self.random.random()):
             return self._answer(request)
-        way = self.crowding.way(again, self.random.random())
-        if way is Way.ASK:
+        way = self.counter_overload.admission_path(again, self.random.random())
+        if way is AdmissionPath.CLAIM:
             claim = account.claim(request.units, self.now, self.random.random())
             self._tell(request.customer, [claim], request)
         else:
-            (self._go_alone if way is Way.ALONE else self._answer)(request)
+            (self._go_alone if way is AdmissionPath.LOCAL else self._answer)(request)
 
     def _go_alone(self, request: Request) -> None:
-        alone = request.customer.account and request.customer.account.by_itself(request.units, self.now)
+        alone = request.customer.account and request.customer.account.admit_locally(request.units, self.now)
         (self._enqueue if alone else self._answer)(request)
 
-    def _tell(self, customer: Customer, calls: list[Call], request: Request | None = None) -> None:
+    def _tell(self, customer: Customer, calls: list[CounterCall], request: Request | None = None) -> None:
         for call in calls:
             self.claims.setdefault(call.name, deque()).append((customer, call, request))
             self.actions.append(
-                Count(call.name, call.amount, call.life, CALL_PATIENCE * self.settings.counter_timeout)
+                Count(call.name, call.amount, call.lifetime_us, CALL_PATIENCE * self.settings.counter_timeout)
             )
 
     def _forget(self) -> None:
@@ -456,9 +456,12 @@
 
     def _enqueue(self, request: Request) -> None:
         customer = request.customer
-        if customer.account and customer.plan.open_limit and customer.account.heard_at >= 0:
+        if customer.account and customer.plan.open_limit and customer.account.total_known_at >= 0:
             slots = self.usual[request.kind] / SECOND / request.units  # by Little's law, and as a mean
-            customer.split(slots * customer.account.here(self.now), slots * customer.account.total(self.now))
+            customer.split(
+                slots * customer.account.local_rate_per_s(self.now),
+                slots * customer.account.total_rate_per_s(self.now),
+            )
             self._free(customer)  # its bound may have grown
         request.entry.cost = self.usual[request.kind]
         customer.waiting += 1
@@ -652,7 +655,7 @@
         if request.uploading:
             self._uploaded(request)
         if not request.tries and request.claim and (account := request.customer.account):
-            self._tell(request.customer, account.give_back(request.claim, self.now))
+            self._tell(request.customer, account.return_claim(request.claim, self.now))
             request.claim = None
         if request.entry.flow:
             self.queue.remove(request.entry)
@@ -690,12 +693,12 @@
         account, live = customer.account, request if request and not request.ended else None
         assert account is not None
         if event.result is Result.OK:
-            self.crowding.answered()
-            first = account.heard_at < 0
-            holds, more = account.answered(call, event.total, self.now)
+            self.counter_overload.answered()
+            first = account.total_known_at < 0
+            holds, more = account.counter_answered(call, event.total, self.now)
             self._tell(customer, more, request if holds is None else None)
             if first and (ceiling := customer.plan.ceiling_rate):
-                part = 0.5 - account.total(self.now) / ceiling
+                part = 0.5 - account.total_rate_per_s(self.now) / ceiling
                 customer.store = max(customer.store, customer.ceiling_most * part)
             if live and holds:
                 live.claim = call
@@ -703,13 +706,13 @@
             elif live and holds is False:
                 self._answer(live)
             elif request and holds:
-                self._tell(customer, account.give_back(call, self.now))
+                self._tell(customer, account.return_claim(call, self.now))
         elif event.result is Result.TURNED_AWAY:
-            self.crowding.turned_away()
+            self.counter_overload.rejected()
             if live:  # its client comes again: a call made again here helps less
                 self._answer(live)
         else:
-            self.crowding.unanswered()
+            self.counter_overload.unanswered()
             if live:
                 self._go_alone(live)
 
--- a/irisdeal/front_door/decisions/records.py
+++ b/irisdeal/front_door/decisions/records.py
@@ -8,7 +8,7 @@
 from irisdeal.front_door.decisions.interface import Arrival, Plan, ServerEntry
 from irisdeal.front_door.decisions.tenant import Customer
 from irisdeal.front_door.queueing.fair_queue import Entry
-from irisdeal.front_door.quota.call import Call
+from irisdeal.front_door.quota.counter_calls import CounterCall
 
 
 class Server:
@@ -46,5 +46,5 @@
         self.last = self.waits_till = max(now, self.gives_up - 2 * tick)  # when it must be answered; sent
         self.tries: list[Try] = []
         self.ended, self.uploading = False, event.uploading  # its body is still on the way
-        self.claim: Call | None = None  # by which it holds units of its customer's quota
+        self.claim: CounterCall | None = None  # by which it holds units of its customer's quota
         self.entry = Entry(self, 1.0, event.size, now)  # its place while it waits
--- a/irisdeal/front_door/decisions/tenant.py
+++ b/irisdeal/front_door/decisions/tenant.py
@@ -7,7 +7,7 @@
 
 from irisdeal.front_door.decisions.interface import Arrival, Settings
 from irisdeal.front_door.queueing.fair_queue import Flow
-from irisdeal.front_door.quota.account import Account
+from irisdeal.front_door.quota.quota_account import QuotaAccount
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
 PERIOD = 8  # fading intervals that one name holds; a new name starts from what was last known
@@ -38,7 +38,7 @@
         self.total = self.mine_then = self.raw = self.base = self.credit = 0.0
         self.told_at, self.told_index, self.looks_at, self.since = -1, -1, 0, 0
         self.account = (
-            Account(self.key, plan.rate, plan.burst, self.ways, now)
+            QuotaAccount(self.key, plan.rate, plan.burst, self.ways, now)
             if (settings.counter and plan.rate and settings.gateways > FEW_WAYS)
             else None
         )
--- a/irisdeal/front_door/handover/state.py
+++ b/irisdeal/front_door/handover/state.py
@@ -44,11 +44,23 @@
 )
 CUSTOMER_TIMES = ("store_at", "asked_at", "told_at", "since")
 CUSTOMER_WHOLE = ("told_index", "bound")
-ACCOUNT = ("drawn", "carried", "much", "mine", "alone")
-ACCOUNT_TIMES = ("heard_at", "mine_at", "alone_at")
-ACCOUNT_WHOLE = ("index", "much_in")
-CROWDING = ("crowded", "silent")
+# Keys of the handover's JSON, which older processes write and read, to attributes.
+ACCOUNT = {
+    "drawn": "claimed",
+    "carried": "carried_over",
+    "much": "excess_rate_per_s",
+    "mine": "local_demand",
+    "alone": "local_allowance",
+}
+ACCOUNT_TIMES = {
+    "heard_at": "total_known_at",
+    "mine_at": "local_demand_at",
+    "alone_at": "local_allowance_at",
+}
+ACCOUNT_WHOLE = {"index": "slot_index", "much_in": "excess_slot"}
+CROWDING = {"crowded": "attempts_per_claim", "silent": "unanswered_share"}
 GATEWAY = ("service", "value", "again", "strain")
+Names = tuple[str, ...] | dict[str, str]
 
 
 def pack(gateway: Gateway, now: int, share: float) -> dict[str, Any]:
@@ -66,7 +78,7 @@
         "quickest": gateway.quickest,
         "window": gateway.window / gateway.usual_window,
         "gateway": _values(gateway, GATEWAY),
-        "crowding": _values(gateway.crowding, CROWDING),
+        "crowding": _values(gateway.counter_overload, CROWDING),
         "barred": [[_text(key), since] for key, since in gateway.barred.items()],
         "servers": [_server(gateway, key, server) for key, server in gateway.servers.items()],
         "customers": [_customer(key, customer, share) for key, customer in reversed(customers)],
@@ -91,7 +103,7 @@
             own[:] = [_number(value, old, 0.0) for value, old in zip(values, own, strict=True)]
     gateway.window = gateway.usual_window * _number(told.get("window"), 1.0, 1e-3)
     _take(gateway, told.get("gateway"), GATEWAY)
-    _take(gateway.crowding, told.get("crowding"), CROWDING)
+    _take(gateway.counter_overload, told.get("crowding"), CROWDING)
     for one in _lists(told.get("barred"), 2):
         gateway.barred[_bytes(one[0])] = min(now, _whole(one[1], now))
     for one in told["servers"]:
@@ -141,7 +153,7 @@
     for name in ("store", "ceiling_rate", "ceiling_most"):
         told[name] *= share
     if (account := customer.account) is not None:
-        told["account"] = _values(account, (*ACCOUNT, *ACCOUNT_TIMES, *ACCOUNT_WHOLE))
+        told["account"] = _values(account, {**ACCOUNT, **ACCOUNT_TIMES, **ACCOUNT_WHOLE})
     return told
 
 
@@ -175,24 +187,29 @@
     return True
 
 
-def _values(owner: object, names: Iterable[str]) -> dict[str, Any]:
-    return {name: getattr(owner, name) for name in names}
+def _attributes(names: Names) -> Iterable[tuple[str, str]]:
+    """Pairs of a key in the JSON and the attribute that it stands for."""
+    return names.items() if isinstance(names, dict) else ((name, name) for name in names)
 
 
-def _take(owner: object, told: object, names: Iterable[str]) -> None:
+def _values(owner: object, names: Names) -> dict[str, Any]:
+    return {key: getattr(owner, name) for key, name in _attributes(names)}
+
+
+def _take(owner: object, told: object, names: Names) -> None:
     if isinstance(told, dict):
-        for name in names:
-            setattr(owner, name, _number(told.get(name), getattr(owner, name)))
+        for key, name in _attributes(names):
+            setattr(owner, name, _number(told.get(key), getattr(owner, name)))
 
 
-def _take_times(owner: object, told: dict[str, Any], names: Iterable[str], now: int) -> None:
-    for name in names:
-        setattr(owner, name, max(-1, min(now, _whole(told.get(name), getattr(owner, name)))))
+def _take_times(owner: object, told: dict[str, Any], names: Names, now: int) -> None:
+    for key, name in _attributes(names):
+        setattr(owner, name, max(-1, min(now, _whole(told.get(key), getattr(owner, name)))))
 
 
-def _take_whole(owner: object, told: dict[str, Any], names: Iterable[str]) -> None:
-    for name in names:
-        setattr(owner, name, _whole(told.get(name), getattr(owner, name)))
+def _take_whole(owner: object, told: dict[str, Any], names: Names) -> None:
+    for key, name in _attributes(names):
+        setattr(owner, name, _whole(told.get(key), getattr(owner, name)))
 
 
 def _number(value: object, otherwise: float, least: float = -BOUND) -> float:
--- a/irisdeal/front_door/quota/__init__.py
+++ b/irisdeal/front_door/quota/__init__.py
@@ -1,1 +1,1 @@
-"""A customer's quota over all doors, as one door can know it; no I/O."""
+"""Quota accounts at a shared counter service, and claims while that service is overloaded. No I/O, no own clock."""
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -27,6 +27,7 @@
     ServerList,
     Shared,
 )
+from irisdeal.front_door.handover import state as handover_state
 from irisdeal.front_door.handover.message import (
     HEAD,
     MOST_BODY,
@@ -39,6 +40,8 @@
 )
 from irisdeal.front_door.handover.roles import HALF, Event, Role, Stage
 from irisdeal.front_door.handover.state import pack, unpack
+from irisdeal.front_door.quota.counter_overload import CounterOverload
+from irisdeal.front_door.quota.quota_account import QuotaAccount
 from irisdeal.front_door.server.host import Host
 from irisdeal.front_door.server.program import Program
 from tests.front_door.test_operator import operate
@@ -481,3 +484,16 @@
         folder.mkdir()
         async with program(folder, known=whole_list(member("s-1", 9))) as old, program(folder):
             await until(old, Stage.YIELDED)
+
+
+def test_the_keys_of_accounts_in_a_handover_stay_whatever_the_attributes_are_called() -> None:
+    """Processes of the version before write and read them."""
+    accounts = {**handover_state.ACCOUNT, **handover_state.ACCOUNT_TIMES, **handover_state.ACCOUNT_WHOLE}
+    assert list(accounts) == [
+        *("drawn", "carried", "much", "mine", "alone"),
+        *("heard_at", "mine_at", "alone_at"),
+        *("index", "much_in"),
+    ]
+    assert list(handover_state.CROWDING) == ["crowded", "silent"]
+    assert set(accounts.values()) <= set(QuotaAccount.__slots__)
+    assert set(handover_state.CROWDING.values()) == set(vars(CounterOverload()))
--- a/tests/front_door/test_layout.py
+++ b/tests/front_door/test_layout.py
@@ -51,9 +51,9 @@
         "irisdeal.front_door.decisions.interface",
         "irisdeal.front_door.decisions.records",
         "irisdeal.front_door.queueing.fair_queue",
-        "irisdeal.front_door.quota.account",
-        "irisdeal.front_door.quota.call",
-        "irisdeal.front_door.quota.crowding",
+        "irisdeal.front_door.quota.quota_account",
+        "irisdeal.front_door.quota.counter_calls",
+        "irisdeal.front_door.quota.counter_overload",
         "irisdeal.front_door.zones.belief",
     }
     for path in POLICY:
--- a/tests/front_door/test_mechanism.py
+++ b/tests/front_door/test_mechanism.py
@@ -16,7 +16,7 @@
     Woken,
 )
 from irisdeal.front_door.decisions.tenant import FEW_WAYS, Customer
-from irisdeal.front_door.quota.account import DRAWN_FULL
+from irisdeal.front_door.quota.quota_account import CLAIMED_MODULUS
 from tests.support.decisions_rig import CAPPED, CEILED, FREE, MS, RATED, SAFE, SECOND, Desk, name, of, plan
 
 
@@ -492,9 +492,9 @@
     desk = Desk(servers=0, gateways=40)
     for _ in range(28):
         desk.ask(customer=4, plan=RATED, gateways=20)
-    told = sum(total % DRAWN_FULL for total in desk.counts.values())
+    told = sum(total % CLAIMED_MODULUS for total in desk.counts.values())
     desk.run(2 * SECOND)
-    assert 0 < sum(total % DRAWN_FULL for total in desk.counts.values()) < 0.7 * told
+    assert 0 < sum(total % CLAIMED_MODULUS for total in desk.counts.values()) < 0.7 * told
 
 
 def test_a_claim_that_holds_once_its_client_has_left_is_given_back() -> None:
