--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -83,6 +83,10 @@
         self._retain_needed()
 
     async def _write_new_identity(self, first: Value | None) -> PersistedState:
+        """Give an empty disk an identity.
+
+        `replace_wiped_disk` of membership/reconfiguration.py lets it into the member list again.
+        """
         value = first or UNKNOWN
         disk_id = FIRST if first else secrets.token_hex(DISK_ID_BYTES)
         persisted = PersistedState(disk_id, AcceptorState(NO_BALLOT, NO_BALLOT, value), value)
--- a/irisdeal/config_store/membership/monitor.py
+++ b/irisdeal/config_store/membership/monitor.py
@@ -10,9 +10,8 @@
 from irisdeal.config_store.membership.view import DEAD_AFTER_S, RECENT_S, MembershipView, PeerStatus
 from irisdeal.runtime.events import Event
 
-ALL_DISKS_EMPTY_S = (
-    15.0  # without anyone who knows a list, after which all disks count as lost: any start is over
-)
+# Where no replica has reported a member list for this long, all disks count as lost; longer than any start takes.
+ALL_DISKS_EMPTY_S = 15.0
 ASSUMED_LIVE_S = 60.0  # for which a member that others added counts as alive
 FORGET_LEARNER_S = 60.0  # without a status, after which a learner is forgotten
 MAX_TRACKED_LEARNERS = 256  # ten times the largest core
--- a/irisdeal/config_store/membership/status_rounds.py
+++ b/irisdeal/config_store/membership/status_rounds.py
@@ -1,4 +1,4 @@
-"""Status rounds of one replica: it asks all others for their status at an interval.
+"""Status rounds of one replica: it asks all others for their status, and proposes changes of the member list.
 
 From the answers it knows whether it has contact with a quorum, what is decided, and who became a member or left. A
 peer that does not answer is waited for beside the rounds. What takes a disk's time or a ballot's runs beside the
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -23,9 +23,9 @@
 )
 MAX_CHUNKS = 400  # of one version: over 20 MB
 MAX_ARRIVING = 6  # versions pushed to us at once: of up to 16 MB each
-HELLO_NAME = (
-    "almanac"  # of a replica that connects, followed by its address: peers of other releases parse it
-)
+# The name that a replica gives of itself on a connection, followed by its address: the former name of the program,
+# which peers of other releases parse.
+HELLO_NAME = "almanac"
 
 
 class Peers:
--- a/irisdeal/http1/connection.py
+++ b/irisdeal/http1/connection.py
@@ -102,7 +102,10 @@
         return True
 
     def _depart(self) -> None:
-        """End the work for a client that was seen to have left."""
+        """Cancel the task of a client that has disconnected.
+
+        A handler may exempt work that must not be repeated (`Attempt.must_finish_once_sent` of the proxy).
+        """
         for request in self.unanswered():
             if request.departed_at is None:
                 request.departed_at = self.loop.time()
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -26,8 +26,8 @@
 from irisdeal.rpc.calls import process_name
 
 # Costs, in typical latencies of the service
-ZONE_COST = 0.6  # that another zone must be faster by: its bytes are dear, its load is reported late
-REGION_COST = 2.0  # likewise another region
+ZONE_COST = 0.6  # of another zone: traffic between zones is costly, and its load is reported late
+REGION_COST = 2.0  # of another region
 CONNECT_COST = 0.6  # of a new connection
 ERROR_COST = 4.0  # of a backend of which every attempt fails
 OVERLOAD_COST = 10.0  # of a backend that is ejected, saturated or suspect, where there is none else
--- a/irisdeal/proxy/attempt.py
+++ b/irisdeal/proxy/attempt.py
@@ -9,7 +9,6 @@
 from irisdeal.http1.messages import Request
 from irisdeal.load_balancing.backend_choice import MIN_LATENCY_S, BackendChoice, LatencyEstimate
 from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.proxy.admission import RequestPermit
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.attempt_placer import AttemptPlacer, PlacedAttempt
 from irisdeal.proxy.backend_request import DEADLINE_MARGIN_S, BackendRequest, encode_request
@@ -18,6 +17,7 @@
 from irisdeal.proxy.metrics import ProxyMetrics
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.route_table import Route
+from irisdeal.proxy.tenant_admission import RequestPermit
 from irisdeal.registry.messages import ReservationEnd
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
@@ -88,7 +88,7 @@
         self.task.add_done_callback(self._on_task_done)
 
     @property
-    def must_go_on(self) -> bool:
+    def must_finish_once_sent(self) -> bool:
         """Whether the backend may have begun what executes only once."""
         return self.admitted.route.is_mutating and self.sent.is_sent and not self.task.done()
 
--- a/irisdeal/proxy/attempt_placer.py
+++ b/irisdeal/proxy/attempt_placer.py
@@ -11,10 +11,10 @@
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, LatencyEstimate
 from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.proxy.admission import SEND_WITHIN_S, RequestPermit, TenantAdmission
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.registry_client import PLACEMENT_TIMEOUT_S, Placement, RegistryClient
 from irisdeal.proxy.rejection import permits_unavailable
+from irisdeal.proxy.tenant_admission import SEND_WITHIN_S, RequestPermit, TenantAdmission
 from irisdeal.ratelimit.retry_budget import RetryBudgets
 from irisdeal.registry.messages import PlacementRequest, PlacementResult, ReservationEnd
 
--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -155,7 +155,7 @@
         if (violation := self._violation(named, attempt_id)) is not None:
             return self._fail(violation)
         if status in NOT_EXECUTED_STATUSES:
-            return self._fail(f"{status} without a word that it has not run", keep)
+            return self._fail(f"{status} without X-Irisdeal-Not-Executed: may have been executed", keep)
         self._finish(self._response_outcome(), keep)
 
     def _mismatch(self, attempt_id: bytes | None) -> str | None:
--- a/irisdeal/proxy/drain_plan.py
+++ b/irisdeal/proxy/drain_plan.py
@@ -10,11 +10,10 @@
 from dataclasses import dataclass
 
 END_SHARE, MIN_END_S = 1 / 15, 0.25  # of the grace, s: kept for the last bytes and the process's own end
-QUIET_SHARE, MAX_QUIET_S = 0.6, 3.5  # of the grace, s: that the platform may go on sending connections to us
-ACCEPT_SHARE, MAX_ACCEPT_S = (
-    0.5,
-    3.0,
-)  # of the grace, s: in which requests without an early deadline are taken
+# Share of the grace period, and s at most, in which the platform may still send new connections to this process.
+QUIET_SHARE, MAX_QUIET_S = 0.6, 3.5
+# Share of the grace period, and s at most, in which requests without an early deadline are accepted.
+ACCEPT_SHARE, MAX_ACCEPT_S = 0.5, 3.0
 LAST_CALL_S = 0.1  # before the end, for the rejections to go out
 LATENCY_FACTOR = 1.5  # times the slowest response of late that a request is given
 
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -11,7 +11,6 @@
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer, Unanswered
 from irisdeal.load_balancing.backend_choice import BackendChoice
-from irisdeal.proxy.admission import TenantAdmission
 from irisdeal.proxy.attempt import AttemptServices
 from irisdeal.proxy.attempt_placer import AttemptPlacer
 from irisdeal.proxy.backend_directory import BackendDirectory
@@ -23,6 +22,7 @@
 from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.proxy.request_handler import RequestHandler
 from irisdeal.proxy.route_table import RouteTable
+from irisdeal.proxy.tenant_admission import TenantAdmission
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK_SHARE, RetryBudgets
 from irisdeal.registry.incarnation import BackendIncarnation
 from irisdeal.runtime.early_listen import Listening
--- a/irisdeal/proxy/rejection.py
+++ b/irisdeal/proxy/rejection.py
@@ -1,4 +1,8 @@
-"""Final responses of the proxy's own, with when to come back where the request was not executed."""
+"""Final responses of the proxy's own, with when to come back where the request was not executed.
+
+429 is raised in two places: `request_handler.py` (shed by chance) and `attempt_placer.py` (a registry has no
+permit).
+"""
 
 from __future__ import annotations
 
--- a/irisdeal/proxy/request_attempts.py
+++ b/irisdeal/proxy/request_attempts.py
@@ -5,7 +5,8 @@
 request that may be executed once only, from the moment at which a byte of it may have been sent: it is waited for
 to its end, and its response is given, if there is anybody to read it.
 
-What keeps the rules TWICE and REFUSED: an attempt is retried only after `NOT_SENT` or `NOT_EXECUTED`, or
+Guarantees: a request that is not idempotent is never executed twice, and 429 and 503 promise that nothing was
+executed (the users' rules TWICE and REFUSED). So an attempt is retried only after `NOT_SENT` or `NOT_EXECUTED`, or
 `MAY_HAVE_EXECUTED` where the route is idempotent; 429 and 503 are answered only where no attempt may have been
 executed.
 """
@@ -26,7 +27,7 @@
 MIN_ATTEMPT_S = 0.010  # left to a request's deadline, under which no attempt is begun
 HEDGE_FACTOR, MIN_HEDGE_DELAY_S = 3.0, 0.1  # times the typical latency, s: then a hedged request is sent
 MAX_HEDGED = 2  # attempts at work at once, of an idempotent request
-# Of the latency target, that a request waits in queues; rejected later, it would be expensive and useless.
+# Largest share of the latency target that a request spends in queues: a later rejection wastes work.
 QUEUE_SHARE = 0.22
 MAX_UNREACHABLE = 4  # backends that could not be reached, then the request is given up
 RETRY_AFTER_S = 0.1  # after which a client whose request was not executed may come back
@@ -80,7 +81,7 @@
 
     async def _run(self) -> Answer:
         while True:
-            if self._may_begin_another():
+            if self._may_retry_or_hedge():
                 await self._begin_another()
             if not self.running:
                 return self._final()
@@ -89,7 +90,7 @@
 
     async def _finish_running(self) -> Answer:
         """Wait for what executes once only and has begun; abandon all else."""
-        going_on = [attempt for attempt in self.running if attempt.must_go_on]
+        going_on = [attempt for attempt in self.running if attempt.must_finish_once_sent]
         for attempt in self.running:
             if attempt not in going_on:
                 self.may_have_executed |= attempt.sent.is_sent
@@ -102,7 +103,7 @@
 
     # Beginning an attempt
 
-    def _may_begin_another(self) -> bool:
+    def _may_retry_or_hedge(self) -> bool:
         """Return whether a further attempt may begin now."""
         route, now, until = self.admitted.route, self.loop.time(), self.admitted.until
         if self._is_given_up() or (route.is_mutating and self.may_have_executed):
--- a/irisdeal/proxy/request_handler.py
+++ b/irisdeal/proxy/request_handler.py
@@ -13,11 +13,11 @@
 from irisdeal.http1.phase import Phase
 from irisdeal.load_balancing.backend_choice import LatencyEstimate
 from irisdeal.permits.allowance import Limit
-from irisdeal.proxy.admission import RequestPermit, TenantAdmission
 from irisdeal.proxy.attempt import AdmittedRequest, AttemptServices
 from irisdeal.proxy.rejection import RejectionError, client_disconnected, over_quota, shutting_down
 from irisdeal.proxy.request_attempts import MIN_ATTEMPT_S, QUEUE_SHARE, RequestAttempts
 from irisdeal.proxy.route_table import Route, RouteTable
+from irisdeal.proxy.tenant_admission import RequestPermit, TenantAdmission
 
 MAX_TIMEOUT_S = 60.0  # where a client states no deadline
 DEFAULT_DEADLINE_MS = b"60000"
@@ -152,7 +152,7 @@
     def _ask(self, table: RouteTable, name: str, is_late: bool) -> RequestPermit:
         """Count the request; raise RejectionError by chance for what is over the tenant's rate."""
         tenant = table.tenants[name]
-        permit = self.admission.ask(name, Limit(tenant.rate_per_s, tenant.burst), is_late)
+        permit = self.admission.admit_or_shed(name, Limit(tenant.rate_per_s, tenant.burst), is_late)
         if permit is None:
             raise over_quota(self.admission.throttles[name].is_over_rate(), is_known=True)
         return permit
--- a/irisdeal/proxy/admission.py
+++ b/irisdeal/proxy/tenant_admission.py
@@ -111,8 +111,8 @@
         for tenant, throttle in self.throttles.items():
             throttle.limit = limit_of(tenant) or throttle.limit
 
-    def ask(self, tenant: str, limit: Limit, is_late: bool) -> RequestPermit | None:
-        """Count a request; None where it is rejected by chance as over the tenant's rate."""
+    def admit_or_shed(self, tenant: str, limit: Limit, is_late: bool) -> RequestPermit | None:
+        """Count a request; None where it is shed (429), by chance, as far over the tenant's rate."""
         throttle = self.throttles.get(tenant)
         if throttle is None:
             throttle = self.throttles[tenant] = ProbabilisticThrottle(tenant, limit)
--- a/irisdeal/registry/call_kinds.py
+++ b/irisdeal/registry/call_kinds.py
@@ -1,6 +1,7 @@
 """Kinds of the calls that a registry answers, as they stand on the wire.
 
-The strings are fixed: processes of the version before and after stand side by side in a rolling upgrade.
+The strings are fixed, and some are words of the first version: processes of the version before and after stand side
+by side in a rolling upgrade. The table of all calls is in `rpc/calls.py`.
 """
 
 from __future__ import annotations
--- a/irisdeal/registry/control_api.py
+++ b/irisdeal/registry/control_api.py
@@ -10,7 +10,7 @@
 
 from irisdeal.config_store.consensus.register import PutOutcome
 from irisdeal.http1.messages import Answer, Request
-from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.admission_service import AdmissionService
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import (
     Command,
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -1,7 +1,9 @@
 """The messages that a registry answers, each with its encoding for the wire.
 
 Kinds of calls and the order of fields are fixed: processes of the version before and after stand side by side
-in a rolling upgrade. Each `decode` raises ValueError or TypeError where a body is not of the message's form.
+in a rolling upgrade. A new field goes to the end, in a release after one whose `decode` accepts lists with and
+without it; a flag needs no such release. Each `decode` raises ValueError or TypeError where a body is not of the
+message's form.
 """
 
 from __future__ import annotations
--- a/irisdeal/registry/metrics.py
+++ b/irisdeal/registry/metrics.py
@@ -19,5 +19,9 @@
             "unacknowledged_backend_ends",
             "Drains and ends of backends that too few of the core were told in time.",
         )
-        self.orders = self.counter("orders", "Orders of the operator, by the status answered.", "status")
+        self.orders = self.counter(
+            "orders",
+            "Configuration calls of the operator, by the status answered.",
+            "status",
+        )
         self.unanswered_calls = self.counter("cut_calls", "Calls from outside without an answer at the end.")
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -37,7 +37,8 @@
 SYNC_PAUSE_S = 0.25  # between two such rounds
 RESTORE_S = 1.0  # that a start waits for its disk
 
-# The name that a registry gives of itself on a connection. It is fixed: peers of the version before read it.
+# The name that a registry gives of itself on a connection: the former name of the program, which peers of earlier
+# versions parse.
 HELLO_NAME = "gauge {ip}"
 
 
@@ -210,15 +211,18 @@
         incarnation = self.backends.entries[id_].incarnation
         if (id_, incarnation.state) in self.replicated_ends:
             return True
-        if not await self._replicate_now(incarnation):
+        if not await self._replicate_to_majority(incarnation):
             return False
         if len(self.replicated_ends) >= MAX_INCARNATIONS:
             self.replicated_ends.clear()  # costs no more than to replicate once more
         self.replicated_ends.add((id_, incarnation.state))
         return True
 
-    async def _replicate_now(self, incarnation: BackendIncarnation) -> bool:
-        """Whether a majority of the core has recorded this end, this machine counted as any other."""
+    async def _replicate_to_majority(self, incarnation: BackendIncarnation) -> bool:
+        """Whether a majority of the core, this machine included, has recorded this end within `REPLICATION_S`.
+
+        If not, the caller answers 503, and E304 is logged.
+        """
         recorded: set[str] = set()
         enough = asyncio.Event()
         body = self._update([ObservedIncarnation(incarnation, 0)]).encode(self.loop.time())
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -19,7 +19,7 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.placement.load_reports import REPORT_INTERVAL_S
 from irisdeal.registry import call_kinds
-from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.admission_service import AdmissionService
 from irisdeal.registry.authority_monitor import AuthorityMonitor
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.control_api import ControlApi
--- a/irisdeal/registry/status.py
+++ b/irisdeal/registry/status.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from irisdeal.ratelimit.messages import encode_usages
-from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.admission_service import AdmissionService
 from irisdeal.registry.backend_table import BackendEntry, BackendTable
 from irisdeal.registry.store_client import StoreClient
 
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -112,7 +112,7 @@
         return {
             request
             for request, attempts in proxy.handler.attempts.items()
-            if any(attempt.must_go_on for attempt in attempts.running)
+            if any(attempt.must_finish_once_sent for attempt in attempts.running)
         }
 
     world.play(act)
@@ -189,20 +189,20 @@
         proxy = world.proxy
         assert proxy is not None
         admission, limit, now = proxy.admission, Limit(5.0, 5.0), proxy.loop.time
-        first = admission.ask("limited", limit, False)
+        first = admission.admit_or_shed("limited", limit, False)
         assert first is not None
         first.grant(now())
         until = first.send_by
         admission.end(first)
-        second = admission.ask("limited", limit, False)
+        second = admission.admit_or_shed("limited", limit, False)
         assert second is not None and second.send_by == until and not second.is_wanted(now())
-        third = admission.ask("limited", limit, False)
+        third = admission.admit_or_shed("limited", limit, False)
         assert third is not None and third.is_wanted(now()), "it serves once"
         admission.end(second)
         await asyncio.sleep(until - now())
-        late = admission.ask("limited", limit, False)
+        late = admission.admit_or_shed("limited", limit, False)
         assert late is not None and late.is_wanted(now()), "and not behind its time"
-        sent = admission.ask("limited", limit, False)
+        sent = admission.admit_or_shed("limited", limit, False)
         assert sent is not None
         sent.grant(now())
         sent.use()
@@ -240,7 +240,7 @@
 
 
 def mutating_given_up(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Attempt, "must_go_on", property(lambda self: False))
+    patch.setattr(Attempt, "must_finish_once_sent", property(lambda self: False))
 
 
 def place_kept(patch: pytest.MonkeyPatch) -> None:
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -146,7 +146,7 @@
             self.tasks.start(self.link(ip).call("told", body, ANSWER_S))
         return await self._record([incarnation])
 
-    monkeypatch.setattr(RegistryPeers, "_replicate_now", alone)
+    monkeypatch.setattr(RegistryPeers, "_replicate_to_majority", alone)
     assert any(closed(seed, "wipe") for seed in FOUND_BY)
 
 
--- a/tests/rpc/test_late_messages.py
+++ b/tests/rpc/test_late_messages.py
@@ -18,7 +18,7 @@
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.messages import Usage
-from irisdeal.registry.admission import AdmissionService
+from irisdeal.registry.admission_service import AdmissionService
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.messages import (
