--- a/irisdeal/front_door/server/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -12,7 +12,7 @@
 import time
 
 from irisdeal.front_door.server.config import Config, load
-from irisdeal.runtime.socket_state import has_bytes
+from irisdeal.runtime.socket_state import is_readable
 
 
 class Host:
@@ -30,7 +30,7 @@
 
     def has_bytes(self, file: int) -> bool:
         """Whether this descriptor has something to read, asked of the kernel."""
-        return has_bytes(file)
+        return is_readable(file)
 
     def read_again(self) -> Config:
         """The configuration as it is by now. ConfigError where it cannot be used."""
--- a/irisdeal/http1/connection.py
+++ b/irisdeal/http1/connection.py
@@ -20,16 +20,18 @@
 
 from irisdeal.http1.errors import MalformedRequestError
 from irisdeal.http1.framing import BODILESS_STATUSES, response_head
-from irisdeal.http1.messages import Answer, Request, RequestLimits
+from irisdeal.http1.messages import Request, RequestLimits, Response
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.request_parser import RequestParser
 
 MAX_PIPELINED = 8  # requests of one connection that wait; beyond, reading is paused
 LINGER_S = 1.0  # for the client to read the last answer, between our close and the end of the connection
 UNREAD_TIMEOUT_S = 30.0  # in which a client takes no byte of its answer, then it counts as gone
-INTERNAL_ERROR = Answer(500, b"a fault of our own\n")
-CLIENT_LEFT = Answer(503, b"its client has left\n", close=True)  # not run, and retriable should it still read
-SHUTTING_DOWN = Answer(503, b"this process ends\n", [(b"Retry-After", b"0.05")], close=True)
+INTERNAL_ERROR = Response(500, b"a fault of our own\n")
+CLIENT_LEFT = Response(
+    503, b"its client has left\n", close=True
+)  # not run, and retriable should it still read
+SHUTTING_DOWN = Response(503, b"this process ends\n", [(b"Retry-After", b"0.05")], close=True)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -38,13 +40,13 @@
 
     loop: asyncio.AbstractEventLoop
     limits: RequestLimits
-    ends_at_eof: bool
+    cancels_on_eof: bool
     is_draining: bool
-    on_departed: Callable[[Request], None]
+    on_client_disconnected: Callable[[Request], None]
     connections: set[Connection]
-    serving: dict[asyncio.Task[Answer], Request]
+    serving: dict[asyncio.Task[Response], Request]
 
-    def serve(self, request: Request) -> asyncio.Task[Answer]:
+    def serve(self, request: Request) -> asyncio.Task[Response]:
         """Begin to serve a request."""
 
 
@@ -57,7 +59,7 @@
         self.transport: asyncio.Transport | None = None
         self.waiting: deque[Request] = deque()
         self.current: Request | None = None  # the request that is served
-        self.task: asyncio.Task[Answer] | None = None  # that serves it
+        self.task: asyncio.Task[Response] | None = None  # that serves it
         self.is_ending = False  # no further request is taken
         self.is_finished = False  # the last answer is written, and our end is closed behind it
         self.is_paused = False
@@ -97,7 +99,7 @@
         if last is None:
             return False  # what is written goes out before the transport closes
         self.is_ending, last.keep_alive = True, False
-        if self.server.ends_at_eof:
+        if self.server.cancels_on_eof:
             self._depart()
         return True
 
@@ -107,9 +109,9 @@
         A handler may exempt work that must not be repeated (`Attempt.must_finish_once_sent` of the proxy).
         """
         for request in self.unanswered():
-            if request.departed_at is None:
-                request.departed_at = self.loop.time()
-                self.server.on_departed(request)
+            if request.disconnected_at is None:
+                request.disconnected_at = self.loop.time()
+                self.server.on_client_disconnected(request)
         if self.task is not None:
             self.task.cancel()
 
@@ -145,7 +147,7 @@
         """Serve the next of the requests that wait."""
         while self.waiting and self.current is None:
             request = self.waiting.popleft()
-            if request.departed_at is not None:
+            if request.disconnected_at is not None:
                 self._answer(request, CLIENT_LEFT)
                 continue
             request.phase = Phase.STARTED
@@ -153,13 +155,13 @@
             self.task = self.server.serve(request)
             self.task.add_done_callback(partial(self._served, request))
 
-    def _served(self, request: Request, task: asyncio.Task[Answer]) -> None:
+    def _served(self, request: Request, task: asyncio.Task[Response]) -> None:
         """Write the answer of a handler that is done, and go on with the next request."""
         del self.server.serving[task]
         self.current, self.task = None, None
         if not task.cancelled():
             answer = INTERNAL_ERROR if task.exception() is not None else task.result()
-        elif request.departed_at is not None:
+        elif request.disconnected_at is not None:
             answer = CLIENT_LEFT
         else:  # the process ends: whether the request has run is not known here
             return self.drop()
@@ -171,7 +173,7 @@
             self.is_paused = False
             self.transport.resume_reading()
 
-    def _answer(self, request: Request, answer: Answer) -> None:
+    def _answer(self, request: Request, answer: Response) -> None:
         """Write an answer; close behind it where it is the connection's last one."""
         if self.transport is None:
             return
@@ -184,7 +186,7 @@
         if close:
             self._finish()
 
-    def _write(self, answer: Answer, close: bool, is_head: bool = False) -> None:
+    def _write(self, answer: Response, close: bool, is_head: bool = False) -> None:
         assert self.transport is not None
         body = b"" if is_head or answer.status in BODILESS_STATUSES else answer.body
         head = response_head(answer.status, answer.headers, len(answer.body), close)
@@ -198,7 +200,7 @@
         if (last := self._last()) is not None:
             last.keep_alive = False
             return
-        self._write(Answer(error.status, error.text.encode() + b"\n"), close=True)
+        self._write(Response(error.status, error.text.encode() + b"\n"), close=True)
         self._finish()
 
     # The end
--- a/irisdeal/http1/framing.py
+++ b/irisdeal/http1/framing.py
@@ -26,7 +26,7 @@
 Headers = list[tuple[bytes, bytes]]  # name and value as they came, in their order
 
 
-def folded_name(name: bytes) -> bytes:
+def normalized_field_name(name: bytes) -> bytes:
     """Return a field's name in lower case with - for _: as a recipient reads it that takes both for the same."""
     return name.lower().replace(b"_", b"-")
 
--- a/irisdeal/http1/messages.py
+++ b/irisdeal/http1/messages.py
@@ -10,34 +10,36 @@
 
 
 class Request:
-    """A request that was received to its end. `arrived_at`: s on the loop's clock, when its last byte was read."""
+    """A request that was received to its end. `received_at`: s on the loop's clock, when its last byte was read."""
 
     __slots__ = (
-        "arrived_at",
         "body",
-        "departed_at",
+        "disconnected_at",
         "headers",
         "headers_by_name",
         "is_head",
         "keep_alive",
         "method",
         "phase",
+        "received_at",
         "target",
     )
 
     def __init__(
-        self, method: bytes, target: bytes, headers: Headers, body: bytes, arrived_at: float
+        self, method: bytes, target: bytes, headers: Headers, body: bytes, received_at: float
     ) -> None:
         self.method, self.target, self.headers, self.body = method, target, headers, body
-        self.arrived_at = arrived_at
+        self.received_at = received_at
         self.headers_by_name = {name.lower(): value for name, value in headers}  # of two alike the last one
         self.is_head = method == b"HEAD"  # its answer has no body (RFC 9110, 9.3.2)
         self.keep_alive = True  # whether the connection goes on behind its answer (RFC 9112, 9.3)
-        self.departed_at: float | None = None  # s on the loop's clock, when its client was seen to have left
+        self.disconnected_at: float | None = (
+            None  # s on the loop's clock, when its client was seen to have left
+        )
         self.phase = Phase.PIPELINED
 
 
-class Answer:
+class Response:
     """A complete answer. `close`: the connection ends behind it."""
 
     __slots__ = ("body", "close", "headers", "status")
@@ -48,7 +50,7 @@
         self.status, self.body, self.headers, self.close = status, body, headers or [], close
 
 
-Handler = Callable[[Request], Coroutine[Any, Any, Answer]]
+Handler = Callable[[Request], Coroutine[Any, Any, Response]]
 
 
 class RequestLimits:
--- a/irisdeal/http1/metrics_server.py
+++ b/irisdeal/http1/metrics_server.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.server import HttpServer
 from irisdeal.runtime.metrics import CONTENT_TYPE, Metrics, parse_metrics_address
 from irisdeal.runtime.settings import Settings
@@ -28,10 +28,10 @@
         """Stop listening and close all connections."""
         self.http.close()
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         assert self.address is not None
         if request.target.partition(b"?")[0] != self.address.path.encode():
-            return Answer(404, b"no such page\n")
+            return Response(404, b"no such page\n")
         if request.method not in (b"GET", b"HEAD"):
-            return Answer(405, b"wanted GET\n", [(b"Allow", b"GET, HEAD")])
-        return Answer(200, self.metrics.text(), [(b"Content-Type", CONTENT_TYPE)])
+            return Response(405, b"wanted GET\n", [(b"Allow", b"GET, HEAD")])
+        return Response(200, self.metrics.text(), [(b"Content-Type", CONTENT_TYPE)])
--- a/irisdeal/http1/request_parser.py
+++ b/irisdeal/http1/request_parser.py
@@ -11,7 +11,7 @@
 import httptools
 
 from irisdeal.http1.errors import MalformedRequestError
-from irisdeal.http1.framing import FRAMING_FIELDS, OWS, Headers, folded_name
+from irisdeal.http1.framing import FRAMING_FIELDS, OWS, Headers, normalized_field_name
 from irisdeal.http1.messages import Request, RequestLimits
 
 Clock = Callable[[], float]
@@ -74,7 +74,7 @@
         self._add_head_size(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
         if self.has_head:  # a trailer (RFC 9112, 7.1.2)
             return
-        key, value = folded_name(name), value.strip(OWS)
+        key, value = normalized_field_name(name), value.strip(OWS)
         if key in FRAMING_FIELDS:
             self._check_framing(key, value, b"_" in name)
         elif key == b"expect" and value.lower() == b"100-continue":
--- a/irisdeal/http1/server.py
+++ b/irisdeal/http1/server.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from irisdeal.http1.connection import Connection
-from irisdeal.http1.messages import Answer, Handler, Request, RequestLimits
+from irisdeal.http1.messages import Handler, Request, RequestLimits, Response
 from irisdeal.runtime.process import Tasks
 
 TIMEOUT_CHECK_S = 1.0  # between two checks of the clients' time-outs
@@ -31,17 +31,19 @@
 class HttpServer:
     """Listens, and hands complete requests to `handler`.
 
-    A handler's task is cancelled when its client resets the connection; with `ends_at_eof` also when the client
-    closes its end (FIN). `on_departed` is called with each request whose client was seen to have left.
+    A handler's task is cancelled when its client resets the connection; with `cancels_on_eof` also when the client
+    closes its end (FIN). `on_client_disconnected` is called with each request whose client was seen to have left.
     """
 
-    def __init__(self, handler: Handler, loop: asyncio.AbstractEventLoop, ends_at_eof: bool = False) -> None:
-        self.handler, self.loop, self.ends_at_eof = handler, loop, ends_at_eof
+    def __init__(
+        self, handler: Handler, loop: asyncio.AbstractEventLoop, cancels_on_eof: bool = False
+    ) -> None:
+        self.handler, self.loop, self.cancels_on_eof = handler, loop, cancels_on_eof
         self.limits = RequestLimits()
         self.connections: set[Connection] = set()
         self.tasks = Tasks()
-        self.serving: dict[asyncio.Task[Answer], Request] = {}
-        self.on_departed: Callable[[Request], None] = lambda request: None
+        self.serving: dict[asyncio.Task[Response], Request] = {}
+        self.on_client_disconnected: Callable[[Request], None] = lambda request: None
         self.is_draining = False
         self.listening: asyncio.Server | None = None
         self.timeout_check: asyncio.TimerHandle | None = None
@@ -60,7 +62,7 @@
             )
         self._check_timeouts()
 
-    def serve(self, request: Request) -> asyncio.Task[Answer]:
+    def serve(self, request: Request) -> asyncio.Task[Response]:
         """Begin to serve a request."""
         task = self.tasks.start(self.handler(request))
         self.serving[task] = request
--- a/irisdeal/proxy/backend_request.py
+++ b/irisdeal/proxy/backend_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from irisdeal.http1.framing import HOP_BY_HOP_FIELDS, folded_name
+from irisdeal.http1.framing import HOP_BY_HOP_FIELDS, normalized_field_name
 from irisdeal.http1.messages import Request
 from irisdeal.load_balancing.backend_choice import Backend
 
@@ -42,7 +42,7 @@
     hop = {name.strip() for name in named.split(b",")} if named else ()
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
-        if folded_name(name) not in DROPPED_HEADERS and name.lower() not in hop:
+        if normalized_field_name(name) not in DROPPED_HEADERS and name.lower() not in hop:
             lines.append(b"%s: %s\r\n" % (name, value))
     deadline_ms = max(1, int((left_s - DEADLINE_MARGIN_S) * 1000))
     lines.append(b"X-Irisdeal-Deadline-Ms: %d\r\n" % deadline_ms)
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -9,7 +9,7 @@
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.backend_connection import BackendConnection
 from irisdeal.proxy.backend_request import BackendRequest
-from irisdeal.runtime.socket_state import has_bytes
+from irisdeal.runtime.socket_state import is_readable
 
 CONNECT_TIMEOUT_S = 0.25  # an accept queue that is full answers after seconds
 MUTATING_IDLE_SHARE = (
@@ -72,7 +72,7 @@
             raise
         if connection.is_dead or connection.transport is None:
             return AttemptOutcome(AttemptEnd.NOT_SENT, "closed as it came up")
-        if has_bytes(connection.file):  # closed by the peer before our first byte
+        if is_readable(connection.file):  # closed by the peer before our first byte
             connection.drop()
             return AttemptOutcome(AttemptEnd.NOT_SENT, "closed as it came up")
         return connection
@@ -93,7 +93,7 @@
             if is_mutating and idle_s > connection.max_idle_s * MUTATING_IDLE_SHARE:
                 idle.append(connection)  # the newest is too old already
                 return None
-            if has_bytes(connection.file) or (attempt_id and connection.attempt_id == attempt_id):
+            if is_readable(connection.file) or (attempt_id and connection.attempt_id == attempt_id):
                 connection.drop()
                 continue
             backend.idle_connections = len(idle)
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.http1.server import HttpServer, Unanswered
 from irisdeal.load_balancing.backend_choice import BackendChoice
@@ -25,7 +25,7 @@
 from irisdeal.proxy.tenant_admission import TenantAdmission
 from irisdeal.ratelimit.retry_budget import PROXY_SLACK_SHARE, RetryBudgets
 from irisdeal.registry.incarnation import BackendIncarnation
-from irisdeal.runtime.early_listen import Listening
+from irisdeal.runtime.early_listen import ListeningSockets
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings, parse_address
@@ -40,7 +40,7 @@
     `listening`: sockets at which this process listens already, by their names in `bind`.
     """
 
-    def __init__(self, settings: Settings, listening: Listening | None = None) -> None:
+    def __init__(self, settings: Settings, listening: ListeningSockets | None = None) -> None:
         self.settings, self.listening = settings, listening or {}
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random()
@@ -62,10 +62,10 @@
         self.drain = DrainState()
         self.metrics = ProxyMetrics()
         self.handler = RequestHandler(self._attempt_services(), self.admission, self.chance)
-        self.front = HttpServer(self.handler.serve, self.loop, ends_at_eof=True)
+        self.front = HttpServer(self.handler.serve, self.loop, cancels_on_eof=True)
         self.readiness = HttpServer(self._serve_readiness, self.loop)
         self.metrics_server = MetricsServer(settings, self.metrics, self.loop)
-        self.front.on_departed = lambda request: self.metrics.departures.add(request.phase.value)
+        self.front.on_client_disconnected = lambda request: self.metrics.departures.add(request.phase.value)
 
     def _attempt_services(self) -> AttemptServices:
         placer = AttemptPlacer(
@@ -138,9 +138,9 @@
         self.settings = self.directory.settings = settings
         self.watcher.reload(settings)
 
-    async def _serve_readiness(self, request: Request) -> Answer:
+    async def _serve_readiness(self, request: Request) -> Response:
         is_ready = self.handler.table is not None and self.admission.has_reported and self.drain.plan is None
-        return Answer(200 if is_ready else 503, b"ready\n" if is_ready else b"not ready\n")
+        return Response(200 if is_ready else 503, b"ready\n" if is_ready else b"not ready\n")
 
     # Updates
 
--- a/irisdeal/proxy/rejection.py
+++ b/irisdeal/proxy/rejection.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from irisdeal.http1.messages import Answer
+from irisdeal.http1.messages import Response
 
 FLOODED_RETRY_S = 1.0  # after which a client of a tenant that is far over its limit may come back
 RETRY_S = 0.05  # likewise of one that is not: another proxy may have a permit
@@ -26,12 +26,12 @@
         super().__init__(text)
         self.status, self.text, self.retry_after_s = status, text, retry_after_s
 
-    def response(self) -> Answer:
+    def response(self) -> Response:
         """Return the response for the client."""
         headers = [(b"Content-Type", b"text/plain")]
         if self.retry_after_s is not None:
             headers.append((b"Retry-After", b"%.2f" % self.retry_after_s))
-        return Answer(self.status, self.text.encode() + b"\n", headers)
+        return Response(self.status, self.text.encode() + b"\n", headers)
 
 
 def over_quota(is_flooded: bool, is_known: bool) -> RejectionError:
--- a/irisdeal/proxy/request_attempts.py
+++ b/irisdeal/proxy/request_attempts.py
@@ -15,7 +15,7 @@
 
 import asyncio
 
-from irisdeal.http1.messages import Answer
+from irisdeal.http1.messages import Response
 from irisdeal.http1.phase import Phase
 from irisdeal.proxy.attempt import AdmittedRequest, Attempt, AttemptServices
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
@@ -49,7 +49,7 @@
         # a backend's own 5xx: the answer where there is no better one
         self.server_error: AttemptOutcome | None = None
 
-    async def run(self) -> Answer:
+    async def run(self) -> Response:
         """Return the final response; raise RejectionError where there is none of a backend.
 
         Cancelled where the client has disconnected and nothing has begun that executes once only.
@@ -73,13 +73,13 @@
         return True
 
     def _has_disconnected(self) -> bool:
-        return self.admitted.request.departed_at is not None
+        return self.admitted.request.disconnected_at is not None
 
     def _is_given_up(self) -> bool:
         """Return whether our own task was cancelled for a reason that we know: else the process ends at once."""
         return self._has_disconnected() or self.is_rejected
 
-    async def _run(self) -> Answer:
+    async def _run(self) -> Response:
         while True:
             if self._may_retry_or_hedge():
                 await self._begin_another()
@@ -88,7 +88,7 @@
             if (response := await self._next_response()) is not None:
                 return response
 
-    async def _finish_running(self) -> Answer:
+    async def _finish_running(self) -> Response:
         """Wait for what executes once only and has begun; abandon all else."""
         going_on = [attempt for attempt in self.running if attempt.must_finish_once_sent]
         for attempt in self.running:
@@ -159,13 +159,13 @@
         if self.running:
             return 0.0
         admitted, now = self.admitted, self.loop.time()
-        queue_until = admitted.request.arrived_at + QUEUE_SHARE * admitted.route.latency_target_s
+        queue_until = admitted.request.received_at + QUEUE_SHARE * admitted.route.latency_target_s
         latest_start = admitted.until - admitted.latency.typical_latency_s
         return max(MIN_QUEUE_S, min(queue_until, latest_start) - now)
 
     # Waiting for attempts
 
-    async def _next_response(self) -> Answer | None:
+    async def _next_response(self) -> Response | None:
         """Wait until an attempt ends, or a hedged one is due; return the response, where one counts."""
         if not self.ended:
             await self._wait(self._hedge_delay_s())
@@ -207,12 +207,12 @@
 
     # Ends of attempts
 
-    def _take(self, outcome: AttemptOutcome) -> Answer | None:
+    def _take(self, outcome: AttemptOutcome) -> Response | None:
         """Take one attempt's end; return the response where it is the final one."""
         self.last = outcome
         match outcome.end:
             case AttemptEnd.RESPONSE if self.admitted.route.is_mutating or outcome.status < 500:
-                return Answer(outcome.status, outcome.body, outcome.headers)
+                return Response(outcome.status, outcome.body, outcome.headers)
             case AttemptEnd.RESPONSE:
                 self.server_error, self.may_have_executed = outcome, True
                 self.sent_count += 1
@@ -223,10 +223,10 @@
                 self.may_have_executed |= outcome.end is AttemptEnd.MAY_HAVE_EXECUTED
         return None
 
-    def _final(self) -> Answer:
+    def _final(self) -> Response:
         """Return the response where no attempt is at work and none follows; RejectionError where there is none."""
         if self.server_error is not None:
-            return Answer(self.server_error.status, self.server_error.body, self.server_error.headers)
+            return Response(self.server_error.status, self.server_error.body, self.server_error.headers)
         if self.may_have_executed:
             is_late = self.loop.time() >= self.admitted.until - 2 * DEADLINE_MARGIN_S
             raise RejectionError(504 if is_late else 502, self.last.reason or "given up")
--- a/irisdeal/proxy/request_handler.py
+++ b/irisdeal/proxy/request_handler.py
@@ -9,7 +9,7 @@
 import asyncio
 import random
 
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.phase import Phase
 from irisdeal.load_balancing.backend_choice import LatencyEstimate
 from irisdeal.permits.allowance import Limit
@@ -55,7 +55,7 @@
         known = self.table.tenants.get(tenant) if self.table is not None else None
         return Limit(known.rate_per_s, known.burst) if known is not None else None
 
-    async def serve(self, request: Request) -> Answer:
+    async def serve(self, request: Request) -> Response:
         """Return the final response to a request.
 
         Cancelled where its client disconnects, or where the process ends at once.
@@ -67,7 +67,7 @@
         except RejectionError as rejection:
             response = rejection.response()
         except asyncio.CancelledError:
-            if request.departed_at is not None:
+            if request.disconnected_at is not None:
                 response = client_disconnected().response()
             elif self.drain.is_last_call:
                 response = shutting_down().response()
@@ -76,18 +76,18 @@
         if self.drain.plan is not None:
             is_rejected = response.status in NOT_EXECUTED_STATUSES
             self.metrics.drained.add("promised" if is_rejected else "finished")
-        if request.departed_at is not None:
-            self.metrics.work_after_departure.observe(self.loop.time() - request.departed_at)
+        if request.disconnected_at is not None:
+            self.metrics.work_after_departure.observe(self.loop.time() - request.disconnected_at)
         return response
 
-    async def _respond(self, request: Request) -> Answer:
+    async def _respond(self, request: Request) -> Response:
         table = await self._table()
         attempt_id = request.headers_by_name.get(b"x-irisdeal-attempt-id", b"")
         if not attempt_id or not request.target.startswith(b"/"):
             raise RejectionError(400, "wanted an X-Irisdeal-Attempt-Id and a path")
         route, tenant = self._route(request, table)
         timeout_s = _client_timeout_s(request)
-        until = request.arrived_at + min(timeout_s, route.timeout_s, MAX_TIMEOUT_S)
+        until = request.received_at + min(timeout_s, route.timeout_s, MAX_TIMEOUT_S)
         service = self._service(route)
         latency = self.latencies.setdefault((service, route.name), LatencyEstimate())
         plan = self.drain.plan
@@ -157,7 +157,7 @@
             raise over_quota(self.admission.throttles[name].is_over_rate(), is_known=True)
         return permit
 
-    async def _attempt_within_limit(self, admitted: AdmittedRequest, permit: RequestPermit) -> Answer:
+    async def _attempt_within_limit(self, admitted: AdmittedRequest, permit: RequestPermit) -> Response:
         """Attempt it within its tenant's concurrency limit, with its permit; both are given back in any case."""
         admitted.request.phase = Phase.TENANT_QUEUE
         queue_until = self.loop.time() + QUEUE_SHARE * admitted.route.latency_target_s
@@ -171,7 +171,7 @@
         finally:
             self.admission.end(permit)
 
-    async def _attempt(self, admitted: AdmittedRequest) -> Answer:
+    async def _attempt(self, admitted: AdmittedRequest) -> Response:
         attempts = self.attempts[admitted.request] = RequestAttempts(self.services, admitted)
         try:
             return await attempts.run()
--- a/irisdeal/registry/control_api.py
+++ b/irisdeal/registry/control_api.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from irisdeal.config_store.consensus.register import PutOutcome
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.registry.admission_service import AdmissionService
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.commands import (
@@ -57,7 +57,7 @@
         self.on_change = on_change
         self.loop = asyncio.get_running_loop()
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer an HTTP request."""
         decoded = decode(request.method, request.target, request.body)
         if isinstance(decoded, Failure):
@@ -65,12 +65,12 @@
         return await self.run(decoded.unwrap())
 
     @staticmethod
-    def _reject(request: Request, rejected: RejectedCall) -> Answer:
+    def _reject(request: Request, rejected: RejectedCall) -> Response:
         if request.method == b"POST" and request.target.startswith(b"/config"):
             log_event(Event.VERSION_REJECTED, trouble=rejected.error)
-        return Answer(rejected.status, json.dumps({"error": str(rejected.error)}).encode(), JSON_HEADERS)
+        return Response(rejected.status, json.dumps({"error": str(rejected.error)}).encode(), JSON_HEADERS)
 
-    async def run(self, command: Command) -> Answer:
+    async def run(self, command: Command) -> Response:
         """Carry out a command."""
         match command:
             case Heartbeat():
@@ -83,40 +83,40 @@
                 return await self._read()
             case ListBackends():
                 state = status(self.store_client, self.backends, self.admission, self.loop.time())
-                return Answer(200, json.dumps(state).encode(), JSON_HEADERS)
+                return Response(200, json.dumps(state).encode(), JSON_HEADERS)
 
     @staticmethod
-    def _unavailable(reason: str) -> Answer:
+    def _unavailable(reason: str) -> Response:
         """503 with Retry-After: the call may be sent again, here or to another registry."""
         body = json.dumps({"error": reason, "retry_after_s": RETRY_AFTER_S}).encode()
-        return Answer(503, body, [*JSON_HEADERS, (b"Retry-After", b"%.1f" % RETRY_AFTER_S)])
+        return Response(503, body, [*JSON_HEADERS, (b"Retry-After", b"%.1f" % RETRY_AFTER_S)])
 
     # Configuration
 
-    async def _read(self) -> Answer:
+    async def _read(self) -> Response:
         is_known, body = await self.store_client.read()
         if not is_known:
             return self._unavailable(NO_STORE)
-        return Answer(200, body, JSON_HEADERS) if body is not None else Answer(404, b"{}", JSON_HEADERS)
+        return Response(200, body, JSON_HEADERS) if body is not None else Response(404, b"{}", JSON_HEADERS)
 
-    async def _put(self, command: PutConfiguration) -> Answer:
+    async def _put(self, command: PutConfiguration) -> Response:
         answer = await self._put_to_store(command)
         self.metrics.orders.add(str(answer.status))
         return answer
 
-    async def _put_to_store(self, command: PutConfiguration) -> Answer:
+    async def _put_to_store(self, command: PutConfiguration) -> Response:
         match await self.store_client.put(command.version):
             case PutOutcome.DECIDED:
-                return Answer(200, b"{}", JSON_HEADERS)
+                return Response(200, b"{}", JSON_HEADERS)
             case PutOutcome.CONFLICT:
                 known = f"r{self.store_client.version_id.number}"
                 body = {"error": "another body holds this number", "held": known}
-                return Answer(409, json.dumps(body).encode(), JSON_HEADERS)
+                return Response(409, json.dumps(body).encode(), JSON_HEADERS)
         return self._unavailable(NOT_DECIDED)
 
     # Backends
 
-    async def _heartbeat(self, heartbeat: Heartbeat) -> Answer:
+    async def _heartbeat(self, heartbeat: Heartbeat) -> Response:
         now = self.loop.time()
         incarnation = _incarnation(heartbeat, now)
         if self.backends.observe(incarnation, now):
@@ -127,7 +127,7 @@
             return self._unavailable(NOT_REPLICATED)
         target = self._closer_registry(heartbeat.zone)
         body = {"beat_target": target} if target is not None else {}
-        return Answer(200, json.dumps(body).encode(), JSON_HEADERS)
+        return Response(200, json.dumps(body).encode(), JSON_HEADERS)
 
     def _closer_registry(self, zone: str) -> str | None:
         """Return the control address of a registry in a backend's zone, where this one is in another."""
@@ -136,7 +136,7 @@
         peers = self.peers
         return next((control for ip, control in peers.controls.items() if peers.zones.get(ip) == zone), None)
 
-    async def _deregister(self, command: Deregister) -> Answer:
+    async def _deregister(self, command: Deregister) -> Response:
         """End an incarnation, known here or not: others may know it, and an acknowledged end holds for all."""
         now = self.loop.time()
         if self.backends.deregister(command.id, now) is None:
@@ -145,7 +145,7 @@
         self.on_change()
         if not await self.peers.replicate_end(command.id):
             return self._unavailable(NOT_REPLICATED)
-        return Answer(200, b"{}", JSON_HEADERS)
+        return Response(200, b"{}", JSON_HEADERS)
 
 
 def _incarnation(heartbeat: Heartbeat, now: float) -> BackendIncarnation:
--- a/irisdeal/registry/peers.py
+++ b/irisdeal/registry/peers.py
@@ -29,9 +29,11 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-ANSWER_S = 0.4  # time-out of a short call to another registry
-REPLICATION_S = 2 * ANSWER_S  # time-out of replicating an end: others write it to disk before they answer
-SYNC_S = (
+CALL_TIMEOUT_S = 0.4  # time-out of a short call to another registry
+REPLICATION_S = (
+    2 * CALL_TIMEOUT_S
+)  # time-out of replicating an end: others write it to disk before they answer
+SYNC_TIMEOUT_S = (
     2.5  # that a registry which starts or was away asks the others for backends before it goes on without
 )
 SYNC_PAUSE_S = 0.25  # between two such rounds
@@ -64,7 +66,7 @@
         self.controls: dict[str, str] = {
             self.ip: settings.bind.control
         }  # where each registry takes heartbeats
-        self.links: dict[str, RpcClient] = {}
+        self.rpc_clients: dict[str, RpcClient] = {}
         self.unsent: dict[str, BackendIncarnation] = {}  # received here and not yet replicated, by id
         self.replicated_ends: set[tuple[str, BackendState]] = set()  # that a majority of the core has
         self.is_complete = settings.bootstrap  # whether all is here that this machine has acknowledged
@@ -74,28 +76,28 @@
 
     def others(self) -> list[str]:
         """Return the IPs of the core machines but this one."""
-        return sorted(self.store_client.everyone() - {self.ip})
+        return sorted(self.store_client.core_ips() - {self.ip})
 
-    def link(self, ip: str) -> RpcClient:
+    def rpc_client(self, ip: str) -> RpcClient:
         """Return the client of the registry on this machine."""
-        if ip not in self.links:
+        if ip not in self.rpc_clients:
             address = ports.address_of(self.settings, ip, ports.REGISTRY)
-            self.links[ip] = RpcClient(address, HELLO_NAME.format(ip=self.ip))
-        return self.links[ip]
+            self.rpc_clients[ip] = RpcClient(address, HELLO_NAME.format(ip=self.ip))
+        return self.rpc_clients[ip]
 
     def retain_only(self, core: frozenset[str]) -> None:
         """Drop what is kept of machines that are not in the core any more."""
-        for ip in self.links.keys() - core:
-            self.links.pop(ip).close()
+        for ip in self.rpc_clients.keys() - core:
+            self.rpc_clients.pop(ip).close()
         for ip in self.zones.keys() - core:
             del self.zones[ip], self.controls[ip]
 
     def notify(self, kind: str, body: list[Any]) -> None:
         """Send to all other registries; one that misses it gets the next."""
         for ip in self.others():
-            link = self.link(ip)
+            link = self.rpc_client(ip)
             if not link.notify(kind, body):
-                self.tasks.start(link.call(kind, body, ANSWER_S))
+                self.tasks.start(link.call(kind, body, CALL_TIMEOUT_S))
 
     # Synchronizing with the others
 
@@ -115,15 +117,15 @@
     async def synchronize(self) -> None:
         """Fetch all backends from enough of the others.
 
-        Until then, or until `SYNC_S` have passed, this registry does not count as a complete source. An end is
-        acknowledged once a majority has it. Enough have answered when those that did not, with those that are not
-        complete, are no majority: each majority that has an end then has a member among those that answered.
+        Until then, or until `SYNC_TIMEOUT_S` have passed, this registry does not count as a complete source. An end
+        is acknowledged once a majority has it. Enough have answered when those that did not, with those that are
+        not complete, are no majority: each majority that has an end then has a member among those that answered.
         """
         if self.is_synchronizing:
             return
         self.is_synchronizing, self.is_synchronized = True, False
         answered: set[str] = set()
-        deadline = self.loop.time() + SYNC_S
+        deadline = self.loop.time() + SYNC_TIMEOUT_S
         while True:
             await asyncio.gather(*(self._fetch_from(ip, answered) for ip in self.others()))
             is_enough = self._is_enough(answered)
@@ -144,7 +146,7 @@
         return not self.store_client.is_majority(missing) or not self.others()
 
     async def _fetch_from(self, ip: str, answered: set[str]) -> None:
-        answer = await self.link(ip).call(call_kinds.FETCH_BACKENDS, None, ANSWER_S)
+        answer = await self.rpc_client(ip).call(call_kinds.FETCH_BACKENDS, None, CALL_TIMEOUT_S)
         if isinstance(answer, Success):
             snapshot = BackendSnapshot.decode(answer.unwrap(), self.loop.time())
             if snapshot.is_complete:
@@ -198,10 +200,10 @@
         now = self.loop.time()
         observed = [ObservedIncarnation(incarnation, 0) for incarnation in self.unsent.values()]
         self.unsent = {}
-        if observed or self.store_client.everyone() - self.zones.keys():
+        if observed or self.store_client.core_ips() - self.zones.keys():
             for ip in self.others():
                 body = self._update(observed).encode(now)
-                self.tasks.start(self.link(ip).call(call_kinds.UPDATE_BACKENDS, body, ANSWER_S))
+                self.tasks.start(self.rpc_client(ip).call(call_kinds.UPDATE_BACKENDS, body, CALL_TIMEOUT_S))
 
     def _update(self, observed: list[ObservedIncarnation]) -> BackendUpdate:
         return BackendUpdate(self.ip, self.settings.zone, self.settings.bind.control, observed)
@@ -240,7 +242,7 @@
 
         async def replicate_to(ip: str) -> None:
             """Replicate the end to another machine."""
-            answer = await self.link(ip).call(call_kinds.UPDATE_BACKENDS, body, REPLICATION_S)
+            answer = await self.rpc_client(ip).call(call_kinds.UPDATE_BACKENDS, body, REPLICATION_S)
             if isinstance(answer, Success):
                 add(ip)
 
--- a/irisdeal/registry/quota_service.py
+++ b/irisdeal/registry/quota_service.py
@@ -19,7 +19,7 @@
 from irisdeal.runtime.settings import Settings
 
 # Share of an interval after which the sum of the one before is sent: proxies have reported theirs by 0.3.
-SUM_AT = 0.45
+SUM_SEND_RATIO = 0.45
 LEND_TIMEOUT_S = 0.04  # of a call to another registry to lend: the proxy that asked waits for 0.06
 FRESH_SUM_S = 3 * INTERVAL_S  # that another registry's sum says whether it has permits to lend
 MAX_LOAN = 64  # permits in one loan
@@ -179,13 +179,15 @@
         """In each interval, send this registry's sum of the one before; at its end, complete that one's total."""
         number = self.clock.number(self.loop.time())
         while True:
-            await asyncio.sleep(self.clock.seconds_until(number, self.loop.time()) + SUM_AT * INTERVAL_S)
-            send(self.close(number - 1))
+            await asyncio.sleep(
+                self.clock.seconds_until(number, self.loop.time()) + SUM_SEND_RATIO * INTERVAL_S
+            )
+            send(self.close_interval(number - 1))
             await asyncio.sleep(self.clock.seconds_until(number + 1, self.loop.time()))
-            self.finish(number - 1)
+            self.finish_interval(number - 1)
             number = max(number + 1, self.clock.number(self.loop.time()))
 
-    def close(self, number: int) -> IntervalSum:
+    def close_interval(self, number: int) -> IntervalSum:
         """Close an interval that is over; return this registry's sum, for the others."""
         now = self.loop.time()
         old = [pair for pair, asked_at in self.asked_for_loan.items() if now - asked_at > FRESH_SUM_S]
@@ -211,6 +213,6 @@
                 ready[tenant] = self.issuer.ready(tenant, now)
         return ready
 
-    def finish(self, number: int) -> None:
+    def finish_interval(self, number: int) -> None:
         """Complete the total of an interval."""
         self.counter.finish_interval(number, self.loop.time())
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -86,12 +86,17 @@
             lambda: self.peers.is_synchronized,
         )
         self.admission = AdmissionService(
-            settings, self.backends, self.loop, self.incarnation, self.store_client.age, self._lend_from
+            settings,
+            self.backends,
+            self.loop,
+            self.incarnation,
+            self.store_client.state_age_s,
+            self._lend_from,
         )
         self.authority_monitor = AuthorityMonitor(
             self.admission.authority,
             IssuerListRecord(settings.data_path) if settings.data_path else None,
-            self.store_client.age,
+            self.store_client.state_age_s,
             self.tasks,
         )
         self.control = self._new_control_api()
@@ -111,7 +116,7 @@
             _tombstone_record(self.settings, folder),
             self.metrics,
             self.tasks,
-            lambda: self.watch.wake(),
+            lambda: self.watch.notify_proxies(),
         )
 
     def _new_control_api(self) -> ControlApi:
@@ -123,7 +128,7 @@
             self.admission,
             self.metrics,
             self.tasks,
-            self.watch.wake,
+            self.watch.notify_proxies,
         )
 
     # Life cycle
@@ -181,17 +186,17 @@
         if self.store_client.value.change >= 0:
             members = self.store_client.members
             self.admission.authority.observe_list(IssuerList(members.number, members.ips()), self.loop.time())
-        self.peers.retain_only(self.store_client.everyone())
+        self.peers.retain_only(self.store_client.core_ips())
         has_contact = self.store_client.has_contact
         if has_contact and not self.had_contact and self.peers.is_synchronized:
             self.tasks.start(self.peers.synchronize())  # while it was cut off, others may have received ends
         self.had_contact = has_contact
-        self.watch.wake()
+        self.watch.notify_proxies()
 
     # To other registries
 
     async def _lend_from(self, ip: str, request: LendRequest) -> int:
-        link = self.peers.link(ip)
+        link = self.peers.rpc_client(ip)
         answer = await link.call(call_kinds.LEND_PERMITS, request.encode(), LEND_TIMEOUT_S)
         return int(answer.value_or(0))
 
@@ -211,7 +216,7 @@
             self.tasks.start(self.peers.synchronize())
         self.checked_at = now
         if self.backends.expire(now):
-            self.watch.wake()
+            self.watch.notify_proxies()
         self.admission.placements.refresh()
         self.authority_monitor.check()
 
--- a/irisdeal/registry/status.py
+++ b/irisdeal/registry/status.py
@@ -17,14 +17,14 @@
     return {
         "generation": f"r{store_client.version_id.number}" if store_client.version else None,
         "change": store_client.change,
-        "contact_age_s": store_client.age(),
+        "contact_age_s": store_client.state_age_s(),
         "store": store_client.source,
         "members": list(store_client.members.seats),
         "learners": sorted(store_client.learners),
         "doors": total.proxies,
         "interval": total.number,
         "tenants": encode_usages(total.usages),
-        "issuing": authority.may_issue(store_client.age(), now),
+        "issuing": authority.may_issue(store_client.state_age_s(), now),
         "issuers": authority.issuers(now),
         "permits": {
             tenant: {"ready": round(count, 1), "held_ahead": quotas.issuer.outstanding.total(tenant)}
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -37,12 +37,12 @@
 from irisdeal.runtime.settings import Settings
 
 MAX_POLL_S = 1.0  # that a replica may keep a long poll pending while nothing changes
-ANSWER_S = 0.4  # time-out of a short call to a replica
+CALL_TIMEOUT_S = 0.4  # time-out of a short call to a replica
 PROBE_INTERVAL_S = (
     0.2  # between two probes of the state's age; on the same machine, so they cost no bytes on a link
 )
-STALE_S = (
-    CONTACT_LEASE_S + PROBE_INTERVAL_S + ANSWER_S
+MAX_STATE_AGE_S = (
+    CONTACT_LEASE_S + PROBE_INTERVAL_S + CALL_TIMEOUT_S
 )  # age from which state is no contact, whatever was reported
 FAILOVER_GRACE_S = (
     0.15  # that another replica is searched for before proxies are notified of the lost contact
@@ -54,7 +54,7 @@
 MIN_ATTEMPT_S = 0.1  # of the time-out, below which no further replica is asked
 RETRY_AFTER_S = 0.5  # after which a put may find a replica: a search and its answers; sent as Retry-After
 IDLE_POLL_PAUSE_S = 0.05  # before the next poll, where one was answered at once and brought nothing
-AT_ONCE = -2  # as `change` of a watch: no replica has it, so it answers at once
+NO_WAIT_CHANGE = -2  # as `change` of a watch: no replica has it, so it answers at once
 
 
 class ProbeResult(Enum):
@@ -93,7 +93,7 @@
         self.as_of = float("-inf")  # everything is known here that was decided by then
         self.has_contact = False  # as proxies were last notified
         self.stale_replicas: set[str] = set()  # for which `STORE_STATE_STALE` was logged
-        self.links: dict[str, RpcClient] = {}
+        self.rpc_clients: dict[str, RpcClient] = {}
         self.search: asyncio.Task[None] | None = None
         self.tasks = Tasks()
 
@@ -105,7 +105,7 @@
     def stop(self) -> None:
         """Follow the store no more."""
         self.tasks.cancel()
-        for link in self.links.values():
+        for link in self.rpc_clients.values():
             link.close()
 
     def reload(self, settings: Settings) -> None:
@@ -124,7 +124,7 @@
         """The store's members, as decided last."""
         return self.value.members
 
-    def everyone(self) -> frozenset[str]:
+    def core_ips(self) -> frozenset[str]:
         """Return the core machines: members, learners and this one; the seeds until a list was received."""
         seeds = ports.seeds(self.settings) if self.value.change < 0 else ()
         return self.members.ips() | self.learners | {self.ip, *seeds}
@@ -135,22 +135,22 @@
         lists = (frozenset(map(ip_of, seats)) for seats in (self.members.seats, self.members.former) if seats)
         return all(len(ips & machines) >= majority(machines) for machines in lists)
 
-    def age(self) -> float | None:
+    def state_age_s(self) -> float | None:
         """Return the s since everything decided was known here; None where there is no contact."""
         age_s = self.loop.time() - self.as_of
-        return age_s if self.has_contact and age_s <= STALE_S else None
+        return age_s if self.has_contact and age_s <= MAX_STATE_AGE_S else None
 
     # Following a replica
 
     def _link(self, ip: str) -> RpcClient:
-        if ip not in self.links:
+        if ip not in self.rpc_clients:
             # The name is fixed: replicas of the version before read it.
             address = ports.address_of(self.settings, ip, ports.CONFIG_STORE)
-            self.links[ip] = RpcClient(address, f"gauge {self.ip}")
-        return self.links[ip]
+            self.rpc_clients[ip] = RpcClient(address, f"gauge {self.ip}")
+        return self.rpc_clients[ip]
 
     def _others(self) -> list[str]:
-        return sorted(self.everyone() - {self.ip})
+        return sorted(self.core_ips() - {self.ip})
 
     async def _follow(self) -> None:
         """Poll the source for changes."""
@@ -217,7 +217,7 @@
         if ip != self.source:
             log_event(Event.LOCAL_STORE_FOLLOWED if ip == self.ip else Event.REMOTE_STORE_FOLLOWED, store=ip)
             self.source = ip
-        self._set_contact(self.loop.time() - self.as_of <= STALE_S)
+        self._set_contact(self.loop.time() - self.as_of <= MAX_STATE_AGE_S)
 
     def _lose_contact(self) -> None:
         self._set_contact(False)
@@ -237,8 +237,8 @@
     async def _poll(self, ip: str, is_long: bool) -> ProbeResult:
         """Poll a replica; `is_long`: it may wait for a change before it answers."""
         sync_state, sent_at = self.assembler.sync_state(self.version_id), self.loop.time()
-        request = WatchRequest(sync_state, self.value.change if is_long else AT_ONCE)
-        timeout_s = MAX_POLL_S + ANSWER_S if is_long else ANSWER_S
+        request = WatchRequest(sync_state, self.value.change if is_long else NO_WAIT_CHANGE)
+        timeout_s = MAX_POLL_S + CALL_TIMEOUT_S if is_long else CALL_TIMEOUT_S
         answer = await self._link(ip).call(messages.WATCH, request.encode(), timeout_s)
         if isinstance(answer, Failure):
             return ProbeResult.UNREACHABLE
@@ -279,12 +279,12 @@
 
     def _apply_members(self, value: Value, learners: frozenset[str]) -> bool:
         """Take the value and the learners; return whether the list of members has changed."""
-        before, number = self.everyone(), self.members.number
+        before, number = self.core_ips(), self.members.number
         self.value, self.learners = value, learners
-        gone = before - self.everyone()
+        gone = before - self.core_ips()
         for ip in gone:
-            if ip in self.links:
-                self.links.pop(ip).close()
+            if ip in self.rpc_clients:
+                self.rpc_clients.pop(ip).close()
         if value.members.number != number or gone:
             log_event(
                 Event.CORE_MEMBERSHIP_CHANGED,
@@ -336,7 +336,7 @@
         deadline = self.loop.time() + PUT_TIMEOUT_S
         for ip in dict.fromkeys((self.source, self.ip, *self._others())):
             left_s = deadline - self.loop.time()
-            if self.age() is None or left_s < MIN_ATTEMPT_S:
+            if self.state_age_s() is None or left_s < MIN_ATTEMPT_S:
                 break
             answer = await self._link(ip).call(kind, body, left_s)
             if not isinstance(answer, Failure) and is_final(answer.unwrap()):
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -42,7 +42,7 @@
         self.loop = asyncio.get_running_loop()
         self.changed = asyncio.Event()
 
-    def wake(self) -> None:
+    def notify_proxies(self) -> None:
         """Something changed, or contact was lost or regained: answer all pending polls."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -67,7 +67,7 @@
             self.incarnation,
             self.backends.version,
             [entry.status() for entry in self.backends.changed_since(table_version)],
-            {ip: self.zones.get(ip, "") for ip in sorted(store_client.everyone())},
+            {ip: self.zones.get(ip, "") for ip in sorted(store_client.core_ips())},
             self._age_ms(received_at),
             store_client.change if is_newest else OLDER_CHANGE,
         )
@@ -79,7 +79,7 @@
         return self.store_client.version_store.next_chunk(sync_state, version_id, by_snapshot=True)
 
     def _age_ms(self, received_at: float) -> int:
-        age_s = self.store_client.age()
+        age_s = self.store_client.state_age_s()
         if age_s is None or not self.is_synchronized():
             return NO_CONTACT_AGE_MS
         return max(0, math.ceil((age_s - (self.loop.time() - received_at)) * 1000))
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -263,7 +263,7 @@
     return call is not None and call.ends_with_caller
 
 
-def reason_not_to_send(kind: str, is_one_way: bool) -> str | None:
+def invalid_call_reason(kind: str, is_one_way: bool) -> str | None:
     """Return why a call of this kind cannot be sent, None where it can. A peer gets the text as an error."""
     call = CALLS.get(kind)
     if call is None:
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -25,8 +25,15 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.rpc.calls import CANCEL, ends_with_caller, reason_not_to_send
-from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, InvalidFrameError, WireValue, encode
+from irisdeal.rpc.calls import CANCEL, ends_with_caller, invalid_call_reason
+from irisdeal.rpc.frames import (
+    HELLO_REQUEST_ID,
+    NOTIFICATION_REQUEST_ID,
+    FrameReader,
+    InvalidFrameError,
+    WireValue,
+    encode,
+)
 from irisdeal.rpc.transport import set_socket_options
 from irisdeal.runtime.errors import (
     CallTimeoutError,
@@ -157,7 +164,7 @@
             return
         self.given_up[request_id] = call.kind
         if ends_with_caller(call.kind) and not self.is_hung and self.transport is not None:
-            self.transport.write(encode([ONE_WAY, CANCEL, request_id]))
+            self.transport.write(encode([NOTIFICATION_REQUEST_ID, CANCEL, request_id]))
         self._time_out(call)
         if len(self.given_up) > MAX_GIVEN_UP_CALLS:
             self.drop()
@@ -224,7 +231,7 @@
             self.connecting = None
         if not connection.is_open or connection.transport is None:
             return _NotConnected("not connected: closed as it came up")
-        connection.transport.write(encode([HELLO, "hello", self.name]))
+        connection.transport.write(encode([HELLO_REQUEST_ID, "hello", self.name]))
         if self.connection is not None:
             self.connection.retire()
         self.connection = connection
@@ -247,7 +254,7 @@
 
         KeyError where no such call is specified.
         """
-        if (reason := reason_not_to_send(kind, is_one_way=False)) is not None:
+        if (reason := invalid_call_reason(kind, is_one_way=False)) is not None:
             raise KeyError(reason)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
@@ -277,12 +284,12 @@
         Return False where it is not likely to arrive: there is no connection, or it is hung. KeyError where no such
         notification is specified.
         """
-        if (reason := reason_not_to_send(kind, is_one_way=True)) is not None:
+        if (reason := invalid_call_reason(kind, is_one_way=True)) is not None:
             raise KeyError(reason)
         connection = self.connection
         if connection is None or not connection.is_open or connection.transport is None:
             return False
-        connection.transport.write(encode([ONE_WAY, kind, body]))
+        connection.transport.write(encode([NOTIFICATION_REQUEST_ID, kind, body]))
         return not connection.is_hung
 
     def close(self) -> None:
--- a/irisdeal/rpc/frames.py
+++ b/irisdeal/rpc/frames.py
@@ -8,8 +8,8 @@
 
 import cbor2
 
-HELLO = 0  # the request id of a connection's first item, which names the caller
-ONE_WAY = -1  # the request id of a notification, which has no answer
+HELLO_REQUEST_ID = 0  # the request id of a connection's first item, which names the caller
+NOTIFICATION_REQUEST_ID = -1  # the request id of a notification, which has no answer
 LENGTH_BYTES = 4  # of the length in front of each frame, big-endian
 MAX_FRAME_BYTES = 16 << 20  # several times the longest configuration there is
 
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -14,8 +14,15 @@
 from collections.abc import Awaitable, Callable
 from typing import cast
 
-from irisdeal.rpc.calls import CANCEL, ends_with_caller, process_name, reason_not_to_send
-from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, InvalidFrameError, WireValue, encode
+from irisdeal.rpc.calls import CANCEL, ends_with_caller, invalid_call_reason, process_name
+from irisdeal.rpc.frames import (
+    HELLO_REQUEST_ID,
+    NOTIFICATION_REQUEST_ID,
+    FrameReader,
+    InvalidFrameError,
+    WireValue,
+    encode,
+)
 from irisdeal.rpc.transport import set_socket_options
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
@@ -43,7 +50,7 @@
         self.server = server
         self.reader = FrameReader()
         self.peer = ""  # until the hello has come
-        self.last_request_id = HELLO
+        self.last_request_id = HELLO_REQUEST_ID
         self.transport: asyncio.Transport | None = None
         self.at_work: dict[int, AnswerTask] = {}  # by request id; of a notification by a number below 0
         self.ending_with_caller: dict[
@@ -92,11 +99,11 @@
         if type(item) is not list or len(item) != 3 or type(item[0]) is not int or type(item[1]) is not str:
             raise InvalidFrameError("no call")
         request_id, kind, body = item
-        if request_id == HELLO:
+        if request_id == HELLO_REQUEST_ID:
             return self._receive_hello(body)
         if not self.peer:
             raise InvalidFrameError("a call before the caller's name")
-        if request_id == ONE_WAY:
+        if request_id == NOTIFICATION_REQUEST_ID:
             if kind == CANCEL:
                 return self._cancel(body)
         elif request_id <= self.last_request_id:  # a second one: what it takes would be taken twice
@@ -106,7 +113,7 @@
             raise InvalidFrameError("a call that was received before")
         else:
             self.last_request_id = request_id
-        if (reason := reason_not_to_send(kind, request_id == ONE_WAY)) is not None:
+        if (reason := invalid_call_reason(kind, request_id == NOTIFICATION_REQUEST_ID)) is not None:
             return self._write(request_id, False, reason)
         self._run(request_id, kind, body)
 
@@ -142,7 +149,7 @@
     def _begin(self, request_id: int, kind: str, body: WireValue) -> None:
         task = self.server.tasks.start(self._answer(kind, body))
         key = (
-            request_id if request_id != ONE_WAY else -id(task)
+            request_id if request_id != NOTIFICATION_REQUEST_ID else -id(task)
         )  # several notifications may be at work at once
         self.at_work[key] = task
         if ends_with_caller(kind):
@@ -166,7 +173,7 @@
         self._write(request_id, is_success, answer)
 
     def _write(self, request_id: int, is_success: bool, answer: WireValue) -> None:
-        if self.transport is None or request_id == ONE_WAY:
+        if self.transport is None or request_id == NOTIFICATION_REQUEST_ID:
             return
         try:
             frame = encode([request_id, is_success, answer])
--- a/irisdeal/runtime/early_listen.py
+++ b/irisdeal/runtime/early_listen.py
@@ -12,7 +12,7 @@
 import socket
 
 BACKLOG = 1024  # connections in the accept queue: more than the clients of a zone open in a second
-Listening = dict[str, socket.socket]  # by name of the address in the settings
+ListeningSockets = dict[str, socket.socket]  # by name of the address in the settings
 
 
 def bind_addresses(text: str, names: tuple[str, ...]) -> dict[str, tuple[str, int]]:
@@ -30,9 +30,9 @@
     return found
 
 
-def listen(*names: str) -> Listening:
+def listen(*names: str) -> ListeningSockets:
     """Open listening sockets at the addresses of these names in the file that `IRISDEAL_SETTINGS` names."""
-    listening: Listening = {}
+    listening: ListeningSockets = {}
     try:
         with open(
             os.environ.get("IRISDEAL_SETTINGS", "/etc/irisdeal/settings.toml"), encoding="utf-8"
--- a/irisdeal/runtime/socket_state.py
+++ b/irisdeal/runtime/socket_state.py
@@ -5,7 +5,7 @@
 import select
 
 
-def has_bytes(file_descriptor: int) -> bool:
+def is_readable(file_descriptor: int) -> bool:
     """Whether bytes, an end of file or an error wait on this descriptor; on a listening one, a connection."""
     poller = select.poll()
     poller.register(file_descriptor, select.POLLIN)
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -17,7 +17,7 @@
 from irisdeal.permits.messages import LendRequest
 from irisdeal.ratelimit.interval_clock import INTERVAL_S
 from irisdeal.registry.messages import IntervalReport, IntervalSum
-from irisdeal.registry.quota_service import SUM_AT
+from irisdeal.registry.quota_service import SUM_SEND_RATIO
 from irisdeal.simulation.quota.judge import QuotaJudge
 from irisdeal.simulation.quota.nodes import TENANT, Clock, ProxyNode, RegistryNode
 
@@ -89,7 +89,7 @@
 
     def _start_timers(self, ip: str) -> None:
         self.at(self.time + 0.001 * self.chance.random(), self._contact, ip)
-        self.at(self.time + SUM_AT * INTERVAL_S, self._sum, ip)
+        self.at(self.time + SUM_SEND_RATIO * INTERVAL_S, self._sum, ip)
 
     # Events
 
@@ -194,11 +194,11 @@
         if ip in self.down or ip in self.frozen:
             return
         service, number = self.registries[ip].service, int(self.time / INTERVAL_S) - 1
-        registry_sum = service.close(number)
+        registry_sum = service.close_interval(number)
         for other in self.registries:
             if other != ip and self.delivers(ip, other):
                 self._deliver(other, self._receive_sum, other, registry_sum)
-        service.finish(number)
+        service.finish_interval(number)
 
     def _receive_sum(self, ip: str, registry_sum: IntervalSum) -> None:
         self.registries[ip].service.receive_sum(registry_sum)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from irisdeal.http1.connection import Connection
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.server import HttpServer
 from irisdeal.simulation.cpu import Core, Costs
 from irisdeal.simulation.machine import Machine
@@ -39,10 +39,10 @@
         self.ended_at = 0.0
         self.over = False
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         self.ran.append(request.target)
         await asyncio.sleep(0.0 if request.target == b"/0" else 0.2)
-        return Answer(200, b"did " + request.target)
+        return Response(200, b"did " + request.target)
 
     async def serve(self) -> int:
         loop = asyncio.get_running_loop()
@@ -170,12 +170,12 @@
 # A client that leaves ends the work for it, where the server is configured so
 
 
-def ends_at_eof(server: HttpServer) -> None:
-    server.ends_at_eof = True
+def cancels_on_eof(server: HttpServer) -> None:
+    server.cancels_on_eof = True
 
 
 def test_a_fin_cancels_the_handler_and_waiting_requests_are_rejected_unrun() -> None:
-    play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "eof"], ends_at_eof)
+    play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "eof"], cancels_on_eof)
     play.play()
     assert play.received.count(b"HTTP/1.1 503 ") == 3 and play.ran == [b"/1"]
     assert 0 < play.ended_at < 0.3 and play.received.count(b"Connection: close") == 1
@@ -185,13 +185,13 @@
     ended: list[float] = []
 
     def watched(server: HttpServer) -> None:
-        async def handle(request: Request) -> Answer:
+        async def handle(request: Request) -> Response:
             try:
                 await asyncio.sleep(2.0)
             except asyncio.CancelledError:
                 ended.append(server.loop.time() - START / 1e6)
                 raise
-            return Answer(200)
+            return Response(200)
 
         server.handler = handle
 
@@ -205,16 +205,16 @@
     done: list[bytes] = []
 
     def shielding(server: HttpServer) -> None:
-        async def work(request: Request) -> Answer:
+        async def work(request: Request) -> Response:
             await asyncio.sleep(0.5)
             done.append(request.target)
-            return Answer(200, b"did")
+            return Response(200, b"did")
 
-        async def handle(request: Request) -> Answer:
+        async def handle(request: Request) -> Response:
             return await asyncio.shield(server.tasks.start(work(request)))
 
         server.handler = handle
-        server.ends_at_eof = True
+        server.cancels_on_eof = True
 
     play = Play([BODIED % 1, 0.05, "eof"], shielding)
     assert play.play() == [b"HTTP/1.1 503 Service Unavailable"] and done == [b"/1"]
@@ -250,8 +250,8 @@
 
 def test_a_client_that_only_the_kernel_knows_to_be_gone_leaves_no_connection() -> None:
     async def main() -> bool:
-        async def handle(request: Request) -> Answer:
-            return Answer(200, close=True)
+        async def handle(request: Request) -> Response:
+            return Response(200, close=True)
 
         server, transport = HttpServer(handle, asyncio.get_running_loop()), DepartedTransport()
         connection = Connection(server)
--- a/tests/proxy/test_backend_connection.py
+++ b/tests/proxy/test_backend_connection.py
@@ -193,7 +193,7 @@
 
     `left`, `send_left`: s of its time, and until when it may be sent.
     """
-    monkeypatch.setattr(connection_pool, "has_bytes", lambda _: False)
+    monkeypatch.setattr(connection_pool, "is_readable", lambda _: False)
 
     async def play() -> tuple[AttemptOutcome, Wire]:
         loop = asyncio.get_running_loop()
@@ -232,7 +232,7 @@
 
 
 def test_what_may_run_once_gets_no_connection_that_rested_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "has_bytes", lambda _: False)
+    monkeypatch.setattr(connection_pool, "is_readable", lambda _: False)
 
     async def play() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -79,12 +79,12 @@
     assert apply >= LEAVE_CUT + TURN + TAKEN  # also where both sources are cut off
     assert apply >= LEAVE_SILENT + TURN + TAKEN
     # a store alone is silent: another's is asked
-    assert apply >= following.ANSWER_S + following.PROBE_INTERVAL_S + TURN + TAKEN
+    assert apply >= following.CALL_TIMEOUT_S + following.PROBE_INTERVAL_S + TURN + TAKEN
 
 
 def test_in_order_nobody_says_that_there_is_no_contact() -> None:
     assert STATUS_INTERVAL_S + STATUS_WAIT_S <= STORE < CONTACT_LEASE_S
-    assert REGISTRY < following.STALE_S
+    assert REGISTRY < following.MAX_STATE_AGE_S
     assert max(REGISTRY, watch.MAX_POLL_S) + WAY < registry_watcher.MAX_AGE_S
     assert PROXY < registry_watcher.CONTACT_LOST_AGE_S
     assert watch.MAX_POLL_S == registry_watcher.LONG_POLL_S == following.MAX_POLL_S
@@ -112,7 +112,7 @@
             if number < known:
                 wrong.append(f"{now:.2f}: {proxy.ip} has r{number}, as of {age:.2f} s ago, not r{known}")
         for host, post in rig.watched_registries.items():
-            age_ = post.store_client.age()
+            age_ = post.store_client.state_age_s()
             known = max((n for at, n in rig.decided if age_ is not None and at <= now - age_), default=-1)
             if post.store_client.version_id.number < known:
                 wrong.append(f"{now:.2f}: registry {host} as of {age_} s ago has not r{known}")
@@ -211,7 +211,9 @@
     assert not rig.late(APPLY)
     silent = [at for at, age in rig.watched_registries[lost].ages if age < 0 and at > 1003]
     assert all(
-        1004 <= at <= 1004 + following.ANSWER_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + 1
+        1004
+        <= at
+        <= 1004 + following.CALL_TIMEOUT_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + 1
         for at in silent
     )
 
@@ -295,7 +297,7 @@
         assert lost not in proxy.watcher.selector.known_as_of
         assert rig.in_force(proxy, 20.0) == 50
     for host in rest:
-        assert lost not in rig.watched_registries[host].store_client.links
+        assert lost not in rig.watched_registries[host].store_client.rpc_clients
 
 
 # What one answer does
--- a/tests/proxy/test_request_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from irisdeal.config_store.configuration.version import ConfigVersion
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.permits.messages import PrefetchReply
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.backend_request import BackendRequest
@@ -106,9 +106,9 @@
         self.prepare(proxy)
         return proxy
 
-    def ask(self, **headers: str) -> Answer:
+    def ask(self, **headers: str) -> Response:
         """The answer to one request; virtual time goes on for 3 s behind it."""
-        answers: list[Answer] = []
+        answers: list[Response] = []
         self.made: Proxy | None = None
 
         async def run() -> int:
@@ -116,10 +116,10 @@
             named = {"Host": "h", "X-Irisdeal-Attempt-Id": "1", "X-Irisdeal-Deadline-Ms": "1500", **headers}
             fields = [(name.encode(), value.encode()) for name, value in named.items()]
             request = Request(b"POST", b"/a/x", fields, b"text", self.machine.time())
-            request.departed_at = self.machine.time() if self.left else None
-            work: Awaitable[Answer] = proxy.handler.serve(request)
+            request.disconnected_at = self.machine.time() if self.left else None
+            work: Awaitable[Response] = proxy.handler.serve(request)
             answers.append(await work)
-            self.took = self.machine.time() - request.arrived_at
+            self.took = self.machine.time() - request.received_at
             return 0
 
         self.machine.start(run())
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -9,7 +9,7 @@
 import pytest
 
 from irisdeal.http1.connection import Connection
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.phase import Phase
 from irisdeal.http1.server import HttpServer
 from irisdeal.permits.allowance import Limit
@@ -78,7 +78,7 @@
     async def act() -> None:
         proxy = world.proxy
         assert proxy is not None
-        proxy.front.on_departed = lambda request: phases.append(request.phase)
+        proxy.front.on_client_disconnected = lambda request: phases.append(request.phase)
         if world.registry is not None:
             world.registry.hold_s = 0.8
         if phase is Phase.CONNECTING:
@@ -95,9 +95,9 @@
             leaving.append(asyncio.ensure_future(leave_soon(client, chance, 0.2)))
         await asyncio.gather(*leaving)
         await asyncio.sleep(1.0)
-        assert {request for request in proxy.handler.attempts if request.departed_at is not None} == begun(
-            proxy
-        )
+        assert {
+            request for request in proxy.handler.attempts if request.disconnected_at is not None
+        } == begun(proxy)
         if world.registry is not None:
             assert world.registry.waiting == 0
         await asyncio.sleep(4.0)
@@ -258,7 +258,7 @@
 def promised_after_sending(patch: pytest.MonkeyPatch) -> None:
     take = RequestAttempts._take
 
-    def forgetful(self: RequestAttempts, outcome: AttemptOutcome) -> Answer | None:
+    def forgetful(self: RequestAttempts, outcome: AttemptOutcome) -> Response | None:
         answer = take(self, outcome)
         self.may_have_executed = False
         return answer
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -14,7 +14,7 @@
 from irisdeal.config_store.storage.version_files import write_atomically
 from irisdeal.registry import tombstone_record
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState, ObservedIncarnation
-from irisdeal.registry.peers import ANSWER_S, RegistryPeers
+from irisdeal.registry.peers import CALL_TIMEOUT_S, RegistryPeers
 from irisdeal.registry.server import RegistryServer
 from irisdeal.registry.tombstone_record import TombstoneRecord
 from irisdeal.simulation.cluster.cluster import Host, Stage
@@ -143,7 +143,7 @@
     async def alone(self: RegistryPeers, incarnation: BackendIncarnation) -> bool:
         body = self._update([ObservedIncarnation(incarnation, 0)]).encode(0.0)
         for ip in self.others():
-            self.tasks.start(self.link(ip).call("told", body, ANSWER_S))
+            self.tasks.start(self.rpc_client(ip).call("told", body, CALL_TIMEOUT_S))
         return await self._record([incarnation])
 
     monkeypatch.setattr(RegistryPeers, "_replicate_to_majority", alone)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -11,11 +11,11 @@
 import pytest
 
 from irisdeal.config_store.storage.chunks import SyncState
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.registry import store_client as following
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.messages import WatchReply, WatchRequest
-from irisdeal.registry.peers import SYNC_S
+from irisdeal.registry.peers import SYNC_TIMEOUT_S
 from irisdeal.registry.server import RegistryServer
 from irisdeal.runtime.settings import Bind, Settings
 from irisdeal.simulation.machine import Machine
@@ -75,7 +75,7 @@
         self.at(seconds, begin)
 
     def ask(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
-        def act(server: RegistryServer) -> Awaitable[Answer]:
+        def act(server: RegistryServer) -> Awaitable[Response]:
             return server.control.handle(Request(method, target, [], body, server.loop.time()))
 
         self.on(seconds, host, act)
@@ -141,10 +141,10 @@
     poll_repeatedly(rig, away, 8.001, 11.0)
     rig.play(11.1)
     told = shown(rig, 8.0)
-    assert [answer.status for _, answer in rig.heard if isinstance(answer, Answer)] == [200, 200]
+    assert [answer.status for _, answer in rig.heard if isinstance(answer, Response)] == [200, 200]
     full = [(at, states(one)) for at, one in told if one.age_ms >= 0]
     assert full and all(incarnations == {"i-1": BackendState.DRAINING} for _, incarnations in full), full[0]
-    assert full[0][0] <= 8.0 + 1.25 * following.SEARCH_INTERVAL_S + following.ANSWER_S + 10 * WAY
+    assert full[0][0] <= 8.0 + 1.25 * following.SEARCH_INTERVAL_S + following.CALL_TIMEOUT_S + 10 * WAY
 
 
 def test_a_registry_that_can_hear_too_few_goes_on_after_a_while(caplog: pytest.LogCaptureFixture) -> None:
@@ -159,7 +159,7 @@
     poll_repeatedly(rig, away, 5.1, 9.0)
     rig.play(9.1)
     full = [at for at, told in shown(rig, 5.0) if told.age_ms >= 0]
-    assert 5.0 + SYNC_S - 0.1 <= full[0] <= 5.0 + SYNC_S + 3 * following.ANSWER_S
+    assert 5.0 + SYNC_TIMEOUT_S - 0.1 <= full[0] <= 5.0 + SYNC_TIMEOUT_S + 3 * following.CALL_TIMEOUT_S
     assert sum("E317" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -216,7 +216,7 @@
     rig.play(2.0)
     server = rig.servers[one]
     peers = server.peers
-    assert peers.zones.keys() == set(rig.hosts) and gone in peers.links
+    assert peers.zones.keys() == set(rig.hosts) and gone in peers.rpc_clients
     rig.ask(2.1, one, b"POST", b"/backends/i-2/heartbeat", heartbeat().replace(b'"z0"', b'"z2"'))
     before = rig.first.members
     members = before.enter_joint([seat for seat in before.seats if gone not in seat]).leave_joint()
@@ -226,7 +226,7 @@
     rig.play(5.0)
     first, second = (json.loads(answer.body) for _, answer in rig.heard)
     assert first == {"beat_target": f"{gone}:8000"} and second == {}
-    assert gone not in peers.links and gone not in peers.zones
+    assert gone not in peers.rpc_clients and gone not in peers.zones
     assert server.backends.observe(
         BackendIncarnation("i-3", "s", "a:1", "z0", 1, BackendState.READY, 1, 0.0), 1.0
     )
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -98,7 +98,7 @@
         kept = rig.stores[host].watch
 
         def watch(sync_state: SyncState, change: int) -> Any:
-            asks[change != following.AT_ONCE] += 1
+            asks[change != following.NO_WAIT_CHANGE] += 1
             return kept(sync_state, change)
 
         rig.stores[host].watch = watch  # type: ignore[method-assign]
@@ -167,7 +167,7 @@
         9.0,
         lambda: (
             lost.append(rig.world.seconds())
-            if (rig.world.seconds() > 5 and rig.watched_registries[host].store_client.age() is None)
+            if (rig.world.seconds() > 5 and rig.watched_registries[host].store_client.state_age_s() is None)
             else None
         ),
     )
@@ -178,7 +178,10 @@
         12.0,
         lambda: (
             back.append(rig.world.seconds())
-            if (rig.world.seconds() > 9 and rig.watched_registries[host].store_client.age() is not None)
+            if (
+                rig.world.seconds() > 9
+                and rig.watched_registries[host].store_client.state_age_s() is not None
+            )
             else None
         ),
     )
@@ -186,7 +189,7 @@
     assert (
         5.0 < lost[0] <= 5.0 + CONTACT_LEASE_S + following.PROBE_INTERVAL_S + following.FAILOVER_GRACE_S + WAY
     )
-    assert back[0] <= 9.0 + 1.25 * following.SEARCH_INTERVAL_S + following.ANSWER_S + WAY
+    assert back[0] <= 9.0 + 1.25 * following.SEARCH_INTERVAL_S + following.CALL_TIMEOUT_S + WAY
 
 
 def test_an_order_without_contact_is_answered_at_once_and_not_refused_for_good() -> None:
@@ -268,7 +271,7 @@
     assert not store_client.is_majority({b, c})
     assert not store_client.is_majority({a, b, d})
     assert store_client.is_majority({a, b, c})
-    assert store_client.everyone() == {a, b, c, d, "10.7.0.1", "10.8.0.1"}
+    assert store_client.core_ips() == {a, b, c, d, "10.7.0.1", "10.8.0.1"}
 
 
 def test_an_older_list_takes_nothing_back() -> None:
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -288,7 +288,7 @@
         self.chance = random.Random(seed)
         self.judge, self.asked, self.over = Judge(), 0, False
         self.proxy = Machine(self.world, self.net, "door", Core(), Costs())
-        monkeypatch.setattr(connection_pool, "has_bytes", lambda file: self.net.has_bytes(self.proxy, file))
+        monkeypatch.setattr(connection_pool, "is_readable", lambda file: self.net.has_bytes(self.proxy, file))
 
     def now(self) -> float:
         return (self.world.now - START) / 1e6
--- a/tests/rpc/test_call_specs.py
+++ b/tests/rpc/test_call_specs.py
@@ -108,7 +108,7 @@
     sent = list(_kinds_sent())
     assert len(sent) >= 15
     for module, kind, is_one_way in sent:
-        assert table.reason_not_to_send(kind, is_one_way) is None, (module, kind)
+        assert table.invalid_call_reason(kind, is_one_way) is None, (module, kind)
     assert set(table.CALLS) == _kinds_handled()
 
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -8,7 +8,13 @@
 import pytest
 from returns.result import Failure, Success
 
-from irisdeal.rpc.frames import MAX_FRAME_BYTES, ONE_WAY, FrameReader, InvalidFrameError, encode
+from irisdeal.rpc.frames import (
+    MAX_FRAME_BYTES,
+    NOTIFICATION_REQUEST_ID,
+    FrameReader,
+    InvalidFrameError,
+    encode,
+)
 from irisdeal.rpc.server import DEFERRED, RpcServer
 from irisdeal.runtime import events
 from irisdeal.runtime.errors import (
@@ -226,7 +232,7 @@
         ([HELLO, encode([2, "lend", 2]), encode([1, "lend", 1])], [2]),
         ([encode([1, "lend", 1])], []),
         ([HELLO, encode([1, "lend", 1]), HELLO, encode([2, "lend", 2])], [1]),
-        ([HELLO, encode([ONE_WAY, "lend", 1]), encode([1, "lend", 2])], [2]),
+        ([HELLO, encode([NOTIFICATION_REQUEST_ID, "lend", 1]), encode([1, "lend", 2])], [2]),
         ([HELLO, encode([True, "lend", 1])], []),
         ([HELLO, encode([1.0, "lend", 1])], []),
         ([HELLO, encode([1, "no such", 1]), encode([2, "lend", 2])], [2]),
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from irisdeal.config_store.metrics import StoreMetrics
-from irisdeal.http1.messages import Answer, Request
+from irisdeal.http1.messages import Request, Response
 from irisdeal.http1.metrics_server import MetricsServer
 from irisdeal.proxy.metrics import ProxyMetrics
 from irisdeal.registry.metrics import RegistryMetrics
@@ -84,7 +84,7 @@
 def test_the_metrics_page_is_served_and_no_other(method: bytes, target: bytes, status: int) -> None:
     settings = Settings("n", "r", "10.0.0.1", "z", (7000, 7010), (), metrics="9100/metrics")
 
-    async def ask() -> Answer:
+    async def ask() -> Response:
         server = MetricsServer(settings, ProxyMetrics(), asyncio.get_running_loop())
         return await server._answer(Request(method, target, [], b"", 0.0))
 
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -190,7 +190,7 @@
 
     def changed(self) -> None:
         self.waking[0] += 1
-        self.watch.wake()
+        self.watch.notify_proxies()
 
     async def run(self) -> int:
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -32,7 +32,7 @@
 from irisdeal.registry.messages import IntervalReport, PlacementRequest, ReservationEnd
 from irisdeal.registry.server import RegistryServer
 from irisdeal.rpc.client import RpcClient
-from irisdeal.rpc.frames import ONE_WAY, encode
+from irisdeal.rpc.frames import NOTIFICATION_REQUEST_ID, encode
 from irisdeal.runtime import ports
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import Bind, Settings, Tolerance
@@ -98,7 +98,7 @@
         def heard_word(link: RpcClient, kind: str, body: Any) -> bool:
             is_sent = tell(link, kind, body)
             if is_sent:
-                frame = encode([ONE_WAY, kind, body])
+                frame = encode([NOTIFICATION_REQUEST_ID, kind, body])
                 self.calls.append(Call(kind, link.name, link.peer, frame, None, shape_of(body)))
             return is_sent
 
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -394,7 +394,7 @@
         def has_bytes(number: int) -> bool:
             return self.net.has_bytes(self.proxy_machine, number)
 
-        with mock.patch.object(connection_pool, "has_bytes", has_bytes):
+        with mock.patch.object(connection_pool, "is_readable", has_bytes):
             self.world.run(lambda: self.over, START + int(most_s * 1e6))
         errors = [*self.proxy_machine.errors, *self.backend.errors, *self.client.errors]
         assert not errors, errors
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -258,7 +258,7 @@
         QuotaService.lend,
         QuotaService.report,
         QuotaService.receive_sum,
-        QuotaService.close,
+        QuotaService.close_interval,
     )
     with contextlib.ExitStack() as stack:
         stack.enter_context(before(World, World.__init__, recorder.world_made))
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -70,7 +70,7 @@
     WatchRequest,
 )
 from irisdeal.rpc.calls import CALLS, CANCEL
-from irisdeal.rpc.frames import HELLO, ONE_WAY, FrameReader, encode
+from irisdeal.rpc.frames import HELLO_REQUEST_ID, NOTIFICATION_REQUEST_ID, FrameReader, encode
 from tests.front_door.test_handover import worked
 from tests.support.exchange import Call, recorded
 
@@ -196,7 +196,7 @@
         """In hex: the call, its answer, and the call as a word where it may be one."""
         frames = [encode([7, self.kind, self.ask]), encode([7, True, self.answer])]
         if CALLS[self.kind].is_one_way:
-            frames.append(encode([ONE_WAY, self.kind, self.ask]))
+            frames.append(encode([NOTIFICATION_REQUEST_ID, self.kind, self.ask]))
         return [frame.hex() for frame in frames]
 
 
@@ -385,8 +385,8 @@
 def of_the_link() -> dict[str, str]:
     """What a link tells by itself."""
     return {
-        "hello": encode([HELLO, "hello", "proxy 10.1.0.9"]).hex(),
-        "cancel": encode([ONE_WAY, CANCEL, 70_000]).hex(),
+        "hello": encode([HELLO_REQUEST_ID, "hello", "proxy 10.1.0.9"]).hex(),
+        "cancel": encode([NOTIFICATION_REQUEST_ID, CANCEL, 70_000]).hex(),
         "refused": encode([7, False, "this process ends"]).hex(),
     }
 
