--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -85,7 +85,7 @@
         assert chunk is not None
         encoded = chunk.encode()
         size, chunks = size + len(cbor2.dumps(encoded)), chunks + 1
-        if assembler.take(encoded) is not None:
+        if assembler.add_chunk(encoded) is not None:
             return size, chunks
 
 
@@ -106,7 +106,7 @@
         ),
         times["whole table"],
     )
-    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(max_older=0))
+    version_store, assembler = VersionStore(), ChunkAssembler(VersionStore(max_older_versions=0))
     version_store.add(versions[0])
     snapshot, pieces = timed(partial(taking, version_store, assembler, None, versions[0]), times["snapshot"])
     before: ParsedConfiguration = run_to_completion(read_incrementally(versions[0].body, None)).unwrap()
--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -28,12 +28,12 @@
 from irisdeal.config_store.consensus import register
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    UNKNOWN,
+    UNKNOWN_VALUE,
     AcceptorState,
     Ballot,
     BallotAttempt,
+    BallotStep,
     Change,
-    Step,
     Value,
 )
 from irisdeal.config_store.membership import decided_value
@@ -142,7 +142,7 @@
     ballot: Ballot
     known: Members
     change: int
-    step: Step
+    step: BallotStep
     promised: tuple[tuple[str, AcceptorState], ...]
     accepted: frozenset[str]
     above: Ballot
@@ -183,10 +183,10 @@
     def begin(self) -> State:
         """The first state."""
         plan, number = self.plan, self.table.number
-        first = Value.first(Members(0, plan.seats[: plan.first]))
+        first = Value.initial(Members(0, plan.seats[: plan.first]))
         kept, empty = (
             number(AcceptorState(NO_BALLOT, NO_BALLOT, first)),
-            number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN)),
+            number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE)),
         )
         seats = tuple(
             kept if index < plan.first else empty if index in plan.there else GONE
@@ -252,7 +252,7 @@
             yield from self._late(state)
         if self.plan.wiped is not None and not state.wiped:
             old, new = self.plan.wiped
-            empty = self.table.number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN))
+            empty = self.table.number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE))
             seats = _set(_set(state.now, old, GONE), new, empty)
             yield f"the disk of {old} is lost", state._replace(now=seats, synced=seats, wiped=True)
         yield from self._read(state)
@@ -270,7 +270,9 @@
             ballot = Ballot(state.above[proposer] + 1, seat)
         else:
             ballot = Ballot(max(kept.promised.count, state.above[proposer]) + 1, seat)
-        fresh = Frozen(ballot, known.members, change, Step.PREPARING, (), frozenset(), NO_BALLOT, None, None)
+        fresh = Frozen(
+            ballot, known.members, change, BallotStep.PREPARING, (), frozenset(), NO_BALLOT, None, None
+        )
         state = state._replace(
             used=_set(state.used, proposer, state.used[proposer] + 1),
             above=_set(state.above, proposer, ballot.count),
@@ -298,15 +300,15 @@
         for seat in self._targets(number):
             if state.now[seat] == GONE:
                 continue
-            if frozen.step is Step.PREPARING:
+            if frozen.step is BallotStep.PREPARING:
                 yield f"{seat} hears {proposer}'s prepare", self._prepare(state, proposer, seat, True)
                 yield (
                     f"{seat} hears {proposer}'s prepare, answer lost",
                     self._prepare(state, proposer, seat, False),
                 )
-            elif frozen.step is Step.ACCEPTING:
+            elif frozen.step is BallotStep.ACCEPTING:
                 yield f"{seat} hears {proposer}'s accept", self._accept(state, proposer, seat)
-        if frozen.step in (Step.LOST, Step.DECIDED):
+        if frozen.step in (BallotStep.LOST, BallotStep.DECIDED):
             yield f"{proposer} is done", state._replace(rounds=_set(state.rounds, proposer, GONE))
 
     def _targets(self, number: int) -> list[int]:
@@ -370,7 +372,7 @@
         then, proposal, decided = self.steps[key]
         state = state._replace(rounds=_set(state.rounds, proposer, then))
         after: Frozen = self.table.things[then]
-        if after.step is Step.LOST:
+        if after.step is BallotStep.LOST:
             state = state._replace(
                 above=_set(state.above, proposer, max(state.above[proposer], after.above.count))
             )
@@ -387,28 +389,28 @@
         ballot = self._thaw(frozen)
         before = ballot.step
         for _ in range(2):  # each answer comes twice
-            if kind == "promise" and before is Step.PREPARING:
+            if kind == "promise" and before is BallotStep.PREPARING:
                 ballot.on_prepare_reply(self.plan.seats[seat], good, self.table.things[thing])
             elif kind == "accept":
                 ballot.on_accept_reply(self.plan.seats[seat], good, self.table.things[thing])
         made = Frozen(
             ballot.ballot,
-            ballot.known,
+            ballot.known_members,
             frozen.change,
             ballot.step,
             tuple(sorted(ballot.prepare_replies.items(), key=lambda item: item[0])),
-            frozenset(ballot.accepted),
-            ballot.above,
+            frozenset(ballot.accepted_by),
+            ballot.preempted_by,
             ballot.base,
             ballot.value,
         )
         proposal = decided = None
-        if before is Step.PREPARING and ballot.step is Step.ACCEPTING:
+        if before is BallotStep.PREPARING and ballot.step is BallotStep.ACCEPTING:
             base = max(kept.accepted for kept in ballot.prepare_replies.values())
             proposal = self.table.number(Proposal(ballot.ballot, ballot.value, base))  # type: ignore[arg-type]
-        if before is Step.ACCEPTING and ballot.step is Step.DECIDED:
+        if before is BallotStep.ACCEPTING and ballot.step is BallotStep.DECIDED:
             decided = self.table.number(ballot.value)
-        if ballot.step is not Step.PREPARING:  # what was promised is looked at no more
+        if ballot.step is not BallotStep.PREPARING:  # what was promised is looked at no more
             made = made._replace(promised=())
         return self.table.number(made), proposal, decided
 
@@ -437,7 +439,7 @@
 
     def _killed(self, state: State, proposer: int) -> State:
         """It comes back with what its disk has, and with the first list as all that it knows to be decided."""
-        first = self.table.number(Value.first(Members(0, self.plan.seats[: self.plan.first])))
+        first = self.table.number(Value.initial(Members(0, self.plan.seats[: self.plan.first])))
         return state._replace(
             now=_set(state.now, proposer, state.synced[proposer]),
             rounds=_set(state.rounds, proposer, GONE),
--- a/irisdeal/cli/store/adopt.py
+++ b/irisdeal/cli/store/adopt.py
@@ -45,9 +45,9 @@
     if not Path(settings.data_path).is_dir():
         raise UsageError(f"data_path {settings.data_path}: wanted the folder of this machine's store")
     content = read_folder(settings.data_path)
-    planned = adoption.plan(content, settings.ip)
+    planned = adoption.plan_adoption(content, settings.ip)
     survey = _survey(settings, planned)
-    refusals = adoption.refusals(content, planned, settings.ip, survey, confirmed)
+    refusals = adoption.refusal_reasons(content, planned, settings.ip, survey, confirmed)
     is_done = not refusals and not dry_run
     if is_done:
         _write(settings, planned)
--- a/irisdeal/cli/store/status.py
+++ b/irisdeal/cli/store/status.py
@@ -115,7 +115,7 @@
         "holds": replica.has_body,
         "list": replica.decided.members.number,
         "ballot": replica.accepted.count,
-        "leaving": replica.leaving,
+        "leaving": replica.is_leaving,
     }
 
 
@@ -138,7 +138,7 @@
         _yes(replica.has_body),
         str(replica.decided.members.number),
         str(replica.accepted.count),
-        _yes(replica.leaving),
+        _yes(replica.is_leaving),
     ]
 
 
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -16,14 +16,14 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion, VersionId
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    UNKNOWN,
+    UNKNOWN_VALUE,
     AcceptorState,
     Ballot,
     Value,
     on_accept,
     on_prepare,
 )
-from irisdeal.config_store.membership.members import FIRST, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, format_seat
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
 from irisdeal.config_store.storage.folder import DiskFolder, Folder
 from irisdeal.config_store.storage.version_files import VersionFiles
@@ -49,9 +49,9 @@
         self.version_store = VersionStore()
         self.write_lock = asyncio.Lock()
         self.disk_id = ""
-        self.state = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN)
-        self.decided = UNKNOWN
-        self.written = UNKNOWN  # the decided value that is on the disk
+        self.state = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE)
+        self.decided = UNKNOWN_VALUE
+        self.written = UNKNOWN_VALUE  # the decided value that is on the disk
         self.needed: dict[
             VersionId, ConfigVersion
         ] = {}  # what is accepted and decided, whatever else arrives
@@ -59,7 +59,7 @@
     @property
     def seat(self) -> str:
         """The address and the disk's identity, as member lists name them."""
-        return seat(self.ip, self.disk_id)
+        return format_seat(self.ip, self.disk_id)
 
     async def open(self, first: Value | None) -> None:
         """Load what the disk has; an empty or damaged one gets a new identity. OSError where it refuses.
@@ -87,11 +87,11 @@
 
         `replace_wiped_disk` of membership/reconfiguration.py lets it into the member list again.
         """
-        value = first or UNKNOWN
-        disk_id = FIRST if first else secrets.token_hex(DISK_ID_BYTES)
+        value = first or UNKNOWN_VALUE
+        disk_id = INITIAL_DISK_ID if first else secrets.token_hex(DISK_ID_BYTES)
         persisted = PersistedState(disk_id, AcceptorState(NO_BALLOT, NO_BALLOT, value), value)
         await self._on_disk(self.state_file.write, persisted)
-        log_event(Event.DISK_IDENTITY_ASSIGNED, seat=seat(self.ip, persisted.disk_id))
+        log_event(Event.DISK_IDENTITY_ASSIGNED, seat=format_seat(self.ip, persisted.disk_id))
         return persisted
 
     async def _on_disk(self, act: Callable[[*Args], T], *args: *Args) -> T:
--- a/irisdeal/config_store/consensus/proposer.py
+++ b/irisdeal/config_store/consensus/proposer.py
@@ -20,9 +20,9 @@
     NO_BALLOT,
     Ballot,
     BallotAttempt,
+    BallotStep,
     Change,
     PutOutcome,
-    Step,
     Value,
     put,
     unchanged,
@@ -178,11 +178,11 @@
                 attempt = await self.run_ballot(change, min(BALLOT_TIMEOUT_S, deadline - now()))
             except OSError:
                 return None  # our disk refuses: the caller goes to another replica
-            if attempt.step is Step.DECIDED:
+            if attempt.step is BallotStep.DECIDED:
                 assert attempt.value is not None
                 self.learn(attempt.ballot, attempt.value)
                 return attempt.value
-            self.observe_ballot(attempt.above)
+            self.observe_ballot(attempt.preempted_by)
             self._log_retry(attempt)
             await self._back_off(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
@@ -218,12 +218,12 @@
         # Promised here before anyone sees it: no ballot is used twice.
         is_granted, state = await acceptor.prepare(attempt.ballot)
         attempt.on_prepare_reply(acceptor.seat, is_granted, state)
-        await self._ask_all(attempt, Step.PREPARING, self._send_prepare, deadline)
-        if attempt.step is Step.ACCEPTING and await self._has_proposed_version(attempt, deadline):
-            await self._ask_all(attempt, Step.ACCEPTING, self._send_accept, deadline)
-        if attempt.step is Step.DECIDED:
+        await self._ask_all(attempt, BallotStep.PREPARING, self._send_prepare, deadline)
+        if attempt.step is BallotStep.ACCEPTING and await self._has_proposed_version(attempt, deadline):
+            await self._ask_all(attempt, BallotStep.ACCEPTING, self._send_accept, deadline)
+        if attempt.step is BallotStep.DECIDED:
             self.ballot_duration_s = now() - started_at
-            self.on_ballot_decided(len(attempt.accepted))
+            self.on_ballot_decided(len(attempt.accepted_by))
         return attempt
 
     async def _has_proposed_version(self, attempt: BallotAttempt, deadline: float) -> bool:
@@ -240,7 +240,7 @@
         except TimeoutError:
             return False
 
-    async def _ask_all(self, attempt: BallotAttempt, step: Step, ask: AskSeat, deadline: float) -> None:
+    async def _ask_all(self, attempt: BallotAttempt, step: BallotStep, ask: AskSeat, deadline: float) -> None:
         """Ask all seats that are to be asked until this step of the ballot is over."""
         asked: dict[str, asyncio.Task[None]] = {}
         replied = asyncio.Event()
--- a/irisdeal/config_store/consensus/register.py
+++ b/irisdeal/config_store/consensus/register.py
@@ -69,7 +69,7 @@
     members: Members
 
     @staticmethod
-    def first(members: Members) -> Value:
+    def initial(members: Members) -> Value:
         """Return the value of a system that starts for the first time."""
         return Value(0, NO_VERSION, members)
 
@@ -84,7 +84,9 @@
         return Value(int(change), VersionId(int(number), bytes(digest)), Members.decode(members))
 
 
-UNKNOWN = Value(-1, NO_VERSION, Members(-1, ()))  # of a disk that was empty: below all that may be decided
+UNKNOWN_VALUE = Value(
+    -1, NO_VERSION, Members(-1, ())
+)  # of a disk that was empty: below all that may be decided
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,77 +169,79 @@
     return value
 
 
-class Step(IntEnum):
+class BallotStep(IntEnum):
     """Where a ballot stands."""
 
     PREPARING = 0  # ask `targets()` for a promise
     ACCEPTING = 1  # ask `targets()` to accept `value`
     DECIDED = 2  # `value` is decided
-    LOST = 3  # a higher ballot, `above`, was observed: start again above it, after a pause
+    LOST = 3  # a higher ballot, `preempted_by`, was observed: start again above it, after a pause
 
 
 @dataclass
 class BallotAttempt:
-    """One ballot of a proposer. `known`: the newest member list that it knows to be decided."""
+    """One ballot of a proposer. `known_members`: the newest member list that it knows to be decided."""
 
     ballot: Ballot
-    known: Members
+    known_members: Members
     change: Change
-    step: Step = Step.PREPARING
+    step: BallotStep = BallotStep.PREPARING
     prepare_replies: dict[str, AcceptorState] = field(default_factory=dict)  # of seats that promised
-    accepted: set[str] = field(default_factory=set)  # seats
-    above: Ballot = NO_BALLOT
+    accepted_by: set[str] = field(default_factory=set)  # seats
+    preempted_by: Ballot = NO_BALLOT
     base: Value | None = None  # what was taken over
     value: Value | None = None  # what is proposed
 
-    def lists(self) -> list[Members]:
+    def required_lists(self) -> list[Members]:
         """Return the member lists each of which must have its quorum."""
         values = [value for value in (self.base, self.value) if value is not None]
-        return list(dict.fromkeys([self.known, *(value.members for value in values)]))
+        return list(dict.fromkeys([self.known_members, *(value.members for value in values)]))
 
     def targets(self) -> frozenset[str]:
         """Return the seats to be asked, also those that have answered."""
-        newest = self._highest()
+        newest = self._highest_accepted()
         more = newest.value.members.voters() if newest is not None else frozenset()
-        return frozenset().union(more, *(members.voters() for members in self.lists()))
+        return frozenset().union(more, *(members.voters() for members in self.required_lists()))
 
-    def _highest(self) -> AcceptorState | None:
+    def _highest_accepted(self) -> AcceptorState | None:
         """Of states that accepted nothing, one that knows the first list precedes one that knows none."""
         states = self.prepare_replies.values()
         return max(states, key=lambda state: (state.accepted, state.value.change), default=None)
 
-    def on_prepare_reply(self, seat: str, is_granted: bool, state: AcceptorState) -> Step:
+    def on_prepare_reply(self, seat: str, is_granted: bool, state: AcceptorState) -> BallotStep:
         """Take a seat's answer to the prepare of this ballot; return where the ballot stands."""
-        if self.step is not Step.PREPARING:
+        if self.step is not BallotStep.PREPARING:
             return self.step
         # A refusal that names this very ballot repeats a promise whose answer was lost.
         if not is_granted and state.promised != self.ballot:
             self._lose(state.promised)
             return self.step
         self.prepare_replies[seat] = state
-        highest = self._highest()
+        highest = self._highest_accepted()
         assert highest is not None
         if self._has_prepare_quorum(highest.value.members):
             self.base = highest.value
-            self.value = self.change(self.base) if self.base.members == self.known else self.base
-            self.step = Step.ACCEPTING
+            self.value = self.change(self.base) if self.base.members == self.known_members else self.base
+            self.step = BallotStep.ACCEPTING
         return self.step
 
     def _has_prepare_quorum(self, taken_over: Members) -> bool:
-        return self.known.is_quorum(self.prepare_replies) and taken_over.is_quorum(self.prepare_replies)
+        return self.known_members.is_quorum(self.prepare_replies) and taken_over.is_quorum(
+            self.prepare_replies
+        )
 
-    def on_accept_reply(self, seat: str, is_accepted: bool, promised: Ballot) -> Step:
+    def on_accept_reply(self, seat: str, is_accepted: bool, promised: Ballot) -> BallotStep:
         """Take a seat's answer to the accept of this ballot; return where the ballot stands."""
-        if self.step is not Step.ACCEPTING:
+        if self.step is not BallotStep.ACCEPTING:
             return self.step
         if not is_accepted:
             self._lose(promised)
             return self.step
-        self.accepted.add(seat)
-        if all(members.is_quorum(self.accepted) for members in self.lists()):
-            self.step = Step.DECIDED
+        self.accepted_by.add(seat)
+        if all(members.is_quorum(self.accepted_by) for members in self.required_lists()):
+            self.step = BallotStep.DECIDED
         return self.step
 
     def _lose(self, to: Ballot) -> None:
-        self.above = max(self.above, to)
-        self.step = Step.LOST
+        self.preempted_by = max(self.preempted_by, to)
+        self.step = BallotStep.LOST
--- a/irisdeal/config_store/membership/adoption.py
+++ b/irisdeal/config_store/membership/adoption.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 
 from irisdeal.config_store.consensus.acceptor import DISK_ID_BYTES
-from irisdeal.config_store.consensus.register import UNKNOWN, AcceptorState, Ballot, Value
-from irisdeal.config_store.membership.members import Members, ip_of, seat
+from irisdeal.config_store.consensus.register import UNKNOWN_VALUE, AcceptorState, Ballot, Value
+from irisdeal.config_store.membership.members import Members, format_seat, ip_of
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile, PersistedState
@@ -26,7 +26,7 @@
 from irisdeal.config_store.storage.inspection import FolderContent
 
 LEAP = 1_000_000  # changes and ballots: three years of 760 changes a day
-EVERYTHING = "everything"  # the name of what is given up where this disk knows nothing
+CONFIRM_EVERYTHING = "everything"  # the name of what is given up where this disk knows nothing
 
 
 @dataclass(frozen=True)
@@ -46,31 +46,31 @@
     versions: tuple[str, ...]
 
 
-def plan(disk: FolderContent, ip: str) -> Adoption:
+def plan_adoption(disk: FolderContent, ip: str) -> Adoption:
     """Return the adoption of a new first list that is this machine alone.
 
     Args:
         disk: what is on its disk.
         ip: its address.
     """
-    known = [*disk.values, UNKNOWN]
+    known = [*disk.values, UNKNOWN_VALUE]
     base = max(filter(disk.has_version_of, known), key=lambda value: value.change)
     machines = sorted({ip_of(other) for value in known for other in value.members.voters()} - {ip})
     newer = sorted({_version_name(value) for value in known if value.change > base.change})
     last_ballot = disk.state.acceptor_state.promised.count if disk.state is not None else 0
     identity = secrets.token_hex(DISK_ID_BYTES)
-    ballot = Ballot(last_ballot + LEAP, seat(ip, identity))
+    ballot = Ballot(last_ballot + LEAP, format_seat(ip, identity))
     members = Members(max(value.members.number for value in known) + LEAP, (ballot.seat,))
     value = Value(max(value.change for value in known) + LEAP, base.version_id, members)
     return Adoption(
         PersistedState(identity, AcceptorState(ballot, ballot, value), value),
         base,
         tuple(machines),
-        tuple(newer) if base != UNKNOWN else (EVERYTHING,),
+        tuple(newer) if base != UNKNOWN_VALUE else (CONFIRM_EVERYTHING,),
     )
 
 
-def refusals(
+def refusal_reasons(
     disk: FolderContent, adoption: Adoption, ip: str, survey: Survey, confirmed: Collection[str]
 ) -> list[str]:
     """Return why the adoption must not be done, in words for the operator; empty where it may be done.
@@ -88,7 +88,7 @@
     newest_change, newest_seat = max(map(_newest_body, statuses), default=(-1, ""))
     if newest_change > adoption.base.change:
         return [f"{newest_seat} holds change {newest_change}, this disk {adoption.base.change}: adopt there"]
-    own = {seat(ip, disk.state.disk_id)} if disk.state is not None else set()
+    own = {format_seat(ip, disk.state.disk_id)} if disk.state is not None else set()
     for value in disk.values:
         if value.members.is_quorum(survey.answered() | own):
             return [f"a quorum of list {value.members.number} can still be had: start the store of {ip}"]
--- a/irisdeal/config_store/membership/contact.py
+++ b/irisdeal/config_store/membership/contact.py
@@ -16,10 +16,10 @@
 6. A slow disk does not end contact, since status requests wait for no disk; what needs the disk has its own limit.
 
 Contact alone does not give knowledge: what a seat accepted may be decided, and confirmed, by a member that is
-partitioned now, unseen by all others. So the age of our knowledge (`known_age`) counts from a request to a quorum
-of seats that had accepted nothing beyond what is in force here. Each change that was decided before that request
-was accepted by a quorum, which shares a seat with this one: it is in force here. Whoever is sent the age adds the
-time since its own request.
+partitioned now, unseen by all others. So the age of our knowledge (`knowledge_age_s`) counts from a
+request to a quorum of seats that had accepted nothing beyond what is in force here. Each change that was decided
+before that request was accepted by a quorum, which shares a seat with this one: it is in force here. Whoever is
+sent the age adds the time since its own request.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
         self.accepted.clear()
         self.valid_from = max(self.valid_from, now)
 
-    def age(self, members: Members, own: str, now: float) -> float:
+    def age_s(self, members: Members, own: str, now: float) -> float:
         """Return the s since the latest moment from which on a quorum was asked, and answered; inf for none.
 
         Args:
@@ -90,7 +90,7 @@
         """
         return _quorum_age(members, {**self.asked_at, own: now}, now)
 
-    def known_age(self, members: Members, own: str, now: float, change: int, accepted: int) -> float:
+    def knowledge_age_s(self, members: Members, own: str, now: float, change: int, accepted: int) -> float:
         """Return the s since a moment by which all that was decided is in force here; inf where there was none.
 
         Args:
@@ -109,11 +109,11 @@
 
     def has_lease(self, members: Members, own: str, now: float) -> bool:
         """Whether this process may answer for the store."""
-        return self.age(members, own, now) <= self.lease_s
+        return self.age_s(members, own, now) <= self.lease_s
 
     def remaining_s(self, members: Members, own: str, now: float) -> float:
         """Return the s until contact ends if nobody answers any more; 0 where there is none."""
-        return max(0.0, self.lease_s - self.age(members, own, now))
+        return max(0.0, self.lease_s - self.age_s(members, own, now))
 
 
 def _quorum_age(members: Members, asked_at: dict[str, float], now: float) -> float:
--- a/irisdeal/config_store/membership/members.py
+++ b/irisdeal/config_store/membership/members.py
@@ -23,12 +23,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-FIRST = (
+INITIAL_DISK_ID = (
     "first"  # identity of the disk of a machine that starts with `bootstrap`; peers and disks have this text
 )
 
 
-def seat(ip: str, disk: str) -> str:
+def format_seat(ip: str, disk: str) -> str:
     """Return the seat of this disk at this address, as `10.0.0.1/9f3c`."""
     return f"{ip}/{disk}"
 
@@ -58,9 +58,9 @@
     former: tuple[str, ...] = ()
 
     @staticmethod
-    def first(ips: Iterable[str]) -> Members:
+    def initial(ips: Iterable[str]) -> Members:
         """Return the list with which a system starts: the seed machines, each with its first disk."""
-        return Members(0, tuple(sorted(seat(ip, FIRST) for ip in set(ips))))
+        return Members(0, tuple(sorted(format_seat(ip, INITIAL_DISK_ID) for ip in set(ips))))
 
     def voters(self) -> frozenset[str]:
         """Return all seats that may count towards a quorum."""
--- a/irisdeal/config_store/membership/messages.py
+++ b/irisdeal/config_store/membership/messages.py
@@ -20,7 +20,7 @@
         value: the value that it accepted last, perhaps not decided.
         decided: the newest value that it knows to be decided.
         has_body: whether it has the body of `decided`, synced: it has caught up.
-        leaving: whether it is shutting down gracefully.
+        is_leaving: whether it is shutting down gracefully.
     """
 
     seat: str
@@ -29,7 +29,7 @@
     value: Value
     decided: Value
     has_body: bool
-    leaving: bool = False
+    is_leaving: bool = False
 
     @property
     def ip(self) -> str:
@@ -45,7 +45,7 @@
             self.value.encode(),
             self.decided.encode(),
             self.has_body,
-            self.leaving,
+            self.is_leaving,
         ]
 
     @staticmethod
--- a/irisdeal/config_store/membership/status_rounds.py
+++ b/irisdeal/config_store/membership/status_rounds.py
@@ -15,7 +15,7 @@
 
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import BALLOT_TIMEOUT_S, Proposer
-from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN, Value, set_members
+from irisdeal.config_store.consensus.register import NO_BALLOT, UNKNOWN_VALUE, Value, set_members
 from irisdeal.config_store.membership.contact import QuorumContact
 from irisdeal.config_store.membership.decided_value import decided_among
 from irisdeal.config_store.membership.goals import ReconfigurationGoals
@@ -97,14 +97,14 @@
         """Whether this replica may answer for the store."""
         return self.contact.has_lease(self.members, self.acceptor.seat, now())
 
-    def known_age(self, change: int) -> float:
+    def knowledge_age_s(self, change: int) -> float:
         """Return the s since a moment by which all that was decided is in force here; inf where there was none.
 
         Args:
             change: number of the change that is in force here.
         """
         accepted = self.acceptor.state.value.change
-        return self.contact.known_age(self.members, self.acceptor.seat, now(), change, accepted)
+        return self.contact.knowledge_age_s(self.members, self.acceptor.seat, now(), change, accepted)
 
     def own_status(self) -> ReplicaStatus:
         """Return this replica's status."""
@@ -115,7 +115,7 @@
             kept.accepted,
             kept.value,
             decided,
-            decided != UNKNOWN and self.acceptor.has_version(decided.version_id),
+            decided != UNKNOWN_VALUE and self.acceptor.has_version(decided.version_id),
             self.leaving,
         )
 
--- a/irisdeal/config_store/membership/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -8,7 +8,7 @@
 
 from returns.result import Failure, Result, Success
 
-from irisdeal.config_store.consensus.register import UNKNOWN, Value
+from irisdeal.config_store.consensus.register import UNKNOWN_VALUE, Value
 from irisdeal.config_store.membership.members import Members, majority
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.rpc.client import RpcClient
@@ -32,11 +32,11 @@
 
     @property
     def decided(self) -> Value:
-        """The newest value that any store knows to be decided; `UNKNOWN` where none does."""
+        """The newest value that any store knows to be decided; `UNKNOWN_VALUE` where none does."""
         return max(
             (status.decided for status in self.statuses.values()),
             key=lambda value: value.change,
-            default=UNKNOWN,
+            default=UNKNOWN_VALUE,
         )
 
     @property
--- a/irisdeal/config_store/membership/view.py
+++ b/irisdeal/config_store/membership/view.py
@@ -97,7 +97,7 @@
 
     def is_leaving(self, seat: str) -> bool:
         """Whether the seat has announced its graceful shutdown."""
-        return seat in self.statuses and self.statuses[seat].status.leaving
+        return seat in self.statuses and self.statuses[seat].status.is_leaving
 
     def zone(self, seat: str) -> str:
         """Return its zone; a seat without a status counts as a zone of its own."""
@@ -109,7 +109,7 @@
             seat
             for seat, peer in self.statuses.items()
             if seat not in self.seats
-            and not peer.status.leaving
+            and not peer.status.is_leaving
             and self.is_healthy(seat)
             and self.has_caught_up(peer.status)
         )
--- a/irisdeal/config_store/peers.py
+++ b/irisdeal/config_store/peers.py
@@ -95,7 +95,7 @@
         _, digest_field, *_ = encoded_chunk  # a malformed chunk is counted by the assembler of this key
         digest = bytes(digest_field)
         assembler = self.arriving.pop((peer, digest), None) or ChunkAssembler(self.acceptor.version_store)
-        version = assembler.take(encoded_chunk)
+        version = assembler.add_chunk(encoded_chunk)
         if version is None:
             self.arriving[peer, digest] = assembler
             while len(self.arriving) > MAX_ARRIVING:
@@ -112,7 +112,7 @@
             answer = await self.call(ip, FETCH, request.encode(), CHUNK_TIMEOUT_S)
             if not isinstance(answer, Success) or answer.unwrap() is None:
                 return None
-            version = assembler.take(answer.unwrap())
+            version = assembler.add_chunk(answer.unwrap())
             if version is not None and version.version_id == version_id:
                 return version if await self.acceptor.save_version(version) else None
             if version is None and assembler.sync_state(self.newest_id()) == sync_state:
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -13,7 +13,7 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.proposer import Proposer
-from irisdeal.config_store.consensus.register import UNKNOWN, Ballot, PutOutcome, Value
+from irisdeal.config_store.consensus.register import UNKNOWN_VALUE, Ballot, PutOutcome, Value
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
 from irisdeal.config_store.membership.decided_value import value_for_read
 from irisdeal.config_store.membership.members import Members
@@ -81,7 +81,7 @@
             self.acceptor, self.peers, self.tasks, self.announce_decision, reports_conflicts
         )
         self.rounds = StatusRounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
-        self.applied = UNKNOWN  # the newest decided value whose configuration version is here
+        self.applied = UNKNOWN_VALUE  # the newest decided value whose configuration version is here
         self.fetching: asyncio.Task[None] | None = None
         self.update = asyncio.Event()  # set, and replaced, when `applied` changes
         self.handlers: dict[str, Handler] = {
@@ -104,9 +104,9 @@
 
     async def start(self) -> None:
         """Open the disk, then answer calls. OSError where the disk or the address is refused."""
-        first = Value.first(Members.first(ports.seeds(self.settings)))
+        first = Value.initial(Members.initial(ports.seeds(self.settings)))
         await self.acceptor.open(first if self.settings.bootstrap else None)
-        if self.acceptor.decided == UNKNOWN:
+        if self.acceptor.decided == UNKNOWN_VALUE:
             log_event(Event.STARTED_AS_LEARNER, seat=self.acceptor.seat)
         self._apply_decided()
         await self.server.listen((self.ip, ports.port(self.settings, ports.CONFIG_STORE)))
@@ -333,7 +333,7 @@
         if has_applied or self.applied.change < request.change:
             await self._wait_for_update()
         applied = self.applied
-        age_s = self.rounds.known_age(applied.change)
+        age_s = self.rounds.knowledge_age_s(applied.change)
         return WatchReply(
             self._encoded_chunk(request, applied),
             applied,
--- a/irisdeal/config_store/storage/acceptor_state.py
+++ b/irisdeal/config_store/storage/acceptor_state.py
@@ -56,7 +56,7 @@
 
         ValueError where it is damaged, OSError where the disk refuses.
         """
-        if FILE_NAME not in self.folder.names():
+        if FILE_NAME not in self.folder.list_files():
             return None
         state = decode(self.folder.read(FILE_NAME))
         self.write(state)  # the process that wrote it may have been killed before it synced
--- a/irisdeal/config_store/storage/chunk_assembler.py
+++ b/irisdeal/config_store/storage/chunk_assembler.py
@@ -82,7 +82,7 @@
             self.transfer = _Transfer()
         return SyncState(base, self.transfer.version_id, self.transfer.offset)
 
-    def take(self, encoded_chunk: object) -> ConfigVersion | None:
+    def add_chunk(self, encoded_chunk: object) -> ConfigVersion | None:
         """Take a chunk as it stands on the wire; return the version where it is complete, after adding it.
 
         None where more is to come, or where the chunk was rejected. One that arrived before, or belongs to another
--- a/irisdeal/config_store/storage/folder.py
+++ b/irisdeal/config_store/storage/folder.py
@@ -10,7 +10,7 @@
 class Folder(Protocol):
     """Operations on one folder. Each blocks, and raises OSError where the disk refuses."""
 
-    def names(self) -> list[str]:
+    def list_files(self) -> list[str]:
         """Return the names of the files, sorted."""
 
     def read(self, name: str) -> bytes:
@@ -28,7 +28,7 @@
     def remove(self, name: str) -> None:
         """Remove the file where it is there."""
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the names that were made, changed and removed last."""
 
 
@@ -40,7 +40,7 @@
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
 
-    def names(self) -> list[str]:
+    def list_files(self) -> list[str]:
         """Return the names of the files, sorted."""
         return sorted(entry.name for entry in os.scandir(self.path) if entry.is_file())
 
@@ -70,7 +70,7 @@
         """Remove the file where it is there."""
         (self.path / name).unlink(missing_ok=True)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the names that were made, changed and removed last."""
         self._fsync(self.path)
 
--- a/irisdeal/config_store/storage/inspection.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -45,7 +45,7 @@
 def inspect_folder(folder: Folder) -> FolderContent:
     """Read all that is there."""
     content = FolderContent()
-    for name in folder.names():
+    for name in folder.list_files():
         try:
             if name == acceptor_state.FILE_NAME:
                 content.state = acceptor_state.decode(folder.read(name))
--- a/irisdeal/config_store/storage/version_files.py
+++ b/irisdeal/config_store/storage/version_files.py
@@ -26,7 +26,7 @@
     folder.write(temporary, data)
     folder.sync(temporary)
     folder.rename(temporary, name)
-    folder.sync_names()
+    folder.sync_directory()
 
 
 def encode(version: ConfigVersion) -> bytes:
@@ -65,7 +65,7 @@
     def open(self) -> list[ConfigVersion]:
         """Return all complete versions, synced, in the order of their numbers. OSError where the disk refuses."""
         versions = []
-        for name in self.folder.names():
+        for name in self.folder.list_files():
             if name.endswith(TEMPORARY_SUFFIX):
                 self.folder.remove(name)  # of a process that was killed while it wrote
             elif name.startswith("r") and name.endswith(SUFFIX):
@@ -73,7 +73,7 @@
                 if version is not None:
                     versions.append(version)
         if versions:
-            self.folder.sync_names()
+            self.folder.sync_directory()
         return versions
 
     def _open_file(self, name: str) -> ConfigVersion | None:
--- a/irisdeal/config_store/storage/version_store.py
+++ b/irisdeal/config_store/storage/version_store.py
@@ -59,9 +59,9 @@
     cached chunks take 12 MB: 53 MB in all with bodies of 10 MB, and 2 MB with those of 0.3 MB.
     """
 
-    def __init__(self, max_older: int = MAX_OLDER_VERSIONS) -> None:
-        """`max_older`: versions before the newest; 0 for a process that serves no others."""
-        self.max_older = max_older
+    def __init__(self, max_older_versions: int = MAX_OLDER_VERSIONS) -> None:
+        """`max_older_versions`: versions before the newest; 0 for a process that serves no others."""
+        self.max_older_versions = max_older_versions
         self.newest: ConfigVersion | None = None
         self.snapshot: ConfigVersion | None = None
         self.older: list[OlderVersion] = []  # the newest first
@@ -74,7 +74,7 @@
             self.newest = version
             return
         previous, self.newest = self.newest, version
-        if self.max_older == 0:
+        if self.max_older_versions == 0:
             return
         try:
             packed = encode_delta(version.body, previous.body)
@@ -83,7 +83,7 @@
             self._add_unpacked(previous)
             return
         self.older.insert(0, OlderVersion(previous.version_id, packed, len(previous.body)))
-        while len(self.older) > self.max_older or self._older_bytes() > MAX_OLDER_BYTES:
+        while len(self.older) > self.max_older_versions or self._older_bytes() > MAX_OLDER_BYTES:
             self.older.pop()
 
     def _older_bytes(self) -> int:
--- a/irisdeal/proxy/config_receiver.py
+++ b/irisdeal/proxy/config_receiver.py
@@ -22,7 +22,7 @@
     def __init__(self, on_version: Callable[[ConfigVersion], None]) -> None:
         """`on_version`: called with each newer configuration."""
         self.on_version = on_version
-        self.assembler = ChunkAssembler(VersionStore(max_older=0))
+        self.assembler = ChunkAssembler(VersionStore(max_older_versions=0))
         self.version: ConfigVersion | None = None
         self.change = -1
         self.as_of = float("-inf")
@@ -52,7 +52,7 @@
             self._take(registry, chunk, change)
 
     def _take(self, registry: str, chunk: object, change: int) -> None:
-        version = self.assembler.take(chunk)
+        version = self.assembler.add_chunk(chunk)
         is_partial = version is None and self.assembler.sync_state(self.version_id).offset != 0
         self.sender = registry if is_partial else ""
         if version is not None and version.version_id.number > self.version_id.number:
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -85,7 +85,7 @@
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(settings.ip)
         self.assembler = ChunkAssembler(version_store)
-        self.value = Value(-1, NO_VERSION, Members.first(ports.seeds(settings)))  # -1: none was received
+        self.value = Value(-1, NO_VERSION, Members.initial(ports.seeds(settings)))  # -1: none was received
         self.version: ConfigVersion | None = None
         self.change = -1  # of the newest value whose body is here
         self.learners: frozenset[str] = frozenset()
@@ -298,7 +298,7 @@
         """Take a chunk, unless another answer has brought it meanwhile; return whether a newer version is here."""
         if encoded_chunk is None or sync_state != self.assembler.sync_state(self.version_id):
             return False
-        version = self.assembler.take(encoded_chunk)
+        version = self.assembler.add_chunk(encoded_chunk)
         if version is None or version.version_id.number <= self.version_id.number:
             return False
         self.version = version
--- a/irisdeal/registry/tombstone_record.py
+++ b/irisdeal/registry/tombstone_record.py
@@ -60,7 +60,7 @@
             return None
 
     def _load(self) -> list[BackendIncarnation] | None:
-        if NAME not in self.folder.names():
+        if NAME not in self.folder.list_files():
             return None
         incarnations = decode(self.folder.read(NAME))
         # Written again, as the process that wrote it may have been killed before it synced.
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -259,7 +259,7 @@
         self.record.seen.append(
             Seen(self.now(), host, change, number, bytes(version_id).hex(), age, members[0])
         )
-        return change, assembler.take(chunk) if chunk is not None else None
+        return change, assembler.add_chunk(chunk) if chunk is not None else None
 
     async def _watch(self, machine: Machine) -> int:
         """As a door: a source, left when it says nothing, and now and then for no reason."""
--- a/irisdeal/simulation/disk.py
+++ b/irisdeal/simulation/disk.py
@@ -56,7 +56,7 @@
         if self.full or 0 <= self.fail_at < self.operations:
             raise OSError(28, "refused")
 
-    def names(self) -> list[str]:
+    def list_files(self) -> list[str]:
         """Return the names of all files, sorted."""
         return sorted(self.files)
 
@@ -82,19 +82,19 @@
             self.durable[name] = file
 
     def rename(self, name: str, other: str) -> None:
-        """Rename a file; not durable before `sync_names`. Raises OSError where refused."""
+        """Rename a file; not durable before `sync_directory`. Raises OSError where refused."""
         self._count_operation()
         moved = self.files.pop(name)
         self.files[other] = moved
         self.changes += [(name, None), (other, moved)]
 
     def remove(self, name: str) -> None:
-        """Remove a file, where it exists; not durable before `sync_names`. Raises OSError where refused."""
+        """Remove a file, where it exists; not durable before `sync_directory`. Raises OSError where refused."""
         self._count_operation()
         if self.files.pop(name, None) is not None:
             self.changes.append((name, None))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make all names durable. Raises OSError where refused."""
         self._count_operation()
         self.durable = dict(self.files)
--- a/tests/cli/test_store.py
+++ b/tests/cli/test_store.py
@@ -19,12 +19,12 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    UNKNOWN,
+    UNKNOWN_VALUE,
     AcceptorState,
     Ballot,
     BallotAttempt,
+    BallotStep,
     Change,
-    Step,
     Value,
     on_accept,
     on_prepare,
@@ -33,7 +33,7 @@
     unchanged,
 )
 from irisdeal.config_store.membership import adoption, survey
-from irisdeal.config_store.membership.members import Members, ip_of, seat
+from irisdeal.config_store.membership.members import Members, format_seat, ip_of
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.survey import Survey
 from irisdeal.config_store.membership.survey import survey as ask_all
@@ -47,7 +47,7 @@
 
 PORT = 7340
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-LIST = Members.first(IPS)
+LIST = Members.initial(IPS)
 
 
 def version(number: int) -> ConfigVersion:
@@ -60,7 +60,7 @@
 
 def filled(folder: Folder, accepted: Value, decided: Value, bodies: Iterable[int]) -> Folder:
     """As a store leaves it."""
-    ballot = Ballot(accepted.change, seat(IPS[0], "first"))
+    ballot = Ballot(accepted.change, format_seat(IPS[0], "first"))
     files = VersionFiles(folder)
     for number in bodies:
         files.save(version(number))
@@ -75,7 +75,7 @@
     accepted: Value | None = None,
     holds: bool = True,
 ) -> ReplicaStatus:
-    return ReplicaStatus(seat(ip, disk), "z", NO_BALLOT, accepted or decided, decided, holds)
+    return ReplicaStatus(format_seat(ip, disk), "z", NO_BALLOT, accepted or decided, decided, holds)
 
 
 def surveyed(*reports: ReplicaStatus, silent: Iterable[str] = ()) -> Survey:
@@ -112,7 +112,7 @@
 def test_what_is_wrong_in_a_folder_is_named(harm: str) -> None:
     folder = filled(MemoryDisk(), value(2, 2), value(2, 2), (1, 2) if harm != "no-body" else (1,))
     names = {"torn-kept": FILE_NAME, "no-kept": FILE_NAME}
-    name = names.get(harm, next(name for name in folder.names() if name.startswith("r")))
+    name = names.get(harm, next(name for name in folder.list_files() if name.startswith("r")))
     if harm == "no-kept":
         folder.remove(name)
     elif harm != "no-body":
@@ -127,7 +127,7 @@
 def test_a_survey_finds_the_others_by_one_and_says_what_may_be_lost() -> None:
     ips, decided = (
         [f"127.0.9.{number}" for number in (1, 2, 3, 4)],
-        value(4, 4, Members.first([f"127.0.9.{number}" for number in (1, 2, 3)])),
+        value(4, 4, Members.initial([f"127.0.9.{number}" for number in (1, 2, 3)])),
     )
     with socket.socket() as free:
         free.bind((ips[0], 0))
@@ -170,7 +170,7 @@
 
 def refused(survey: Survey, *given: str, folder: Folder | None = None) -> list[str]:
     disk = inspect_folder(folder or filled(MemoryDisk(), *DISK))
-    return adoption.refusals(disk, adoption.plan(disk, IPS[0]), IPS[0], survey, given)
+    return adoption.refusal_reasons(disk, adoption.plan_adoption(disk, IPS[0]), IPS[0], survey, given)
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
         (surveyed(report(IPS[0], value(3, 3))), ALL, "stop it first"),
         (surveyed(report(IPS[1], value(3, 3))), ALL, "a quorum of list 0 can still be had"),
         (surveyed(report(IPS[1], value(4, 4), "new")), ALL, "adopt there"),
-        (surveyed(report(IPS[1], UNKNOWN, "new", value(4, 4), False)), ALL, "adopt there"),
+        (surveyed(report(IPS[1], UNKNOWN_VALUE, "new", value(4, 4), False)), ALL, "adopt there"),
     ],
 )
 def test_an_adoption_is_refused(survey: Survey, given: tuple[str, ...], why: str) -> None:
@@ -191,7 +191,7 @@
 
 def test_an_adoption_is_done_when_each_that_is_lost_was_named() -> None:
     assert refused(surveyed(silent=IPS), *ALL) == []
-    wiped = surveyed(report(IPS[1], UNKNOWN, "new", holds=False), silent=IPS[2:])
+    wiped = surveyed(report(IPS[1], UNKNOWN_VALUE, "new", holds=False), silent=IPS[2:])
     assert refused(wiped, IPS[2]) == []
 
 
@@ -200,8 +200,8 @@
     found = refused(surveyed(silent=IPS), *ALL, folder=folder)
     assert len(found) == 1 and "--yes-lose r3" in found[0]
     assert refused(surveyed(silent=IPS), *ALL, "r3", folder=folder) == []
-    assert adoption.plan(inspect_folder(folder), IPS[0]).base == value(2, 2)
-    elsewhere = surveyed(report(IPS[1], value(4, 4), "new", UNKNOWN, False), silent=IPS[2:])
+    assert adoption.plan_adoption(inspect_folder(folder), IPS[0]).base == value(2, 2)
+    elsewhere = surveyed(report(IPS[1], value(4, 4), "new", UNKNOWN_VALUE, False), silent=IPS[2:])
     found = refused(elsewhere, IPS[2])
     assert len(found) == 1 and "--yes-lose r4" in found[0]
 
@@ -210,18 +210,20 @@
     folder = filled(MemoryDisk(), *DISK)
     folder.write(FILE_NAME, b"?")
     for one in (MemoryDisk(), folder):
-        assert any(adoption.EVERYTHING in why for why in refused(surveyed(silent=IPS), *ALL, folder=one))
-        assert refused(surveyed(silent=IPS), *ALL, adoption.EVERYTHING, folder=one) == []
+        assert any(
+            adoption.CONFIRM_EVERYTHING in why for why in refused(surveyed(silent=IPS), *ALL, folder=one)
+        )
+        assert refused(surveyed(silent=IPS), *ALL, adoption.CONFIRM_EVERYTHING, folder=one) == []
 
 
 def test_an_adopted_list_lies_above_all_that_was() -> None:
     folder = filled(MemoryDisk(), *DISK)
-    planned = adoption.plan(inspect_folder(folder), IPS[0])
+    planned = adoption.plan_adoption(inspect_folder(folder), IPS[0])
     adoption.adopt(folder, planned)
     state = AcceptorStateFile(folder).open()
     assert state is not None and state.disk_id != "first" and not verify(inspect_folder(folder))
     assert (
-        state.decided.members.seats == (seat(IPS[0], state.disk_id),)
+        state.decided.members.seats == (format_seat(IPS[0], state.disk_id),)
         and state.decided.version_id == version(3).version_id
     )
     assert state.acceptor_state.accepted > Ballot(900_000, "z") and state.decided.change > 900_000
@@ -233,31 +235,31 @@
     for _ in range(10):
         count += 1
         ballot = BallotAttempt(Ballot(count, own), known, change)
-        for step in (Step.PREPARING, Step.ACCEPTING):
+        for step in (BallotStep.PREPARING, BallotStep.ACCEPTING):
             asked: set[str] = set()
             while ballot.step is step and (waiting := sorted((ballot.targets() & set(kept)) - asked)):
                 asked.add(waiting[0])
-                if step is Step.PREPARING:
+                if step is BallotStep.PREPARING:
                     good, kept[waiting[0]] = on_prepare(kept[waiting[0]], ballot.ballot)
                     ballot.on_prepare_reply(waiting[0], good, kept[waiting[0]])
                 else:
                     assert ballot.value is not None
                     good, kept[waiting[0]] = on_accept(kept[waiting[0]], ballot.ballot, ballot.value)
                     ballot.on_accept_reply(waiting[0], good, kept[waiting[0]].promised)
-        if ballot.step is Step.DECIDED:
+        if ballot.step is BallotStep.DECIDED:
             return ballot.value
-        count = max(count, ballot.above.count)
+        count = max(count, ballot.preempted_by.count)
     return None
 
 
 def test_what_an_old_member_accepted_never_comes_back() -> None:
     """C turns up with its disk, on which lies a high ballot of the old list; it is a member and follows."""
-    planned = adoption.plan(inspect_folder(filled(MemoryDisk(), *DISK)), IPS[0])
-    own, late = planned.state.decided.members.seats[0], seat(IPS[2], "first")
+    planned = adoption.plan_adoption(inspect_folder(filled(MemoryDisk(), *DISK)), IPS[0])
+    own, late = planned.state.decided.members.seats[0], format_seat(IPS[2], "first")
     old = Ballot(200, late)
     kept = {
         own: planned.state.acceptor_state,
-        "10.0.0.2/new": AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN),
+        "10.0.0.2/new": AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE),
         late: AcceptorState(old, old, value(9, 9)),
     }
     now = planned.state.decided
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -14,9 +14,9 @@
     STALL_S,
     QuorumContact,
 )
-from irisdeal.config_store.membership.members import Members, seat
+from irisdeal.config_store.membership.members import Members, format_seat
 
-SEATS = [seat(f"10.{number}.0.1", "d") for number in range(6)]
+SEATS = [format_seat(f"10.{number}.0.1", "d") for number in range(6)]
 OWN = SEATS[0]
 
 
@@ -94,7 +94,7 @@
         expected = reference.has_lease(now, [list(members.seats), list(members.former)], CONTACT_LEASE_S)
         assert contact.has_lease(members, OWN, now) is expected
         assert (contact.remaining_s(members, OWN, now) > 0) <= expected
-        age = contact.age(members, OWN, now)
+        age = contact.age_s(members, OWN, now)
         assert age >= 0
         if age < float("inf") and now - age != now:  # the age is the moment of an ask
             assert any(abs(ask.sent - (now - age)) < 1e-6 for ask in reference.asks)
@@ -124,7 +124,7 @@
     contact.record_answer(SEATS[1], 10.0)
     contact.record_answer(SEATS[2], 10.0)
     assert contact.remaining_s(THREE, OWN, 10.5) == pytest.approx(CONTACT_LEASE_S - 0.5)
-    assert contact.age(THREE, OWN, 12.0) == pytest.approx(2.0)
+    assert contact.age_s(THREE, OWN, 12.0) == pytest.approx(2.0)
     assert not contact.has_lease(THREE, OWN, 12.0)
 
 
@@ -134,7 +134,7 @@
     contact.record_answer(SEATS[1], 10.0)
     assert contact.tick(14.0)
     contact.record_answer(SEATS[2], 10.1)  # asked before, read after
-    assert contact.age(THREE, OWN, 14.0) == float("inf")
+    assert contact.age_s(THREE, OWN, 14.0) == float("inf")
     contact.record_answer(SEATS[2], 14.0)
     assert contact.has_lease(THREE, OWN, 14.1)
 
@@ -209,7 +209,7 @@
                 contact.record_answer(SEATS[seat_], sent, change)
             case "learn":
                 force = max(decided_at)
-        age = contact.known_age(members, OWN, now, force, accepted[0])
+        age = contact.knowledge_age_s(members, OWN, now, force, accepted[0])
         assert all(change <= force for change, at in decided_at.items() if at <= now - age - 1e-9)
         if age == 0 and count > 2:
             assert any(sent == now for sent in contact.asked_at.values())
@@ -219,11 +219,11 @@
     contact = QuorumContact()
     contact.record_answer(SEATS[1], 10.0, 8)
     assert contact.has_lease(THREE, OWN, 10.1)
-    assert contact.known_age(THREE, OWN, 10.1, 7, 7) == float("inf")
-    assert contact.known_age(THREE, OWN, 10.1, 8, 7) == pytest.approx(0.1)
-    assert contact.known_age(THREE, OWN, 10.1, 8, 9) == float("inf")  # we accepted more ourselves
+    assert contact.knowledge_age_s(THREE, OWN, 10.1, 7, 7) == float("inf")
+    assert contact.knowledge_age_s(THREE, OWN, 10.1, 8, 7) == pytest.approx(0.1)
+    assert contact.knowledge_age_s(THREE, OWN, 10.1, 8, 9) == float("inf")  # we accepted more ourselves
     contact.record_answer(SEATS[2], 9.5, 7)
-    assert contact.known_age(THREE, OWN, 10.1, 7, 7) == pytest.approx(0.6)
+    assert contact.knowledge_age_s(THREE, OWN, 10.1, 7, 7) == pytest.approx(0.6)
 
 
 def test_what_is_remembered_is_bounded() -> None:
--- a/tests/config_store/test_quorum_counting.py
+++ b/tests/config_store/test_quorum_counting.py
@@ -19,7 +19,7 @@
     AcceptorState,
     Ballot,
     BallotAttempt,
-    Step,
+    BallotStep,
     Value,
     set_members,
 )
@@ -281,7 +281,7 @@
                 base = accepted if heard & set(takers) else old
                 step = ballot.on_prepare_reply(name, True, kept)
                 enough = known.is_quorum(heard) and base.members.is_quorum(heard)
-                assert (step is Step.ACCEPTING) is enough
+                assert (step is BallotStep.ACCEPTING) is enough
                 if enough:
                     assert ballot.base == base
                     assert ballot.value == (NEXT(base) if base.members == known else base)
--- a/tests/config_store/test_reconfiguration.py
+++ b/tests/config_store/test_reconfiguration.py
@@ -12,7 +12,7 @@
 from irisdeal.config_store.consensus.register import NO_BALLOT, Value
 from irisdeal.config_store.membership import reconfiguration
 from irisdeal.config_store.membership.goals import ReconfigurationGoals
-from irisdeal.config_store.membership.members import FIRST, Members, majority, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat, majority
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.monitor import MAX_TRACKED_LEARNERS, MembershipMonitor
 from irisdeal.config_store.membership.reconfiguration import is_proposer, next_members
@@ -57,11 +57,11 @@
 
 
 def first(*ips: str) -> Value:
-    return Value.first(Members.first(ips))
+    return Value.initial(Members.initial(ips))
 
 
 def test_an_unsettled_list_is_settled_first() -> None:
-    value = Value(1, first("a").version_id, Members.first("abc").enter_joint(["a/first", "b/first", "d/x"]))
+    value = Value(1, first("a").version_id, Members.initial("abc").enter_joint(["a/first", "b/first", "d/x"]))
     statuses = statuses_of(*value.members.voters(), "e/x", value=value)
     found = next_members(value, statuses, "a/first", 10.0, ReconfigurationGoals())
     assert found == value.members.leave_joint()
@@ -99,7 +99,7 @@
     [(100, True, True), (96, True, True), (95, True, False), (100, False, False), (-1, True, False)],
 )
 def test_a_learner_is_ready_when_it_holds_one_of_the_newest(change: int, holds: bool, goes: bool) -> None:
-    value = Value(100, first("a").version_id, Members.first("abc"))
+    value = Value(100, first("a").version_id, Members.initial("abc"))
     statuses = statuses_of("a/first", "b/first", value=value)
     behind = Value(change, value.version_id, value.members)
     statuses["d/x"] = PeerStatus(10.0, ReplicaStatus("d/x", "z", NO_BALLOT, behind, behind, holds), 0.0)
@@ -516,4 +516,4 @@
 
 
 def test_seats_are_an_address_and_a_disk() -> None:
-    assert seat("10.0.0.1", FIRST) == "10.0.0.1/first"
+    assert format_seat("10.0.0.1", INITIAL_DISK_ID) == "10.0.0.1/first"
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -17,12 +17,12 @@
 from irisdeal.config_store.consensus.proposer import Proposer
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    UNKNOWN,
+    UNKNOWN_VALUE,
     AcceptorState,
     Ballot,
     BallotAttempt,
+    BallotStep,
     PutOutcome,
-    Step,
     Value,
     put,
     unchanged,
@@ -37,7 +37,7 @@
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 
-FIRST = Value.first(Members(0, ("a", "b", "c")))
+FIRST = Value.initial(Members(0, ("a", "b", "c")))
 
 
 # Pure
@@ -74,23 +74,24 @@
     joint = FIRST.members.enter_joint(("a", "b", "d"))
     accepted = AcceptorState(Ballot(1, "a"), Ballot(1, "a"), Value(1, FIRST.version_id, joint))
     ballot = BallotAttempt(Ballot(2, "b"), FIRST.members, put(VersionId(1, b"x")))
-    empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN)
+    empty = AcceptorState(Ballot(2, "b"), NO_BALLOT, UNKNOWN_VALUE)
     ballot.on_prepare_reply("a", True, accepted)
     ballot.on_prepare_reply("d", True, empty)
-    assert ballot.step is Step.PREPARING  # a and d are no old quorum
+    assert ballot.step is BallotStep.PREPARING  # a and d are no old quorum
     assert ballot.targets() == {"a", "b", "c", "d"}
     assert (
-        ballot.on_prepare_reply("b", True, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.ACCEPTING
+        ballot.on_prepare_reply("b", True, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST))
+        is BallotStep.ACCEPTING
     )
     assert ballot.value == accepted.value
     for seat in ("b", "d"):
-        assert ballot.on_accept_reply(seat, True, ballot.ballot) is Step.ACCEPTING
-    assert ballot.on_accept_reply("a", True, ballot.ballot) is Step.DECIDED
+        assert ballot.on_accept_reply(seat, True, ballot.ballot) is BallotStep.ACCEPTING
+    assert ballot.on_accept_reply("a", True, ballot.ballot) is BallotStep.DECIDED
 
 
 def test_a_ballot_never_starts_from_an_empty_disk() -> None:
     ballot = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
-    ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN))
+    ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, UNKNOWN_VALUE))
     ballot.on_prepare_reply("b", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
     assert ballot.value == FIRST
 
@@ -99,11 +100,14 @@
     ballot = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
     ballot.on_prepare_reply("a", True, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
     assert (
-        ballot.on_prepare_reply("b", False, AcceptorState(ballot.ballot, NO_BALLOT, FIRST)) is Step.ACCEPTING
+        ballot.on_prepare_reply("b", False, AcceptorState(ballot.ballot, NO_BALLOT, FIRST))
+        is BallotStep.ACCEPTING
     )
     other = BallotAttempt(Ballot(1, "a"), FIRST.members, unchanged)
-    assert other.on_prepare_reply("b", False, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is Step.LOST
-    assert other.above == Ballot(2, "b")
+    assert (
+        other.on_prepare_reply("b", False, AcceptorState(Ballot(2, "b"), NO_BALLOT, FIRST)) is BallotStep.LOST
+    )
+    assert other.preempted_by == Ballot(2, "b")
 
 
 def test_what_is_read_is_decided_and_of_a_quorum() -> None:
@@ -118,8 +122,8 @@
     assert value_for_read([one, report("c", Ballot(1, "a"), new), old], FIRST.members) == new
     assert value_for_read([old, report("c", NO_BALLOT, FIRST)], FIRST.members) == FIRST
     assert decided_among([one, old]) is None
-    empty = report("d", NO_BALLOT, UNKNOWN)
-    assert decided_among([empty]) is None and value_for_read([empty], UNKNOWN.members) is None
+    empty = report("d", NO_BALLOT, UNKNOWN_VALUE)
+    assert decided_among([empty]) is None and value_for_read([empty], UNKNOWN_VALUE.members) is None
 
 
 # The program
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -12,7 +12,7 @@
 
 from benchmarks.register_states import PLANS, THREE, A, B, orders, search
 from irisdeal.config_store.consensus import register
-from irisdeal.config_store.consensus.register import AcceptorState, Ballot, Step, Value
+from irisdeal.config_store.consensus.register import AcceptorState, Ballot, BallotStep, Value
 from irisdeal.config_store.membership import decided_value
 from irisdeal.config_store.membership.members import Members, majority
 from irisdeal.config_store.membership.messages import ReplicaStatus
@@ -61,19 +61,23 @@
 
     def on_prepare_reply(
         self: register.BallotAttempt, seat: str, is_granted: bool, state: AcceptorState
-    ) -> Step:
+    ) -> BallotStep:
         self.prepare_replies[seat] = state
-        if self.step is Step.PREPARING and is_granted and self.known.is_quorum(self.prepare_replies):
+        if (
+            self.step is BallotStep.PREPARING
+            and is_granted
+            and self.known_members.is_quorum(self.prepare_replies)
+        ):
             self.base = max(
                 self.prepare_replies.values(), key=lambda state: (state.accepted, state.value.change)
             ).value
-            self.value, self.step = self.change(self.base), Step.ACCEPTING
+            self.value, self.step = self.change(self.base), BallotStep.ACCEPTING
         return self.step
 
     patch.setattr(Members, "enter_joint", enter_joint)
     patch.setattr(register, "set_members", set_members)
     patch.setattr(register.BallotAttempt, "on_prepare_reply", on_prepare_reply)
-    patch.setattr(register.BallotAttempt, "lists", lambda self: [self.known])
+    patch.setattr(register.BallotAttempt, "required_lists", lambda self: [self.known_members])
 
 
 def _promises_one_ballot_twice(patch: pytest.MonkeyPatch) -> None:
@@ -92,14 +96,14 @@
 
 def _own_value_first(patch: pytest.MonkeyPatch) -> None:
     """The proposer does not take over what others accepted."""
-    taken = register.BallotAttempt._highest
+    taken = register.BallotAttempt._highest_accepted
 
     def highest(self: register.BallotAttempt) -> AcceptorState | None:
         found = taken(self)
-        first = Value.first(Members(0, THREE))
+        first = Value.initial(Members(0, THREE))
         return AcceptorState(found.promised, found.accepted, first) if found is not None else None
 
-    patch.setattr(register.BallotAttempt, "_highest", highest)
+    patch.setattr(register.BallotAttempt, "_highest_accepted", highest)
 
 
 def _reads_without_quorum_of_one_ballot(patch: pytest.MonkeyPatch) -> None:
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -88,7 +88,7 @@
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
         for arrived in tamper(chunk):
-            received = assembler.take(arrived)
+            received = assembler.add_chunk(arrived)
             if received is not None:
                 assert received.is_intact()
                 if received == want:
@@ -240,7 +240,7 @@
         chunk = next_chunk(sources[turn % 2], assembler.sync_state(NO_VERSION), body.version_id)
         assert chunk is not None and len(cbor2.dumps(chunk)) < CHUNK_BYTES + 400
         assert assembler.sync_state(NO_VERSION).offset == turn * CHUNK_BYTES
-        received = assembler.take(chunk)
+        received = assembler.add_chunk(chunk)
     assert received == body
 
 
@@ -264,7 +264,7 @@
         chunk = next_chunk(version_store, assembler.sync_state(current), newest.version_id)
         assert chunk is not None
         size += len(cbor2.dumps(chunk))
-        received = assembler.take(chunk)
+        received = assembler.add_chunk(chunk)
         if received is not None:
             current = received.version_id
         if number >= started_at_number + 1:
@@ -285,7 +285,7 @@
     for number, newest in enumerate(history):
         version_store.add(newest)
         if number < 20:
-            callers.append((ChunkAssembler(VersionStore(max_older=0)), number))
+            callers.append((ChunkAssembler(VersionStore(max_older_versions=0)), number))
         for assembler, started_at_number in callers:
             version_id = current[started_at_number].version_id if started_at_number in current else NO_VERSION
             if version_id != newest.version_id:
@@ -293,7 +293,7 @@
                     version_store, assembler.sync_state(version_id), newest.version_id, by_snapshot=True
                 )
                 packed |= {chunk[1]} if not chunk[3] else set()
-                received = assembler.take(chunk)
+                received = assembler.add_chunk(chunk)
                 current.update({started_at_number: received} if received else {})
             if number > started_at_number + chunk_count:
                 assert current[started_at_number] == newest
@@ -307,7 +307,7 @@
         ChunkAssembler(VersionStore()),
         ChunkAssembler(VersionStore()),
     )
-    early.take(next_chunk(version_store, early.sync_state(NO_VERSION), one.version_id, by_snapshot=True))
+    early.add_chunk(next_chunk(version_store, early.sync_state(NO_VERSION), one.version_id, by_snapshot=True))
     version_store.add(two)
     chunk = next_chunk(version_store, late.sync_state(NO_VERSION), two.version_id, by_snapshot=True)
     assert chunk[1] == two.version_id.digest
@@ -318,7 +318,7 @@
 
 def test_a_store_that_serves_no_others_keeps_the_newest_only() -> None:
     one, two = versions(2)
-    assembler, version_store = ChunkAssembler(VersionStore(max_older=0)), store_with(one, two)
+    assembler, version_store = ChunkAssembler(VersionStore(max_older_versions=0)), store_with(one, two)
     assembler.version_store.add(one)
     assert transfer(version_store, assembler, one, two, max_chunks=1)[0] == two
     assert assembler.version_store.get(one.version_id.digest) is None and not assembler.version_store.unpacked
@@ -327,7 +327,7 @@
 def test_a_receiver_that_is_behind_is_sent_the_newest_only() -> None:
     history = versions(12)
     version_store, assembler = store_with(*history), ChunkAssembler(store_with(history[0]))
-    received = assembler.take(
+    received = assembler.add_chunk(
         next_chunk(version_store, assembler.sync_state(history[0].version_id), history[-1].version_id)
     )
     assert received == history[-1]
@@ -402,8 +402,8 @@
 def test_a_malformed_chunk_changes_nothing(malformed: Any) -> None:
     body = random_version(1, 2 * CHUNK_BYTES)
     version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
-    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id))
-    assert assembler.take(malformed) is None and assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
+    assembler.add_chunk(next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id))
+    assert assembler.add_chunk(malformed) is None and assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
 
 
 def encoded_chunk(
@@ -443,7 +443,7 @@
     body = random_version(1, 3 * CHUNK_BYTES)
     version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
     for _ in range(2 * MAX_REJECTED_CHUNKS):
-        assert assembler.take(chunk) is None
+        assert assembler.add_chunk(chunk) is None
         assert len(assembler.transfer.data) <= CHUNK_BYTES
     assert transfer(version_store, assembler, None, body)[0] == body
 
@@ -457,7 +457,7 @@
     lie = encode_delta(one.body, one.body + b" " * (len(two.body) - len(one.body)))
     length = max(len(one.body), len(two.body))
     chunk = encoded_chunk(2, two.version_id.digest, length, one.version_id.digest, len(lie), 0, lie)
-    assert assembler.take(chunk) is None
+    assert assembler.add_chunk(chunk) is None
     assert assembler.sync_state(one.version_id) == SyncState()
     assert transfer(version_store, assembler, one, two)[0] == two
 
@@ -478,7 +478,10 @@
     for _ in range(4):
         sync_state = assembler.sync_state(two.version_id)
         bases.append(sync_state.version_id)
-        if assembler.take(next_chunk(version_store, sync_state, three.version_id, by_snapshot=True)) == three:
+        if (
+            assembler.add_chunk(next_chunk(version_store, sync_state, three.version_id, by_snapshot=True))
+            == three
+        ):
             break
     assert bases == [two.version_id, NO_VERSION, one.version_id] and assembler.version_store.newest == three
     assert assembler.sync_state(three.version_id) == SyncState(three.version_id)
@@ -497,16 +500,16 @@
     one, two = versions(2)
     version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     chunk = next_chunk(version_store, assembler.sync_state(one.version_id), two.version_id)
-    assert assembler.take(chunk) == two
+    assert assembler.add_chunk(chunk) == two
     monkeypatch.setattr(chunk_assembler, "apply_delta", None)
-    assert assembler.take(chunk) == two
+    assert assembler.add_chunk(chunk) == two
 
 
 def test_another_source_takes_over_only_when_the_first_is_gone() -> None:
     one, two = random_version(1, 4 * CHUNK_BYTES), random_version(2, 4 * CHUNK_BYTES)
     first, second, assembler = store_with(one), store_with(two), ChunkAssembler(VersionStore())
-    assembler.take(next_chunk(first, assembler.sync_state(NO_VERSION), one.version_id))
-    assembler.take(next_chunk(second, assembler.sync_state(NO_VERSION), two.version_id))
+    assembler.add_chunk(next_chunk(first, assembler.sync_state(NO_VERSION), one.version_id))
+    assembler.add_chunk(next_chunk(second, assembler.sync_state(NO_VERSION), two.version_id))
     assert assembler.sync_state(NO_VERSION).arriving == one.version_id
     assert transfer(second, assembler, None, two, max_chunks=4 + MAX_REJECTED_CHUNKS)[0] == two
 
@@ -515,14 +518,16 @@
     body = random_version(1, 4 * CHUNK_BYTES)
     source, assembler = store_with(body), ChunkAssembler(VersionStore())
     piece = zlib.compress(body.body[:CHUNK_BYTES])
-    assembler.take(encoded_chunk(1, body.version_id.digest, 9 * CHUNK_BYTES, b"", 9 * CHUNK_BYTES, 0, piece))
+    assembler.add_chunk(
+        encoded_chunk(1, body.version_id.digest, 9 * CHUNK_BYTES, b"", 9 * CHUNK_BYTES, 0, piece)
+    )
     assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
     assert transfer(source, assembler, None, body, max_chunks=5 + MAX_REJECTED_CHUNKS)[0] == body
 
 
 def test_a_long_delta_without_its_base_is_rejected_at_its_first_chunk() -> None:
     assembler = ChunkAssembler(VersionStore())
-    assert assembler.take(encoded_chunk(9, b"d" * 32, 10, b"none", 3, 0, b"a")) is None
+    assert assembler.add_chunk(encoded_chunk(9, b"d" * 32, 10, b"none", 3, 0, b"a")) is None
     assert not assembler.transfer.data
     assert assembler.sync_state(NO_VERSION) == SyncState()
 
@@ -530,8 +535,8 @@
 def test_the_next_chunk_of_another_version_changes_nothing() -> None:
     one, two = random_version(1, 3 * CHUNK_BYTES), random_version(2, 3 * CHUNK_BYTES)
     version_store, assembler = store_with(one, two), ChunkAssembler(VersionStore())
-    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
-    assembler.take(
+    assembler.add_chunk(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
+    assembler.add_chunk(
         next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
     )
     assert assembler.sync_state(NO_VERSION) == SyncState(NO_VERSION, two.version_id, CHUNK_BYTES)
@@ -555,7 +560,7 @@
     monkeypatch.undo()
     assert chunk[3] == history[0].version_id.digest
     assembler = ChunkAssembler(store_with(history[0]))
-    assert assembler.take(chunk) is None and assembler.sync_state(history[0].version_id) == SyncState()
+    assert assembler.add_chunk(chunk) is None and assembler.sync_state(history[0].version_id) == SyncState()
     assert transfer(version_store, assembler, history[0], history[3], max_chunks=1)[0] == history[3]
 
 
@@ -563,10 +568,10 @@
     """Its header and checksum are made right, so only the digest can show it."""
     one, two = random_version(1, 2 * CHUNK_BYTES), random_version(2, 2 * CHUNK_BYTES)
     version_store, assembler = store_with(one, two), ChunkAssembler(VersionStore())
-    assembler.take(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
+    assembler.add_chunk(next_chunk(version_store, assembler.sync_state(NO_VERSION), two.version_id))
     other = next_chunk(version_store, SyncState(NO_VERSION, one.version_id, CHUNK_BYTES), one.version_id)
     assert (
-        assembler.take(
+        assembler.add_chunk(
             encoded_chunk(
                 2,
                 two.version_id.digest,
@@ -588,6 +593,6 @@
     version_store, assembler = store_with(body), ChunkAssembler(VersionStore())
     chunk = next_chunk(version_store, assembler.sync_state(NO_VERSION), body.version_id)
     for _ in range(3):
-        assert assembler.take(chunk) is None
+        assert assembler.add_chunk(chunk) is None
     assert assembler.sync_state(NO_VERSION).offset == CHUNK_BYTES
     assert transfer(version_store, assembler, None, body, max_chunks=2)[0] == body
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -13,11 +13,11 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.register import NO_BALLOT, AcceptorState, Ballot, Value, put
-from irisdeal.config_store.membership.members import FIRST, Members
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members
 from irisdeal.runtime.process import Tasks
 from irisdeal.simulation.disk import MemoryDisk
 
-START = Value.first(Members.first(["a", "b", "c"]))
+START = Value.initial(Members.initial(["a", "b", "c"]))
 
 
 def version(number: int, size: int = 40) -> ConfigVersion:
@@ -99,7 +99,7 @@
         acceptor = await opened(disk)
         state = acceptor.state
         is_good = (
-            acceptor.disk_id == FIRST
+            acceptor.disk_id == INITIAL_DISK_ID
             and state.promised >= least.promised
             and state.accepted >= least.accepted
             and state.value.change >= least.value.change
@@ -156,7 +156,7 @@
         for lost in disk.outcomes():
             context.opened += 1
             name = asyncio.run(opened(lost)).disk_id
-            if (answered and name != FIRST) or (name != FIRST and name in reported):
+            if (answered and name != INITIAL_DISK_ID) or (name != INITIAL_DISK_ID and name in reported):
                 context.found.append(name)
             reported.add(name)
 
@@ -185,13 +185,13 @@
 @then("its disk counts as lost and has another identity")
 def _(context: Any) -> None:
     names = {acceptor.disk_id for acceptor in context.acceptors}
-    assert FIRST not in names and len(names) == len(context.acceptors), names
+    assert INITIAL_DISK_ID not in names and len(names) == len(context.acceptors), names
     assert all(acceptor.decided.change == -1 for acceptor in context.acceptors)
 
 
 @when("a byte of the newest version's file is flipped, wherever it is")
 def _(context: Any) -> None:
-    name = max(name for name in context.disk.names() if name.endswith(".word"))
+    name = max(name for name in context.disk.list_files() if name.endswith(".word"))
     context.acceptors = [asyncio.run(opened(disk)) for disk in flipped(context.disk, name)]
 
 
@@ -237,4 +237,4 @@
 
 @then("at most {most:d} files are on it")
 def _(context: Any, most: int) -> None:
-    assert len(context.disk.names()) <= most, context.disk.names()
+    assert len(context.disk.list_files()) <= most, context.disk.list_files()
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -18,7 +18,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.membership.status_rounds import (
     STATUS_INTERVAL_S,
     STATUS_TIMEOUT_S,
@@ -289,7 +289,10 @@
     lost = rig.hosts[0]
     changing(rig, 3.0, 5.0, [lost])
     rest = rig.hosts[1:]
-    rig.at(6.0, lambda: rig.decide(50, rest, Members(1, tuple(seat(host, FIRST) for host in rest))))
+    rig.at(
+        6.0,
+        lambda: rig.decide(50, rest, Members(1, tuple(format_seat(host, INITIAL_DISK_ID) for host in rest))),
+    )
     rig.at(8.0, partial(rig.kill, lost))
     rig.play(20.0)
     for proxy in rig.proxies:
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -12,7 +12,7 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.config_store.consensus.register import PutOutcome, Value
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.messages import WatchReply
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.registry import store_client as following
@@ -255,7 +255,7 @@
 
 
 def seats(*hosts: str) -> tuple[str, ...]:
-    return tuple(seat(host, FIRST) for host in hosts)
+    return tuple(format_seat(host, INITIAL_DISK_ID) for host in hosts)
 
 
 def test_a_majority_is_one_of_both_lists_and_learners_count_for_none() -> None:
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -17,7 +17,7 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.register import Value
 from irisdeal.config_store.membership.contact import CONTACT_LEASE_S, QuorumContact
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.membership.status_rounds import (
     SEARCH_INTERVAL_S,
     STATUS_INTERVAL_S,
@@ -93,7 +93,7 @@
     """One store. It shares nothing with the real one but `QuorumContact`, `Value` and the parcels."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
-        self.rig, self.ip, self.seat = rig, ip, seat(ip, FIRST)
+        self.rig, self.ip, self.seat = rig, ip, format_seat(ip, INITIAL_DISK_ID)
         self.settings = rig.settings(ip)
         self.value, self.version = rig.first, rig.first_version
         self.learners: list[str] = []
@@ -115,7 +115,7 @@
             await asyncio.sleep(STATUS_INTERVAL_S if self.has_contact() else SEARCH_INTERVAL_S)
 
     def age(self) -> float:
-        return self.contact.age(self.value.members, self.seat, asyncio.get_running_loop().time())
+        return self.contact.age_s(self.value.members, self.seat, asyncio.get_running_loop().time())
 
     def has_contact(self) -> bool:
         return self.age() <= CONTACT_LEASE_S
@@ -129,7 +129,7 @@
             told, body = answer.unwrap()
             value = Value.decode(told)
             self.take(value, ConfigVersion(value.version_id, bytes(body)))
-            self.contact.record_answer(seat(ip, FIRST), sent)
+            self.contact.record_answer(format_seat(ip, INITIAL_DISK_ID), sent)
 
     def take(self, value: Value, version: ConfigVersion) -> None:
         if value.change > self.value.change:
@@ -232,7 +232,7 @@
         self.world = World(seed)
         self.net = CutNetwork(self.world, NetworkLink(delay, jitter))
         self.hosts = [f"10.{number}.0.1" for number in range(count)]
-        self.first = Value(0, NO_VERSION, Members.first(self.hosts))
+        self.first = Value(0, NO_VERSION, Members.initial(self.hosts))
         self.first_version = ConfigVersion(NO_VERSION, b"")
         self.machines: dict[str, list[Machine]] = {}
         self.stores: dict[str, FakeStore] = {}
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -25,7 +25,7 @@
 from irisdeal.config_store.consensus.acceptor import Acceptor
 from irisdeal.config_store.consensus.register import Ballot, Value
 from irisdeal.config_store.membership import adoption
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.storage.acceptor_state import AcceptorStateFile
 from irisdeal.config_store.storage.folder import DiskFolder
 from irisdeal.config_store.storage.inspection import inspect_folder
@@ -67,7 +67,7 @@
 
 def first_value() -> Value:
     """With which the whole system begins."""
-    return Value.first(Members.first(MACHINES))
+    return Value.initial(Members.initial(MACHINES))
 
 
 def version(number: int, text: str = "body") -> ConfigVersion:
@@ -75,7 +75,7 @@
 
 
 def ballot(count: int, ip: str = IP) -> Ballot:
-    return Ballot(count, seat(ip, FIRST))
+    return Ballot(count, format_seat(ip, INITIAL_DISK_ID))
 
 
 async def accepted(
@@ -259,7 +259,7 @@
 async def store_joint(path: Path) -> None:
     """A change of the list is under way."""
     acceptor, first = await opened(path, first_value()), first_value()
-    joint = first.members.enter_joint([*first.members.seats[:2], seat("10.3.0.1", "5b" * 8)])
+    joint = first.members.enter_joint([*first.members.seats[:2], format_seat("10.3.0.1", "5b" * 8)])
     value = Value(first.change + 1, first.version_id, joint)
     await accepted(acceptor, 2, value, None)
     await decided(acceptor, value)
@@ -270,7 +270,7 @@
     await store_ahead(path)
     folder = DiskFolder(str(path))
     with fixed_identities("e1"):
-        adoption.adopt(folder, adoption.plan(inspect_folder(folder), IP))
+        adoption.adopt(folder, adoption.plan_adoption(inspect_folder(folder), IP))
 
 
 async def registry_whole(path: Path) -> None:
--- a/tests/support/membership_world.py
+++ b/tests/support/membership_world.py
@@ -12,7 +12,7 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.config_store.consensus.register import NO_BALLOT, Value, put, set_members
 from irisdeal.config_store.membership.goals import ReconfigurationGoals
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.membership.monitor import MembershipMonitor
 from irisdeal.config_store.membership.reconfiguration import may_leave
@@ -45,7 +45,7 @@
 
     @property
     def seat(self) -> str:
-        return seat(self.ip, self.disk)
+        return format_seat(self.ip, self.disk)
 
 
 @dataclass
@@ -67,17 +67,17 @@
     made: int = 0
 
     def __post_init__(self) -> None:
-        first = Members.first(f"m{number}" for number in range(min(3, self.cores)))
-        self.value = Value.first(first)
+        first = Members.initial(f"m{number}" for number in range(min(3, self.cores)))
+        self.value = Value.initial(first)
         for _ in range(self.cores):
-            self.add(disk=FIRST)
+            self.add(disk=INITIAL_DISK_ID)
 
     # What happens to machines
 
     def add(self, slot: int | None = None, zone: str | None = None, disk: str = "new") -> Machine:
         """A new machine at a new address that is switched on now."""
         number, self.made = self.made, self.made + 1
-        known, held = (Value.first(self.value.members), 0) if disk == FIRST else (EMPTY, -1)
+        known, held = (Value.initial(self.value.members), 0) if disk == INITIAL_DISK_ID else (EMPTY, -1)
         made = Machine(
             f"m{number}",
             zone or f"z{number % self.zones}",
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -251,7 +251,7 @@
         MemoryDisk.sync,
         MemoryDisk.rename,
         MemoryDisk.remove,
-        MemoryDisk.sync_names,
+        MemoryDisk.sync_directory,
     )
     quota_calls: tuple[Callable[..., Any], ...] = (
         QuotaService.claim,
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -21,13 +21,13 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.consensus.register import (
     NO_BALLOT,
-    UNKNOWN,
+    UNKNOWN_VALUE,
     AcceptorState,
     Ballot,
     PutOutcome,
     Value,
 )
-from irisdeal.config_store.membership.members import FIRST, Members, seat
+from irisdeal.config_store.membership.members import INITIAL_DISK_ID, Members, format_seat
 from irisdeal.config_store.membership.messages import ReplicaStatus
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
@@ -219,7 +219,7 @@
     version_store.add(long)
     piece = version_store.next_chunk(SyncState(), long.version_id)
     assert piece is not None
-    assembler.take(piece.encode())
+    assembler.add_chunk(piece.encode())
     goes_on = version_store.next_chunk(assembler.sync_state(NO_VERSION), long.version_id)
     made = {"whole": whole, "difference": difference, "first piece": piece, "next piece": goes_on}
     return {name: chunk.encode() if chunk is not None else None for name, chunk in made.items()}
@@ -228,12 +228,12 @@
 def _store_samples() -> list[Sample]:
     ips = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
     first, second, long = versions()
-    members = Members.first(ips)
-    begun, now = Value.first(members), Value(300, second.version_id, members)
+    members = Members.initial(ips)
+    begun, now = Value.initial(members), Value(300, second.version_id, members)
     joint = Value(
-        301, second.version_id, members.enter_joint([*members.seats[:2], seat("10.3.0.1", "5b" * 8)])
+        301, second.version_id, members.enter_joint([*members.seats[:2], format_seat("10.3.0.1", "5b" * 8)])
     )
-    here, there = seat(ips[0], FIRST), seat(ips[1], FIRST)
+    here, there = format_seat(ips[0], INITIAL_DISK_ID), format_seat(ips[1], INITIAL_DISK_ID)
     low, high = Ballot(3, here), Ballot(70_000, there)
     arriving = SyncState(first.version_id, long.version_id, CHUNK_BYTES).encode()
     told = ReplicaStatus(here, "z0", low, now, now, True).encode()
@@ -242,7 +242,10 @@
             "state", "of a member", told, ReplicaStatus(there, "z1", high, joint, now, False, True).encode()
         ),
         Sample(
-            "state", "of nobody", None, ReplicaStatus(there, "", NO_BALLOT, UNKNOWN, UNKNOWN, False).encode()
+            "state",
+            "of nobody",
+            None,
+            ReplicaStatus(there, "", NO_BALLOT, UNKNOWN_VALUE, UNKNOWN_VALUE, False).encode(),
         ),
         Sample("prepare", "promised", [there, high.encode()], [True, AcceptorState(high, low, now).encode()]),
         Sample(
