--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -114,7 +114,7 @@
     @property
     def settled(self) -> bool:
         """Whether it has heard as many sources as a door asks at once, and has a configuration."""
-        return len(self.watcher.answering) >= 2 and self.watcher.configuration.version is not None
+        return len(self.watcher.responsive_registries) >= 2 and self.watcher.configuration.version is not None
 
     async def _counting(self) -> None:
         spread = INTERVAL_S * (0.04 + 0.24 * self.chance.random())
--- a/benchmarks/differences.py
+++ b/benchmarks/differences.py
@@ -31,7 +31,7 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, ConfigVersion
 from irisdeal.config_store.storage.chunk_assembler import ChunkAssembler
 from irisdeal.config_store.storage.version_store import VersionStore
-from irisdeal.proxy.config_applier import SLICE_S
+from irisdeal.proxy.config_applier import BUILD_SLICE_S
 from irisdeal.proxy.route_table import RouteTable
 from tests.support.configurations import change, configuration
 
@@ -56,7 +56,7 @@
     while True:
         begun = time.process_time()
         try:
-            while time.process_time() - begun < SLICE_S:
+            while time.process_time() - begun < BUILD_SLICE_S:
                 next(steps)
         except StopIteration as end:
             into.append(max(most, (time.process_time() - begun) * 1000))
--- a/irisdeal/load_balancing/backend_choice.py
+++ b/irisdeal/load_balancing/backend_choice.py
@@ -92,9 +92,9 @@
 
 @dataclass(slots=True)
 class BackendChoice:
-    """The choice among backends, and what responses teach it. `chance`: source of the random jitter."""
+    """The choice among backends, and what responses teach it. `rng`: source of the random jitter."""
 
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
 
     # Choice
 
@@ -144,7 +144,7 @@
         cost += typical_latency_s * COST_BY_DISTANCE[int(backend.zone_distance)]
         if not backend.idle_connections:
             cost += typical_latency_s * CONNECT_COST
-        return cost * (1.0 + CHOICE_JITTER * self.chance.random())
+        return cost * (1.0 + CHOICE_JITTER * self.rng.random())
 
     def _is_unhealthy(self, backend: Backend, typical_latency_s: float, now: float) -> bool:
         return (
--- a/irisdeal/permits/authority.py
+++ b/irisdeal/permits/authority.py
@@ -52,16 +52,16 @@
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
-        self.list: IssuerList | None = None
+        self.issuer_list: IssuerList | None = None
         self.observed_at: float | None = None  # when the current list was first observed
         self.former_lists: list[tuple[float, int]] = []  # when a list was superseded, and its length
         self.entitled_at = NEVER
-        self.recorded: IssuerList | None = None  # as it is on the disk
+        self.recorded_list: IssuerList | None = None  # as it is on the disk
         self.epochs = 0  # how often an entitlement started anew: what was issued earlier is unknown here
 
     def observe_list(self, observed: IssuerList, now: float) -> None:
         """Take in the list that is decided as of `now`."""
-        before, self.list = self.list or self.recorded, observed
+        before, self.issuer_list = self.issuer_list or self.recorded_list, observed
         if before == observed:
             if self.observed_at is None:
                 self.observed_at = now
@@ -83,12 +83,16 @@
 
         The disk may be slow: the decided list may have been observed before.
         """
-        self.recorded = recorded
-        if self.list is None or self.epochs != 1 or not self._is_member_throughout(recorded, self.list):
+        self.recorded_list = recorded
+        if (
+            self.issuer_list is None
+            or self.epochs != 1
+            or not self._is_member_throughout(recorded, self.issuer_list)
+        ):
             return
         self.entitled_at = ALL_ALONG
-        if recorded != self.list:
-            self._keep_former_length(recorded, self.list, now)
+        if recorded != self.issuer_list:
+            self._keep_former_length(recorded, self.issuer_list, now)
 
     def _keep_former_length(self, before: IssuerList, observed: IssuerList, now: float) -> None:
         self.former_lists = [(at, length) for at, length in self.former_lists if at + RESERVE_GUARD_S > now]
@@ -100,7 +104,7 @@
         return is_successor and self.own_address in before.machines and self.own_address in observed.machines
 
     def _is_recorded(self) -> bool:
-        return self.list is not None and self.list == self.recorded
+        return self.issuer_list is not None and self.issuer_list == self.recorded_list
 
     def may_issue(self, age_s: float | None, now: float) -> bool:
         """Whether this registry may issue permits now.
@@ -119,15 +123,15 @@
 
     def _max_length(self, since: float) -> int:
         former = max((length for at, length in self.former_lists if at > since), default=0)
-        return max(1, former, len(self.list.machines) if self.list is not None else 0)
+        return max(1, former, len(self.issuer_list.machines) if self.issuer_list is not None else 0)
 
     def to_record(self, now: float) -> IssuerList | None:
         """Return the list to write to the disk, once it has been in force for `GUARD_S`.
 
         None if none is due.
         """
-        if self.list is None or self.observed_at is None or self._is_recorded():
+        if self.issuer_list is None or self.observed_at is None or self._is_recorded():
             return None
         if now < max(self.observed_at + GUARD_S, self.entitled_at):
             return None
-        return self.list
+        return self.issuer_list
--- a/irisdeal/placement/load_reports.py
+++ b/irisdeal/placement/load_reports.py
@@ -9,7 +9,7 @@
 
 REPORT_KEPT_S = 1.5  # that a registry's report counts
 REPORT_INTERVAL_S = 0.1  # between two reports of a registry: about the typical latency of a backend
-InFlight = dict[int, int]  # short key of a backend's incarnation -> requests
+InFlightByKey = dict[int, int]  # short key of a backend's incarnation -> requests
 
 
 def short_key(id_: str) -> int:
@@ -24,15 +24,15 @@
     """The latest load reports of the other registries."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, tuple[float, InFlight]] = {}
+        self.reports: dict[str, tuple[float, InFlightByKey]] = {}
 
-    def record(self, registry: str, in_flight: InFlight, now: float) -> None:
+    def record(self, registry: str, in_flight: InFlightByKey, now: float) -> None:
         """Take a registry's report in place of its last one."""
         self.reports[registry] = (now, in_flight)
 
-    def total(self, now: float) -> InFlight:
+    def total(self, now: float) -> InFlightByKey:
         """Return the sum over all registries whose last report still counts."""
-        total: InFlight = {}
+        total: InFlightByKey = {}
         for registry, (received_at, in_flight) in list(self.reports.items()):
             if now - received_at > REPORT_KEPT_S:
                 del self.reports[registry]
--- a/irisdeal/placement/placer.py
+++ b/irisdeal/placement/placer.py
@@ -20,8 +20,8 @@
 from typing import Protocol
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
-from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.placement.load_reports import InFlight, short_key
+from irisdeal.placement.attempt_result import AttemptResult
+from irisdeal.placement.load_reports import InFlightByKey, short_key
 from irisdeal.placement.waiting_queues import WaitingQueues
 from irisdeal.rpc.calls import process_name
 
@@ -86,18 +86,18 @@
 class Placer:
     """What one registry knows of backends' load, and where it places attempts."""
 
-    def __init__(self, regions: dict[str, str], chance: random.Random) -> None:
+    def __init__(self, regions: dict[str, str], rng: random.Random) -> None:
         """`regions`: the region of each zone."""
-        self.regions, self.chance = regions, chance
-        self.choice = BackendChoice(chance)
+        self.regions, self.rng = regions, rng
+        self.choice = BackendChoice(rng)
         self.backends: dict[str, Backend] = {}
         self.by_key: dict[int, Backend] = {}
         self.services: dict[str, dict[str, list[Backend]]] = {}  # service -> zone -> backends
         self.reservations: dict[int, Reservation] = {}
-        self.numbers_of: dict[str, set[int]] = {}  # connection of a proxy -> its reservations
+        self.reservation_numbers: dict[str, set[int]] = {}  # connection of a proxy -> its reservations
         self.failure_rates: dict[str, float] = {}  # of attempts, by proxy
         self.waiting = WaitingQueues()
-        self.number = chance.getrandbits(FIRST_NUMBER_BITS)
+        self.number = rng.getrandbits(FIRST_NUMBER_BITS)
 
     # Backends
 
@@ -139,7 +139,7 @@
         self.choice.record_start(backend, now)
         self.number += 1
         self.reservations[self.number] = Reservation(proxy, backend, now, load_factor, deadline)
-        self.numbers_of.setdefault(proxy, set()).add(self.number)
+        self.reservation_numbers.setdefault(proxy, set()).add(self.number)
         return self.number, backend, load_factor
 
     def _choose(self, needs: PlacementNeeds, now: float, only_free: bool) -> Backend | None:
@@ -232,14 +232,14 @@
             - 1.0
             + distance_cost
             + ERROR_COST * backend.error_rate
-            + CHOICE_JITTER * self.chance.random()
+            + CHOICE_JITTER * self.rng.random()
             + penalty
         )
         return cost if backend.key in connected else cost + CONNECT_COST
 
     # Ends of attempts
 
-    def end(
+    def end_reservation(
         self, proxy: str, number: int, result: AttemptResult, latency_ratio: float, now: float
     ) -> str | None:
         """End a reservation, and learn from the attempt's result.
@@ -293,10 +293,10 @@
                 choice.record_abandoned(backend, reservation.started_at, slowdown, now, SLOWDOWN_WEIGHT)
 
     def _forget_number(self, proxy: str, number: int) -> None:
-        numbers = self.numbers_of[proxy]
+        numbers = self.reservation_numbers[proxy]
         numbers.discard(number)
         if not numbers:
-            del self.numbers_of[proxy]
+            del self.reservation_numbers[proxy]
 
     def disconnect(self, proxy: str) -> set[str]:
         """End the reservations that were given over a connection that is lost.
@@ -304,7 +304,7 @@
         Returns the services that may have capacity now.
         """
         services = set()
-        for number in self.numbers_of.pop(proxy, set()):
+        for number in self.reservation_numbers.pop(proxy, set()):
             reservation = self.reservations.pop(number)
             self.choice.record_end(reservation.backend, reservation.started_at)
             services.add(reservation.backend.service)
@@ -328,11 +328,11 @@
 
     # Load of the other registries
 
-    def in_flight(self) -> InFlight:
+    def in_flight(self) -> InFlightByKey:
         """Return the requests in flight at each backend from this registry's proxies."""
         return {key: backend.in_flight for key, backend in self.by_key.items() if backend.in_flight}
 
-    def update_elsewhere(self, in_flight: InFlight) -> None:
+    def update_elsewhere(self, in_flight: InFlightByKey) -> None:
         """Take the requests in flight at each backend from all other registries' proxies."""
         for key, backend in self.by_key.items():
             backend.in_flight_elsewhere = in_flight.get(key, 0)
--- a/irisdeal/proxy/attempt.py
+++ b/irisdeal/proxy/attempt.py
@@ -8,7 +8,7 @@
 
 from irisdeal.http1.messages import Request
 from irisdeal.load_balancing.backend_choice import MIN_LATENCY_S, BackendChoice, LatencyEstimate
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.proxy.attempt_outcome import AttemptEnd, AttemptOutcome
 from irisdeal.proxy.attempt_placer import AttemptPlacer, PlacedAttempt
 from irisdeal.proxy.backend_request import DEADLINE_MARGIN_S, BackendRequest, encode_request
--- a/irisdeal/proxy/attempt_placer.py
+++ b/irisdeal/proxy/attempt_placer.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice, LatencyEstimate
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.proxy.connection_pool import ConnectionPool
 from irisdeal.proxy.registry_client import PLACEMENT_TIMEOUT_S, Placement, RegistryClient
 from irisdeal.proxy.rejection import permits_unavailable
--- a/irisdeal/proxy/config_applier.py
+++ b/irisdeal/proxy/config_applier.py
@@ -14,7 +14,7 @@
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 
-SLICE_S = 0.004  # of work between two turns of the loop; on 0.2 cores that is some 0.02 s
+BUILD_SLICE_S = 0.004  # of work between two turns of the loop; on 0.2 cores that is some 0.02 s
 MIN_INTERVAL_S = (
     0.3  # from one start to the next: quicker versions are skipped; far below an `apply_ms` of 2.5 s
 )
@@ -79,7 +79,7 @@
 
     def _run_slice(self, steps: Steps) -> bool:
         """Work for one slice; return whether all is done."""
-        until = self.loop.time() + SLICE_S
+        until = self.loop.time() + BUILD_SLICE_S
         return all(self.loop.time() < until for _ in steps)
 
     async def _work(self, steps: Steps | None) -> None:
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -43,14 +43,14 @@
     def __init__(self, settings: Settings, listening: ListeningSockets | None = None) -> None:
         self.settings, self.listening = settings, listening or {}
         self.loop = asyncio.get_running_loop()
-        self.chance = random.Random()
+        self.rng = random.Random()
         self.tasks = Tasks()
         self.applier = ConfigApplier(self._on_table, self.tasks)
         self.watcher = RegistryWatcher(settings, self._on_version, self._on_incarnation)
-        self.choice = BackendChoice(self.chance)
+        self.choice = BackendChoice(self.rng)
         self.directory = BackendDirectory(settings, self._on_retired, self._on_backend_added)
         self.registries = RegistryClient(settings, self.watcher)
-        self.admission = TenantAdmission(self.registries, self.loop, self.chance, self.directory.slots)
+        self.admission = TenantAdmission(self.registries, self.loop, self.rng, self.directory.slots)
         self.retry_budgets = RetryBudgets(
             settings.bound("retry_ratio", 0.2),
             settings.bound("retry_window_s", 10.0),
@@ -61,11 +61,13 @@
         self.pool = ConnectionPool(self.loop, descriptors // 2)
         self.drain = DrainState()
         self.metrics = ProxyMetrics()
-        self.handler = RequestHandler(self._attempt_services(), self.admission, self.chance)
-        self.front = HttpServer(self.handler.serve, self.loop, cancels_on_eof=True)
+        self.handler = RequestHandler(self._attempt_services(), self.admission, self.rng)
+        self.http_server = HttpServer(self.handler.serve, self.loop, cancels_on_eof=True)
         self.readiness = HttpServer(self._serve_readiness, self.loop)
         self.metrics_server = MetricsServer(settings, self.metrics, self.loop)
-        self.front.on_client_disconnected = lambda request: self.metrics.departures.add(request.phase.value)
+        self.http_server.on_client_disconnected = lambda request: self.metrics.departures.add(
+            request.phase.value
+        )
 
     def _attempt_services(self) -> AttemptServices:
         placer = AttemptPlacer(
@@ -95,7 +97,9 @@
         """Watch the registries and serve clients."""
         self.watcher.start()
         self.tasks.start(self.admission.report_intervals())
-        await self.front.listen(parse_address(self.settings.bind.front), sock=self.listening.get("front"))
+        await self.http_server.listen(
+            parse_address(self.settings.bind.front), sock=self.listening.get("front")
+        )
         await self.readiness.listen(
             parse_address(self.settings.bind.readiness), sock=self.listening.get("readiness")
         )
@@ -105,7 +109,7 @@
         """Shut down gracefully: finish or reject all requests, and end when the last bytes are out."""
         self.drain.plan = plan = DrainPlan(self.loop.time(), self.settings.bound("grace_s", 6.0))
         self.loop.call_at(plan.last_call_at, self._last_call)
-        unanswered = await self.front.drain(plan.quiet_until, plan.ends_at)
+        unanswered = await self.http_server.drain(plan.quiet_until, plan.ends_at)
         self._log_drain(unanswered)
         self.watcher.stop()
         self.tasks.cancel()
@@ -115,7 +119,7 @@
     def _last_call(self) -> None:
         """Reject what was not executed yet, as the process is about to end."""
         self.drain.is_last_call = True
-        for task, request in list(self.front.serving.items()):
+        for task, request in list(self.http_server.serving.items()):
             attempts = self.handler.attempts.get(request)
             if attempts is None or attempts.reject():
                 task.cancel()
@@ -151,7 +155,7 @@
         """Take a new route table into force."""
         self.handler.set_table(table)
         self.admission.configure(self.handler.limit_of)
-        client_limits, limits = self.front.limits, table.limits
+        client_limits, limits = self.http_server.limits, table.limits
         client_limits.max_head_bytes = limits.max_header_bytes
         client_limits.max_body_bytes = limits.max_body_bytes
         client_limits.head_timeout_s = limits.header_timeout_ms / 1000
--- a/irisdeal/proxy/registry_client.py
+++ b/irisdeal/proxy/registry_client.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure
 
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.proxy.registry_selector import stable_hash
 from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.registry import call_kinds
@@ -83,7 +83,7 @@
         """Return the registries that answer: those in our zone first, then in an order of our own."""
         is_near, own_ip = self.watcher.selector.is_near, self.settings.ip
         return sorted(
-            self.watcher.answering,
+            self.watcher.responsive_registries,
             key=lambda registry: (not is_near(registry), stable_hash(own_ip, registry)),
         )
 
--- a/irisdeal/proxy/registry_selector.py
+++ b/irisdeal/proxy/registry_selector.py
@@ -24,9 +24,9 @@
 class RegistrySelector:
     """The registries as one proxy knows them, and its order of preference. Times are s on the loop's clock."""
 
-    def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop, chance: random.Random) -> None:
-        """`chance`: spreads the ends of backoffs, so that proxies do not come back as one."""
-        self.settings, self.loop, self.chance = settings, loop, chance
+    def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop, rng: random.Random) -> None:
+        """`rng`: spreads the ends of backoffs, so that proxies do not come back as one."""
+        self.settings, self.loop, self.rng = settings, loop, rng
         self.using: list[str] = []  # registries that are watched now
         self.zones: dict[str, str] = {}  # machines of the core and their zones: all that is reported
         self.reported_zones: dict[str, dict[str, str]] = {}  # the same by the registry that reported it
@@ -69,7 +69,7 @@
         """Do not prefer it for a while, of another length at each proxy."""
         _, before_s = self.avoided.get(registry, (0.0, 0.0))
         backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * before_s))
-        self.avoided[registry] = self.loop.time() + backoff_s * (1 + self.chance.random()), backoff_s
+        self.avoided[registry] = self.loop.time() + backoff_s * (1 + self.rng.random()), backoff_s
 
     def _alternatives(self) -> list[str]:
         now = self.loop.time()
--- a/irisdeal/proxy/registry_watcher.py
+++ b/irisdeal/proxy/registry_watcher.py
@@ -73,8 +73,8 @@
         """
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.chance = random.Random(settings.ip)
-        self.selector = RegistrySelector(settings, self.loop, self.chance)
+        self.rng = random.Random(settings.ip)
+        self.selector = RegistrySelector(settings, self.loop, self.rng)
         self.configuration = ConfigReceiver(on_version)
         self.backends = BackendView(self.loop, on_incarnation)
         self.started_at = self.loop.time()
@@ -83,7 +83,9 @@
             str, int
         ] = {}  # registry -> its incarnation that was sent all backends that we know
         self.on_departed: Callable[[set[str]], None] = lambda departed: None  # machines that left the core
-        self.answering: set[str] = set()  # registries that answer, in contact with the core or not
+        self.responsive_registries: set[str] = (
+            set()
+        )  # registries that answer, in contact with the core or not
         self.has_answered = asyncio.Event()  # set once a first registry has answered
         self.tasks = Tasks()
 
@@ -146,12 +148,12 @@
                     self._leave(registry)
                     link.close()
             factor = AVOIDED_PAUSE_FACTOR if was_avoided else 1
-            await asyncio.sleep(self.chance.uniform(MIN_PAUSE_S, MAX_PAUSE_S) * factor)
+            await asyncio.sleep(self.rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S) * factor)
             self._log_contact()
 
     def _leave(self, registry: str) -> None:
         self.selector.using.remove(registry)
-        self.answering.discard(registry)
+        self.responsive_registries.discard(registry)
         self.configuration.leave(registry)
         self.backends.leave(registry)
 
@@ -174,7 +176,7 @@
                 log_event(Event.SOURCE_UNRESPONSIVE, source=registry, trouble=answer.failure())
                 return self.selector.avoid(registry)
             reply = WatchReply.decode(answer.unwrap(), self.loop.time())
-            self.answering.add(registry)
+            self.responsive_registries.add(registry)
             self.has_answered.set()
             is_first, table_version = reply.registry_incarnation != incarnation, reply.table_version
             if is_first:
--- a/irisdeal/proxy/request_handler.py
+++ b/irisdeal/proxy/request_handler.py
@@ -34,9 +34,9 @@
 class RequestHandler:
     """The requests of one proxy."""
 
-    def __init__(self, services: AttemptServices, admission: TenantAdmission, chance: random.Random) -> None:
-        """`chance`: source of each route's first draw among its services."""
-        self.services, self.admission, self.chance = services, admission, chance
+    def __init__(self, services: AttemptServices, admission: TenantAdmission, rng: random.Random) -> None:
+        """`rng`: source of each route's first draw among its services."""
+        self.services, self.admission, self.rng = services, admission, rng
         self.loop, self.metrics, self.drain = services.loop, services.metrics, services.drain
         self.table: RouteTable | None = None
         self.has_table = asyncio.Event()
@@ -137,7 +137,7 @@
     def _service(self, route: Route) -> str:
         """Return a service by weight: draws are spread evenly, so that any hundred in a row keep the weights."""
         draw = self.draws.get(route.name)
-        draw = self.chance.random() if draw is None else (draw + GOLDEN_FRACTION) % 1.0
+        draw = self.rng.random() if draw is None else (draw + GOLDEN_FRACTION) % 1.0
         self.draws[route.name] = draw
         return route.service(draw)
 
--- a/irisdeal/proxy/tenant_admission.py
+++ b/irisdeal/proxy/tenant_admission.py
@@ -79,11 +79,11 @@
         self,
         client: RegistryClient,
         loop: asyncio.AbstractEventLoop,
-        chance: random.Random,
+        rng: random.Random,
         slots: Callable[[], int],
     ) -> None:
         """`slots`: requests that all backends serve at once."""
-        self.client, self.loop, self.chance, self.slots = client, loop, chance, slots
+        self.client, self.loop, self.rng, self.slots = client, loop, rng, slots
         self.throttles: dict[str, ProbabilisticThrottle] = {}
         self.prefetched = PrefetchedPermits(secrets.randbits(48))
         # permits of requests that ended without use, by tenant: until when each is valid
@@ -94,7 +94,7 @@
         self.max_reported_proxies = 0
         self.newest_total = -1  # number of the newest complete interval that was taken over
         self.total_at = float("-inf")  # when it was
-        self.report_delay_s = INTERVAL_S * chance.uniform(MIN_REPORT_DELAY, MAX_REPORT_DELAY)
+        self.report_delay_s = INTERVAL_S * rng.uniform(MIN_REPORT_DELAY, MAX_REPORT_DELAY)
         self.reports: dict[int, Usages] = {}
 
     def configure(self, limit_of: Callable[[str], Limit | None]) -> None:
@@ -116,7 +116,7 @@
         throttle = self.throttles.get(tenant)
         if throttle is None:
             throttle = self.throttles[tenant] = ProbabilisticThrottle(tenant, limit)
-        if not throttle.admit(self.chance.random(), is_late):
+        if not throttle.admit(self.rng.random(), is_late):
             return None
         return RequestPermit(throttle, is_late, self._take_returned(tenant))
 
--- a/irisdeal/registry/authority_monitor.py
+++ b/irisdeal/registry/authority_monitor.py
@@ -53,7 +53,7 @@
         self.is_saving = True
         try:
             if await self.loop.run_in_executor(None, record.save, listed):
-                self.authority.recorded = listed
+                self.authority.recorded_list = listed
                 log_event(Event.ISSUER_LIST_STORED, list=listed.number, machines=len(listed.machines))
         finally:
             self.is_saving = False
--- a/irisdeal/registry/placement_service.py
+++ b/irisdeal/registry/placement_service.py
@@ -5,8 +5,8 @@
 import asyncio
 import random
 
-from irisdeal.placement.attempt_end import AttemptResult
-from irisdeal.placement.load_reports import InFlight, LoadReports
+from irisdeal.placement.attempt_result import AttemptResult
+from irisdeal.placement.load_reports import InFlightByKey, LoadReports
 from irisdeal.placement.placer import Placer
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.incarnation import BackendState
@@ -34,7 +34,7 @@
         self.placer = Placer(regions, random.Random())
         self.loads = LoadReports()
         self.applied_version = 0  # of the backend table
-        self.reported: InFlight = {}  # in the last load report
+        self.reported: InFlightByKey = {}  # in the last load report
 
     def reserve(
         self, caller: str, request: PlacementRequest, only_free: bool = True, waited_s: float = 0.0
@@ -89,7 +89,7 @@
     def end(self, caller: str, end: ReservationEnd) -> None:
         """End a reservation."""
         result, now = AttemptResult(end.result), self.loop.time()
-        service = self.placer.end(caller, end.reservation, result, end.latency_ratio, now)
+        service = self.placer.end_reservation(caller, end.reservation, result, end.latency_ratio, now)
         if service is not None:
             self._wake(service)
 
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -159,7 +159,7 @@
             node.have_contact(self.list, {TENANT: self.limit})
             record = node.authority.to_record(node.clock.now())
             if record is not None:
-                self.disks[ip] = node.authority.recorded = record
+                self.disks[ip] = node.authority.recorded_list = record
 
     def set_limit(self, rate: float, burst: float) -> None:
         """Decide another limit; proxies that it reaches apply it within `MAX_APPLY_S`."""
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -12,7 +12,7 @@
 from behave import given, then, when
 
 from irisdeal.load_balancing.backend_choice import Backend, BackendChoice
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.placement.load_reports import REPORT_INTERVAL_S, LoadReports
 from irisdeal.placement.placer import Placer
 from irisdeal.registry.messages import PlacementRequest
@@ -89,7 +89,7 @@
                 if backend.id in self.poor and self.chance.random() < 0.5
                 else AttemptResult.SUCCESS
             )
-            self.placers[zone].end(proxy, number, result, (then_ - now) / WORK_S, then_)
+            self.placers[zone].end_reservation(proxy, number, result, (then_ - now) / WORK_S, then_)
 
         return [(self._work(backend.id, now), ended)]
 
@@ -174,7 +174,7 @@
     for step in range(count):
         reserved = placer.reserve("d0", needs("z0"), step * 0.01, 99.0, False)
         assert reserved is not None
-        placer.end("d0", reserved[0], AttemptResult.FAILED, 1.0, step * 0.01)
+        placer.end_reservation("d0", reserved[0], AttemptResult.FAILED, 1.0, step * 0.01)
 
 
 @then("at most {count:d} backends are ejected for it")
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -353,7 +353,7 @@
     authority = IssuingAuthority("a")
     authority.observe_list(LISTED, 0.0)
     assert authority.to_record(GUARD_S - 0.1) is None and authority.to_record(GUARD_S) == LISTED
-    authority.recorded = LISTED
+    authority.recorded_list = LISTED
     assert authority.to_record(GUARD_S + 1.0) is None
 
 
@@ -413,7 +413,7 @@
         watch = AuthorityMonitor(first, IssuerListRecord(str(tmp_path)), lambda: KNOWN_S, tasks)
         watch.check()
         await asyncio.gather(*tasks.running)
-        assert watch.was_issuing and first.recorded == LISTED
+        assert watch.was_issuing and first.recorded_list == LISTED
         second = IssuingAuthority("a")
         second.observe_list(LISTED, now)
         assert not second.may_issue(KNOWN_S, now)
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -78,7 +78,7 @@
     async def act() -> None:
         proxy = world.proxy
         assert proxy is not None
-        proxy.front.on_client_disconnected = lambda request: phases.append(request.phase)
+        proxy.http_server.on_client_disconnected = lambda request: phases.append(request.phase)
         if world.registry is not None:
             world.registry.hold_s = 0.8
         if phase is Phase.CONNECTING:
@@ -101,7 +101,7 @@
         if world.registry is not None:
             assert world.registry.waiting == 0
         await asyncio.sleep(4.0)
-        assert not proxy.handler.attempts and not proxy.front.serving
+        assert not proxy.handler.attempts and not proxy.http_server.serving
         assert not any(
             held.in_flight or held.waiting for held in proxy.admission.concurrency.tenants.values()
         )
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -312,7 +312,7 @@
 
     async def _proxy(self) -> int:
         proxy = Proxy(SETTINGS)
-        proxy.handler.chance = proxy.choice.chance = self.chance
+        proxy.handler.rng = proxy.choice.rng = self.chance
         proxy.watcher.has_answered.set()
         rules = [
             {
@@ -334,7 +334,7 @@
                 ),
                 False,
             )
-        await proxy.front.listen(PROXY_ADDRESS)
+        await proxy.http_server.listen(PROXY_ADDRESS)
         self.running_proxy = proxy
         await self.loop().create_future()
         return 0
--- a/tests/rpc/test_late_messages.py
+++ b/tests/rpc/test_late_messages.py
@@ -14,7 +14,7 @@
 from irisdeal.permits.allowance import Limit
 from irisdeal.permits.authority import IssuerList
 from irisdeal.permits.messages import PrefetchReport
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.messages import Usage
@@ -76,7 +76,7 @@
     rig.places.disconnect("proxy d#1")  # its former connection, noticed late
     assert rig.out() == 1
     rig.places.disconnect("proxy d#3")
-    assert rig.out() == 0 and not rig.places.placer.numbers_of
+    assert rig.out() == 0 and not rig.places.placer.reservation_numbers
 
 
 def test_a_lost_connection_leaves_a_proxys_permits_and_reported_usage() -> None:
@@ -142,7 +142,7 @@
         )
         watcher = RegistryWatcher(settings, lambda version: None, lambda incarnation, silent: None)
         watcher.has_answered.set()
-        watcher.answering.add(HOST)
+        watcher.responsive_registries.add(HOST)
         client = RegistryClient(settings, watcher)
         client.links[HOST] = RpcClient((HOST, PORT), "proxy 10.0.0.1", client._link(HOST).on_late_answer)
         placement = await client.request_placement(PlacementRequest("z", "s", 0.1, [], 0, 0.0, 1.0), 0.0)
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -25,7 +25,7 @@
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.http1.messages import Request
 from irisdeal.permits.prefetched import PrefetchedPermits
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.proxy.registry_client import RegistryClient
 from irisdeal.proxy.registry_watcher import RegistryWatcher
 from irisdeal.ratelimit.messages import Usage
--- a/tests/support/random_request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -203,7 +203,7 @@
             held = sum(
                 held.in_flight + len(held.waiting) for held in proxy.admission.concurrency.tenants.values()
             )
-            if out or held or proxy.handler.attempts or proxy.front.serving:
+            if out or held or proxy.handler.attempts or proxy.http_server.serving:
                 found.append(f"{out} attempts, {held} places within bounds are left")
         return found
 
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -46,7 +46,7 @@
 from irisdeal.front_door.handover.roles import HALF
 from irisdeal.front_door.handover.state import pack, unpack
 from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
-from irisdeal.placement.attempt_end import AttemptResult
+from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.ratelimit.messages import Usage
 from irisdeal.registry.incarnation import (
     BackendIncarnation,
