--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -17,36 +17,36 @@
 
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
+    AddToCounter,
     AttemptEnded,
-    Barred,
-    BodyComplete,
-    Cancel,
+    CancelAttempt,
+    CeilingShareChanged,
     ClassesChanged,
-    Count,
-    CountAnswer,
+    CounterAnswered,
+    DedupScope,
     Event,
-    Fail,
-    FollowList,
-    Group,
-    ListKind,
-    Note,
+    FailRequest,
+    Idempotency,
+    LogMessage,
     Plan,
-    Refuse,
-    Repeat,
+    RejectRequest,
+    RequestArrived,
+    RequestBodyReceived,
+    RequestClassChanged,
     RequestEnded,
-    Restricted,
     Result,
-    Send,
+    ServerAdminStateChanged,
     ServerList,
+    ServerListKind,
     ServerState,
+    SetTimer,
     Settings,
-    Shared,
+    StartAttempt,
     StreamStarted,
-    Wake,
+    WatchServerList,
 )
-from irisdeal.front_door.decisions.records import Request, Server, Try
-from irisdeal.front_door.decisions.tenant import FEW_WAYS, NEAR, SECOND, Customer
+from irisdeal.front_door.decisions.records import Attempt, Request, Server
+from irisdeal.front_door.decisions.tenant import MAX_ESTIMATING_GATEWAYS, NEAR, SECOND, Tenant
 from irisdeal.front_door.queueing.fair_queue import FairQueue
 from irisdeal.front_door.quota.counter_calls import CounterCall
 from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
@@ -81,7 +81,7 @@
 AGAIN_SHARE, AGAIN_MOST = 0.1, 10.0  # further attempts per first, and saved up: no swelling of an overload
 HOLD_SHARE, HOLD_MOST = 0.6, 0.4  # of the aim's spare time that a request may wait for its bound; of its own
 QUEUE_SHARE = 0.2  # the same for a wait for the fleet: a standing queue is delay for all (RFC 8289, 3.2)
-NEVER_RAN = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
+NOT_EXECUTED_RESULTS = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
 
 
 class Gateway:
@@ -90,651 +90,832 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.servers: dict[bytes, Server] = {}
-        self.ready: list[Server] = []
-        self.barred: dict[bytes, int] = {}  # left out by hand, and since when
-        self.share, self.warms = 1.0, True  # beside another process of this door: less, and one of them
-        self.numbers, self.wake_at, self.woke, self.now, self.born = 0, 0, -1, -1, -1
-        self.out, self.last_sent = 0, -SECOND
+        self.ready_servers: list[Server] = []
+        self.disabled_servers: dict[bytes, int] = {}  # left out by hand, and since when
+        self.ceiling_share, self.may_use_cold_servers = (
+            1.0,
+            True,
+        )  # beside another process of this door: less, and one of them
+        self.last_timer_sequence, self.timer_at, self.resumed_at, self.now, self.started_at = 0, 0, -1, -1, -1
+        self.in_flight, self.last_sent_at = 0, -SECOND
         self.window, self.usual_window = WIDEST, 1.0  # most attempts of ours at once: queues stay short
-        self.zones_at = 0
-        self.young: deque[tuple[Request, Try]] = deque()  # attempts that may yet be slow, as sent
-        self.looks_at = 0  # when those that wait are looked at again whatever happens
+        self.next_zone_check_at = 0
+        self.unreported_attempts: deque[tuple[Request, Attempt]] = (
+            deque()
+        )  # attempts that may yet be slow, as sent
+        self.next_dispatch_at = 0  # when those that wait are looked at again whatever happens
         self.queue: FairQueue[Request] = FairQueue(BANDS, MOST_WAITING, MOST_BYTES, MOST_QUEUES)
-        self.customers: dict[tuple[int, int], Customer] = {}
+        self.tenants: dict[tuple[int, int], Tenant] = {}
         self.requests: dict[int, Request] = {}
-        self.calls: dict[int, deque[tuple[Request, float, int]]] = {}
-        self.claims: dict[int, deque[tuple[Customer, CounterCall, Request | None]]] = {}
+        self.demand_calls: dict[int, deque[tuple[Request, float, int]]] = {}
+        self.quota_calls: dict[int, deque[tuple[Tenant, CounterCall, Request | None]]] = {}
         self.counter_overload = CounterOverload()
-        self.words: dict[int, deque[Word]] = {}
+        self.zone_calls: dict[int, deque[Word]] = {}
         self.zones = Zones(
-            settings.gateways,
-            settings.fall_multiple,
-            settings.start_capacity,
-            settings.warm_up,
-            settings.parallel_attempts and settings.max_attempts > 1,
+            settings.gateway_count,
+            settings.collapse_load_ratio,
+            settings.start_capacity_ratio,
+            settings.warm_up_us,
+            settings.may_hedge and settings.max_attempts > 1,
             random.Random(seed + 1),
         )
-        self.usual = [c.aim * FIRST_WORK_SHARE for c in settings.classes]
-        self.quickest = [0.0 for _ in settings.classes]  # least time that an answer of late took, creeping up
-        self.many = settings.gateways > FEW_WAYS  # where cold servers are used by turns throughout
-        self.service = 0.0  # µs that serving takes by the servers' own word, without waiting; 0: not heard
-        self.again, self.strain, self.first_work = AGAIN_MOST, 1.0, max(self.usual)
-        self.value = sum(c.worth / c.aim for c in settings.classes) / len(self.usual) / FIRST_WORK_SHARE
-        self.agenda: list[tuple[int, int, Callable[[Any], None], Any]] = []
+        self.mean_duration_us = [c.latency_target_us * FIRST_WORK_SHARE for c in settings.classes]
+        self.min_duration_us = [
+            0.0 for _ in settings.classes
+        ]  # least time that an answer of late took, creeping up
+        self.is_large_fleet = (
+            settings.gateway_count > MAX_ESTIMATING_GATEWAYS
+        )  # where cold servers are used by turns throughout
+        self.service_time_us = (
+            0.0  # µs that serving takes by the servers' own word, without waiting; 0: not heard
+        )
+        self.retry_budget, self.counter_backoff_factor, self.initial_work_us = (
+            AGAIN_MOST,
+            1.0,
+            max(self.mean_duration_us),
+        )
+        self.mean_value_per_us = (
+            sum(c.value / c.latency_target_us for c in settings.classes)
+            / len(self.mean_duration_us)
+            / FIRST_WORK_SHARE
+        )
+        self.timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerList: self._server_list,
-            Arrival: self._arrival,
+            ServerList: self._update_servers,
+            RequestArrived: self._request_arrived,
             AttemptEnded: self._attempt_ended,
             StreamStarted: self._stream_started,
-            RequestEnded: self._end,
-            CountAnswer: self._counted,
+            RequestEnded: self._end_request,
+            CounterAnswered: self._counter_answered,
             ClassesChanged: self._classes_changed,
-            Restricted: self._restricted,
-            Barred: self._barred,
-            Shared: self._shared,
-            BodyComplete: self._body_complete,
+            RequestClassChanged: self._request_class_changed,
+            ServerAdminStateChanged: self._server_admin_state_changed,
+            CeilingShareChanged: self._ceiling_share_changed,
+            RequestBodyReceived: self._request_body_received,
         }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what happened by `now`; return what to do, in order."""
-        self.woke = now if self.agenda and now > self.wake_at + STALL else self.woke
+        self.resumed_at = now if self.timers and now > self.timer_at + STALL else self.resumed_at
         self.now, self.actions = now, []
-        if self.born < 0:
-            self.born = now
-            self.actions += [] if self.settings.list_is_pushed else [FollowList()]
+        if self.started_at < 0:
+            self.started_at = now
+            self.actions += [] if self.settings.server_list_is_pushed else [WatchServerList()]
         for event in events:
             self.handlers.get(type(event), lambda _: None)(event)
-        self._slow_ones()
+        self._report_slow_attempts()
         if self.zones.troubled:
-            self._zones()
+            self._update_zones()
         self._dispatch()  # before time-outs: who can be sent in this turn is not refused in it
-        while self.agenda and self.agenda[0][0] <= now:
-            _, _, action, subject = heapq.heappop(self.agenda)
+        while self.timers and self.timers[0][0] <= now:
+            _, _, action, subject = heapq.heappop(self.timers)
             action(subject)
         self._dispatch()
-        if self.agenda and not now < self.wake_at <= self.agenda[0][0]:
-            self.wake_at = self.agenda[0][0]
-            self.actions.append(Wake(self.wake_at - now))
+        if self.timers and not now < self.timer_at <= self.timers[0][0]:
+            self.timer_at = self.timers[0][0]
+            self.actions.append(SetTimer(self.timer_at - now))
         return self.actions
 
-    def _plan(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
-        self.numbers += 1  # keeps the order of equal times
-        heapq.heappush(self.agenda, (when, self.numbers, action, subject))
+    def _schedule(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
+        self.last_timer_sequence += 1  # keeps the order of equal times
+        heapq.heappush(self.timers, (when, self.last_timer_sequence, action, subject))
 
     def _classes_changed(self, event: ClassesChanged) -> None:
         old, kinds = self.settings.classes, event.classes
         if len(kinds) < len(old):
             raise ValueError(f"classes are {len(kinds)}: wanted no fewer than the {len(old)} known")
-        kept = [self.usual[n] if n < len(old) and old[n] == kind else None for n, kind in enumerate(kinds)]
-        self.usual = [kinds[n].aim * FIRST_WORK_SHARE if u is None else u for n, u in enumerate(kept)]
-        self.quickest = [0.0 if u is None else self.quickest[n] for n, u in enumerate(kept)]
+        kept = [
+            self.mean_duration_us[n] if n < len(old) and old[n] == kind else None
+            for n, kind in enumerate(kinds)
+        ]
+        self.mean_duration_us = [
+            kinds[n].latency_target_us * FIRST_WORK_SHARE if u is None else u for n, u in enumerate(kept)
+        ]
+        self.min_duration_us = [0.0 if u is None else self.min_duration_us[n] for n, u in enumerate(kept)]
         self.settings = replace(self.settings, classes=kinds)
 
-    def _restricted(self, event: Restricted) -> None:
-        if request := self.requests.get(event.request):
-            old, new = (self.settings.classes[n] for n in (request.kind, event.request_class))
-            if (order := list(Repeat)).index(new.repeat) < order.index(old.repeat):
-                raise ValueError(f"request {event.request} would be {new.repeat.value}: wanted no milder")
-            request.kind = event.request_class
-
-    def _server_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
-            return self._plan(self.now + SECOND, lambda _: self.actions.append(FollowList()), None)
-        if event.kind is not ListKind.CHANGES:  # absent from a full list: gone
-            named = {entry.server for entry in event.entries}
+    def _request_class_changed(self, event: RequestClassChanged) -> None:
+        if request := self.requests.get(event.request_id):
+            old, new = (self.settings.classes[n] for n in (request.class_index, event.class_index))
+            if (order := list(Idempotency)).index(new.idempotency) < order.index(old.idempotency):
+                raise ValueError(
+                    f"request {event.request_id} would be {new.idempotency.value}: wanted no milder"
+                )
+            request.class_index = event.class_index
+
+    def _update_servers(self, event: ServerList) -> None:
+        if event.kind is ServerListKind.FAILED:
+            return self._schedule(self.now + SECOND, lambda _: self.actions.append(WatchServerList()), None)
+        if event.kind is not ServerListKind.CHANGES:  # absent from a full list: gone
+            named = {entry.server_id for entry in event.entries}
             self.servers = {key: server for key, server in self.servers.items() if key in named}
         for entry in event.entries:
-            server = self.servers.get(entry.server)
+            server = self.servers.get(entry.server_id)
             if entry.state is ServerState.GONE:
-                self.servers.pop(entry.server, None)
-            elif server is None or server.told != entry.started:  # a restart begins a fresh record
-                self.servers[entry.server] = Server(entry)
+                self.servers.pop(entry.server_id, None)
+            elif (
+                server is None or server.listed_started_at != entry.started_at
+            ):  # a restart begins a fresh record
+                self.servers[entry.server_id] = Server(entry)
             else:
-                server.entry = replace(entry, started=server.entry.started)
-        self._sort()
+                server.entry = replace(entry, started_at=server.entry.started_at)
+        self._update_ready_servers()
 
-    def _sort(self) -> None:
-        self.ready = [
+    def _update_ready_servers(self) -> None:
+        self.ready_servers = [
             s
             for key, s in self.servers.items()
-            if s.entry.state is ServerState.READY and key not in self.barred
+            if s.entry.state is ServerState.READY and key not in self.disabled_servers
         ]
-        if self.many and (zones := Counter(s.entry.zone for s in self.ready)).keys() - {self.settings.zone}:
-            self._ask(self.zones.listed(zones, self.now))
-            self.ready = [s for s in self.ready if self.zones.share(s.entry.zone, self.now)]
-        usual = WINDOW * max(1, len(self.ready)) / self.settings.gateways
+        if self.is_large_fleet and (zones := Counter(s.entry.zone for s in self.ready_servers)).keys() - {
+            self.settings.zone
+        }:
+            self._call_zone_counters(self.zones.listed(zones, self.now))
+            self.ready_servers = [s for s in self.ready_servers if self.zones.share(s.entry.zone, self.now)]
+        usual = WINDOW * max(1, len(self.ready_servers)) / self.settings.gateway_count
         self.window, self.usual_window = self.window * usual / self.usual_window, usual
 
-    def _slow_ones(self) -> None:
+    def _report_slow_attempts(self) -> None:
         """Out for twice the usual time, or over: evidence on zones, with no timer of its own."""
-        while self.young:
-            request, attempt = self.young[0]
-            if attempt.out and self.now - attempt.at < SLOW * self.usual[request.kind]:
+        while self.unreported_attempts:
+            request, attempt = self.unreported_attempts[0]
+            if (
+                attempt.is_in_flight
+                and self.now - attempt.started_at < SLOW * self.mean_duration_us[request.class_index]
+            ):
                 return
-            self.young.popleft()
-            cold = self._warmth(attempt.server) < 1.0  # slow it may be, and is not lost
-            if attempt.out and attempt.at >= self.woke and not (request.uploading or attempt.flows or cold):
+            self.unreported_attempts.popleft()
+            cold = self._capacity_ratio(attempt.server) < 1.0  # slow it may be, and is not lost
+            if (
+                attempt.is_in_flight
+                and attempt.started_at >= self.resumed_at
+                and not (request.is_uploading or attempt.is_streaming or cold)
+            ):
                 entry = attempt.server.entry
-                self._ask(self.zones.fails(entry.zone, entry.server, attempt.at, self.now))
+                self._call_zone_counters(
+                    self.zones.fails(entry.zone, entry.server_id, attempt.started_at, self.now)
+                )
 
-    def _zones(self) -> None:
+    def _update_zones(self) -> None:
         """Some zone is left, comes back, or is suspected."""
-        self._ask(self.zones.due(self.now))
+        self._call_zone_counters(self.zones.due(self.now))
         if changed := self.zones.settle(self.now):
-            self._sort()
-            self.actions += [Note(self.zones.text(zone)) for zone in changed]
+            self._update_ready_servers()
+            self.actions += [LogMessage(self.zones.text(zone)) for zone in changed]
             for server in self.servers.values():  # its marks are the zone's, and gone with them
                 if server.entry.zone in changed:
-                    server.bad.clear()
+                    server.failure_rates.clear()
             for request in list(self.requests.values()):  # what is out in a zone that was left just now
-                done = request.ended or request.uploading
-                out = [t for t in request.tries if t.out and not (t.flows or done)]
+                done = request.is_ended or request.is_uploading
+                out = [t for t in request.attempts if t.is_in_flight and not (t.is_streaming or done)]
                 if out and not any(self.zones.share(t.server.entry.zone, self.now) for t in out):
-                    self._hurry(request, out[-1])
-        if self.zones.troubled and self.zones_at <= self.now:
-            self.zones_at = self.now + ZONES_EVERY
-            self._plan(self.zones_at, lambda _: None, None)
-
-    def _ask(self, words: list[Word]) -> None:
-        for word in words if self.settings.counter else []:
-            self.words.setdefault(word.name, deque()).append(word)
+                    self._hedge(request, out[-1])
+        if self.zones.troubled and self.next_zone_check_at <= self.now:
+            self.next_zone_check_at = self.now + ZONES_EVERY
+            self._schedule(self.next_zone_check_at, lambda _: None, None)
+
+    def _call_zone_counters(self, words: list[Word]) -> None:
+        for word in words if self.settings.has_counter else []:
+            self.zone_calls.setdefault(word.name, deque()).append(word)
             self.actions.append(
-                Count(word.name, word.amount, word.life, CALL_PATIENCE * self.settings.counter_timeout)
+                AddToCounter(
+                    word.name, word.amount, word.life, CALL_PATIENCE * self.settings.counter_timeout_us
+                )
             )
 
-    def _trial(self, request: Request) -> None:
+    def _send_zone_trial(self, request: Request) -> None:
         """A second attempt at a zone that is left, beside one of a request that may be repeated."""
-        safe = self.settings.classes[request.kind].repeat is Repeat.SAFE and not (
-            request.uploading or request.customer.plan.open_limit
+        safe = self.settings.classes[request.class_index].idempotency is Idempotency.SAFE and not (
+            request.is_uploading or request.tenant.plan.max_in_flight
         )  # it would count among what is out
         if safe and self.zones.trials and (zone := self.zones.trial(self.now)) is not None:
             able = [
                 s
                 for key, s in self.servers.items()
-                if s.entry.zone == zone and key not in self.barred and s.entry.state is ServerState.READY
+                if s.entry.zone == zone
+                and key not in self.disabled_servers
+                and s.entry.state is ServerState.READY
             ]
             able = [
-                s for s in able if (w := self._warmth(s)) == 1.0 or (self.warms and self._fits_cold(s, w))
+                s
+                for s in able
+                if (w := self._capacity_ratio(s)) == 1.0
+                or (self.may_use_cold_servers and self._has_cold_budget(s, w))
             ]
             if able:
                 self.zones.tried(zone, self.now)
-                self._send(request, self.random.choice(able))
+                self._start_attempt(request, self.random.choice(able))
 
-    def _barred(self, event: Barred) -> None:
-        if event.barred:
-            self.barred.setdefault(event.server, self.now)
-        elif (since := self.barred.pop(event.server, None)) is not None and (
-            server := self.servers.get(event.server)
+    def _server_admin_state_changed(self, event: ServerAdminStateChanged) -> None:
+        if event.is_disabled:
+            self.disabled_servers.setdefault(event.server_id, self.now)
+        elif (since := self.disabled_servers.pop(event.server_id, None)) is not None and (
+            server := self.servers.get(event.server_id)
         ):
             # It was restarted meanwhile, perhaps just now: cold from now on, until the list knows better.
-            entry, told = server.entry, server.told
-            server = Server(replace(entry, started=self.now) if entry.started <= since else entry)
-            server.told, self.servers[event.server] = told, server
-            server.due = self.now + int(self.many * FIRST_USE * self.random.random())
-        self._sort()
-
-    def _shared(self, event: Shared) -> None:
-        times, self.share, self.warms = event.part / self.share, event.part, event.warms
-        for customer in self.customers.values():
-            customer.resize(times, self.now)
-
-    def _body_complete(self, event: BodyComplete) -> None:
+            entry, told = server.entry, server.listed_started_at
+            server = Server(replace(entry, started_at=self.now) if entry.started_at <= since else entry)
+            server.listed_started_at, self.servers[event.server_id] = told, server
+            server.first_use_at = self.now + int(self.is_large_fleet * FIRST_USE * self.random.random())
+        self._update_ready_servers()
+
+    def _ceiling_share_changed(self, event: CeilingShareChanged) -> None:
+        times, self.ceiling_share, self.may_use_cold_servers = (
+            event.ceiling_share / self.ceiling_share,
+            event.ceiling_share,
+            event.may_use_cold_servers,
+        )
+        for customer in self.tenants.values():
+            customer.scale_ceiling(times, self.now)
+
+    def _request_body_received(self, event: RequestBodyReceived) -> None:
         """Its time counts from now: its answer's, and that of what was sent with its body on the way."""
-        if (request := self.requests.get(event.request)) and not request.ended and request.uploading:
-            self._uploaded(request)
-            request.arrived, request.gives_up = self.now, self.now + event.time_left
-            request.last = max(self.now, request.gives_up - 2 * self.settings.tick)
-            self._plan(request.last, self._time_up, request)
-            for attempt in [t for t in request.tries if t.out]:
-                attempt.at, patience = self.now, int(PATIENCE * self.usual[request.kind])
-                self._plan(self.now + patience, self._overdue, (request, attempt))
-
-    def _uploaded(self, request: Request) -> None:  # units of a ceiling count from here: room for them again
-        if request.tries and request.customer.plan.ceiling_rate:
-            request.customer.refill(self.now)  # what flowed in meanwhile had no room beyond that
-            request.customer.ceiling_most += request.units
-        request.uploading = False
-
-    def _warmth(self, server: Server) -> float:  # the least share of its capacity that it has by now
-        part = max(0, self.now - server.entry.started) / max(1, self.settings.warm_up)
-        return min(1.0, self.settings.start_capacity + (1.0 - self.settings.start_capacity) * part)
-
-    def _cold_work(self) -> float:  # learnt: by the first guess, which is high, a fleet leaves the cold idle
-        return min(self.first_work, max(LEAST_WORK, self.service)) if self.service else self.first_work
-
-    def _fits_cold(self, server: Server, warmth: float) -> bool:
+        if (request := self.requests.get(event.request_id)) and not request.is_ended and request.is_uploading:
+            self._end_upload(request)
+            request.arrived_at, request.deadline_at = self.now, self.now + event.time_left_us
+            request.answer_by = max(self.now, request.deadline_at - 2 * self.settings.tick_us)
+            self._schedule(request.answer_by, self._request_timed_out, request)
+            for attempt in [t for t in request.attempts if t.is_in_flight]:
+                attempt.started_at, patience = (
+                    self.now,
+                    int(PATIENCE * self.mean_duration_us[request.class_index]),
+                )
+                self._schedule(self.now + patience, self._attempt_overdue, (request, attempt))
+
+    def _end_upload(
+        self, request: Request
+    ) -> None:  # units of a ceiling count from here: room for them again
+        if request.attempts and request.tenant.plan.ceiling_rate_per_s:
+            request.tenant.refill(self.now)  # what flowed in meanwhile had no room beyond that
+            request.tenant.ceiling_capacity += request.units
+        request.is_uploading = False
+
+    def _capacity_ratio(self, server: Server) -> float:  # the least share of its capacity that it has by now
+        part = max(0, self.now - server.entry.started_at) / max(1, self.settings.warm_up_us)
+        return min(
+            1.0, self.settings.start_capacity_ratio + (1.0 - self.settings.start_capacity_ratio) * part
+        )
+
+    def _cold_work_us(
+        self,
+    ) -> float:  # learnt: by the first guess, which is high, a fleet leaves the cold idle
+        return (
+            min(self.initial_work_us, max(LEAST_WORK, self.service_time_us))
+            if self.service_time_us
+            else self.initial_work_us
+        )
+
+    def _has_cold_budget(self, server: Server, warmth: float) -> bool:
         """Our part of what a cold server may be sent, taken to have one core: even, or by turns."""
-        s, work, rate = self.settings, self._cold_work(), COLD_MARGIN * self.settings.fall_multiple
-        if (budget := rate * warmth * s.fall_window / s.gateways) >= work:
-            return work + sum(w for at, w in server.sent if at > self.now - s.fall_window) <= budget
+        s, work, rate = self.settings, self._cold_work_us(), COLD_MARGIN * self.settings.collapse_load_ratio
+        if (budget := rate * warmth * s.collapse_window_us / s.gateway_count) >= work:
+            return (
+                work + sum(w for at, w in server.cold_work_sent if at > self.now - s.collapse_window_us)
+                <= budget
+            )
         # All gateways number the turns alike; ours stays open for half a window, so turns are as much fewer.
-        turn = int(rate / 1.5 * (s.start_capacity + warmth) / 2 * (self.now - server.entry.started) / work)
-        behind = (turn - s.rank - int.from_bytes(server.entry.server)) % s.gateways
+        turn = int(
+            rate / 1.5 * (s.start_capacity_ratio + warmth) / 2 * (self.now - server.entry.started_at) / work
+        )
+        behind = (turn - s.rank - int.from_bytes(server.entry.server_id)) % s.gateway_count
         ago = behind * work * 1.5 / (rate * warmth)
-        if 0 <= server.due <= self.now:  # its first use, for which no turn may come for long
+        if 0 <= server.first_use_at <= self.now:  # its first use, for which no turn may come for long
             return True
-        server.turn = turn - behind
-        taken = server.turn <= server.turned if self.many else server.last_sent >= self.now - ago
-        return ago <= s.fall_window / 2 and not taken
+        server.open_turn = turn - behind
+        taken = (
+            server.open_turn <= server.last_turn_used
+            if self.is_large_fleet
+            else server.last_sent_at >= self.now - ago
+        )
+        return ago <= s.collapse_window_us / 2 and not taken
 
-    def _worth(self, request: Request) -> float:
-        return self.settings.classes[request.kind].worth * request.customer.plan.price * request.units
+    def _request_value(self, request: Request) -> float:
+        return (
+            self.settings.classes[request.class_index].value
+            * request.tenant.plan.value_factor
+            * request.units
+        )
 
-    def _band(self, request: Request) -> int:
+    def _value_band(self, request: Request) -> int:
         """Its worth for its time beside that of all, as a band."""
-        favour = self._worth(request) / self.usual[request.kind] / self.value
+        favour = (
+            self._request_value(request) / self.mean_duration_us[request.class_index] / self.mean_value_per_us
+        )
         return min(len(BANDS) - 1, max(0, round(4.0 * math.log2(max(1e-9, favour)) + 4.0)))
 
-    def _open(self, request: Request, band: int) -> bool:  # the window, for a request of that band
+    def _window_has_room(self, request: Request, band: int) -> bool:  # the window, for a request of that band
         window: float = self.window * BANDS[band]
-        return self.out < window and (
-            window >= 1.0 or self.now - self.last_sent >= self.usual[request.kind] / window
+        return self.in_flight < window and (
+            window >= 1.0
+            or self.now - self.last_sent_at >= self.mean_duration_us[request.class_index] / window
         )
 
-    def _pick(self, request: Request) -> Server | None:
+    def _select_server(self, request: Request) -> Server | None:
         """The server that should finish first, failures counted as an aim lost."""
-        rule, usual = self.settings.classes[request.kind], self.usual[request.kind]
-        ready, tied = self.ready, next((t.server.entry for t in request.tries if t.may_have_run), None)
-        if tied and rule.repeat is Repeat.KEYED and rule.group is not Group.ALL:  # rule 2
-            zonal = rule.group is Group.ZONE
+        rule, usual = self.settings.classes[request.class_index], self.mean_duration_us[request.class_index]
+        ready, tied = (
+            self.ready_servers,
+            next((t.server.entry for t in request.attempts if t.may_have_run), None),
+        )
+        if (
+            tied and rule.idempotency is Idempotency.KEYED and rule.dedup_scope is not DedupScope.ALL
+        ):  # rule 2
+            zonal = rule.dedup_scope is DedupScope.ZONE
             ready = [s for s in ready if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)]
         # A turn at a cold server is rare and short: all of them are looked at.
-        cold = [s for s in ready if s.due >= 0 or (self.many and s.entry.started and self._warmth(s) < 1.0)]
+        cold = [
+            s
+            for s in ready
+            if s.first_use_at >= 0
+            or (self.is_large_fleet and s.entry.started_at and self._capacity_ratio(s) < 1.0)
+        ]
         ready = self.random.sample(ready, min(LOOK, len(ready))) + cold
-        tried, best, least = [t.server for t in request.tries], None, math.inf
+        tried, best, least = [t.server for t in request.attempts], None, math.inf
         for server in (s for s in ready if s not in tried):
             if self.zones.troubled and self.random.random() >= self.zones.share(server.entry.zone, self.now):
                 continue
-            warmth = self._warmth(server)
-            if warmth < 1.0 and not (self.warms and self._fits_cold(server, warmth)):
+            warmth = self._capacity_ratio(server)
+            if warmth < 1.0 and not (self.may_use_cold_servers and self._has_cold_budget(server, warmth)):
                 continue
-            others = server.others * max(0.0, 1.0 - (self.now - server.told_at) / SECOND)
-            kept = (1.0 - FADE) ** ((self.now - server.last_sent) / SECOND)
-            cost = usual * (1.0 + (server.slow - 1.0) * kept) * (1.0 + server.out + others) / warmth
-            cost += (server.bad[None] + server.bad[request.customer.plan]) * kept * rule.aim
+            others = server.others_in_flight * max(0.0, 1.0 - (self.now - server.load_reported_at) / SECOND)
+            kept = (1.0 - FADE) ** ((self.now - server.last_sent_at) / SECOND)
+            cost = (
+                usual
+                * (1.0 + (server.relative_duration - 1.0) * kept)
+                * (1.0 + server.in_flight + others)
+                / warmth
+            )
+            cost += (
+                (server.failure_rates[None] + server.failure_rates[request.tenant.plan])
+                * kept
+                * rule.latency_target_us
+            )
             # Turns are rare, and who has one of many gateways finds the server nearly idle.
-            soon = self.service or usual
-            cost *= warmth / 2 if warmth < 1.0 and soon < warmth * rule.aim / 2 else 1.0
-            cost *= 0.0 if 0 <= server.due <= self.now else 1.0  # chosen, not left to chance
-            if self.settings.crossing_price and server.entry.zone != self.settings.zone:
+            soon = self.service_time_us or usual
+            cost *= warmth / 2 if warmth < 1.0 and soon < warmth * rule.latency_target_us / 2 else 1.0
+            cost *= 0.0 if 0 <= server.first_use_at <= self.now else 1.0  # chosen, not left to chance
+            if self.settings.cross_zone_cost and server.entry.zone != self.settings.zone:
                 cost *= CROSSING_LEAN
             cost *= 1.0 + 0.05 * self.random.random()  # so that gateways do not herd
             if cost < least:
                 best, least = server, cost
         return best
 
-    def _arrival(self, event: Arrival) -> None:
-        self.settings.check(event)
-        key = (event.customer, event.plan)  # a stranger's plan must not become this customer's
-        if not (customer := self.customers.pop(key, None)):
-            customer = Customer(event, self.settings, self.now, self.born, self.share)
-            customer.credit = self.random.random()
-        self.customers[key] = customer  # in the order of their last requests
-        request = self.requests[event.request] = Request(event, customer, self.now, self.settings.tick)
-        rule, usual = self.settings.classes[request.kind], self.usual[request.kind]
-        hold = max(0, int(min((rule.aim - usual) * HOLD_SHARE, event.time_left * HOLD_MOST)))
-        request.waits_till = min(request.last, self.now + hold)
-        self._plan(min(request.last, self.now + int(hold * QUEUE_SHARE / HOLD_SHARE)), self._time_up, request)
-        if event.time_left < self.quickest[request.kind] or (self.barred and not self.ready):  # none can; may
-            return self._answer(request)
-        self.value += LEARN / 10 * (self._worth(request) / usual - self.value)
-        weight, room = self._weigh(request)
-        customer.ask(weight, self.now)
-        self._forget()
-        if customer.account:
-            return self._arrival_claimed(request, customer.account, event.is_retry)
-        age = self.now - customer.told_at if customer.told_at >= 0 else KNOWN_FOR
-        spare = customer.fading * min(1.0, customer.ways / TELLERS) * self.strain
+    def _request_arrived(self, event: RequestArrived) -> None:
+        self.settings.validate_request(event)
+        key = (event.account_id, event.plan_index)  # a stranger's plan must not become this customer's
+        if not (customer := self.tenants.pop(key, None)):
+            customer = Tenant(event, self.settings, self.now, self.started_at, self.ceiling_share)
+            customer.admission_credit = self.random.random()
+        self.tenants[key] = customer  # in the order of their last requests
+        request = self.requests[event.request_id] = Request(event, customer, self.now, self.settings.tick_us)
+        rule, usual = self.settings.classes[request.class_index], self.mean_duration_us[request.class_index]
+        hold = max(0, int(min((rule.latency_target_us - usual) * HOLD_SHARE, event.time_left_us * HOLD_MOST)))
+        request.queue_until = min(request.answer_by, self.now + hold)
+        self._schedule(
+            min(request.answer_by, self.now + int(hold * QUEUE_SHARE / HOLD_SHARE)),
+            self._request_timed_out,
+            request,
+        )
+        if event.time_left_us < self.min_duration_us[request.class_index] or (
+            self.disabled_servers and not self.ready_servers
+        ):  # none can; may
+            return self._reject_or_fail(request)
+        self.mean_value_per_us += LEARN / 10 * (self._request_value(request) / usual - self.mean_value_per_us)
+        weight, room = self._demand_and_capacity(request)
+        customer.record_demand(weight, self.now)
+        self._discard_idle_tenants()
+        if customer.quota_account:
+            return self._decide_by_quota_account(request, customer.quota_account, event.is_retry)
+        age = self.now - customer.total_known_at if customer.total_known_at >= 0 else KNOWN_FOR
+        spare = customer.decay_us * min(1.0, customer.gateway_count / TELLERS) * self.counter_backoff_factor
         if age >= KNOWN_FOR:
-            call = self.random.random() * self.strain < 1.0
+            call = self.random.random() * self.counter_backoff_factor < 1.0
             # One that calls speaks for those that do not: once, and for no more than what it asks itself.
-            customer.owed += weight * (self.strain - 1.0) if call else -weight
+            customer.unreported_demand += weight * (self.counter_backoff_factor - 1.0) if call else -weight
         else:
-            near = NEAR * room < customer.guess(weight) * self.strain and customer.guess(weight) < room
+            near = (
+                NEAR * room < customer.estimated_total(weight) * self.counter_backoff_factor
+                and customer.estimated_total(weight) < room
+            )
             call = age > (spare / 4 if near else spare)
-        (self._call if call and self.settings.counter and room else self._admit)(request)
+        (self._report_demand if call and self.settings.has_counter and room else self._admit_by_estimate)(
+            request
+        )
 
-    def _arrival_claimed(self, request: Request, account: QuotaAccount, again: bool) -> None:
+    def _decide_by_quota_account(self, request: Request, account: QuotaAccount, again: bool) -> None:
         """The count decides, unless what it told before does, or it has no time."""
         account.record_demand(request.units, self.now)
         if account.rejects_without_call(self.now, self.random.random()):
-            return self._answer(request)
+            return self._reject_or_fail(request)
         way = self.counter_overload.admission_path(again, self.random.random())
         if way is AdmissionPath.CLAIM:
             claim = account.claim(request.units, self.now, self.random.random())
-            self._tell(request.customer, [claim], request)
+            self._make_quota_calls(request.tenant, [claim], request)
         else:
-            (self._go_alone if way is AdmissionPath.LOCAL else self._answer)(request)
+            (self._admit_locally if way is AdmissionPath.LOCAL else self._reject_or_fail)(request)
 
-    def _go_alone(self, request: Request) -> None:
-        alone = request.customer.account and request.customer.account.admit_locally(request.units, self.now)
-        (self._enqueue if alone else self._answer)(request)
+    def _admit_locally(self, request: Request) -> None:
+        alone = request.tenant.quota_account and request.tenant.quota_account.admit_locally(
+            request.units, self.now
+        )
+        (self._enqueue if alone else self._reject_or_fail)(request)
 
-    def _tell(self, customer: Customer, calls: list[CounterCall], request: Request | None = None) -> None:
+    def _make_quota_calls(
+        self, customer: Tenant, calls: list[CounterCall], request: Request | None = None
+    ) -> None:
         for call in calls:
-            self.claims.setdefault(call.name, deque()).append((customer, call, request))
+            self.quota_calls.setdefault(call.name, deque()).append((customer, call, request))
             self.actions.append(
-                Count(call.name, call.amount, call.lifetime_us, CALL_PATIENCE * self.settings.counter_timeout)
+                AddToCounter(
+                    call.name, call.amount, call.lifetime_us, CALL_PATIENCE * self.settings.counter_timeout_us
+                )
             )
 
-    def _forget(self) -> None:
+    def _discard_idle_tenants(self) -> None:
         for _ in range(FORGOTTEN):
-            oldest = self.customers[key := next(iter(self.customers))]
+            oldest = self.tenants[key := next(iter(self.tenants))]
             if (
-                self.now - oldest.asked_at <= KNOWN_FOR
-                or oldest.out
-                or oldest.waiting
-                or oldest.refill(self.now) < oldest.ceiling_most
+                self.now - oldest.last_request_at <= KNOWN_FOR
+                or oldest.in_flight
+                or oldest.queued
+                or oldest.refill(self.now) < oldest.ceiling_capacity
             ):  # a ceiling is not given back early
                 return
-            del self.customers[key]
+            del self.tenants[key]
 
-    def _weigh(self, request: Request) -> tuple[float, float]:
+    def _demand_and_capacity(self, request: Request) -> tuple[float, float]:
         """What a request asks and the room for all in one interval: units, or slots times seconds."""
-        plan, took = request.customer.plan, self.usual[request.kind] / SECOND
-        interval = request.customer.fading / SECOND
-        if plan.rate:  # a cap passes so much: Little's law
+        plan, took = request.tenant.plan, self.mean_duration_us[request.class_index] / SECOND
+        interval = request.tenant.decay_us / SECOND
+        if plan.rate_per_s:  # a cap passes so much: Little's law
             return request.units, interval * min(
-                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf
+                ROOM * plan.rate_per_s, plan.max_in_flight * request.units / took or math.inf
             )
-        return took, (FILL if request.customer.small else 1.0) * plan.open_limit * interval
-
-    def _admit(self, request: Request) -> None:  # the companion's chance, then the bound
-        plan = (customer := request.customer).plan
-        weight, room = self._weigh(request)
-        total = customer.guess(weight) if room else 0.0
+        return took, (
+            FILL if request.tenant.has_more_gateways_than_slots else 1.0
+        ) * plan.max_in_flight * interval
+
+    def _admit_by_estimate(self, request: Request) -> None:  # the companion's chance, then the bound
+        plan = (customer := request.tenant).plan
+        weight, room = self._demand_and_capacity(request)
+        total = customer.estimated_total(weight) if room else 0.0
         customer.refill(self.now)
-        room = max(0.0, room + LEFT * customer.left) if plan.rate else room
-        if total > 0 and plan.open_limit and customer.told_at >= 0:
-            slots = self.usual[request.kind] / weight  # by Little's law, and as a mean
-            customer.split(slots * customer.mine / customer.own_fading, slots * total / customer.fading)
-            self._free(customer)  # its bound may have grown
-        chance = max(0.0, 1.0 - room / total) if total > 0 and (plan.rate or customer.small) else 0.0
-        passes, customer.credit = divmod(customer.credit + 1.0 - chance, 1.0)  # spread evenly
-        (self._enqueue if passes >= 1.0 else self._answer)(request)
+        room = max(0.0, room + LEFT * customer.burst_left) if plan.rate_per_s else room
+        if total > 0 and plan.max_in_flight and customer.total_known_at >= 0:
+            slots = self.mean_duration_us[request.class_index] / weight  # by Little's law, and as a mean
+            customer.set_max_in_flight(
+                slots * customer.local_demand / customer.local_decay_us, slots * total / customer.decay_us
+            )
+            self._unblock(customer)  # its bound may have grown
+        chance = (
+            max(0.0, 1.0 - room / total)
+            if total > 0 and (plan.rate_per_s or customer.has_more_gateways_than_slots)
+            else 0.0
+        )
+        passes, customer.admission_credit = divmod(
+            customer.admission_credit + 1.0 - chance, 1.0
+        )  # spread evenly
+        (self._enqueue if passes >= 1.0 else self._reject_or_fail)(request)
 
     def _enqueue(self, request: Request) -> None:
-        customer = request.customer
-        if customer.account and customer.plan.open_limit and customer.account.total_known_at >= 0:
-            slots = self.usual[request.kind] / SECOND / request.units  # by Little's law, and as a mean
-            customer.split(
-                slots * customer.account.local_rate_per_s(self.now),
-                slots * customer.account.total_rate_per_s(self.now),
+        customer = request.tenant
+        if (
+            customer.quota_account
+            and customer.plan.max_in_flight
+            and customer.quota_account.total_known_at >= 0
+        ):
+            slots = (
+                self.mean_duration_us[request.class_index] / SECOND / request.units
+            )  # by Little's law, and as a mean
+            customer.set_max_in_flight(
+                slots * customer.quota_account.local_rate_per_s(self.now),
+                slots * customer.quota_account.total_rate_per_s(self.now),
             )
-            self._free(customer)  # its bound may have grown
-        request.entry.cost = self.usual[request.kind]
-        customer.waiting += 1
+            self._unblock(customer)  # its bound may have grown
+        request.queue_entry.cost = self.mean_duration_us[request.class_index]
+        customer.queued += 1
         for other in self.queue.push(
-            self._band(request),
+            self._value_band(request),
             customer.key % len(self.settings.plans),
             customer.key,
-            request.entry,
-            customer.plan.rate or customer.plan.open_limit or 1.0,
+            request.queue_entry,
+            customer.plan.rate_per_s or customer.plan.max_in_flight or 1.0,
             self.now,
         ):
-            other.customer.waiting -= 1
-            self._answer(other)
+            other.tenant.queued -= 1
+            self._reject_or_fail(other)
 
     def _dispatch(self) -> None:
         """Send those that wait, each in its turn, while bounds, ceilings and servers allow."""
         queue, closed = self.queue, 0
         while queue.entries:
-            entry = queue.head(max(closed, bisect_right(BANDS, self.out / self.window)))
+            entry = queue.head(max(closed, bisect_right(BANDS, self.in_flight / self.window)))
             if entry is None or entry.flow is None:  # an attempt's end or a store's refill opens the way
-                return self._look_again() if closed else None
-            request, flow, customer = entry.item, entry.flow, entry.item.customer
-            lack = request.units - customer.refill(self.now) if customer.plan.ceiling_rate else 0.0
-            ready = self.now + int(min(1e9, max(0.0, lack) / max(1e-9, customer.ceiling_rate)))
-            if lack > 0 and ready > request.waits_till:  # nothing to wait for
-                self._answer(request)
+                return self._schedule_dispatch() if closed else None
+            request, flow, customer = entry.item, entry.flow, entry.item.tenant
+            lack = request.units - customer.refill(self.now) if customer.plan.ceiling_rate_per_s else 0.0
+            ready = self.now + int(min(1e9, max(0.0, lack) / max(1e-9, customer.ceiling_rate_per_us)))
+            if lack > 0 and ready > request.queue_until:  # nothing to wait for
+                self._reject_or_fail(request)
                 continue
-            if lack > 0 or (customer.bound and customer.out >= customer.bound):
+            if lack > 0 or (customer.max_in_flight and customer.in_flight >= customer.max_in_flight):
                 queue.block(flow)
-                customer.held.append(flow)
-                if lack > 0 and customer.looks_at <= self.now:
-                    customer.looks_at = ready + NO_SERVER_PAUSE
-                    self._plan(customer.looks_at, self._free, customer)
+                customer.blocked_flows.append(flow)
+                if lack > 0 and customer.next_unblock_at <= self.now:
+                    customer.next_unblock_at = ready + NO_SERVER_PAUSE
+                    self._schedule(customer.next_unblock_at, self._unblock, customer)
                 continue
             # By the band it came in with, as the queue goes: its head's worth may have moved since, and
             # asked anew it would hold up all that it has been put before.
-            if not self._open(request, flow.band):
+            if not self._window_has_room(request, flow.band):
                 closed = flow.band + 1  # so few attempts that they are spaced out: closer for higher bands
                 continue
-            if (server := self._pick(request)) is None:
-                return self._look_again()
+            if (server := self._select_server(request)) is None:
+                return self._schedule_dispatch()
             queue.serve(entry)
-            customer.waiting -= 1
-            customer.take(request.units, self._weigh(request)[0])
-            self.again = min(AGAIN_MOST, self.again + AGAIN_SHARE)
-            self._send(request, server)
+            customer.queued -= 1
+            customer.charge_attempt(request.units, self._demand_and_capacity(request)[0])
+            self.retry_budget = min(AGAIN_MOST, self.retry_budget + AGAIN_SHARE)
+            self._start_attempt(request, server)
             if self.zones.troubled:
-                self._trial(request)
+                self._send_zone_trial(request)
         queue.end_busy_period()
 
-    def _look_again(self) -> None:
-        if self.looks_at <= self.now:
-            self.looks_at = self.now + NO_SERVER_PAUSE
-            self._plan(self.looks_at, lambda _: None, None)
+    def _schedule_dispatch(self) -> None:
+        if self.next_dispatch_at <= self.now:
+            self.next_dispatch_at = self.now + NO_SERVER_PAUSE
+            self._schedule(self.next_dispatch_at, lambda _: None, None)
 
-    def _free(self, customer: Customer) -> None:
+    def _unblock(self, customer: Tenant) -> None:
         """Its bound or its ceiling may have room again."""
-        while customer.held:
-            self.queue.unblock(customer.held.pop())
-
-    def _send(self, request: Request, server: Server) -> None:
-        request.customer.out += 1
-        if request.uploading and not request.tries and request.customer.plan.ceiling_rate:
-            request.customer.ceiling_most -= request.units  # they fill no room before their body has come
-        request.tries.append(attempt := Try(server, self.now))
+        while customer.blocked_flows:
+            self.queue.unblock(customer.blocked_flows.pop())
+
+    def _start_attempt(self, request: Request, server: Server) -> None:
+        request.tenant.in_flight += 1
+        if request.is_uploading and not request.attempts and request.tenant.plan.ceiling_rate_per_s:
+            request.tenant.ceiling_capacity -= request.units  # they fill no room before their body has come
+        request.attempts.append(attempt := Attempt(server, self.now))
         if self.zones.zones:
-            self.young.append((request, attempt))
-        server.out, server.last_sent, server.due = server.out + 1, self.now, -1
-        self.out, self.last_sent = self.out + 1, self.now
-        usual = self.usual[request.kind]
-        if self._warmth(server) < 1.0:
-            server.sent.append((self.now, self._cold_work()))
-            server.turned = server.turn
-        self.actions.append(Send(request.id, server.entry.server))
-        self._plan(self.now + int(PATIENCE * usual), self._overdue, (request, attempt))
-
-    def _another(self, request: Request) -> Server | None:
+            self.unreported_attempts.append((request, attempt))
+        server.in_flight, server.last_sent_at, server.first_use_at = server.in_flight + 1, self.now, -1
+        self.in_flight, self.last_sent_at = self.in_flight + 1, self.now
+        usual = self.mean_duration_us[request.class_index]
+        if self._capacity_ratio(server) < 1.0:
+            server.cold_work_sent.append((self.now, self._cold_work_us()))
+            server.last_turn_used = server.open_turn
+        self.actions.append(StartAttempt(request.id, server.entry.server_id))
+        self._schedule(self.now + int(PATIENCE * usual), self._attempt_overdue, (request, attempt))
+
+    def _select_retry_server(self, request: Request) -> Server | None:
         """Where a further attempt may go: rule 2, and the limits that keep retries few."""
-        rule = self.settings.classes[request.kind]
-        late = self.now + self.usual[request.kind] > min(request.gives_up, request.arrived + rule.aim)
-        risky = [t for t in request.tries if t.may_have_run]
-        if request.ended or late or len(request.tries) >= self.settings.max_attempts or self.again < 1.0:
+        rule = self.settings.classes[request.class_index]
+        late = self.now + self.mean_duration_us[request.class_index] > min(
+            request.deadline_at, request.arrived_at + rule.latency_target_us
+        )
+        risky = [t for t in request.attempts if t.may_have_run]
+        if (
+            request.is_ended
+            or late
+            or len(request.attempts) >= self.settings.max_attempts
+            or self.retry_budget < 1.0
+        ):
             return None
         if risky and (
-            rule.repeat is Repeat.UNSAFE
-            or (rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)
+            rule.idempotency is Idempotency.UNSAFE
+            or (
+                rule.idempotency is Idempotency.KEYED
+                and self.now - risky[0].started_at >= rule.dedup_window_us
+            )
         ):
             return None
-        return self._pick(request) if self._open(request, self._band(request)) else None
+        return (
+            self._select_server(request)
+            if self._window_has_room(request, self._value_band(request))
+            else None
+        )
 
-    def _try_again(self, request: Request) -> bool:
-        if server := self._another(request):
-            self.again -= 1.0
-            self._send(request, server)
+    def _retry(self, request: Request) -> bool:
+        if server := self._select_retry_server(request):
+            self.retry_budget -= 1.0
+            self._start_attempt(request, server)
         return server is not None
 
-    def _judge(self, attempt: Try, good: bool, slow: float | None, *plans: Plan | None) -> None:
-        if attempt.at >= self.woke:  # what was out while we stood still is no sign of a server's health
+    def _record_outcome(self, attempt: Attempt, good: bool, slow: float | None, *plans: Plan | None) -> None:
+        if (
+            attempt.started_at >= self.resumed_at
+        ):  # what was out while we stood still is no sign of a server's health
             server, entry = attempt.server, attempt.server.entry
-            if None in plans and not good and (slow is None or self._warmth(server) >= 1.0):
-                self._ask(self.zones.fails(entry.zone, entry.server, attempt.at, self.now))
+            if None in plans and not good and (slow is None or self._capacity_ratio(server) >= 1.0):
+                self._call_zone_counters(
+                    self.zones.fails(entry.zone, entry.server_id, attempt.started_at, self.now)
+                )
             for plan in plans:  # a server may be full for one plan alone
-                server.bad[plan] += LEARN_BAD * ((0.0 if good else 1.0) - server.bad[plan])
-            server.slow += LEARN * (min(slow, PATIENCE) - server.slow) if slow is not None else 0.0
+                server.failure_rates[plan] += LEARN_BAD * (
+                    (0.0 if good else 1.0) - server.failure_rates[plan]
+                )
+            server.relative_duration += (
+                LEARN * (min(slow, PATIENCE) - server.relative_duration) if slow is not None else 0.0
+            )
 
-    def _overdue(self, subject: tuple[Request, Try]) -> None:
+    def _attempt_overdue(self, subject: tuple[Request, Attempt]) -> None:
         """Out for much longer than usual: a mark against the server long before the time-out."""
         request, attempt = subject
-        if attempt.out and not (request.uploading or attempt.flows):
-            self._judge(attempt, attempt.server.last_good > attempt.at, PATIENCE, None)  # silent or slow?
-            self._hurry(request, attempt)
+        if attempt.is_in_flight and not (request.is_uploading or attempt.is_streaming):
+            self._record_outcome(
+                attempt, attempt.server.last_success_at > attempt.started_at, PATIENCE, None
+            )  # silent or slow?
+            self._hedge(request, attempt)
 
-    def _hurry(self, request: Request, attempt: Try) -> None:
+    def _hedge(self, request: Request, attempt: Attempt) -> None:
         """Another attempt beside one that may have been lost, or in its place."""
-        if self.settings.parallel_attempts:
-            self._try_again(request)
-        elif self.settings.may_cancel and self._another(request):
-            self.actions.append(Cancel(request.id, request.tries.index(attempt)))  # its end sends anew
+        if self.settings.may_hedge:
+            self._retry(request)
+        elif self.settings.may_cancel and self._select_retry_server(request):
+            self.actions.append(
+                CancelAttempt(request.id, request.attempts.index(attempt))
+            )  # its end sends anew
 
-    def _good(self, request: Request, attempt: Try, took: int) -> None:
+    def _record_success(self, request: Request, attempt: Attempt, took: int) -> None:
         """A good answer, or its first bytes: what it tells of its server, the fleet and the class."""
-        server, usual = attempt.server, self.usual[request.kind]
-        server.last_good = self.now
-        self._ask(self.zones.answers(server.entry.zone, server.entry.server, attempt.at, self.now))
-        late = took > GOOD_SHARE * self.settings.classes[request.kind].aim
+        server, usual = attempt.server, self.mean_duration_us[request.class_index]
+        server.last_success_at = self.now
+        self._call_zone_counters(
+            self.zones.answers(server.entry.zone, server.entry.server_id, attempt.started_at, self.now)
+        )
+        late = took > GOOD_SHARE * self.settings.classes[request.class_index].latency_target_us
         over = self.window / self.usual_window  # settles at the number of good answers for a late one
         step = -min(self.window, over) if late else min(self.window, 1.0 / over)
-        step = 0.0 if self.many and self._warmth(server) < 1.0 else step  # its time is no sign of a queue
+        step = (
+            0.0 if self.is_large_fleet and self._capacity_ratio(server) < 1.0 else step
+        )  # its time is no sign of a queue
         # A gateway of many hears too little to narrow far by: a few late answers are not its own doing.
-        least = self.usual_window + SPARE * math.sqrt(self.usual_window) if self.many else LEARN
+        least = self.usual_window + SPARE * math.sqrt(self.usual_window) if self.is_large_fleet else LEARN
         self.window = max(least, min(max(2.0, WIDEST * self.usual_window), self.window + LEARN * step))
-        self._judge(attempt, True, took / usual, None, request.customer.plan)
-        self.usual[request.kind] = usual + LEARN * (min(took, 5 * usual) - usual)
-        least = self.quickest[request.kind] or took
-        self.quickest[request.kind] = min(float(took), least + CREEP * (usual - least))
+        self._record_outcome(attempt, True, took / usual, None, request.tenant.plan)
+        self.mean_duration_us[request.class_index] = usual + LEARN * (min(took, 5 * usual) - usual)
+        least = self.min_duration_us[request.class_index] or took
+        self.min_duration_us[request.class_index] = min(float(took), least + CREEP * (usual - least))
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
-        request = self.requests.get(event.request)
-        if request is None or event.attempt >= len(request.tries) or not request.tries[event.attempt].out:
+        request = self.requests.get(event.request_id)
+        if (
+            request is None
+            or event.attempt_index >= len(request.attempts)
+            or not request.attempts[event.attempt_index].is_in_flight
+        ):
             return
-        customer, attempt = request.customer, request.tries[event.attempt]
-        server, usual = attempt.server, self.usual[request.kind]
-        customer.out -= 1
-        attempt.out, attempt.may_have_run = False, event.result not in NEVER_RAN
-        if not attempt.flows:
-            server.out, self.out = server.out - 1, self.out - 1
-        if event.result is Result.OK and not attempt.flows:
-            self._good(request, attempt, event.took)
+        customer, attempt = request.tenant, request.attempts[event.attempt_index]
+        server, usual = attempt.server, self.mean_duration_us[request.class_index]
+        customer.in_flight -= 1
+        attempt.is_in_flight, attempt.may_have_run = False, event.result not in NOT_EXECUTED_RESULTS
+        if not attempt.is_streaming:
+            server.in_flight, self.in_flight = server.in_flight - 1, self.in_flight - 1
+        if event.result is Result.OK and not attempt.is_streaming:
+            self._record_success(request, attempt, event.duration_us)
         elif event.result not in (Result.OK, Result.CANCELLED, Result.NOT_SENT) and (
-            event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual
+            event.result is not Result.TIMED_OUT or event.duration_us >= PATIENCE * usual
         ):  # else little time
-            self._judge(attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None)
-        if load := event.load:
-            told = load.in_hand if load.in_hand is not None else (load.waiting or 0.0) + (load.busy or 0.0)
-            server.others, server.told_at = max(0.0, told - server.out), self.now
-            if load.service_ms and self._warmth(server) >= 1.0:
+            self._record_outcome(
+                attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None
+            )
+        if load := event.load_report:
+            told = load.in_flight if load.in_flight is not None else (load.queued or 0.0) + (load.busy or 0.0)
+            server.others_in_flight, server.load_reported_at = max(0.0, told - server.in_flight), self.now
+            if load.service_ms and self._capacity_ratio(server) >= 1.0:
                 took = load.service_ms * 1000.0
-                step = LEARN if took < self.service else CREEP  # crowded, they take longer for the same work
-                self.service += step * (took - self.service) if self.service else took
-        if event.ended or request.ended:
-            self._end(request)
-        elif not (any(t.out for t in request.tries) or self._try_again(request)):
-            self._answer(request)
-        self._free(customer)
-
-    def _answer(self, request: Request) -> None:
+                step = (
+                    LEARN if took < self.service_time_us else CREEP
+                )  # crowded, they take longer for the same work
+                self.service_time_us += step * (took - self.service_time_us) if self.service_time_us else took
+        if event.request_ended or request.is_ended:
+            self._end_request(request)
+        elif not (any(t.is_in_flight for t in request.attempts) or self._retry(request)):
+            self._reject_or_fail(request)
+        self._unblock(customer)
+
+    def _reject_or_fail(self, request: Request) -> None:
         """The final answer: a refusal where rule 2 lets us promise, else a failure."""
-        rule = self.settings.classes[request.kind]
-        free = rule.repeat is Repeat.SAFE or (rule.repeat is Repeat.KEYED and rule.group is Group.ALL)
-        promise = free or not any(t.may_have_run for t in request.tries)
-        self.actions.append(Refuse(request.id) if promise else Fail(request.id))
-        self._end(request)
+        rule = self.settings.classes[request.class_index]
+        free = rule.idempotency is Idempotency.SAFE or (
+            rule.idempotency is Idempotency.KEYED and rule.dedup_scope is DedupScope.ALL
+        )
+        promise = free or not any(t.may_have_run for t in request.attempts)
+        self.actions.append(RejectRequest(request.id) if promise else FailRequest(request.id))
+        self._end_request(request)
 
     def _stream_started(self, event: StreamStarted) -> None:
         """Its answer flows: out for its customer until its end, but no more work for its server."""
         if (
-            (request := self.requests.get(event.request))
-            and event.attempt < len(request.tries)
-            and (attempt := request.tries[event.attempt]).out
+            (request := self.requests.get(event.request_id))
+            and event.attempt_index < len(request.attempts)
+            and (attempt := request.attempts[event.attempt_index]).is_in_flight
         ):
-            attempt.flows, attempt.server.out, self.out = True, attempt.server.out - 1, self.out - 1
-            self._good(request, attempt, event.took)
-            self._end(request)
+            attempt.is_streaming, attempt.server.in_flight, self.in_flight = (
+                True,
+                attempt.server.in_flight - 1,
+                self.in_flight - 1,
+            )
+            self._record_success(request, attempt, event.duration_us)
+            self._end_request(request)
 
-    def _end(self, event: Request | RequestEnded) -> None:
+    def _end_request(self, event: Request | RequestEnded) -> None:
         """Answered, or the client left: nothing more is owed."""
-        request = event if isinstance(event, Request) else self.requests.get(event.request)
+        request = event if isinstance(event, Request) else self.requests.get(event.request_id)
         if request is None:
             return
-        request.ended = True
-        if request.uploading:
-            self._uploaded(request)
-        if not request.tries and request.claim and (account := request.customer.account):
-            self._tell(request.customer, account.return_claim(request.claim, self.now))
+        request.is_ended = True
+        if request.is_uploading:
+            self._end_upload(request)
+        if not request.attempts and request.claim and (account := request.tenant.quota_account):
+            self._make_quota_calls(request.tenant, account.return_claim(request.claim, self.now))
             request.claim = None
-        if request.entry.flow:
-            self.queue.remove(request.entry)
-            request.customer.waiting -= 1
-        if not any(t.out for t in request.tries):
+        if request.queue_entry.flow:
+            self.queue.remove(request.queue_entry)
+            request.tenant.queued -= 1
+        if not any(t.is_in_flight for t in request.attempts):
             self.requests.pop(request.id, None)
 
-    def _time_up(self, request: Request) -> None:
-        if request.ended or (request.uploading and request.tries):
+    def _request_timed_out(self, request: Request) -> None:
+        if request.is_ended or (request.is_uploading and request.attempts):
             return
-        flow = request.entry.flow
-        if self.now >= request.last or (flow and (not flow.is_blocked or self.now >= request.waits_till)):
-            self._answer(request)
+        flow = request.queue_entry.flow
+        if self.now >= request.answer_by or (
+            flow and (not flow.is_blocked or self.now >= request.queue_until)
+        ):
+            self._reject_or_fail(request)
         else:  # it is out, or waits for its count or for room of its own
-            self._plan(
-                request.waits_till if self.now < request.waits_till else request.last, self._time_up, request
+            self._schedule(
+                request.queue_until if self.now < request.queue_until else request.answer_by,
+                self._request_timed_out,
+                request,
             )
 
-    def _call(self, request: Request) -> None:
+    def _report_demand(self, request: Request) -> None:
         """Add what is owed to the customer's count; the answer is the total, and the request waits for it."""
-        customer = request.customer
-        index, into = divmod(self.now - customer.phase, customer.period)
+        customer = request.tenant
+        index, into = divmod(self.now - customer.phase_us, customer.name_period_us)
         name = (customer.key << 24) | (index % 2**24)
-        self.calls.setdefault(name, deque()).append((request, customer.owed, index))
-        amount = customer.owed * math.exp(into / customer.fading)
-        self.actions.append(Count(name, amount, customer.period + 5 * SECOND))
-        customer.owed = 0.0
+        self.demand_calls.setdefault(name, deque()).append((request, customer.unreported_demand, index))
+        amount = customer.unreported_demand * math.exp(into / customer.decay_us)
+        self.actions.append(AddToCounter(name, amount, customer.name_period_us + 5 * SECOND))
+        customer.unreported_demand = 0.0
 
-    def _claimed(self, event: CountAnswer) -> None:
+    def _quota_call_answered(self, event: CounterAnswered) -> None:
         """The answer to a call for an account."""
-        calls = self.claims[event.name]
+        calls = self.quota_calls[event.counter_name]
         customer, call, request = calls.popleft()
         if not calls:
-            del self.claims[event.name]
-        account, live = customer.account, request if request and not request.ended else None
+            del self.quota_calls[event.counter_name]
+        account, live = customer.quota_account, request if request and not request.is_ended else None
         assert account is not None
         if event.result is Result.OK:
             self.counter_overload.answered()
             first = account.total_known_at < 0
             holds, more = account.counter_answered(call, event.total, self.now)
-            self._tell(customer, more, request if holds is None else None)
-            if first and (ceiling := customer.plan.ceiling_rate):
+            self._make_quota_calls(customer, more, request if holds is None else None)
+            if first and (ceiling := customer.plan.ceiling_rate_per_s):
                 part = 0.5 - account.total_rate_per_s(self.now) / ceiling
-                customer.store = max(customer.store, customer.ceiling_most * part)
+                customer.ceiling_tokens = max(customer.ceiling_tokens, customer.ceiling_capacity * part)
             if live and holds:
                 live.claim = call
                 self._enqueue(live)
             elif live and holds is False:
-                self._answer(live)
+                self._reject_or_fail(live)
             elif request and holds:
-                self._tell(customer, account.return_claim(call, self.now))
+                self._make_quota_calls(customer, account.return_claim(call, self.now))
         elif event.result is Result.TURNED_AWAY:
             self.counter_overload.rejected()
             if live:  # its client comes again: a call made again here helps less
-                self._answer(live)
+                self._reject_or_fail(live)
         else:
             self.counter_overload.unanswered()
             if live:
-                self._go_alone(live)
+                self._admit_locally(live)
 
-    def _counted(self, event: CountAnswer) -> None:
-        if event.name in self.claims:
-            return self._claimed(event)
-        if words := self.words.get(event.name):
+    def _counter_answered(self, event: CounterAnswered) -> None:
+        if event.counter_name in self.quota_calls:
+            return self._quota_call_answered(event)
+        if words := self.zone_calls.get(event.counter_name):
             word = words.popleft()
             if not words:
-                del self.words[event.name]
+                del self.zone_calls[event.counter_name]
             if event.result is Result.OK:
-                self._ask(self.zones.hear(word, event.total, self.now))
+                self._call_zone_counters(self.zones.hear(word, event.total, self.now))
             return
-        if not (calls := self.calls.pop(event.name, None)):
+        if not (calls := self.demand_calls.pop(event.counter_name, None)):
             return
         request, amount, index = calls.popleft()
-        self.calls |= {event.name: calls} if calls else {}
-        heard, customer = event.result is Result.OK, request.customer
-        self.strain = min(STRAIN_MOST, max(1.0, self.strain * (STRAIN_DOWN if heard else STRAIN_UP)))
+        self.demand_calls |= {event.counter_name: calls} if calls else {}
+        heard, customer = event.result is Result.OK, request.tenant
+        self.counter_backoff_factor = min(
+            STRAIN_MOST, max(1.0, self.counter_backoff_factor * (STRAIN_DOWN if heard else STRAIN_UP))
+        )
         if heard:
-            customer.hear(event.total, index, self._weigh(request)[1], self.now)
+            customer.record_total(event.total, index, self._demand_and_capacity(request)[1], self.now)
         elif event.result is not Result.TIMED_OUT:
-            customer.owed += amount
-        if not request.ended:
-            self._admit(request)
+            customer.unreported_demand += amount
+        if not request.is_ended:
+            self._admit_by_estimate(request)
--- a/irisdeal/front_door/decisions/interface.py
+++ b/irisdeal/front_door/decisions/interface.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a request may have its effect more than once."""
 
     SAFE = "safe"
@@ -19,7 +19,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """The servers that drop a repeat of one key."""
 
     ALL = "all"
@@ -48,7 +48,7 @@
     GONE = "gone"
 
 
-class ListKind(Enum):
+class ServerListKind(Enum):
     """What a message of the server list brings."""
 
     CHANGES = "changes"
@@ -61,81 +61,107 @@
 class RequestClass:
     """One kind of request: its wishes in time and its rule on repeats."""
 
-    aim: int
-    deadline: int
-    repeat: Repeat
-    group: Group
-    window: int
-    worth: float
-    late_worth: float
-    streams: bool
+    latency_target_us: int
+    deadline_us: int
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window_us: int
+    value: float
+    late_value: float
+    is_streaming: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     """What every customer of a plan may use over all gateways; 0 means no such limit."""
 
-    rate: float
+    rate_per_s: float
     burst: float
-    open_limit: int
-    ceiling_rate: float
+    max_in_flight: int
+    ceiling_rate_per_s: float
     ceiling_depth: float
     ceiling_slack: float
-    price: float
-    beyond_cost: float
-    beyond_worth: float
+    value_factor: float
+    excess_cost: float
+    excess_value: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """What a gateway is told when it starts."""
 
-    gateways: int
+    gateway_count: int
     rank: int
     zone: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    tick: int
-    answer_grace: int
-    drain_grace: int
-    start_capacity: float
-    warm_up: int
-    fall_multiple: float
-    fall_window: int
+    tick_us: int
+    answer_grace_us: int
+    drain_grace_us: int
+    start_capacity_ratio: float
+    warm_up_us: int
+    collapse_load_ratio: float
+    collapse_window_us: int
     max_attempts: int
-    parallel_attempts: bool
+    may_hedge: bool
     may_cancel: bool
     may_probe: bool
-    may_advise: bool
-    longest_advice: int
-    list_is_pushed: bool
-    counter: bool
-    counter_timeout: int
-    counter_price: float
-    meter_period: int
-    units_settle: bool
-    crossing_price: float
-    waste_price: float
+    may_set_retry_after: bool
+    max_retry_after_us: int
+    server_list_is_pushed: bool
+    has_counter: bool
+    counter_timeout_us: int
+    counter_call_cost: float
+    metering_period_us: int
+    settles_actual_units: bool
+    cross_zone_cost: float
+    wasted_work_cost: float
 
     def __post_init__(self) -> None:
-        _require(self.gateways >= 1, "gateways", self.gateways, "at least 1")
-        _require(0 <= self.rank < self.gateways, "rank", self.rank, f"from 0 to {self.gateways - 1}")
+        _require(self.gateway_count >= 1, "gateway_count", self.gateway_count, "at least 1")
+        _require(
+            0 <= self.rank < self.gateway_count, "rank", self.rank, f"from 0 to {self.gateway_count - 1}"
+        )
         _require(bool(self.classes), "classes", self.classes, "at least one class")
-        for field in ("tick", "answer_grace", "drain_grace", "warm_up", "fall_window", "counter_timeout"):
+        for field in (
+            "tick_us",
+            "answer_grace_us",
+            "drain_grace_us",
+            "warm_up_us",
+            "collapse_window_us",
+            "counter_timeout_us",
+        ):
             _require(getattr(self, field) >= 0, field, getattr(self, field), "no negative time")
-        _require(0.0 < self.start_capacity <= 1.0, "start_capacity", self.start_capacity, "a share over 0")
+        _require(
+            0.0 < self.start_capacity_ratio <= 1.0,
+            "start_capacity_ratio",
+            self.start_capacity_ratio,
+            "a share over 0",
+        )
         for n, kind in enumerate(self.classes):
-            _require(kind.aim > 0, f"classes[{n}].aim", kind.aim, "a time over 0")
-            _require(kind.deadline > 0, f"classes[{n}].deadline", kind.deadline, "a time over 0")
+            _require(
+                kind.latency_target_us > 0,
+                f"classes[{n}].latency_target_us",
+                kind.latency_target_us,
+                "a time over 0",
+            )
+            _require(kind.deadline_us > 0, f"classes[{n}].deadline_us", kind.deadline_us, "a time over 0")
         for n, plan in enumerate(self.plans):
-            for field in ("rate", "burst", "open_limit", "ceiling_rate", "ceiling_depth", "ceiling_slack"):
+            for field in (
+                "rate_per_s",
+                "burst",
+                "max_in_flight",
+                "ceiling_rate_per_s",
+                "ceiling_depth",
+                "ceiling_slack",
+            ):
                 value = getattr(plan, field)
                 _require(value >= 0, f"plans[{n}].{field}", value, "no negative limit")
 
-    def check(self, event: Arrival) -> None:
+    def validate_request(self, event: RequestArrived) -> None:
         """Raise where a request names a class or plan that these settings do not have."""
-        _require(0 <= event.request_class < len(self.classes), "request_class", event.request_class, "known")
-        _require(0 <= event.plan < len(self.plans), "plan", event.plan, "known")
+        _require(0 <= event.class_index < len(self.classes), "class_index", event.class_index, "known")
+        _require(0 <= event.plan_index < len(self.plans), "plan_index", event.plan_index, "known")
 
 
 def _require(holds: bool, field: str, value: object, wanted: str) -> None:
@@ -147,21 +173,21 @@
 class ServerEntry:
     """One line of the server list. `started` is 0 for a server that began long ago."""
 
-    server: bytes
+    server_id: bytes
     state: ServerState
-    started: int
+    started_at: int
     weight: float
     zone: int
     cell: int
-    kind: int
+    machine_kind: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """A server's own word on its load; None where it does not say."""
 
-    in_hand: float | None = None
-    waiting: float | None = None
+    in_flight: float | None = None
+    queued: float | None = None
     busy: float | None = None
     service_ms: float | None = None
     served_per_s: float | None = None
@@ -173,76 +199,76 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    kind: ListKind
+    kind: ServerListKind
     version: int
     entries: tuple[ServerEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class RequestArrived:
     """A client's request. `first_gateway` and `gateways` name the customer's set; `size` is its bytes.
 
     Where it is `uploading` its body is still on the way, and its time counts from `BodyComplete` on.
     """
 
-    request: int
-    customer: int
-    plan: int
-    request_class: int
-    time_left: int
+    request_id: int
+    account_id: int
+    plan_index: int
+    class_index: int
+    time_left_us: int
     units: float
     first_gateway: int
-    gateways: int
+    gateway_count: int
     is_retry: bool = False
     is_write: bool = False
-    size: int = 0
-    uploading: bool = False
+    body_bytes: int = 0
+    is_uploading: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
     """`ended` tells that the request has its final answer; `usage` is a percentage or None."""
 
-    request: int
-    attempt: int
-    server: bytes
+    request_id: int
+    attempt_index: int
+    server_id: bytes
     result: Result
-    took: int
-    ended: bool
-    usage: int | None = None
-    true_units: int | None = None
-    load: LoadReport | None = None
+    duration_us: int
+    request_ended: bool
+    usage_percent: int | None = None
+    actual_units: int | None = None
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    request: int
-    attempt: int
-    server: bytes
-    took: int
+    request_id: int
+    attempt_index: int
+    server_id: bytes
+    duration_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
     """The client left; nothing is owed any more."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class CountAnswer:
-    name: int
+class CounterAnswered:
+    counter_name: int
     result: Result
     total: float
-    took: int
+    duration_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    server: bytes
+    server_id: bytes
     result: Result
-    took: int
-    load: LoadReport | None = None
+    duration_us: int
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -252,7 +278,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     token: int
 
 
@@ -267,59 +293,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restricted:
+class RequestClassChanged:
     """An open request has another class from now on, whose rule on repeats is no milder."""
 
-    request: int
-    request_class: int
+    request_id: int
+    class_index: int
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class ServerAdminStateChanged:
     """A server is left out by hand from now on, whatever the list says, or is no longer (`barred` False)."""
 
-    server: bytes
-    barred: bool
+    server_id: bytes
+    is_disabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class CeilingShareChanged:
     """Another process of this front door is there, or has gone.
 
     `part` of the door's share of each ceiling is this process's from now on, over 0 and at most 1; it uses
     cold servers only if `warms`, since the other may not do so as well.
     """
 
-    part: float
-    warms: bool
+    ceiling_share: float
+    may_use_cold_servers: bool
 
     def __post_init__(self) -> None:
-        _require(0.0 < self.part <= 1.0, "part", self.part, "a share over 0")
+        _require(0.0 < self.ceiling_share <= 1.0, "ceiling_share", self.ceiling_share, "a share over 0")
 
 
 @dataclass(frozen=True, slots=True)
-class BodyComplete:
+class RequestBodyReceived:
     """The last byte of a request's body has come; from now on `time_left` counts."""
 
-    request: int
-    time_left: int
+    request_id: int
+    time_left_us: int
 
 
 Event = (
     ServerList
-    | Arrival
+    | RequestArrived
     | AttemptEnded
     | StreamStarted
     | RequestEnded
-    | CountAnswer
+    | CounterAnswered
     | ProbeEnded
     | PeerMessage
-    | Woken
+    | TimerFired
     | ClassesChanged
-    | Restricted
-    | Barred
-    | Shared
-    | BodyComplete
+    | RequestClassChanged
+    | ServerAdminStateChanged
+    | CeilingShareChanged
+    | RequestBodyReceived
 )
 
 
@@ -327,89 +353,100 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; `timeout` 0 lets it run until the client gives up."""
 
-    request: int
-    server: bytes
-    timeout: int = 0
+    request_id: int
+    server_id: bytes
+    timeout_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    request: int
-    attempt: int
+class CancelAttempt:
+    request_id: int
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: the client may safely try again, best after `retry_after`."""
 
-    request: int
-    retry_after: int = 0
+    request_id: int
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer without a promise."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     """Add to a named count and hear its total; a new name is forgotten after `lifetime`.
 
     `patience` is for how long an answer is of use, where the front door may wait beyond the usual time-out.
     """
 
-    name: int
+    counter_name: int
     amount: float
-    lifetime: int
-    patience: int = 0
+    lifetime_us: int
+    max_wait_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    delay: int
+class SetTimer:
+    delay_us: int
     token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    server: bytes
+class ProbeServer:
+    server_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
-    server: bytes
+class CloseIdleConnections:
+    server_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchServerList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
-    on: bool = True
+class WatchServerList:
+    is_on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """A message to one gateway, or to all others when `gateway` is None."""
 
-    gateway: int | None
+    gateway_index: int | None
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | Count | Wake | Probe | CloseIdle | FetchList | FollowList | Tell | Note
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | AddToCounter
+    | SetTimer
+    | ProbeServer
+    | CloseIdleConnections
+    | FetchServerList
+    | WatchServerList
+    | SendPeerMessage
+    | LogMessage
 )
 
 
--- a/irisdeal/front_door/decisions/simulator.py
+++ b/irisdeal/front_door/decisions/simulator.py
@@ -10,7 +10,7 @@
 from irisdeal.front_door.decisions.interface import Event
 
 
-class Host:
+class GatewayHost:
     """The instances that one process holds. They share nothing."""
 
     def __init__(self) -> None:
@@ -22,10 +22,10 @@
         clock, records = simulator_wire.read_batch(frame, self.columns)
         waiting: dict[int, list[Event]] = {}
         for door, event in records:
-            if isinstance(event, simulator_wire.Halt):
+            if isinstance(event, simulator_wire.InstanceStopped):
                 self.gateways.pop(door, None)
                 waiting.pop(door, None)
-            elif isinstance(event, simulator_wire.Init):
+            elif isinstance(event, simulator_wire.InstanceStarted):
                 self.gateways[door] = Gateway(event.settings, event.seed)
                 self.columns[door] = event.columns
                 waiting[door] = []
@@ -46,7 +46,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    host = GatewayHost()
     while header := source.read(simulator_wire.BATCH_HEADER.size):
         if len(header) < simulator_wire.BATCH_HEADER.size:
             raise simulator_wire.WireError(f"frame header cut off after {len(header)} bytes")
--- a/irisdeal/front_door/decisions/simulator_wire.py
+++ b/irisdeal/front_door/decisions/simulator_wire.py
@@ -8,38 +8,38 @@
 
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
+    AddToCounter,
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    Count,
-    CountAnswer,
+    CancelAttempt,
+    CloseIdleConnections,
+    CounterAnswered,
+    DedupScope,
     Event,
-    Fail,
-    FetchList,
-    FollowList,
-    Group,
-    ListKind,
+    FailRequest,
+    FetchServerList,
+    Idempotency,
     LoadReport,
-    Note,
+    LogMessage,
     PeerMessage,
     Plan,
-    Probe,
     ProbeEnded,
-    Refuse,
-    Repeat,
+    ProbeServer,
+    RejectRequest,
+    RequestArrived,
     RequestClass,
     RequestEnded,
     Result,
-    Send,
+    SendPeerMessage,
     ServerEntry,
     ServerList,
+    ServerListKind,
     ServerState,
+    SetTimer,
     Settings,
+    StartAttempt,
     StreamStarted,
-    Tell,
-    Wake,
-    Woken,
+    TimerFired,
+    WatchServerList,
 )
 
 T = TypeVar("T")
@@ -49,7 +49,7 @@
     """Input that does not follow the wire; the text says what and where."""
 
 
-class Init(NamedTuple):
+class InstanceStarted(NamedTuple):
     """An instance starts afresh."""
 
     seed: int
@@ -57,11 +57,11 @@
     columns: tuple[str, ...]
 
 
-class Halt(NamedTuple):
+class InstanceStopped(NamedTuple):
     """An instance was killed."""
 
 
-class Layout:
+class RecordLayout:
     """Fixed fields of a record. Whole fields may be missing at the end and read as 0."""
 
     def __init__(self, fields: str) -> None:
@@ -85,17 +85,17 @@
 U32 = struct.Struct("<I")
 LIST_ENTRY = struct.Struct("<fQHHBH6s")
 
-INIT = Layout("I Q I")
-MEMBERS = Layout("I B I I")
-REQUEST = Layout("I Q f B H f Q I f B")
-COMPLETED = Layout("I Q I B H B 6s H H B")
-COUNT_RESULT = Layout("I I Q H f")
-DROPPED = Layout("I Q")
-NEIGHBOUR = Layout("I H H")
-ACK_FIRST = Layout("I Q B 6s I")
-HEALTH = Layout("I I 6s H B")
-HALT = Layout("I")
-RING = Layout("I I")
+INIT = RecordLayout("I Q I")
+MEMBERS = RecordLayout("I B I I")
+REQUEST = RecordLayout("I Q f B H f Q I f B")
+COMPLETED = RecordLayout("I Q I B H B 6s H H B")
+COUNT_RESULT = RecordLayout("I I Q H f")
+DROPPED = RecordLayout("I Q")
+NEIGHBOUR = RecordLayout("I H H")
+ACK_FIRST = RecordLayout("I Q B 6s I")
+HEALTH = RecordLayout("I I 6s H B")
+HALT = RecordLayout("I")
+RING = RecordLayout("I I")
 
 RESULTS = {
     100: Result.OK,
@@ -108,10 +108,14 @@
     307: Result.NOT_SENT,
 }
 STATES = {0: ServerState.GONE, 1: ServerState.READY, 2: ServerState.DRAINING}
-LIST_KINDS = dict(enumerate((ListKind.CHANGES, ListKind.COMPLETE, ListKind.REMEMBERED, ListKind.FAILED)))
-COLUMNS = {
-    "concurrent": "in_hand",
-    "depth": "waiting",
+LIST_KINDS = dict(
+    enumerate(
+        (ServerListKind.CHANGES, ServerListKind.COMPLETE, ServerListKind.REMEMBERED, ServerListKind.FAILED)
+    )
+)
+LOAD_REPORT_ATTRIBUTES = {
+    "concurrent": "in_flight",
+    "depth": "queued",
     "load_share": "busy",
     "mean_ms": "service_ms",
     "tps": "served_per_s",
@@ -119,7 +123,7 @@
 }
 
 Columns = tuple[str, ...]
-Decoded = Event | Init | Halt
+Decoded = Event | InstanceStarted | InstanceStopped
 
 
 def _known(table: dict[int, T], code: int, what: str, at: int) -> T:
@@ -139,7 +143,13 @@
     if n == 0:
         return None
     values = struct.unpack(f"<{n}f", _tail(frame, at, end, 4 * n, "load report"))
-    return LoadReport(**{COLUMNS[c]: v for c, v in zip(columns, values, strict=False) if c in COLUMNS})
+    return LoadReport(
+        **{
+            LOAD_REPORT_ATTRIBUTES[c]: v
+            for c, v in zip(columns, values, strict=False)
+            if c in LOAD_REPORT_ATTRIBUTES
+        }
+    )
 
 
 def _members(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
@@ -154,7 +164,7 @@
 
 def _request(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, request, first, cls, plan, ways, customer, left, units, attrs = REQUEST.read(frame, at, end)
-    return Arrival(
+    return RequestArrived(
         request, customer, plan, cls, left, units, int(first), int(ways), bool(attrs & 2), bool(attrs & 4)
     )
 
@@ -176,7 +186,7 @@
 
 def _count_result(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, took, name, state, value = COUNT_RESULT.read(frame, at, end)
-    return CountAnswer(name, _known(RESULTS, state, "outcome", at), value, took)
+    return CounterAnswered(name, _known(RESULTS, state, "outcome", at), value, took)
 
 
 def _dropped(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
@@ -203,15 +213,15 @@
 def _init(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, seed, size = INIT.read(frame, at, end)
     text = bytes(_tail(frame, at + INIT.size, end, size, "settings")) if size else b""
-    return Init(seed, *parse_settings(text))
+    return InstanceStarted(seed, *parse_settings(text))
 
 
 def _halt(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
-    return Halt()
+    return InstanceStopped()
 
 
 def _ring(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
-    return Woken(RING.read(frame, at, end)[1])
+    return TimerFired(RING.read(frame, at, end)[1])
 
 
 READERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
@@ -274,7 +284,7 @@
     return lambda *values: packed.pack(code, length, *values)
 
 
-ATTEMPT = _packer(1020, "IQi6s")
+START = _packer(1020, "IQi6s")
 REVOKE = _packer(1110, "IQB")
 TALLY = _packer(1100, "IQfI")
 CLOSE = _packer(1050, "I6s")
@@ -301,21 +311,21 @@
 
 
 WRITERS: dict[type, Callable[[int, Action], bytes]] = {
-    Send: lambda d, a: ATTEMPT(d, a.request, a.timeout, a.server),  # type: ignore[union-attr]
-    Cancel: lambda d, a: REVOKE(d, a.request, a.attempt),  # type: ignore[union-attr]
-    Count: lambda d, a: TALLY(d, a.name, a.amount, a.lifetime),  # type: ignore[union-attr]
-    CloseIdle: lambda d, a: CLOSE(d, a.server),  # type: ignore[union-attr]
-    FetchList: lambda d, a: READ_LIST(d),
-    Probe: lambda d, a: TEST(d, a.server),  # type: ignore[union-attr]
-    Wake: lambda d, a: DEFER(d, a.delay, a.token),  # type: ignore[union-attr]
-    Fail: lambda d, a: REPORT_FAILURE(d, a.request),  # type: ignore[union-attr]
-    FollowList: lambda d, a: TAIL(d, a.on),  # type: ignore[union-attr]
-    Refuse: lambda d, a: REFUSE(d, a.request, a.retry_after),  # type: ignore[union-attr]
-    Note: lambda d, a: _text(1060, d, b"", _clip(a.text)),  # type: ignore[union-attr]
-    Tell: lambda d, a: _text(
+    StartAttempt: lambda d, a: START(d, a.request_id, a.timeout_us, a.server_id),  # type: ignore[union-attr]
+    CancelAttempt: lambda d, a: REVOKE(d, a.request_id, a.attempt_index),  # type: ignore[union-attr]
+    AddToCounter: lambda d, a: TALLY(d, a.counter_name, a.amount, a.lifetime_us),  # type: ignore[union-attr]
+    CloseIdleConnections: lambda d, a: CLOSE(d, a.server_id),  # type: ignore[union-attr]
+    FetchServerList: lambda d, a: READ_LIST(d),
+    ProbeServer: lambda d, a: TEST(d, a.server_id),  # type: ignore[union-attr]
+    SetTimer: lambda d, a: DEFER(d, a.delay_us, a.token),  # type: ignore[union-attr]
+    FailRequest: lambda d, a: REPORT_FAILURE(d, a.request_id),  # type: ignore[union-attr]
+    WatchServerList: lambda d, a: TAIL(d, a.is_on),  # type: ignore[union-attr]
+    RejectRequest: lambda d, a: REFUSE(d, a.request_id, a.retry_after_us),  # type: ignore[union-attr]
+    LogMessage: lambda d, a: _text(1060, d, b"", _clip(a.text)),  # type: ignore[union-attr]
+    SendPeerMessage: lambda d, a: _text(
         1090,
         d,
-        U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
+        U32.pack(0xFFFFFFFF if a.gateway_index is None else a.gateway_index),  # type: ignore[union-attr]
         a.content,  # type: ignore[union-attr]
     ),
 }
@@ -332,7 +342,7 @@
     return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records)) + body
 
 
-class Reader:
+class SettingsReader:
     """Typed look-ups in the settings text; errors name the setting."""
 
     def __init__(self, values: dict[str, str]) -> None:
@@ -367,8 +377,8 @@
         return table[text]
 
 
-REPEATS = {"free": Repeat.SAFE, "guarded": Repeat.KEYED, "single_shot": Repeat.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL, "": Group.CELL}
+REPEATS = {"free": Idempotency.SAFE, "guarded": Idempotency.KEYED, "single_shot": Idempotency.UNSAFE}
+GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL, "": DedupScope.CELL}
 
 
 def parse_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
@@ -389,63 +399,63 @@
 
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
     """The same from single values by their paths."""
-    r = Reader(values)
+    r = SettingsReader(values)
     pushed = r.one_of("discovery", {"pushed": True, "on_request": False})
     columns = tuple(c for c in r.text("report.columns", "").split(",") if c)
     return Settings(
-        gateways=r.whole("peers_total"),
+        gateway_count=r.whole("peers_total"),
         rank=r.whole("rank"),
         zone=r.whole("locality"),
         classes=tuple(_class(r, f"profiles.{n}.") for n in range(r.whole("profiles.count"))),
         plans=tuple(_plan(r, f"packages.{n}.") for n in range(r.whole("packages.count", "0"))),
-        tick=r.whole("round_us"),
-        answer_grace=r.whole("safety.grace_to_answer_us"),
-        drain_grace=r.whole("safety.drain_grace_us"),
-        start_capacity=r.number("safety.start_capacity"),
-        warm_up=r.whole("safety.warm_up_us"),
-        fall_multiple=r.number("safety.tip_multiple"),
-        fall_window=r.whole("safety.fall_us"),
+        tick_us=r.whole("round_us"),
+        answer_grace_us=r.whole("safety.grace_to_answer_us"),
+        drain_grace_us=r.whole("safety.drain_grace_us"),
+        start_capacity_ratio=r.number("safety.start_capacity"),
+        warm_up_us=r.whole("safety.warm_up_us"),
+        collapse_load_ratio=r.number("safety.tip_multiple"),
+        collapse_window_us=r.whole("safety.fall_us"),
         max_attempts=r.whole("permissions.max_attempts"),
-        parallel_attempts=r.flag("permissions.parallel_tries"),
+        may_hedge=r.flag("permissions.parallel_tries"),
         may_cancel=r.flag("permissions.cancel"),
         may_probe=r.flag("permissions.probes"),
-        may_advise=r.flag("permissions.retry_after"),
-        longest_advice=r.whole("permissions.max_retry_after_us", "0"),
-        list_is_pushed=pushed,
-        counter=r.flag("family_info.shared_counter", "false"),
-        counter_timeout=r.whole("family_info.count_wait_us", "0"),
-        counter_price=r.number("family_info.count_fee", "0"),
-        meter_period=r.whole("family_info.meter_us", "0"),
-        units_settle=r.flag("family_info.settles", "false"),
-        crossing_price=r.number("costs.cross_zone", "0"),
-        waste_price=r.number("costs.waste", "0"),
+        may_set_retry_after=r.flag("permissions.retry_after"),
+        max_retry_after_us=r.whole("permissions.max_retry_after_us", "0"),
+        server_list_is_pushed=pushed,
+        has_counter=r.flag("family_info.shared_counter", "false"),
+        counter_timeout_us=r.whole("family_info.count_wait_us", "0"),
+        counter_call_cost=r.number("family_info.count_fee", "0"),
+        metering_period_us=r.whole("family_info.meter_us", "0"),
+        settles_actual_units=r.flag("family_info.settles", "false"),
+        cross_zone_cost=r.number("costs.cross_zone", "0"),
+        wasted_work_cost=r.number("costs.waste", "0"),
     ), columns
 
 
-def _class(r: Reader, at: str) -> RequestClass:
+def _class(r: SettingsReader, at: str) -> RequestClass:
     repeat = r.one_of(at + "repeat", REPEATS)
-    keyed = repeat is Repeat.KEYED
+    keyed = repeat is Idempotency.KEYED
     return RequestClass(
-        aim=r.whole(at + "slo_us"),
-        deadline=r.whole(at + "deadline_us"),
-        repeat=repeat,
-        group=r.one_of(at + "group", GROUPS, None if keyed else "") if keyed else Group.CELL,
-        window=r.whole(at + "window_us", None if keyed else "0"),
-        worth=r.number(at + "worth"),
-        late_worth=r.number(at + "late_value", "0"),
-        streams=r.flag(at + "stream", "false"),
+        latency_target_us=r.whole(at + "slo_us"),
+        deadline_us=r.whole(at + "deadline_us"),
+        idempotency=repeat,
+        dedup_scope=r.one_of(at + "group", GROUPS, None if keyed else "") if keyed else DedupScope.CELL,
+        dedup_window_us=r.whole(at + "window_us", None if keyed else "0"),
+        value=r.number(at + "worth"),
+        late_value=r.number(at + "late_value", "0"),
+        is_streaming=r.flag(at + "stream", "false"),
     )
 
 
-def _plan(r: Reader, at: str) -> Plan:
+def _plan(r: SettingsReader, at: str) -> Plan:
     return Plan(
-        rate=r.number(at + "refill"),
+        rate_per_s=r.number(at + "refill"),
         burst=r.number(at + "burst"),
-        open_limit=r.whole(at + "concurrency"),
-        ceiling_rate=r.number(at + "hard_rate"),
+        max_in_flight=r.whole(at + "concurrency"),
+        ceiling_rate_per_s=r.number(at + "hard_rate"),
         ceiling_depth=r.number(at + "never_over_depth"),
         ceiling_slack=r.number(at + "cap_slack"),
-        price=r.number(at + "value_factor"),
-        beyond_cost=r.number(at + "beyond_costs"),
-        beyond_worth=r.number(at + "extra_worth"),
+        value_factor=r.number(at + "value_factor"),
+        excess_cost=r.number(at + "beyond_costs"),
+        excess_value=r.number(at + "extra_worth"),
     )
--- a/irisdeal/front_door/handover/state.py
+++ b/irisdeal/front_door/handover/state.py
@@ -17,34 +17,44 @@
 from typing import Any
 
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Arrival
+from irisdeal.front_door.decisions.interface import RequestArrived
 from irisdeal.front_door.decisions.records import Server
-from irisdeal.front_door.decisions.tenant import Customer
+from irisdeal.front_door.decisions.tenant import Tenant
 
 MOST_CUSTOMERS = 4_096
 MOST_SENT = 1_000  # entries of the work sent to one cold backend: as many as the module keeps
 BOUND = 1e12  # no amount of ours comes near it
 MOST_TIME = 1 << 62  # µs, and numbers of turns and names: what eight bytes hold
 
-SERVER = ("others", "slow")
-SERVER_TIMES = ("last_good", "told_at", "last_sent", "due")
-SERVER_WHOLE = ("turn", "turned")
-CUSTOMER = (
-    "left",
-    "mine",
-    "owed",
-    "total",
-    "mine_then",
-    "raw",
-    "base",
-    "credit",
-    "store",
-    "ceiling_rate",
-    "ceiling_most",
-)
-CUSTOMER_TIMES = ("store_at", "asked_at", "told_at", "since")
-CUSTOMER_WHOLE = ("told_index", "bound")
 # Keys of the handover's JSON, which older processes write and read, to attributes.
+SERVER = {"others": "others_in_flight", "slow": "relative_duration"}
+SERVER_TIMES = {
+    "last_good": "last_success_at",
+    "told_at": "load_reported_at",
+    "last_sent": "last_sent_at",
+    "due": "first_use_at",
+}
+SERVER_WHOLE = {"turn": "open_turn", "turned": "last_turn_used"}
+CUSTOMER = {
+    "left": "burst_left",
+    "mine": "local_demand",
+    "owed": "unreported_demand",
+    "total": "total_demand",
+    "mine_then": "local_demand_at_total",
+    "raw": "counter_total",
+    "base": "base_demand",
+    "credit": "admission_credit",
+    "store": "ceiling_tokens",
+    "ceiling_rate": "ceiling_rate_per_us",
+    "ceiling_most": "ceiling_capacity",
+}
+CUSTOMER_TIMES = {
+    "store_at": "refilled_at",
+    "asked_at": "last_request_at",
+    "told_at": "total_known_at",
+    "since": "base_demand_at",
+}
+CUSTOMER_WHOLE = {"told_index": "name_index", "bound": "max_in_flight"}
 ACCOUNT = {
     "drawn": "claimed",
     "carried": "carried_over",
@@ -59,8 +69,13 @@
 }
 ACCOUNT_WHOLE = {"index": "slot_index", "much_in": "excess_slot"}
 CROWDING = {"crowded": "attempts_per_claim", "silent": "unanswered_share"}
-GATEWAY = ("service", "value", "again", "strain")
-Names = tuple[str, ...] | dict[str, str]
+GATEWAY = {
+    "service": "service_time_us",
+    "value": "mean_value_per_us",
+    "again": "retry_budget",
+    "strain": "counter_backoff_factor",
+}
+Names = dict[str, str]
 
 
 def pack(gateway: Gateway, now: int, share: float) -> dict[str, Any]:
@@ -68,23 +83,23 @@
 
     The gateway no longer owes the counter what it has told; the caller tells it `Shared`, with the rest.
     """
-    for customer in gateway.customers.values():
+    for customer in gateway.tenants.values():
         customer.refill(now)
-    customers = list(islice(reversed(gateway.customers.items()), MOST_CUSTOMERS))
+    customers = list(islice(reversed(gateway.tenants.items()), MOST_CUSTOMERS))
     told = {
         "now": now,
-        "born": gateway.born,
-        "usual": gateway.usual,
-        "quickest": gateway.quickest,
+        "born": gateway.started_at,
+        "usual": gateway.mean_duration_us,
+        "quickest": gateway.min_duration_us,
         "window": gateway.window / gateway.usual_window,
         "gateway": _values(gateway, GATEWAY),
         "crowding": _values(gateway.counter_overload, CROWDING),
-        "barred": [[_text(key), since] for key, since in gateway.barred.items()],
+        "barred": [[_text(key), since] for key, since in gateway.disabled_servers.items()],
         "servers": [_server(gateway, key, server) for key, server in gateway.servers.items()],
         "customers": [_customer(key, customer, share) for key, customer in reversed(customers)],
     }
-    for customer in gateway.customers.values():
-        customer.owed = 0.0  # told to the counter once, by the new one
+    for customer in gateway.tenants.values():
+        customer.unreported_demand = 0.0  # told to the counter once, by the new one
     return told
 
 
@@ -97,15 +112,15 @@
     """
     if not isinstance(told.get("servers"), list) or not isinstance(told.get("customers"), list):
         raise ValueError("no state: wanted servers and customers")
-    gateway.born = min(now, _whole(told.get("born"), gateway.born))
-    for own, name in ((gateway.usual, "usual"), (gateway.quickest, "quickest")):
+    gateway.started_at = min(now, _whole(told.get("born"), gateway.started_at))
+    for own, name in ((gateway.mean_duration_us, "usual"), (gateway.min_duration_us, "quickest")):
         if isinstance(values := told.get(name), list) and len(values) == len(own):
             own[:] = [_number(value, old, 0.0) for value, old in zip(values, own, strict=True)]
     gateway.window = gateway.usual_window * _number(told.get("window"), 1.0, 1e-3)
     _take(gateway, told.get("gateway"), GATEWAY)
     _take(gateway.counter_overload, told.get("crowding"), CROWDING)
     for one in _lists(told.get("barred"), 2):
-        gateway.barred[_bytes(one[0])] = min(now, _whole(one[1], now))
+        gateway.disabled_servers[_bytes(one[0])] = min(now, _whole(one[1], now))
     for one in told["servers"]:
         if isinstance(one, dict) and (server := gateway.servers.get(_bytes(one.get("id")))) is not None:
             _take_server(one, gateway, server, now)
@@ -118,13 +133,13 @@
 
 def _server(gateway: Gateway, key: bytes, server: Server) -> dict[str, Any]:
     plans = gateway.settings.plans
-    bad = [[-1 if plan is None else plans.index(plan), value] for plan, value in server.bad.items()]
+    bad = [[-1 if plan is None else plans.index(plan), value] for plan, value in server.failure_rates.items()]
     return {
         "id": _text(key),
-        "started": server.entry.started,
+        "started": server.entry.started_at,
         "bad": bad,
-        "sent": list(server.sent),
-        **_values(server, (*SERVER, *SERVER_TIMES, *SERVER_WHOLE)),
+        "sent": list(server.cold_work_sent),
+        **_values(server, {**SERVER, **SERVER_TIMES, **SERVER_WHOLE}),
     }
 
 
@@ -132,27 +147,27 @@
     _take(server, told, SERVER)
     _take_times(server, told, SERVER_TIMES, now)
     _take_whole(server, told, SERVER_WHOLE)
-    started = min(now, _whole(told.get("started"), server.told))
-    if started > server.told:  # held to be colder than the list says
-        server.entry = replace(server.entry, started=started)
+    started = min(now, _whole(told.get("started"), server.listed_started_at))
+    if started > server.listed_started_at:  # held to be colder than the list says
+        server.entry = replace(server.entry, started_at=started)
     plans = gateway.settings.plans
     for plan, value in _lists(told.get("bad"), 2):
         if isinstance(plan, int) and -1 <= plan < len(plans):
-            server.bad[None if plan < 0 else plans[plan]] = min(1.0, _number(value, 0.0, 0.0))
+            server.failure_rates[None if plan < 0 else plans[plan]] = min(1.0, _number(value, 0.0, 0.0))
     for at, work in list(_lists(told.get("sent"), 2))[-MOST_SENT:]:
-        server.sent.append((min(now, _whole(at, now)), _number(work, 0.0, 0.0)))
+        server.cold_work_sent.append((min(now, _whole(at, now)), _number(work, 0.0, 0.0)))
 
 
-def _customer(key: tuple[int, int], customer: Customer, share: float) -> dict[str, Any]:
+def _customer(key: tuple[int, int], customer: Tenant, share: float) -> dict[str, Any]:
     told = {
         "customer": key[0],
         "plan": key[1],
-        "ways": customer.ways,
-        **_values(customer, (*CUSTOMER, *CUSTOMER_TIMES, *CUSTOMER_WHOLE)),
+        "ways": customer.gateway_count,
+        **_values(customer, {**CUSTOMER, **CUSTOMER_TIMES, **CUSTOMER_WHOLE}),
     }
     for name in ("store", "ceiling_rate", "ceiling_most"):
         told[name] *= share
-    if (account := customer.account) is not None:
+    if (account := customer.quota_account) is not None:
         told["account"] = _values(account, {**ACCOUNT, **ACCOUNT_TIMES, **ACCOUNT_WHOLE})
     return told
 
@@ -166,30 +181,34 @@
         and isinstance(plan, int)
         and 0 <= plan < len(settings.plans)
         and isinstance(ways, int)
-        and 1 <= ways <= settings.gateways
+        and 1 <= ways <= settings.gateway_count
     ):
         return False
-    event = Arrival(0, number, plan, 0, 0, 0.0, settings.rank, ways)
-    customer = Customer(event, settings, now, gateway.born, gateway.share)
-    most = customer.ceiling_most
+    event = RequestArrived(0, number, plan, 0, 0, 0.0, settings.rank, ways)
+    customer = Tenant(event, settings, now, gateway.started_at, gateway.ceiling_share)
+    most = customer.ceiling_capacity
     _take(customer, told, CUSTOMER)
-    customer.ceiling_most = max(0.0, min(most, customer.ceiling_most))  # never more than a part of the plan's
-    customer.ceiling_rate = max(0.0, min(settings.plans[plan].ceiling_rate / 1e6, customer.ceiling_rate))
-    customer.store = min(customer.ceiling_most, customer.store)
+    customer.ceiling_capacity = max(
+        0.0, min(most, customer.ceiling_capacity)
+    )  # never more than a part of the plan's
+    customer.ceiling_rate_per_us = max(
+        0.0, min(settings.plans[plan].ceiling_rate_per_s / 1e6, customer.ceiling_rate_per_us)
+    )
+    customer.ceiling_tokens = min(customer.ceiling_capacity, customer.ceiling_tokens)
     _take_times(customer, told, CUSTOMER_TIMES, now)
     _take_whole(customer, told, CUSTOMER_WHOLE)
-    customer.bound = max(1, customer.bound) if settings.plans[plan].open_limit else 0
-    if customer.account is not None and isinstance(one := told.get("account"), dict):
-        _take(customer.account, one, ACCOUNT)
-        _take_times(customer.account, one, ACCOUNT_TIMES, now)
-        _take_whole(customer.account, one, ACCOUNT_WHOLE)
-    gateway.customers[(number, plan)] = customer
+    customer.max_in_flight = max(1, customer.max_in_flight) if settings.plans[plan].max_in_flight else 0
+    if customer.quota_account is not None and isinstance(one := told.get("account"), dict):
+        _take(customer.quota_account, one, ACCOUNT)
+        _take_times(customer.quota_account, one, ACCOUNT_TIMES, now)
+        _take_whole(customer.quota_account, one, ACCOUNT_WHOLE)
+    gateway.tenants[(number, plan)] = customer
     return True
 
 
 def _attributes(names: Names) -> Iterable[tuple[str, str]]:
     """Pairs of a key in the JSON and the attribute that it stands for."""
-    return names.items() if isinstance(names, dict) else ((name, name) for name in names)
+    return names.items()
 
 
 def _values(owner: object, names: Names) -> dict[str, Any]:
--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -11,7 +11,7 @@
 import httptools
 
 from irisdeal.front_door.decisions.interface import LoadReport, Result
-from irisdeal.front_door.decisions.simulator_wire import COLUMNS
+from irisdeal.front_door.decisions.simulator_wire import LOAD_REPORT_ATTRIBUTES
 from irisdeal.front_door.server.config import Address, Config
 from irisdeal.front_door.server.host import Host
 
@@ -35,11 +35,11 @@
 REST = 0.01  # s before a connection is used again: bytes that belong to no answer show within that time
 STALLED = 0.25  # s for the rest of an answer that has begun: backends write theirs whole
 # The most of each figure that a backend can mean; beyond it is noise.
-MOST_LOAD = {"in_hand": 10_000.0, "waiting": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
+MOST_LOAD = {"in_flight": 10_000.0, "queued": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
 TOLD_LOAD = {  # the names of load figures, as in the settings and as plain words
-    **COLUMNS,
-    "inflight": "in_hand",
-    "queue": "waiting",
+    **LOAD_REPORT_ATTRIBUTES,
+    "inflight": "in_flight",
+    "queue": "queued",
     "util": "busy",
     "latency_ms": "service_ms",
     "qps": "served_per_s",
--- a/irisdeal/front_door/server/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from irisdeal.front_door.decisions.interface import Plan, Repeat
+from irisdeal.front_door.decisions.interface import Idempotency, Plan
 from irisdeal.front_door.overload.connection_slots import (
     MIN_IDLE_S,
     MIN_UNUSED_S,
@@ -402,8 +402,10 @@
         """No place is free: refused before the module has seen it, so that nothing was sent on for it."""
         request.then_close = self.closing = True
         settings = self.side.config.settings
-        delay = min(round(self.side.slots.retry_after_s(self.since) * 1e6), settings.longest_advice)
-        request.reply(503, b"no place: try again\n", retry_after(delay if settings.may_advise else 0))
+        delay = min(round(self.side.slots.retry_after_s(self.since) * 1e6), settings.max_retry_after_us)
+        request.reply(
+            503, b"no place: try again\n", retry_after(delay if settings.may_set_retry_after else 0)
+        )
 
     def _read(self, request: ClientRequest, parser: httptools.HttpRequestParser) -> None:
         """Check all that the protocol asks of a request; raise `Malformed` where it is not so."""
@@ -429,8 +431,8 @@
             raise Malformed(400, "no Host")
         method = parser.get_method()
         rule = side.config.settings.classes[kind]
-        repeat = rule.repeat
-        wanted = b"GET" if repeat is Repeat.SAFE else b"POST"
+        repeat = rule.idempotency
+        wanted = b"GET" if repeat is Idempotency.SAFE else b"POST"
         if method != wanted:
             raise Malformed(405, f"the class wants {wanted.decode()}", b"Allow: " + wanted + b"\r\n")
         if method == b"GET" and self.body_size:
@@ -440,7 +442,7 @@
             raise Malformed(400, "bad X-Trace-Id")
         if trace in side.open_traces:  # whose answer would be whose?
             raise Malformed(409, "X-Trace-Id of an open request")
-        if repeat is Repeat.KEYED and not TOKEN.fullmatch(named.get(b"idempotency-key", b"")):
+        if repeat is Idempotency.KEYED and not TOKEN.fullmatch(named.get(b"idempotency-key", b"")):
             raise Malformed(400, "bad Idempotency-Key")
         account = named.get(b"account", b"")
         if not ACCOUNT.fullmatch(account) or int(account, 16) >= 2**33:
@@ -450,7 +452,7 @@
         if not 0 < wait <= LONGEST_WAIT:
             raise Malformed(400, "bad X-Expires-In")
         text = named.get(b"quota-info", b"")
-        quota = read_quota(text, side.config.settings.gateways) if len(text) <= MOST_QUOTA_TEXT else None
+        quota = read_quota(text, side.config.settings.gateway_count) if len(text) <= MOST_QUOTA_TEXT else None
         if quota is None:
             raise Malformed(400, "bad Quota-Info")
         if quota[0] > side.most_units[plan]:
@@ -461,7 +463,7 @@
         # request may have been written right after the connect.)
         lost = MARGIN + side.door.lateness() + self.queued
         self.queued = 0
-        request.trace, request.time_left = trace, int(min(wait, rule.deadline)) - lost
+        request.trace, request.time_left = trace, int(min(wait, rule.deadline_us)) - lost
         request.is_retry = named.get(b"x-second-try", b"") == b"1"
         request.old_http = parser.get_http_version() == "1.0"
         request.is_write = method != b"GET"
@@ -815,7 +817,7 @@
     return min(
         [
             store
-            for rate, store in ((plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth))
+            for rate, store in ((plan.rate_per_s, plan.burst), (plan.ceiling_rate_per_s, plan.ceiling_depth))
             if rate > 0
         ]
         or [MOST_UNITS]
--- a/irisdeal/front_door/server/config.py
+++ b/irisdeal/front_door/server/config.py
@@ -100,9 +100,9 @@
         raise ConfigError("settings are missing")
     values = dict(flatten(nested))
     settings, _ = simulator_wire.read_settings(values)
-    reader = simulator_wire.Reader(values)
+    reader = simulator_wire.SettingsReader(values)
     counter = told.get("counter")
-    if settings.counter and not counter:
+    if settings.has_counter and not counter:
         raise ConfigError("counter is missing, though the settings tell of one")
     limits = told.get("limits") or {}
     listen, operator = address(told.get("listen"), "listen"), told.get("operator")
@@ -177,7 +177,7 @@
     return "" if value is None else str(value)
 
 
-def _names(reader: simulator_wire.Reader, path: str, count: int) -> tuple[str, ...]:
+def _names(reader: simulator_wire.SettingsReader, path: str, count: int) -> tuple[str, ...]:
     return tuple(reader.text(f"{path}.{n}.name") for n in range(count))
 
 
--- a/irisdeal/front_door/server/counter_client.py
+++ b/irisdeal/front_door/server/counter_client.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result
+from irisdeal.front_door.decisions.interface import AddToCounter, CounterAnswered, Result
 from irisdeal.front_door.server.config import Address
 
 log = logging.getLogger("irisdeal.counter")
@@ -90,7 +90,7 @@
         if not call.over:
             call.over = True
             took = int((self.loop.time() - call.at) * 1e6)
-            self.counter.on_answer(CountAnswer(call.name, result, total, took))
+            self.counter.on_answer(CounterAnswered(call.name, result, total, took))
 
     def retire(self) -> list[Call]:
         """The counter has moved: what is written ends here, the rest is handed back for the new place."""
@@ -214,19 +214,19 @@
         self,
         address: Address,
         timeout: int,
-        on_answer: Callable[[CountAnswer], None],
+        on_answer: Callable[[CounterAnswered], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.address, self.timeout, self.on_answer, self.loop = address, timeout / 1e6, on_answer, loop
         self.lines = [Line(self) for _ in range(CONNECTIONS)]
         loop.call_later(PING_EVERY / 2, self._ping)
 
-    def count(self, action: Count) -> None:
-        name = b"%x" % action.name
-        life = max(1, math.ceil(action.lifetime / 1000))
+    def count(self, action: AddToCounter) -> None:
+        name = b"%x" % action.counter_name
+        life = max(1, math.ceil(action.lifetime_us / 1000))
         line = b"tally %s %s %d\r\n" % (name, f"{action.amount:.9g}".encode(), life)
         now = self.loop.time()
-        self._deal(Call(action.name, line, now, now + max(self.timeout, action.patience / 1e6)))
+        self._deal(Call(action.counter_name, line, now, now + max(self.timeout, action.max_wait_us / 1e6)))
 
     def _deal(self, call: Call) -> None:
         self.lines[zlib.crc32(b"%x" % call.name) % CONNECTIONS].call(call)
--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from irisdeal.front_door.decisions.interface import ListKind, ServerEntry, ServerList, ServerState
+from irisdeal.front_door.decisions.interface import ServerEntry, ServerList, ServerListKind, ServerState
 from irisdeal.front_door.membership.polling_schedule import PollingSchedule, polling_period_s
 from irisdeal.front_door.server.config import Address, Config, address
 
@@ -36,12 +36,14 @@
         self.zones = {name: n for n, name in enumerate(config.zones)}
         self.kinds = {name: n for n, name in enumerate(config.kinds)}
 
-    def read(self, told: object, kind: ListKind | None = None) -> tuple[ServerList, dict[bytes, Address]]:
+    def read(
+        self, told: object, kind: ServerListKind | None = None
+    ) -> tuple[ServerList, dict[bytes, Address]]:
         """The list and the addresses it tells; ValueError where it is none."""
         if not isinstance(told, dict) or not isinstance(told.get("members"), list):
             raise ValueError("no list of members")
         if kind is None:
-            kind = ListKind.COMPLETE if told.get("complete") is True else ListKind.CHANGES
+            kind = ServerListKind.COMPLETE if told.get("complete") is True else ServerListKind.CHANGES
         entries: list[ServerEntry] = []
         places: dict[bytes, Address] = {}
         for member in told["members"]:
@@ -50,10 +52,10 @@
             except (ValueError, TypeError, KeyError, OverflowError) as error:
                 log.warning("odd entry of the list passed over: %s", error)
                 continue
-            if entry.state is not ServerState.GONE or kind is ListKind.CHANGES:
+            if entry.state is not ServerState.GONE or kind is ServerListKind.CHANGES:
                 entries.append(entry)
                 if place is not None:
-                    places[entry.server] = place
+                    places[entry.server_id] = place
         return ServerList(kind, _version(told), tuple(entries)), places
 
     def write(
@@ -70,17 +72,17 @@
             "complete": True,
             "members": [
                 {
-                    "id": entry.server.decode(),
-                    "host_port": "{}:{}".format(*places[entry.server]),
+                    "id": entry.server_id.decode(),
+                    "host_port": "{}:{}".format(*places[entry.server_id]),
                     "locality": zones.get(entry.zone, ""),
-                    "flavor": kinds.get(entry.kind, ""),
+                    "flavor": kinds.get(entry.machine_kind, ""),
                     "cell": entry.cell,
                     "phase": phases[entry.state],
                     "size": entry.weight,
-                    "up_since_ms": entry.started // 1000,
+                    "up_since_ms": entry.started_at // 1000,
                 }
                 for entry in entries
-                if entry.server in places
+                if entry.server_id in places
             ],
         }
 
@@ -93,13 +95,13 @@
             state = ServerState.DRAINING
         place = None if state is ServerState.GONE else address(member.get("host_port"), "host_port")
         return ServerEntry(
-            server=member["id"].encode(),
+            server_id=member["id"].encode(),
             state=state,
-            started=max(0, int(member.get("up_since_ms") or 0)) * 1000,
+            started_at=max(0, int(member.get("up_since_ms") or 0)) * 1000,
             weight=float(member.get("size") or 1.0),
             zone=_number(self.zones, member.get("locality")),
             cell=int(member.get("cell") or 0),
-            kind=_number(self.kinds, member.get("flavor")),
+            machine_kind=_number(self.kinds, member.get("flavor")),
         ), place
 
 
@@ -206,9 +208,9 @@
 
     def __init__(self, config: Config, found: Found, draw: Callable[[], float]) -> None:
         self.place, self.found, self.reader = config.discovery, found, Reader(config)
-        told_on_its_own = config.settings.list_is_pushed
+        told_on_its_own = config.settings.server_list_is_pushed
         self.schedule = PollingSchedule(
-            draw, 0.0 if told_on_its_own else polling_period_s(config.settings.gateways)
+            draw, 0.0 if told_on_its_own else polling_period_s(config.settings.gateway_count)
         )
         self.call: Call | None = None
         self.task: asyncio.Task[None] | None = None
@@ -217,13 +219,13 @@
     def remember(self) -> None:
         """Pass on the list that the configuration brought."""
         try:
-            told, places = self.reader.read(self.known, ListKind.REMEMBERED)
+            told, places = self.reader.read(self.known, ServerListKind.REMEMBERED)
             self.found(told, places)
             if told.entries:  # the watch goes on from it; what is too old is answered with the whole
                 self.schedule.version = told.version
         except ValueError as error:
             log.warning("known list passed over: %s", error)
-            self.found(ServerList(ListKind.REMEMBERED, 0, ()), {})
+            self.found(ServerList(ServerListKind.REMEMBERED, 0, ()), {})
 
     def refetch(self) -> None:
         """Make the next call one for the whole list."""
@@ -292,9 +294,9 @@
                 await asyncio.get_running_loop().create_connection(lambda: call, *self.place)
             text = await self.call.get(path)
         told, places = self.reader.read(json.loads(text))
-        if told.kind is ListKind.CHANGES and (ask.is_full_list or told.version < ask.version):
+        if told.kind is ServerListKind.CHANGES and (ask.is_full_list or told.version < ask.version):
             raise ValueError("changes to a list that is not held")
-        news = bool(told.entries) or told.kind is ListKind.COMPLETE
+        news = bool(told.entries) or told.kind is ServerListKind.COMPLETE
         if news:
             self.found(told, places)
         elif asyncio.get_running_loop().time() < asked + IDLE_PAUSE:
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Barred, Shared
+from irisdeal.front_door.decisions.interface import CeilingShareChanged, ServerAdminStateChanged
 from irisdeal.front_door.handover.message import (
     ACCEPTING,
     HEAD,
@@ -126,15 +126,19 @@
         if isinstance(decider, Gateway):
             try:
                 count = unpack(told, decider, program.host.now())
-                log.info("took over from an older process: %d customers, %d bans", count, len(decider.barred))
+                log.info(
+                    "took over from an older process: %d customers, %d bans",
+                    count,
+                    len(decider.disabled_servers),
+                )
             except (ValueError, TypeError, KeyError, OverflowError) as error:
                 log.warning("the older process's state is of no use: %s", error)
-            for server in decider.barred:
-                program.door.post(Barred(server, True))
+            for server in decider.disabled_servers:
+                program.door.post(ServerAdminStateChanged(server, True))
             if program.operator is not None:
                 ids = [one.encode("latin-1", "ignore") for one in told.get("ids", ()) if isinstance(one, str)]
-                program.operator.bans.named([*ids, *decider.barred])
-                program.operator.bans.banned.update(dict.fromkeys(decider.barred))
+                program.operator.bans.named([*ids, *decider.disabled_servers])
+                program.operator.bans.banned.update(dict.fromkeys(decider.disabled_servers))
             program.door.turn()
         self.told = None
         return self.shared
@@ -253,7 +257,7 @@
         told["sockets"] = program.config.sockets - keeps
         told["list"] = program.discovery.reader.write(
             program.discovery.schedule.version,
-            [s.listed() for s in gateway.servers.values()],
+            [s.listed_entry() for s in gateway.servers.values()],
             program.door.places,
         )
         if program.operator is not None:
@@ -268,9 +272,9 @@
 
     def _do(self, duty: Duty) -> None:
         program = self.program
-        program.door.post(Shared(duty.part, duty.warms and duty.at_once))
+        program.door.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
         if duty.warms and not duty.at_once:
-            pause = program.config.settings.fall_window / 1e6
+            pause = program.config.settings.collapse_window_us / 1e6
             self.loop.call_later(pause, self._warm_again)
         if duty.part == 1.0:
             program.resize(program.config.sockets)
@@ -284,7 +288,7 @@
 
     def _warm_again(self) -> None:
         if self.role.may_tell():  # alone still
-            self.program.door.post(Shared(1.0, True))
+            self.program.door.post(CeilingShareChanged(1.0, True))
 
     def stop(self) -> None:
         """This process ends; the other hears it by the connection."""
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -9,28 +9,28 @@
 
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
+    AddToCounter,
     AttemptEnded,
-    BodyComplete,
-    Cancel,
-    CloseIdle,
-    Count,
-    CountAnswer,
+    CancelAttempt,
+    CloseIdleConnections,
+    CounterAnswered,
     Decider,
     Event,
-    Fail,
-    FetchList,
-    FollowList,
-    ListKind,
-    Note,
-    Refuse,
+    FailRequest,
+    FetchServerList,
+    LogMessage,
+    RejectRequest,
+    RequestArrived,
+    RequestBodyReceived,
     RequestEnded,
     Result,
-    Send,
     ServerList,
+    ServerListKind,
+    SetTimer,
+    StartAttempt,
     StreamStarted,
-    Wake,
-    Woken,
+    TimerFired,
+    WatchServerList,
 )
 from irisdeal.front_door.overload.event_loop_lag import EventLoopLag
 from irisdeal.front_door.server.backends import Answer, Attempt, Outlet, Pool
@@ -89,7 +89,7 @@
         self.clock = host or Host()
         self.counter: Counter | None = None
         if config.counter is not None:
-            self.counter = Counter(config.counter, self.settings.counter_timeout, self.post, loop)
+            self.counter = Counter(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, Open] = {}
         self.just_over: dict[int, int] = {}  # requests that left it since the last turn, and their attempts
         self.unanswered = 0
@@ -104,16 +104,16 @@
         self.on_refetch: Callable[[], None] = lambda: None
         self.on_over: Callable[[ClientRequest], None] = lambda _: None  # answered, and no attempt is out
         self.actions: dict[type, Callable[[Any], None]] = {
-            Send: self._send,
-            Cancel: self._cancel,
-            Refuse: self._refuse,
-            Fail: self._fail,
-            Count: self._count,
-            Wake: self._wake,
-            CloseIdle: self._close_idle,
-            FetchList: lambda _: self.on_refetch(),
-            FollowList: lambda _: None,  # the watch always runs
-            Note: lambda note: log.info("%s", note.text),
+            StartAttempt: self._send,
+            CancelAttempt: self._cancel,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            AddToCounter: self._count,
+            SetTimer: self._wake,
+            CloseIdleConnections: self._close_idle,
+            FetchServerList: lambda _: self.on_refetch(),
+            WatchServerList: lambda _: None,  # the watch always runs
+            LogMessage: lambda note: log.info("%s", note.text),
         }
 
     # Events in
@@ -145,11 +145,11 @@
 
     def _rescue(self, events: Batch) -> list[Action]:
         """One event failed: its request fails, what was decided before it stands, the rest goes on."""
-        if events.read and (number := getattr(events[events.read - 1], "request", None)) is not None:
+        if events.read and (number := getattr(events[events.read - 1], "request_id", None)) is not None:
             self._leave(number, lambda client: client.reply(500, b"failed\n"))
         for event in events[events.read :]:
             self.post(event)
-        self._after(RESCUE_PAUSE, self.post, Woken(0))  # what was due may have been left undone
+        self._after(RESCUE_PAUSE, self.post, TimerFired(0))  # what was due may have been left undone
         return list(self.decider.actions)
 
     def take(self, client: ClientRequest) -> None:
@@ -166,9 +166,9 @@
         self.unanswered += 1
         uploading = client.upload is not None  # its time counts from its last byte
         if not uploading:
-            request.guard = self._after(left + self.settings.answer_grace, self._overdue, number)
+            request.guard = self._after(left + self.settings.answer_grace_us, self._overdue, number)
         self.post(
-            Arrival(
+            RequestArrived(
                 number,
                 client.customer,
                 client.plan,
@@ -193,11 +193,11 @@
         if self.drain_by:
             left = max(1, min(left, self.drain_by - now))
         request.taken, request.gives_up = now, now + left
-        request.guard = self._after(left + self.settings.answer_grace, self._overdue, client.number)
+        request.guard = self._after(left + self.settings.answer_grace_us, self._overdue, client.number)
         for attempt in request.attempts:
             if not attempt.done:
                 attempt.sent, attempt.timer = now, self._after(left, attempt.time_out)
-        self.post(BodyComplete(client.number, left))
+        self.post(RequestBodyReceived(client.number, left))
 
     def gone(self, client: ClientRequest) -> None:
         """The client left; attempts that are out go on and still count as out."""
@@ -212,14 +212,14 @@
 
     def listed(self, told: ServerList, places: dict[bytes, Address]) -> None:
         """News of the list."""
-        if told.kind is not ListKind.REMEMBERED or told.entries:
+        if told.kind is not ServerListKind.REMEMBERED or told.entries:
             self.list_known = True
         old = self.places
-        whole = told.kind is not ListKind.CHANGES
+        whole = told.kind is not ServerListKind.CHANGES
         self.places = dict(places) if whole else {**old, **places}
         for entry in told.entries:
-            if entry.server not in places:
-                self.places.pop(entry.server, None)
+            if entry.server_id not in places:
+                self.places.pop(entry.server_id, None)
         for server, place in old.items():
             if self.places.get(server) != place:  # moved or gone
                 self.pool.retire(server)
@@ -237,7 +237,7 @@
         if request is not None and not request.final:
             # Where the loop stood still, the module's own wake is due as well and comes a turn behind this:
             # it is asked first, since it knows whether a refusal may be promised.
-            self.events.append(Woken(0))
+            self.events.append(TimerFired(0))
             self.turn()
         if request is not None and not request.final:
             log.error("request %d was left unanswered", number)
@@ -308,20 +308,20 @@
         else:
             apply(action)
 
-    def _send(self, action: Send) -> None:
-        request = self.requests.get(action.request)
+    def _send(self, action: StartAttempt) -> None:
+        request = self.requests.get(action.request_id)
         if request is None:
             return self._too_late(action)
         now = self.clock.now()
-        attempt = Attempt(action.request, len(request.attempts), action.server, now, self._ended)
+        attempt = Attempt(action.request_id, len(request.attempts), action.server_id, now, self._ended)
         request.attempts.append(attempt)
         request.out += 1
         if self.statistics is not None and not attempt.number:
             self.statistics.record_sent((request.client.customer, request.client.plan), now - request.taken)
-        place = self.places.get(action.server)
+        place = self.places.get(action.server_id)
         left = request.gives_up - now
-        if action.timeout > 0:
-            left = min(left, action.timeout)
+        if action.timeout_us > 0:
+            left = min(left, action.timeout_us)
         if request.final or place is None or left <= 0 or attempt.number >= self.settings.max_attempts:
             return attempt.finish(Result.NOT_SENT)
         client, upload = request.client, request.client.upload
@@ -344,13 +344,13 @@
             attempt.timer = self._after(left, attempt.time_out)
         self.pool.send(attempt)
 
-    def _too_late(self, action: Send) -> None:
+    def _too_late(self, action: StartAttempt) -> None:
         """Its request ended in the turn in which the module decided this: it was out in its books alone."""
-        number = self.just_over.get(action.request)
+        number = self.just_over.get(action.request_id)
         if number is None:
-            return log.error("an attempt for request %d, which is not open", action.request)
-        self.just_over[action.request] = number + 1
-        self.post(AttemptEnded(action.request, number, action.server, Result.NOT_SENT, 0, True))
+            return log.error("an attempt for request %d, which is not open", action.request_id)
+        self.just_over[action.request_id] = number + 1
+        self.post(AttemptEnded(action.request_id, number, action.server_id, Result.NOT_SENT, 0, True))
 
     def _ended(self, attempt: Attempt, result: Result, answer: Answer | None) -> None:
         """An attempt's one end. The first good answer goes to the client and is final."""
@@ -377,35 +377,39 @@
             )
         )
 
-    def _cancel(self, action: Cancel) -> None:
-        request = self.requests.get(action.request)
-        if request is not None and 0 <= action.attempt < len(request.attempts):
-            request.attempts[action.attempt].finish(Result.CANCELLED)
+    def _cancel(self, action: CancelAttempt) -> None:
+        request = self.requests.get(action.request_id)
+        if request is not None and 0 <= action.attempt_index < len(request.attempts):
+            request.attempts[action.attempt_index].finish(Result.CANCELLED)
 
-    def _refuse(self, action: Refuse) -> None:
-        request = self.requests.get(action.request)
+    def _refuse(self, action: RejectRequest) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and not request.final:
-            delay = min(action.retry_after, self.settings.longest_advice) if self.settings.may_advise else 0
+            delay = (
+                min(action.retry_after_us, self.settings.max_retry_after_us)
+                if self.settings.may_set_retry_after
+                else 0
+            )
             status = 503 if request.attempts else 429
             if self.statistics is not None:
                 client = request.client
                 self.statistics.record_rejected((client.customer, client.plan), delay, self.clock.now())
             request.client.reply(status, b"refused: try again\n", retry_after(delay))
-            self._final(action.request, request)
+            self._final(action.request_id, request)
 
-    def _fail(self, action: Fail) -> None:
-        request = self.requests.get(action.request)
+    def _fail(self, action: FailRequest) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and not request.final:
             request.client.reply(502, b"failed\n")
-            self._final(action.request, request)
+            self._final(action.request_id, request)
 
-    def _count(self, action: Count) -> None:
+    def _count(self, action: AddToCounter) -> None:
         if self.counter is None:
-            return self.post(CountAnswer(action.name, Result.NOT_CONNECTED, 0.0, 0))
+            return self.post(CounterAnswered(action.counter_name, Result.NOT_CONNECTED, 0.0, 0))
         self.counter.count(action)
 
-    def _wake(self, action: Wake) -> None:
-        self._after(action.delay, self._woken, action.token, self.clock.now() + action.delay)
+    def _wake(self, action: SetTimer) -> None:
+        self._after(action.delay_us, self._woken, action.token, self.clock.now() + action.delay_us)
 
     def _woken(self, token: int, due: int) -> None:
         now = self.clock.now()
@@ -413,11 +417,11 @@
             self._after(due - now, self._woken, token, due)
             return
         self.event_loop_lag.record((now - due) / 1e6, now / 1e6)
-        self.post(Woken(token))
+        self.post(TimerFired(token))
 
     def lateness(self) -> int:
         """µs by which what clients write is read late by now, beyond the usual."""
         return round(self.event_loop_lag.excess_s(self.clock.now() / 1e6) * 1e6)
 
-    def _close_idle(self, action: CloseIdle) -> None:
-        self.pool.close_idle(action.server)
+    def _close_idle(self, action: CloseIdleConnections) -> None:
+        self.pool.close_idle(action.server_id)
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -13,7 +13,7 @@
 import httptools
 
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Barred, ServerList, ServerState
+from irisdeal.front_door.decisions.interface import ServerAdminStateChanged, ServerList, ServerState
 from irisdeal.front_door.operator.bans import Bans
 from irisdeal.front_door.operator.calls import MOST_BODY, MOST_HEAD, Call, TurnedDown, What, read
 from irisdeal.front_door.operator.figures import CLASS_LABEL, CONTENT_TYPE, Figure, Kind, Registry
@@ -216,14 +216,14 @@
         if news is None:
             raise TurnedDown(404, "no list has named this id")
         if news:  # the module has heard of it before the yes is written
-            self.program.door.post(Barred(call.target, out))
+            self.program.door.post(ServerAdminStateChanged(call.target, out))
             self.program.door.turn()
             log.info("%r is %s by hand", call.target.decode(errors="replace"), "out" if out else "back")
         return 200, b"out\n" if out else b"back\n", TEXT
 
     def listed(self, told: ServerList) -> None:
         """News of the list."""
-        self.bans.named([entry.server for entry in told.entries], self.program.door.places)
+        self.bans.named([entry.server_id for entry in told.entries], self.program.door.places)
 
     def _figures(self) -> None:
         program, classes = self.program, self.program.config.classes
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -98,7 +98,7 @@
                 "flows": queue.flows,
                 "given_way": queue.dropped,
             }
-            made["out"], made["window"] = decider.out, round(decider.window, 2)
+            made["out"], made["window"] = decider.in_flight, round(decider.window, 2)
             made["zones"] = decider.zones.told(door.clock.now())
         return made
 
--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -23,13 +23,13 @@
 
 from irisdeal.front_door.decisions.interface import (
     ClassesChanged,
+    DedupScope,
     Event,
-    Group,
     RequestClass,
-    Restricted,
+    RequestClassChanged,
     Settings,
 )
-from irisdeal.front_door.decisions.interface import Repeat as Repeats
+from irisdeal.front_door.decisions.interface import Idempotency as Repeats
 from irisdeal.front_door.routes.costs import BadUnits, query_value, units_of
 from irisdeal.front_door.routes.difference import refusal
 from irisdeal.front_door.routes.matcher import Clash
@@ -58,7 +58,7 @@
 SPREAD = re.compile(r"spread=([0-9]{1,9})")
 FIRST = re.compile(r"first=([0-9]{1,9})")
 REPEATS = {Repeat.SAFE: Repeats.SAFE, Repeat.KEYED: Repeats.KEYED, Repeat.UNSAFE: Repeats.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 
 
 class Refused(Exception):
@@ -77,14 +77,14 @@
 def as_class(rule: Rule) -> RequestClass:
     """A rule as the module knows it."""
     return RequestClass(
-        aim=rule.aim,
-        deadline=rule.deadline,
-        repeat=REPEATS[rule.repeat],
-        group=GROUPS[rule.group],
-        window=rule.window,
-        worth=rule.worth,
-        late_worth=rule.late_worth,
-        streams=False,
+        latency_target_us=rule.aim,
+        deadline_us=rule.deadline,
+        idempotency=REPEATS[rule.repeat],
+        dedup_scope=GROUPS[rule.group],
+        dedup_window_us=rule.window,
+        value=rule.worth,
+        late_value=rule.late_worth,
+        is_streaming=False,
     )
 
 
@@ -230,7 +230,7 @@
     def _doors(self, told: dict[bytes, bytes]) -> tuple[int, int]:
         """The customer's set of doors: `Quota-Info`'s where it is there; its units do not count here."""
         text = told.get(b"quota-info")
-        doors = self.settings.gateways
+        doors = self.settings.gateway_count
         if text is None:
             return 0, doors
         plain = text.decode("latin-1") if len(text) <= MOST_QUOTA_TEXT else ""
@@ -399,7 +399,7 @@
             client.kind = self.classes.number(rule)
             self.classes.use(client.kind)
             self.classes.release(old)
-            restricted.append(Restricted(number, client.kind))
+            restricted.append(RequestClassChanged(number, client.kind))
         for number, known in enumerate(self.classes.rules):
             made = as_class(known) if known is not None else self.as_classes[number]
             if number == len(self.as_classes):
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -51,21 +51,21 @@
         ]
     if isinstance(module := door.decider, Gateway):
         servers = module.servers.values()
-        tries = max((len(r.tries) for r in module.requests.values()), default=0)
+        tries = max((len(r.attempts) for r in module.requests.values()), default=0)
         late = any(
-            len(r.tries) > 1 and any(t.may_have_run for t in r.tries) for r in module.requests.values()
+            len(r.attempts) > 1 and any(t.may_have_run for t in r.attempts) for r in module.requests.values()
         )
         found += [
             f"waiting:{_size(module.queue.entries, 1, 5, 20)}",
-            f"bound:{any(c.held for c in module.customers.values()):d}",
+            f"bound:{any(c.blocked_flows for c in module.tenants.values()):d}",
             f"window:{_size(module.window / module.usual_window, 0.3, 0.9, 2.0)}",
-            f"ready:{_size(len(module.ready), 1, 3)}",
+            f"ready:{_size(len(module.ready_servers), 1, 3)}",
             f"draining:{any(s.entry.state is ServerState.DRAINING for s in servers):d}",
-            f"cold:{any(module._warmth(s) < 1.0 for s in module.ready):d}",
-            f"bad:{any(s.bad[None] > 0.3 for s in servers):d}",
-            f"strain:{_size(module.strain, 1.01, 4.0)}",
+            f"cold:{any(module._capacity_ratio(s) < 1.0 for s in module.ready_servers):d}",
+            f"bad:{any(s.failure_rates[None] > 0.3 for s in servers):d}",
+            f"strain:{_size(module.counter_backoff_factor, 1.01, 4.0)}",
             f"tries:{min(tries, 3)}{late:d}",
-            f"again:{_size(module.again, 1.0, 8.0)}",
+            f"again:{_size(module.retry_budget, 1.0, 8.0)}",
         ]
     return tuple(found)
 
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -466,8 +466,8 @@
             held |= {
                 "requests in the module": len(decider.requests),
                 "requests in the queue": decider.queue.entries,
-                "calls to the counter": sum(map(len, decider.calls.values())),
-                "attempts out in the module": decider.out,
+                "calls to the counter": sum(map(len, decider.demand_calls.values())),
+                "attempts out in the module": decider.in_flight,
             }
         if program.door.counter is not None:
             held["calls in lines"] = sum(
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -13,8 +13,14 @@
 
 from irisdeal.front_door.decisions import gateway
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Group, ListKind, Repeat, Result, ServerState
-from irisdeal.front_door.decisions.tenant import Customer
+from irisdeal.front_door.decisions.interface import (
+    DedupScope,
+    Idempotency,
+    Result,
+    ServerListKind,
+    ServerState,
+)
+from irisdeal.front_door.decisions.tenant import Tenant
 from irisdeal.front_door.server import backends, counter_client, discovery_client
 from irisdeal.front_door.server.backends import Backend, Pool
 from irisdeal.front_door.server.clients import ClientSide
@@ -61,17 +67,19 @@
 
 
 def _window_off() -> list[Patch]:
-    return _with_classes(lambda c: replace(c, window=c.window + 600_000))
+    return _with_classes(lambda c: replace(c, dedup_window_us=c.dedup_window_us + 600_000))
 
 
 def _group_lost() -> list[Patch]:
-    return _with_classes(lambda c: replace(c, group=Group.ALL))
+    return _with_classes(lambda c: replace(c, dedup_scope=DedupScope.ALL))
 
 
 def _unsafe_as_keyed() -> list[Patch]:
     return _with_classes(
         lambda c: (
-            replace(c, repeat=Repeat.KEYED, window=10**9, group=Group.ALL) if c.repeat is Repeat.UNSAFE else c
+            replace(c, idempotency=Idempotency.KEYED, dedup_window_us=10**9, dedup_scope=DedupScope.ALL)
+            if c.idempotency is Idempotency.UNSAFE
+            else c
         )
     )
 
@@ -88,7 +96,7 @@
 
 
 def _timed_out_never_ran() -> list[Patch]:
-    return [(gateway, "NEVER_RAN", (*gateway.NEVER_RAN, Result.TIMED_OUT))]
+    return [(gateway, "NOT_EXECUTED_RESULTS", (*gateway.NOT_EXECUTED_RESULTS, Result.TIMED_OUT))]
 
 
 def _drain_unheard() -> list[Patch]:
@@ -110,42 +118,47 @@
 def _whole_list_as_changes() -> list[Patch]:
     def made(old: Any) -> Any:
         def found(self: Gateway, event: Any) -> None:
-            old(self, replace(event, kind=ListKind.CHANGES) if event.kind is ListKind.COMPLETE else event)
+            old(
+                self,
+                replace(event, kind=ServerListKind.CHANGES)
+                if event.kind is ServerListKind.COMPLETE
+                else event,
+            )
 
         return found
 
-    return _wrap(Gateway, "_server_list", made)
+    return _wrap(Gateway, "_update_servers", made)
 
 
 def _cold_unseen() -> list[Patch]:
-    return _wrap(Gateway, "_fits_cold", lambda old: lambda self, server, warmth: True)
+    return _wrap(Gateway, "_has_cold_budget", lambda old: lambda self, server, warmth: True)
 
 
 def _warm_at_once() -> list[Patch]:
-    return _wrap(Gateway, "_warmth", lambda old: lambda self, server: 1.0)
+    return _wrap(Gateway, "_capacity_ratio", lambda old: lambda self, server: 1.0)
 
 
 def _refilled_after_restart() -> list[Patch]:
     def made(old: Any) -> Any:
-        def init(self: Customer, *args: Any) -> None:
+        def init(self: Tenant, *args: Any) -> None:
             old(self, *args)
-            self.store = self.ceiling_most
+            self.ceiling_tokens = self.ceiling_capacity
 
         return init
 
-    return _wrap(Customer, "__init__", made)
+    return _wrap(Tenant, "__init__", made)
 
 
 def _ceiling_not_taken() -> list[Patch]:
     def made(old: Any) -> Any:
-        def take(self: Customer, units: float, weight: float) -> None:
-            store = self.store
+        def take(self: Tenant, units: float, weight: float) -> None:
+            store = self.ceiling_tokens
             old(self, units, weight)
-            self.store = max(self.store, store - 0.2)
+            self.ceiling_tokens = max(self.ceiling_tokens, store - 0.2)
 
         return take
 
-    return _wrap(Customer, "take", made)
+    return _wrap(Tenant, "charge_attempt", made)
 
 
 def _out_twice() -> list[Patch]:
@@ -153,7 +166,7 @@
         def ended(self: Gateway, event: Any) -> None:
             old(self, event)
             if event.result is Result.TURNED_AWAY:
-                self.out += 1
+                self.in_flight += 1
 
         return ended
 
@@ -199,7 +212,7 @@
 
 def _guard_and_time_up_gone() -> list[Patch]:
     return [
-        *_wrap(Gateway, "_time_up", lambda old: lambda self, request: None),
+        *_wrap(Gateway, "_request_timed_out", lambda old: lambda self, request: None),
         *_wrap(Door, "_overdue", lambda old: lambda self, number: None),
     ]
 
--- a/tests/front_door/test_backends.py
+++ b/tests/front_door/test_backends.py
@@ -14,14 +14,14 @@
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     Event,
     LoadReport,
+    RequestArrived,
     RequestEnded,
     Result,
-    Send,
+    StartAttempt,
 )
 from irisdeal.front_door.server.backends import Attempt, Pool
 from tests.support.fake_peers import (
@@ -83,8 +83,8 @@
                 writer.close()
             assert (await read_message(client))[0].split()[1] == status
             [ended] = await script.wait_for(AttemptEnded)
-            assert (ended.attempt, ended.server, ended.result) == (0, b"s-1", result)
-            assert ended.ended is (result is Result.OK)
+            assert (ended.attempt_index, ended.server_id, ended.result) == (0, b"s-1", result)
+            assert ended.request_ended is (result is Result.OK)
             assert backend.accepted.empty()  # nothing is sent again behind the module's back
 
     async def limited() -> None:
@@ -144,13 +144,20 @@
             )
         )
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.usage, ended.load) == (140, LoadReport(waiting=3.0, busy=0.25, service_ms=8.5))
+        assert (ended.usage_percent, ended.load_report) == (
+            140,
+            LoadReport(queued=3.0, busy=0.25, service_ms=8.5),
+        )
 
 
 @socket_test
 async def test_the_attempts_time_out_ends_it_and_closes_its_connection() -> None:
     def short(event: Event) -> list[Action]:
-        return [Send(event.request, b"s-1", 1_000_000)] if isinstance(event, Arrival) else send_all(event)
+        return (
+            [StartAttempt(event.request_id, b"s-1", 1_000_000)]
+            if isinstance(event, RequestArrived)
+            else send_all(event)
+        )
 
     script = Script(short)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
@@ -160,14 +167,16 @@
         await read_message(reader)
         assert (await read_message(client))[0].split()[1] == "502"
         [ended] = await script.wait_for(AttemptEnded)
-        assert ended.result is Result.TIMED_OUT and not ended.ended
+        assert ended.result is Result.TIMED_OUT and not ended.request_ended
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
 
 
 @socket_test
 async def test_an_attempt_never_outlives_its_clients_time() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask(X_Expires_In="1000m"))
@@ -183,7 +192,11 @@
 @socket_test
 async def test_the_first_good_answer_is_final_and_the_loser_is_drained() -> None:
     def twice(event: Event) -> list[Action]:
-        return [Send(event.request, b) for b in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, b) for b in (b"s-1", b"s-2")]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     script = Script(twice)
     async with (
@@ -200,7 +213,10 @@
         assert (await read_message(client))[2] == b"second"
         to_first.write(answer(200, b"first"))
         ended = await script.wait_for(AttemptEnded, 2)
-        assert [(e.attempt, e.result, e.ended) for e in ended] == [(1, Result.OK, True), (0, Result.OK, True)]
+        assert [(e.attempt_index, e.result, e.request_ended) for e in ended] == [
+            (1, Result.OK, True),
+            (0, Result.OK, True),
+        ]
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert (await read_message(client))[2] == b"ready\n"  # the loser's body was never written
         assert not door.program.door.requests
@@ -209,7 +225,11 @@
 @socket_test
 async def test_an_attempt_whose_connection_still_comes_up_sends_nothing_behind_the_answer() -> None:
     def twice(event: Event) -> list[Action]:
-        return [Send(event.request, b) for b in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, b) for b in (b"s-1", b"s-2")]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     with socket.socket() as listener, ExitStack() as waiting:
         listener.bind(("127.0.0.1", 0))
@@ -232,14 +252,14 @@
             to_first.write(answer(200, b"first"))
             assert (await read_message(client))[2] == b"first"
             ended = await script.wait_for(AttemptEnded, 2)
-            assert {(e.attempt, e.result) for e in ended} == {(0, Result.OK), (1, Result.NOT_SENT)}
+            assert {(e.attempt_index, e.result) for e in ended} == {(0, Result.OK), (1, Result.NOT_SENT)}
             assert not door.program.door.requests and len(door.program.pool.all) == 1
 
 
 @socket_test
 async def test_a_cancel_closes_the_attempts_connection() -> None:
     def cancel(event: Event) -> list[Action]:
-        return [Cancel(event.request, 0)] if isinstance(event, RequestEnded) else send_all(event)
+        return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
     script = Script(cancel)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
@@ -249,7 +269,7 @@
         await read_message(reader)
         to_door.transport.abort()
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.result, ended.ended) == (Result.CANCELLED, True)
+        assert (ended.result, ended.request_ended) == (Result.CANCELLED, True)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
 
@@ -299,7 +319,9 @@
 
 @socket_test
 async def test_more_attempts_than_connections_are_not_sent_and_no_backends_fault() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         door.program.pool.most = 1
         _, first = await door.client()
@@ -397,7 +419,7 @@
     async with (
         Peer() as backend,
         running(
-            Script(lambda event: send_all(event, b"s-2" if getattr(event, "request", 0) > 1 else b"s-1")),
+            Script(lambda event: send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")),
             known=whole_list(member("s-1", backend.port)),
         ) as door,
     ):
@@ -430,7 +452,7 @@
             )
         )
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.result, ended.load) == (Result.OK, None)
+        assert (ended.result, ended.load_report) == (Result.OK, None)
 
 
 @socket_test
@@ -510,6 +532,6 @@
             loop.gone(request.client)
             to_door.transport.abort()
             await asyncio.sleep(0.05)
-            while gateway.requests or gateway.out:
+            while gateway.requests or gateway.in_flight:
                 await asyncio.sleep(0.001)
-            assert not loop.requests and all(server.out == 0 for server in gateway.servers.values())
+            assert not loop.requests and all(server.in_flight == 0 for server in gateway.servers.values())
--- a/tests/front_door/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -7,19 +7,19 @@
 import pytest
 
 from irisdeal.front_door.decisions.interface import (
-    Arrival,
     AttemptEnded,
-    Barred,
-    ListKind,
-    Refuse,
+    RejectRequest,
+    RequestArrived,
     Result,
-    Send,
+    ServerAdminStateChanged,
     ServerList,
+    ServerListKind,
     ServerState,
+    StartAttempt,
 )
 from irisdeal.front_door.operator.bans import Bans
 from tests.front_door.test_operator import OPERATOR, figures, operate
-from tests.support.decisions_rig import MS, SECOND, Desk, entry, name, of
+from tests.support.decisions_rig import MS, SECOND, GatewayHarness, actions_of_type, server_entry, server_id
 from tests.support.fake_peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 
 
@@ -40,16 +40,16 @@
     assert len(bans.known) == 10 and {b"old", b"0", b"99"} <= set(bans.known) and b"1" not in bans.known
 
 
-def sent_to(desk: Desk, since: int) -> set[bytes]:
-    return {a.server for at, a in desk.log if at >= since and isinstance(a, Send)}
+def sent_to(desk: GatewayHarness, since: int) -> set[bytes]:
+    return {a.server_id for at, a in desk.log if at >= since and isinstance(a, StartAttempt)}
 
 
-def ask_often(desk: Desk, times: int, pause: int = 5 * MS) -> None:
+def ask_often(desk: GatewayHarness, times: int, pause: int = 5 * MS) -> None:
     for _ in range(times):
-        request, desk.next_request = desk.next_request, desk.next_request + 1
-        desk.give(Arrival(request, 7, 0, 0, 2 * SECOND, 1.0, 0, 1))
-        for action in [a for at, a in desk.log if at == desk.now and isinstance(a, Send)]:
-            desk.give(AttemptEnded(action.request, 0, action.server, Result.OK, 3 * MS, True))
+        request, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
+        desk.handle(RequestArrived(request, 7, 0, 0, 2 * SECOND, 1.0, 0, 1))
+        for action in [a for at, a in desk.log if at == desk.now and isinstance(a, StartAttempt)]:
+            desk.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
         desk.now += pause
 
 
@@ -57,56 +57,60 @@
     "news",
     [
         (),
-        (ServerList(ListKind.CHANGES, 2, (entry(1),)),),
-        (ServerList(ListKind.COMPLETE, 2, tuple(entry(n) for n in range(4))),),
+        (ServerList(ServerListKind.CHANGES, 2, (server_entry(1),)),),
+        (ServerList(ServerListKind.COMPLETE, 2, tuple(server_entry(n) for n in range(4))),),
         (
-            ServerList(ListKind.CHANGES, 2, (entry(1, ServerState.GONE),)),
-            ServerList(ListKind.CHANGES, 3, (entry(1, started=78 * SECOND),)),
+            ServerList(ServerListKind.CHANGES, 2, (server_entry(1, ServerState.GONE),)),
+            ServerList(ServerListKind.CHANGES, 3, (server_entry(1, started_at=78 * SECOND),)),
         ),
         (
-            ServerList(ListKind.CHANGES, 2, (entry(1, ServerState.DRAINING),)),
-            ServerList(ListKind.FAILED, 0, ()),
-            ServerList(ListKind.CHANGES, 3, (entry(1),)),
+            ServerList(ServerListKind.CHANGES, 2, (server_entry(1, ServerState.DRAINING),)),
+            ServerList(ServerListKind.FAILED, 0, ()),
+            ServerList(ServerListKind.CHANGES, 3, (server_entry(1),)),
         ),
     ],
 )
 def test_a_ban_holds_through_every_event_of_the_list(news: tuple[ServerList, ...]) -> None:
-    desk = Desk()
+    desk = GatewayHarness()
     ask_often(desk, 50)
-    assert name(1) in sent_to(desk, 0)
-    desk.give(Barred(name(1), True))
+    assert server_id(1) in sent_to(desk, 0)
+    desk.handle(ServerAdminStateChanged(server_id(1), True))
     since = desk.now
     for event in news:
-        desk.give(event)
+        desk.handle(event)
         ask_often(desk, 30)
     ask_often(desk, 30)
-    assert name(1) not in sent_to(desk, since) and sent_to(desk, since)
+    assert server_id(1) not in sent_to(desk, since) and sent_to(desk, since)
 
 
 def test_a_backend_that_is_back_is_used_first_and_held_to_be_cold() -> None:
-    desk = Desk(servers=10, seed=3)
-    desk.give(Barred(name(4), True))
+    desk = GatewayHarness(servers=10, seed=3)
+    desk.handle(ServerAdminStateChanged(server_id(4), True))
     ask_often(desk, 20)
     since = desk.now
-    desk.give(Barred(name(4), False))
+    desk.handle(ServerAdminStateChanged(server_id(4), False))
     ask_often(desk, 1)
-    assert sent_to(desk, since) == {name(4)}
-    server = desk.gateway.servers[name(4)]
-    assert server.entry.started == since and desk.gateway._warmth(server) < 0.25
-    desk.give(ServerList(ListKind.CHANGES, 2, (entry(4),)))  # its old start, told again, changes nothing
-    assert desk.gateway.servers[name(4)].entry.started == since
-    desk.give(ServerList(ListKind.CHANGES, 3, (entry(4, started=since - SECOND),)))  # the list knows better
-    assert desk.gateway.servers[name(4)].entry.started == since - SECOND
+    assert sent_to(desk, since) == {server_id(4)}
+    server = desk.gateway.servers[server_id(4)]
+    assert server.entry.started_at == since and desk.gateway._capacity_ratio(server) < 0.25
+    desk.handle(
+        ServerList(ServerListKind.CHANGES, 2, (server_entry(4),))
+    )  # its old start, told again, changes nothing
+    assert desk.gateway.servers[server_id(4)].entry.started_at == since
+    desk.handle(
+        ServerList(ServerListKind.CHANGES, 3, (server_entry(4, started_at=since - SECOND),))
+    )  # the list knows better
+    assert desk.gateway.servers[server_id(4)].entry.started_at == since - SECOND
 
 
 def test_doors_of_many_spread_the_first_use_of_one_that_is_back() -> None:
     first = []
     for seed in range(48):
-        desk = Desk(servers=10, seed=seed, gateways=48, rank=seed)
-        desk.give(Barred(name(4), True))
+        desk = GatewayHarness(servers=10, seed=seed, gateway_count=48, rank=seed)
+        desk.handle(ServerAdminStateChanged(server_id(4), True))
         since = desk.now
-        desk.give(Barred(name(4), False))
-        while name(4) not in sent_to(desk, since):
+        desk.handle(ServerAdminStateChanged(server_id(4), False))
+        while server_id(4) not in sent_to(desk, since):
             ask_often(desk, 1, 50 * MS)
         first.append(desk.now - since)
     assert max(first) < 5 * SECOND
@@ -114,31 +118,40 @@
 
 
 def test_with_all_banned_what_comes_is_refused_at_once() -> None:
-    desk = Desk(servers=2)
-    desk.give(Barred(name(0), True), Barred(name(1), True))
-    assert of(Refuse, desk.give(Arrival(1, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
-    desk.give(Barred(name(0), False))
-    assert of(Send, desk.give(Arrival(2, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
+    desk = GatewayHarness(servers=2)
+    desk.handle(ServerAdminStateChanged(server_id(0), True), ServerAdminStateChanged(server_id(1), True))
+    assert actions_of_type(RejectRequest, desk.handle(RequestArrived(1, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
+    desk.handle(ServerAdminStateChanged(server_id(0), False))
+    assert actions_of_type(StartAttempt, desk.handle(RequestArrived(2, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
 
 
 def test_a_ban_holds_under_any_order_of_bans_lists_and_requests() -> None:
     for seed in range(20):
-        chance, desk, banned, started = random.Random(seed), Desk(seed=seed), set[int](), dict[int, int]()
+        chance, desk, banned, started = (
+            random.Random(seed),
+            GatewayHarness(seed=seed),
+            set[int](),
+            dict[int, int](),
+        )
         for step in range(120):
             n, what = chance.randrange(4), chance.randrange(5)
             if what == 0:
                 banned.add(n)
-                desk.give(Barred(name(n), True))
+                desk.handle(ServerAdminStateChanged(server_id(n), True))
             elif what == 1:
                 banned.discard(n)
-                desk.give(Barred(name(n), False))
+                desk.handle(ServerAdminStateChanged(server_id(n), False))
             elif what == 2:
                 started[n] = desk.now
                 state = chance.choice(list(ServerState))
-                desk.give(ServerList(ListKind.CHANGES, step + 2, (entry(n, state, started=desk.now),)))
+                desk.handle(
+                    ServerList(
+                        ServerListKind.CHANGES, step + 2, (server_entry(n, state, started_at=desk.now),)
+                    )
+                )
             since = desk.now
             ask_often(desk, 3)
-            assert not sent_to(desk, since) & {name(n) for n in banned}
+            assert not sent_to(desk, since) & {server_id(n) for n in banned}
 
 
 @socket_test
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -5,7 +5,7 @@
 import pytest
 import uvloop
 
-from irisdeal.front_door.decisions.interface import Arrival, Refuse
+from irisdeal.front_door.decisions.interface import RejectRequest, RequestArrived
 from irisdeal.front_door.server.client_request import ClientRequest
 from tests.support.fake_peers import Script, answer, ask, read_message, running, socket_test
 
@@ -108,7 +108,7 @@
         async with running(script) as door:
             line, _, _ = await door.call(request_bytes)
             assert line.split()[1] == str(status)
-            assert not [e for e in script.seen if isinstance(e, Arrival)]
+            assert not [e for e in script.seen if isinstance(e, RequestArrived)]
 
     async def limited() -> None:
         async with asyncio.timeout(20):
@@ -119,7 +119,9 @@
 
 @socket_test
 async def test_a_whole_chunked_body_is_taken() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
         line, _, _ = await door.call(request + b"3\r\nabc\r\n0\r\n\r\n")
@@ -129,7 +131,9 @@
 @socket_test
 async def test_what_connection_names_and_aliases_of_our_own_names_end_here() -> None:
     heads: list[bytes] = []
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         taken = door.program.door.take
 
@@ -149,31 +153,35 @@
 @socket_test
 async def test_what_waited_in_the_kernel_is_gone_from_a_requests_time() -> None:
     """Lost: on a core that is short its whole time was counted from our read, and its answer came late."""
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         clients = door.program.clients
         clients.listener.backlog.max_wait_s = lambda now: 0.3  # type: ignore[method-assign]
         line, _, _ = await door.call(ask(X_Expires_In="200m"))
-        assert line.split()[1] == "503" and not [e for e in script.seen if isinstance(e, Arrival)]
+        assert line.split()[1] == "503" and not [e for e in script.seen if isinstance(e, RequestArrived)]
         reader, writer = await door.client()
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
         writer.write(ask(X_Expires_In="1000m"))  # the second one did not wait there
         assert (await read_message(reader))[0].split()[1] == "429"
-        first, second = (e.time_left for e in script.seen if isinstance(e, Arrival))
+        first, second = (e.time_left_us for e in script.seen if isinstance(e, RequestArrived))
         assert 600_000 < first <= 690_000 and 900_000 < second <= 990_000
         door.program.door.event_loop_lag.record(
             0.25, door.program.door.clock.now() / 1e6
         )  # the loop was late just now
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
-        *_, third = (e.time_left for e in script.seen if isinstance(e, Arrival))
+        *_, third = (e.time_left_us for e in script.seen if isinstance(e, RequestArrived))
         assert third < second - 100_000
 
 
 @socket_test
 async def test_a_connection_outlives_a_well_framed_mistake() -> None:
-    script = Script(lambda event: [Refuse(event.request, 250_000)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(ask(Plan="unheard-of") + ask())
@@ -186,10 +194,10 @@
 async def test_pipelined_answers_keep_their_order_and_each_comes_once() -> None:
     held: list[int] = []
 
-    def last_first(event: object) -> list[Refuse]:
-        if isinstance(event, Arrival):
-            held.append(event.request)
-        return [Refuse(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
+    def last_first(event: object) -> list[RejectRequest]:
+        if isinstance(event, RequestArrived):
+            held.append(event.request_id)
+        return [RejectRequest(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
 
     async with running(Script(last_first)) as door:  # type: ignore[arg-type]
         reader, writer = await door.client()
--- a/tests/front_door/test_discovery.py
+++ b/tests/front_door/test_discovery.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from irisdeal.front_door.decisions.interface import ListKind, ServerList, ServerState
+from irisdeal.front_door.decisions.interface import ServerList, ServerListKind, ServerState
 from irisdeal.front_door.server.discovery_client import MOST_NAMES, Reader
 from tests.support.fake_peers import (
     Peer,
@@ -40,8 +40,12 @@
         writer.write(changes(43, member("s-1", 9, phase="Terminating"), {"id": "s-2", "phase": "Gone"}))
         assert "index=43&" in (await read_message(reader))[0]
         told = await script.wait_for(ServerList, 3)
-        assert [t.kind for t in told] == [ListKind.REMEMBERED, ListKind.COMPLETE, ListKind.CHANGES]
-        assert [e.started for e in told[1].entries] == [0, 1_700_000_000_123_000]
+        assert [t.kind for t in told] == [
+            ServerListKind.REMEMBERED,
+            ServerListKind.COMPLETE,
+            ServerListKind.CHANGES,
+        ]
+        assert [e.started_at for e in told[1].entries] == [0, 1_700_000_000_123_000]
         assert [e.state for e in told[2].entries] == [ServerState.DRAINING, ServerState.GONE]
 
 
@@ -69,7 +73,7 @@
         writer.write(full(3, {"id": 5}, member("s-1", 9), member("s-2", 9, phase="Dancing")))
         assert "index=3&" in (await read_message(reader))[0]  # discovery began anew: its version counts
         last = (await script.wait_for(ServerList, len(odd) + 2))[-1]
-        assert [(e.server, e.state) for e in last.entries] == [
+        assert [(e.server_id, e.state) for e in last.entries] == [
             (b"s-1", ServerState.READY),
             (b"s-2", ServerState.DRAINING),
         ]
@@ -87,7 +91,7 @@
         assert "index=40&" in (await read_message(reader))[0]
         writer.write(changes(41, member("s-2", 9)))
         told = await script.wait_for(ServerList, 2)
-        assert [t.kind for t in told] == [ListKind.REMEMBERED, ListKind.CHANGES]
+        assert [t.kind for t in told] == [ServerListKind.REMEMBERED, ServerListKind.CHANGES]
 
 
 @socket_test
@@ -144,7 +148,7 @@
     for n in range(1000):
         told, _ = reader.read(whole_list(member("s-1", 9, locality=f"z{n}", flavor=f"k{n}")))
         [entry] = told.entries
-        assert (entry.zone, entry.kind) == (min(2 + n, MOST_NAMES), min(1 + n, MOST_NAMES))
+        assert (entry.zone, entry.machine_kind) == (min(2 + n, MOST_NAMES), min(1 + n, MOST_NAMES))
     assert len(reader.zones) == len(reader.kinds) == MOST_NAMES
 
 
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -17,15 +17,15 @@
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
-    Arrival,
     AttemptEnded,
-    Barred,
-    ListKind,
-    Refuse,
+    CeilingShareChanged,
+    RejectRequest,
+    RequestArrived,
     Result,
-    Send,
+    ServerAdminStateChanged,
     ServerList,
-    Shared,
+    ServerListKind,
+    StartAttempt,
 )
 from irisdeal.front_door.handover import state as handover_state
 from irisdeal.front_door.handover.message import (
@@ -45,7 +45,7 @@
 from irisdeal.front_door.server.host import Host
 from irisdeal.front_door.server.program import Program
 from tests.front_door.test_operator import operate
-from tests.support.decisions_rig import CEILED, MS, SECOND, Desk, entry, name
+from tests.support.decisions_rig import CEILED, MS, SECOND, GatewayHarness, server_entry, server_id
 from tests.support.fake_peers import (
     Peer,
     Running,
@@ -98,10 +98,13 @@
 # State
 
 
-def worked(seed: int = 1, **changes: object) -> Desk:
+def worked(seed: int = 1, **changes: object) -> GatewayHarness:
     """A gateway that has served customers of every plan for a while, with a cold server and a ban."""
-    desk = Desk(seed=seed, **changes)  # type: ignore[arg-type]
-    desk.give(ServerList(ListKind.CHANGES, 2, (entry(1, started=desk.now - SECOND),)), Barred(name(3), True))
+    desk = GatewayHarness(seed=seed, **changes)  # type: ignore[arg-type]
+    desk.handle(
+        ServerList(ServerListKind.CHANGES, 2, (server_entry(1, started_at=desk.now - SECOND),)),
+        ServerAdminStateChanged(server_id(3), True),
+    )
     chance = random.Random(seed)
     for _ in range(300):
         busy(desk, chance.randrange(6), chance.randrange(4))
@@ -109,61 +112,65 @@
     return desk
 
 
-def busy(desk: Desk, customer: int, plan: int) -> bool:
+def busy(desk: GatewayHarness, customer: int, plan: int) -> bool:
     """One request from its arrival to its end; whether it was sent on."""
-    number, desk.next_request = desk.next_request, desk.next_request + 1
-    actions = desk.give(Arrival(number, customer, plan, 0, SECOND, 1.0, 0, 2))
+    number, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
+    actions = desk.handle(RequestArrived(number, customer, plan, 0, SECOND, 1.0, 0, 2))
     sent = False
     for _ in range(60):
-        for action in [a for a in actions if isinstance(a, Send) and a.request == number]:
+        for action in [a for a in actions if isinstance(a, StartAttempt) and a.request_id == number]:
             sent = True
-            desk.give(AttemptEnded(number, 0, action.server, Result.OK, 3 * MS, True))
-        if sent or any(isinstance(a, Refuse) and a.request == number for a in actions):
+            desk.handle(AttemptEnded(number, 0, action.server_id, Result.OK, 3 * MS, True))
+        if sent or any(isinstance(a, RejectRequest) and a.request_id == number for a in actions):
             return sent
         desk.now += 20 * MS
-        actions = desk.give()
+        actions = desk.handle()
     return sent
 
 
-def taken_over(old: Desk) -> tuple[Gateway, dict[str, object]]:
+def taken_over(old: GatewayHarness) -> tuple[Gateway, dict[str, object]]:
     """What a new gateway makes of an old one's state, through JSON."""
     told = pack(old.gateway, old.now, HALF)
-    old.give(Shared(HALF, False))
+    old.handle(CeilingShareChanged(HALF, False))
     told = json.loads(json.dumps(told))
     new = Gateway(old.settings, 99)
-    entries = tuple(s.listed() for s in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ListKind.REMEMBERED, 2, entries), Shared(HALF, True)])
+    entries = tuple(s.listed_entry() for s in old.gateway.servers.values())
+    new.handle(old.now, [ServerList(ServerListKind.REMEMBERED, 2, entries), CeilingShareChanged(HALF, True)])
     unpack(told, new, old.now)
-    new.handle(old.now, [Barred(server, True) for server in new.barred])
+    new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return new, told
 
 
 def test_a_new_process_knows_what_the_old_one_knew() -> None:
     old = worked()
-    cold = old.gateway.servers[name(1)]
+    cold = old.gateway.servers[server_id(1)]
     new, _ = taken_over(old)
     told, known = (
-        {key: (c.total, c.left, c.told_index) for key, c in gateway.customers.items()}
+        {key: (c.total_demand, c.burst_left, c.name_index) for key, c in gateway.tenants.items()}
         for gateway in (old.gateway, new)
     )
     assert told == known and len(known) == 24
-    assert new.barred == old.gateway.barred and name(3) not in {s.entry.server for s in new.ready}
-    assert new.usual == old.gateway.usual and math.isclose(new.window, old.gateway.window)
-    assert list(new.servers[name(1)].sent) == list(cold.sent)
-    assert new.servers[name(0)].slow == old.gateway.servers[name(0)].slow
+    assert new.disabled_servers == old.gateway.disabled_servers and server_id(3) not in {
+        s.entry.server_id for s in new.ready_servers
+    }
+    assert new.mean_duration_us == old.gateway.mean_duration_us and math.isclose(
+        new.window, old.gateway.window
+    )
+    assert list(new.servers[server_id(1)].cold_work_sent) == list(cold.cold_work_sent)
+    assert new.servers[server_id(0)].relative_duration == old.gateway.servers[server_id(0)].relative_duration
 
 
 def test_what_must_not_be_had_twice_is_given_away() -> None:
     old = worked()
-    stores = {key: c.refill(old.now) for key, c in old.gateway.customers.items()}
-    owed = {key: c.owed for key, c in old.gateway.customers.items()}
+    stores = {key: c.refill(old.now) for key, c in old.gateway.tenants.items()}
+    owed = {key: c.unreported_demand for key, c in old.gateway.tenants.items()}
     new, _ = taken_over(old)
     for key, store in stores.items():
-        one, other = old.gateway.customers[key], new.customers[key]
-        assert one.store + other.store <= store + 1e-9
-        assert math.isclose(one.ceiling_rate, other.ceiling_rate)
-        assert (one.owed, other.owed) == (0.0, owed[key])
-    assert new.warms and not old.gateway.warms
+        one, other = old.gateway.tenants[key], new.tenants[key]
+        assert one.ceiling_tokens + other.ceiling_tokens <= store + 1e-9
+        assert math.isclose(one.ceiling_rate_per_us, other.ceiling_rate_per_us)
+        assert (one.unreported_demand, other.unreported_demand) == (0.0, owed[key])
+    assert new.may_use_cold_servers and not old.gateway.may_use_cold_servers
 
 
 def test_a_spoilt_state_costs_knowledge_never_a_start() -> None:
@@ -181,17 +188,19 @@
 
     for seed in range(60):
         new = Gateway(old.settings, seed)
-        new.handle(old.now, [ServerList(ListKind.REMEMBERED, 2, tuple(entry(n) for n in range(4)))])
+        new.handle(
+            old.now, [ServerList(ServerListKind.REMEMBERED, 2, tuple(server_entry(n) for n in range(4)))]
+        )
         try:
             unpack({key: spoil(value) for key, value in told.items()}, new, old.now)
         except ValueError as error:
             assert "wanted" in str(error)
-        desk = Desk(seed=seed)
+        desk = GatewayHarness(seed=seed)
         desk.gateway, desk.now = new, old.now
         for n in range(20):
             busy(desk, n % 6, n % 4)
             desk.now += 5 * MS
-        assert all(c.store <= c.ceiling_most + 1e-9 for c in new.customers.values())
+        assert all(c.ceiling_tokens <= c.ceiling_capacity + 1e-9 for c in new.tenants.values())
 
 
 # Who may spend what
@@ -248,23 +257,23 @@
 def test_both_together_keep_the_ceiling_of_one_door(seed: int) -> None:
     """A customer of the ceiling asks as much as it can of both, through a handover and an end."""
     chance = random.Random(seed)
-    old = worked(seed, counter=False)
+    old = worked(seed, has_counter=False)
     plan = old.settings.plans[CEILED]
     units = list[int]()
     old_dies, told_at, ended_at = chance.random() < 0.5, chance.randrange(100), chance.randrange(100, 250)
-    new: Desk | None = None
+    new: GatewayHarness | None = None
     for step in range(400):
         at = old.now
         if step == told_at:
             gateway, _ = taken_over(old)
-            new = Desk(seed=seed, counter=False)
-            new.gateway, new.now, new.next_request = gateway, old.now, 100_000
+            new = GatewayHarness(seed=seed, has_counter=False)
+            new.gateway, new.now, new.next_request_id = gateway, old.now, 100_000
         living = [old] if new is None else [old, new]
         if step >= ended_at and new is not None:
             living = [new] if old_dies else [old]
             if step == ended_at:
                 living[0].now = at
-                living[0].give(Shared(1.0, False))
+                living[0].handle(CeilingShareChanged(1.0, False))
         for desk in living:
             desk.now = at
             units += [at] * busy_at_once(desk)
@@ -273,19 +282,19 @@
         if new is not None:
             new.now = old.now
     # What one door's part of the ceiling lets through from a full store, in any window.
-    rate, most = plan.ceiling_rate / 2, plan.ceiling_depth / 2
+    rate, most = plan.ceiling_rate_per_s / 2, plan.ceiling_depth / 2
     for start in units:
         for end in (start + SECOND, start + 4 * SECOND):
             passed = sum(start <= at <= end for at in units)
             assert passed <= most + rate * (end - start) / SECOND + 1.0
 
 
-def busy_at_once(desk: Desk) -> int:
-    number, desk.next_request = desk.next_request, desk.next_request + 1
-    actions = desk.give(Arrival(number, 5, CEILED, 0, SECOND, 1.0, 0, 2))
-    sent = [a for a in actions if isinstance(a, Send)]
+def busy_at_once(desk: GatewayHarness) -> int:
+    number, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
+    actions = desk.handle(RequestArrived(number, 5, CEILED, 0, SECOND, 1.0, 0, 2))
+    sent = [a for a in actions if isinstance(a, StartAttempt)]
     for action in sent:
-        desk.give(AttemptEnded(action.request, 0, action.server, Result.OK, 3 * MS, True))
+        desk.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
     return len(sent)
 
 
@@ -355,7 +364,7 @@
                     assert (await operate(new, "/ready"))[0] == "HTTP/1.1 200 OK"
                     assert new.program.discovery.schedule.version == 7
                     gateway = new.program.door.decider
-                    assert isinstance(gateway, Gateway) and list(gateway.barred) == [b"s-2"]
+                    assert isinstance(gateway, Gateway) and list(gateway.disabled_servers) == [b"s-2"]
                     assert " 404 " in (await operate(new, "/backends/enable?target=s-9", "POST"))[0]
                     reader, writer = await old.client()  # the same queue: the new one takes it
                     writer.write(ask())
@@ -368,10 +377,10 @@
                     halves = [
                         one.program.pool.most + one.program.clients.slots.regular_slots for one in (old, new)
                     ]
-                    assert sum(halves) < sockets and gateway.share == HALF
+                    assert sum(halves) < sockets and gateway.ceiling_share == HALF
                     end(old)
                     await until(new, Stage.ALONE)
-                    assert gateway.share == 1.0 and new.program.pool.most > halves[1] / 2
+                    assert gateway.ceiling_share == 1.0 and new.program.pool.most > halves[1] / 2
                     assert (await operate(new, "/backends/enable?target=s-2", "POST"))[2] == b"back\n"
 
 
--- a/tests/front_door/test_loop.py
+++ b/tests/front_door/test_loop.py
@@ -11,7 +11,15 @@
 
 import pytest
 
-from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send, Wake, Woken
+from irisdeal.front_door.decisions.interface import (
+    Action,
+    Event,
+    RejectRequest,
+    RequestArrived,
+    SetTimer,
+    StartAttempt,
+    TimerFired,
+)
 from irisdeal.front_door.server.config import ConfigError, load
 from tests.support.fake_peers import (
     Peer,
@@ -33,9 +41,9 @@
 @socket_test
 async def test_a_failing_decision_is_its_own_requests_failure() -> None:
     def fail_on_odd(event: Event) -> list[Action]:
-        if isinstance(event, Arrival) and event.customer == 1:
+        if isinstance(event, RequestArrived) and event.account_id == 1:
             raise RuntimeError("out of luck")
-        return [Refuse(event.request)] if isinstance(event, Arrival) else []
+        return [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
 
     async with running(Script(fail_on_odd)) as door:
         reader, writer = await door.client()
@@ -50,15 +58,15 @@
 async def test_a_loop_that_stood_still_lets_the_module_answer_first() -> None:
     # Its wake and the door's guard are due in the same turn then; the guard's answer promises nothing.
     def due(event: Event) -> list[Action]:
-        if isinstance(event, Arrival):
-            return [Wake(event.time_left - 4_000)]
-        return [Refuse(1)] if isinstance(event, Woken) else []
+        if isinstance(event, RequestArrived):
+            return [SetTimer(event.time_left_us - 4_000)]
+        return [RejectRequest(1)] if isinstance(event, TimerFired) else []
 
     script = Script(due)
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(ask(X_Expires_In="60m"))
-        await script.wait_for(Arrival)
+        await script.wait_for(RequestArrived)
         time.sleep(0.1)  # past the request's time and the grace: nothing of this loop runs meanwhile
         assert (await read_message(reader))[0].split()[1] == "429"
 
@@ -66,9 +74,14 @@
 @socket_test
 async def test_an_action_that_cannot_be_done_stops_no_other() -> None:
     def odd(event: Event) -> list[Action]:
-        if not isinstance(event, Arrival):
+        if not isinstance(event, RequestArrived):
             return []
-        actions: list[Any] = [Send(10**9, b"s-1"), Refuse(10**9), "no action", Refuse(event.request)]
+        actions: list[Any] = [
+            StartAttempt(10**9, b"s-1"),
+            RejectRequest(10**9),
+            "no action",
+            RejectRequest(event.request_id),
+        ]
         return actions
 
     async with running(Script(odd)) as door:
@@ -103,7 +116,9 @@
 
 @socket_test
 async def test_draining_answers_what_its_backend_does_not() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask())
