--- a/tests/front_door/test_patience.py
+++ b/tests/front_door/test_patience.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from irisdeal.front_door.decisions.interface import Action, Arrival, Event, Refuse, Send
+from irisdeal.front_door.decisions.interface import Action, Event, RejectRequest, RequestArrived, StartAttempt
 from irisdeal.front_door.overload.connection_slots import MIN_UNUSED_S
 from irisdeal.front_door.server.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
 from irisdeal.front_door.server.limits import OWN, share
@@ -96,7 +96,7 @@
             [(reader, writer)] = await connected(door, 1)
             client = next(iter(door.program.clients.connections))
             writer.write(ask(trace="a1") + rest)
-            await script.wait_for(Arrival)
+            await script.wait_for(RequestArrived)
             hand.on(1.0)
             assert client.waiting  # it may still be answered
             hand.on(0.75)
@@ -143,20 +143,22 @@
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(MOST_PIPELINED + 20)))
-        await script.wait_for(Arrival, MOST_PIPELINED)
+        await script.wait_for(RequestArrived, MOST_PIPELINED)
         client = next(iter(door.program.clients.connections))
         while len(client.waiting) < MOST_PIPELINED + 20:
             await asyncio.sleep(0)
         assert len(door.program.door.requests) == MOST_PIPELINED
         for number in list(door.program.door.requests):
-            door.program.door._apply(Refuse(number))
+            door.program.door._apply(RejectRequest(number))
         statuses = [(await read_message(reader))[0].split()[1] for _ in range(MOST_PIPELINED + 20)]
         assert statuses == ["429"] * MOST_PIPELINED + ["503"] * 20
 
 
 @socket_test
 async def test_hundreds_of_requests_at_once_end_their_connection() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(600)))
@@ -166,7 +168,9 @@
 
 @socket_test
 async def test_an_id_that_is_open_is_not_taken_again() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
@@ -175,14 +179,16 @@
         assert (await door.call(ask(trace="a1")))[0].split()[1] == "409"
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nmine")
         assert (await read_message(client))[2] == b"mine"
-        assert len(await script.wait_for(Arrival)) == 1
+        assert len(await script.wait_for(RequestArrived)) == 1
         to_door.write(ask(trace="a1"))  # answered: the id is free again
-        await script.wait_for(Arrival, 2)
+        await script.wait_for(RequestArrived, 2)
 
 
 @socket_test
 async def test_trailers_are_no_headers() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         _, to_door = await door.client()
         to_door.write(
@@ -200,8 +206,8 @@
     async with running(script) as door:
         _, to_door = await door.client()
         to_door.write(ask(X_Expires_In="3000000m"))
-        [arrival] = await script.wait_for(Arrival)
-        assert arrival.time_left <= 10_000_000
+        [arrival] = await script.wait_for(RequestArrived)
+        assert arrival.time_left_us <= 10_000_000
 
 
 def shrink(side: ClientSide, most: int, reserve: int) -> None:
@@ -218,7 +224,7 @@
             _, to_door = await door.client()
             to_door.write(ask(trace=f"busy{n}"))
         script = cast(Script, door.program.door.decider)
-        await script.wait_for(Arrival, 2)
+        await script.wait_for(RequestArrived, 2)
         first, second = [await door.client() for _ in range(2)]
         while len(side.connections) < 4 or not all(c.transport for c in side.connections):
             await asyncio.sleep(0)
@@ -228,11 +234,11 @@
         await asyncio.sleep(0)
         assert len(side.connections) == 4 and not first[0].at_eof()
         second[1].write(ask(trace="a1"))  # it speaks just in time
-        await script.wait_for(Arrival, 3)
+        await script.wait_for(RequestArrived, 3)
         hand.on(0.1)
         assert (await ended(first[0])).startswith(b"HTTP/1.1 408 ")
         first[1].close()
-        await script.wait_for(Arrival, 4)
+        await script.wait_for(RequestArrived, 4)
 
 
 @socket_test
@@ -244,7 +250,7 @@
         for n in range(4):
             _, to_door = await door.client()
             to_door.write(ask(trace=f"a{n}"))
-        await script.wait_for(Arrival, 4)
+        await script.wait_for(RequestArrived, 4)
         more = [await door.client() for _ in range(40)]
         for n, (_, to_door) in enumerate(more):
             to_door.write(ask("file", trace=f"b{n}", Content_Length="1000") + bytes(1000))
@@ -258,7 +264,7 @@
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         line, headers, _ = await read_message(reader)
         assert line.split()[1] == "200" and headers["connection"] == "close"  # full is not unwell
-        assert len(await script.wait_for(Arrival)) == 4
+        assert len(await script.wait_for(RequestArrived)) == 4
         assert len(side.connections) == 4 and all(c.waiting for c in side.connections)
 
 
@@ -276,12 +282,14 @@
         while len(side.connections) > 1:
             await asyncio.sleep(0)
         to_door.write(ask())
-        await script.wait_for(Arrival)
+        await script.wait_for(RequestArrived)
 
 
 @socket_test
 async def test_what_the_kernel_holds_at_the_end_is_taken_before_the_door_closes() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         side = door.program.clients
         shrink(side, 1, 1)
@@ -302,7 +310,9 @@
 
 @socket_test
 async def test_in_a_crowd_the_idle_leave_first_and_not_before_two_seconds() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         side = door.program.clients
         hand = Hand(side)
@@ -378,7 +388,9 @@
 
 @socket_test
 async def test_a_request_that_has_come_and_is_not_read_yet_keeps_its_connection() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         [(reader, writer)] = await connected(door, 1)
         writer.write(ask(trace="a0"))
@@ -387,7 +399,7 @@
         writer.write(ask(trace="a1"))  # the kernel has it before the loop turns
         one.retire()
         assert not one.make_room() and not one.ends_at
-        await script.wait_for(Arrival, 2)
+        await script.wait_for(RequestArrived, 2)
 
 
 @socket_test
--- a/tests/front_door/test_reload.py
+++ b/tests/front_door/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from irisdeal.front_door.decisions.interface import Count, CountAnswer, Result, ServerList
+from irisdeal.front_door.decisions.interface import AddToCounter, CounterAnswered, Result, ServerList
 from tests.front_door.test_loop import free_port, start
 from tests.support.fake_peers import (
     Peer,
@@ -58,7 +58,7 @@
         await to_new.readuntil(b"\r\n\r\n")
         agent.write(answer(200, as_json(whole_list(member("s-2", 9), revision=3))))
         assert "index=3&" in (await read_message(to_new))[0]
-        assert [e.server for e in (await script.wait_for(ServerList, 3))[-1].entries] == [b"s-2"]
+        assert [e.server_id for e in (await script.wait_for(ServerList, 3))[-1].entries] == [b"s-2"]
 
 
 @socket_test
@@ -70,17 +70,17 @@
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
         count = door.program.door._apply
-        count(Count(1, 1.0, 1000))
+        count(AddToCounter(1, 1.0, 1000))
         reader, writer = await old.connection()
         await reader.readuntil(b"\r\n")
         door.program.door.recount(("127.0.0.1", new.port))
-        count(Count(1, 2.0, 1000))
+        count(AddToCounter(1, 2.0, 1000))
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"  # the first is not said again
         writer.write(b"ok 1\r\n")
         assert await reader.read() == b""  # closed once nothing is open there
         counter.write(b"ok 3\r\n")
-        ends = await script.wait_for(CountAnswer, 2)
+        ends = await script.wait_for(CounterAnswered, 2)
         assert [(e.result, e.total) for e in ends] == [(Result.OK, 1.0), (Result.OK, 3.0)]
 
 
@@ -92,12 +92,12 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(Count(1, 1.0, 1000))
+        door.program.door._apply(AddToCounter(1, 1.0, 1000))
         door.program.door.recount(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
-        assert [e.result for e in await script.wait_for(CountAnswer)] == [Result.OK]
+        assert [e.result for e in await script.wait_for(CounterAnswered)] == [Result.OK]
 
 
 @socket_test
@@ -108,12 +108,12 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(Count(1, 1.0, 1000))
+        door.program.door._apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await old.connection()
         await reader.readuntil(b"\r\n")
         door.program.door.recount(("127.0.0.1", new.port))
         assert await reader.read() == b""
-        assert [e.result for e in await script.wait_for(CountAnswer)] == [Result.TIMED_OUT]
+        assert [e.result for e in await script.wait_for(CounterAnswered)] == [Result.TIMED_OUT]
 
 
 def test_sighup_reads_the_file_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -16,17 +16,17 @@
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
-    Arrival,
     AttemptEnded,
     ClassesChanged,
     Event,
-    ListKind,
-    Refuse,
-    Repeat,
-    Restricted,
+    Idempotency,
+    RejectRequest,
+    RequestArrived,
+    RequestClassChanged,
     Result,
-    Send,
     ServerList,
+    ServerListKind,
+    StartAttempt,
 )
 from irisdeal.front_door.server.config import ConfigError, parse
 from irisdeal.front_door.server.program import Program
@@ -35,8 +35,8 @@
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import Attempt, End
 from tests.front_door.test_loop import free_port, start
-from tests.support.decisions_rig import KEYED, UNSAFE, entry
-from tests.support.decisions_rig import settings as desk_settings
+from tests.support.decisions_rig import KEYED, UNSAFE, server_entry
+from tests.support.decisions_rig import make_settings as desk_settings
 from tests.support.fake_peers import (
     LIMIT,
     Peer,
@@ -140,7 +140,9 @@
 
 
 def test_requests_take_class_cost_and_identity_from_their_route(file: Path) -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
 
     async def run() -> None:
         async with routed(file, script) as door:
@@ -155,14 +157,20 @@
             ):
                 status = (await door.call(text.replace(b"ab12", b"t%d" % n)))[0].split()[1]
                 assert status == "429", n
-            arrivals = await script.wait_for(Arrival, 5)
+            arrivals = await script.wait_for(RequestArrived, 5)
             changed = (await script.wait_for(ClassesChanged))[0]
-            kinds = [changed.classes[a.request_class].repeat for a in arrivals]
-            assert kinds == [Repeat.SAFE, Repeat.SAFE, Repeat.KEYED, Repeat.UNSAFE, Repeat.SAFE]
+            kinds = [changed.classes[a.class_index].idempotency for a in arrivals]
+            assert kinds == [
+                Idempotency.SAFE,
+                Idempotency.SAFE,
+                Idempotency.KEYED,
+                Idempotency.UNSAFE,
+                Idempotency.SAFE,
+            ]
             assert [a.units for a in arrivals] == [3.0, 4.0, 2.0, 1.0, 1.0]
-            assert [a.plan for a in arrivals] == [0, 0, 0, 1, 0]
-            assert arrivals[0].customer == 0xB4D65521 and arrivals[3].customer not in (0, 0xB4D65521)
-            assert all(a.request_class >= 2 for a in arrivals)  # the settings' own classes keep their numbers
+            assert [a.plan_index for a in arrivals] == [0, 0, 0, 1, 0]
+            assert arrivals[0].account_id == 0xB4D65521 and arrivals[3].account_id not in (0, 0xB4D65521)
+            assert all(a.class_index >= 2 for a in arrivals)  # the settings' own classes keep their numbers
 
     on_loop(run)
 
@@ -200,7 +208,7 @@
             line, headers, _ = await door.call(text)
             assert line.split()[1] == status
             assert status != "405" or headers["allow"] == "POST, PUT"
-            assert not any(isinstance(e, Arrival) for e in script.seen)
+            assert not any(isinstance(e, RequestArrived) for e in script.seen)
 
     on_loop(run)
 
@@ -232,7 +240,9 @@
 
 def test_an_error_to_head_has_no_body_either(file: Path) -> None:
     """The body of a refusal would be read as the beginning of the next answer."""
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+    )
 
     async def run() -> None:
         async with routed(file, script) as door:
@@ -278,7 +288,9 @@
 
 def test_bad_swaps_are_refused_whole_and_the_old_routes_go_on(file: Path) -> None:
     async def run() -> None:
-        script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+        script = Script(
+            lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+        )
         async with routed(file, script) as door:
             for text in (
                 PATHS.replace("get:", "get: {"),
@@ -333,7 +345,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+        script = Script(
+            lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+        )
         async with routed(file, script) as door:
             router, settled = router_of(door), asyncio.Event()
             router.on_settled = settled.set
@@ -365,19 +379,23 @@
             _, to_door = await door.client()
             to_door.write(request("POST", "/claim", b'{"n":2}', X_Claim="k"))
             await backend.connection()
-            arrival = (await script.wait_for(Arrival))[0]
+            arrival = (await script.wait_for(RequestArrived))[0]
             unsafe = PATHS.replace("repeat: {keyed: {header: X-Claim}}", "repeat: unsafe")
             assert await swapped(door, file, unsafe)
-            restricted = (await script.wait_for(Restricted))[0]
+            restricted = (await script.wait_for(RequestClassChanged))[0]
             changed = (await script.wait_for(ClassesChanged, 2))[-1]
-            old, new = (changed.classes[n] for n in (arrival.request_class, restricted.request_class))
-            assert restricted.request == arrival.request
-            assert (old.repeat, new.repeat) == (Repeat.KEYED, Repeat.UNSAFE)
-            assert (old.aim, old.deadline, old.worth) == (new.aim, new.deadline, new.worth)
+            old, new = (changed.classes[n] for n in (arrival.class_index, restricted.class_index))
+            assert restricted.request_id == arrival.request_id
+            assert (old.idempotency, new.idempotency) == (Idempotency.KEYED, Idempotency.UNSAFE)
+            assert (old.latency_target_us, old.deadline_us, old.value) == (
+                new.latency_target_us,
+                new.deadline_us,
+                new.value,
+            )
             gone = PATHS.replace("paths:", "x-irisdeal: {allow: [remove]}\npaths:")
             gone = gone.replace("/claim", "/claims")
             assert await swapped(door, file, gone)
-            assert router_of(door).classes.rules[restricted.request_class] is not None  # still in use
+            assert router_of(door).classes.rules[restricted.class_index] is not None  # still in use
 
     on_loop(run)
 
@@ -395,14 +413,14 @@
             _, to_door = await door.client()
             to_door.write(request("PUT", "/claims/a%2Fb", Idempotency_Key="k"))
             await backend.connection()
-            arrival = (await script.wait_for(Arrival))[0]
+            arrival = (await script.wait_for(RequestArrived))[0]
             assert await swapped(
                 door, file, keyed.replace("{shop}", "{store}").replace("repeat: keyed}", "repeat: unsafe}")
             )
-            restricted = (await script.wait_for(Restricted))[0]
+            restricted = (await script.wait_for(RequestClassChanged))[0]
             changed = (await script.wait_for(ClassesChanged, 2))[-1]
-            assert restricted.request == arrival.request
-            assert changed.classes[restricted.request_class].repeat is Repeat.UNSAFE
+            assert restricted.request_id == arrival.request_id
+            assert changed.classes[restricted.class_index].idempotency is Idempotency.UNSAFE
 
     on_loop(run)
 
@@ -410,28 +428,30 @@
 def test_the_module_sends_no_further_attempt_once_the_rule_is_stricter() -> None:
     made = desk_settings()
     gateway = Gateway(made, seed=1)
-    servers = tuple(entry(n, zone=0) for n in range(1, 5))
+    servers = tuple(server_entry(n, zone=0) for n in range(1, 5))
     start = 100_000_000  # long after the servers' own start
-    gateway.handle(start, [ServerList(ListKind.COMPLETE, 1, servers)])
+    gateway.handle(start, [ServerList(ServerListKind.COMPLETE, 1, servers)])
 
     def sent(restrict: bool) -> list[type]:
         number = 100 + restrict
-        found = gateway.handle(start + 1000, [Arrival(number, number, 0, KEYED, 3_000_000, 1.0, 0, 3)])
-        first = next(a for a in found if isinstance(a, Send))
-        events: list[Event] = [Restricted(number, UNSAFE)] if restrict else []
-        lost = AttemptEnded(number, 0, first.server, Result.CONNECTION_LOST, 1000, False)
-        return [type(a) for a in gateway.handle(start + 2000, [*events, lost]) if isinstance(a, Send)]
+        found = gateway.handle(start + 1000, [RequestArrived(number, number, 0, KEYED, 3_000_000, 1.0, 0, 3)])
+        first = next(a for a in found if isinstance(a, StartAttempt))
+        events: list[Event] = [RequestClassChanged(number, UNSAFE)] if restrict else []
+        lost = AttemptEnded(number, 0, first.server_id, Result.CONNECTION_LOST, 1000, False)
+        return [type(a) for a in gateway.handle(start + 2000, [*events, lost]) if isinstance(a, StartAttempt)]
 
-    assert sent(False) == [Send] and sent(True) == []
+    assert sent(False) == [StartAttempt] and sent(True) == []
 
 
 def test_the_module_learns_new_classes_and_keeps_what_it_knows_of_the_others() -> None:
     made = desk_settings()
     gateway = Gateway(made, seed=1)
-    gateway.usual[0] = 123.0
+    gateway.mean_duration_us[0] = 123.0
     new = (*made.classes, made.classes[2])
     gateway.handle(0, [ClassesChanged(new)])
-    assert gateway.usual[0] == 123.0 and len(gateway.usual) == len(new) == len(gateway.settings.classes)
+    assert gateway.mean_duration_us[0] == 123.0 and len(gateway.mean_duration_us) == len(new) == len(
+        gateway.settings.classes
+    )
     with pytest.raises(ValueError, match="wanted no fewer"):
         gateway.handle(1, [ClassesChanged(new[:1])])
     with pytest.raises(ValueError, match="at least one class"):
@@ -440,9 +460,9 @@
 
 def test_a_rule_is_never_made_milder_in_the_module() -> None:
     gateway = Gateway(desk_settings(), seed=1)
-    gateway.handle(0, [Arrival(1, 7, 0, 2, 3_000_000, 1.0, 0, 3)])
+    gateway.handle(0, [RequestArrived(1, 7, 0, 2, 3_000_000, 1.0, 0, 3)])
     with pytest.raises(ValueError, match="wanted no milder"):
-        gateway.handle(1, [Restricted(1, 0)])
+        gateway.handle(1, [RequestClassChanged(1, 0)])
 
 
 # Under load
--- a/tests/front_door/test_simulator_wire.py
+++ b/tests/front_door/test_simulator_wire.py
@@ -13,15 +13,15 @@
 
 from irisdeal.front_door.decisions import simulator, simulator_wire
 from irisdeal.front_door.decisions.interface import (
-    Arrival,
     AttemptEnded,
-    CountAnswer,
+    CounterAnswered,
+    RequestArrived,
     RequestEnded,
     Result,
-    Send,
     ServerList,
     ServerState,
-    Woken,
+    StartAttempt,
+    TimerFired,
 )
 
 SETTINGS = b"""discovery=pushed
@@ -82,22 +82,26 @@
     )
     events = [event for _, event in got]
     assert [door for door, _ in got] == [3] * 6
-    assert events[0] == Arrival(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
+    assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
     assert isinstance(ended, AttemptEnded) and ended.result is Result.TURNED_AWAY
-    assert (ended.usage, ended.true_units, ended.load and ended.load.in_hand) == (40, 6, 7.0)
-    assert events[2] == CountAnswer(99, Result.OK, 4.5, 12)
-    assert events[3:5] == [RequestEnded(78), Woken(6)]
+    assert (ended.usage_percent, ended.actual_units, ended.load_report and ended.load_report.in_flight) == (
+        40,
+        6,
+        7.0,
+    )
+    assert events[2] == CounterAnswered(99, Result.OK, 4.5, 12)
+    assert events[3:5] == [RequestEnded(78), TimerFired(6)]
     assert isinstance(events[5], ServerList) and events[5].entries[0].state is ServerState.DRAINING
 
 
 def test_omitted_fields_read_as_nought() -> None:
     [(_, event)] = read(record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
-    assert event == Arrival(77, 55, 2, 0, 0, 0.0, 1, 2)
+    assert event == RequestArrived(77, 55, 2, 0, 0, 0.0, 1, 2)
 
 
 def test_actions_go_out_as_the_wire_has_them() -> None:
-    out = simulator_wire.write_action(3, Send(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+    out = simulator_wire.write_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
     assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
     assert simulator_wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
 
@@ -109,7 +113,7 @@
         init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
     )
     [_, (_, event)] = list(simulator_wire.read_batch(whole, {})[1])
-    assert (event.request, event.time_left) == (request, left)  # type: ignore[union-attr]
+    assert (event.request_id, event.time_left_us) == (request, left)  # type: ignore[union-attr]
     with pytest.raises(simulator_wire.WireError):
         simulator.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
 
@@ -151,5 +155,5 @@
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr("irisdeal.front_door.decisions.simulator.Gateway.handle", fail)
-    reply = simulator.Host().reply(frame(init()))
+    reply = simulator.GatewayHost().reply(frame(init()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -13,12 +13,12 @@
 
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
     AttemptEnded,
-    BodyComplete,
-    Refuse,
+    RejectRequest,
+    RequestArrived,
+    RequestBodyReceived,
     Result,
-    Send,
+    StartAttempt,
 )
 from irisdeal.front_door.streaming.byte_budget import (
     MAX_READ_BYTES,
@@ -33,7 +33,7 @@
     ReceiveProgress,
 )
 from tests.front_door.test_operator import OPERATOR, figures
-from tests.support.decisions_rig import CEILED, MS, SECOND, Desk, of
+from tests.support.decisions_rig import CEILED, MS, SECOND, GatewayHarness, actions_of_type
 from tests.support.fake_peers import (
     Peer,
     Running,
@@ -112,35 +112,40 @@
 
 
 def test_the_time_of_a_body_on_its_way_counts_from_its_last_byte() -> None:
-    desk = Desk()
-    [send] = of(Send, desk.give(Arrival(1, 7, 0, 0, SECOND, 1.0, 0, 1, uploading=True)))
+    desk = GatewayHarness()
+    [send] = actions_of_type(
+        StartAttempt, desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
+    )
     for _ in range(50):  # ten seconds: no time-out, no second copy, no mark against the server
         desk.now += 200 * MS
-        assert not any(isinstance(action, Refuse | Send) for action in desk.give())
-    assert not desk.gateway.servers[send.server].bad[None]
-    desk.give(BodyComplete(1, SECOND))
+        assert not any(isinstance(action, RejectRequest | StartAttempt) for action in desk.handle())
+    assert not desk.gateway.servers[send.server_id].failure_rates[None]
+    desk.handle(RequestBodyReceived(1, SECOND))
     seen = list[Action]()
     for _ in range(12):
         desk.now += 100 * MS
-        seen += desk.give()
-    assert {type(a) for a in seen} >= {Send, Refuse}  # a second copy, and in the end its answer
+        seen += desk.handle()
+    assert {type(a) for a in seen} >= {
+        StartAttempt,
+        RejectRequest,
+    }  # a second copy, and in the end its answer
 
 
 def test_a_request_that_is_not_sent_with_its_body_on_the_way_is_refused_in_time() -> None:
-    desk = Desk(servers=0)
-    desk.give(Arrival(1, 7, 0, 0, SECOND, 1.0, 0, 1, uploading=True))
+    desk = GatewayHarness(servers=0)
+    desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
     seen = list[Action]()
     for _ in range(10):
         desk.now += 100 * MS
-        seen += desk.give()
-    assert [a.request for a in of(Refuse, seen)] == [1]
+        seen += desk.handle()
+    assert [a.request_id for a in actions_of_type(RejectRequest, seen)] == [1]
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_units_that_count_at_the_last_byte_keep_the_ceiling(seed: int) -> None:
     """Long bodies go out for four seconds and all come to their end at once, as a store that had time to
     fill meets a flood of short requests."""
-    chance, desk = random.Random(seed), Desk(seed=seed, counter=False)
+    chance, desk = random.Random(seed), GatewayHarness(seed=seed, has_counter=False)
     plan = desk.settings.plans[CEILED]
     counted: list[int] = []
     due: list[tuple[int, bytes]] = []
@@ -151,23 +156,23 @@
         if desk.now >= burst and due:
             for late, server in due:
                 counted.append(desk.now)
-                desk.give(BodyComplete(late, SECOND))
-                desk.give(AttemptEnded(late, 0, server, Result.OK, 3 * MS, True))
+                desk.handle(RequestBodyReceived(late, SECOND))
+                desk.handle(AttemptEnded(late, 0, server, Result.OK, 3 * MS, True))
             due = []
         if quiet <= desk.now < burst or chance.random() < 0.2:
-            desk.give()
+            desk.handle()
             continue
-        number, desk.next_request = desk.next_request, desk.next_request + 1
+        number, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
         long = desk.now < quiet
-        actions = desk.give(Arrival(number, 5, CEILED, 0, SECOND, 1.0, 0, 2, uploading=long))
-        for action in of(Send, actions):
+        actions = desk.handle(RequestArrived(number, 5, CEILED, 0, SECOND, 1.0, 0, 2, is_uploading=long))
+        for action in actions_of_type(StartAttempt, actions):
             if long:
-                due.append((action.request, action.server))
+                due.append((action.request_id, action.server_id))
             else:
                 counted.append(desk.now)
-                desk.give(AttemptEnded(action.request, 0, action.server, Result.OK, 3 * MS, True))
+                desk.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
     assert len(counted) > 15
-    rate, most = plan.ceiling_rate / 2, plan.ceiling_depth / 2
+    rate, most = plan.ceiling_rate_per_s / 2, plan.ceiling_depth / 2
     for first in counted:
         for length in (SECOND // 10, SECOND, 4 * SECOND):
             passed = sum(first <= at <= first + length for at in counted)
--- a/tests/front_door/test_zones.py
+++ b/tests/front_door/test_zones.py
@@ -16,7 +16,14 @@
 from hypothesis import strategies as st
 
 from irisdeal.cli.main import main
-from irisdeal.front_door.decisions.interface import Count, CountAnswer, ListKind, Result, Send, ServerList
+from irisdeal.front_door.decisions.interface import (
+    AddToCounter,
+    CounterAnswered,
+    Result,
+    ServerList,
+    ServerListKind,
+    StartAttempt,
+)
 from irisdeal.front_door.zones.belief import (
     ALONE,
     BACK,
@@ -36,7 +43,16 @@
 )
 from irisdeal.front_door.zones.evidence import ALARM, Evidence
 from irisdeal.front_door.zones.fleet import AFTER, BAD, CUT, FAULTS, LOST_AT, Fleet, calm, cut, figures, part
-from tests.support.decisions_rig import CAPPED, KEYED, MS, SAFE, Desk, entry, name, of
+from tests.support.decisions_rig import (
+    CAPPED,
+    KEYED,
+    MS,
+    SAFE,
+    GatewayHarness,
+    actions_of_type,
+    server_entry,
+    server_id,
+)
 
 NOW = 100 * EPOCH
 
@@ -419,39 +435,41 @@
 # In the module
 
 
-def fleet_desk(**changes: Any) -> Desk:
-    desk = Desk(servers=0, gateways=40, **changes)
-    desk.give(ServerList(ListKind.COMPLETE, 2, tuple(entry(n, zone=n % 3) for n in range(18))))
+def fleet_desk(**changes: Any) -> GatewayHarness:
+    desk = GatewayHarness(servers=0, gateway_count=40, **changes)
+    desk.handle(ServerList(ServerListKind.COMPLETE, 2, tuple(server_entry(n, zone=n % 3) for n in range(18))))
     for n in range(60):
-        number, actions = desk.ask(customer=n)
-        for send in of(Send, actions):
-            desk.end(number, send.server)
+        number, actions = desk.send_request(account_id=n)
+        for send in actions_of_type(StartAttempt, actions):
+            desk.end_attempt(number, send.server_id)
     return desk
 
 
 def zone_of(server: bytes) -> int:
-    return next(n for n in range(18) if name(n) == server) % 3
+    return next(n for n in range(18) if server_id(n) == server) % 3
 
 
-def lose_zone(desk: Desk, zone: int = 1) -> None:
+def lose_zone(desk: GatewayHarness, zone: int = 1) -> None:
     """Attempts there fail until it is left; those elsewhere are answered."""
     for n in range(400):
-        number, actions = desk.ask(customer=1000 + n)
-        for send in of(Send, actions):
-            lost = zone_of(send.server) == zone
-            for again in of(
-                Send,
-                desk.end(
+        number, actions = desk.send_request(account_id=1000 + n)
+        for send in actions_of_type(StartAttempt, actions):
+            lost = zone_of(send.server_id) == zone
+            for again in actions_of_type(
+                StartAttempt,
+                desk.end_attempt(
                     number,
-                    send.server,
+                    send.server_id,
                     Result.TIMED_OUT if lost else Result.OK,
-                    took=700 * MS if lost else 50 * MS,
+                    duration_us=700 * MS if lost else 50 * MS,
                 ),
             ):
-                if zone_of(again.server) != zone:
-                    desk.end(number, again.server)
+                if zone_of(again.server_id) != zone:
+                    desk.end_attempt(number, again.server_id)
                 else:
-                    desk.end(number, again.server, Result.TIMED_OUT, took=700 * MS, ended=True)
+                    desk.end_attempt(
+                        number, again.server_id, Result.TIMED_OUT, duration_us=700 * MS, request_ended=True
+                    )
         if not desk.gateway.zones.share(zone, desk.now):
             return
     raise AssertionError("it was never left")
@@ -460,38 +478,45 @@
 def test_a_left_zone_is_sent_trials_alone_beside_attempts_elsewhere() -> None:
     desk = fleet_desk()
     lose_zone(desk)
-    assert len(desk.gateway.ready) == 12
+    assert len(desk.gateway.ready_servers) == 12
     first, beside = [], []
     for n in range(300):
-        desk.run(100 * MS)
-        desk.gateway.zones.answers(0, name(0), desk.now - MS, desk.now)
-        number, actions = desk.ask(customer=2000 + n)
-        sends = of(Send, actions)
+        desk.advance(100 * MS)
+        desk.gateway.zones.answers(0, server_id(0), desk.now - MS, desk.now)
+        number, actions = desk.send_request(account_id=2000 + n)
+        sends = actions_of_type(StartAttempt, actions)
         first += sends[:1]
         beside += sends[1:]
         for at, send in enumerate(sends):
-            if zone_of(send.server) == 1:
-                desk.end(number, send.server, Result.TIMED_OUT, attempt=at, took=700 * MS, ended=True)
+            if zone_of(send.server_id) == 1:
+                desk.end_attempt(
+                    number,
+                    send.server_id,
+                    Result.TIMED_OUT,
+                    attempt_index=at,
+                    duration_us=700 * MS,
+                    request_ended=True,
+                )
             else:
-                desk.end(number, send.server, attempt=at)
-    assert len(first) == 300 and all(zone_of(send.server) != 1 for send in first)
-    assert beside and all(zone_of(send.server) == 1 for send in beside)
+                desk.end_attempt(number, send.server_id, attempt_index=at)
+    assert len(first) == 300 and all(zone_of(send.server_id) != 1 for send in first)
+    assert beside and all(zone_of(send.server_id) == 1 for send in beside)
     assert len(beside) <= 30 / ALONE * 2 + 1
 
 
-@pytest.mark.parametrize("ask", [{"kind": KEYED}, {"plan": CAPPED}])
+@pytest.mark.parametrize("ask", [{"class_index": KEYED}, {"plan_index": CAPPED}])
 def test_one_that_must_not_run_twice_or_is_counted_while_out_carries_no_trial(ask: Any) -> None:
     desk = fleet_desk()
     lose_zone(desk)
     sent = 0
-    desk.run(2 * SECOND)
+    desk.advance(2 * SECOND)
     for n in range(30):
-        desk.run(50 * MS)
+        desk.advance(50 * MS)
         desk.gateway.zones.zones[1].trial_at = desk.now  # one is due each time
-        number, actions = desk.ask(customer=3000 + n, **ask)
-        for send in of(Send, actions):
-            assert zone_of(send.server) != 1
-            desk.end(number, send.server)
+        number, actions = desk.send_request(account_id=3000 + n, **ask)
+        for send in actions_of_type(StartAttempt, actions):
+            assert zone_of(send.server_id) != 1
+            desk.end_attempt(number, send.server_id)
             sent += 1
     assert sent > 20
 
@@ -500,23 +525,25 @@
 def test_of_two_processes_of_a_door_one_alone_tries_cold_backends(warms: bool) -> None:
     desk = fleet_desk()
     lose_zone(desk)
-    desk.give(
+    desk.handle(
         ServerList(
-            ListKind.CHANGES, 3, tuple(entry(n, zone=1, started=76 * SECOND) for n in range(18) if n % 3 == 1)
+            ServerListKind.CHANGES,
+            3,
+            tuple(server_entry(n, zone=1, started_at=76 * SECOND) for n in range(18) if n % 3 == 1),
         )
     )
-    desk.gateway.warms = warms
-    desk.run(2 * SECOND)
+    desk.gateway.may_use_cold_servers = warms
+    desk.advance(2 * SECOND)
     sent = []
     for n in range(30):
-        desk.run(50 * MS)
+        desk.advance(50 * MS)
         desk.gateway.zones.zones[1].trial_at = desk.now
         for server in desk.gateway.servers.values():  # a turn is open at each
-            server.due = desk.now if server.entry.zone == 1 else -1
-        number, actions = desk.ask(customer=8000 + n)
-        for at, send in enumerate(of(Send, actions)):
-            sent.append(zone_of(send.server))
-            desk.end(number, send.server, attempt=at)
+            server.first_use_at = desk.now if server.entry.zone == 1 else -1
+        number, actions = desk.send_request(account_id=8000 + n)
+        for at, send in enumerate(actions_of_type(StartAttempt, actions)):
+            sent.append(zone_of(send.server_id))
+            desk.end_attempt(number, send.server_id, attempt_index=at)
         if 1 in sent:
             break
     assert (1 in sent) is warms
@@ -524,34 +551,34 @@
 
 def test_what_is_out_in_a_zone_that_is_left_is_sent_elsewhere_at_once() -> None:
     desk = fleet_desk()
-    desk.gateway.again = 10.0
+    desk.gateway.retry_budget = 10.0
     waits: list[int] = []
     while not waits:
-        number, actions = desk.ask(customer=500)
-        for send in of(Send, actions):
-            if zone_of(send.server) == 1:
+        number, actions = desk.send_request(account_id=500)
+        for send in actions_of_type(StartAttempt, actions):
+            if zone_of(send.server_id) == 1:
                 waits.append(number)
             else:
-                desk.end(number, send.server)
+                desk.end_attempt(number, send.server_id)
     before = len(desk.log)
     lose_zone(desk)
-    again = {a.request for _, a in desk.log[before:] if isinstance(a, Send)}
+    again = {a.request_id for _, a in desk.log[before:] if isinstance(a, StartAttempt)}
     assert any(number in again for number in waits)
 
 
 def test_with_an_answered_trial_its_backends_are_back_by_a_part() -> None:
     desk = fleet_desk()
     lose_zone(desk)
-    desk.run(2 * SECOND)
-    desk.gateway.zones.answers(1, name(1), desk.now - MS, desk.now)
-    desk.run(100 * MS)
-    assert len(desk.gateway.ready) == 18
+    desk.advance(2 * SECOND)
+    desk.gateway.zones.answers(1, server_id(1), desk.now - MS, desk.now)
+    desk.advance(100 * MS)
+    assert len(desk.gateway.ready_servers) == 18
     sent = []
     for n in range(400):
-        number, actions = desk.ask(customer=4000 + n, kind=SAFE)
-        for send in of(Send, actions):
-            sent.append(zone_of(send.server))
-            desk.end(number, send.server)
+        number, actions = desk.send_request(account_id=4000 + n, class_index=SAFE)
+        for send in actions_of_type(StartAttempt, actions):
+            sent.append(zone_of(send.server_id))
+            desk.end_attempt(number, send.server_id)
     assert 0.03 < sent.count(1) / len(sent) < 0.3  # an even part is a third
 
 
@@ -559,52 +586,54 @@
 def test_a_cold_backend_that_is_slow_does_not_speak_against_its_zone(started: int, speaks: bool) -> None:
     """It takes longer by what the settings say of it."""
     desk = fleet_desk()
-    desk.give(
+    desk.handle(
         ServerList(
-            ListKind.CHANGES, 3, tuple(entry(n, zone=1, started=started) for n in range(18) if n % 3 == 1)
+            ServerListKind.CHANGES,
+            3,
+            tuple(server_entry(n, zone=1, started_at=started) for n in range(18) if n % 3 == 1),
         )
     )
-    number, _ = desk.ask(customer=5000)
-    slow = next(s for s in desk.gateway.ready if s.entry.zone == 1)
-    desk.gateway._send(desk.gateway.requests[number], slow)
-    desk.run(2 * SECOND)  # past twice and four times the usual time
-    failed = slow.entry.server in desk.gateway.zones.zones[1].evidence.failed
+    number, _ = desk.send_request(account_id=5000)
+    slow = next(s for s in desk.gateway.ready_servers if s.entry.zone == 1)
+    desk.gateway._start_attempt(desk.gateway.requests[number], slow)
+    desk.advance(2 * SECOND)  # past twice and four times the usual time
+    failed = slow.entry.server_id in desk.gateway.zones.zones[1].evidence.failed
     assert failed is speaks
 
 
 def test_a_cold_backend_that_cannot_be_reached_speaks_against_its_zone() -> None:
     desk = fleet_desk()
     zones = desk.gateway.zones
-    desk.give(ServerList(ListKind.CHANGES, 3, (entry(1, zone=1, started=76 * SECOND),)))
-    number, _ = desk.ask(customer=5000)
-    cold = next(s for s in desk.gateway.ready if s.entry.server == name(1))
-    desk.gateway._send(desk.gateway.requests[number], cold)
-    desk.attempts[number] = len(desk.gateway.requests[number].tries)
-    desk.end(number, name(1), Result.NOT_CONNECTED)
-    assert name(1) in zones.zones[1].evidence.failed
+    desk.handle(ServerList(ServerListKind.CHANGES, 3, (server_entry(1, zone=1, started_at=76 * SECOND),)))
+    number, _ = desk.send_request(account_id=5000)
+    cold = next(s for s in desk.gateway.ready_servers if s.entry.server_id == server_id(1))
+    desk.gateway._start_attempt(desk.gateway.requests[number], cold)
+    desk.attempts[number] = len(desk.gateway.requests[number].attempts)
+    desk.end_attempt(number, server_id(1), Result.NOT_CONNECTED)
+    assert server_id(1) in zones.zones[1].evidence.failed
 
 
 def test_in_a_fleet_of_few_no_zone_is_left_and_nothing_is_told() -> None:
-    desk = Desk(servers=0, gateways=8)
-    desk.give(ServerList(ListKind.COMPLETE, 2, tuple(entry(n, zone=n % 3) for n in range(18))))
+    desk = GatewayHarness(servers=0, gateway_count=8)
+    desk.handle(ServerList(ServerListKind.COMPLETE, 2, tuple(server_entry(n, zone=n % 3) for n in range(18))))
     for n in range(200):
-        number, actions = desk.ask(customer=n)
-        for send in of(Send, actions):
-            result = Result.TIMED_OUT if zone_of(send.server) == 1 else Result.OK
-            for again in of(Send, desk.end(number, send.server, result)):
-                desk.end(number, again.server, Result.TIMED_OUT, ended=True)
-    assert len(desk.gateway.ready) == 18 and not desk.gateway.zones.zones
-    assert not any(isinstance(a, Count) and a.name >= SPACE for _, a in desk.log)
+        number, actions = desk.send_request(account_id=n)
+        for send in actions_of_type(StartAttempt, actions):
+            result = Result.TIMED_OUT if zone_of(send.server_id) == 1 else Result.OK
+            for again in actions_of_type(StartAttempt, desk.end_attempt(number, send.server_id, result)):
+                desk.end_attempt(number, again.server_id, Result.TIMED_OUT, request_ended=True)
+    assert len(desk.gateway.ready_servers) == 18 and not desk.gateway.zones.zones
+    assert not any(isinstance(a, AddToCounter) and a.counter_name >= SPACE for _, a in desk.log)
 
 
 def test_the_answer_of_the_counter_reaches_the_zone_that_asked() -> None:
     desk = fleet_desk()
-    words = [w for n in (1, 4) for w in desk.gateway.zones.fails(1, name(n), desk.now, desk.now)]
+    words = [w for n in (1, 4) for w in desk.gateway.zones.fails(1, server_id(n), desk.now, desk.now)]
     desk.gateway.actions = []
-    desk.gateway._ask(words)
-    (call,) = of(Count, list(desk.gateway.actions))
-    desk.give(CountAnswer(call.name, Result.OK, 40.0, MS))
-    assert desk.gateway.zones.share(1, desk.now) == 0.0 and not desk.gateway.words
+    desk.gateway._call_zone_counters(words)
+    (call,) = actions_of_type(AddToCounter, list(desk.gateway.actions))
+    desk.handle(CounterAnswered(call.counter_name, Result.OK, 40.0, MS))
+    assert desk.gateway.zones.share(1, desk.now) == 0.0 and not desk.gateway.zone_calls
 
 
 def test_the_command_plays_days_and_tells_them_as_json_or_a_table() -> None:
--- a/tests/support/decisions_rig.py
+++ b/tests/support/decisions_rig.py
@@ -8,25 +8,25 @@
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
+    AddToCounter,
     AttemptEnded,
-    Count,
-    CountAnswer,
+    CounterAnswered,
+    DedupScope,
     Event,
-    Group,
-    ListKind,
+    Idempotency,
     LoadReport,
     Plan,
-    Repeat,
+    RequestArrived,
     RequestClass,
     Result,
-    Send,
     ServerEntry,
     ServerList,
+    ServerListKind,
     ServerState,
+    SetTimer,
     Settings,
-    Wake,
-    Woken,
+    StartAttempt,
+    TimerFired,
 )
 
 A = TypeVar("A")
@@ -36,183 +36,202 @@
 FREE, RATED, CAPPED, CEILED = 0, 1, 2, 3
 
 
-def klass(repeat: Repeat, group: Group = Group.ZONE, **changes: Any) -> RequestClass:
+def request_class(repeat: Idempotency, group: DedupScope = DedupScope.ZONE, **changes: Any) -> RequestClass:
     base = RequestClass(
-        aim=900 * MS,
-        deadline=3 * SECOND,
-        repeat=repeat,
-        group=group,
-        window=2 * SECOND,
-        worth=1.0,
-        late_worth=0.1,
-        streams=False,
+        latency_target_us=900 * MS,
+        deadline_us=3 * SECOND,
+        idempotency=repeat,
+        dedup_scope=group,
+        dedup_window_us=2 * SECOND,
+        value=1.0,
+        late_value=0.1,
+        is_streaming=False,
     )
     return replace(base, **changes)
 
 
-def plan(**changes: Any) -> Plan:
+def make_plan(**changes: Any) -> Plan:
     base = Plan(
-        rate=0.0,
+        rate_per_s=0.0,
         burst=0.0,
-        open_limit=0,
-        ceiling_rate=0.0,
+        max_in_flight=0,
+        ceiling_rate_per_s=0.0,
         ceiling_depth=0.0,
         ceiling_slack=0.0,
-        price=1.0,
-        beyond_cost=1.0,
-        beyond_worth=0.0,
+        value_factor=1.0,
+        excess_cost=1.0,
+        excess_value=0.0,
     )
     return replace(base, **changes)
 
 
-CLASSES = (klass(Repeat.SAFE), klass(Repeat.KEYED), klass(Repeat.UNSAFE))
+CLASSES = (
+    request_class(Idempotency.SAFE),
+    request_class(Idempotency.KEYED),
+    request_class(Idempotency.UNSAFE),
+)
 PLANS = (
-    plan(),
-    plan(rate=10.0, burst=20.0),
-    plan(open_limit=6),
-    plan(ceiling_rate=6.0, ceiling_depth=30.0, ceiling_slack=3.0),
+    make_plan(),
+    make_plan(rate_per_s=10.0, burst=20.0),
+    make_plan(max_in_flight=6),
+    make_plan(ceiling_rate_per_s=6.0, ceiling_depth=30.0, ceiling_slack=3.0),
 )
 
 
-def settings(**changes: Any) -> Settings:
+def make_settings(**changes: Any) -> Settings:
     base = Settings(
-        gateways=3,
+        gateway_count=3,
         rank=0,
         zone=0,
         classes=CLASSES,
         plans=PLANS,
-        tick=2 * MS,
-        answer_grace=8 * MS,
-        drain_grace=SECOND,
-        start_capacity=0.2,
-        warm_up=15 * SECOND,
-        fall_multiple=3.0,
-        fall_window=SECOND,
+        tick_us=2 * MS,
+        answer_grace_us=8 * MS,
+        drain_grace_us=SECOND,
+        start_capacity_ratio=0.2,
+        warm_up_us=15 * SECOND,
+        collapse_load_ratio=3.0,
+        collapse_window_us=SECOND,
         max_attempts=5,
-        parallel_attempts=True,
+        may_hedge=True,
         may_cancel=True,
         may_probe=False,
-        may_advise=True,
-        longest_advice=SECOND,
-        list_is_pushed=True,
-        counter=True,
-        counter_timeout=40 * MS,
-        counter_price=0.01,
-        meter_period=0,
-        units_settle=False,
-        crossing_price=0.0,
-        waste_price=0.05,
+        may_set_retry_after=True,
+        max_retry_after_us=SECOND,
+        server_list_is_pushed=True,
+        has_counter=True,
+        counter_timeout_us=40 * MS,
+        counter_call_cost=0.01,
+        metering_period_us=0,
+        settles_actual_units=False,
+        cross_zone_cost=0.0,
+        wasted_work_cost=0.05,
     )
     return replace(base, **changes)
 
 
-def name(number: int) -> bytes:
+def server_id(number: int) -> bytes:
     return bytes((10, 1, 0, number)) + b"\x50\x00"
 
 
-def entry(number: int, state: ServerState = ServerState.READY, **changes: Any) -> ServerEntry:
-    base = ServerEntry(name(number), state, 0, 1.0, 0, 0, 0)
+def server_entry(number: int, state: ServerState = ServerState.READY, **changes: Any) -> ServerEntry:
+    base = ServerEntry(server_id(number), state, 0, 1.0, 0, 0, 0)
     return replace(base, **changes)
 
 
-def of(kind: type[A], actions: list[Action]) -> list[A]:
+def actions_of_type(kind: type[A], actions: list[Action]) -> list[A]:
     return [a for a in actions if isinstance(a, kind)]
 
 
-class Desk:
+class GatewayHarness:
     """Drives one gateway; wakes it as it asked and remembers what it did."""
 
     def __init__(self, servers: int = 4, seed: int = 5, start: int = 77 * SECOND, **changes: Any) -> None:
-        self.settings = settings(**changes)
+        self.settings = make_settings(**changes)
         self.gateway = Gateway(self.settings, seed)
         self.now = start
-        self.wakes: list[int] = []
+        self.timers: list[int] = []
         self.log: list[tuple[int, Action]] = []
-        self.counts: dict[int, float] = {}
-        self.counter_answers, self.refusal = True, Result.TIMED_OUT
-        self.others: float = 0.0  # what other gateways add to each name before it is read
-        self.next_request = 1
+        self.counter_totals: dict[int, float] = {}
+        self.counter_is_up, self.counter_failure = True, Result.TIMED_OUT
+        self.remote_demand: float = 0.0  # what other gateways add to each name before it is read
+        self.next_request_id = 1
         self.attempts: dict[int, int] = {}
-        self.give(ServerList(ListKind.REMEMBERED, 1, tuple(entry(n) for n in range(servers))))
+        self.handle(ServerList(ServerListKind.REMEMBERED, 1, tuple(server_entry(n) for n in range(servers))))
 
-    def give(self, *events: Event) -> list[Action]:
+    def handle(self, *events: Event) -> list[Action]:
         actions = self.gateway.handle(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, Wake):
-                self.wakes.append(self.now + max(1, action.delay))
-            elif isinstance(action, Send):
-                self.attempts[action.request] = self.attempts.get(action.request, 0) + 1
-        return actions + [a for call in of(Count, actions) for a in self._count(call)]
-
-    def _count(self, call: Count) -> list[Action]:
-        if not self.counter_answers:
-            return self.give(CountAnswer(call.name, self.refusal, 0.0, self.settings.counter_timeout))
-        total = self.counts.get(call.name, self.others) + call.amount
-        self.counts[call.name] = total
-        return self.give(CountAnswer(call.name, Result.OK, total, MS))
-
-    def run(self, duration: int) -> list[Action]:
+            if isinstance(action, SetTimer):
+                self.timers.append(self.now + max(1, action.delay_us))
+            elif isinstance(action, StartAttempt):
+                self.attempts[action.request_id] = self.attempts.get(action.request_id, 0) + 1
+        return actions + [a for call in actions_of_type(AddToCounter, actions) for a in self._count(call)]
+
+    def _count(self, call: AddToCounter) -> list[Action]:
+        if not self.counter_is_up:
+            return self.handle(
+                CounterAnswered(
+                    call.counter_name, self.counter_failure, 0.0, self.settings.counter_timeout_us
+                )
+            )
+        total = self.counter_totals.get(call.counter_name, self.remote_demand) + call.amount
+        self.counter_totals[call.counter_name] = total
+        return self.handle(CounterAnswered(call.counter_name, Result.OK, total, MS))
+
+    def advance(self, duration: int) -> list[Action]:
         """Let time pass; only wakes happen."""
         seen = len(self.log)
         end = self.now + duration
-        while self.wakes and min(self.wakes) <= end:
-            self.now = max(self.now, min(self.wakes))
-            self.wakes = [w for w in self.wakes if w > self.now]
-            self.give(Woken(0))
+        while self.timers and min(self.timers) <= end:
+            self.now = max(self.now, min(self.timers))
+            self.timers = [w for w in self.timers if w > self.now]
+            self.handle(TimerFired(0))
         self.now = end
         return [action for _, action in self.log[seen:]]
 
-    def ask(
+    def send_request(
         self,
-        customer: int = 9,
-        plan: int = FREE,
-        kind: int = SAFE,
+        account_id: int = 9,
+        plan_index: int = FREE,
+        class_index: int = SAFE,
         units: float = 1.0,
-        left: int | None = None,
-        first: int = 0,
-        gateways: int = 3,
+        time_left_us: int | None = None,
+        first_gateway: int = 0,
+        gateway_count: int = 3,
         is_retry: bool = False,
     ) -> tuple[int, list[Action]]:
         """A new request; its number and the actions at once."""
-        number = self.next_request
-        self.next_request += 1
-        left = left if left is not None else self.settings.classes[kind].deadline
-        return number, self.give(
-            Arrival(number, customer, plan, kind, left, units, first, gateways, is_retry)
+        number = self.next_request_id
+        self.next_request_id += 1
+        deadline_us = self.settings.classes[class_index].deadline_us
+        time_left_us = time_left_us if time_left_us is not None else deadline_us
+        return number, self.handle(
+            RequestArrived(
+                number,
+                account_id,
+                plan_index,
+                class_index,
+                time_left_us,
+                units,
+                first_gateway,
+                gateway_count,
+                is_retry,
+            )
         )
 
-    def end(
+    def end_attempt(
         self,
-        request: int,
-        server: bytes,
+        request_id: int,
+        server_id: bytes,
         result: Result = Result.OK,
-        took: int = 50 * MS,
-        attempt: int | None = None,
-        ended: bool | None = None,
-        load: LoadReport | None = None,
-        true_units: int | None = None,
+        duration_us: int = 50 * MS,
+        attempt_index: int | None = None,
+        request_ended: bool | None = None,
+        load_report: LoadReport | None = None,
+        actual_units: int | None = None,
     ) -> list[Action]:
         """The outcome of an attempt, the last one if none is named."""
-        attempt = self.attempts[request] - 1 if attempt is None else attempt
-        ended = result is Result.OK if ended is None else ended
-        return self.give(
+        attempt_index = self.attempts[request_id] - 1 if attempt_index is None else attempt_index
+        request_ended = result is Result.OK if request_ended is None else request_ended
+        return self.handle(
             AttemptEnded(
-                request,
-                attempt,
-                server,
+                request_id,
+                attempt_index,
+                server_id,
                 result,
-                took,
-                ended,
-                load=load,
-                true_units=true_units,
+                duration_us,
+                request_ended,
+                load_report=load_report,
+                actual_units=actual_units,
             )
         )
 
-    def serve(self, **ask: Any) -> bool:
+    def serve_request(self, **request: Any) -> bool:
         """Ask, and answer well at once whatever is sent; whether it was this one."""
-        number, actions = self.ask(**ask)
-        sent = of(Send, actions)
-        for send in sent:  # one that waits goes before it
-            self.end(send.request, send.server)
-        return number in {send.request for send in sent}
+        number, actions = self.send_request(**request)
+        attempts = actions_of_type(StartAttempt, actions)
+        for attempt in attempts:  # one that waits goes before it
+            self.end_attempt(attempt.request_id, attempt.server_id)
+        return number in {attempt.request_id for attempt in attempts}
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -11,7 +11,15 @@
 import uvloop
 
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
+from irisdeal.front_door.decisions.interface import (
+    Action,
+    AttemptEnded,
+    Decider,
+    Event,
+    FailRequest,
+    RequestArrived,
+    StartAttempt,
+)
 from irisdeal.front_door.server.config import Config, parse
 from irisdeal.front_door.server.program import Program
 
@@ -270,8 +278,8 @@
 
 def send_all(event: Event, server: bytes = b"s-1") -> list[Action]:
     """Each request gets one attempt; whatever ends badly fails."""
-    if isinstance(event, Arrival):
-        return [Send(event.request, server)]
-    if isinstance(event, AttemptEnded) and not event.ended:
-        return [Fail(event.request)]
+    if isinstance(event, RequestArrived):
+        return [StartAttempt(event.request_id, server)]
+    if isinstance(event, AttemptEnded) and not event.request_ended:
+        return [FailRequest(event.request_id)]
     return []
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -492,7 +492,7 @@
 
     def __init__(self, seed: int, recorder: Recorder) -> None:
         self.chance, self.recorder = random.Random(seed), recorder
-        self.host = simulator.Host()
+        self.host = simulator.GatewayHost()
         self.agenda: list[tuple[int, int, bytes]] = []
         self.made = 0
         self.now = 0
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -33,7 +33,12 @@
 from irisdeal.config_store.storage.chunks import CHUNK_BYTES, SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.front_door.decisions.gateway import Gateway
-from irisdeal.front_door.decisions.interface import Barred, ListKind, ServerList, Shared
+from irisdeal.front_door.decisions.interface import (
+    CeilingShareChanged,
+    ServerAdminStateChanged,
+    ServerList,
+    ServerListKind,
+)
 from irisdeal.front_door.handover.message import (
     ACCEPTING,
     HEAD,
@@ -448,7 +453,7 @@
     """The state, in hex, of a gateway that has served for a while; and of the one that took over from it."""
     old = worked()
     told = pack(old.gateway, old.now, HALF)
-    old.give(Shared(HALF, False))
+    old.handle(CeilingShareChanged(HALF, False))
     state = body({**told, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
     return {
         "request": request(*DOOR).hex(),
@@ -473,10 +478,10 @@
     """What a new gateway, told this state and the list, would hand over in its turn."""
     old, told = worked(), read_handover(state)
     new = Gateway(old.settings, 99)
-    entries = tuple(server.listed() for server in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ListKind.REMEMBERED, 2, entries), Shared(HALF, True)])
+    entries = tuple(server.listed_entry() for server in old.gateway.servers.values())
+    new.handle(old.now, [ServerList(ServerListKind.REMEMBERED, 2, entries), CeilingShareChanged(HALF, True)])
     unpack(told, new, old.now)
-    new.handle(old.now, [Barred(server, True) for server in new.barred])
+    new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return body(pack(new, old.now, HALF))
 
 
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -8,15 +8,15 @@
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import (
     Action,
-    Arrival,
     Event,
-    ListKind,
-    Refuse,
-    Send,
+    RejectRequest,
+    RequestArrived,
     ServerEntry,
     ServerList,
+    ServerListKind,
     ServerState,
     Settings,
+    StartAttempt,
 )
 from irisdeal.front_door.server.client_request import ClientRequest
 from irisdeal.front_door.server.clients import Client
@@ -38,10 +38,10 @@
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         for event in list(events):
             if isinstance(event, ServerList):
-                if event.kind is ListKind.COMPLETE:
+                if event.kind is ServerListKind.COMPLETE:
                     self.list.clear()
                 for entry in event.entries:
-                    self.list[entry.server] = entry
+                    self.list[entry.server_id] = entry
         return super().handle(now, events)
 
 
@@ -49,12 +49,14 @@
     """A second copy of every unsafe request, to another backend."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        unsafe = {e.request for e in list(events) if isinstance(e, Arrival) and e.request_class == UNSAFE}
+        unsafe = {
+            e.request_id for e in list(events) if isinstance(e, RequestArrived) and e.class_index == UNSAFE
+        }
         actions = super().handle(now, events)
         for action in list(actions):
-            if isinstance(action, Send) and action.request in unsafe:
-                other = next(s for s in self.list if s != action.server)
-                actions.append(Send(action.request, other))
+            if isinstance(action, StartAttempt) and action.request_id in unsafe:
+                other = next(s for s in self.list if s != action.server_id)
+                actions.append(StartAttempt(action.request_id, other))
         return actions
 
 
@@ -62,9 +64,15 @@
     """Promises that an unsafe request, just sent, did not run."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        unsafe = {e.request for e in list(events) if isinstance(e, Arrival) and e.request_class == UNSAFE}
+        unsafe = {
+            e.request_id for e in list(events) if isinstance(e, RequestArrived) and e.class_index == UNSAFE
+        }
         actions = super().handle(now, events)
-        return actions + [Refuse(a.request) for a in actions if isinstance(a, Send) and a.request in unsafe]
+        return actions + [
+            RejectRequest(a.request_id)
+            for a in actions
+            if isinstance(a, StartAttempt) and a.request_id in unsafe
+        ]
 
 
 class KeepsDraining(Gateway):
@@ -89,15 +97,15 @@
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         actions = super().handle(now, events)
-        newest = max(self.list.values(), key=lambda e: e.started, default=None)
-        if newest is None or not newest.started:
+        newest = max(self.list.values(), key=lambda e: e.started_at, default=None)
+        if newest is None or not newest.started_at:
             return actions
-        return [replace(a, server=newest.server) if isinstance(a, Send) else a for a in actions]
+        return [replace(a, server_id=newest.server_id) if isinstance(a, StartAttempt) else a for a in actions]
 
 
 def without_ceiling(settings: Settings, seed: int) -> Gateway:
     """A module that was told of no quota and no ceiling."""
-    plans = tuple(replace(p, rate=0.0, ceiling_rate=0.0, open_limit=0) for p in settings.plans)
+    plans = tuple(replace(p, rate_per_s=0.0, ceiling_rate_per_s=0.0, max_in_flight=0) for p in settings.plans)
     return Gateway(replace(settings, plans=plans), seed)
 
 
