--- a/benchmarks/route_swaps.py
+++ b/benchmarks/route_swaps.py
@@ -109,11 +109,11 @@
         program = Program(config, loop, Gateway(config.settings, config.seed))
         router = program.router
         assert router is not None
-        await router.first()
+        await router.load_first()
         program.start()
         gc.collect()
         gc.freeze()  # as `Program.run` does: what was there at the start is not looked through again
-        while not program.door.can_serve():
+        while not program.decision_loop.can_serve():
             await asyncio.sleep(0.01)
         asked, ticker = Load(listen, "swap"), Ticker()
         await asked.run(rate, 1.0)
@@ -130,7 +130,7 @@
                 new.write_text(texts[(n + 1) % 2])
                 new.replace(file)
                 settled = asyncio.Event()
-                router.on_settled = settled.set
+                router.on_loaded = settled.set
                 begun = loop.time()
                 router.load()
                 await settled.wait()
@@ -143,7 +143,7 @@
         made = {
             "routes": routes,
             "swaps": router.table.number - before,
-            "refused": router.refused,
+            "refused": router.rejected_count,
             "swap_s": {"median": sorted(took)[len(took) // 2], "most": max(took)},
             "loop_late_without": without,
             "loop_late_with": with_swaps,
--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -20,23 +20,23 @@
 
 log = logging.getLogger("irisdeal.backends")
 
-MOST_BODY = 65_536
-MOST_HEAD = 16_384
-MOST_STREAM = 64 << 20  # bytes of an answer that is passed on: twice the longest there are
-READ = 65_536  # bytes that one read of a stream brings at most: `MAX_READ_BYTES` of the byte budget
-UNSENT = 65_536  # bytes of a body that may wait for a backend to read
-SOON = 0.1  # s after its head: an answer of unknown length is passed on from here
-OWS = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
-MOST_INTERIM = 16  # 1xx answers ahead of one that counts
-IDLE_SHARE = 0.5  # of the set idle time: a request on a connection closed meanwhile ends as a reset
+MAX_BODY_BYTES = 65_536
+MAX_HEAD_BYTES = 16_384
+MAX_STREAM_BYTES = 64 << 20  # bytes of an answer that is passed on: twice the longest there are
+MAX_READ_BYTES = 65_536  # bytes that one read of a stream brings at most: `MAX_READ_BYTES` of the byte budget
+WRITE_BUFFER_BYTES = 65_536  # bytes of a body that may wait for a backend to read
+STREAM_DELAY_S = 0.1  # s after its head: an answer of unknown length is passed on from here
+OPTIONAL_WHITESPACE = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
+MAX_INTERIM_RESPONSES = 16  # 1xx answers ahead of one that counts
+IDLE_TIME_RATIO = 0.5  # of the set idle time: a request on a connection closed meanwhile ends as a reset
 # Some close sooner: a request on a dead connection costs far more than a new connection.
-LEAST_KEEP, KEEP_LESS, KEEP_MORE = 0.05, 0.8, 1.02  # s; times after a dead one; after a good one as old
-KEEP_AGAIN = 1.1  # times each second
-REST = 0.01  # s before a connection is used again: bytes that belong to no answer show within that time
-STALLED = 0.25  # s for the rest of an answer that has begun: backends write theirs whole
+MIN_IDLE_LIMIT_S, IDLE_LIMIT_DECREASE_RATIO, IDLE_LIMIT_INCREASE_RATIO = 0.05, 0.8, 1.02
+IDLE_LIMIT_RECOVERY_RATIO = 1.1  # times each second
+MIN_IDLE_S = 0.01  # s before a connection is used again: bytes that belong to no answer show within that time
+STALL_TIMEOUT_S = 0.25  # s for the rest of an answer that has begun: backends write theirs whole
 # The most of each figure that a backend can mean; beyond it is noise.
-MOST_LOAD = {"in_flight": 10_000.0, "queued": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
-TOLD_LOAD = {  # the names of load figures, as in the settings and as plain words
+MAX_LOAD = {"in_flight": 10_000.0, "queued": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
+LOAD_FIELDS = {  # the names of load figures, as in the settings and as plain words
     **LOAD_REPORT_ATTRIBUTES,
     "inflight": "in_flight",
     "queue": "queued",
@@ -47,10 +47,10 @@
 }
 
 
-class Outlet(Protocol):
+class ResponseSink(Protocol):
     """Where an answer goes that is passed on as it comes (`flows.py`)."""
 
-    source: Backend | None
+    source: BackendConnection | None
 
     def feed(self, data: bytes) -> None: ...
 
@@ -59,45 +59,45 @@
     def abort(self) -> None: ...
 
 
-class Body(Protocol):
+class RequestBody(Protocol):
     """A request's body that is still on its way (`flows.py`)."""
 
-    def attach(self, sink: Backend) -> None: ...
+    def attach(self, sink: BackendConnection) -> None: ...
 
-    def detach(self, sink: Backend) -> None: ...
+    def detach(self, sink: BackendConnection) -> None: ...
 
-    def pour(self) -> None: ...
+    def resume(self) -> None: ...
 
 
-class Answer:
+class BackendResponse:
     """What a backend answered."""
 
-    __slots__ = ("body", "content_type", "load", "never_ran", "size", "status", "usage")
+    __slots__ = ("body", "body_bytes", "content_type", "load_report", "never_ran", "status", "usage_percent")
 
     def __init__(self) -> None:
-        self.status = self.size = 0
+        self.status = self.body_bytes = 0
         self.body = self.content_type = b""
         self.never_ran = False
-        self.usage: int | None = None
-        self.load: LoadReport | None = None
+        self.usage_percent: int | None = None
+        self.load_report: LoadReport | None = None
 
 
-def read_load(text: bytes) -> LoadReport | None:
+def parse_load_report(text: bytes) -> LoadReport | None:
     """A load report; figures that are unknown or no numbers are passed over."""
     found: dict[str, float] = {}
     for part in text.decode("latin-1").removeprefix("TEXT").split(","):
         name, _, value = part.partition("=")
-        field = TOLD_LOAD.get(name.strip())
+        field = LOAD_FIELDS.get(name.strip())
         try:
             number = float(value)
         except ValueError:
             continue
-        if field and 0 <= number <= MOST_LOAD.get(field, 1e6):
+        if field and 0 <= number <= MAX_LOAD.get(field, 1e6):
             found[field] = number
     return LoadReport(**found) if found else None
 
 
-def outcome(answer: Answer) -> Result:
+def response_result(answer: BackendResponse) -> Result:
     """The protocol's table of outcomes, for whole answers."""
     if answer.status == 200:
         return Result.OK
@@ -111,19 +111,19 @@
 
     __slots__ = (
         "address",
-        "bodiless",
         "body",
         "connection",
         "done",
+        "first_byte_us",
+        "is_head_request",
         "number",
         "on_end",
         "on_stream",
         "payload",
         "request",
-        "sent",
+        "sent_at",
         "server",
         "timer",
-        "took",
     )
 
     def __init__(
@@ -132,21 +132,29 @@
         number: int,
         server: bytes,
         sent: int,
-        on_end: Callable[[Attempt, Result, Answer | None], None],
+        on_end: Callable[[Attempt, Result, BackendResponse | None], None],
     ) -> None:
-        self.request, self.number, self.server, self.sent, self.on_end = request, number, server, sent, on_end
+        self.request, self.number, self.server, self.sent_at, self.on_end = (
+            request,
+            number,
+            server,
+            sent,
+            on_end,
+        )
         self.address: Address = ("", 0)
         self.payload = b""
-        self.body: Body | None = None  # what follows the payload as it comes
+        self.body: RequestBody | None = None  # what follows the payload as it comes
         # Called where an answer is passed on as it comes; None: it has nowhere to go.
-        self.on_stream: Callable[[Attempt, Answer, int | None], Outlet | None] = lambda *_: None
-        self.took: int | None = None  # µs to the first bytes of an answer that is passed on
-        self.bodiless = False  # HEAD: its answer ends with its head
-        self.connection: Backend | None = None
+        self.on_stream: Callable[[Attempt, BackendResponse, int | None], ResponseSink | None] = lambda *_: (
+            None
+        )
+        self.first_byte_us: int | None = None  # µs to the first bytes of an answer that is passed on
+        self.is_head_request = False  # HEAD: its answer ends with its head
+        self.connection: BackendConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.done = False
 
-    def finish(self, result: Result, answer: Answer | None = None) -> None:
+    def finish(self, result: Result, answer: BackendResponse | None = None) -> None:
         """Its one end; what comes later is dropped."""
         if self.done:
             return
@@ -155,7 +163,7 @@
             self.timer.cancel()
         connection, self.connection, self.payload = self.connection, None, b""
         if connection is not None:
-            connection.leave()
+            connection.detach_attempt()
         self.on_end(self, result, answer)
 
     def is_written(self) -> bool:
@@ -166,164 +174,164 @@
         self.finish(Result.TIMED_OUT if self.is_written() else Result.NOT_CONNECTED)
 
 
-def small_reads(transport: asyncio.Transport) -> None:
+def limit_read_size(transport: asyncio.Transport) -> None:
     """No read of this connection brings more than a budget reckons with (`byte_budget.MAX_READ_BYTES`)."""
     made = transport.get_extra_info("socket")
     if made is not None:
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ // 2)
+        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MAX_READ_BYTES // 2)
 
 
-class Backend(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """One connection to a backend. It carries one request at a time."""
 
-    def __init__(self, pool: Pool, server: bytes, address: Address) -> None:
+    def __init__(self, pool: BackendPool, server: bytes, address: Address) -> None:
         self.pool, self.server, self.address = pool, server, address
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = None
         self.written = self.lost = self.retired = False
         self.idle_since = 0.0
-        self.rested: float | None = None  # s before the present request; None on a new connection
-        self.file = -1
-        self.connecting: asyncio.Task[None] | None = None
-        self.stalled: asyncio.TimerHandle | None = None
-        self.answer = Answer()
-        self.parts: list[bytes] = []
-        self.head_size = self.interim = 0
-        self.begun = self.whole = self.reusable = False
+        self.idle_time_s: float | None = None  # s before the present request; None on a new connection
+        self.fd = -1
+        self.connect_task: asyncio.Task[None] | None = None
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.response = BackendResponse()
+        self.body_parts: list[bytes] = []
+        self.head_bytes = self.interim_count = 0
+        self.in_response = self.is_complete = self.is_reusable = False
         # What only a door that passes long bodies on needs:
-        self.body: Body | None = None
-        self.flow: Outlet | None = None
-        self.length: int | None = None
-        self.chunked = self.until_close = self.in_trailer = False
-        self.choked = self.ending = self.held = False
-        self.heard = 0.0
-        self.soon: asyncio.TimerHandle | None = None
+        self.request_body: RequestBody | None = None
+        self.sink: ResponseSink | None = None
+        self.content_length: int | None = None
+        self.chunked = self.ends_at_close = self.in_trailer = False
+        self.write_paused = self.body_ended = self.read_paused = False
+        self.last_read_at = 0.0
+        self.stream_timer: asyncio.TimerHandle | None = None
 
     # For the pool
 
-    def carry(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
         if self.transport is not None:
-            self._write()
+            self._write_request()
 
-    def _write(self) -> None:
+    def _write_request(self) -> None:
         assert self.transport is not None and self.attempt is not None
         payload, self.attempt.payload = self.attempt.payload, b""
         if self.attempt.body is not None:
-            self.body = self.attempt.body
-            self.transport.set_write_buffer_limits(high=UNSENT)
+            self.request_body = self.attempt.body
+            self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
             self.transport.write(payload)
-            return self.body.attach(self)
-        self._is_written()
+            return self.request_body.attach(self)
+        self._mark_written()
         self.transport.write(payload)
 
-    def _is_written(self) -> None:
+    def _mark_written(self) -> None:
         """What the kernel takes may run: from here a break is a reset."""
         self.written = True
-        self.pool.written += 1
+        self.pool.written_count += 1
 
     # A body that follows as it comes
 
-    def put(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(data)
 
     def end_body(self, data: bytes) -> None:
         """The last of it; it has left once nothing of it waits any more."""
-        if self.transport is None or self.ending:
+        if self.transport is None or self.body_ended:
             return
-        self.ending = True
+        self.body_ended = True
         self.transport.write(data)
         self.transport.set_write_buffer_limits(high=0)
         if not self.transport.get_write_buffer_size():
-            self._is_written()
+            self._mark_written()
 
     def pause_writing(self) -> None:
-        self.choked = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.choked = False
-        if self.ending:
+        self.write_paused = False
+        if self.body_ended:
             if not self.written:
-                self._is_written()
-        elif self.body is not None:
-            self.body.pour()
+                self._mark_written()
+        elif self.request_body is not None:
+            self.request_body.resume()
 
     # An answer that is passed on
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Whoever it goes to does not read: neither do we."""
-        if not self.held and self.transport is not None:
-            self.held = True
+        if not self.read_paused and self.transport is not None:
+            self.read_paused = True
             self.transport.pause_reading()
 
-    def release(self) -> None:
-        if self.held and self.transport is not None:
-            self.held, self.heard = False, self.pool.loop.time()
+    def resume_reading(self) -> None:
+        if self.read_paused and self.transport is not None:
+            self.read_paused, self.last_read_at = False, self.pool.loop.time()
             self.transport.resume_reading()
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Nobody wants the rest of the answer."""
         if self.attempt is not None:
             self.attempt.finish(Result.CANCELLED)
 
-    def _pass_on(self) -> None:
-        if self.attempt is None or self.flow is not None or self.whole:
+    def _start_stream(self) -> None:
+        if self.attempt is None or self.sink is not None or self.is_complete:
             return
         if self.written:  # an answer ahead of the body's end is none to this request
-            self.flow = self.attempt.on_stream(self.attempt, self.answer, self.length)
-        if self.flow is None:
-            self._end(Result.ERROR)
-            return self.drop()
-        self.flow.source = self
-        for part in self.parts:
-            self.flow.feed(part)
-        self.parts = []
-
-    def leave(self) -> None:
+            self.sink = self.attempt.on_stream(self.attempt, self.response, self.content_length)
+        if self.sink is None:
+            self._finish_attempt(Result.ERROR)
+            return self.abort()
+        self.sink.source = self
+        for part in self.body_parts:
+            self.sink.feed(part)
+        self.body_parts = []
+
+    def detach_attempt(self) -> None:
         """The attempt has ended: back to the pool after a whole answer, else closed."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
-        if self.stalled is not None:
-            self.stalled.cancel()
-            self.stalled = None
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
         if self.pool.budget is not None:
-            self._leave_streams()
-        if self.whole and self.rested is not None:
-            self.pool.learn(self.rested, True)
-        if self.whole and self.reusable and not (self.lost or self.retired):
-            self.written = self.whole = False
-            self.pool.rest(self)
+            self._detach_streams()
+        if self.is_complete and self.idle_time_s is not None:
+            self.pool.update_idle_limit(self.idle_time_s, True)
+        if self.is_complete and self.is_reusable and not (self.lost or self.retired):
+            self.written = self.is_complete = False
+            self.pool.release(self)
         else:
-            self.drop()
+            self.abort()
 
-    def _leave_streams(self) -> None:
-        if self.soon is not None:
-            self.soon.cancel()
-            self.soon = None
-        body, self.body = self.body, None
+    def _detach_streams(self) -> None:
+        if self.stream_timer is not None:
+            self.stream_timer.cancel()
+            self.stream_timer = None
+        body, self.request_body = self.request_body, None
         if body is not None:
-            self.reusable = self.reusable and self.written  # an answer ahead of the body's end
+            self.is_reusable = self.is_reusable and self.written  # an answer ahead of the body's end
             body.detach(self)
-            if self.transport is not None and self.reusable:
+            if self.transport is not None and self.is_reusable:
                 self.transport.set_write_buffer_limits()
-        self.ending = False
-        flow, self.flow = self.flow, None
+        self.body_ended = False
+        flow, self.sink = self.sink, None
         if flow is not None:
-            self.release()
-            if not self.whole:
+            self.resume_reading()
+            if not self.is_complete:
                 flow.abort()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close at once; the backend need not hear why."""
         self.lost = True
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.transport is not None:
             self.transport.abort()
-        elif self.connecting is not None:
-            self.connecting.cancel()
+        elif self.connect_task is not None:
+            self.connect_task.cancel()
 
     async def connect(self, timeout: float) -> None:
         try:
@@ -331,34 +339,34 @@
                 await self.pool.loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError) as error:
             # Time may run out in the turn in which it came up and the request was written.
-            self._end(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
+            self._finish_attempt(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
             log.warning("no connection to %s:%d: %s", *self.address, error or "timed out")
         finally:
-            self.connecting = None
+            self.connect_task = None
 
-    def is_clean(self) -> bool:
+    def is_idle_without_input(self) -> bool:
         """Nothing has come since the last answer: what came would be taken for the next one."""
         if self.transport is None or self.transport.is_closing():
             return False
-        return not self.pool.host.has_bytes(self.file)
+        return not self.pool.host.has_bytes(self.fd)
 
-    def _stall(self) -> None:
+    def _check_stall(self) -> None:
         if self.pool.budget is not None and self.attempt is not None:
-            least = self.pool.stream_stall if self.flow is not None else self.pool.stall_time
-            stood = 0.0 if self.held else self.pool.loop.time() - self.heard
+            least = self.pool.stream_stall_timeout_s if self.sink is not None else self.pool.stall_timeout_s
+            stood = 0.0 if self.read_paused else self.pool.loop.time() - self.last_read_at
             if stood < least:  # it still flows, or it is we who do not read
-                self.stalled = self.pool.loop.call_later(least - stood, self._stall)
+                self.stall_timer = self.pool.loop.call_later(least - stood, self._check_stall)
                 return
         if self.attempt is not None:
             log.warning("an answer from %s:%d stopped half way", *self.address)
-            self._end(Result.CONNECTION_LOST)
-            self.drop()
+            self._finish_attempt(Result.CONNECTION_LOST)
+            self.abort()
 
-    def _end(self, result: Result, answer: Answer | None = None) -> None:
+    def _finish_attempt(self, result: Result, answer: BackendResponse | None = None) -> None:
         attempt = self.attempt
         if result is not Result.OK and answer is None:
             self.lost = True
-            self.pool.forget(self)
+            self.pool.remove(self)
         if attempt is not None:
             attempt.finish(result, answer)
 
@@ -368,129 +376,135 @@
         transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
         self.transport = transport
         if self.lost or self.attempt is None:
-            return self.drop()
+            return self.abort()
         if self.pool.budget is not None:
-            small_reads(transport)
+            limit_read_size(transport)
         self.parser = httptools.HttpResponseParser(self)
-        self.file = transport.get_extra_info("socket").fileno()
-        self._write()
+        self.fd = transport.get_extra_info("socket").fileno()
+        self._write_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if exc is None and self.until_close and self.begun and self.attempt is not None:
-            self.begun, self.whole, self.reusable, self.lost = False, True, False, True
+        if exc is None and self.ends_at_close and self.in_response and self.attempt is not None:
+            self.in_response, self.is_complete, self.is_reusable, self.lost = False, True, False, True
             self.parser = self.transport = None
-            self.pool.forget(self)
-            return self._whole()
+            self.pool.remove(self)
+            return self._complete_response()
         self.parser = self.transport = None  # parser and connection hold each other
-        if self.attempt is not None and self.rested is not None and not self.begun:
-            self.pool.learn(self.rested, False)  # closed while it stood idle, and not seen in time
-        self._end(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
+        if self.attempt is not None and self.idle_time_s is not None and not self.in_response:
+            self.pool.update_idle_limit(
+                self.idle_time_s, False
+            )  # closed while it stood idle, and not seen in time
+        self._finish_attempt(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None or self.parser is None:  # an answer to nothing
-            return self.drop()
+            return self.abort()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             log.warning("odd answer from %s:%d: %s", *self.address, error.__context__ or error)
-            self.reusable = False
-            if not self.whole:  # behind a whole answer it takes nothing from that one
-                self._end(Result.CONNECTION_LOST)  # it may have run
-                return self.drop()
-        if self.whole:
-            self._whole()
-        elif self.begun:
+            self.is_reusable = False
+            if not self.is_complete:  # behind a whole answer it takes nothing from that one
+                self._finish_attempt(Result.CONNECTION_LOST)  # it may have run
+                return self.abort()
+        if self.is_complete:
+            self._complete_response()
+        elif self.in_response:
             if self.pool.budget is not None:
-                self.heard = self.pool.loop.time()
-            if self.stalled is None:
-                self.stalled = self.pool.loop.call_later(self.pool.stall_time, self._stall)
-
-    def _whole(self) -> None:
-        answer = self.answer
-        if self.flow is not None:
-            self.flow.end()
+                self.last_read_at = self.pool.loop.time()
+            if self.stall_timer is None:
+                self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._check_stall)
+
+    def _complete_response(self) -> None:
+        answer = self.response
+        if self.sink is not None:
+            self.sink.end()
         else:
-            answer.body = b"".join(self.parts)
-        self._end(outcome(answer), answer)
+            answer.body = b"".join(self.body_parts)
+        self._finish_attempt(response_result(answer), answer)
 
     # The parser's calls
 
     def on_message_begin(self) -> None:
-        if self.whole:
+        if self.is_complete:
             raise ValueError("more than one answer to one request")
-        self.answer, self.parts, self.head_size, self.begun = Answer(), [], 0, True
-        self.length, self.chunked, self.until_close, self.in_trailer = None, False, False, False
+        self.response, self.body_parts, self.head_bytes, self.in_response = BackendResponse(), [], 0, True
+        self.content_length, self.chunked, self.ends_at_close, self.in_trailer = None, False, False, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.head_size += len(name) + len(value)
-        if self.head_size > MOST_HEAD:
-            raise ValueError(f"head over {MOST_HEAD} bytes")
+        self.head_bytes += len(name) + len(value)
+        if self.head_bytes > MAX_HEAD_BYTES:
+            raise ValueError(f"head over {MAX_HEAD_BYTES} bytes")
         if self.in_trailer:  # behind the body: no header of the answer
             return
-        key, value = name.lower(), value.strip(OWS)
+        key, value = name.lower(), value.strip(OPTIONAL_WHITESPACE)
         if key == b"content-length":
-            if self.attempt is not None and self.attempt.bodiless:
+            if self.attempt is not None and self.attempt.is_head_request:
                 return  # what GET would bring
-            most = MOST_BODY if self.pool.budget is None else MOST_STREAM
+            most = MAX_BODY_BYTES if self.pool.budget is None else MAX_STREAM_BYTES
             if len(value) > 9 or int(value) > most:  # an answer of gigabytes is not waited for
                 raise ValueError(f"body over {most} bytes")
-            self.length = int(value)
+            self.content_length = int(value)
         elif key == b"transfer-encoding":
             self.chunked = True
         elif key == b"endpoint-load-metrics":
-            self.answer.load = read_load(value)
+            self.response.load_report = parse_load_report(value)
         elif key == b"usage-percent":
-            self.answer.usage = int(value) if value.isdigit() and len(value) < 10 else None
+            self.response.usage_percent = int(value) if value.isdigit() and len(value) < 10 else None
         elif key == b"x-never-ran":
-            self.answer.never_ran = value.strip() == b"1"
+            self.response.never_ran = value.strip() == b"1"
         elif key == b"content-type":
-            self.answer.content_type = value
+            self.response.content_type = value
 
     def on_headers_complete(self) -> None:
         """An answer to HEAD is whole here; the parser waits for a body, so the connection ends with it."""
         assert self.parser is not None
-        if self.attempt is not None and self.attempt.bodiless and self.parser.get_status_code() >= 200:
-            self.begun, self.reusable = False, False
-            self.answer.status, self.whole, self.interim = self.parser.get_status_code(), True, 0
+        if self.attempt is not None and self.attempt.is_head_request and self.parser.get_status_code() >= 200:
+            self.in_response, self.is_reusable = False, False
+            self.response.status, self.is_complete, self.interim_count = (
+                self.parser.get_status_code(),
+                True,
+                0,
+            )
         elif (status := self.parser.get_status_code()) >= 200:
             self.in_trailer = True
             if self.pool.budget is None:
                 return
-            self.answer.status = status
-            self.until_close = self.length is None and not self.chunked and status not in (204, 304)
-            if status == 200 and self.length is None:
-                self.soon = self.pool.loop.call_later(SOON, self._pass_on)
-            elif status == 200 and self.length is not None and self.length > MOST_BODY:
-                self._pass_on()
+            self.response.status = status
+            self.ends_at_close = self.content_length is None and not self.chunked and status not in (204, 304)
+            if status == 200 and self.content_length is None:
+                self.stream_timer = self.pool.loop.call_later(STREAM_DELAY_S, self._start_stream)
+            elif status == 200 and self.content_length is not None and self.content_length > MAX_BODY_BYTES:
+                self._start_stream()
 
     def on_body(self, body: bytes) -> None:
-        if self.attempt is not None and self.attempt.bodiless:
+        if self.attempt is not None and self.attempt.is_head_request:
             return  # it should not be there; the connection ends anyway
-        if self.flow is not None:
-            return self.flow.feed(body)
-        self.answer.size += len(body)
-        self.parts.append(body)
-        if self.answer.size > MOST_BODY:
-            if self.pool.budget is None or self.answer.status != 200:
-                raise ValueError(f"body over {MOST_BODY} bytes")
-            self._pass_on()
+        if self.sink is not None:
+            return self.sink.feed(body)
+        self.response.body_bytes += len(body)
+        self.body_parts.append(body)
+        if self.response.body_bytes > MAX_BODY_BYTES:
+            if self.pool.budget is None or self.response.status != 200:
+                raise ValueError(f"body over {MAX_BODY_BYTES} bytes")
+            self._start_stream()
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
         status = self.parser.get_status_code()
-        self.begun = False
-        if self.whole:  # an answer to HEAD that says it has no body
+        self.in_response = False
+        if self.is_complete:  # an answer to HEAD that says it has no body
             return
         if status >= 200:  # an interim answer is followed by the final one
-            self.answer.status, self.whole, self.interim = status, True, 0
-            self.reusable = self.parser.should_keep_alive()  # asked later, the parser has forgotten
+            self.response.status, self.is_complete, self.interim_count = status, True, 0
+            self.is_reusable = self.parser.should_keep_alive()  # asked later, the parser has forgotten
         else:
-            self.interim += 1
-            if self.interim > MOST_INTERIM:
+            self.interim_count += 1
+            if self.interim_count > MAX_INTERIM_RESPONSES:
                 raise ValueError("interim answers without end")
 
 
-class Pool:
+class BackendPool:
     """The connections to all backends, bounded in number."""
 
     def __init__(
@@ -501,63 +515,66 @@
         host: Host | None = None,
     ) -> None:
         self.host = host or Host()
-        self.loop, self.most, self.rest_time, self.stall_time = loop, most, REST, STALLED
+        self.loop, self.max_connections = loop, most
+        self.min_idle_s, self.stall_timeout_s = MIN_IDLE_S, STALL_TIMEOUT_S
         self.budget: ByteBudget | None = None  # where long bodies are passed on
-        self.stream_stall = 0.0
-        self.connect_timeout = config.connect_timeout / 1e6
-        self.keep = self.longest = config.keepalive / 1e6 * IDLE_SHARE
+        self.stream_stall_timeout_s = 0.0
+        self.connect_timeout_s = config.connect_timeout_us / 1e6
+        self.idle_limit_s = self.max_idle_limit_s = config.keepalive_us / 1e6 * IDLE_TIME_RATIO
         # By backend, not by address: a new backend may stand where another one stood.
-        self.idle: dict[bytes, list[Backend]] = {}
-        self.all: set[Backend] = set()
-        self.written = 0  # attempts whose last byte has left
+        self.idle: dict[bytes, list[BackendConnection]] = {}
+        self.connections: set[BackendConnection] = set()
+        self.written_count = 0  # attempts whose last byte has left
         loop.call_later(1.0, self._sweep)
 
     def send(self, attempt: Attempt) -> None:
         """On the newest connection that has rested, else on a new one."""
-        if connection := self._rested(attempt.server):
-            return connection.carry(attempt)
-        if len(self.all) >= self.most and not self._make_room():
-            log.warning("all %d connections to backends are busy", self.most)
+        if connection := self._take_idle(attempt.server):
+            return connection.start_attempt(attempt)
+        if len(self.connections) >= self.max_connections and not self._close_oldest_idle():
+            log.warning("all %d connections to backends are busy", self.max_connections)
             return attempt.finish(Result.NOT_SENT)  # our want of descriptors says nothing of the backend
-        connection = Backend(self, attempt.server, attempt.address)
-        self.all.add(connection)
-        connection.carry(attempt)
-        connection.connecting = self.loop.create_task(connection.connect(self.connect_timeout))
+        connection = BackendConnection(self, attempt.server, attempt.address)
+        self.connections.add(connection)
+        connection.start_attempt(attempt)
+        connection.connect_task = self.loop.create_task(connection.connect(self.connect_timeout_s))
 
-    def _rested(self, server: bytes) -> Backend | None:
+    def _take_idle(self, server: bytes) -> BackendConnection | None:
         resting, now = self.idle.get(server, []), self.loop.time()
         for n in range(len(resting) - 1, -1, -1):
-            if resting[n].idle_since <= now - self.rest_time:
+            if resting[n].idle_since <= now - self.min_idle_s:
                 connection = resting.pop(n)
-                connection.rested = now - connection.idle_since
-                if connection.rested <= self.keep and connection.is_clean():
+                connection.idle_time_s = now - connection.idle_since
+                if connection.idle_time_s <= self.idle_limit_s and connection.is_idle_without_input():
                     return connection
-                connection.drop()
+                connection.abort()
         return None
 
-    def recover(self) -> None:
+    def raise_idle_limit(self) -> None:
         """Once a second: where none may rest, none would show that it could."""
-        self.keep = min(self.longest, self.keep * KEEP_AGAIN)
+        self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RECOVERY_RATIO)
 
-    def learn(self, rested: float, good: bool) -> None:
+    def update_idle_limit(self, rested: float, good: bool) -> None:
         """How long connections may rest: less than those that were found dead, in time again more."""
         if not good:
-            self.keep = max(LEAST_KEEP, min(self.keep, rested) * KEEP_LESS)
-        elif rested > self.keep * KEEP_LESS:
-            self.keep = min(self.longest, self.keep * KEEP_MORE)
+            self.idle_limit_s = max(
+                MIN_IDLE_LIMIT_S, min(self.idle_limit_s, rested) * IDLE_LIMIT_DECREASE_RATIO
+            )
+        elif rested > self.idle_limit_s * IDLE_LIMIT_DECREASE_RATIO:
+            self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_INCREASE_RATIO)
 
-    def _make_room(self) -> bool:
+    def _close_oldest_idle(self) -> bool:
         resting = [c for few in self.idle.values() for c in few]
         if resting:
-            min(resting, key=lambda c: c.idle_since).drop()
+            min(resting, key=lambda c: c.idle_since).abort()
         return bool(resting)
 
-    def rest(self, connection: Backend) -> None:
+    def release(self, connection: BackendConnection) -> None:
         connection.idle_since = self.loop.time()
         self.idle.setdefault(connection.server, []).append(connection)
 
-    def forget(self, connection: Backend) -> None:
-        self.all.discard(connection)
+    def remove(self, connection: BackendConnection) -> None:
+        self.connections.discard(connection)
         resting = self.idle.get(connection.server)
         if resting and connection in resting:
             resting.remove(connection)
@@ -566,19 +583,19 @@
 
     def close_idle(self, server: bytes) -> None:
         for connection in list(self.idle.get(server, ())):
-            connection.drop()
+            connection.abort()
 
     def retire(self, server: bytes) -> None:
         """It has moved or is gone: its connections carry nothing more than what they have."""
         self.close_idle(server)
-        for connection in self.all:
+        for connection in self.connections:
             if connection.server == server:
                 connection.retired = True
 
     def _sweep(self) -> None:
         self.loop.call_later(1.0, self._sweep)
-        self.recover()
-        oldest = self.loop.time() - self.keep
+        self.raise_idle_limit()
+        oldest = self.loop.time() - self.idle_limit_s
         for resting in list(self.idle.values()):
             for connection in [c for c in resting if c.idle_since < oldest]:
-                connection.drop()
+                connection.abort()
--- a/irisdeal/front_door/server/client_request.py
+++ b/irisdeal/front_door/server/client_request.py
@@ -8,13 +8,13 @@
 from functools import lru_cache
 from typing import Protocol
 
-from irisdeal.front_door.server.backends import Body, Outlet
+from irisdeal.front_door.server.backends import RequestBody, ResponseSink
 
-WHOLE = re.compile(rb"[0-9]{1,9}")
-NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-class Malformed(Exception):
+class RequestError(Exception):
     """A request that goes no further; answered with this status and text."""
 
     def __init__(self, status: int, text: str, extra: bytes = b"") -> None:
@@ -23,37 +23,41 @@
 
 
 @lru_cache(maxsize=512)  # few texts come again and again; the rest must not fill the memory
-def read_quota(text: bytes, doors: int) -> tuple[float, int, int] | None:
+def parse_quota_info(text: bytes, doors: int) -> tuple[float, int, int] | None:
     """Units, and the number and first of the customer's front doors; None where the text is malformed."""
     fields = dict(part.strip().partition(b"=")[::2] for part in text.split(b","))
     units = fields.get(b"units", b"")
     spread, first = fields.get(b"spread", b""), fields.get(b"first", b"")
-    if not (NUMBER.fullmatch(units) and WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
+    if not (
+        DECIMAL_PATTERN.fullmatch(units)
+        and INTEGER_PATTERN.fullmatch(spread)
+        and INTEGER_PATTERN.fullmatch(first)
+    ):
         return None
     if not (float(units) > 0 and 1 <= int(spread) <= doors and int(first) < doors):
         return None
     return float(units), int(spread), int(first)
 
 
-class ResponseStream(Outlet, Protocol):
+class ResponseStream(ResponseSink, Protocol):
     """A response that is passed on to its client as it comes (`flows.py`)."""
 
     def open(self) -> bool:
         """Write from now on, since it is this response's turn; whether all of it is written."""
 
-    def read_on(self) -> None:
+    def resume(self) -> None:
         """The client reads again."""
 
-    def lost(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has gone."""
 
 
-class UploadStream(Body, Protocol):
+class UploadStream(RequestBody, Protocol):
     """A request's body that is passed on to a backend as it comes (`flows.py`)."""
 
     length: int | None  # bytes; None where it comes in chunks
-    whole: bool  # its last byte has come
-    spent: bool  # its first bytes are gone, so that it cannot be sent again
+    is_complete: bool  # its last byte has come
+    is_consumed: bool  # its first bytes are gone, so that it cannot be sent again
 
     def feed(self, data: bytes) -> None:
         """Take the next bytes from the client."""
@@ -69,23 +73,23 @@
     """What a request, and bodies that are streamed, need of the client's connection."""
 
     transport: asyncio.Transport | None
-    full: bool
+    write_paused: bool
 
     def reply(self, request: ClientRequest, status: int, body: bytes, extra: bytes) -> None:
         """Queue the final response; responses of one connection go out in the order of their requests."""
 
-    def flow(
+    def start_stream(
         self, request: ClientRequest, length: int | None, kind: bytes, on_over: Callable[[], None]
     ) -> ResponseStream | None:
         """Begin a streamed response of `length` bytes, None where chunked; None where it cannot be streamed."""
 
-    def break_off(self, request: ClientRequest) -> None:
+    def abort_response(self, request: ClientRequest) -> None:
         """End the connection amid a response, so that the client sees that it is incomplete."""
 
-    def advance(self) -> None:
+    def write_ready_responses(self) -> None:
         """Write the responses whose turn it is."""
 
-    def choke(self, choked: bool) -> None:
+    def set_upload_blocked(self, choked: bool) -> None:
         """Stop reading the request's body while its backend does not read, or go on."""
 
 
@@ -93,65 +97,65 @@
     """A well-formed request and the place of its answer."""
 
     __slots__ = (
-        "answer",
-        "bodiless",
         "body",
-        "counted",
+        "close_after",
+        "connection",
+        "counted_class",
         "customer",
-        "first",
-        "flow",
-        "gateways",
+        "first_gateway",
+        "gateway_count",
         "head",
+        "is_head_request",
+        "is_http_1_0",
         "is_retry",
         "is_write",
-        "kind",
         "number",
-        "old_http",
         "plan",
-        "routed",
-        "then_close",
+        "request_class",
+        "response",
+        "response_stream",
+        "route_context",
         "time_left",
-        "trace",
+        "trace_id",
         "units",
         "upload",
-        "where",
     )
 
     def __init__(self, where: ClientConnection) -> None:
-        self.where, self.answer = where, b""
-        self.then_close = self.is_retry = self.is_write = self.old_http = False
+        self.connection, self.response = where, b""
+        self.close_after = self.is_retry = self.is_write = self.is_http_1_0 = False
         self.number = -1  # given by the door
-        self.head = self.body = self.trace = b""
-        self.customer = self.plan = self.kind = self.time_left = self.first = 0
-        self.counted = -1  # the class under which it is counted, once that is known
-        self.gateways, self.units = 1, 1.0
-        self.bodiless = False  # an answer to HEAD has no body
-        self.flow: ResponseStream | None = None  # its answer, where that is passed on as it comes
+        self.head = self.body = self.trace_id = b""
+        self.customer = self.plan = self.request_class = self.time_left = self.first_gateway = 0
+        self.counted_class = -1  # the class under which it is counted, once that is known
+        self.gateway_count, self.units = 1, 1.0
+        self.is_head_request = False  # an answer to HEAD has no body
+        self.response_stream: ResponseStream | None = None  # its answer, where that is passed on as it comes
         self.upload: UploadStream | None = None  # its body, likewise
-        self.routed: object = None  # where a description gives the routes: what the router knows of it
+        self.route_context: object = None  # where a description gives the routes: what the router knows of it
 
     def reply(self, status: int, body: bytes, extra: bytes = b"") -> None:
         """The final answer. `extra` holds whole header lines."""
-        self.where.reply(self, status, body, extra)
+        self.connection.reply(self, status, body, extra)
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """What the server side needs of the door."""
 
-    def take(self, request: ClientRequest) -> None: ...
+    def handle_request(self, request: ClientRequest) -> None: ...
 
-    def uploaded(self, request: ClientRequest) -> None: ...
+    def upload_completed(self, request: ClientRequest) -> None: ...
 
-    def gone(self, request: ClientRequest) -> None: ...
+    def client_disconnected(self, request: ClientRequest) -> None: ...
 
-    def give_up(self, request: ClientRequest) -> None: ...
+    def fail_request(self, request: ClientRequest) -> None: ...
 
     def can_serve(self) -> bool: ...
 
-    def lateness(self) -> int: ...
+    def read_delay_us(self) -> int: ...
 
 
-class Router(Protocol):
+class RequestRouter(Protocol):
     """What takes the place of the class header where a description gives the routes (`routed.py`)."""
 
     def read(
--- a/irisdeal/front_door/server/config.py
+++ b/irisdeal/front_door/server/config.py
@@ -12,8 +12,8 @@
 from irisdeal.front_door.decisions.interface import Settings
 
 Address = tuple[str, int]
-MEMORY = 192  # MB, where none is told: the most on the days that are scored (DEPLOY, Limits)
-MOST_SOCKET_PATH = 107  # bytes; unix(7): 108 with the null that ends it
+DEFAULT_MEMORY_MB = 192  # MB, where none is told: the most on the days that are scored (DEPLOY, Limits)
+MAX_SOCKET_PATH_BYTES = 107  # bytes; unix(7): 108 with the null that ends it
 
 
 class ConfigError(ValueError):
@@ -25,7 +25,7 @@
     """A description of routes, and how often to look whether it has changed (µs; 0: on SIGHUP alone)."""
 
     file: str
-    watch: int = 1_000_000
+    watch_interval_us: int = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,19 +37,19 @@
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int
-    memory: int  # bytes
-    known: object | None
+    max_sockets: int
+    memory_bytes: int  # bytes
+    known_list: object | None
     settings: Settings
     classes: tuple[str, ...]
     plans: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    connect_timeout: int
-    keepalive: int
+    connect_timeout_us: int
+    keepalive_us: int
     routes: Routes | None = None
     operator: Address | None = None  # where operators call
-    report: str | None = None  # where the door's own report is to be had: a socket of the file system
+    report_path: str | None = None  # where the door's own report is to be had: a socket of the file system
 
 
 def address(text: object, what: str) -> Address:
@@ -118,27 +118,33 @@
         discovery=address(told.get("discovery"), "discovery"),
         counter=address(counter, "counter") if counter else None,
         seed=seed,
-        sockets=int(limits.get("sockets") or 1024),
-        memory=int(float(limits.get("memory_mb") or MEMORY) * 2**20),
-        known=told.get("known"),
+        max_sockets=int(limits.get("sockets") or 1024),
+        memory_bytes=int(float(limits.get("memory_mb") or DEFAULT_MEMORY_MB) * 2**20),
+        known_list=told.get("known"),
         settings=settings,
         classes=_names(reader, "profiles", len(settings.classes)),
         plans=_names(reader, "packages", len(settings.plans)),
-        zones=_list(nested.get("zones")),
-        kinds=_list(nested.get("kinds")),
-        connect_timeout=reader.whole("permissions.connect_timeout_us", "250000"),
-        keepalive=reader.whole("permissions.keepalive_us", "30000000"),
+        zones=_string_list(nested.get("zones")),
+        kinds=_string_list(nested.get("kinds")),
+        connect_timeout_us=reader.whole("permissions.connect_timeout_us", "250000"),
+        keepalive_us=reader.whole("permissions.keepalive_us", "30000000"),
         routes=_routes(told.get("routes")),
         operator=address(operator, "operator") if operator else None,
-        report=_report(told.get("report")),
+        report_path=_report(told.get("report")),
     )
 
 
 def _report(told: object) -> str | None:
     if told is None:
         return None
-    if not isinstance(told, str) or not told.startswith("/") or len(os.fsencode(told)) > MOST_SOCKET_PATH:
-        raise ConfigError(f"report is {told!r}: wanted an absolute path of {MOST_SOCKET_PATH} bytes at most")
+    if (
+        not isinstance(told, str)
+        or not told.startswith("/")
+        or len(os.fsencode(told)) > MAX_SOCKET_PATH_BYTES
+    ):
+        raise ConfigError(
+            f"report is {told!r}: wanted an absolute path of {MAX_SOCKET_PATH_BYTES} bytes at most"
+        )
     return told
 
 
@@ -181,5 +187,5 @@
     return tuple(reader.text(f"{path}.{n}.name") for n in range(count))
 
 
-def _list(value: object) -> tuple[str, ...]:
+def _string_list(value: object) -> tuple[str, ...]:
     return tuple(str(v) for v in (value if isinstance(value, list) else str(value or "").split(",")) if v)
--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -19,17 +19,17 @@
 
 log = logging.getLogger("irisdeal.discovery")
 
-IDLE_PAUSE = 0.05  # s at least between answers that bring nothing
-OWN_ERROR = 1.0  # s after an error of ours
-TOO_MUCH = (429, 503)  # statuses that say that discovery has too much to do (RFC 6585, 4; RFC 9110, 15.6.4)
-MOST_LIST = 8_000_000
-MOST_NAMES = 64  # of zones, and of kinds
-STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+MIN_POLL_INTERVAL_S = 0.05  # s at least between answers that bring nothing
+INTERNAL_ERROR_DELAY_S = 1.0  # s after an error of ours
+OVERLOAD_STATUSES = (429, 503)  # discovery is overloaded (RFC 6585, 4; RFC 9110, 15.6.4)
+MAX_LIST_BYTES = 8_000_000
+MAX_NAMES = 64  # of zones, and of kinds
+STATES_BY_PHASE = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
-Found = Callable[[ServerList, dict[bytes, Address]], None]
+ListCallback = Callable[[ServerList, dict[bytes, Address]], None]
 
 
-class Reader:
+class MemberListReader:
     """Lists in discovery's form to `ServerList`. Names get the settings' numbers, new ones further ones."""
 
     def __init__(self, config: Config) -> None:
@@ -48,7 +48,7 @@
         places: dict[bytes, Address] = {}
         for member in told["members"]:
             try:
-                entry, place = self._entry(member)
+                entry, place = self._read_entry(member)
             except (ValueError, TypeError, KeyError, OverflowError) as error:
                 log.warning("odd entry of the list passed over: %s", error)
                 continue
@@ -66,7 +66,7 @@
     ) -> dict[str, Any]:
         """Entries as discovery tells them: the reverse of `read`."""
         zones, kinds = ({n: name for name, n in names.items()} for names in (self.zones, self.kinds))
-        phases = {state: phase for phase, state in STATES.items()}
+        phases = {state: phase for phase, state in STATES_BY_PHASE.items()}
         return {
             "revision": max(0, version),
             "complete": True,
@@ -86,10 +86,10 @@
             ],
         }
 
-    def _entry(self, member: dict[str, Any]) -> tuple[ServerEntry, Address | None]:
+    def _read_entry(self, member: dict[str, Any]) -> tuple[ServerEntry, Address | None]:
         if not (isinstance(member, dict) and isinstance(member.get("id"), str) and member["id"]):
             raise ValueError("no id")
-        state = STATES.get(member.get("phase", ""))
+        state = STATES_BY_PHASE.get(member.get("phase", ""))
         if state is None:  # safe: nothing new goes there
             log.warning("unknown phase %r", member.get("phase"))
             state = ServerState.DRAINING
@@ -99,18 +99,18 @@
             state=state,
             started_at=max(0, int(member.get("up_since_ms") or 0)) * 1000,
             weight=float(member.get("size") or 1.0),
-            zone=_number(self.zones, member.get("locality")),
+            zone=_name_number(self.zones, member.get("locality")),
             cell=int(member.get("cell") or 0),
-            machine_kind=_number(self.kinds, member.get("flavor")),
+            machine_kind=_name_number(self.kinds, member.get("flavor")),
         ), place
 
 
-def _number(names: dict[str, int], name: object) -> int:
+def _name_number(names: dict[str, int], name: object) -> int:
     """The number of a name. Once there are many, new ones share one: the table must not grow all day."""
     number = names.get(str(name))
     if number is None:
         number = len(names)
-        if number < MOST_NAMES:
+        if number < MAX_NAMES:
             names[str(name)] = number
     return number
 
@@ -122,34 +122,34 @@
     return revision
 
 
-class Refused(Exception):
+class DiscoveryOverloadedError(Exception):
     """Discovery has too much to do; `retry_after` is what it asks for, in s."""
 
     def __init__(self, status: int, retry_after: float | None) -> None:
         super().__init__(f"turned away, status {status}")
-        self.retry_after = retry_after
+        self.retry_after_s = retry_after
 
 
-class Call(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """A connection to discovery that carries one call at a time."""
 
     def __init__(self, place: Address) -> None:
         self.host = f"{place[0]}:{place[1]}".encode()
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[bytes] | None = None
+        self.response: asyncio.Future[bytes] | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
-        self.size = 0
-        self.retry_after: float | None = None
+        self.body_bytes = 0
+        self.retry_after_s: float | None = None
 
     def get(self, path: bytes) -> asyncio.Future[bytes]:
         assert self.transport is not None
-        self.parts, self.size, self.retry_after = [], 0, None
-        self.answer = asyncio.get_running_loop().create_future()
+        self.parts, self.body_bytes, self.retry_after_s = [], 0, None
+        self.response = asyncio.get_running_loop().create_future()
         self.transport.write(b"GET " + path + b" HTTP/1.1\r\nHost: " + self.host + b"\r\n\r\n")
-        return self.answer
+        return self.response
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
@@ -157,8 +157,8 @@
             self.transport.abort()
 
     def _fail(self, error: Exception) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(error)
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(error)
         self.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -178,60 +178,60 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after" and len(value) < 10:
             try:
-                self.retry_after = float(value)  # a date is passed over: our own pause stands
+                self.retry_after_s = float(value)  # a date is passed over: our own pause stands
             except ValueError:
-                self.retry_after = None
+                self.retry_after_s = None
 
     def on_body(self, body: bytes) -> None:
-        self.size += len(body)
-        if self.size > MOST_LIST:
-            raise ValueError(f"list over {MOST_LIST} bytes")
+        self.body_bytes += len(body)
+        if self.body_bytes > MAX_LIST_BYTES:
+            raise ValueError(f"list over {MAX_LIST_BYTES} bytes")
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if status in TOO_MUCH:  # the connection is as good as before
-            if self.answer is not None and not self.answer.done():
-                self.answer.set_exception(Refused(status, self.retry_after))
+        if status in OVERLOAD_STATUSES:  # the connection is as good as before
+            if self.response is not None and not self.response.done():
+                self.response.set_exception(DiscoveryOverloadedError(status, self.retry_after_s))
         elif status != 200:
             return self._fail(ValueError(f"status {status}"))
-        elif self.answer is not None and not self.answer.done():
-            self.answer.set_result(b"".join(self.parts))
+        elif self.response is not None and not self.response.done():
+            self.response.set_result(b"".join(self.parts))
         if not self.parser.should_keep_alive():
             self.close()
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps the list: `found` hears of each news, in order."""
 
-    def __init__(self, config: Config, found: Found, draw: Callable[[], float]) -> None:
-        self.place, self.found, self.reader = config.discovery, found, Reader(config)
+    def __init__(self, config: Config, found: ListCallback, draw: Callable[[], float]) -> None:
+        self.address, self.on_list, self.reader = config.discovery, found, MemberListReader(config)
         told_on_its_own = config.settings.server_list_is_pushed
         self.schedule = PollingSchedule(
             draw, 0.0 if told_on_its_own else polling_period_s(config.settings.gateway_count)
         )
-        self.call: Call | None = None
+        self.connection: DiscoveryConnection | None = None
         self.task: asyncio.Task[None] | None = None
-        self.known = config.known
+        self.known_list = config.known_list
 
-    def remember(self) -> None:
+    def apply_known_list(self) -> None:
         """Pass on the list that the configuration brought."""
         try:
-            told, places = self.reader.read(self.known, ServerListKind.REMEMBERED)
-            self.found(told, places)
+            told, places = self.reader.read(self.known_list, ServerListKind.REMEMBERED)
+            self.on_list(told, places)
             if told.entries:  # the watch goes on from it; what is too old is answered with the whole
                 self.schedule.version = told.version
         except ValueError as error:
             log.warning("known list passed over: %s", error)
-            self.found(ServerList(ServerListKind.REMEMBERED, 0, ()), {})
+            self.on_list(ServerList(ServerListKind.REMEMBERED, 0, ()), {})
 
     def refetch(self) -> None:
         """Make the next call one for the whole list."""
         self.schedule.reset()
-        if self.call is not None:
-            self.call.close()
+        if self.connection is not None:
+            self.connection.close()
 
     def start(self) -> None:
         """Watch, until `stop`."""
@@ -240,14 +240,14 @@
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        if self.call is not None:
-            self.call.close()
-            self.call = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
     def move(self, place: Address) -> None:
         """Ask another discovery, whose versions are its own; the list held stands until it answers."""
         self.stop()
-        self.place = place
+        self.address = place
         self.schedule.reset()
         self.start()
 
@@ -256,11 +256,11 @@
             await asyncio.sleep(pause)
         while True:
             try:
-                await self._next()
+                await self._poll_once()
                 continue
-            except Refused as error:
+            except DiscoveryOverloadedError as error:
                 log.warning("discovery: %s", error)
-                pause = self.schedule.rejected(error.retry_after)
+                pause = self.schedule.rejected(error.retry_after_s)
             except (OSError, TimeoutError) as error:
                 log.warning("discovery: %s", error or "timed out")
                 pause = self.schedule.broken()
@@ -273,15 +273,15 @@
                 log.exception("discovery")
                 self.schedule.invalid_response()
                 self._close()
-                pause = OWN_ERROR
+                pause = INTERNAL_ERROR_DELAY_S
             await asyncio.sleep(pause)
 
     def _close(self) -> None:
-        if self.call is not None:
-            self.call.close()
-        self.call = None
+        if self.connection is not None:
+            self.connection.close()
+        self.connection = None
 
-    async def _next(self) -> None:
+    async def _poll_once(self) -> None:
         """One call: asked again at once after the last, or what changes between counts as told unheard."""
         ask = self.schedule.next_call()
         path = b"/catalog/members" + (
@@ -289,16 +289,18 @@
         )
         asked = asyncio.get_running_loop().time()
         async with asyncio.timeout(ask.timeout_s):
-            if self.call is None or not self.call.usable():
-                self.call = call = Call(self.place)
-                await asyncio.get_running_loop().create_connection(lambda: call, *self.place)
-            text = await self.call.get(path)
+            if self.connection is None or not self.connection.is_usable():
+                self.connection = call = DiscoveryConnection(self.address)
+                await asyncio.get_running_loop().create_connection(lambda: call, *self.address)
+            text = await self.connection.get(path)
         told, places = self.reader.read(json.loads(text))
         if told.kind is ServerListKind.CHANGES and (ask.is_full_list or told.version < ask.version):
             raise ValueError("changes to a list that is not held")
         news = bool(told.entries) or told.kind is ServerListKind.COMPLETE
         if news:
-            self.found(told, places)
-        elif asyncio.get_running_loop().time() < asked + IDLE_PAUSE:
-            await asyncio.sleep(IDLE_PAUSE)  # one that answers each watch at once must not take the core
+            self.on_list(told, places)
+        elif asyncio.get_running_loop().time() < asked + MIN_POLL_INTERVAL_S:
+            await asyncio.sleep(
+                MIN_POLL_INTERVAL_S
+            )  # one that answers each watch at once must not take the core
         self.schedule.succeeded(told.version, not ask.is_full_list)
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -37,12 +37,12 @@
 
 log = logging.getLogger("irisdeal.front_door.handover")
 
-ANSWERED = 1.0  # s for an older process to tell its state: the new one owes its yes within 6 s
-ASKS_FOR = 3.5  # s that a new process asks again while the older one has one beside it itself
-ASKS_AGAIN = 0.05  # s
-LEAST_SOCKETS = 128  # descriptors that the new one gets at least: our own, and some for each side
-SPARE = 8  # descriptors that the old one may still need beyond those it holds
-MOST_PATH = 107  # bytes; unix(7): 108 with the null that ends it
+HANDOVER_TIMEOUT_S = 1.0  # s for an older process to tell its state: the new one owes its yes within 6 s
+RETRY_PERIOD_S = 3.5  # s that a new process asks again while the older one has one beside it itself
+RETRY_DELAY_S = 0.05  # s
+MIN_NEWER_SOCKETS = 128  # descriptors that the new one gets at least: our own, and some for each side
+SPARE_SOCKETS = 8  # descriptors that the old one may still need beyond those it holds
+MAX_SOCKET_PATH_BYTES = 107  # bytes; unix(7): 108 with the null that ends it
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid (unix(7), SO_PEERCRED)
 
 
@@ -53,43 +53,43 @@
         self.program, self.folder, self.loop = program, folder, loop
         config = program.config
         self.name, self.listen = config.name, "{}:{}".format(*config.listen)
-        self.file = f"irisdeal-{zlib.crc32(f'{self.name} {self.listen}'.encode()):08x}.sock"
+        self.socket_name = f"irisdeal-{zlib.crc32(f'{self.name} {self.listen}'.encode()):08x}.sock"
         self.role = Role(has_older=False)
-        self.told: dict[str, Any] | None = None  # by the older process
-        self.shared: socket.socket | None = None  # its listening socket
-        self.older: socket.socket | None = None
-        self.newer: socket.socket | None = None
-        self.desk: socket.socket | None = None  # where a newer process asks
+        self.received_state: dict[str, Any] | None = None  # by the older process
+        self.listening_socket: socket.socket | None = None  # its listening socket
+        self.older_connection: socket.socket | None = None
+        self.newer_connection: socket.socket | None = None
+        self.request_socket: socket.socket | None = None  # where a newer process asks
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopped = False
 
     # From an older process
 
-    async def take(self) -> None:
+    async def fetch_state(self) -> None:
         """Ask an older process, if there is one, for its state. Whatever fails, the start goes on without."""
-        until = self.loop.time() + ASKS_FOR
+        until = self.loop.time() + RETRY_PERIOD_S
         while True:
             try:
-                async with asyncio.timeout(ANSWERED):
-                    told = await self._ask()
+                async with asyncio.timeout(HANDOVER_TIMEOUT_S):
+                    told = await self._request_state()
             except (FileNotFoundError, ConnectionRefusedError, NotADirectoryError):
                 return  # nobody, or what a crash left behind
             except (OSError, TimeoutError, Unreadable) as error:
                 log.warning("starting without the older process's state: %s", error or "no answer in time")
-                return self._drop_older()
+                return self._close_older_connection()
             if why := told.get("refused"):
-                self._drop_older()
+                self._close_older_connection()
                 if told.get("later") is True and self.loop.time() < until:
-                    await asyncio.sleep(ASKS_AGAIN)
+                    await asyncio.sleep(RETRY_DELAY_S)
                     continue
                 return log.warning("starting without the older process's state: %s", why)
-            self.told, self.role = told, Role(has_older=True)
+            self.received_state, self.role = told, Role(has_older=True)
             return
 
-    async def _ask(self) -> dict[str, Any]:
-        self.older = made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    async def _request_state(self) -> dict[str, Any]:
+        self.older_connection = made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         made.setblocking(False)
-        with self._reached() as path:
+        with self._socket_path() as path:
             made.connect(path)  # a Unix socket's connect is done at once, or not at all
         _check_owner(made)
         made.send(request(self.name, self.listen))
@@ -101,7 +101,7 @@
                 raise Unreadable("the older process closed")
             head += part
         if files:
-            self.shared = socket.socket(fileno=files[0])
+            self.listening_socket = socket.socket(fileno=files[0])
         length, crc = read_head(head)
         parts = bytearray()
         while len(parts) < length:
@@ -111,18 +111,20 @@
             parts += part
         return read_body(bytes(parts), length, crc)
 
-    def settle(self) -> socket.socket | None:
+    def apply_state(self) -> socket.socket | None:
         """Take over what was told, and the list in place of the known one; its socket, where there is one."""
-        told, program = self.told, self.program
+        told, program = self.received_state, self.program
         if told is None:
             return None
-        program.resize(max(LEAST_SOCKETS, min(program.config.sockets, _whole(told.get("sockets")))))
+        program.resize(
+            max(MIN_NEWER_SOCKETS, min(program.config.max_sockets, _integer_or_zero(told.get("sockets"))))
+        )
         known = told.get("list")
         if isinstance(known, dict) and known.get("members"):
-            program.discovery.known = known
-        program.discovery.remember()
-        self._do(Duty(HALF, True, True, False))
-        decider = program.door.decider
+            program.discovery.known_list = known
+        program.discovery.apply_known_list()
+        self._apply_duty(Duty(HALF, True, True, False))
+        decider = program.decision_loop.decider
         if isinstance(decider, Gateway):
             try:
                 count = unpack(told, decider, program.host.now())
@@ -134,41 +136,41 @@
             except (ValueError, TypeError, KeyError, OverflowError) as error:
                 log.warning("the older process's state is of no use: %s", error)
             for server in decider.disabled_servers:
-                program.door.post(ServerAdminStateChanged(server, True))
+                program.decision_loop.post(ServerAdminStateChanged(server, True))
             if program.operator is not None:
                 ids = [one.encode("latin-1", "ignore") for one in told.get("ids", ()) if isinstance(one, str)]
                 program.operator.bans.named([*ids, *decider.disabled_servers])
                 program.operator.bans.banned.update(dict.fromkeys(decider.disabled_servers))
-            program.door.turn()
-        self.told = None
-        return self.shared
+            program.decision_loop.process_events()
+        self.received_state = None
+        return self.listening_socket
 
-    def accepting(self) -> None:
+    def announce_accepting(self) -> None:
         """This process accepts: the older one need not, and a newer one may ask."""
-        if self.older is not None:
+        if self.older_connection is not None:
             with contextlib.suppress(OSError):
-                self.older.send(ACCEPTING)
-            self._start(self._watch_older(self.older))
-        self._open_desk()
+                self.older_connection.send(ACCEPTING)
+            self._start_task(self._watch_older(self.older_connection))
+        self._open_request_socket()
 
     async def _watch_older(self, older: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while (await self._receive(older, 64))[0]:
                 pass  # it has nothing more to say
-        self._drop_older()
+        self._close_older_connection()
         if (duty := self.role.hear(Event.OLDER_ENDED)) is not None and not self.stopped:
             log.info("the older process has ended")
-            self._do(duty)
+            self._apply_duty(duty)
 
     # To a newer process
 
-    def _open_desk(self) -> None:
-        if self.stopped or self.desk is not None:
+    def _open_request_socket(self) -> None:
+        if self.stopped or self.request_socket is not None:
             return
         made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             made.setblocking(False)
-            with self._reached() as path:
+            with self._socket_path() as path:
                 own = f"{path}.{os.getpid()}"
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(own)
@@ -179,28 +181,28 @@
         except OSError as error:
             made.close()
             return log.warning("no newer process can take over: %s", error)
-        self.desk = made
-        self.loop.add_reader(made, self._called)
+        self.request_socket = made
+        self.loop.add_reader(made, self._accept_request)
 
-    def _close_desk(self) -> None:
-        if self.desk is not None:
-            self.loop.remove_reader(self.desk)
-            self.desk.close()
-            self.desk = None
+    def _close_request_socket(self) -> None:
+        if self.request_socket is not None:
+            self.loop.remove_reader(self.request_socket)
+            self.request_socket.close()
+            self.request_socket = None
 
-    def _called(self) -> None:
-        assert self.desk is not None
+    def _accept_request(self) -> None:
+        assert self.request_socket is not None
         try:
-            made, _ = self.desk.accept()
+            made, _ = self.request_socket.accept()
         except OSError:
             return
         made.setblocking(False)
-        self._start(self._serve(made))
+        self._start_task(self._serve(made))
 
     async def _serve(self, newer: socket.socket) -> None:
         try:
             _check_owner(newer)
-            async with asyncio.timeout(ANSWERED):
+            async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 line = b""
                 while not line.endswith(b"\n") and len(line) < MOST_REQUEST:
                     part, _ = await self._receive(newer, MOST_REQUEST - len(line))
@@ -208,7 +210,7 @@
                         raise Unreadable("closed half way")
                     line += part
             read_request(line, self.name, self.listen)
-            if not self.role.may_tell() or not isinstance(self.program.door.decider, Gateway):
+            if not self.role.may_tell() or not isinstance(self.program.decision_loop.decider, Gateway):
                 refusal = body({"refused": "another handover is under way", "later": True})
                 await self.loop.sock_sendall(newer, refusal)
                 return newer.close()
@@ -217,12 +219,12 @@
             with contextlib.suppress(OSError):
                 newer.send(body({"refused": str(error)}))
             return newer.close()
-        await self._tell(newer)
+        await self._send_state(newer)
 
-    async def _tell(self, newer: socket.socket) -> None:
-        self.newer = newer
+    async def _send_state(self, newer: socket.socket) -> None:
+        self.newer_connection = newer
         try:
-            text = self._state()
+            text = self._encode_state()
             listening = self.program.clients.listener.socket
             files = [listening.fileno()] if listening is not None else []
             socket.send_fds(newer, [text[: HEAD.size]], files)
@@ -232,97 +234,98 @@
                 heard = (heard + part)[-64:]
                 if ACCEPTING in heard and (duty := self.role.hear(Event.ACCEPTS)) is not None:
                     log.info("the newer process accepts")
-                    self._close_desk()  # its own is there by now, or soon
-                    self._do(duty)
+                    self._close_request_socket()  # its own is there by now, or soon
+                    self._apply_duty(duty)
         except OSError as error:
             log.warning("the newer process has gone: %s", error)
         except Unreadable as error:
             log.warning("the state cannot be told: %s", error)
-        self.newer = None
+        self.newer_connection = None
         newer.close()
         if (duty := self.role.hear(Event.NEWER_ENDED)) is not None and not self.stopped:
             log.warning("the newer process has ended: this one goes on")
-            self._do(duty)
-            self._open_desk()
+            self._apply_duty(duty)
+            self._open_request_socket()
 
-    def _state(self) -> bytes:
+    def _encode_state(self) -> bytes:
         """Told in one turn with the step that halves what this process may spend."""
-        program, gateway = self.program, self.program.door.decider
+        program, gateway = self.program, self.program.decision_loop.decider
         assert isinstance(gateway, Gateway)
-        program.door.turn()  # what has come is decided before it is told
+        program.decision_loop.process_events()  # what has come is decided before it is told
         keeps = min(
-            max(program.config.sockets // 2, program.held() + SPARE), program.config.sockets - LEAST_SOCKETS
+            max(program.config.max_sockets // 2, program.descriptors_in_use() + SPARE_SOCKETS),
+            program.config.max_sockets - MIN_NEWER_SOCKETS,
         )
         told = pack(gateway, program.host.now(), HALF)
-        told["sockets"] = program.config.sockets - keeps
+        told["sockets"] = program.config.max_sockets - keeps
         told["list"] = program.discovery.reader.write(
             program.discovery.schedule.version,
             [s.listed_entry() for s in gateway.servers.values()],
-            program.door.places,
+            program.decision_loop.addresses,
         )
         if program.operator is not None:
             told["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
         text = body(told)
         if (duty := self.role.hear(Event.ASKED)) is not None:
-            self._do(duty)
+            self._apply_duty(duty)
         program.resize(keeps)
         return text
 
     # Both
 
-    def _do(self, duty: Duty) -> None:
+    def _apply_duty(self, duty: Duty) -> None:
         program = self.program
-        program.door.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
+        program.decision_loop.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
         if duty.warms and not duty.at_once:
             pause = program.config.settings.collapse_window_us / 1e6
             self.loop.call_later(pause, self._warm_again)
         if duty.part == 1.0:
-            program.resize(program.config.sockets)
-        if not program.stopping:
+            program.resize(program.config.max_sockets)
+        if not program.is_stopping:
             program.clients.draining = duty.yields
         if duty.accepts:
             program.clients.listener.resume()
         else:
             program.clients.listener.suspend()
-        program.door.turn()
+        program.decision_loop.process_events()
 
     def _warm_again(self) -> None:
         if self.role.may_tell():  # alone still
-            self.program.door.post(CeilingShareChanged(1.0, True))
+            self.program.decision_loop.post(CeilingShareChanged(1.0, True))
 
     def stop(self) -> None:
         """This process ends; the other hears it by the connection."""
         self.stopped = True
-        if self.desk is not None:
-            with contextlib.suppress(OSError), self._reached() as path:
+        if self.request_socket is not None:
+            with contextlib.suppress(OSError), self._socket_path() as path:
                 os.unlink(path)  # nobody has taken its place: a newer one would have closed our desk
-        self._close_desk()
+        self._close_request_socket()
         for task in list(self.tasks):
             task.cancel()
-        if self.newer is not None:
-            self.newer.close()
-        self._drop_older()
+        if self.newer_connection is not None:
+            self.newer_connection.close()
+        self._close_older_connection()
 
-    def _drop_older(self) -> None:
-        if self.older is not None:
-            self.older.close()
-            self.older = None
+    def _close_older_connection(self) -> None:
+        if self.older_connection is not None:
+            self.older_connection.close()
+            self.older_connection = None
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
         self.tasks.add(task)  # the loop holds tasks weakly
         task.add_done_callback(self.tasks.discard)
 
     @contextlib.contextmanager
-    def _reached(self) -> Iterator[str]:
+    def _socket_path(self) -> Iterator[str]:
         """A path by which the socket can be named, however long the folder's is."""
-        path = os.path.join(self.folder, self.file)
-        if len(os.fsencode(path)) + 12 <= MOST_PATH:  # with room for the number behind it
+        path = os.path.join(self.folder, self.socket_name)
+        if len(os.fsencode(path)) + 12 <= MAX_SOCKET_PATH_BYTES:  # with room for the number behind it
             yield path
             return
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            yield f"/proc/self/fd/{folder}/{self.file}"
+            yield f"/proc/self/fd/{folder}/{self.socket_name}"
         finally:
             os.close(folder)
 
@@ -348,5 +351,5 @@
         raise Unreadable(f"a process of user {user}: wanted {os.getuid()}")
 
 
-def _whole(value: object) -> int:
+def _integer_or_zero(value: object) -> int:
     return value if isinstance(value, int) and not isinstance(value, bool) else 0
--- a/irisdeal/front_door/server/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -24,7 +24,7 @@
     def now(self) -> int:
         return (time.monotonic_ns() + self._offset) // 1000
 
-    def listening(self, family: int) -> socket.socket:
+    def create_socket(self, family: int) -> socket.socket:
         """A new TCP socket that is to listen. OSError where there is none to be had."""
         return socket.socket(family, socket.SOCK_STREAM)
 
@@ -32,15 +32,15 @@
         """Whether this descriptor has something to read, asked of the kernel."""
         return is_readable(file)
 
-    def read_again(self) -> Config:
+    def reload_config(self) -> Config:
         """The configuration as it is by now. ConfigError where it cannot be used."""
         return load(os.environ, again=True)
 
-    def folder(self) -> str:
+    def handover_folder(self) -> str:
         """A folder that another process of this door shares; empty where there is none."""
         return os.environ.get("TMPDIR", "")
 
-    def settled(self) -> None:
+    def startup_complete(self) -> None:
         """The program has started: what is in memory now stays, and need not be looked at again."""
         gc.collect()
         gc.freeze()
--- a/irisdeal/front_door/server/listener.py
+++ b/irisdeal/front_door/server/listener.py
@@ -20,17 +20,19 @@
 log = logging.getLogger("irisdeal.listener")
 
 # Connections accepted in one turn; the others wait for the next. At 0.15 ms for a refusal that is 10 ms.
-BURST = 64
-PAUSE = 0.05  # s without accepting when descriptors have run out all the same
-LOOK_AGAIN = 0.02  # s without accepting while no place is free, at most: one that is freed ends it
+MAX_ACCEPTS_PER_TURN = 64
+DESCRIPTOR_RETRY_DELAY_S = 0.05  # s without accepting when descriptors have run out all the same
+CAPACITY_RETRY_DELAY_S = (
+    0.02  # s without accepting while no place is free, at most: one that is freed ends it
+)
 
 
-class Accepted(Protocol):
+class AcceptedConnection(Protocol):
     """What the listener needs of a client's connection."""
 
     def protocol(self) -> asyncio.Protocol: ...
 
-    def unborn(self) -> None:
+    def connection_failed(self) -> None:
         """No transport came of it."""
 
 
@@ -43,21 +45,21 @@
 
     def __init__(
         self,
-        admit: Callable[[], Accepted],
+        admit: Callable[[], AcceptedConnection],
         loop: asyncio.AbstractEventLoop,
         room: Callable[[], bool] = lambda: True,
         host: Host | None = None,
     ) -> None:
-        self.admit, self.loop, self.room, self.host = admit, loop, room, host or Host()
+        self.admit, self.loop, self.has_room, self.host = admit, loop, room, host or Host()
         self.socket: socket.socket | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.backlog = Backlog()
-        self.held = self.finishing = self.suspended = False
+        self.is_paused = self.closes_when_empty = self.is_suspended = False
         self.on_closed: Callable[[], None] = lambda: None
 
     def listen(self, address: Address, beside: bool = False) -> None:
         """`beside`: another process may listen at the address as well. OSError where it cannot be had."""
-        made = self.host.listening(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+        made = self.host.create_socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
             made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restart takes its address again
             if beside:
@@ -82,26 +84,26 @@
 
     def suspend(self) -> None:
         """Accept no more: another process has the same queue."""
-        if self.socket is not None and not self.suspended:
-            self.suspended = self.held = True
+        if self.socket is not None and not self.is_suspended:
+            self.is_suspended = self.is_paused = True
             self.loop.remove_reader(self.socket)
 
     def resume(self) -> None:
         """It has gone."""
-        if self.suspended:
-            self.suspended = False
-            self.release()
+        if self.is_suspended:
+            self.is_suspended = False
+            self.resume_accepting()
 
     def port(self) -> int:
         assert self.socket is not None
         return int(self.socket.getsockname()[1])
 
-    def finish(self) -> None:
+    def close_when_empty(self) -> None:
         """Close once nothing waits any more: closing resets what the kernel still holds, requests and all."""
-        self.finishing = True
-        if self.suspended:  # what waits is the other's
+        self.closes_when_empty = True
+        if self.is_suspended:  # what waits is the other's
             self.close()
-        elif not self.held:
+        elif not self.is_paused:
             self._accept()
 
     def close(self) -> None:
@@ -112,59 +114,59 @@
             self.socket = None
             self.on_closed()
 
-    def release(self) -> None:
+    def resume_accepting(self) -> None:
         """There may be room again."""
-        if self.held and not self.suspended and self.socket is not None:
-            self.held = False
+        if self.is_paused and not self.is_suspended and self.socket is not None:
+            self.is_paused = False
             self.loop.add_reader(self.socket, self._accept)
-            if self.finishing:  # an empty queue makes no socket readable
+            if self.closes_when_empty:  # an empty queue makes no socket readable
                 self._accept()
 
     def _accept(self) -> None:
-        count = self._take()
+        count = self._accept_batch()
         if self.socket is not None:
             more = self.host.has_bytes(self.socket.fileno())
             if (length := self.backlog.record_accepted(count, more, self.loop.time())) is not None:
                 self.socket.listen(length)  # a listening socket takes a new length as it is
 
-    def _take(self) -> int:
+    def _accept_batch(self) -> int:
         """Accept what may be accepted in this turn; how many that were."""
-        for count in range(BURST):
-            if self.socket is None or self.held:
+        for count in range(MAX_ACCEPTS_PER_TURN):
+            if self.socket is None or self.is_paused:
                 return count
-            if not self.room():
-                self._pause(self.socket, LOOK_AGAIN)
+            if not self.has_room():
+                self._pause_accepting(self.socket, CAPACITY_RETRY_DELAY_S)
                 return count
             try:
                 made, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
-                if self.finishing:
+                if self.closes_when_empty:
                     self.close()
                 return count
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     log.warning("cannot accept: %s", error)
-                    self._pause(self.socket, PAUSE)
+                    self._pause_accepting(self.socket, DESCRIPTOR_RETRY_DELAY_S)
                     return count
                 continue  # that one was gone before we came to it
-            task = self.loop.create_task(self._take_in(made, self.admit()))
+            task = self.loop.create_task(self._start_connection(made, self.admit()))
             self.tasks.add(task)  # the loop holds tasks weakly
             task.add_done_callback(self.tasks.discard)
-        if self.finishing:
+        if self.closes_when_empty:
             self.loop.call_soon(self._accept)
-        return BURST
+        return MAX_ACCEPTS_PER_TURN
 
-    def _pause(self, listening: socket.socket, seconds: float) -> None:
+    def _pause_accepting(self, listening: socket.socket, seconds: float) -> None:
         """The socket stays readable: without a pause the loop would do nothing else."""
         self.loop.remove_reader(listening)
-        self.held = True
-        self.loop.call_later(seconds, self.release)
+        self.is_paused = True
+        self.loop.call_later(seconds, self.resume_accepting)
 
-    async def _take_in(self, made: socket.socket, client: Accepted) -> None:
+    async def _start_connection(self, made: socket.socket, client: AcceptedConnection) -> None:
         try:
             made.setblocking(False)
             made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self.loop.connect_accepted_socket(client.protocol, made)
         except OSError:  # reset meanwhile
             made.close()
-            client.unborn()
+            client.connection_failed()
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -25,10 +25,12 @@
 
 log = logging.getLogger("irisdeal.front_door.operator")
 
-CALL_TIME = 5.0  # s for a whole call and for its answer to be read: one second more than slow callers take
-SWEEP = 0.5  # s
-TEXT = b"text/plain; charset=utf-8"
-REASONS = {
+CALL_TIMEOUT_S = (
+    5.0  # s for a whole call and for its answer to be read: one second more than slow callers take
+)
+SWEEP_INTERVAL_S = 0.5  # s
+TEXT_CONTENT_TYPE = b"text/plain; charset=utf-8"
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -41,32 +43,32 @@
 }
 
 
-class Caller(asyncio.Protocol):
+class OperatorConnection(asyncio.Protocol):
     """One connection of an operator, for one call."""
 
-    def __init__(self, desk: Operator) -> None:
-        self.desk = desk
+    def __init__(self, desk: OperatorServer) -> None:
+        self.server = desk
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.since = desk.loop.time()
-        self.url, self.size, self.body = b"", 0, 0
-        self.answered = False
+        self.connected_at = desk.loop.time()
+        self.url, self.head_bytes, self.body_bytes = b"", 0, 0
+        self.is_answered = False
 
     def protocol(self) -> asyncio.Protocol:
         return self
 
-    def unborn(self) -> None:
-        self.desk.left(self)
+    def connection_failed(self) -> None:
+        self.server.remove(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = self.transport = None  # parser and connection hold each other
-        self.desk.left(self)
+        self.server.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered or self.parser is None:
+        if self.is_answered or self.parser is None:
             return  # what comes behind the one call is read and dropped, so that the answer is not reset
         try:
             self.parser.feed_data(data)
@@ -74,43 +76,43 @@
             fault = error.__context__
             if not isinstance(fault, TurnedDown):
                 fault = TurnedDown(400, "malformed call")
-            self.turn_down(fault)
+            self.reject(fault)
 
     def on_url(self, url: bytes) -> None:
         self.url += url
-        self._grow(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
-    def _grow(self, size: int) -> None:
-        self.size += size
-        if self.size > MOST_HEAD:
+    def _count_head_bytes(self, size: int) -> None:
+        self.head_bytes += size
+        if self.head_bytes > MOST_HEAD:
             raise TurnedDown(431, f"head over {MOST_HEAD} bytes")
 
     def on_body(self, body: bytes) -> None:
-        self.body += len(body)
-        if self.body > MOST_BODY:
+        self.body_bytes += len(body)
+        if self.body_bytes > MOST_BODY:
             raise TurnedDown(413, f"body over {MOST_BODY} bytes")
 
     def on_message_complete(self) -> None:
-        if self.answered or self.parser is None:
+        if self.is_answered or self.parser is None:
             return
         method = self.parser.get_method()
         try:
-            status, text, kind = self.desk.carry_out(read(method, self.url))
+            status, text, kind = self.server.execute(read(method, self.url))
         except TurnedDown as fault:
-            return self.turn_down(fault)
+            return self.reject(fault)
         except Exception:  # guards the door: a call's failure is its own
             log.exception("a call failed")
-            return self.turn_down(TurnedDown(500, "failed"))
-        self.answer(status, text, kind, has_body=method != b"HEAD")
+            return self.reject(TurnedDown(500, "failed"))
+        self.respond(status, text, kind, has_body=method != b"HEAD")
 
-    def turn_down(self, fault: TurnedDown) -> None:
+    def reject(self, fault: TurnedDown) -> None:
         extra = b"Allow: %s\r\n" % fault.allow.encode() if fault.allow else b""
-        self.answer(fault.status, fault.text.encode() + b"\n", TEXT, extra)
+        self.respond(fault.status, fault.text.encode() + b"\n", TEXT_CONTENT_TYPE, extra)
 
-    def answer(
+    def respond(
         self,
         status: int,
         text: bytes,
@@ -118,14 +120,14 @@
         extra: bytes = b"",
         has_body: bool = True,
     ) -> None:
-        if self.answered or self.transport is None:
+        if self.is_answered or self.transport is None:
             return
-        self.answered = True
+        self.is_answered = True
         self.transport.write(
             b"".join(
                 (
                     b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"
-                    % (status, REASONS.get(status, b"Other"), kind, len(text)),
+                    % (status, REASON_PHRASES.get(status, b"Other"), kind, len(text)),
                     extra,
                     b"Connection: close\r\n\r\n",
                     text if has_body else b"",
@@ -135,15 +137,15 @@
         # Closed with bytes unread it would be reset, answer and all: the caller closes, or the sweep does.
         self.transport.write_eof()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        return self.answered and self.transport is not None and self.transport.get_write_buffer_size() > 0
+        return self.is_answered and self.transport is not None and self.transport.get_write_buffer_size() > 0
 
 
-class Operator:
+class OperatorServer:
     """The desk that operators call."""
 
     def __init__(
@@ -154,102 +156,116 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """`most` callers are connected at once; the one that came first makes room."""
-        self.address, self.program, self.most, self.loop = address, program, most, loop
-        self.callers: dict[Caller, None] = {}  # in the order in which they came
-        self.figures = Registry()
+        self.address, self.program, self.max_connections, self.loop = address, program, most, loop
+        self.connections: dict[OperatorConnection, None] = {}  # in the order in which they came
+        self.metrics = Registry()
         self.bans = Bans()
-        program.door.on_listed = self.listed
-        self.listener = Listener(self.admit, loop, self.room, program.host)
+        program.decision_loop.on_server_list = self.update_server_list
+        self.listener = Listener(self.admit, loop, self.has_room, program.host)
         self.timer: asyncio.TimerHandle | None = None
-        self._figures()
+        self._register_metrics()
 
     def start(self) -> None:
         """Listen. OSError where the address cannot be had."""
         self.listener.listen(self.address)
-        self.timer = self.loop.call_later(SWEEP, self._sweep)
+        self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
         self.listener.close()
         if self.timer is not None:
             self.timer.cancel()
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             if caller.transport is not None and not caller.transport.get_write_buffer_size():
-                caller.cut()
+                caller.abort()
 
-    def admit(self) -> Caller:
-        caller = Caller(self)
-        self.callers[caller] = None
+    def admit(self) -> OperatorConnection:
+        caller = OperatorConnection(self)
+        self.connections[caller] = None
         return caller
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """There always is: whoever has held a place for longest without a whole call gives way."""
-        if len(self.callers) >= self.most:
-            oldest = next((c for c in self.callers if not c.answered), next(iter(self.callers)))
-            oldest.cut()
-            self.left(oldest)  # its descriptor is closed within this turn
+        if len(self.connections) >= self.max_connections:
+            oldest = next((c for c in self.connections if not c.is_answered), next(iter(self.connections)))
+            oldest.abort()
+            self.remove(oldest)  # its descriptor is closed within this turn
         return True
 
-    def left(self, caller: Caller) -> None:
-        self.callers.pop(caller, None)
+    def remove(self, caller: OperatorConnection) -> None:
+        self.connections.pop(caller, None)
 
     def _sweep(self) -> None:
-        self.timer = self.loop.call_later(SWEEP, self._sweep)
-        oldest = self.loop.time() - CALL_TIME
-        for caller in [c for c in self.callers if c.since < oldest]:
-            if caller.answered:
-                caller.cut()
+        self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        oldest = self.loop.time() - CALL_TIMEOUT_S
+        for caller in [c for c in self.connections if c.connected_at < oldest]:
+            if caller.is_answered:
+                caller.abort()
             else:
-                caller.since = self.loop.time()  # to read why
-                caller.turn_down(TurnedDown(408, "no whole call came"))
+                caller.connected_at = self.loop.time()  # to read why
+                caller.reject(TurnedDown(408, "no whole call came"))
 
     # What is asked
 
-    def carry_out(self, call: Call) -> tuple[int, bytes, bytes]:
+    def execute(self, call: Call) -> tuple[int, bytes, bytes]:
         """Status, text and type of the answer. TurnedDown where it is a no with a reason of its own."""
         if call.what is What.READY:
             ready, why = self.program.is_ready()
-            return (200, b"ready\n", TEXT) if ready else (503, f"not ready: {why}\n".encode(), TEXT)
+            return (
+                (200, b"ready\n", TEXT_CONTENT_TYPE)
+                if ready
+                else (503, f"not ready: {why}\n".encode(), TEXT_CONTENT_TYPE)
+            )
         if call.what is What.METRICS:
-            return 200, self.figures.text(), CONTENT_TYPE
+            return 200, self.metrics.text(), CONTENT_TYPE
         bans, out = self.bans, call.what is What.DISABLE
         news = bans.disable(call.target) if out else bans.enable(call.target)
         if news is None:
             raise TurnedDown(404, "no list has named this id")
         if news:  # the module has heard of it before the yes is written
-            self.program.door.post(ServerAdminStateChanged(call.target, out))
-            self.program.door.turn()
+            self.program.decision_loop.post(ServerAdminStateChanged(call.target, out))
+            self.program.decision_loop.process_events()
             log.info("%r is %s by hand", call.target.decode(errors="replace"), "out" if out else "back")
-        return 200, b"out\n" if out else b"back\n", TEXT
+        return 200, b"out\n" if out else b"back\n", TEXT_CONTENT_TYPE
 
-    def listed(self, told: ServerList) -> None:
+    def update_server_list(self, told: ServerList) -> None:
         """News of the list."""
-        self.bans.named([entry.server_id for entry in told.entries], self.program.door.places)
+        self.bans.named([entry.server_id for entry in told.entries], self.program.decision_loop.addresses)
 
-    def _figures(self) -> None:
+    def _register_metrics(self) -> None:
         program, classes = self.program, self.program.config.classes
-        side, door = program.clients, program.door
+        side, door = program.clients, program.decision_loop
 
         def counter(name: str, text: str, read: Callable[[], list[int]]) -> None:
-            self.figures.add(Figure(name, Kind.COUNTER, text, read, CLASS_LABEL, classes))
+            self.metrics.add(Figure(name, Kind.COUNTER, text, read, CLASS_LABEL, classes))
 
         def one(name: str, kind: Kind, text: str, read: Callable[[], int]) -> None:
-            self.figures.add(Figure(name, kind, text, read))
+            self.metrics.add(Figure(name, kind, text, read))
 
         counter("completed_total", "Requests answered with a backend's answer.", lambda: side.completed)
         counter("rejected_total", "Requests refused: trying again is harmless.", lambda: side.rejected)
         counter("failed_total", "Requests failed.", lambda: side.failed)
-        counter("gone_total", "Requests whose client left before the answer.", lambda: side.gone)
+        counter("gone_total", "Requests whose client left before the answer.", lambda: side.disconnected)
         one(
             "upstream_requests_total",
             Kind.COUNTER,
             "Attempts written whole to backends.",
-            lambda: program.pool.written,
+            lambda: program.pool.written_count,
         )
         one("pending", Kind.GAUGE, "Requests taken and not ended.", lambda: side.pending - side.uploading)
         one("members", Kind.GAUGE, "Backends in the list.", lambda: len(self._servers()))
-        one("members_unavailable", Kind.GAUGE, "Listed backends that are avoided now.", self._avoided)
+        one(
+            "members_unavailable",
+            Kind.GAUGE,
+            "Listed backends that are avoided now.",
+            self._unavailable_count,
+        )
         one("client_connections", Kind.GAUGE, "Connections of clients.", lambda: len(side.connections))
-        one("backend_connections", Kind.GAUGE, "Connections to backends.", lambda: len(program.pool.all))
+        one(
+            "backend_connections",
+            Kind.GAUGE,
+            "Connections to backends.",
+            lambda: len(program.pool.connections),
+        )
         one(
             "open_requests",
             Kind.GAUGE,
@@ -258,10 +274,10 @@
         )
 
     def _servers(self) -> dict[bytes, ServerState]:
-        decider = self.program.door.decider
+        decider = self.program.decision_loop.decider
         return {k: s.entry.state for k, s in decider.servers.items()} if isinstance(decider, Gateway) else {}
 
-    def _avoided(self) -> int:
+    def _unavailable_count(self) -> int:
         banned = self.bans.banned
         return sum(
             state is not ServerState.READY or server in banned for server, state in self._servers().items()
--- a/irisdeal/front_door/server/process_view.py
+++ b/irisdeal/front_door/server/process_view.py
@@ -5,12 +5,12 @@
 from typing import Protocol
 
 from irisdeal.front_door.operator.bans import Bans
-from irisdeal.front_door.server.backends import Pool
-from irisdeal.front_door.server.clients import ClientSide
+from irisdeal.front_door.server.backends import BackendPool
+from irisdeal.front_door.server.clients import HttpServer
 from irisdeal.front_door.server.config import Config
-from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.discovery_client import DiscoveryClient
 from irisdeal.front_door.server.host import Host
-from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.loop import DecisionLoop
 
 
 class OperatorView(Protocol):
@@ -26,11 +26,11 @@
 
     config: Config
     host: Host
-    pool: Pool
-    door: Door
-    clients: ClientSide
-    discovery: Discovery
-    stopping: bool
+    pool: BackendPool
+    decision_loop: DecisionLoop
+    clients: HttpServer
+    discovery: DiscoveryClient
+    is_stopping: bool
 
     @property
     def operator(self) -> OperatorView | None:
@@ -39,7 +39,7 @@
     def resize(self, sockets: int) -> None:
         """Use at most `sockets` descriptors from now on."""
 
-    def held(self) -> int:
+    def descriptors_in_use(self) -> int:
         """Upper bound of the descriptors that are in use."""
 
     def is_ready(self) -> tuple[bool, str]:
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -17,55 +17,60 @@
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import Decider
-from irisdeal.front_door.server.backends import Pool
-from irisdeal.front_door.server.clients import ClientSide
+from irisdeal.front_door.server.backends import BackendPool
+from irisdeal.front_door.server.clients import HttpServer
 from irisdeal.front_door.server.config import Address, Config, ConfigError, load
-from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.discovery_client import DiscoveryClient
 from irisdeal.front_door.server.host import Host
-from irisdeal.front_door.server.limits import CALLERS, OPERATORS_OWN, OWN, share
-from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.limits import (
+    MAX_OPERATOR_CONNECTIONS,
+    OPERATOR_DESCRIPTORS,
+    OWN_DESCRIPTORS,
+    share_descriptors,
+)
+from irisdeal.front_door.server.loop import DecisionLoop
 
 if TYPE_CHECKING:
     from irisdeal.front_door.server.handover import Handover
-    from irisdeal.front_door.server.operator import Operator
+    from irisdeal.front_door.server.operator import OperatorServer
     from irisdeal.front_door.server.report import Report
     from irisdeal.front_door.server.routed import Router
 
 log = logging.getLogger("irisdeal")
 
-STILL_ACCEPTING = 0.5  # s after SIGTERM: connections go on coming
-ALL_ANSWERED = 3_300_000  # µs after SIGTERM: all is answered, with time to write before 3.5 s
-WIND_UP_STEP = 0.01  # s between two looks at what is still open
-LIST_STREAM = 0x6C697374  # sets the pauses of discovery apart from the chances of the module
-LINES_PER_S = 50  # of the log: a flood of failures must not cost the CPU
+ACCEPT_AFTER_SIGTERM_S = 0.5  # s after SIGTERM: connections go on coming
+DRAIN_TIMEOUT_US = 3_300_000  # µs after SIGTERM: all is answered, with time to write before 3.5 s
+DRAIN_CHECK_INTERVAL_S = 0.01  # s between two looks at what is still open
+DISCOVERY_SEED_MASK = 0x6C697374  # sets the pauses of discovery apart from the chances of the module
+MAX_LOG_LINES_PER_S = 50  # of the log: a flood of failures must not cost the CPU
 
 
-class Sparing(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Lets some lines a second through and tells how many it dropped."""
 
-    second, lines, dropped = 0, 0, 0
+    second, line_count, dropped_count = 0, 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         second = int(time.monotonic())
         if second != self.second:
-            if self.dropped:
-                record.msg = f"({self.dropped} lines dropped) {record.msg}"
-            self.second, self.lines, self.dropped = second, 0, 0
-        self.lines += 1
-        self.dropped += self.lines > LINES_PER_S
-        return self.lines <= LINES_PER_S
+            if self.dropped_count:
+                record.msg = f"({self.dropped_count} lines dropped) {record.msg}"
+            self.second, self.line_count, self.dropped_count = second, 0, 0
+        self.line_count += 1
+        self.dropped_count += self.line_count > MAX_LOG_LINES_PER_S
+        return self.line_count <= MAX_LOG_LINES_PER_S
 
 
-class CannotListen(OSError):
+class ListenError(OSError):
     """An address that cannot be had; the text names it."""
 
 
 @contextmanager
-def listening(key: str, place: Address) -> Iterator[None]:
+def naming_listen_error(key: str, place: Address) -> Iterator[None]:
     try:
         yield
     except OSError as error:
-        raise CannotListen(f"cannot listen on {key} {place[0]}:{place[1]}: {error}") from None
+        raise ListenError(f"cannot listen on {key} {place[0]}:{place[1]}: {error}") from None
 
 
 class Program:
@@ -79,90 +84,95 @@
         host: Host | None = None,
     ) -> None:
         self.config = config
-        limits = share(config.sockets, config.operator is not None)
+        limits = share_descriptors(config.max_sockets, config.operator is not None)
         self.loop, self.host = loop, host or Host()
-        self.pool = Pool(config, limits.backends, loop, self.host)
-        self.door = Door(config, decider, self.pool, loop, self.host)
-        self.clients = ClientSide(config, self.door, limits.clients, limits.reserve, loop, host=self.host)
-        chance = random.Random(config.seed ^ LIST_STREAM)
-        self.discovery = Discovery(config, self.door.listed, chance.random)
-        self.door.on_refetch = self.discovery.refetch
+        self.pool = BackendPool(config, limits.backends, loop, self.host)
+        self.decision_loop = DecisionLoop(config, decider, self.pool, loop, self.host)
+        self.clients = HttpServer(
+            config, self.decision_loop, limits.clients, limits.reserve, loop, host=self.host
+        )
+        chance = random.Random(config.seed ^ DISCOVERY_SEED_MASK)
+        self.discovery = DiscoveryClient(config, self.decision_loop.update_server_list, chance.random)
+        self.decision_loop.on_fetch_list = self.discovery.refetch
         self.router: Router | None = None
         if config.routes is not None:
             from irisdeal.front_door.server.routed import Router  # a door without routes imports none of it
 
-            self.router = Router(config, config.routes, self.door, self.clients, loop)
+            self.router = Router(config, config.routes, self.decision_loop, self.clients, loop)
         self.report: Report | None = None
-        if config.report is not None:
+        if config.report_path is not None:
             from irisdeal.front_door.server.report import Report
 
-            self.report = Report(config.report, self.door, loop)
-        self.operator: Operator | None = None
+            self.report = Report(config.report_path, self.decision_loop, loop)
+        self.operator: OperatorServer | None = None
         if config.operator is not None:
-            from irisdeal.front_door.server.operator import Operator
+            from irisdeal.front_door.server.operator import OperatorServer
 
-            self.operator = Operator(config.operator, self, CALLERS, loop)
-            self._pass_long_bodies_on(config)
+            self.operator = OperatorServer(config.operator, self, MAX_OPERATOR_CONNECTIONS, loop)
+            self._enable_streaming(config)
         self.handover: Handover | None = None
-        if config.operator is not None and (folder := self.host.folder()):
+        if config.operator is not None and (folder := self.host.handover_folder()):
             from irisdeal.front_door.server.handover import Handover
 
             self.handover = Handover(self, folder, loop)
-        self.over = asyncio.Event()
-        self.stopping = self.may_reload = self.reload_owed = False
+        self.finished = asyncio.Event()
+        self.is_stopping = self.may_reload = self.is_reload_pending = False
 
-    def _pass_long_bodies_on(self, config: Config) -> None:
-        from irisdeal.front_door.server.flows import Outflow, Upload
+    def _enable_streaming(self, config: Config) -> None:
+        from irisdeal.front_door.server.flows import ResponseRelay, UploadRelay
         from irisdeal.front_door.streaming import progress
         from irisdeal.front_door.streaming.byte_budget import ByteBudget
 
-        budget, side = ByteBudget(config.memory), self.clients
+        budget, side = ByteBudget(config.memory_bytes), self.clients
         side.budget = self.pool.budget = budget
-        self.pool.stall_time, self.pool.stream_stall = (
+        self.pool.stall_timeout_s, self.pool.stream_stall_timeout_s = (
             progress.SMALL_RESPONSE_IDLE_TIMEOUT_S,
             progress.RESPONSE_IDLE_TIMEOUT_S,
         )
-        side.most_body, side.replay = progress.MAX_BODY_BYTES, progress.MAX_REPLAY_BYTES
-        side.slow_request, side.unread = progress.HEAD_TIMEOUT_S, progress.RESPONSE_IDLE_TIMEOUT_S
+        side.max_body_bytes, side.replay_bytes = progress.MAX_BODY_BYTES, progress.MAX_REPLAY_BYTES
+        side.request_timeout_s, side.write_stall_timeout_s = (
+            progress.HEAD_TIMEOUT_S,
+            progress.RESPONSE_IDLE_TIMEOUT_S,
+        )
         side.new_receive_progress = progress.ReceiveProgress
-        side.new_upload = lambda client, length: Upload(client, length, budget)
-        side.new_flow = lambda request, head, chunked, on_over: Outflow(
+        side.new_upload = lambda client, length: UploadRelay(client, length, budget)
+        side.new_stream = lambda request, head, chunked, on_over: ResponseRelay(
             request, head, chunked, budget, on_over
         )
 
     def start(self) -> None:
         """Listen, and watch the list."""
-        shared = self.handover.settle() if self.handover is not None else None
+        shared = self.handover.apply_state() if self.handover is not None else None
         if shared is None:
-            self.discovery.remember()
+            self.discovery.apply_known_list()
         if self.operator is not None:
-            with listening("operator", self.operator.address):
+            with naming_listen_error("operator", self.operator.address):
                 self.operator.start()
-        with listening("listen", self.config.listen):
+        with naming_listen_error("listen", self.config.listen):
             if shared is not None:
                 self.clients.adopt(shared)
             else:
                 self.clients.listen(beside=self.config.operator is not None)
         self.discovery.start()
         if self.handover is not None:
-            self.handover.accepting()
+            self.handover.announce_accepting()
 
     async def run(self) -> None:
         """Serve until SIGTERM, then until all is answered."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
-        self.loop.add_signal_handler(signal.SIGHUP, self._hang_up)
+        self.loop.add_signal_handler(signal.SIGHUP, self._on_sighup)
         if self.router is not None:
-            await self.router.first()
+            await self.router.load_first()
         self.may_reload = True
-        if self.reload_owed:
+        if self.is_reload_pending:
             self.reload()
-        await self.tell()
+        await self.start_report()
         if self.handover is not None:
-            await self.handover.take()
+            await self.handover.fetch_state()
         self.start()
-        self.host.settled()
-        await self.over.wait()
+        self.host.startup_complete()
+        await self.finished.wait()
         self.discovery.stop()
         if self.router is not None:
             self.router.stop()
@@ -177,7 +187,7 @@
         if self.handover is not None:
             self.handover.stop()  # last: from here the other process has all that this one might spend
 
-    async def tell(self) -> None:
+    async def start_report(self) -> None:
         """Make the report to be had, where there is one. ConfigError where its socket cannot be had."""
         if self.report is not None:
             try:
@@ -187,33 +197,38 @@
 
     def resize(self, sockets: int) -> None:
         """So many descriptors are ours from now on; what is over goes as it ends."""
-        limits = share(sockets, self.config.operator is not None)
+        limits = share_descriptors(sockets, self.config.operator is not None)
         self.clients.slots.regular_slots, self.clients.slots.reserve_slots = limits.clients, limits.reserve
-        self.pool.most = limits.backends
+        self.pool.max_connections = limits.backends
 
-    def held(self) -> int:
+    def descriptors_in_use(self) -> int:
         """Descriptors that are in use by now, at most."""
-        return OWN + OPERATORS_OWN + len(self.clients.connections) + len(self.pool.all)
+        return (
+            OWN_DESCRIPTORS
+            + OPERATOR_DESCRIPTORS
+            + len(self.clients.connections)
+            + len(self.pool.connections)
+        )
 
     def is_ready(self) -> tuple[bool, str]:
         """Whether this process can serve, and why not."""
-        if self.stopping:
+        if self.is_stopping:
             return False, "shutting down"
         if self.clients.listener.socket is None:
             return False, "not listening yet"
-        return (True, "") if self.door.can_serve() else (False, "no list of backends yet")
+        return (True, "") if self.decision_loop.can_serve() else (False, "no list of backends yet")
 
-    def _hang_up(self) -> None:
+    def _on_sighup(self) -> None:
         """SIGHUP; while the description is read for the first time it must wait, and not be lost."""
         if self.may_reload:
             self.reload()
         else:
-            self.reload_owed = True
+            self.is_reload_pending = True
 
     def reload(self) -> None:
         """Read the configuration again: discovery and the counter may have moved."""
         try:
-            config = self.host.read_again()
+            config = self.host.reload_config()
         except ConfigError as error:
             return log.error("the old configuration goes on: %s", " ".join(str(error).split()))
         log.info(
@@ -222,29 +237,29 @@
             *(config.counter or ("none", 0)),
         )
         self.discovery.move(config.discovery)
-        self.door.recount(config.counter)
+        self.decision_loop.move_counter(config.counter)
         if self.router is not None and config.routes is not None:
             self.router.reload(config.routes)
 
     def stop(self) -> None:
-        if not self.stopping:
-            self.stopping = self.clients.draining = True
-            self.door.drain(self.door.clock.now() + ALL_ANSWERED)
-            self.loop.call_later(STILL_ACCEPTING, self._stop_accepting)
+        if not self.is_stopping:
+            self.is_stopping = self.clients.draining = True
+            self.decision_loop.drain(self.decision_loop.host.now() + DRAIN_TIMEOUT_US)
+            self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
         self.clients.stop_listening()
-        self._wind_up()
+        self._finish_when_drained()
 
-    def _wind_up(self) -> None:
+    def _finish_when_drained(self) -> None:
         """Over once nothing is open and nothing can come; the drain's end bounds it."""
-        self.clients.retire_idle()
-        settled = self.clients.is_settled() and not self.door.unanswered
-        if settled or self.door.clock.now() >= self.door.drain_by:
+        self.clients.close_idle()
+        settled = self.clients.is_drained() and not self.decision_loop.unanswered_count
+        if settled or self.decision_loop.host.now() >= self.decision_loop.drain_deadline:
             self.clients.listener.close()
-            self.over.set()
+            self.finished.set()
         else:
-            self.loop.call_later(WIND_UP_STEP, self._wind_up)
+            self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._finish_when_drained)
 
 
 async def serve(config: Config) -> int:
@@ -265,7 +280,7 @@
     logging.basicConfig(
         stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", level=logging.INFO
     )
-    logging.getLogger().handlers[0].addFilter(Sparing())
+    logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -19,13 +19,13 @@
 from irisdeal.front_door.queueing.reports import VERSION
 
 if TYPE_CHECKING:
-    from irisdeal.front_door.server.loop import Door
+    from irisdeal.front_door.server.loop import DecisionLoop
 
 log = logging.getLogger("irisdeal.report")
 
-STORES = 50  # told in one report: what a person's screen holds, and some
-MOST_READERS = 4  # at once; a further one is closed unanswered
-READ_WITHIN = 2.0  # s for a reader to take its report
+MAX_REPORTED_TENANTS = 50  # told in one report: what a person's screen holds, and some
+MAX_READERS = 4  # at once; a further one is closed unanswered
+READ_TIMEOUT_S = 2.0  # s for a reader to take its report
 
 
 class _Reader(asyncio.Protocol):
@@ -36,11 +36,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if len(self.report.readers) >= MOST_READERS:
+        if len(self.report.readers) >= MAX_READERS:
             return self.transport.abort()
         self.report.readers.add(self)
-        self.timer = self.report.loop.call_later(READ_WITHIN, self.transport.abort)
-        self.transport.write(self.report.text())
+        self.timer = self.report.loop.call_later(READ_TIMEOUT_S, self.transport.abort)
+        self.transport.write(self.report.encode())
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -52,15 +52,15 @@
 class Report:
     """The socket, and what the report is made of."""
 
-    def __init__(self, path: str, door: Door, loop: asyncio.AbstractEventLoop) -> None:
-        self.path, self.door, self.loop = path, door, loop
+    def __init__(self, path: str, door: DecisionLoop, loop: asyncio.AbstractEventLoop) -> None:
+        self.path, self.decision_loop, self.loop = path, door, loop
         self.readers: set[_Reader] = set()
         self.server: asyncio.Server | None = None
         door.statistics = self.statistics = QueueStatistics()
 
     async def start(self) -> None:
         """Listen. OSError where the path cannot be had; one that a dead door left behind is taken over."""
-        _clear(self.path)
+        _remove_stale_socket(self.path)
         before = os.umask(0o177)
         try:
             self.server = await self.loop.create_unix_server(lambda: _Reader(self), self.path)
@@ -74,17 +74,17 @@
             self.server = None
             _unlink(self.path)
 
-    def told(self) -> dict[str, Any]:
+    def document(self) -> dict[str, Any]:
         """The report as plain values."""
-        door, config = self.door, self.door.config
-        watch = self.statistics.report(door.clock.now(), STORES)
+        door, config = self.decision_loop, self.decision_loop.config
+        watch = self.statistics.report(door.host.now(), MAX_REPORTED_TENANTS)
         for store in watch["stores"]:
             store["plan_name"] = config.plans[store["plan"]]
         made: dict[str, Any] = {
             "version": VERSION,
             "name": config.name,
             "open": len(door.requests),
-            "unanswered": door.unanswered,
+            "unanswered": door.unanswered_count,
             "queue": {"entries": 0, "bytes": 0, "flows": 0, "given_way": 0},
             "out": 0,
             "window": 0.0,
@@ -99,14 +99,14 @@
                 "given_way": queue.dropped,
             }
             made["out"], made["window"] = decider.in_flight, round(decider.window, 2)
-            made["zones"] = decider.zones.told(door.clock.now())
+            made["zones"] = decider.zones.told(door.host.now())
         return made
 
-    def text(self) -> bytes:
-        return json.dumps(self.told()).encode() + b"\n"
+    def encode(self) -> bytes:
+        return json.dumps(self.document()).encode() + b"\n"
 
 
-def _clear(path: str) -> None:
+def _remove_stale_socket(path: str) -> None:
     """Take away a socket on which nobody listens. OSError where one does, or where it is something else."""
     try:
         mode = os.stat(path).st_mode
--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -37,35 +37,35 @@
 from irisdeal.front_door.routes.path import BadTarget, BadTemplate, Target, read_target
 from irisdeal.front_door.routes.table import SLICE, Classes, Table, TooMany, building
 from irisdeal.front_door.routes.wire import route_from_wire
-from irisdeal.front_door.server.client_request import ClientRequest, Malformed
+from irisdeal.front_door.server.client_request import ClientRequest, RequestError
 from irisdeal.front_door.server.clients import (
-    ACCOUNT,
-    EXPIRES,
-    LONGEST_WAIT,
-    MARGIN,
-    MOST_QUOTA_TEXT,
-    TOKEN,
-    ClientSide,
+    ACCOUNT_PATTERN,
+    EXPIRES_IN_PATTERN,
+    MAX_EXPIRES_IN_US,
+    MAX_QUOTA_INFO_BYTES,
+    RESPONSE_MARGIN_US,
+    TOKEN_PATTERN,
+    HttpServer,
 )
 from irisdeal.front_door.server.config import Config, ConfigError, Routes
-from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.loop import DecisionLoop
 
 log = logging.getLogger("irisdeal.routed")
 
-READ_WITHIN = 120.0  # s: a public description of 13 MB takes 1 s
-MOST_LINE = 1_048_576  # bytes of one route's line
-MOST_IDENTITY = 256  # characters of a customer's name
-SPREAD = re.compile(r"spread=([0-9]{1,9})")
-FIRST = re.compile(r"first=([0-9]{1,9})")
-REPEATS = {Repeat.SAFE: Repeats.SAFE, Repeat.KEYED: Repeats.KEYED, Repeat.UNSAFE: Repeats.UNSAFE}
+READ_TIMEOUT_S = 120.0  # s: a public description of 13 MB takes 1 s
+MAX_LINE_BYTES = 1_048_576  # bytes of one route's line
+MAX_IDENTITY_CHARS = 256  # characters of a customer's name
+SPREAD_PATTERN = re.compile(r"spread=([0-9]{1,9})")
+FIRST_PATTERN = re.compile(r"first=([0-9]{1,9})")
+REPEAT_RULES = {Repeat.SAFE: Repeats.SAFE, Repeat.KEYED: Repeats.KEYED, Repeat.UNSAFE: Repeats.UNSAFE}
 GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 
 
-class Refused(Exception):
+class DescriptionError(Exception):
     """A description that is not taken, with file, place and reason."""
 
 
-class Routed:
+class RouteContext:
     """What the router keeps with a request: its route as it came, its rule as it stands."""
 
     __slots__ = ("method", "rule", "target")
@@ -74,12 +74,12 @@
         self.method, self.target, self.rule = method, target, rule
 
 
-def as_class(rule: Rule) -> RequestClass:
+def request_class(rule: Rule) -> RequestClass:
     """A rule as the module knows it."""
     return RequestClass(
         latency_target_us=rule.aim,
         deadline_us=rule.deadline,
-        idempotency=REPEATS[rule.repeat],
+        idempotency=REPEAT_RULES[rule.repeat],
         dedup_scope=GROUPS[rule.group],
         dedup_window_us=rule.window,
         value=rule.worth,
@@ -88,14 +88,14 @@
     )
 
 
-def _wait(text: bytes | None) -> int:
+def _expires_in_us(text: bytes | None) -> int:
     """`X-Expires-In` in µs; as long as may be where it is not there."""
     if text is None:
-        return LONGEST_WAIT
-    expires = EXPIRES.fullmatch(text)
+        return MAX_EXPIRES_IN_US
+    expires = EXPIRES_IN_PATTERN.fullmatch(text)
     wait = float(expires[1]) * (1000 if expires[2] == b"m" else 1) if expires else 0.0
-    if not 0 < wait <= LONGEST_WAIT:
-        raise Malformed(400, "bad X-Expires-In")
+    if not 0 < wait <= MAX_EXPIRES_IN_US:
+        raise RequestError(400, "bad X-Expires-In")
     return int(wait)
 
 
@@ -106,25 +106,31 @@
         self,
         config: Config,
         routes: Routes,
-        door: Door,
-        clients: ClientSide,
+        door: DecisionLoop,
+        clients: HttpServer,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.config, self.routes, self.door, self.clients, self.loop = config, routes, door, clients, loop
+        self.config, self.routes, self.decision_loop, self.http_server, self.loop = (
+            config,
+            routes,
+            door,
+            clients,
+            loop,
+        )
         self.settings: Settings = config.settings
         self.table = Table()
         self.classes = Classes(fixed=len(config.settings.classes))
-        self.as_classes: list[RequestClass] = list(config.settings.classes)
-        self.numbers: dict[Rule, int] = {}
+        self.request_classes: list[RequestClass] = list(config.settings.classes)
+        self.class_numbers: dict[Rule, int] = {}
         self.plans = {name: n for n, name in enumerate(config.plans)}
-        self.files: list[str] = []  # of the description last read
-        self.signature: object = None  # of the files when they were last read
-        self.seen: object = None  # of the files when they were last looked at
+        self.description_files: list[str] = []  # of the description last read
+        self.loaded_signature: object = None  # of the files when they were last read
+        self.last_signature: object = None  # of the files when they were last looked at
         self.task: asyncio.Task[None] | None = None
-        self.again = False
-        self.refused = 0  # descriptions that were not taken
-        self.on_settled: Callable[[], None] = lambda: None  # after each reading, taken or not
-        door.on_over = self.over
+        self.is_reload_requested = False
+        self.rejected_count = 0  # descriptions that were not taken
+        self.on_loaded: Callable[[], None] = lambda: None  # after each reading, taken or not
+        door.on_request_closed = self.request_closed
         clients.router = self
 
     # A request
@@ -143,17 +149,17 @@
         try:
             target = read_target(url.decode("latin-1"))
         except BadTarget as error:
-            raise Malformed(400, str(error)) from None
+            raise RequestError(400, str(error)) from None
         found = self.table.find(name, target)
         route = found.route
         if route is None:
             if not found.allow:
-                raise Malformed(404, "no such path")
-            raise Malformed(
+                raise RequestError(404, "no such path")
+            raise RequestError(
                 405, "the path has other methods", b"Allow: " + ", ".join(found.allow).encode() + b"\r\n"
             )
         if body and name in ("GET", "HEAD"):
-            raise Malformed(400, f"{name} with a body")
+            raise RequestError(400, f"{name} with a body")
         told: dict[bytes, bytes] = {}
         twice: set[bytes] = set()
         for n in range(0, len(headers), 4):
@@ -165,31 +171,33 @@
         if twice:  # of two identities or keys, which one counts? A box may take the other
             for source in (route.customer, route.plan, Source("header", rule.key_header)):
                 if source.place == "header" and source.name.encode() in twice:
-                    raise Malformed(400, f"header {source.name} more than once")
-        if rule.repeat is Repeat.KEYED and not TOKEN.fullmatch(told.get(rule.key_header.encode(), b"")):
-            raise Malformed(400, f"bad {rule.key_header}")
+                    raise RequestError(400, f"header {source.name} more than once")
+        if rule.repeat is Repeat.KEYED and not TOKEN_PATTERN.fullmatch(
+            told.get(rule.key_header.encode(), b"")
+        ):
+            raise RequestError(400, f"bad {rule.key_header}")
         plan = self.plans.get(self._value(route.plan, told, target, found.parameters))
         if plan is None:
-            raise Malformed(400, "unknown plan")
+            raise RequestError(400, "unknown plan")
         request.customer = self._customer(self._value(route.customer, told, target, found.parameters))
         try:
             request.units = units_of(route.units, target.query, body)
         except BadUnits as error:
-            raise Malformed(400, str(error)) from None
-        if request.units > self.clients.most_units[plan]:
-            raise Malformed(400, "more units than the plan can pass")
-        request.trace, extra = self._trace(told)
-        request.time_left = max(1, min(_wait(expires), rule.deadline) - MARGIN)
-        request.first, request.gateways = self._doors(told)
-        request.plan, request.kind = plan, self.numbers[rule]
+            raise RequestError(400, str(error)) from None
+        if request.units > self.http_server.max_units[plan]:
+            raise RequestError(400, "more units than the plan can pass")
+        request.trace_id, extra = self._trace_id(told)
+        request.time_left = max(1, min(_expires_in_us(expires), rule.deadline) - RESPONSE_MARGIN_US)
+        request.first_gateway, request.gateway_count = self._gateways(told)
+        request.plan, request.request_class = plan, self.class_numbers[rule]
         request.is_retry = told.get(b"x-second-try", b"") == b"1"
         request.is_write = name not in ("GET", "HEAD")
         request.head = b"".join(
             (method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra)
         )
         request.body = body
-        request.routed = Routed(name, target, rule)
-        self.classes.use(request.kind)
+        request.route_context = RouteContext(name, target, rule)
+        self.classes.use(request.request_class)
 
     def _value(
         self,
@@ -205,102 +213,102 @@
         try:
             return query_value(target.query, source.name) or ""
         except BadUnits as error:
-            raise Malformed(400, str(error)) from None
+            raise RequestError(400, str(error)) from None
 
     def _customer(self, text: str) -> int:
         """16 hex digits below 2^33 as they are (PROTOCOL); any other name by a digest of 64 bits."""
-        if not 0 < len(text) <= MOST_IDENTITY:
-            raise Malformed(400, "no customer")
-        if ACCOUNT.fullmatch(text.encode("latin-1", "replace")) and (number := int(text, 16)) < 2**33:
+        if not 0 < len(text) <= MAX_IDENTITY_CHARS:
+            raise RequestError(400, "no customer")
+        if ACCOUNT_PATTERN.fullmatch(text.encode("latin-1", "replace")) and (number := int(text, 16)) < 2**33:
             return number
         return int.from_bytes(hashlib.blake2b(text.encode("utf-8", "surrogatepass"), digest_size=8).digest())
 
-    def _trace(self, told: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def _trace_id(self, told: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """The request's id; one of our own where it has none."""
         trace = told.get(b"x-trace-id")
         if trace is None:
             trace = secrets.token_hex(8).encode()
             return trace, b"X-Trace-Id: " + trace + b"\r\n"
-        if not TOKEN.fullmatch(trace):
-            raise Malformed(400, "bad X-Trace-Id")
-        if trace in self.clients.open_traces:
-            raise Malformed(409, "X-Trace-Id of an open request")
+        if not TOKEN_PATTERN.fullmatch(trace):
+            raise RequestError(400, "bad X-Trace-Id")
+        if trace in self.http_server.open_traces:
+            raise RequestError(409, "X-Trace-Id of an open request")
         return trace, b""
 
-    def _doors(self, told: dict[bytes, bytes]) -> tuple[int, int]:
+    def _gateways(self, told: dict[bytes, bytes]) -> tuple[int, int]:
         """The customer's set of doors: `Quota-Info`'s where it is there; its units do not count here."""
         text = told.get(b"quota-info")
         doors = self.settings.gateway_count
         if text is None:
             return 0, doors
-        plain = text.decode("latin-1") if len(text) <= MOST_QUOTA_TEXT else ""
-        spread, first = SPREAD.search(plain), FIRST.search(plain)
+        plain = text.decode("latin-1") if len(text) <= MAX_QUOTA_INFO_BYTES else ""
+        spread, first = SPREAD_PATTERN.search(plain), FIRST_PATTERN.search(plain)
         if not (spread and first and 1 <= int(spread[1]) <= doors and int(first[1]) < doors):
-            raise Malformed(400, "bad Quota-Info")
+            raise RequestError(400, "bad Quota-Info")
         return int(first[1]), int(spread[1])
 
-    def over(self, request: ClientRequest) -> None:
+    def request_closed(self, request: ClientRequest) -> None:
         """A request is answered and none of its attempts is out: its class number is free of it."""
-        if request.routed is not None:
-            self.classes.release(request.kind)
+        if request.route_context is not None:
+            self.classes.release(request.request_class)
 
     # Generations
 
-    async def first(self) -> None:
+    async def load_first(self) -> None:
         """The first table. Raises `ConfigError` where the description is not to be used."""
         try:
-            await self._read()
-        except Refused as error:
+            await self._load_table()
+        except DescriptionError as error:
             raise ConfigError(f"routes: {error}") from None
-        self._look()
+        self._watch_files()
 
     def reload(self, routes: Routes) -> None:
         """SIGHUP: read again, perhaps another file."""
         was, self.routes = self.routes, routes
-        if routes.watch and not was.watch:
-            self._look()
-        self.signature = None
+        if routes.watch_interval_us and not was.watch_interval_us:
+            self._watch_files()
+        self.loaded_signature = None
         self.load()
 
     def load(self) -> None:
         """Read the description; where one is being read, once more behind it."""
         if self.task is not None and not self.task.done():
-            self.again = True
+            self.is_reload_requested = True
             return
-        self.task = self.loop.create_task(self._swap())
+        self.task = self.loop.create_task(self._reload_until_current())
 
-    async def _swap(self) -> None:
+    async def _reload_until_current(self) -> None:
         while True:
-            self.again = False
+            self.is_reload_requested = False
             try:
-                await self._read()
-            except Refused as error:
-                self.refused += 1
+                await self._load_table()
+            except DescriptionError as error:
+                self.rejected_count += 1
                 log.error("routes refused, generation %d goes on: %s", self.table.number, error)
             except Exception:  # an error of ours must not end the door, nor the watch
-                self.refused += 1
+                self.rejected_count += 1
                 log.exception("routes could not be read, generation %d goes on", self.table.number)
-            self.on_settled()
-            if not self.again:
+            self.on_loaded()
+            if not self.is_reload_requested:
                 return
 
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
-    def _look(self) -> None:
+    def _watch_files(self) -> None:
         """Whether the files have changed and stand still again: half-written files are left to settle."""
-        if self.routes.watch:
-            self.loop.call_later(self.routes.watch / 1e6, self._look)
-            now = self._sign()
-            if now != self.signature and now == self.seen:
+        if self.routes.watch_interval_us:
+            self.loop.call_later(self.routes.watch_interval_us / 1e6, self._watch_files)
+            now = self._file_signature()
+            if now != self.loaded_signature and now == self.last_signature:
                 self.load()
-            self.seen = now
+            self.last_signature = now
 
-    def _sign(self) -> object:
+    def _file_signature(self) -> object:
         """What tells one state of the files from another; a link counts as what it leads to."""
         made: list[tuple[object, ...]] = []
-        for name in dict.fromkeys((self.routes.file, *self.files)):
+        for name in dict.fromkeys((self.routes.file, *self.description_files)):
             try:
                 told = os.stat(name)
             except OSError as error:
@@ -309,9 +317,9 @@
                 made.append((name, told.st_dev, told.st_ino, told.st_mtime_ns, told.st_size))
         return tuple(made)
 
-    async def _read(self) -> None:
+    async def _load_table(self) -> None:
         """Read, build and take the next generation, or raise `Refused`."""
-        self.signature = self._sign()
+        self.loaded_signature = self._file_signature()
         root = Path(__file__).resolve().parents[3]
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -322,13 +330,13 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             cwd=root,
-            limit=MOST_LINE,
+            limit=MAX_LINE_BYTES,
         )
         try:
-            async with asyncio.timeout(READ_WITHIN):
-                table = await self._build(process)
+            async with asyncio.timeout(READ_TIMEOUT_S):
+                table = await self._build_table(process)
         except TimeoutError:
-            raise Refused(f"{self.routes.file}: not read within {READ_WITHIN:g} s") from None
+            raise DescriptionError(f"{self.routes.file}: not read within {READ_TIMEOUT_S:g} s") from None
         finally:
             if process.returncode is None:
                 process.kill()
@@ -336,28 +344,30 @@
         if table.digest == self.table.digest:
             return
         if self.table.number and (reason := refusal(self.table, table)) is not None:
-            raise Refused(f"{self.routes.file}: {reason}")
-        self._take(table)
+            raise DescriptionError(f"{self.routes.file}: {reason}")
+        self._activate(table)
 
-    async def _build(self, process: asyncio.subprocess.Process) -> Table:
+    async def _build_table(self, process: asyncio.subprocess.Process) -> Table:
         """The table from the reader's lines. Every few routes the loop runs."""
         assert process.stdout is not None and process.stderr is not None
-        head = await self._line(process.stdout)
+        head = await self._read_line(process.stdout)
         if head is None:
             words = (await process.stderr.read(4_096)).decode("utf-8", "replace").strip().splitlines()
-            raise Refused(f"{self.routes.file}: the reader failed: {words[-1] if words else 'no word'}")
+            raise DescriptionError(
+                f"{self.routes.file}: the reader failed: {words[-1] if words else 'no word'}"
+            )
         if "error" in head:
-            raise Refused(str(head["error"]))
-        self.files = [str(name) for name in head["files"]]
-        self.signature = self._sign()
+            raise DescriptionError(str(head["error"]))
+        self.description_files = [str(name) for name in head["files"]]
+        self.loaded_signature = self._file_signature()
         rules: dict[Rule, Rule] = {}
         routes: list[Route] = []
         allow = head["allow"]
         try:
             while len(routes) < head["routes"]:
-                line = await self._line(process.stdout)
+                line = await self._read_line(process.stdout)
                 if line is None:
-                    raise Refused(f"{self.routes.file}: the reader ended after {len(routes)} routes")
+                    raise DescriptionError(f"{self.routes.file}: the reader ended after {len(routes)} routes")
                 routes.append(route_from_wire(line, rules))
                 if len(routes) % SLICE == 0:
                     await asyncio.sleep(0)
@@ -366,18 +376,18 @@
                 table = made
                 await asyncio.sleep(0)
         except (Clash, BadTemplate, TooMany, ValueError) as error:
-            raise Refused(f"{self.routes.file}: {error}") from None
+            raise DescriptionError(f"{self.routes.file}: {error}") from None
         return table
 
-    async def _line(self, stream: asyncio.StreamReader) -> Any:
+    async def _read_line(self, stream: asyncio.StreamReader) -> Any:
         """One JSON line; None at the end."""
         try:
             line = await stream.readline()
         except ValueError:
-            raise Refused(f"{self.routes.file}: a route of over {MOST_LINE} bytes") from None
+            raise DescriptionError(f"{self.routes.file}: a route of over {MAX_LINE_BYTES} bytes") from None
         return json.loads(line) if line.endswith(b"\n") else None
 
-    def _take(self, table: Table) -> None:
+    def _activate(self, table: Table) -> None:
         """The next generation comes in force, at once for all that comes from now on.
 
         A request that is open keeps the class and cost that it came with. Where its route has a stricter
@@ -385,37 +395,37 @@
         own stands.
         """
         was = self.table
-        self.numbers = self.classes.take_on(table.rules())
+        self.class_numbers = self.classes.take_on(table.rules())
         restricted: list[Event] = []
-        for number, request in self.door.requests.items():
+        for number, request in self.decision_loop.requests.items():
             client = request.client
-            routed = client.routed
-            if request.final or not isinstance(routed, Routed):
+            routed = client.route_context
+            if request.is_answered or not isinstance(routed, RouteContext):
                 continue
             route = table.find(routed.method, routed.target).route
             if route is None or (rule := routed.rule.stricter(route.rule)) == routed.rule:
                 continue
-            routed.rule, old = rule, client.kind
-            client.kind = self.classes.number(rule)
-            self.classes.use(client.kind)
+            routed.rule, old = rule, client.request_class
+            client.request_class = self.classes.number(rule)
+            self.classes.use(client.request_class)
             self.classes.release(old)
-            restricted.append(RequestClassChanged(number, client.kind))
+            restricted.append(RequestClassChanged(number, client.request_class))
         for number, known in enumerate(self.classes.rules):
-            made = as_class(known) if known is not None else self.as_classes[number]
-            if number == len(self.as_classes):
-                self.as_classes.append(made)
-            self.as_classes[number] = made
+            made = request_class(known) if known is not None else self.request_classes[number]
+            if number == len(self.request_classes):
+                self.request_classes.append(made)
+            self.request_classes[number] = made
         self.table = table
-        self.door.post(ClassesChanged(tuple(self.as_classes)))
+        self.decision_loop.post(ClassesChanged(tuple(self.request_classes)))
         for event in restricted:
-            self.door.post(event)
+            self.decision_loop.post(event)
         log.info(
             "routes: generation %d in place of %d, %d routes, %d classes, %d open requests restricted, "
             "digest %s",
             table.number,
             was.number,
             len(table.routes),
-            len(self.numbers),
+            len(self.class_numbers),
             len(restricted),
             table.digest,
         )
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -30,23 +30,23 @@
 
 def state_of(program: Program) -> State:
     """One value for each feature, in a fixed order."""
-    door, pool, clients = program.door, program.pool, program.clients
+    door, pool, clients = program.decision_loop, program.pool, program.clients
     found = [
-        f"drain:{program.stopping:d}",
-        f"clients:{_size(len(clients.slots), 1, 10, 40)}{clients.crowded():d}",
-        f"queue held:{clients.listener.held:d}",
+        f"drain:{program.is_stopping:d}",
+        f"clients:{_size(len(clients.slots), 1, 10, 40)}{clients.is_near_capacity():d}",
+        f"queue held:{clients.listener.is_paused:d}",
         f"open:{_size(len(door.requests), 1, 4, 16)}",
-        f"pool:{_size(len(pool.all), 1, 8, 24)}",
+        f"pool:{_size(len(pool.connections), 1, 8, 24)}",
         f"idle:{_size(sum(map(len, pool.idle.values())), 1, 8)}",
-        f"rest:{pool.keep < 0.9 * pool.longest:d}",
-        f"retired:{any(c.retired for c in pool.all):d}",
-        f"list:{program.discovery.schedule.version < 0:d}{program.discovery.call is not None:d}",
+        f"rest:{pool.idle_limit_s < 0.9 * pool.max_idle_limit_s:d}",
+        f"retired:{any(c.retired for c in pool.connections):d}",
+        f"list:{program.discovery.schedule.version < 0:d}{program.discovery.connection is not None:d}",
     ]
     if (counter := door.counter) is not None:
-        lines = counter.lines
+        lines = counter.connections
         found += [
             f"lines:{sum(line.transport is not None for line in lines)}",
-            f"failing:{any(line.failing for line in lines):d}",
+            f"failing:{any(line.is_failing for line in lines):d}",
             f"owed:{_size(max(len(line.calls) for line in lines), 1, 4, 16)}",
         ]
     if isinstance(module := door.decider, Gateway):
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -55,16 +55,16 @@
     def now(self) -> int:
         return EPOCH + self.machine.instant()
 
-    def listening(self, family: int) -> Any:
+    def create_socket(self, family: int) -> Any:
         return self.net.listening(self.machine)
 
     def has_bytes(self, file: int) -> bool:
         return self.net.has_bytes(self.machine, file)
 
-    def read_again(self) -> Config:
+    def reload_config(self) -> Config:
         return self._config()
 
-    def settled(self) -> None:
+    def startup_complete(self) -> None:
         """No real memory is to be settled."""
 
 
@@ -184,7 +184,7 @@
             door.core,
             self.costs,
             timer_resolution=1000,
-            files=config.sockets,
+            files=config.max_sockets,
         )
         machine.ignore(signal.SIGHUP)  # until the program has a handler, as `main` has it
         door.life = FrontDoorIncarnation(door.number, 0, self.platform.now())
@@ -456,22 +456,24 @@
         if program is None or machine is None or machine.dead:
             continue
         held: dict[str, int] = {
-            "open requests": len(program.door.requests),
-            "unanswered requests": program.door.unanswered,
+            "open requests": len(program.decision_loop.requests),
+            "unanswered requests": program.decision_loop.unanswered_count,
             "open traces": len(program.clients.open_traces),
-            "attempts out": sum(c.attempt is not None for c in program.pool.all),
-            "lost connections in the pool": sum(c.lost for c in program.pool.all),
+            "attempts out": sum(c.attempt is not None for c in program.pool.connections),
+            "lost connections in the pool": sum(c.lost for c in program.pool.connections),
         }
-        if isinstance(decider := program.door.decider, Gateway):
+        if isinstance(decider := program.decision_loop.decider, Gateway):
             held |= {
                 "requests in the module": len(decider.requests),
                 "requests in the queue": decider.queue.entries,
                 "calls to the counter": sum(map(len, decider.demand_calls.values())),
                 "attempts out in the module": decider.in_flight,
             }
-        if program.door.counter is not None:
+        if program.decision_loop.counter is not None:
             held["calls in lines"] = sum(
-                not call.over for line in program.door.counter.lines for call in line.calls
+                not call.is_answered
+                for line in program.decision_loop.counter.connections
+                for call in line.calls
             )
         found += [f"door {door.number}: {count} {name}" for name, count in held.items() if count]
     return found
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -22,12 +22,12 @@
 )
 from irisdeal.front_door.decisions.tenant import Tenant
 from irisdeal.front_door.server import backends, counter_client, discovery_client
-from irisdeal.front_door.server.backends import Backend, Pool
-from irisdeal.front_door.server.clients import ClientSide
-from irisdeal.front_door.server.counter_client import Line
-from irisdeal.front_door.server.discovery_client import Discovery
+from irisdeal.front_door.server.backends import BackendConnection, BackendPool
+from irisdeal.front_door.server.clients import HttpServer
+from irisdeal.front_door.server.counter_client import CounterConnection
+from irisdeal.front_door.server.discovery_client import DiscoveryClient
 from irisdeal.front_door.server.listener import Listener
-from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.loop import DecisionLoop
 from irisdeal.front_door.server.program import Program
 
 Patch = tuple[Any, str, Any]
@@ -51,7 +51,7 @@
     def made(old: Any) -> Any:
         return lambda answer: Result.TURNED_AWAY if answer.status >= 500 else old(answer)
 
-    return _wrap(backends, "outcome", made)
+    return _wrap(backends, "response_result", made)
 
 
 def _with_classes(change: Callable[[Any], Any]) -> list[Patch]:
@@ -86,13 +86,13 @@
 
 def _lost_is_unsent() -> list[Patch]:
     def made(old: Any) -> Any:
-        def end(self: Backend, result: Result, answer: Any = None) -> None:
-            unsent = result is Result.CONNECTION_LOST and not self.begun
+        def end(self: BackendConnection, result: Result, answer: Any = None) -> None:
+            unsent = result is Result.CONNECTION_LOST and not self.in_response
             old(self, Result.NOT_SENT if unsent else result, answer)
 
         return end
 
-    return _wrap(Backend, "_end", made)
+    return _wrap(BackendConnection, "_finish_attempt", made)
 
 
 def _timed_out_never_ran() -> list[Patch]:
@@ -100,19 +100,25 @@
 
 
 def _drain_unheard() -> list[Patch]:
-    return [(discovery_client, "STATES", {**discovery_client.STATES, "Terminating": ServerState.READY})]
+    return [
+        (
+            discovery_client,
+            "STATES_BY_PHASE",
+            {**discovery_client.STATES_BY_PHASE, "Terminating": ServerState.READY},
+        )
+    ]
 
 
 def _lost_on_reconnect() -> list[Patch]:
     def made(old: Any) -> Any:
-        async def run(self: Discovery) -> None:
-            if (self.call is None or not self.call.usable()) and self.schedule.version >= 0:
+        async def run(self: DiscoveryClient) -> None:
+            if (self.connection is None or not self.connection.is_usable()) and self.schedule.version >= 0:
                 self.schedule.version += 1
             await old(self)
 
         return run
 
-    return _wrap(Discovery, "_next", made)
+    return _wrap(DiscoveryClient, "_poll_once", made)
 
 
 def _whole_list_as_changes() -> list[Patch]:
@@ -185,77 +191,77 @@
 
 
 def _closes_over_the_queue() -> list[Patch]:
-    return _wrap(Listener, "finish", lambda old: lambda self: self.close())
+    return _wrap(Listener, "close_when_empty", lambda old: lambda self: self.close())
 
 
 def _ends_before_answers() -> list[Patch]:
     def made(old: Any) -> Any:
         def wind_up(self: Program) -> None:
             self.clients.listener.close()
-            self.over.set()
+            self.finished.set()
 
         return wind_up
 
-    return _wrap(Program, "_wind_up", made)
+    return _wrap(Program, "_finish_when_drained", made)
 
 
 def _retired_busy() -> list[Patch]:
     def made(old: Any) -> Any:
-        def retire_idle(self: ClientSide) -> None:
+        def retire_idle(self: HttpServer) -> None:
             for client in list(self.connections):
                 client._close()
 
         return retire_idle
 
-    return _wrap(ClientSide, "retire_idle", made)
+    return _wrap(HttpServer, "close_idle", made)
 
 
 def _guard_and_time_up_gone() -> list[Patch]:
     return [
         *_wrap(Gateway, "_request_timed_out", lambda old: lambda self, request: None),
-        *_wrap(Door, "_overdue", lambda old: lambda self, number: None),
+        *_wrap(DecisionLoop, "_answer_overdue", lambda old: lambda self, number: None),
     ]
 
 
 def _stalled_waits() -> list[Patch]:
     return [
-        *_wrap(Backend, "_stall", lambda old: lambda self: None),
+        *_wrap(BackendConnection, "_check_stall", lambda old: lambda self: None),
         *_wrap(backends.Attempt, "time_out", lambda old: lambda self: None),
     ]
 
 
 def _pool_leaks() -> list[Patch]:
     def made(old: Any) -> Any:
-        def forget(self: Pool, connection: Backend) -> None:
-            if not connection.begun:
+        def forget(self: BackendPool, connection: BackendConnection) -> None:
+            if not connection.in_response:
                 old(self, connection)
 
         return forget
 
-    return _wrap(Pool, "forget", made)
+    return _wrap(BackendPool, "remove", made)
 
 
 def _late_total_to_the_next() -> list[Patch]:
     def made(old: Any) -> Any:
-        def time_out(self: Line) -> None:
+        def time_out(self: CounterConnection) -> None:
             old(self)
-            while self.calls and self.calls[0].over and self.calls[0].name >= 0:
+            while self.calls and self.calls[0].is_answered and self.calls[0].name >= 0:
                 self.calls.popleft()
 
         return time_out
 
-    return _wrap(counter_client.Line, "_time_out", made)
+    return _wrap(counter_client.CounterConnection, "_time_out_calls", made)
 
 
 def _dead_for_good() -> list[Patch]:
     def made(old: Any) -> Any:
-        def recover(self: Line, *args: Any) -> None:
+        def recover(self: CounterConnection, *args: Any) -> None:
             old(self, *args)
-            self.not_before = 1e12
+            self.reconnect_at = 1e12
 
         return recover
 
-    return _wrap(counter_client.Line, "_give_up", made)
+    return _wrap(counter_client.CounterConnection, "_fail_all_calls", made)
 
 
 BUGS = tuple(
--- a/tests/cli/test_queues.py
+++ b/tests/cli/test_queues.py
@@ -19,7 +19,7 @@
 from irisdeal.cli.main import main
 from irisdeal.front_door.queueing.reports import InvalidReportError, parse_report, top_accounts
 from irisdeal.front_door.server.config import ConfigError
-from irisdeal.front_door.server.report import MOST_READERS
+from irisdeal.front_door.server.report import MAX_READERS
 from tests.support.fake_peers import (
     Peer,
     answer,
@@ -82,7 +82,7 @@
             Peer() as backend,
             running(known=whole_list(member("s-1", backend.port)), report=str(where)) as door,
         ):
-            await door.program.tell()
+            await door.program.start_report()
             assert stat.S_IMODE(os.stat(where).st_mode) == 0o600  # it tells stores' numbers
             client, to_door = await door.client()
             to_door.write(ask())
@@ -109,7 +109,7 @@
     @socket_test
     async def run() -> None:
         async with running(known=whole_list(), report=str(where)) as door:
-            await door.program.tell()
+            await door.program.start_report()
             line, _, _ = await door.call(ask(X_Expires_In="300m"))
             assert line.startswith("HTTP/1.1 429")
             told = (await fetch(where))["watch"]
@@ -124,12 +124,12 @@
     @socket_test
     async def run() -> None:
         async with running(known=whole_list(), report=str(where)) as door:
-            await door.program.tell()
+            await door.program.start_report()
             report = door.program.report
             assert report is not None
-            for _ in range(3 * MOST_READERS):
+            for _ in range(3 * MAX_READERS):
                 assert (await fetch(where))["version"] == 1
-            assert len(report.readers) <= MOST_READERS
+            assert len(report.readers) <= MAX_READERS
 
     run()
 
@@ -147,12 +147,12 @@
     @socket_test
     async def run() -> None:
         async with running(known=whole_list(), report=str(left)) as door:
-            await door.program.tell()
+            await door.program.start_report()
             assert (await fetch(left))["version"] == 1
         for path, says in ((used, "another program"), (plain, "no socket")):
             async with running(known=whole_list(), report=str(path)) as door:
                 with pytest.raises(ConfigError, match=says):
-                    await door.program.tell()
+                    await door.program.start_report()
 
     run()
     alive.close()
--- a/tests/front_door/test_backends.py
+++ b/tests/front_door/test_backends.py
@@ -23,7 +23,7 @@
     Result,
     StartAttempt,
 )
-from irisdeal.front_door.server.backends import Attempt, Pool
+from irisdeal.front_door.server.backends import Attempt, BackendPool
 from tests.support.fake_peers import (
     Peer,
     Script,
@@ -118,7 +118,7 @@
             # The client has time without end: only the connect time-out can end this.
             assert (await door.call(ask(X_Expires_In="3000000m")))[0].split()[1] == "502"
             [ended] = await script.wait_for(AttemptEnded)
-            assert ended.result is Result.NOT_CONNECTED and not door.program.pool.all
+            assert ended.result is Result.NOT_CONNECTED and not door.program.pool.connections
 
 
 @socket_test
@@ -219,7 +219,7 @@
         ]
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert (await read_message(client))[2] == b"ready\n"  # the loser's body was never written
-        assert not door.program.door.requests
+        assert not door.program.decision_loop.requests
 
 
 @socket_test
@@ -253,7 +253,7 @@
             assert (await read_message(client))[2] == b"first"
             ended = await script.wait_for(AttemptEnded, 2)
             assert {(e.attempt_index, e.result) for e in ended} == {(0, Result.OK), (1, Result.NOT_SENT)}
-            assert not door.program.door.requests and len(door.program.pool.all) == 1
+            assert not door.program.decision_loop.requests and len(door.program.pool.connections) == 1
 
 
 @socket_test
@@ -285,7 +285,7 @@
         writer.write(answer())
         await read_message(client)
         writer.close()
-        while door.program.pool.all:
+        while door.program.pool.connections:
             await asyncio.sleep(0)
         to_door.write(ask(trace="a2"))
         reader, writer = await backend.connection()
@@ -307,7 +307,7 @@
 async def test_a_connection_in_its_last_moment_may_have_carried_the_request() -> None:
     ends: list[Result] = []
     async with Peer() as backend:
-        pool = Pool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
+        pool = BackendPool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
         attempt = Attempt(1, 0, b"s-1", 0, lambda attempt, result, answer: ends.append(result))
         attempt.address, attempt.payload = ("127.0.0.1", backend.port), ask()
         pool.send(attempt)
@@ -323,7 +323,7 @@
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.most = 1
+        door.program.pool.max_connections = 1
         _, first = await door.client()
         first.write(ask())
         await backend.connection()
@@ -338,7 +338,7 @@
         script = Script(send_all)
         async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
             pool = door.program.pool
-            pool.rest_time = 0.0
+            pool.min_idle_s = 0.0
             client, to_door = await door.client()
             for n, together in enumerate((True, False)):
                 to_door.write(ask(trace=f"a{n}"))
@@ -348,9 +348,11 @@
                 assert (await read_message(client))[2] == b"good"
                 if not together:
                     resting = pool.idle[b"s-1"][0]
-                    assert resting.is_clean()
+                    assert resting.is_idle_without_input()
                     os.write(writer.get_extra_info("socket").fileno(), behind)
-                    assert not resting.is_clean()  # it has come, and the loop has not read it yet
+                    assert (
+                        not resting.is_idle_without_input()
+                    )  # it has come, and the loop has not read it yet
             to_door.write(ask(trace="b1"))
             reader, writer = await backend.connection()  # a new one, each time
             assert (await read_message(reader))[1]["x-trace-id"] == "b1"
@@ -370,7 +372,7 @@
         Peer() as backend,
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
-        door.program.pool.rest_time = 1e6
+        door.program.pool.min_idle_s = 1e6
         client, to_door = await door.client()
         for trace in ("a1", "a2"):
             to_door.write(ask(trace=trace))
@@ -384,7 +386,7 @@
 async def test_an_answer_that_stops_half_way_ends_its_attempt_long_before_the_clients_time() -> None:
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.stall_time = 0.02
+        door.program.pool.stall_timeout_s = 0.02
         client, to_door = await door.client()
         to_door.write(ask(X_Expires_In="3000000m"))  # time without end
         reader, writer = await backend.connection()
@@ -400,14 +402,14 @@
         Peer() as backend,
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
-        door.program.pool.stall_time = 0.0
+        door.program.pool.stall_timeout_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        connection = next(iter(door.program.pool.all))
+        connection = next(iter(door.program.pool.connections))
         writer.write(b"HTTP/1.1 102 X\r\n\r\n")
-        while not connection.interim:
+        while not connection.interim_count:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         writer.write(answer(200, b"whole"))
@@ -423,13 +425,13 @@
             known=whole_list(member("s-1", backend.port)),
         ) as door,
     ):
-        door.program.pool.rest_time = 0.0
+        door.program.pool.min_idle_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
         told, places = door.program.discovery.reader.read(whole_list(member("s-2", backend.port)))
-        door.program.door.listed(told, places)  # while the old one still has a request
+        door.program.decision_loop.update_server_list(told, places)  # while the old one still has a request
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
@@ -467,7 +469,7 @@
             to_door.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
-            held = weakref.ref(next(iter(door.program.pool.all)))
+            held = weakref.ref(next(iter(door.program.pool.connections)))
             writer.write(answer())
             await read_message(client)
             writer.close()
@@ -484,7 +486,7 @@
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
         pool = door.program.pool
-        pool.rest_time = 0.0
+        pool.min_idle_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
@@ -496,7 +498,7 @@
         await read_message(reader)
         writer.transport.abort()  # as a peer that had forgotten the connection
         await read_message(client)
-        assert 3.0 < pool.keep < 5.0 < pool.longest
+        assert 3.0 < pool.idle_limit_s < 5.0 < pool.max_idle_limit_s
         to_door.write(ask(trace="a3"))
         reader, writer = await backend.connection()
         await read_message(reader)
@@ -507,12 +509,12 @@
         reader, _ = await backend.connection()  # five seconds are too long by now
         assert (await read_message(reader))[1]["x-trace-id"] == "a4"
         for _ in range(1000):
-            pool.learn(pool.keep, True)
-        assert pool.keep == pool.longest
-        pool.learn(0.0, False)
+            pool.update_idle_limit(pool.idle_limit_s, True)
+        assert pool.idle_limit_s == pool.max_idle_limit_s
+        pool.update_idle_limit(0.0, False)
         for _ in range(100):
-            pool.recover()
-        assert pool.keep == pool.longest
+            pool.raise_idle_limit()
+        assert pool.idle_limit_s == pool.max_idle_limit_s
 
 
 @socket_test
@@ -525,11 +527,11 @@
             _, to_door = await door.client()
             to_door.write(ask())
             await read_message((await backend.connection())[0])
-            gateway, loop = door.program.door.decider, door.program.door
+            gateway, loop = door.program.decision_loop.decider, door.program.decision_loop
             assert isinstance(gateway, Gateway)
             [request] = list(loop.requests.values())
             request.attempts[0].finish(Result.CONNECTION_LOST)
-            loop.gone(request.client)
+            loop.client_disconnected(request.client)
             to_door.transport.abort()
             await asyncio.sleep(0.05)
             while gateway.requests or gateway.in_flight:
--- a/tests/front_door/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -164,7 +164,7 @@
             assert (await operate(door, "/backends/disable?target=s-1", "POST"))[0] == "HTTP/1.1 200 OK"
             told = await figures(door)
             assert (told["edge_members"], told["edge_members_unavailable"]) == (2, 1)
-            door.program.pool.rest_time = 0.0
+            door.program.pool.min_idle_s = 0.0
             client, to_door = await door.client()
             to_door.write(ask(trace="a0"))
             from_door, back = await two.connection()
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -135,13 +135,13 @@
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
     async with running(script) as door:
-        taken = door.program.door.take
+        taken = door.program.decision_loop.handle_request
 
         def take(request: ClientRequest) -> None:
             heads.append(request.head)
             taken(request)
 
-        door.program.door.take = take  # type: ignore[method-assign, assignment]
+        door.program.decision_loop.handle_request = take  # type: ignore[method-assign, assignment]
         extra = b"X-Hop: 1\r\nX-Kept: 2\r\nX_Qos: file\r\nx_kept: 3\r\nConnection: keep-alive, x-hop"
         line, _, _ = await door.call(ask().replace(b"Host: svc", b"Host: svc\r\n" + extra))
         assert line.split()[1] == "429"
@@ -168,8 +168,8 @@
         assert (await read_message(reader))[0].split()[1] == "429"
         first, second = (e.time_left_us for e in script.seen if isinstance(e, RequestArrived))
         assert 600_000 < first <= 690_000 and 900_000 < second <= 990_000
-        door.program.door.event_loop_lag.record(
-            0.25, door.program.door.clock.now() / 1e6
+        door.program.decision_loop.event_loop_lag.record(
+            0.25, door.program.decision_loop.host.now() / 1e6
         )  # the loop was late just now
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
--- a/tests/front_door/test_counter.py
+++ b/tests/front_door/test_counter.py
@@ -22,7 +22,7 @@
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
         for amount in (2.5, -1.0, 0.0, 7.0):
-            door.program.door._apply(AddToCounter(0xAB, amount, 4_000_000))
+            door.program.decision_loop._apply(AddToCounter(0xAB, amount, 4_000_000))
         reader, writer = await counter.connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
@@ -41,7 +41,7 @@
 async def test_a_break_after_writing_may_have_added() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         writer.transport.abort()
@@ -54,7 +54,7 @@
     async with Peer() as counter:
         told = counting(counter)
     async with running(script, **told) as door:  # nobody listens any more
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         assert [a.result for a in await script.wait_for(CounterAnswered)] == [Result.NOT_CONNECTED]
 
 
@@ -62,11 +62,11 @@
 async def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=300_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         assert [a.result for a in await script.wait_for(CounterAnswered)] == [Result.TIMED_OUT]
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
         told = await script.wait_for(CounterAnswered, 2)
@@ -78,7 +78,7 @@
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
         for _ in range(100):
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
+            door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         told = await script.wait_for(CounterAnswered, 84)
         assert {a.result for a in told} == {Result.NOT_CONNECTED}
         reader, writer = await counter.connection()
@@ -92,7 +92,7 @@
 async def test_a_connection_without_answers_is_given_up() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=20_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await counter.connection()
         await reader.read()  # the door closes it by itself
         assert len(await script.wait_for(CounterAnswered)) == 1
@@ -105,7 +105,7 @@
     for odd in (*odd_totals, b"what\r\n", b"x" * 1000, b"pong\r\n", b"\xff\xfe\r\n"):
         script = quiet()
         async with Peer() as counter, running(script, **counting(counter)) as door:
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
+            door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
             reader, writer = await counter.connection()
             await reader.readuntil(b"\r\n")
             writer.write(odd)
@@ -116,7 +116,7 @@
 async def test_after_an_odd_line_the_next_call_is_heard_on_a_new_connection() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
-        count = door.program.door._apply
+        count = door.program.decision_loop._apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
@@ -138,16 +138,16 @@
 async def test_a_line_without_an_end_costs_one_call_its_time_and_no_other_line() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=200_000)) as door:
-        count = door.program.door._apply
+        count = door.program.decision_loop._apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1")  # and nothing more
         assert [a.result for a in await script.wait_for(CounterAnswered)] == [Result.TIMED_OUT]
         assert await reader.read() == b""  # given up: answers behind it could not be told apart
-        assert door.program.door.counter is not None
-        line = next(line for line in door.program.door.counter.lines if line.not_before)
-        while asyncio.get_running_loop().time() < line.not_before:
+        assert door.program.decision_loop.counter is not None
+        line = next(line for line in door.program.decision_loop.counter.connections if line.reconnect_at)
+        while asyncio.get_running_loop().time() < line.reconnect_at:
             await asyncio.sleep(0.01)
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
--- a/tests/front_door/test_discovery.py
+++ b/tests/front_door/test_discovery.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from irisdeal.front_door.decisions.interface import ServerList, ServerListKind, ServerState
-from irisdeal.front_door.server.discovery_client import MOST_NAMES, Reader
+from irisdeal.front_door.server.discovery_client import MAX_NAMES, MemberListReader
 from tests.support.fake_peers import (
     Peer,
     Script,
@@ -144,12 +144,12 @@
 
 
 def test_names_that_are_ever_new_do_not_fill_the_memory() -> None:
-    reader = Reader(config())
+    reader = MemberListReader(config())
     for n in range(1000):
         told, _ = reader.read(whole_list(member("s-1", 9, locality=f"z{n}", flavor=f"k{n}")))
         [entry] = told.entries
-        assert (entry.zone, entry.machine_kind) == (min(2 + n, MOST_NAMES), min(1 + n, MOST_NAMES))
-    assert len(reader.zones) == len(reader.kinds) == MOST_NAMES
+        assert (entry.zone, entry.machine_kind) == (min(2 + n, MAX_NAMES), min(1 + n, MAX_NAMES))
+    assert len(reader.zones) == len(reader.kinds) == MAX_NAMES
 
 
 @socket_test
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -306,7 +306,7 @@
         super().__init__()
         self._folder = str(folder)
 
-    def folder(self) -> str:
+    def handover_folder(self) -> str:
         return self._folder
 
 
@@ -317,7 +317,7 @@
     loop = asyncio.get_running_loop()
     one = Program(made, loop, Gateway(made.settings, made.seed), Beside(folder))
     assert one.handover is not None
-    await one.handover.take()
+    await one.handover.fetch_state()
     one.start()
     run = Running(one)
     try:
@@ -363,7 +363,7 @@
                     assert new.program.clients.port() == old.program.clients.port()
                     assert (await operate(new, "/ready"))[0] == "HTTP/1.1 200 OK"
                     assert new.program.discovery.schedule.version == 7
-                    gateway = new.program.door.decider
+                    gateway = new.program.decision_loop.decider
                     assert isinstance(gateway, Gateway) and list(gateway.disabled_servers) == [b"s-2"]
                     assert " 404 " in (await operate(new, "/backends/enable?target=s-9", "POST"))[0]
                     reader, writer = await old.client()  # the same queue: the new one takes it
@@ -373,14 +373,15 @@
                     assert len(new.program.clients.connections) == 1 and not old.program.clients.connections
                     to_door.write(answer())
                     assert (await read_message(reader))[0] == "HTTP/1.1 200 OK"
-                    sockets = new.program.config.sockets
+                    sockets = new.program.config.max_sockets
                     halves = [
-                        one.program.pool.most + one.program.clients.slots.regular_slots for one in (old, new)
+                        one.program.pool.max_connections + one.program.clients.slots.regular_slots
+                        for one in (old, new)
                     ]
                     assert sum(halves) < sockets and gateway.ceiling_share == HALF
                     end(old)
                     await until(new, Stage.ALONE)
-                    assert gateway.ceiling_share == 1.0 and new.program.pool.most > halves[1] / 2
+                    assert gateway.ceiling_share == 1.0 and new.program.pool.max_connections > halves[1] / 2
                     assert (await operate(new, "/backends/enable?target=s-2", "POST"))[2] == b"back\n"
 
 
@@ -442,7 +443,7 @@
         folder = Path(text)
         async with program(folder, known=whole_list(member("s-1", 9))) as old:
             assert old.program.handover is not None
-            path = folder / old.program.handover.file
+            path = folder / old.program.handover.socket_name
             for words in (b"", b"noise\n", b"x" * 4000, request("n1", "127.0.0.1:9"), b'{"version":1'):
                 reader, writer = await asyncio.open_unix_connection(str(path))
                 writer.write(words)
@@ -466,7 +467,7 @@
         folder = Path(text)
         async with program(folder) as one:
             assert one.program.handover is not None
-            path = folder / one.program.handover.file
+            path = folder / one.program.handover.socket_name
         for said in (b"", body({"a": 1})[:20], body({"a": 1})[:-1] + b"\x00", body({"servers": 3})):
 
             async def say(
--- a/tests/front_door/test_loop.py
+++ b/tests/front_door/test_loop.py
@@ -111,7 +111,7 @@
         writer.write(answer())
         assert (await read_message(client))[1]["connection"] == "close"
         assert await idle.read() == b""  # closed once nothing more can come
-        await door.program.over.wait()
+        await door.program.finished.wait()
 
 
 @socket_test
@@ -125,7 +125,7 @@
         await backend.connection()
         door.program.stop()
         assert (await read_message(client))[0].split()[1] == "500"
-        await door.program.over.wait()
+        await door.program.finished.wait()
 
 
 async def start(path: Path, told: object) -> asyncio.subprocess.Process:
--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -11,7 +11,7 @@
 from irisdeal.front_door.operator.calls import Call, TurnedDown, What, read
 from irisdeal.front_door.operator.figures import Figure, Kind, Registry
 from irisdeal.front_door.server.config import ConfigError, parse
-from irisdeal.front_door.server.limits import CALLERS, OWN, share
+from irisdeal.front_door.server.limits import MAX_OPERATOR_CONNECTIONS, OWN_DESCRIPTORS, share_descriptors
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.platform import Platform
 from tests.support.fake_peers import (
@@ -99,8 +99,11 @@
 
 def test_operators_descriptors_come_out_of_the_shared_limit() -> None:
     for sockets in (256, 384, 1024):
-        with_, without = share(sockets, True), share(sockets)
-        assert with_.clients + with_.reserve + with_.backends + CALLERS + OWN < sockets
+        with_, without = share_descriptors(sockets, True), share_descriptors(sockets)
+        assert (
+            with_.clients + with_.reserve + with_.backends + MAX_OPERATOR_CONNECTIONS + OWN_DESCRIPTORS
+            < sockets
+        )
         assert with_.clients < without.clients
 
 
@@ -159,13 +162,13 @@
         assert door.program.operator is not None
         port = door.program.operator.listener.port()
         silent = []
-        for _ in range(2 * CALLERS):
+        for _ in range(2 * MAX_OPERATOR_CONNECTIONS):
             silent.append(await asyncio.open_connection("127.0.0.1", port))
             silent[-1][1].write(b"GET /rea")
         assert (await operate(door, "/ready"))[0] == "HTTP/1.1 200 OK"
         with contextlib.suppress(ConnectionResetError):
             assert await silent[0][0].read() == b""
-        assert len(door.program.operator.callers) <= CALLERS
+        assert len(door.program.operator.connections) <= MAX_OPERATOR_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
 
@@ -209,8 +212,8 @@
             assert told['edge_gone_total{lane="look"}'] == 1
             assert (told["edge_upstream_requests_total"], told["edge_pending"]) == (4, 0)
             side = door.program.clients
-            for n, taken in enumerate(side.taken):
-                assert taken == side.completed[n] + side.rejected[n] + side.failed[n] + side.gone[n]
+            for n, taken in enumerate(side.received):
+                assert taken == side.completed[n] + side.rejected[n] + side.failed[n] + side.disconnected[n]
 
 
 @socket_test
@@ -219,8 +222,8 @@
 
     def sums(program: Program) -> bool:
         side = program.clients
-        ended = sum(map(sum, (side.completed, side.rejected, side.failed, side.gone)))
-        return sum(side.taken) == ended + side.pending
+        ended = sum(map(sum, (side.completed, side.rejected, side.failed, side.disconnected)))
+        return sum(side.received) == ended + side.pending
 
     def started(platform: Platform, programs: list[Program]) -> None:
         loop = asyncio.get_running_loop()
@@ -246,4 +249,4 @@
             assert side.failed[n] == sum(status not in (200, 429, 503) for status in answers)
         assert side.pending == 0 and sum(side.completed) > 20 and sum(side.rejected) > 0
         boxed = sum(a.front_door == door for a in day.request_log.attempts)
-        assert abs(program.pool.written - boxed) <= 3  # some were written to boxes that crashed
+        assert abs(program.pool.written_count - boxed) <= 3  # some were written to boxes that crashed
--- a/tests/front_door/test_patience.py
+++ b/tests/front_door/test_patience.py
@@ -10,8 +10,12 @@
 
 from irisdeal.front_door.decisions.interface import Action, Event, RejectRequest, RequestArrived, StartAttempt
 from irisdeal.front_door.overload.connection_slots import MIN_UNUSED_S
-from irisdeal.front_door.server.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide
-from irisdeal.front_door.server.limits import OWN, share
+from irisdeal.front_door.server.clients import (
+    MAX_PIPELINED_REQUESTS,
+    MAX_REJECTED_PIPELINED_REQUESTS,
+    HttpServer,
+)
+from irisdeal.front_door.server.limits import OWN_DESCRIPTORS, share_descriptors
 from irisdeal.front_door.server.listener import Listener
 from tests.support.fake_peers import (
     Peer,
@@ -30,7 +34,7 @@
 class Hand:
     """A clock that the test sets."""
 
-    def __init__(self, side: ClientSide) -> None:
+    def __init__(self, side: HttpServer) -> None:
         self.side, self.time = side, 1000.0
         side.now = lambda: self.time
 
@@ -78,8 +82,8 @@
         client = next(iter(door.program.clients.connections))
         for byte in ask()[:8]:
             writer.write(bytes((byte,)))
-            size = client.size
-            while client.size == size and not client.in_message:
+            size = client.head_bytes
+            while client.head_bytes == size and not client.in_message:
                 await asyncio.sleep(0)
             hand.on(0.2)
         hand.on(0.2)
@@ -98,11 +102,11 @@
             writer.write(ask(trace="a1") + rest)
             await script.wait_for(RequestArrived)
             hand.on(1.0)
-            assert client.waiting  # it may still be answered
+            assert client.requests  # it may still be answered
             hand.on(0.75)
             answers = await ended(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
-            assert not door.program.clients.open_traces and not door.program.door.unanswered
+            assert not door.program.clients.open_traces and not door.program.decision_loop.unanswered_count
 
     run()
 
@@ -114,7 +118,7 @@
         [(_, writer)] = await connected(door, 1)
         writer.write(b"noise\r\n\r\n")
         client = next(iter(door.program.clients.connections))
-        while not client.ends_at:
+        while not client.close_deadline:
             await asyncio.sleep(0)
         hand.on(1.25)
         while door.program.clients.connections:
@@ -128,7 +132,7 @@
         await connected(door, 2)
         one, _ = door.program.clients.connections
         one.pause_writing()  # as the transport does once 64 KiB wait
-        one.spoke = True
+        one.has_sent_request = True
         hand.on(4.9)
         assert one in door.program.clients.connections
         shrink(door.program.clients, 2, 0)
@@ -142,16 +146,16 @@
     script = Script(silent)
     async with running(script) as door:
         reader, writer = await door.client()
-        writer.write(b"".join(ask(trace=f"t{n}") for n in range(MOST_PIPELINED + 20)))
-        await script.wait_for(RequestArrived, MOST_PIPELINED)
+        writer.write(b"".join(ask(trace=f"t{n}") for n in range(MAX_PIPELINED_REQUESTS + 20)))
+        await script.wait_for(RequestArrived, MAX_PIPELINED_REQUESTS)
         client = next(iter(door.program.clients.connections))
-        while len(client.waiting) < MOST_PIPELINED + 20:
+        while len(client.requests) < MAX_PIPELINED_REQUESTS + 20:
             await asyncio.sleep(0)
-        assert len(door.program.door.requests) == MOST_PIPELINED
-        for number in list(door.program.door.requests):
-            door.program.door._apply(RejectRequest(number))
-        statuses = [(await read_message(reader))[0].split()[1] for _ in range(MOST_PIPELINED + 20)]
-        assert statuses == ["429"] * MOST_PIPELINED + ["503"] * 20
+        assert len(door.program.decision_loop.requests) == MAX_PIPELINED_REQUESTS
+        for number in list(door.program.decision_loop.requests):
+            door.program.decision_loop._apply(RejectRequest(number))
+        statuses = [(await read_message(reader))[0].split()[1] for _ in range(MAX_PIPELINED_REQUESTS + 20)]
+        assert statuses == ["429"] * MAX_PIPELINED_REQUESTS + ["503"] * 20
 
 
 @socket_test
@@ -163,7 +167,9 @@
         reader, writer = await door.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(600)))
         answers = await ended(reader)
-        assert 0 < answers.count(b"HTTP/1.1 ") <= 2 * (MOST_PIPELINED + MOST_BEHIND)
+        assert (
+            0 < answers.count(b"HTTP/1.1 ") <= 2 * (MAX_PIPELINED_REQUESTS + MAX_REJECTED_PIPELINED_REQUESTS)
+        )
 
 
 @socket_test
@@ -210,7 +216,7 @@
         assert arrival.time_left_us <= 10_000_000
 
 
-def shrink(side: ClientSide, most: int, reserve: int) -> None:
+def shrink(side: HttpServer, most: int, reserve: int) -> None:
     side.slots.regular_slots, side.slots.reserve_slots = most, reserve
 
 
@@ -223,7 +229,7 @@
         for n in range(2):
             _, to_door = await door.client()
             to_door.write(ask(trace=f"busy{n}"))
-        script = cast(Script, door.program.door.decider)
+        script = cast(Script, door.program.decision_loop.decider)
         await script.wait_for(RequestArrived, 2)
         first, second = [await door.client() for _ in range(2)]
         while len(side.connections) < 4 or not all(c.transport for c in side.connections):
@@ -260,12 +266,12 @@
             assert headers["connection"] == "close" and float(headers["retry-after"]) > 0
             assert await reader.read() == b""  # an end, no reset
         reader, to_door = await door.client()
-        door.program.door.list_known = True
+        door.program.decision_loop.has_server_list = True
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         line, headers, _ = await read_message(reader)
         assert line.split()[1] == "200" and headers["connection"] == "close"  # full is not unwell
         assert len(await script.wait_for(RequestArrived)) == 4
-        assert len(side.connections) == 4 and all(c.waiting for c in side.connections)
+        assert len(side.connections) == 4 and all(c.requests for c in side.connections)
 
 
 @socket_test
@@ -304,7 +310,7 @@
         for reader, _ in waiting:
             line, _, _ = await read_message(reader)
             assert line.split()[1] in ("429", "503")
-        while not side.is_settled():
+        while not side.is_drained():
             await asyncio.sleep(0)
 
 
@@ -326,12 +332,12 @@
         shrink(side, 2, 0)
         hand.time += 1.75
         await door.client()
-        side.listener.release()
+        side.listener.resume_accepting()
         for _ in range(20):
             await asyncio.sleep(0)
         assert not readers[0].at_eof() and len(side.connections) == 2
         hand.time += 0.1
-        side.listener.release()
+        side.listener.resume_accepting()
         assert await ended(readers[0]) == b""
         while len(side.connections) < 2:
             await asyncio.sleep(0)
@@ -339,8 +345,8 @@
 
 def test_what_is_shared_out_stays_under_the_descriptors() -> None:
     for sockets in (256, 384, 512, 1024):
-        limits = share(sockets)
-        assert limits.clients + limits.reserve + limits.backends + OWN <= sockets
+        limits = share_descriptors(sockets)
+        assert limits.clients + limits.reserve + limits.backends + OWN_DESCRIPTORS <= sockets
         assert limits.clients >= sockets // 3 and limits.backends >= sockets // 3
 
 
@@ -397,8 +403,8 @@
         await read_message(reader)
         [one] = door.program.clients.connections
         writer.write(ask(trace="a1"))  # the kernel has it before the loop turns
-        one.retire()
-        assert not one.make_room() and not one.ends_at
+        one.close_if_idle()
+        assert not one.evict() and not one.close_deadline
         await script.wait_for(RequestArrived, 2)
 
 
@@ -409,10 +415,10 @@
         hand = Hand(side)
         [(reader, _)] = await connected(door, 1)
         [one] = side.connections
-        side.retire_idle()
-        assert not one.ends_at
+        side.close_idle()
+        assert not one.close_deadline
         hand.time += MIN_UNUSED_S
-        side.retire_idle()
+        side.close_idle()
         assert (await ended(reader)).startswith(b"HTTP/1.1 408 ")
 
 
