--- a/tests/front_door/test_reload.py
+++ b/tests/front_door/test_reload.py
@@ -49,7 +49,7 @@
         for _ in range(3):  # several in a row
             door.program.discovery.move(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped at once
-        assert door.program.door.places == {b"s-1": ("127.0.0.1", 9)}  # the list stands meanwhile
+        assert door.program.decision_loop.addresses == {b"s-1": ("127.0.0.1", 9)}  # the list stands meanwhile
         while True:  # the connections of moves that were overtaken only end
             to_new, agent = await new.connection()
             if line := await to_new.readline():
@@ -69,11 +69,11 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        count = door.program.door._apply
+        count = door.program.decision_loop._apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await old.connection()
         await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.decision_loop.move_counter(("127.0.0.1", new.port))
         count(AddToCounter(1, 2.0, 1000))
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"  # the first is not said again
@@ -92,8 +92,8 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop.move_counter(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -108,10 +108,10 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.decision_loop._apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await old.connection()
         await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.decision_loop.move_counter(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [e.result for e in await script.wait_for(CounterAnswered)] == [Result.TIMED_OUT]
 
@@ -147,10 +147,10 @@
     """Lost: it was ignored until a handler stood, and a test of real doors waited for its answer for good."""
 
     class Reading:
-        async def first(self) -> None:
+        async def load_first(self) -> None:
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0)
-            assert not program.over.is_set()  # the table is not there yet
+            assert not program.finished.is_set()  # the table is not there yet
 
         def stop(self) -> None:
             pass
@@ -159,7 +159,7 @@
     async with Peer() as agent, running(script, discovery=f"127.0.0.1:{agent.port}") as door:
         program = door.program
         program.router = Reading()  # type: ignore[assignment]
-        program.reload = program.over.set  # type: ignore[method-assign]
+        program.reload = program.finished.set  # type: ignore[method-assign]
         program.start = lambda: None  # type: ignore[method-assign]
         was = signal.signal(signal.SIGHUP, signal.SIG_IGN)
         try:
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -88,7 +88,7 @@
     loop = asyncio.get_running_loop()
     program = Program(made, loop, decider or Gateway(made.settings, made.seed))
     assert program.router is not None
-    await program.router.first()
+    await program.router.load_first()
     program.start()
     run = Running(program)
     try:
@@ -112,7 +112,7 @@
     before = router.table.number
     replace(file, text)
     settled = asyncio.Event()
-    router.on_settled = settled.set
+    router.on_loaded = settled.set
     router.load()
     await settled.wait()
     return router.table.number > before
@@ -301,7 +301,7 @@
                 PATHS.replace("put: {}", "put: {x-irisdeal: {repeat: safe}}"),
             ):
                 assert not await swapped(door, file, text), text
-            assert router_of(door).refused == 6 and router_of(door).table.number == 1
+            assert router_of(door).rejected_count == 6 and router_of(door).table.number == 1
             assert (await door.call(request()))[0].split()[1] == "429"
             on_purpose = PATHS.replace("paths:", "x-irisdeal: {allow: [weaken, remove]}\npaths:")
             on_purpose = on_purpose.replace("put: {}", "put: {x-irisdeal: {repeat: safe}}")
@@ -333,7 +333,7 @@
             assert ("POST", "/files") in router.table.routes
             file.write_text("half")  # no longer what the link leads to
             other.write_text(other.read_text()[:200])  # half-written
-            while not router.refused:
+            while not router.rejected_count:
                 await asyncio.sleep(0.005)
             assert router.table.number == 3
 
@@ -350,18 +350,18 @@
         )
         async with routed(file, script) as door:
             router, settled = router_of(door), asyncio.Event()
-            router.on_settled = settled.set
-            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_WITHIN", 0.5)
+            router.on_loaded = settled.set
+            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_TIMEOUT_S", 0.5)
             file.unlink()
             os.mkfifo(file)  # opening it waits for a writer that never comes
             router.load()
             await settled.wait()
-            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_WITHIN", 15.0)
+            monkeypatch.setattr("irisdeal.front_door.server.routed.READ_TIMEOUT_S", 15.0)
             monkeypatch.setattr("irisdeal.front_door.server.routed.sys.executable", "/bin/false")
             settled.clear()
             router.load()
             await settled.wait()
-            assert (router.refused, router.table.number) == (2, 1)
+            assert (router.rejected_count, router.table.number) == (2, 1)
             assert (await door.call(request()))[0].split()[1] == "429"
 
     on_loop(run)
@@ -515,7 +515,7 @@
                     for program in programs:
                         assert program.router is not None
                         settled = asyncio.Event()
-                        program.router.on_settled = settled.set
+                        program.router.on_loaded = settled.set
                         program.router.load()
                         waits.append(settled.wait())
                     await asyncio.gather(*waits)
@@ -554,7 +554,9 @@
     swaps: list[int] = []
     run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, ["unsafe"], swaps)))
     assert [b.text() for b in run.verdict.breaches] == []
-    assert len(swaps) >= 2 and all(p.router is not None and p.router.refused == 0 for p in run.programs)
+    assert len(swaps) >= 2 and all(
+        p.router is not None and p.router.rejected_count == 0 for p in run.programs
+    )
     claims = [a for a in run.request_log.attempts if a.kind == "claim"]
     assert len(claims) > 50 and any(a.end is End.BROKEN for a in claims)
     assert resent(run.request_log.attempts, "claim", swaps[0]) == []
--- a/tests/front_door/test_serving.py
+++ b/tests/front_door/test_serving.py
@@ -51,16 +51,16 @@
         await read_message(reader)
         to_door.transport.abort()
         writer.write(answer())
-        while door.program.door.requests:
+        while door.program.decision_loop.requests:
             await asyncio.sleep(0)
-        assert door.program.door.unanswered == 0
+        assert door.program.decision_loop.unanswered_count == 0
 
 
 @socket_test
 async def test_a_connection_to_a_backend_is_used_again() -> None:
     # The parser says only within its own call whether the peer keeps the connection.
     async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.rest_time = 0.0
+        door.program.pool.min_idle_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -256,7 +256,9 @@
             told = await figures(door)
             assert told['edge_completed_total{lane="look"}'] == 2 and told["edge_pending"] == 0
             assert door.program.clients.budget is not None and door.program.clients.budget.streams == 0
-            assert door.program.door.unanswered == 0 and not door.program.door.requests
+            assert (
+                door.program.decision_loop.unanswered_count == 0 and not door.program.decision_loop.requests
+            )
 
     run()
 
@@ -310,7 +312,7 @@
         data = body_of(24 * LONG)
         sending = asyncio.create_task(in_pieces(to_door, answer(200, data), 3, LONG))
         client = None
-        while client is None or not client.full:
+        while client is None or not client.write_paused:
             await asyncio.sleep(0.005)
             client = next(iter(door.program.clients.connections))
         await asyncio.sleep(0.1)
@@ -357,9 +359,9 @@
         writer.transport.abort()
         with contextlib.suppress(ConnectionResetError):
             await from_door.read()
-        while door.program.door.requests:
+        while door.program.decision_loop.requests:
             await asyncio.sleep(0)
-        assert door.program.door.unanswered == 0 and (await figures(door))["edge_pending"] == 0
+        assert door.program.decision_loop.unanswered_count == 0 and (await figures(door))["edge_pending"] == 0
 
 
 @socket_test
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -154,13 +154,13 @@
 
 def test_what_a_door_keeps_for_good_is_told() -> None:
     def leaky(program: Program) -> None:
-        taken = program.door.take
+        taken = program.decision_loop.handle_request
 
         def take(client: Any) -> None:
             taken(client)
-            program.clients.open_traces.add(b"kept" + client.trace)
+            program.clients.open_traces.add(b"kept" + client.trace_id)
 
-        program.door.take = take  # type: ignore[method-assign]
+        program.decision_loop.handle_request = take  # type: ignore[method-assign]
 
     played = day(QUIET, spoil=leaky)
     assert played.broken() == ["left"]
@@ -179,7 +179,7 @@
     assert played.broken() == ["error"] and "planted" in played.errors[0]
 
     def ends(program: Program) -> None:
-        program.loop.call_later(0.8, program.over.set)
+        program.loop.call_later(0.8, program.finished.set)
 
     assert "crash" in day(QUIET, spoil=ends).broken()
 
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -152,7 +152,7 @@
             program = Program(config, loop, make(config.settings, config.seed))
             spoil(program)
             if program.router is not None:
-                await program.router.first()
+                await program.router.load_first()
             program.start()
             programs.append(program)
             platform.request_log.front_doors.append(FrontDoorIncarnation(front_door, 0, platform.now()))
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -19,8 +19,8 @@
     StartAttempt,
 )
 from irisdeal.front_door.server.client_request import ClientRequest
-from irisdeal.front_door.server.clients import Client
-from irisdeal.front_door.server.loop import Door
+from irisdeal.front_door.server.clients import HttpConnection
+from irisdeal.front_door.server.loop import DecisionLoop
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.audit import Rule
 from tests.support.front_door_rig import DAY, SMALL, played
@@ -110,43 +110,43 @@
 
 
 def answers_twice(program: Program) -> None:
-    reply = Client.reply
+    reply = HttpConnection.reply
 
-    def twice(self: Client, request: ClientRequest, *arguments: Any) -> None:
-        first = not request.answer
+    def twice(self: HttpConnection, request: ClientRequest, *arguments: Any) -> None:
+        first = not request.response
         reply(self, request, *arguments)
-        if first and request.answer and self.transport is not None and not self.transport.is_closing():
-            self.transport.write(request.answer)
+        if first and request.response and self.transport is not None and not self.transport.is_closing():
+            self.transport.write(request.response)
 
-    take = program.door.take
+    take = program.decision_loop.handle_request
 
     def taken(request: ClientRequest) -> None:
-        where = cast(Client, request.where)  # this connection alone: the class is left as it is
+        where = cast(HttpConnection, request.connection)  # this connection alone: the class is left as it is
         where.reply = lambda *arguments: twice(where, *arguments)  # type: ignore[method-assign]
         take(request)
 
-    setattr(program.door, "take", taken)  # noqa: B010 - mypy knows the method's own names
+    setattr(program.decision_loop, "handle_request", taken)  # noqa: B010 - mypy knows the method's own names
 
 
 def never_answers_some(program: Program) -> None:
     """One request in ten is forgotten, and the front door's own guard with it."""
-    front_door, take, count = program.door, program.door.take, [0]
+    front_door, take, count = program.decision_loop, program.decision_loop.handle_request, [0]
 
     def forget(request: ClientRequest) -> None:
         count[0] += 1
         if count[0] % 10:
             take(request)
 
-    setattr(front_door, "take", forget)  # noqa: B010 - as above
+    setattr(front_door, "handle_request", forget)  # noqa: B010 - as above
 
 
 def answers_itself(program: Program) -> None:
     """Serves a made-up answer."""
 
-    def take(self: Door, request: ClientRequest) -> None:
+    def take(self: DecisionLoop, request: ClientRequest) -> None:
         request.reply(200, b"surely fine")
 
-    program.door.take = take.__get__(program.door)  # type: ignore[method-assign]
+    program.decision_loop.handle_request = take.__get__(program.decision_loop)  # type: ignore[method-assign]
 
 
 def test_the_real_module_keeps_all_rules_on_that_day() -> None:
