--- a/irisdeal/http1/connection.py
+++ b/irisdeal/http1/connection.py
@@ -78,7 +78,7 @@
         """End the work for this client."""
         self.transport = None
         self.server.connections.discard(self)
-        self._depart()
+        self._cancel_work()
         self.waiting.clear()
 
     def data_received(self, data: bytes) -> None:
@@ -100,10 +100,10 @@
             return False  # what is written goes out before the transport closes
         self.is_ending, last.keep_alive = True, False
         if self.server.cancels_on_eof:
-            self._depart()
+            self._cancel_work()
         return True
 
-    def _depart(self) -> None:
+    def _cancel_work(self) -> None:
         """Cancel the task of a client that has disconnected.
 
         A handler may exempt work that must not be repeated (`Attempt.must_finish_once_sent` of the proxy).
--- a/irisdeal/http1/server.py
+++ b/irisdeal/http1/server.py
@@ -45,7 +45,7 @@
         self.serving: dict[asyncio.Task[Response], Request] = {}
         self.on_client_disconnected: Callable[[Request], None] = lambda request: None
         self.is_draining = False
-        self.listening: asyncio.Server | None = None
+        self.listener: asyncio.Server | None = None
         self.timeout_check: asyncio.TimerHandle | None = None
 
     async def listen(
@@ -53,11 +53,11 @@
     ) -> None:
         """Serve at an address, or at a socket that listens there already. OSError where the address is taken."""
         if sock is not None:
-            self.listening = await self.loop.create_server(
+            self.listener = await self.loop.create_server(
                 lambda: Connection(self), sock=sock, backlog=backlog
             )
         else:
-            self.listening = await self.loop.create_server(
+            self.listener = await self.loop.create_server(
                 lambda: Connection(self), *address, backlog=backlog, reuse_address=True
             )
         self._check_timeouts()
@@ -110,9 +110,9 @@
         return bool(self.connections or self.serving)
 
     def _stop_listening(self) -> None:
-        if self.listening is not None:
-            self.listening.close()
-            self.listening = None
+        if self.listener is not None:
+            self.listener.close()
+            self.listener = None
 
     def close(self) -> None:
         """Stop listening, and close all connections at once."""
--- a/irisdeal/rpc/server.py
+++ b/irisdeal/rpc/server.py
@@ -209,7 +209,7 @@
         self.on_connection_lost = on_connection_lost
         self.tasks = Tasks()
         self.connections: set[_ServerConnection] = set()
-        self.listening: asyncio.Server | None = None
+        self.listener: asyncio.Server | None = None
         self.connection_count = 0
         self.accepted_kinds: frozenset[str] | None = None  # of calls amid a drain; None before it: all
 
@@ -225,7 +225,7 @@
     async def listen(self, address: Address) -> None:
         """Answer at this address. OSError where it is taken."""
         loop = asyncio.get_running_loop()
-        self.listening = await loop.create_server(
+        self.listener = await loop.create_server(
             lambda: _ServerConnection(self), *address, backlog=LISTEN_BACKLOG, reuse_address=True
         )
 
@@ -242,8 +242,8 @@
         while self._calls_at_work() and loop.time() < ends_at:
             await asyncio.sleep(DRAIN_POLL_S)
         unanswered = self._calls_at_work()
-        if self.listening is not None:
-            self.listening.close()
+        if self.listener is not None:
+            self.listener.close()
         for connection in list(self.connections):
             connection.close_behind_last_answer()
         while self.connections and loop.time() < ends_at:
@@ -256,8 +256,8 @@
 
     def close(self) -> None:
         """Close at once: abort all connections and cancel the calls at work."""
-        if self.listening is not None:
-            self.listening.close()
+        if self.listener is not None:
+            self.listener.close()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -273,7 +273,7 @@
     came: list[tuple[float, int]] = []
 
     def look() -> None:
-        if rig.world.seconds() > 10.0 and rig.watched_registries[lost].server.listening is not None:
+        if rig.world.seconds() > 10.0 and rig.watched_registries[lost].server.listener is not None:
             came.append((rig.world.seconds(), len(rig.watched_registries[lost].server.connections)))
 
     rig.every(0.25, 22.0, look)
--- a/tests/proxy/test_request_lifetime.py
+++ b/tests/proxy/test_request_lifetime.py
@@ -224,13 +224,13 @@
     """A client's leaving is overlooked while its request waits in this phase."""
 
     def plant(patch: pytest.MonkeyPatch) -> None:
-        depart = Connection._depart
+        depart = Connection._cancel_work
 
         def overlooked(self: Connection) -> None:
             if self.current is None or self.current.phase is not phase:
                 depart(self)
 
-        patch.setattr(Connection, "_depart", overlooked)
+        patch.setattr(Connection, "_cancel_work", overlooked)
 
     return plant
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -108,8 +108,8 @@
 
     server = RpcServer(handle)
     await server.listen(("127.0.0.1", 0))
-    assert server.listening is not None
-    reader, writer = await asyncio.open_connection(*server.listening.sockets[0].getsockname()[:2])
+    assert server.listener is not None
+    reader, writer = await asyncio.open_connection(*server.listener.sockets[0].getsockname()[:2])
     writer.write(bytes.fromhex(EXPECTED["link"]["hello"] + ask))
     assert await _exact(reader, [answer]) == [answer]
     assert heard == [("proxy 10.1.0.9#1", "prepare", forms.read_frame(bytes.fromhex(ask))[2])]
