--- a/tests/config_store/test_reconfiguration.py
+++ b/tests/config_store/test_reconfiguration.py
@@ -27,7 +27,7 @@
 def begun(cores: int, **given: object) -> World:
     world = World(cores, **given)  # type: ignore[arg-type]
     world.run(BEGUN)
-    assert world.settled() and len(world.value.members.seats) == min(5, cores)
+    assert world.is_change_complete() and len(world.value.members.seats) == min(5, cores)
     return world
 
 
@@ -39,9 +39,9 @@
     """Let time pass; a quorum lives and holds what is decided all the while. Breach where it does not."""
 
     def check() -> None:
-        if not world.serves():
+        if not world.has_live_quorum():
             raise Breach("no quorum lives", world.now, world.value.members, world.live_seats())
-        if not world.keeps():
+        if not world.retains_decided_value():
             raise Breach("a quorum holds less than is decided", world.now, world.value.members)
 
     world.run(seconds, check)
@@ -160,29 +160,33 @@
     """Six seconds apart; the program before answered no read after the second."""
     world = begun(cores)
     for number in range(10):
-        old = next(machine for machine in world.machines.values() if not machine.gone)
+        old = next(machine for machine in world.machines.values() if not machine.is_removed)
         began = world.now
 
         def goes(old: Machine = old) -> None:
             if how == "kill":
-                world.kill(old, gone=True)
+                world.kill(old, is_removed=True)
             else:
-                old.gone = True
+                old.is_removed = True
                 world.terminate(old)
 
         if lead <= 0:
-            new = world.add(old.slot)
+            new = world.add_machine(old.slot)
             watched(world, -lead)
             goes()
         else:
             goes()
             watched(world, lead)
-            new = world.add(old.slot)
-        watched(world, new.well_at + SECOND - world.now)
-        assert world.settled() and world.serves(without=1), (number, world.value.members, world.live_seats())
+            new = world.add_machine(old.slot)
+        watched(world, new.healthy_since + SECOND - world.now)
+        assert world.is_change_complete() and world.has_live_quorum(without=1), (
+            number,
+            world.value.members,
+            world.live_seats(),
+        )
         assert new.seat in world.value.members.seats
         watched(world, began + 6.0 - world.now)
-        assert world.order(number)
+        assert world.put(number)
 
 
 @pytest.mark.parametrize("cores", CORES)
@@ -192,14 +196,14 @@
     world = begun(cores)
     for number in range(2 * cores):
         machine = list(world.machines.values())[number % cores]
-        assert world.order(number, slow=frozenset({f"m{(number + 1) % cores}"}))
+        assert world.put(number, slow=frozenset({f"m{(number + 1) % cores}"}))
         world.kill(machine)
         watched(world, down)
         world.start(machine, wiped)
         watched(world, SECOND)
-        assert world.serves(without=1)
+        assert world.has_live_quorum(without=1)
     watched(world, 8.0)
-    assert len(world.value.members.seats) == cores and world.settled()
+    assert len(world.value.members.seats) == cores and world.is_change_complete()
 
 
 @pytest.mark.parametrize("off", [1.0, 1.5])
@@ -208,9 +212,9 @@
         world = begun(cores)
         for _ in range(4):
             for machine in list(world.machines.values()):
-                world.cut(machine)
+                world.isolate(machine)
                 watched(world, off)
-                world.join(machine)
+                world.reconnect(machine)
                 watched(world, 1.0)
                 world.kill(machine)
                 watched(world, 0.3)
@@ -228,11 +232,11 @@
     began = world.now
     while world.now < began + 60.0:
         for machine in flapping:
-            world.cut(machine)
+            world.isolate(machine)
             world.run(off)
-            world.join(machine)
+            world.reconnect(machine)
         world.run(on)
-        assert world.serves()
+        assert world.has_live_quorum()
     most = {3: 0, 4: 25, 5: 0, 7: 25}[cores]
     assert world.changes_since(began) <= most
 
@@ -242,10 +246,10 @@
 def test_two_that_do_not_hear_each_other_change_little(cores: int, pair: tuple[str, str]) -> None:
     """All others hear both. Each may leave the other out once, and the others bring it back in."""
     world = begun(cores)
-    world.part(*(world.machines[ip] for ip in pair))
+    world.partition(*(world.machines[ip] for ip in pair))
     watched(world, 60.0)
-    assert world.settled() and world.changes_since(BEGUN + 0.01) <= 4
-    world.unite()
+    assert world.is_change_complete() and world.changes_since(BEGUN + 0.01) <= 4
+    world.heal_partitions()
     watched(world, 10.0)
     assert world.changes_since(BEGUN + 60.0) <= 1 and len(world.value.members.seats) == min(5, cores)
 
@@ -267,36 +271,36 @@
     world = begun(cores)
     for number in range(160):
         if number == 20:
-            world.kill(world.machines["m1"], gone=True)
-            new, began = world.add(1), world.now
-        assert world.order(number, slow=frozenset({f"m{cores - 1}"}))
+            world.kill(world.machines["m1"], is_removed=True)
+            new, began = world.add_machine(1), world.now
+        assert world.put(number, slow=frozenset({f"m{cores - 1}"}))
         watched(world, 0.1 if number % 2 else 0.2)
         if number > 20 and world.now >= began + SECOND:
-            assert new.seat in world.value.members.seats and world.serves(without=1)
+            assert new.seat in world.value.members.seats and world.has_live_quorum(without=1)
 
 
 @pytest.mark.parametrize("cores", CORES)
 def test_a_leaver_with_a_successor_goes_last(cores: int) -> None:
     world = begun(cores)
     leaver = world.machines["m1"]
-    world.add(leaver.slot)
+    world.add_machine(leaver.slot)
     watched(world, 1.0)
-    assert world.order(1, slow=frozenset({"m0"}))
-    leaver.gone = True
+    assert world.put(1, slow=frozenset({"m0"}))
+    leaver.is_removed = True
     world.terminate(leaver)
     watched(world, 2.5)
-    assert leaver.down and leaver.seat not in world.value.members.voters() and world.settled()
+    assert leaver.is_down and leaver.seat not in world.value.members.voters() and world.is_change_complete()
     watched(world, SECOND)
     assert len(world.value.members.seats) == cores
 
 
 def leave_while_another_is_away(world: World) -> None:
     """The leaver is of the only quorum there is, until the one that is away is back."""
-    assert world.order(1)
+    assert world.put(1)
     world.kill(world.machines["m2"])
     world.run(1.0)
-    assert world.order(2)
-    world.machines["m0"].gone = True
+    assert world.put(2)
+    world.machines["m0"].is_removed = True
     world.terminate(world.machines["m0"])
     watched(world, 3.0)
     world.start(world.machines["m2"])
@@ -305,7 +309,7 @@
 
 def test_a_leaver_waits_until_others_hold_what_it_holds() -> None:
     leave_while_another_is_away(world := begun(3))
-    assert world.machines["m0"].down
+    assert world.machines["m0"].is_down
 
 
 def test_a_large_core_spreads_its_members_and_loses_a_zone() -> None:
@@ -315,13 +319,13 @@
     world.run(20.0)
     seats = world.value.members.seats
     zones = {machine.seat: machine.zone for machine in world.machines.values()}
-    assert len(seats) == 5 and len({zones[name] for name in seats}) == 5 and world.settled()
+    assert len(seats) == 5 and len({zones[name] for name in seats}) == 5 and world.is_change_complete()
     for zone in ("z0", "z1"):
         lost = [machine for machine in world.machines.values() if machine.zone == zone]
         for machine in lost:
             world.kill(machine)
         watched(world, SECOND)
-        assert world.settled() and world.serves(without=2)
+        assert world.is_change_complete() and world.has_live_quorum(without=2)
         assert not {machine.seat for machine in lost} & set(world.value.members.seats)
         for machine in lost:
             world.start(machine)
@@ -333,10 +337,13 @@
     goals = ReconfigurationGoals(1, 1)
     world = World(3, goals, zones=1)
     for number in range(6):
-        world.add(zone=f"y{number % 3}")
+        world.add_machine(zone=f"y{number % 3}")
     world.run(30.0)
     zones = {machine.seat: machine.zone for machine in world.machines.values()}
-    assert goals.largest_loss(zones[name] for name in world.value.members.seats) <= 2 and world.settled()
+    assert (
+        goals.largest_loss(zones[name] for name in world.value.members.seats) <= 2
+        and world.is_change_complete()
+    )
 
 
 @pytest.mark.parametrize("late", [0, 1, 2])
@@ -344,8 +351,8 @@
 def test_a_start_that_one_of_the_seeds_misses(late: int, wiped: bool) -> None:
     world = World(4)
     world.kill(world.machines[f"m{late}"])
-    world.run(5.0, lambda: None if world.now < 2.0 else _assert(world.serves()))
-    assert world.order(1)
+    world.run(5.0, lambda: None if world.now < 2.0 else _assert(world.has_live_quorum()))
+    assert world.put(1)
     world.start(world.machines[f"m{late}"], wiped)
     watched(world, 10.0)
     assert {machine.seat for machine in world.machines.values()} == set(world.value.members.seats)
@@ -370,7 +377,7 @@
     def begin(self, cores: int, spare: int) -> None:
         self.world = begun(cores)
         for _ in range(spare):
-            self.world.add()
+            self.world.add_machine()
             watched(self.world, BEGUN)
 
     def slots(self) -> dict[int, Machine]:
@@ -393,30 +400,30 @@
             case "freeze":
                 self.world.freeze(machine)
             case "cut":
-                self.world.cut(machine)
+                self.world.isolate(machine)
             case "part":
-                self.world.part(machine, next(other for other in slots.values() if other is not machine))
+                self.world.partition(machine, next(other for other in slots.values() if other is not machine))
             case "end":
                 self.world.terminate(machine)
             case "remove":
-                self.world.kill(machine, gone=True)
+                self.world.kill(machine, is_removed=True)
             case "follow":
-                machine.gone = True
+                machine.is_removed = True
                 self.world.terminate(machine)
-                self.world.add(machine.slot)
+                self.world.add_machine(machine.slot)
 
     @rule()
     def mend(self) -> None:
-        self.world.unite()
+        self.world.heal_partitions()
         for machine in self.slots().values():
-            if machine.gone:
-                self.world.add(machine.slot)
-            elif machine.down:
+            if machine.is_removed:
+                self.world.add_machine(machine.slot)
+            elif machine.is_down:
                 self.world.start(machine)
-            elif machine.frozen:
-                self.world.thaw(machine)
-            elif machine.cut:
-                self.world.join(machine)
+            elif machine.is_frozen:
+                self.world.resume(machine)
+            elif machine.is_isolated:
+                self.world.reconnect(machine)
 
     @rule(seconds=st.sampled_from([0.2, 1.0, 2.5, SECOND, 7.0]))
     def wait(self, seconds: float) -> None:
@@ -425,12 +432,12 @@
     @rule(slow=st.sets(st.sampled_from([f"m{number}" for number in range(6)]), max_size=3))
     def order(self, slow: set[str]) -> None:
         self.number += 1
-        assert self.world.order(self.number, frozenset(slow))
+        assert self.world.put(self.number, frozenset(slow))
 
     @invariant()
     def holds(self) -> None:
-        assert self.world.serves() and self.world.keeps()
-        for _, members in self.world.lists:
+        assert self.world.has_live_quorum() and self.world.retains_decided_value()
+        for _, members in self.world.decided_lists:
             assert 3 <= len(members.seats) <= 5
 
     def teardown(self) -> None:
@@ -439,7 +446,7 @@
             watched(self.world, 16.0)
         live = [machine.seat for machine in self.slots().values()]
         members = self.world.value.members
-        assert self.world.settled() and len(set(live) & set(members.seats)) == min(5, len(live))
+        assert self.world.is_change_complete() and len(set(live) & set(members.seats)) == min(5, len(live))
 
 
 TestDays = Days.TestCase
@@ -465,14 +472,14 @@
 def replacements(world: World) -> None:
     """Leavers with successors, orders that some take late."""
     for number in range(6):
-        old = next(machine for machine in world.machines.values() if not machine.gone)
-        world.add(old.slot)
+        old = next(machine for machine in world.machines.values() if not machine.is_removed)
+        world.add_machine(old.slot)
         watched(world, 1.5)
-        old.gone = True
+        old.is_removed = True
         world.terminate(old)
         for step in range(8):
             quick = {machine.ip for machine in list(world.machines.values())[-2:]}
-            world.order(10 * number + step, slow=frozenset(set(world.machines) - quick))
+            world.put(10 * number + step, slow=frozenset(set(world.machines) - quick))
             watched(world, 0.5)
 
 
@@ -482,8 +489,8 @@
         watched(world, 5.0)
         world.start(world.machines[f"m{number}"])
         watched(world, SECOND)
-        if any(len(members.seats) < 3 for _, members in world.lists):
-            raise Breach("fewer members than tolerance needs", world.lists)
+        if any(len(members.seats) < 3 for _, members in world.decided_lists):
+            raise Breach("fewer members than tolerance needs", world.decided_lists)
 
 
 @pytest.mark.parametrize("day", [replacements, losses, leave_while_another_is_away])
@@ -500,12 +507,12 @@
 
 def test_a_list_changed_by_the_old_majority_alone_is_found() -> None:
     with pytest.raises(Breach):
-        replacements(begun(3, counted=old_majority_alone))
+        replacements(begun(3, quorum_lists=old_majority_alone))
 
 
 def test_a_leaver_that_goes_first_is_found() -> None:
     with pytest.raises(Breach):
-        leave_while_another_is_away(begun(3, goes=lambda value, monitor, own, now: True))
+        leave_while_another_is_away(begun(3, may_exit=lambda value, monitor, own, now: True))
 
 
 def test_a_removal_below_tolerance_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/membership_world.py
+++ b/tests/support/membership_world.py
@@ -32,16 +32,16 @@
     zone: str
     slot: int
     disk: str
-    known: Value
-    held: int  # the newest change that its disk holds
-    up_at: float  # when it listens
+    known_value: Value
+    stored_change: int  # the newest change that its disk holds
+    ready_at: float  # when it listens
     monitor: MembershipMonitor
-    down: bool = False
-    frozen: bool = False
-    cut: bool = False
-    term_at: float | None = None
-    gone: bool = False  # for good
-    well_at: float = 0.0  # since when it has not been down, frozen or cut
+    is_down: bool = False
+    is_frozen: bool = False
+    is_isolated: bool = False
+    terminated_at: float | None = None
+    is_removed: bool = False  # for good
+    healthy_since: float = 0.0  # since when it has not been down, frozen or cut
 
     @property
     def seat(self) -> str:
@@ -50,33 +50,35 @@
 
 @dataclass
 class World:
-    """`now` in s. `lists`: each list that was decided, with its time."""
+    """`now` in s. `decided_lists`: each list that was decided, with its time."""
 
-    cores: int
+    machine_count: int
     goals: ReconfigurationGoals = field(default_factory=ReconfigurationGoals)
     zones: int = 3
     now: float = 0.0
     steps: int = 0
-    goes: Callable[[Value, MembershipMonitor, str, float], bool] = lambda value, monitor, own, now: may_leave(
-        value, monitor.statuses, own, now, monitor.listening_since
+    may_exit: Callable[[Value, MembershipMonitor, str, float], bool] = lambda value, monitor, own, now: (
+        may_leave(value, monitor.statuses, own, now, monitor.listening_since)
     )
-    counted: Callable[[Value, Value], tuple[Members, ...]] = lambda old, new: (old.members, new.members)
+    quorum_lists: Callable[[Value, Value], tuple[Members, ...]] = lambda old, new: (old.members, new.members)
     machines: dict[str, Machine] = field(default_factory=dict)
-    lists: list[tuple[float, Members]] = field(default_factory=list)
-    apart: set[frozenset[str]] = field(default_factory=set)  # pairs of machines with no way between them
-    made: int = 0
+    decided_lists: list[tuple[float, Members]] = field(default_factory=list)
+    partitioned_pairs: set[frozenset[str]] = field(
+        default_factory=set
+    )  # pairs of machines with no way between them
+    created_count: int = 0
 
     def __post_init__(self) -> None:
-        first = Members.initial(f"m{number}" for number in range(min(3, self.cores)))
+        first = Members.initial(f"m{number}" for number in range(min(3, self.machine_count)))
         self.value = Value.initial(first)
-        for _ in range(self.cores):
-            self.add(disk=INITIAL_DISK_ID)
+        for _ in range(self.machine_count):
+            self.add_machine(disk=INITIAL_DISK_ID)
 
     # What happens to machines
 
-    def add(self, slot: int | None = None, zone: str | None = None, disk: str = "new") -> Machine:
+    def add_machine(self, slot: int | None = None, zone: str | None = None, disk: str = "new") -> Machine:
         """A new machine at a new address that is switched on now."""
-        number, self.made = self.made, self.made + 1
+        number, self.created_count = self.created_count, self.created_count + 1
         known, held = (Value.initial(self.value.members), 0) if disk == INITIAL_DISK_ID else (EMPTY, -1)
         made = Machine(
             f"m{number}",
@@ -87,58 +89,62 @@
             held,
             self.now + BOOT,
             MembershipMonitor(self.now + BOOT),
-            well_at=self.now,
+            healthy_since=self.now,
         )
         self.machines[made.ip] = made
         return made
 
-    def kill(self, machine: Machine, gone: bool = False) -> None:
-        machine.down, machine.gone = True, gone
+    def kill(self, machine: Machine, is_removed: bool = False) -> None:
+        machine.is_down, machine.is_removed = True, is_removed
 
     def start(self, machine: Machine, wiped: bool = False) -> None:
         """Again, with its disk or an empty one."""
         if wiped:
-            machine.disk, machine.held, machine.known = f"disk{self.steps}", -1, EMPTY
-        machine.down, machine.term_at, machine.well_at = False, None, self.now
-        machine.up_at = self.now + BOOT
-        machine.monitor = MembershipMonitor(machine.up_at)
+            machine.disk, machine.stored_change, machine.known_value = f"disk{self.steps}", -1, EMPTY
+        machine.is_down, machine.terminated_at, machine.healthy_since = False, None, self.now
+        machine.ready_at = self.now + BOOT
+        machine.monitor = MembershipMonitor(machine.ready_at)
 
     def freeze(self, machine: Machine) -> None:
-        machine.frozen = True
+        machine.is_frozen = True
 
-    def thaw(self, machine: Machine) -> None:
-        machine.frozen, machine.well_at = False, self.now
+    def resume(self, machine: Machine) -> None:
+        machine.is_frozen, machine.healthy_since = False, self.now
         machine.monitor.reset_after_stall(self.now)
 
-    def cut(self, machine: Machine) -> None:
-        machine.cut = True
+    def isolate(self, machine: Machine) -> None:
+        machine.is_isolated = True
 
-    def join(self, machine: Machine) -> None:
-        machine.cut, machine.well_at = False, self.now
+    def reconnect(self, machine: Machine) -> None:
+        machine.is_isolated, machine.healthy_since = False, self.now
 
-    def part(self, one: Machine, other: Machine) -> None:
+    def partition(self, one: Machine, other: Machine) -> None:
         """These two do not hear each other; all others hear both."""
-        self.apart.add(frozenset((one.ip, other.ip)))
+        self.partitioned_pairs.add(frozenset((one.ip, other.ip)))
 
-    def unite(self) -> None:
+    def heal_partitions(self) -> None:
         for machine in self.machines.values():
-            if any(machine.ip in pair for pair in self.apart):
-                machine.well_at = self.now
-        self.apart.clear()
+            if any(machine.ip in pair for pair in self.partitioned_pairs):
+                machine.healthy_since = self.now
+        self.partitioned_pairs.clear()
 
     def terminate(self, machine: Machine) -> None:
-        machine.term_at = self.now
+        machine.terminated_at = self.now
 
     # What the judge sees
 
     def is_up(self, machine: Machine) -> bool:
-        return not (machine.down or machine.frozen) and self.now >= machine.up_at
+        return not (machine.is_down or machine.is_frozen) and self.now >= machine.ready_at
 
-    def reached(self, machine: Machine) -> list[Machine]:
+    def reachable_from(self, machine: Machine) -> list[Machine]:
         """Those that hear it and that it hears, itself first."""
         if not self.is_up(machine):
             return []
-        others = [] if machine.cut else [other for other in self.machines.values() if not other.cut]
+        others = (
+            []
+            if machine.is_isolated
+            else [other for other in self.machines.values() if not other.is_isolated]
+        )
         return [
             machine,
             *(
@@ -146,7 +152,7 @@
                 for other in others
                 if other is not machine
                 and self.is_up(other)
-                and frozenset((machine.ip, other.ip)) not in self.apart
+                and frozenset((machine.ip, other.ip)) not in self.partitioned_pairs
             ),
         ]
 
@@ -154,20 +160,22 @@
         """As `tolerance` counts it."""
         last = [machine for machine in self.machines.values() if machine.slot == slot][-1]
         return (
-            last.down
-            or last.frozen
-            or last.cut
-            or last.term_at is not None
-            or any(last.ip in pair for pair in self.apart)
-            or self.now < last.well_at + self.goals.sync_s
+            last.is_down
+            or last.is_frozen
+            or last.is_isolated
+            or last.terminated_at is not None
+            or any(last.ip in pair for pair in self.partitioned_pairs)
+            or self.now < last.healthy_since + self.goals.sync_s
         )
 
     def live_seats(self) -> set[str]:
         """The seats of the largest part that is connected."""
         up = [machine for machine in self.machines.values() if self.is_up(machine)]
-        return {machine.seat for machine in up if not machine.cut} or {machine.seat for machine in up[:1]}
+        return {machine.seat for machine in up if not machine.is_isolated} or {
+            machine.seat for machine in up[:1]
+        }
 
-    def serves(self, without: int = 0) -> bool:
+    def has_live_quorum(self, without: int = 0) -> bool:
         """Whether a quorum lives, also after the loss of any so many more members."""
         members, live = self.value.members, self.live_seats()
         return all(
@@ -176,10 +184,14 @@
             if seats
         )
 
-    def keeps(self) -> bool:
+    def retains_decided_value(self) -> bool:
         """Whether each quorum that the disks there are can make has one that holds what is decided."""
         members = self.value.members
-        there = {machine.seat: machine.held for machine in self.machines.values() if not machine.gone}
+        there = {
+            machine.seat: machine.stored_change
+            for machine in self.machines.values()
+            if not machine.is_removed
+        }
         holders = {seat_ for seat_, held in there.items() if held >= self.value.change}
         others = set(there) - holders
         lists = [set(seats) for seats in (members.seats, members.former) if seats]
@@ -197,14 +209,14 @@
                 if self.is_up(machine) and (self.steps + index) % ROUND == 0:
                     self._round(machine)
                 if self.is_up(machine) and self._goes(machine):
-                    self.kill(machine, machine.gone)
+                    self.kill(machine, machine.is_removed)
             check()
 
     def _goes(self, machine: Machine) -> bool:
         """Whether it was told to end and goes now."""
-        since = -1.0 if machine.term_at is None else self.now - machine.term_at
+        since = -1.0 if machine.terminated_at is None else self.now - machine.terminated_at
         return since >= GRACE or (
-            since >= 1.0 and self.goes(machine.known, machine.monitor, machine.seat, self.now)
+            since >= 1.0 and self.may_exit(machine.known_value, machine.monitor, machine.seat, self.now)
         )
 
     def _report(self, machine: Machine) -> ReplicaStatus:
@@ -212,24 +224,24 @@
             machine.seat,
             machine.zone,
             NO_BALLOT,
-            machine.known,
-            machine.known,
-            machine.held >= machine.known.change,
-            machine.term_at is not None,
+            machine.known_value,
+            machine.known_value,
+            machine.stored_change >= machine.known_value.change,
+            machine.terminated_at is not None,
         )
 
     def _round(self, machine: Machine) -> None:
         """Ask all, fetch what is newer, and propose where it is our turn."""
-        reached = self.reached(machine)
+        reached = self.reachable_from(machine)
         for other in reached:
             machine.monitor.record_status(self._report(other), self.now)
-        newest = max((other.known for other in reached), key=lambda value: value.change)
-        if machine.known.change < newest.change:
-            machine.known = newest
-        machine.held = max(machine.held, *(other.held for other in reached))
+        newest = max((other.known_value for other in reached), key=lambda value: value.change)
+        if machine.known_value.change < newest.change:
+            machine.known_value = newest
+        machine.stored_change = max(machine.stored_change, *(other.stored_change for other in reached))
         machine.monitor.record_status(self._report(machine), self.now)
-        if machine.known.members.is_quorum(other.seat for other in reached):  # in contact
-            wanted = machine.monitor.next_proposal(machine.known, machine.seat, self.now, self.goals)
+        if machine.known_value.members.is_quorum(other.seat for other in reached):  # in contact
+            wanted = machine.monitor.next_proposal(machine.known_value, machine.seat, self.now, self.goals)
             if wanted is not None:
                 self.propose(machine, wanted)
 
@@ -238,36 +250,38 @@
         value = set_members(wanted)(self.value)
         if value is self.value or not self._decide(machine, value):
             return False
-        self.lists.append((self.now, value.members))
-        for other in self.reached(machine):
-            other.known = value
+        self.decided_lists.append((self.now, value.members))
+        for other in self.reachable_from(machine):
+            other.known_value = value
         return True
 
-    def order(self, number: int, slow: frozenset[str] = frozenset()) -> bool:
+    def put(self, number: int, slow: frozenset[str] = frozenset()) -> bool:
         """An operator's order by whichever member gets it through; machines that are `slow` take it last."""
         value = put(VersionId(number, b"body"))(self.value)
         for machine in self.machines.values():
             if machine.seat in self.value.members.voters() and self._decide(machine, value, slow):
-                machine.known = value
+                machine.known_value = value
                 return True
         return False
 
     def _decide(self, proposer: Machine, value: Value, slow: frozenset[str] = frozenset()) -> bool:
         """Accepted by no more than it takes, those first that are of least use: who leaves, the oldest."""
         takers: list[Machine] = []
-        lists = self.counted(self.value, value)
-        for machine in sorted(self.reached(proposer), key=lambda one: (one.ip in slow, one.term_at is None)):
+        lists = self.quorum_lists(self.value, value)
+        for machine in sorted(
+            self.reachable_from(proposer), key=lambda one: (one.ip in slow, one.terminated_at is None)
+        ):
             takers.append(machine)
             if all(members.is_quorum(taker.seat for taker in takers) for members in lists):
                 self.value = value
                 for taker in takers:
-                    taker.held = value.change
+                    taker.stored_change = value.change
                 return True
         return False
 
-    def settled(self) -> bool:
+    def is_change_complete(self) -> bool:
         return not self.value.members.former
 
     def changes_since(self, moment: float) -> int:
         """Lists that were begun since."""
-        return sum(1 for at, members in self.lists if at >= moment and members.former)
+        return sum(1 for at, members in self.decided_lists if at >= moment and members.former)
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -326,11 +326,22 @@
 
 def note_core(recorder: Recorder, world: core_world.World) -> None:
     """The state of a core, and what its judge says."""
-    recorder.note(world.now, world.value.change, world.serves(), world.keeps(), world.settled())
+    recorder.note(
+        world.now,
+        world.value.change,
+        world.has_live_quorum(),
+        world.retains_decided_value(),
+        world.is_change_complete(),
+    )
     note_members(recorder, world.value.members)
     for machine in world.machines.values():
         recorder.note(
-            machine.seat, machine.slot, machine.known.change, machine.held, machine.down, machine.frozen
+            machine.seat,
+            machine.slot,
+            machine.known_value.change,
+            machine.stored_change,
+            machine.is_down,
+            machine.is_frozen,
         )
 
 
@@ -341,14 +352,14 @@
         lambda: world.kill(one),
         lambda: world.start(one, wiped=chance.random() < 0.3),
         lambda: world.freeze(one),
-        lambda: world.thaw(one),
-        lambda: world.cut(one),
-        lambda: world.join(one),
-        lambda: world.part(one, other),
-        world.unite,
+        lambda: world.resume(one),
+        lambda: world.isolate(one),
+        lambda: world.reconnect(one),
+        lambda: world.partition(one, other),
+        world.heal_partitions,
         lambda: world.terminate(one),
-        lambda: world.add(slot=one.slot),
-        lambda: world.order(world.steps),
+        lambda: world.add_machine(slot=one.slot),
+        lambda: world.put(world.steps),
     )
     number = chance.randrange(len(acts))
     acts[number]()
@@ -364,7 +375,7 @@
         recorder.note(change_core(world, chance))
         world.run(chance.uniform(0.3, 4.0))
         note_core(recorder, world)
-    for at, members in world.lists:
+    for at, members in world.decided_lists:
         recorder.note(at)
         note_members(recorder, members)
 
