--- a/irisdeal/proxy/backend_connection.py
+++ b/irisdeal/proxy/backend_connection.py
@@ -133,18 +133,18 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self.is_complete:  # more bytes after a complete response: that one counts, the connection ends
-                return self._complete(is_spoilt=True)
+                return self._complete(has_trailing_bytes=True)
             return self._fail(f"odd answer: {error.__context__ or error}")
         if self.is_complete:
-            self._complete(is_spoilt=False)
+            self._complete(has_trailing_bytes=False)
 
     # A complete response
 
-    def _complete(self, is_spoilt: bool) -> None:
-        """End the request with its complete response. `is_spoilt`: bytes came after it."""
+    def _complete(self, has_trailing_bytes: bool) -> None:
+        """End the request with its complete response. `has_trailing_bytes`: bytes came after it."""
         named = {name.lower(): value for name, value in self.headers}
         status = self.status
-        keep = self.is_reusable and not is_spoilt and not self.is_dead
+        keep = self.is_reusable and not has_trailing_bytes and not self.is_dead
         if (keep_alive := named.get(b"keep-alive")) is not None:
             self.max_idle_s = min(MAX_IDLE_S, KEEP_ALIVE_SHARE * keep_alive_s(keep_alive))
         attempt_id = named.get(b"x-irisdeal-attempt-id")
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -420,7 +420,7 @@
             monkeypatch.setattr(backend_connection, "NOT_EXECUTED_STATUSES", ())
 
 
-def _any_answer(self: BackendConnection, is_spoilt: bool) -> None:
+def _any_answer(self: BackendConnection, has_trailing_bytes: bool) -> None:
     headers = [field for field in self.headers if field[0].lower() != b"content-length"]
     self._finish(
         AttemptOutcome(AttemptEnd.RESPONSE, "", self.status, headers, b"".join(self.body_chunks)), True
