--- a/irisdeal/rpc/__init__.py
+++ b/irisdeal/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Calls between the gateway's own processes: bounded frames of CBOR over TCP, requests, answers, notifications."""
+"""Remote procedure calls between the gateway's processes: length-prefixed CBOR frames over TCP."""
--- a/irisdeal/rpc/call_tables.py
+++ b/irisdeal/rpc/call_tables.py
@@ -1,7 +1,4 @@
-"""The tables of calls in docs/design/control.md, generated from the specification of the calls.
-
-Printed by `python -m irisdeal.rpc.call_tables`.
-"""
+"""Generates the tables of calls in docs/design/control.md: `python -m irisdeal.rpc.call_tables`."""
 
 from __future__ import annotations
 
@@ -15,11 +12,12 @@
     "retried by",
     "identified by",
     "answer matched by",
-    "a reset after the first byte",
-    "a time-out",
+    "after a reset that follows the first byte",
+    "after a timeout",
 )
-BY_REQUEST_ID = "request id, connection"  # what each answer between our processes is matched by
-BY_ORDER = "order on its connection; to a backend its id as well"  # what an answer of HTTP/1.1 is matched by
+# How an answer is matched to its call
+BY_REQUEST_ID = "request id, connection"  # between processes of the gateway
+BY_ORDER = "order on the connection; with a backend also the attempt id"  # over HTTP/1.1
 
 OUTSIDE_CALLS = (
     CallSpec(
@@ -27,10 +25,10 @@
         caller="client",
         callee="proxy",
         retry=RetryRule.PROXY_IF_NOT_RUN,
-        identified_by="X-Irisdeal-Attempt-Id, one for each attempt",
-        after_reset="the client's own rules: the proxy answers one connection's requests in their order",
-        after_timeout="the client's; all work for a client that has left ends, "
-        "but an attempt that runs once and may have begun",
+        identified_by="X-Irisdeal-Attempt-Id, a different one for each attempt",
+        after_reset="left to the client: the proxy answers the requests of a connection in order",
+        after_timeout="left to the client; the work for a client that disconnected is cancelled, "
+        "except an attempt that must run only once and may have started",
     ),
     CallSpec(
         kind="an attempt",
@@ -38,8 +36,8 @@
         callee="backend",
         retry=RetryRule.PROXY_IF_NOT_RUN,
         identified_by="X-Irisdeal-Attempt-Id, with X-Irisdeal-Target-Backend the incarnation",
-        after_reset="it may have run: sent again only where the route is idempotent, and never reported as not run",
-        after_timeout="likewise; the connection is closed, so that a late answer reaches nobody",
+        after_reset="it may have run: retried only if the route is idempotent, and never reported as not run",
+        after_timeout="the same; the connection is closed, so a late answer is discarded",
     ),
     CallSpec(
         kind="POST heartbeat",
@@ -66,7 +64,7 @@
         retry=RetryRule.CALLER,
         identified_by="the version and the body's digest",
         after_reset="it may have been committed",
-        after_timeout="the operator sends it again, to any registry",
+        after_timeout="the operator retries, at any registry",
     ),
     CallSpec(
         kind="GET /config/read",
@@ -74,8 +72,8 @@
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset="nothing: it is sent anew",
-        after_timeout="the operator sends it again",
+        after_reset="no effect: the call is sent again",
+        after_timeout="the operator retries",
     ),
     CallSpec(
         kind="GET /status",
@@ -83,7 +81,7 @@
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset="nothing: it is sent anew",
+        after_reset="no effect: the call is sent again",
         after_timeout="-",
     ),
     CallSpec(
@@ -92,14 +90,14 @@
         callee="proxy",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset="nothing: it is sent anew",
-        after_timeout="after two misses the proxy is taken out",
+        after_reset="no effect: the call is sent again",
+        after_timeout="after two failures the proxy is removed from service",
     ),
 )
 
 
 def row(call: CallSpec, matched_by: str) -> str:
-    """Return one call as a line of a Markdown table. `matched_by`: what its answer is matched by."""
+    """Return one call as a row of a Markdown table. `matched_by`: how its answer is matched to it."""
     cells = (
         f"`{call.kind}`{', a notification' if call.is_one_way else ''}",
         f"{call.caller}, {call.callee}",
@@ -113,14 +111,14 @@
 
 
 def table(calls: Iterable[CallSpec], matched_by: str) -> str:
-    """Return these calls as a Markdown table. `matched_by`: what an answer is matched by."""
+    """Return these calls as a Markdown table. `matched_by`: how an answer is matched to its call."""
     lines = [f"| {' | '.join(COLUMNS)} |", "| --- " * len(COLUMNS) + "|"]
     lines += [row(call, matched_by) for call in calls]
     return "\n".join(lines) + "\n"
 
 
 def page() -> str:
-    """Return the tables of docs/design/control.md: calls between our processes, then from and to outside."""
+    """Return the tables of docs/design/control.md: internal calls, then calls from and to outside."""
     between_processes = table(CALLS.values(), BY_REQUEST_ID)
     return between_processes + "\nFrom and to outside:\n\n" + table(OUTSIDE_CALLS, BY_ORDER)
 
--- a/irisdeal/rpc/calls.py
+++ b/irisdeal/rpc/calls.py
@@ -1,9 +1,9 @@
-"""The specification of every call between our processes; a call that is not specified here cannot be sent.
+"""Specification of every call between the gateway's processes; a call that is not listed here cannot be sent.
 
-A call is identified by its request id on its connection, and so is its answer. Request ids only rise on one
-connection, and a connection ends with either process: an answer to an earlier incarnation, one over another
-connection or a second one is never taken for the answer to this call. A client sends each call once; whether it may
-be sent again, and by whom, is the call's `RetryRule`. This module does no input or output.
+A call and its answer are identified by the request id on their connection. Request ids increase on each connection,
+and a connection ends with either process, so an answer to an earlier incarnation, from another connection or
+received twice is never matched to this call. A client sends each call once; whether it may be sent again, and by
+which process, is the call's `RetryRule`. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,48 +13,48 @@
 
 
 class RetryRule(Enum):
-    """Who may send a call again after a connection reset or a time-out. The values are the page's text."""
+    """Which process may retry a call after a connection reset or a timeout. The values are printed in the docs."""
 
-    ANYONE = "anyone, at any time"  # idempotent: the second one changes nothing
-    CALLER = (
-        "the caller, or another registry that it is sent to"  # the body identifies it; the answer is the same
-    )
-    NEVER = "nobody"  # each one takes something
+    ANYONE = "anyone, at any time"  # idempotent: a repetition changes nothing
+    # The body identifies the call, so a repetition gets the same answer.
+    CALLER = "the caller, or another registry that it is sent to"
+    NEVER = "nobody"  # not idempotent: each call consumes something, such as a permit or a slot
     PROXY_IF_NOT_RUN = "the proxy, where it has not run"
 
 
 @dataclass(frozen=True, slots=True)
 class CallSpec:
-    """One call: who makes it, who answers it, and what holds where its answer does not come."""
+    """One call: its caller and callee, and what is known when no answer arrives."""
 
-    kind: str  # as on the wire: fixed, since versions stand side by side in a rolling upgrade
+    kind: str  # the name on the wire: fixed, because versions run side by side during a rolling upgrade
     caller: str
     callee: str
     retry: RetryRule
-    identified_by: str  # by what the callee recognizes a second one
-    after_reset: str  # what is known after a reset once the first byte was sent
-    after_timeout: str  # what the caller does once its time is over
-    is_one_way: bool = False  # may be sent as a notification, without an answer
-    ends_with_caller: bool = False  # cancelled once the caller gives it up, or its connection has ended
+    identified_by: str  # how the callee recognizes a repeated call
+    after_reset: str  # what may have happened if the connection is reset after the first byte was sent
+    after_timeout: str  # what the caller does after a timeout
+    is_one_way: bool = False  # may be sent as a notification, which is not answered
+    ends_with_caller: bool = False  # cancelled when the caller abandons it or its connection closes
 
 
-CANCEL = "cancel"  # the notification of a client that gives up a call; its body is the call's request id
+CANCEL = "cancel"  # notification that a client has abandoned a call; the body is the request id of that call
 
-_NOTHING = "nothing: it is sent anew"
-_NEXT = "calls the next one, from its own state"
-_BY_BALLOT = "goes on with those that answered, else with a higher ballot"
-_BY_BODY = "number and digest of the body"
-_BY_INCARNATION = "each incarnation's id, state and count"
+# Texts of `after_reset`, `after_timeout` and `identified_by` that several calls share
+_NO_EFFECT = "no effect: the call is sent again"
+_CALL_NEXT = "calls the next one with its own sync state"
+_HIGHER_BALLOT = "continues if a quorum answered, otherwise retries with a higher ballot"
+_BY_BODY = "version number and digest of the body"
+_BY_INCARNATION = "each incarnation's id, state and heartbeat count"
 
 
 _STORE_CALLS = (
     CallSpec(
-        kind="state",  # report on the members, the ballots and the versions
+        kind="state",  # report the members, ballots and versions
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
         identified_by="the acceptor's identity in the report",
-        after_reset=_NOTHING,
+        after_reset=_NO_EFFECT,
         after_timeout="calls again in the next round",
     ),
     CallSpec(
@@ -64,16 +64,16 @@
         retry=RetryRule.CALLER,
         identified_by="the ballot",
         after_reset="the ballot may have been promised",
-        after_timeout=_BY_BALLOT,
+        after_timeout=_HIGHER_BALLOT,
     ),
     CallSpec(
         kind="accept",  # phase 2 of a ballot
         caller="config_store",
         callee="config_store",
         retry=RetryRule.CALLER,
-        identified_by="the ballot, with its one value",
+        identified_by="the ballot, which has exactly one value",
         after_reset="the value may have been accepted",
-        after_timeout=_BY_BALLOT,
+        after_timeout=_HIGHER_BALLOT,
     ),
     CallSpec(
         kind="bring",  # push a chunk of a version
@@ -85,42 +85,42 @@
         after_timeout="pushes it again in the next round",
     ),
     CallSpec(
-        kind="fetch",  # ask for a chunk of a version
+        kind="fetch",  # request a chunk of a version
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
         identified_by=_BY_BODY,
-        after_reset=_NOTHING,
-        after_timeout="calls the next one that has it",
+        after_reset=_NO_EFFECT,
+        after_timeout="calls the next store that has it",
     ),
     CallSpec(
-        kind="decided",  # a value was committed
+        kind="decided",  # announce a committed value
         caller="config_store",
         callee="config_store",
         retry=RetryRule.ANYONE,
-        identified_by="the ballot, with its one value",
-        after_reset=_NOTHING,
-        after_timeout="the next `state` reports it",
+        identified_by="the ballot, which has exactly one value",
+        after_reset=_NO_EFFECT,
+        after_timeout="the next `state` call reports the value",
         is_one_way=True,
     ),
     CallSpec(
-        kind="watch",  # long poll for what is committed
+        kind="watch",  # long poll for committed values
         caller="registry",
         callee="config_store",
         retry=RetryRule.ANYONE,
         identified_by="the caller's sync state",
-        after_reset=_NOTHING,
-        after_timeout=_NEXT,
+        after_reset=_NO_EFFECT,
+        after_timeout=_CALL_NEXT,
         ends_with_caller=True,
     ),
     CallSpec(
-        kind="put",  # have a version committed
+        kind="put",  # commit a version
         caller="registry",
         callee="config_store",
         retry=RetryRule.CALLER,
         identified_by=_BY_BODY,
         after_reset="it may have been committed",
-        after_timeout="503: the operator sends it again",
+        after_timeout="answers 503; the operator retries",
     ),
     CallSpec(
         kind="read",  # linearizable read
@@ -128,39 +128,39 @@
         callee="config_store",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset=_NOTHING,
-        after_timeout="503: the operator sends it again",
+        after_reset=_NO_EFFECT,
+        after_timeout="answers 503; the operator retries",
     ),
 )
 
 _REGISTRY_CALLS = (
     CallSpec(
-        kind="news",  # long poll for backends and versions
+        kind="news",  # long poll for backends and configuration versions
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by="the proxy's sync state, and the registry's incarnation",
-        after_reset=_NOTHING,
-        after_timeout=_NEXT,
+        after_reset=_NO_EFFECT,
+        after_timeout=_CALL_NEXT,
         ends_with_caller=True,
     ),
     CallSpec(
-        kind="lives",  # incarnations that the registry may have forgotten
+        kind="lives",  # report incarnations that the registry may have lost
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by=_BY_INCARNATION,
         after_reset="they may have been received",
-        after_timeout="nothing: another registry has them, and heartbeats follow",
+        after_timeout="nothing: another registry has them, and heartbeats report them again",
     ),
     CallSpec(
-        kind="count",  # usage in an interval
+        kind="count",  # report the usage of an interval
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
-        identified_by="the proxy and the interval's number; a rising number for the permits that it has reserved",
-        after_reset="it may have been counted, and permits may have been granted that reach nobody",
-        after_timeout="reports to the next one: counted twice in one total at most",
+        identified_by="the proxy and the interval number; an increasing number for its prefetched permits",
+        after_reset="it may have been counted, and permits may have been granted and lost",
+        after_timeout="reports to the next registry: counted twice in at most one total",
     ),
     CallSpec(
         kind="place",  # reserve a slot at a backend
@@ -168,17 +168,17 @@
         callee="registry",
         retry=RetryRule.NEVER,
         identified_by="-",
-        after_reset="a permit, a retry and a slot may have been taken: the slot is free once its connection ends",
-        after_timeout="calls another or goes by its own view; the slot of a late answer is released",
+        after_reset="a permit, a retry and a slot may have been taken; the slot is released with the connection",
+        after_timeout="calls another registry or chooses a backend itself; the slot of a late answer is released",
     ),
     CallSpec(
-        kind="wait",  # likewise, queued until one is free
+        kind="wait",  # reserve a slot, queued until one is free
         caller="proxy",
         callee="registry",
         retry=RetryRule.NEVER,
         identified_by="-",
-        after_reset="a slot may have been taken: free once its connection ends",
-        after_timeout="chooses by itself; the slot of a late answer is released",
+        after_reset="a slot may have been taken; it is released with the connection",
+        after_timeout="chooses a backend itself; the slot of a late answer is released",
         ends_with_caller=True,
     ),
     CallSpec(
@@ -186,8 +186,8 @@
         caller="proxy",
         callee="registry",
         retry=RetryRule.ANYONE,
-        identified_by="the reservation's number, which starts elsewhere in each incarnation",
-        after_reset="the slot may count until its time is over",
+        identified_by="the reservation's number; each incarnation starts at a different number",
+        after_reset="the slot may stay reserved until the reservation expires",
         after_timeout="-",
         is_one_way=True,
     ),
@@ -198,15 +198,15 @@
         retry=RetryRule.ANYONE,
         identified_by=_BY_INCARNATION,
         after_reset="they may have been received",
-        after_timeout="sends it again with the next heartbeat; the end of an incarnation is not acknowledged",
+        after_timeout="sends it again with the next heartbeat; a drain or an end is not acknowledged",
     ),
     CallSpec(
-        kind="all",  # list the backends; of the version before
+        kind="all",  # list the backends; sent by registries of the previous version
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset=_NOTHING,
+        after_reset=_NO_EFFECT,
         after_timeout="calls again 0.5 s later",
     ),
     CallSpec(
@@ -215,27 +215,27 @@
         callee="registry",
         retry=RetryRule.ANYONE,
         identified_by="-",
-        after_reset=_NOTHING,
+        after_reset=_NO_EFFECT,
         after_timeout="calls again 0.25 s later",
     ),
     CallSpec(
-        kind="sums",  # usage in an interval, of all proxies
+        kind="sums",  # share the usage of all its proxies in an interval
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
-        identified_by="the registry and the interval's number",
+        identified_by="the registry and the interval number",
         after_reset="it may have been received",
-        after_timeout="the next one counts",
+        after_timeout="nothing: the next report replaces it",
         is_one_way=True,
     ),
     CallSpec(
-        kind="loads",  # loads of the backends
+        kind="loads",  # share the loads of the backends
         caller="registry",
         callee="registry",
         retry=RetryRule.ANYONE,
-        identified_by="the registry; the newest counts, for 1.5 s",
+        identified_by="the registry; its newest report is valid for 1.5 s",
         after_reset="it may have been received",
-        after_timeout="the next one counts",
+        after_timeout="nothing: the next report replaces it",
         is_one_way=True,
     ),
     CallSpec(
@@ -244,8 +244,8 @@
         callee="registry",
         retry=RetryRule.NEVER,
         identified_by="-",
-        after_reset="permits may be gone there, and reach nobody",
-        after_timeout="goes without: they are lost until they refill, and never doubled",
+        after_reset="permits may have been deducted at the lender and lost",
+        after_timeout="continues without a loan: lost permits refill at the lender and are never issued twice",
     ),
 )
 
@@ -253,18 +253,18 @@
 
 
 def process_name(peer: str) -> str:
-    """Return the process of a peer, over whichever connection: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
+    """Return the process name of a peer without its connection number: `proxy 10.1.0.3` of `proxy 10.1.0.3#17`."""
     return peer.partition("#")[0]
 
 
 def ends_with_caller(kind: str) -> bool:
-    """Return whether a call of this kind is worked on for its caller alone, and is cancelled with it."""
+    """Return whether a call of this kind is cancelled when its caller abandons it or disconnects."""
     call = CALLS.get(kind)
     return call is not None and call.ends_with_caller
 
 
 def invalid_call_reason(kind: str, is_one_way: bool) -> str | None:
-    """Return why a call of this kind cannot be sent, None where it can. A peer gets the text as an error."""
+    """Return why a call of this kind cannot be sent, or None if it can. The text is sent to peers as an error."""
     call = CALLS.get(kind)
     if call is None:
         return f"no call {kind!r}"
--- a/irisdeal/rpc/client.py
+++ b/irisdeal/rpc/client.py
@@ -1,19 +1,18 @@
-"""The calling side of calls between processes: a client that connects when it is needed.
-
-Every call has a deadline, which includes the time to connect. A call that times out is given up alone: a long and
-a short call over the same connection do not share their fate. A connection over which nothing at all was received
-since such a call was sent counts as hung, since a dead machine sends nothing and whatever is written to it hangs:
-the next call goes over a new one, and the old one ends once no call is pending on it. Whatever is received over it
-meanwhile shows that it is not.
-
-An answer is matched by its request id on its own connection. Request ids rise on one connection and are never used
-twice, so that a late answer, a second one or one to an earlier incarnation is never taken for another's;
-`on_late_answer` is called with an answer that came after its deadline, since what it granted may have to be given
-back. An answer to a call that was never made ends the connection: its other answers cannot be trusted either. A
-client sends each call once.
-
-A call whose caller is cancelled ends with it: the peer is notified where it works for the caller alone, and an
-answer that had come by then counts as late.
+"""RPC client that connects on demand.
+
+Every call has a deadline, which includes the time to connect. A call that times out is abandoned by itself; other
+calls on the same connection continue. If nothing was received on the connection since that call was sent, the
+connection is marked as hung, because writes to a dead machine never complete: the next call uses a new connection,
+and the old one is closed once no call is pending on it. Any byte received on it clears the mark.
+
+An answer is matched by its request id on its own connection. Request ids increase on each connection and are never
+reused, so a late answer, a duplicate or one to an earlier incarnation is never matched to another call.
+`on_late_answer` is called with an answer that arrived after its deadline, because what it granted may have to be
+returned. An answer to a call that was never made closes the connection, because its other answers cannot be
+trusted either. A client sends each call once.
+
+When the caller is cancelled, its call is abandoned; a peer that works on it only for this caller is sent a cancel
+notification. An answer that had already arrived is handled as late.
 """
 
 from __future__ import annotations
@@ -46,16 +45,16 @@
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Address
 
-CONNECT_TIMEOUT_S = 0.4  # over a hundred times the delay within a region
-MAX_GIVEN_UP_CALLS = 1024  # of one connection that may still be answered; beyond, the connection is dropped
+CONNECT_TIMEOUT_S = 0.4  # over a hundred times the network delay within a region
+MAX_ABANDONED_CALLS = 1024  # per connection, still unanswered; with more the connection is closed
 
 CallResult = Result[WireValue, OperationError]
-LateAnswerHandler = Callable[[str, WireValue], None]  # kind, the answer's body
+LateAnswerHandler = Callable[[str, WireValue], None]  # arguments: kind, body of the answer
 
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call without an answer so far. `sent_at`, `deadline`: s on the loop's clock."""
+    """A call that is not answered yet. `sent_at` and `deadline` are seconds on the loop's clock."""
 
     kind: str
     sent_at: float
@@ -65,13 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _NotConnected:
-    """No connection came up in time."""
+    """No connection could be opened in time."""
 
     reason: str
 
 
 class _ClientConnection(asyncio.Protocol):
-    """The calling end of one connection."""
+    """The client's end of one connection."""
 
     def __init__(self, peer: str, on_late_answer: LateAnswerHandler) -> None:
         self.peer = peer
@@ -79,21 +78,21 @@
         self.loop = asyncio.get_running_loop()
         self.reader = FrameReader()
         self.is_open = True
-        self.is_hung = False  # nothing was received since a call was sent that timed out
-        self.is_retired = False  # another connection has taken its place
+        self.is_hung = False  # a call timed out, and nothing was received since it was sent
+        self.is_retired = False  # replaced by a newer connection
         self.transport: asyncio.Transport | None = None
         self.pending: dict[int, _PendingCall] = {}  # by request id
-        self.given_up: dict[int, str] = {}  # request id -> kind, of those that may still be answered
+        self.abandoned: dict[int, str] = {}  # request id -> kind, of calls that may still be answered
         self.last_request_id = 0
         self.last_received_at = self.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket's options (asyncio.Protocol)."""
+        """Set the socket options (asyncio.Protocol)."""
         self.transport = cast(asyncio.Transport, transport)
         set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take the answers in these bytes (asyncio.Protocol)."""
+        """Process the answers in these bytes (asyncio.Protocol)."""
         if not self.is_open:
             return
         self.last_received_at, self.is_hung = self.loop.time(), False
@@ -104,15 +103,14 @@
                 self._receive(item)
         except InvalidFrameError as error:
             log_event(Event.FRAME_INVALID, peer=self.peer, error=error)
-            self.drop()
-        self._drop_if_unused()
+            self.abort()
+        self._close_if_unused()
 
     def _receive(self, item: WireValue) -> None:
-        """Hand an answer to its call. InvalidFrameError where the item is no answer."""
+        """Complete the call that this item answers. Raises InvalidFrameError if the item is not an answer."""
         if type(item) is not list or len(item) != 3 or type(item[0]) is not int or type(item[1]) is not bool:
-            raise InvalidFrameError(
-                "no answer"
-            )  # a dict takes True and 1.0 for 1: only an int is a request id
+            # As keys of a dictionary, True and 1.0 equal 1, so the type of the request id is checked.
+            raise InvalidFrameError("item is not an answer")
         request_id, is_success, body = item
         call = self.pending.pop(request_id, None)
         if call is None or self.last_received_at > call.deadline or call.answer.done():
@@ -125,23 +123,23 @@
     def _receive_late(
         self, request_id: int, call: _PendingCall | None, is_success: bool, body: WireValue
     ) -> None:
-        """Take an answer that no caller waits for.
+        """Process an answer that no caller waits for.
 
-        `call`: the one whose deadline is over or whose caller was cancelled, where that was not noticed yet.
+        `call`: still set if the deadline has passed, or the caller was cancelled, before its callback has run.
         """
         if call is not None:
-            self._time_out(call)
+            self._fail_as_timed_out(call)
             kind: str | None = call.kind
         else:
-            kind = self.given_up.pop(request_id, None)
+            kind = self.abandoned.pop(request_id, None)
         if kind is None:
             log_event(Event.UNEXPECTED_ANSWER, peer=self.peer, call=request_id, last=self.last_request_id)
-            self.drop()
+            self.abort()
         elif is_success:
             self.on_late_answer(kind, body)
 
     def send(self, kind: str, body: object, timeout_s: float) -> tuple[int, asyncio.Future[CallResult]]:
-        """Send a call; return its request id and the future of its answer. ValueError where it is too long."""
+        """Send a call and return its request id and a future of its answer. Raises ValueError if it is too long."""
         assert self.transport is not None
         self.last_request_id += 1
         frame = encode([self.last_request_id, kind, body])
@@ -151,65 +149,65 @@
         return self.last_request_id, answer
 
     def expire(self, request_id: int) -> None:
-        """Give up the call whose deadline has come; its connection may be hung."""
+        """Abandon a call whose deadline has passed; mark the connection as hung if nothing was received since."""
         call = self.pending.get(request_id)
         if call is not None:
             self.is_hung |= self.last_received_at <= call.sent_at
-            self.give_up(request_id)
+            self.abandon(request_id)
 
-    def give_up(self, request_id: int) -> None:
-        """Wait for this call no longer, and notify the peer where it works for the caller alone."""
+    def abandon(self, request_id: int) -> None:
+        """Abandon a call, and cancel it at the peer if the peer works on it only for this caller."""
         call = self.pending.pop(request_id, None)
         if call is None:
             return
-        self.given_up[request_id] = call.kind
+        self.abandoned[request_id] = call.kind
         if ends_with_caller(call.kind) and not self.is_hung and self.transport is not None:
             self.transport.write(encode([NOTIFICATION_REQUEST_ID, CANCEL, request_id]))
-        self._time_out(call)
-        if len(self.given_up) > MAX_GIVEN_UP_CALLS:
-            self.drop()
-        self._drop_if_unused()
+        self._fail_as_timed_out(call)
+        if len(self.abandoned) > MAX_ABANDONED_CALLS:
+            self.abort()
+        self._close_if_unused()
 
-    def _time_out(self, call: _PendingCall) -> None:
+    def _fail_as_timed_out(self, call: _PendingCall) -> None:
         if not call.answer.done():
             timeout_s = call.deadline - call.sent_at
             call.answer.set_result(
-                Failure(CallTimeoutError(call.kind, self.peer, f"silent for {timeout_s:g} s"))
+                Failure(CallTimeoutError(call.kind, self.peer, f"no answer within {timeout_s:g} s"))
             )
 
     def retire(self) -> None:
-        """Close with the last call that is pending here, since another connection has taken its place."""
+        """Mark the connection as replaced: it closes once no call is pending on it."""
         self.is_retired = True
-        self._drop_if_unused()
+        self._close_if_unused()
 
-    def _drop_if_unused(self) -> None:
+    def _close_if_unused(self) -> None:
         if self.is_retired and not self.pending:
-            self.drop()
+            self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the calls that are pending (asyncio.Protocol)."""
+        """Fail the pending calls (asyncio.Protocol)."""
         self.is_open = False
         pending, self.pending = self.pending, {}
         for call in pending.values():
             if not call.answer.done():
-                error = ConnectionLostError(call.kind, self.peer, "the connection ended")
+                error = ConnectionLostError(call.kind, self.peer, "connection closed before the answer")
                 call.answer.set_result(Failure(error))
 
-    def drop(self) -> None:
-        """Close at once."""
+    def abort(self) -> None:
+        """Close the connection immediately."""
         self.is_open = False
         if self.transport is not None:
             self.transport.abort()
 
 
 class RpcClient:
-    """Calls one other process, over one connection at a time."""
+    """A client of one other process, with one current connection."""
 
     def __init__(self, address: Address, name: str, on_late_answer: LateAnswerHandler | None = None) -> None:
-        """Connect to nothing yet.
+        """Create a client that connects with its first call.
 
-        `name`: of this process, as the peer sees it. `on_late_answer`: called with the kind and the body of each
-        successful answer that came after its deadline.
+        `name`: name of this process, sent to the peer. `on_late_answer`: called with the kind and the body of each
+        successful answer that arrived after its deadline.
         """
         self.address, self.name = address, name
         self.peer = f"{address[0]}:{address[1]}"
@@ -218,7 +216,7 @@
         self.connecting: asyncio.Task[_ClientConnection | _NotConnected] | None = None
 
     async def _connect(self) -> _ClientConnection | _NotConnected:
-        """Open a connection, which takes the place of the present one."""
+        """Open a connection that replaces the current one."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -230,15 +228,15 @@
         finally:
             self.connecting = None
         if not connection.is_open or connection.transport is None:
-            return _NotConnected("not connected: closed as it came up")
+            return _NotConnected("not connected: closed while connecting")
         connection.transport.write(encode([HELLO_REQUEST_ID, "hello", self.name]))
         if self.connection is not None:
             self.connection.retire()
         self.connection = connection
         return connection
 
-    async def _connected(self, timeout_s: float) -> _ClientConnection | _NotConnected:
-        """Return the connection to write to; where there is none, open one. All waiting calls share one attempt."""
+    async def _usable_connection(self, timeout_s: float) -> _ClientConnection | _NotConnected:
+        """Return a usable connection, opening one if needed. Concurrent calls share one connection attempt."""
         if self.connection is not None and self.connection.is_open and not self.connection.is_hung:
             return self.connection
         if self.connecting is None:
@@ -252,13 +250,13 @@
     async def call(self, kind: str, body: object, timeout_s: float) -> CallResult:
         """Send a call once; return its answer, or the error that ended it, within `timeout_s`.
 
-        KeyError where no such call is specified.
+        Raises KeyError if no such call is specified.
         """
         if (reason := invalid_call_reason(kind, is_one_way=False)) is not None:
             raise KeyError(reason)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        connection = await self._connected(timeout_s)
+        connection = await self._usable_connection(timeout_s)
         if isinstance(connection, _NotConnected):
             return Failure(ConnectError(kind, self.peer, connection.reason, never_sent=True))
         if not connection.is_open:
@@ -271,17 +269,18 @@
         try:
             return await answer
         except asyncio.CancelledError:
-            connection.give_up(request_id)
+            connection.abandon(request_id)
             if answer.done() and not answer.cancelled() and isinstance(answer.result(), Success):
-                self.on_late_answer(kind, answer.result().unwrap())  # it came as its caller was cancelled
+                # The answer arrived in the same loop iteration in which the caller was cancelled.
+                self.on_late_answer(kind, answer.result().unwrap())
             raise
         finally:
             timer.cancel()
 
     def notify(self, kind: str, body: object) -> bool:
-        """Send a notification, which has no answer.
+        """Send a notification, which is not answered.
 
-        Return False where it is not likely to arrive: there is no connection, or it is hung. KeyError where no such
+        Returns False if it is unlikely to arrive: there is no connection, or it is hung. Raises KeyError if no such
         notification is specified.
         """
         if (reason := invalid_call_reason(kind, is_one_way=True)) is not None:
@@ -293,8 +292,8 @@
         return not connection.is_hung
 
     def close(self) -> None:
-        """Close the connection at once; calls that are pending fail."""
+        """Close the connection immediately; pending calls fail."""
         if self.connecting is not None:
             self.connecting.cancel()
         if self.connection is not None:
-            self.connection.drop()
+            self.connection.abort()
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -1,4 +1,4 @@
-"""Which calls between processes are cancelled with their caller, and how a server drains."""
+"""Cancellation of calls whose caller has gone, and the drain of an RPC server."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from irisdeal.simulation.machine import Machine
 from tests.support.call_rig import CallRig
 
-HANDLING_S = 1.0  # that each call takes
+HANDLING_S = 1.0  # duration of each call
 ROUND_TRIPS_S = 0.01  # a few round trips
 
 
 class SlowServer:
-    """A server whose calls take `HANDLING_S`; it records which of them ended how, and when."""
+    """A server whose calls take `HANDLING_S`; it records how and when each of them ended."""
 
     def __init__(self) -> None:
         self.started: list[str] = []
@@ -46,8 +46,8 @@
         self.ended.append((kind, "done", loop.time()))
         return body
 
-    def how(self) -> dict[str, str]:
-        return {kind: how for kind, how, _ in self.ended}
+    def outcomes(self) -> dict[str, str]:
+        return {kind: outcomes for kind, outcomes, _ in self.ended}
 
 
 KINDS = ("wait", "news", "watch", "put", "told", "read")
@@ -62,7 +62,7 @@
 def after_caller_is_gone(
     rig: CallRig, act: Callable[[RpcClient, list[asyncio.Task[Any]]], None]
 ) -> tuple[SlowServer, float]:
-    """Make calls of each kind, end their caller by `act` 0.2 s later; return when that was."""
+    """Make calls of each kind, end their caller with `act` after 0.2 s; return the server and that time."""
     answering = SlowServer()
     rig.serve(answering.make)
 
@@ -93,7 +93,7 @@
     act: Callable[[RpcClient, list[asyncio.Task[Any]]], None],
 ) -> None:
     answering, at = after_caller_is_gone(CallRig(), act)
-    assert answering.how() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
+    assert answering.outcomes() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
     assert all(ended - at < ROUND_TRIPS_S for kind, _, ended in answering.ended if kind in CALLER_BOUND)
 
 
@@ -115,11 +115,11 @@
         await asyncio.sleep(2.0)
 
     rig.play(scenario())
-    assert answering.how() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
+    assert answering.outcomes() == {kind: "cancelled" if kind in CALLER_BOUND else "done" for kind in KINDS}
 
 
 def test_an_answer_received_as_its_caller_is_cancelled_counts_as_late() -> None:
-    """What it granted has to be given back: the slot of a request whose client left in that moment."""
+    """What it granted must be returned, such as the slot of a request whose client disconnects at that moment."""
     rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
@@ -134,16 +134,14 @@
             got = 0 if task.cancelled() else 1
             late = sum(body[0] == step for _, body in rig.late)
             finished = answering.ended[-1][1] == "done"
-            assert got + late == finished, f"step {step}: an answer went to nobody, or to two"
+            assert got + late == finished, f"step {step}: an answer was lost or delivered twice"
 
     rig.play(scenario(), 100.0)
-    assert rig.late, "no answer came in that moment"
+    assert rig.late, "no answer arrived at the moment of a cancellation"
 
 
 def test_a_cancelled_call_is_answered_and_forgotten() -> None:
-    """A cancelled call is answered once its task has ended, so that nothing is pending over this
-    connection.
-    """
+    """The server answers a cancelled call, so the client does not keep it as abandoned."""
     rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
@@ -155,7 +153,7 @@
             task.cancel()
         await asyncio.sleep(0.1)
         assert client.connection is not None
-        return len(client.connection.given_up)
+        return len(client.connection.abandoned)
 
     assert rig.play(scenario()) == 0
 
@@ -187,7 +185,7 @@
         await asyncio.wait(tasks.values())
         await asyncio.sleep(0.5)
         assert client.connection is not None and not client.connection.is_open, (
-            "closed behind the last answer"
+            "the connection must be closed after the last answer"
         )
         return {kind: task.result() for kind, task in tasks.items()}, refused, drained[0]
 
@@ -251,8 +249,8 @@
         await asyncio.sleep(0)
         waiting[1].cancel()
         await asyncio.sleep(0)
-        places.disconnect("proxy 1#1")  # the place is free: the first is woken
-        waiting[0].cancel()  # in that moment
+        places.disconnect("proxy 1#1")  # frees the slot and notifies the first waiter
+        waiting[0].cancel()  # before the first waiter has run
         await asyncio.wait(waiting, timeout=0.5)
         left = len(places.placer.waiting)
         return served, left
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -1,8 +1,8 @@
-"""Random runs with a judge on the wire: each answer goes to its own call, whatever peers and networks do.
+"""Randomized runs that check that each answer is matched to its own call under faults of peers and networks.
 
-Time is virtual. The proxy's server, attempts and connections stand between scripted clients and scripted
-backends; our RPC clients and servers talk through partitions, stalls, resets and restarts. The judge knows
-only what was sent, what ran and what came back; it shares no code with what it judges. Each seed is one run.
+Time is virtual, and each seed is one run. The first part runs the proxy between scripted clients and scripted
+backends; the second runs an RPC client and server through partitions, stalls, resets and restarts. The judge sees
+only what was sent, what ran and what was answered, and shares no code with the code under test.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from irisdeal.simulation.world import START, World
 
 PROXY_ADDRESS = ("10.1.0.3", 80)
-LENGTH = 6.0  # s in which clients send requests
-CLOSING = 4.0  # s behind it, until the last deadline is over
+RUN_S = 6.0  # s during which clients send requests
+CLOSING_S = 4.0  # s after that, until the last deadline has passed
 CLIENTS, BACKENDS = 6, 4
-PROMISES = {408, 421, 429, 503}
+NOT_EXECUTED_STATUSES = {408, 421, 429, 503}
 FAULTS = ("good",) * 12 + (
     "promise",
     "promise twice",
@@ -71,8 +71,8 @@
 )
 
 
-def parsed(data: bytes) -> tuple[list[tuple[bytes, dict[bytes, bytes], bytes]], bytes]:
-    """Split off complete messages with a length: first line, fields, body; and the remaining bytes."""
+def split_messages(data: bytes) -> tuple[list[tuple[bytes, dict[bytes, bytes], bytes]], bytes]:
+    """Return the complete messages as (first line, fields, body), and the remaining bytes."""
     found = []
     while b"\r\n\r\n" in data:
         top, rest = data.split(b"\r\n\r\n", 1)
@@ -88,7 +88,7 @@
 
 
 class Judge:
-    """What was sent, what ran, what came back."""
+    """Records what was sent, what ran and what was answered, and finds breaches."""
 
     def __init__(self) -> None:
         self.sent: dict[bytes, tuple[bytes, bytes]] = {}  # id -> first line, body
@@ -97,33 +97,33 @@
         self.rejected_unrun: set[bytes] = set()
         self.breaches: list[str] = []
 
-    def run(self, id_: bytes, line: bytes, body: bytes) -> None:
-        self.ran[id_] += 1
-        if self.sent.get(id_) != (line, body):
-            self.breaches.append(f"UNASKED: {id_!r} ran as {line!r}")
+    def run(self, attempt_id: bytes, line: bytes, body: bytes) -> None:
+        self.ran[attempt_id] += 1
+        if self.sent.get(attempt_id) != (line, body):
+            self.breaches.append(f"UNASKED: {attempt_id!r} ran as {line!r}")
 
-    def answer(self, id_: bytes, status: int, fields: dict[bytes, bytes], body: bytes) -> None:
-        """Record an answer on the connection on which `id_` is the next request to be answered."""
+    def answer(self, attempt_id: bytes, status: int, fields: dict[bytes, bytes], body: bytes) -> None:
+        """Record an answer on the connection on which `attempt_id` is the next request to be answered."""
         self.answers[status] += 1
-        named = fields.get(b"x-irisdeal-attempt-id", id_)
-        if named != id_ or (status == 200 and body != b"did " + id_):
-            self.breaches.append(f"MIXED: {id_!r} was answered with {status} {named!r} {body!r}")
-        if status == 200 and not self.ran[id_]:
-            self.breaches.append(f"MIXED: {id_!r} succeeded and never ran")
-        if status in PROMISES:
-            self.rejected_unrun.add(id_)
+        named = fields.get(b"x-irisdeal-attempt-id", attempt_id)
+        if named != attempt_id or (status == 200 and body != b"did " + attempt_id):
+            self.breaches.append(f"MIXED: {attempt_id!r} was answered with {status} {named!r} {body!r}")
+        if status == 200 and not self.ran[attempt_id]:
+            self.breaches.append(f"MIXED: {attempt_id!r} succeeded and never ran")
+        if status in NOT_EXECUTED_STATUSES:
+            self.rejected_unrun.add(attempt_id)
 
     def close(self) -> list[str]:
-        for id_, times in self.ran.items():
-            if id_.startswith(b"m") and times > 1:
-                self.breaches.append(f"TWICE: {id_!r} ran {times} times")
-            if id_.startswith(b"m") and id_ in self.rejected_unrun:
-                self.breaches.append(f"REFUSED: {id_!r} was promised and ran")
+        for attempt_id, times in self.ran.items():
+            if attempt_id.startswith(b"m") and times > 1:
+                self.breaches.append(f"TWICE: {attempt_id!r} ran {times} times")
+            if attempt_id.startswith(b"m") and attempt_id in self.rejected_unrun:
+                self.breaches.append(f"REFUSED: {attempt_id!r} was promised and ran")
         return self.breaches
 
 
 class Backend(asyncio.Protocol):
-    """One connection to a scripted backend; what it does with each request is drawn at random."""
+    """One connection of a scripted backend, which handles each request with a random fault or none."""
 
     def __init__(self, proxy_run: ProxyRun, incarnation: bytes) -> None:
         self.proxy_run, self.incarnation, self.rest, self.last, self.extra = (
@@ -138,13 +138,13 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        requests, self.rest = parsed(self.rest + data)
+        requests, self.rest = split_messages(self.rest + data)
         for line, fields, body in requests:
             self.serve(line, fields, body)
 
-    def text(self, id_: bytes, status: int, more: bytes = b"", named: bool = True) -> bytes:
-        body = b"did " + id_
-        name = b"X-Irisdeal-Attempt-Id: %s\r\n" % id_ if named else b""
+    def text(self, attempt_id: bytes, status: int, more: bytes = b"", named: bool = True) -> bytes:
+        body = b"did " + attempt_id
+        name = b"X-Irisdeal-Attempt-Id: %s\r\n" % attempt_id if named else b""
         seal = b"X-Irisdeal-Backend-Seal: s\r\n" if status == 200 else b""
         return b"HTTP/1.1 %d X\r\n%s%s%sContent-Length: %d\r\n\r\n%s" % (
             status,
@@ -156,45 +156,45 @@
         )
 
     def serve(self, line: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        id_, proxy_run = fields[b"x-irisdeal-attempt-id"], self.proxy_run
+        attempt_id, proxy_run = fields[b"x-irisdeal-attempt-id"], self.proxy_run
         line = line.rpartition(b" ")[0]
         if fields.get(b"x-irisdeal-target-backend") != self.incarnation:
-            return self.send(self.text(id_, 421))
-        how = proxy_run.chance.choice(FAULTS) if proxy_run.now() < LENGTH else "good"
-        last, self.last = self.last, id_
+            return self.send(self.text(attempt_id, 421))
+        how = proxy_run.rng.choice(FAULTS) if proxy_run.now() < RUN_S else "good"
+        last, self.last = self.last, attempt_id
         match how:
             case "promise":
-                return self.send(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n"))
+                return self.send(self.text(attempt_id, 503, b"X-Irisdeal-Not-Executed: 1\r\n"))
             case "promise twice":
-                return self.send(self.text(id_, 503, b"X-Irisdeal-Not-Executed: 1\r\n") * 2)
+                return self.send(self.text(attempt_id, 503, b"X-Irisdeal-Not-Executed: 1\r\n") * 2)
             case "reset":
                 return self.transport.abort()
-        proxy_run.judge.run(id_, line, body)
-        good = self.text(id_, 200)
+        proxy_run.judge.run(attempt_id, line, body)
+        good = self.text(attempt_id, 200)
         match how:
             case "500" | "503":
-                self.send(self.text(id_, int(how)))
+                self.send(self.text(attempt_id, int(how)))
             case "run and reset":
                 self.transport.abort()
             case "cut":
-                self.send(good[: proxy_run.chance.randrange(len(good))], ends=True)
+                self.send(good[: proxy_run.rng.randrange(len(good))], ends=True)
             case "silent":
                 pass
             case "slow":
-                self.send(good, after=proxy_run.chance.uniform(0.3, 2.5))
+                self.send(good, after=proxy_run.rng.uniform(0.3, 2.5))
             case "twice":
                 self.send(good * 2)
             case "twice later":
-                self.extra = good  # in the place of the next answer
+                self.extra = good  # sent again in front of the next answer
                 self.send(good, unanswered=False)
             case "of another":
                 self.send(self.text(last, 200))
             case "no id":
-                self.send(self.text(id_, 200, named=False))
+                self.send(self.text(attempt_id, 200, named=False))
             case "close":
-                self.send(self.text(id_, 200, b"Connection: close\r\n"), ends=True)
+                self.send(self.text(attempt_id, 200, b"Connection: close\r\n"), ends=True)
             case "torn":
-                at = proxy_run.chance.randrange(len(good))
+                at = proxy_run.rng.randrange(len(good))
                 self.send(good[:at])
                 self.send(good[at:], after=0.02)
             case "garbage":
@@ -212,11 +212,11 @@
                 if ends:
                     self.transport.close()
 
-        self.proxy_run.loop().call_later(after + self.proxy_run.chance.uniform(0.005, 0.08), write)
+        self.proxy_run.loop().call_later(after + self.proxy_run.rng.uniform(0.005, 0.08), write)
 
 
 class Client(asyncio.Protocol):
-    """One connection of a client: pipelined requests, not all complete, not all waited for."""
+    """One client connection with pipelined requests, some of them incomplete or abandoned."""
 
     def __init__(self, proxy_run: ProxyRun, number: int) -> None:
         self.proxy_run, self.number, self.unanswered, self.rest, self.is_open = (
@@ -234,7 +234,7 @@
         self.is_open = False
 
     def data_received(self, data: bytes) -> None:
-        answers, self.rest = parsed(self.rest + data)
+        answers, self.rest = split_messages(self.rest + data)
         for line, fields, body in answers:
             if not self.unanswered:
                 self.proxy_run.judge.breaches.append(f"MIXED: {line!r} and no request waits")
@@ -243,35 +243,35 @@
 
     def ask(self) -> bytes:
         proxy_run = self.proxy_run
-        kind = proxy_run.chance.choice((b"m", b"i"))
+        kind = proxy_run.rng.choice((b"m", b"i"))
         proxy_run.asked += 1
-        id_ = b"%s%d" % (kind, proxy_run.asked)
+        attempt_id = b"%s%d" % (kind, proxy_run.asked)
         line, body = b"POST /%s/%d" % (kind, proxy_run.asked), b"text %d" % proxy_run.asked
-        proxy_run.judge.sent[id_] = (line, body)
-        self.unanswered.append(id_)
-        given = proxy_run.chance.choice((200, 600, 1500))
+        proxy_run.judge.sent[attempt_id] = (line, body)
+        self.unanswered.append(attempt_id)
+        given = proxy_run.rng.choice((200, 600, 1500))
         return (
             b"%s HTTP/1.1\r\nHost: h\r\nX-Irisdeal-Attempt-Id: %s\r\nX-Irisdeal-Deadline-Ms: %d\r\n"
-            b"Content-Length: %d\r\n\r\n%s" % (line, id_, given, len(body), body)
+            b"Content-Length: %d\r\n\r\n%s" % (line, attempt_id, given, len(body), body)
         )
 
     async def play(self) -> None:
-        """Send a few at once, in pieces; then wait, or leave."""
-        chance = self.proxy_run.chance
-        for _ in range(chance.randint(1, 6)):
-            text = b"".join(self.ask() for _ in range(chance.randint(1, 4)))
-            at = chance.randrange(len(text))
+        """Send some requests at once, split at a random byte; then wait or disconnect."""
+        rng = self.proxy_run.rng
+        for _ in range(rng.randint(1, 6)):
+            text = b"".join(self.ask() for _ in range(rng.randint(1, 4)))
+            at = rng.randrange(len(text))
             self.transport.write(text[:at])
-            await asyncio.sleep(chance.uniform(0.0, 0.03))
+            await asyncio.sleep(rng.uniform(0.0, 0.03))
             if not self.is_open:
                 return
-            if chance.random() < 0.05:
-                return self.transport.abort()  # midway
+            if rng.random() < 0.05:
+                return self.transport.abort()  # in the middle of a request
             self.transport.write(text[at:])
-            await asyncio.sleep(chance.uniform(0.0, 0.4))
-            if chance.random() < 0.05:
+            await asyncio.sleep(rng.uniform(0.0, 0.4))
+            if rng.random() < 0.05:
                 return self.transport.abort()
-            if chance.random() < 0.05:
+            if rng.random() < 0.05:
                 return self.transport.write_eof()
             if not self.is_open:
                 return
@@ -280,12 +280,12 @@
 
 
 class ProxyRun:
-    """One seed: a proxy, its backends, its clients."""
+    """One run of a proxy with its backends and clients."""
 
     def __init__(self, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.world = World(seed)
         self.net = Network(self.world)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.judge, self.asked, self.over = Judge(), 0, False
         self.proxy = Machine(self.world, self.net, "door", Core(), Costs())
         monkeypatch.setattr(connection_pool, "is_readable", lambda file: self.net.has_bytes(self.proxy, file))
@@ -312,7 +312,7 @@
 
     async def _proxy(self) -> int:
         proxy = Proxy(SETTINGS)
-        proxy.handler.rng = proxy.choice.rng = self.chance
+        proxy.handler.rng = proxy.choice.rng = self.rng
         proxy.watcher.has_answered.set()
         rules = [
             {
@@ -340,8 +340,8 @@
         return 0
 
     async def _client(self, number: int) -> None:
-        while self.now() < LENGTH:
-            await asyncio.sleep(self.chance.uniform(0.0, 0.2))
+        while self.now() < RUN_S:
+            await asyncio.sleep(self.rng.uniform(0.0, 0.2))
             try:
                 _, client = await self.loop().create_connection(lambda: Client(self, number), *PROXY_ADDRESS)
             except OSError:
@@ -351,7 +351,7 @@
     async def _clients(self) -> int:
         await asyncio.sleep(0.1)
         await asyncio.gather(*(self._client(number) for number in range(CLIENTS)))
-        await asyncio.sleep(CLOSING)
+        await asyncio.sleep(CLOSING_S)
         self.over = True
         return 0
 
@@ -359,9 +359,7 @@
         machines = [self.backend(number, f"i-{number}") for number in range(BACKENDS)]
 
         def reuse() -> None:
-            """Start another incarnation at the address of one that is gone; the proxy is notified
-            of a third.
-            """
+            """Replace a backend by another incarnation at its address, of which the proxy is not notified."""
             machines[0].kill()
             self.backend(0, "i-9")
 
@@ -390,13 +388,13 @@
     assert first.judge.answers == second.judge.answers and first.judge.ran == second.judge.ran
 
 
-def _planted(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def _plant_bug(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     match bug:
         case "matched by order alone":
             monkeypatch.setattr(BackendConnection, "_complete", _any_answer)
         case "used again after a silence":
             monkeypatch.setattr(BackendConnection, "give_up", lambda self: setattr(self, "response", None))
-            monkeypatch.setattr(BackendConnection, "data_received", _whoever_waits)
+            monkeypatch.setattr(BackendConnection, "data_received", _deliver_to_any_waiter)
             monkeypatch.setattr(BackendConnection, "_complete", _any_answer)
         case "a reset is taken for unsent":
             lost = BackendConnection.connection_lost
@@ -427,7 +425,7 @@
     )
 
 
-def _whoever_waits(self: BackendConnection, data: bytes) -> None:
+def _deliver_to_any_waiter(self: BackendConnection, data: bytes) -> None:
     self.parser.feed_data(data)
     if self.is_complete:
         self._complete(False)
@@ -448,27 +446,27 @@
     rule: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    _planted(bug, monkeypatch)
+    _plant_bug(bug, monkeypatch)
     found: list[str] = []
     for seed in range(6):
         proxy_run = ProxyRun(seed, monkeypatch)
         try:
             found += proxy_run.play()
-        except AssertionError:  # the plant broke it otherwise as well
+        except AssertionError:  # the planted bug also causes other errors
             found += proxy_run.judge.close()
     assert any(breach.startswith(rule) for breach in found)
 
 
-# Links
+# RPC client and server
 
 
 class CallRun:
-    """Our client and our server; stalls, resets, partitions and restarts between them."""
+    """One run of an RPC client and server with stalls, resets, partitions and restarts between them."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
         self.net = Network(self.world)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.way = NetworkLink(700, 300)
         self.net.set_link("caller", "10.0.0.2", self.way)
         self.caller = Machine(self.world, self.net, "caller", Core(), Costs())
@@ -485,7 +483,7 @@
 
         async def handle(peer: str, kind: str, body: Any) -> Any:
             self.ran[body] += 1
-            await asyncio.sleep(self.chance.choice((0.0, 0.01, 0.05, 0.1, 0.7)))
+            await asyncio.sleep(self.rng.choice((0.0, 0.01, 0.05, 0.1, 0.7)))
             return ["did", body]
 
         async def run() -> int:
@@ -498,17 +496,17 @@
 
     def fault(self) -> None:
         now = self.world.now
-        match self.chance.choice(("still", "caller still", "reset", "cut", "life")):
-            case "still":
-                self.host.pause(now + self.chance.choice((100_000, 4_000_000)))
-            case "caller still":
-                self.caller.pause(now + self.chance.choice((100_000, 2_000_000)))
+        match self.rng.choice(("pause", "caller pause", "reset", "cut", "restart")):
+            case "pause":
+                self.host.pause(now + self.rng.choice((100_000, 4_000_000)))
+            case "caller pause":
+                self.caller.pause(now + self.rng.choice((100_000, 2_000_000)))
             case "reset":
                 self.net.reset_connections(self.way)
             case "cut":
                 self.way.is_partitioned = self.way.is_stalled = True
                 self.world.at(now + 600_000, "join", self.join)
-            case "life":
+            case "restart":
                 self.host.kill()
                 self.host = self.start()
 
@@ -517,8 +515,8 @@
         self.net.restore(self.way)
 
     async def one(self, client: RpcClient, number: int) -> None:
-        await asyncio.sleep(self.chance.uniform(0.0, 10.0))
-        answer = await client.call("lend", number, self.chance.choice((0.04, 0.06, 0.4, 1.5)))
+        await asyncio.sleep(self.rng.uniform(0.0, 10.0))
+        answer = await client.call("lend", number, self.rng.choice((0.04, 0.06, 0.4, 1.5)))
         if isinstance(answer, Success):
             self.good += 1
             if answer.unwrap() != ["did", number]:
@@ -526,7 +524,7 @@
             if not self.ran[number]:
                 self.breaches.append(f"{number} was answered and never ran")
         elif answer.failure().never_sent and self.ran[number]:
-            self.breaches.append(f"{number} ran and was told as never sent")
+            self.breaches.append(f"{number} ran and was reported as never sent")
 
     async def make_calls(self) -> int:
         client = RpcClient(("10.0.0.2", 7000), "proxy 1", lambda kind, body: self.late.append(body[1]))
@@ -542,11 +540,13 @@
         try:
             self.world.run(lambda: self.over, START + 60_000_000)
         except SimulationStalledError:
-            self.breaches.append("a call that never ends")
+            self.breaches.append("a call never completed")
         assert not self.caller.errors
         self.breaches += [f"{number} ran {times} times" for number, times in self.ran.items() if times > 1]
         self.breaches += [
-            f"{number} came late {times} times" for number, times in Counter(self.late).items() if times > 1
+            f"{number} was reported late {times} times"
+            for number, times in Counter(self.late).items()
+            if times > 1
         ]
         return self.breaches
 
@@ -578,7 +578,7 @@
 
             def one_for_all(self: Any, *given: Any) -> None:
                 original_init(self, *given)
-                self.pending = shared  # shared by all connections, whose request ids begin anew
+                self.pending = shared  # by all connections, each of which starts its request ids at 1
 
             def lost(self: Any, exc: Exception | None) -> None:
                 self.is_open = False
--- a/tests/rpc/test_call_specs.py
+++ b/tests/rpc/test_call_specs.py
@@ -1,6 +1,4 @@
-"""The specification of the calls: it has all that the programs send and handle, and the page says
-the same.
-"""
+"""The call specification covers every call that the programs send and handle, and the design page matches it."""
 
 from __future__ import annotations
 
@@ -22,17 +20,17 @@
 
 
 def _modules() -> Iterator[tuple[str, ModuleType, ast.Module]]:
-    """Program, module and syntax tree of each file that may make or handle calls."""
+    """Yield the program, module and syntax tree of each file that may make or handle calls."""
     for program in (*PROGRAMS, "simulation"):
         for path in sorted((ROOT / "irisdeal" / program).rglob("*.py")):
             name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
-            # A package stands in for its program's entry point, which must not be imported: it would listen.
+            # The package is imported in place of its entry point, because importing that would start the program.
             name = name.removesuffix(".__init__").removesuffix(".__main__")
             yield program, importlib.import_module(name), ast.parse(path.read_text("utf-8"))
 
 
 def _kind_in(node: ast.expr | None, module: ModuleType) -> str | None:
-    """The string that stands here, as a literal or as a constant of the module or of one that it imports."""
+    """Return the string of a literal, or of a constant of the module or of a module that it imports."""
     found: object = None
     if isinstance(node, ast.Constant):
         found = node.value
@@ -44,7 +42,7 @@
 
 
 def _kinds_in_handlers(table_of_handlers: ast.Dict, module: ModuleType) -> set[str]:
-    """The keys of a dictionary from constants to methods of `self`; of any other one none."""
+    """Return the keys of a dictionary from constants to methods of `self`; nothing for any other dictionary."""
     are_names = all(isinstance(key, ast.Name | ast.Attribute) for key in table_of_handlers.keys)
     are_methods = all(
         isinstance(value, ast.Attribute) and isinstance(value.value, ast.Name) and value.value.id == "self"
@@ -57,7 +55,7 @@
 
 
 def _kinds_in_patterns(match: ast.Match, module: ModuleType) -> set[str]:
-    """The strings in the cases of a `match`."""
+    """Return the strings in the cases of a `match`."""
     values = [
         node.value
         for case in match.cases
@@ -73,9 +71,9 @@
 
 
 def _kinds_sent() -> Iterator[tuple[str, str, bool]]:
-    """Module, kind and whether as a notification, of all calls that the programs send.
+    """Yield the module, the kind and whether it is a notification, of all calls that the programs send.
 
-    The kind is the first argument, or the second one behind the peer's IP.
+    The kind is the first argument, or the second one after the peer's IP.
     """
     for _, module, tree in _modules():
         for node in ast.walk(tree):
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls between processes: each answer to its caller, each call once. Time is virtual."""
+"""RPC calls in virtual time: each answer reaches its own caller, and each call runs at most once."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def logged_events(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """The numbers of the events that are logged from now on."""
+    """Return a list that receives the number of each event logged from now on."""
     numbers: list[int] = []
     for module in ("irisdeal.rpc.client", "irisdeal.rpc.server"):
         monkeypatch.setattr(f"{module}.log_event", lambda number, **fields: numbers.append(number))
@@ -102,7 +102,7 @@
 
     silent, again, same, long, old = rig.play(scenario())
     assert isinstance(silent, Failure) and again == Success("q") and not same
-    assert long == Success("n") and not old.is_open  # it ended with its last call
+    assert long == Success("n") and not old.is_open  # closed after its last call
 
 
 def test_a_call_waits_for_a_connection_no_longer_than_its_own_time_out() -> None:
@@ -121,7 +121,7 @@
 
 
 def test_a_client_never_sends_a_call_again() -> None:
-    """The callee dies with the call at work; a new process takes its address at once and does not run it."""
+    """The server dies while it runs the call; a new process at the same address must not run it again."""
     rig = CallRig()
     ran: list[Any] = []
     rig.serve(answering({"lend": 0.5}, ran))
@@ -144,7 +144,7 @@
 
 
 class Scripted(asyncio.Protocol):
-    """Answers each call with these items; `%` stands for the call's request id."""
+    """A server that answers each call with these items; `%` is replaced by the request id."""
 
     def __init__(self, script: list[list[Any]]) -> None:
         self.script, self.reader = script, FrameReader()
@@ -204,7 +204,7 @@
 
 
 def raw(rig: CallRig, frames: list[bytes]) -> bytes:
-    """What the server sends back for these frames within 0.5 s."""
+    """Send these frames; return the bytes that the server answers within 0.5 s."""
     received = bytearray()
 
     class Caller(asyncio.Protocol):
@@ -307,7 +307,7 @@
     count, place, long, sent = rig.play(scenario())
     assert count == Success(1)
     for failed in (place, long, sent):
-        assert isinstance(failed, Failure) and "silent" not in failed.failure().detail
+        assert isinstance(failed, Failure) and "no answer within" not in failed.failure().detail
     assert sent.failure().never_sent and not long.failure().never_sent
     assert type(place.failure()) is type(long.failure()) is RemoteError
     assert type(sent.failure()) is MessageTooLongError
--- a/tests/rpc/test_late_messages.py
+++ b/tests/rpc/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Messages that come late, twice or in another order: slots, permits and incarnations at a registry."""
+"""Late, duplicate and reordered messages at a registry: slots, permits and incarnations."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from irisdeal.runtime.settings import Settings
 from tests.support.call_rig import HOST, PORT, CallRig
 
-# Slots: whose they are, whatever becomes of connections
+# Slots belong to the connection over which they were granted
 
 
 class RegistryRig:
@@ -49,7 +49,7 @@
         self.admission = AdmissionService(
             settings, registry, loop, 1, lambda: 0.0, lambda *_: asyncio.sleep(0, 0)
         )
-        self.places = self.admission.placements
+        self.placements = self.admission.placements
         registry.observe(BackendIncarnation("i", "s", "10.9.0.1:80", "z", 8, BackendState.READY, 1, 0.0), 0.0)
 
     def place(self, peer: str) -> int:
@@ -63,20 +63,20 @@
             peer, "ended", ReservationEnd(number, int(AttemptResult.SUCCESS), 1.0).encode()
         )
 
-    def out(self) -> int:
-        return self.places.placer.backends["i"].in_flight
+    def in_flight_count(self) -> int:
+        return self.placements.placer.backends["i"].in_flight
 
 
 def test_a_lost_connection_frees_only_the_slots_granted_over_it() -> None:
     rig = RegistryRig()
     rig.place("proxy d#1")
     rig.place("proxy d#3")
-    rig.places.disconnect("proxy d#2")  # it watched there
-    assert rig.out() == 2
-    rig.places.disconnect("proxy d#1")  # its former connection, noticed late
-    assert rig.out() == 1
-    rig.places.disconnect("proxy d#3")
-    assert rig.out() == 0 and not rig.places.placer.reservation_numbers
+    rig.placements.disconnect("proxy d#2")  # a connection used only for watching
+    assert rig.in_flight_count() == 2
+    rig.placements.disconnect("proxy d#1")  # an earlier connection, whose end is noticed late
+    assert rig.in_flight_count() == 1
+    rig.placements.disconnect("proxy d#3")
+    assert rig.in_flight_count() == 0 and not rig.placements.placer.reservation_numbers
 
 
 def test_a_lost_connection_leaves_a_proxys_permits_and_reported_usage() -> None:
@@ -89,7 +89,7 @@
     rig.admission.authority.observe_list(listed, rig.now)
     report = IntervalReport(1.0, 0, {"t": Usage(5.0)}, PrefetchReport(7, 1, 0, {}, {"t": 3}))
     granted = quotas.report("proxy d#3", report).reserve.changes["t"]
-    rig.places.disconnect("proxy d#3")
+    rig.placements.disconnect("proxy d#3")
     assert granted > 0 and quotas.issuer.outstanding.total("t") == granted
     assert quotas.counter.reports
 
@@ -98,13 +98,13 @@
     rig = RegistryRig()
     number, other = rig.place("proxy d#1"), rig.place("proxy e#2")
     rig.end("proxy e#2", number)
-    assert rig.out() == 2
+    assert rig.in_flight_count() == 2
     rig.end("proxy d#3", number)
     rig.end("proxy d#3", number)
     rig.end("proxy d#1", number)
-    assert rig.out() == 1
-    rig.places.disconnect("proxy d#1")
-    assert rig.out() == 1 and set(rig.places.placer.reservations) == {other}
+    assert rig.in_flight_count() == 1
+    rig.placements.disconnect("proxy d#1")
+    assert rig.in_flight_count() == 1 and set(rig.placements.placer.reservations) == {other}
 
 
 def test_a_release_sent_to_a_later_incarnation_of_the_registry_frees_nothing() -> None:
@@ -115,7 +115,7 @@
             after.place("proxy d#1")
         for number in numbers:
             after.end("proxy d#1", number)
-        assert after.out() == 8
+        assert after.in_flight_count() == 8
 
 
 def test_the_slot_of_a_late_answer_is_released() -> None:
@@ -154,7 +154,7 @@
     assert HOST in silent and ended == [[7, int(AttemptResult.UNKNOWN), 0.0]]
 
 
-# Incarnations: received late, twice, in any order
+# Incarnations received late, twice and in any order
 
 
 @trying(max_examples=150, deadline=None)
@@ -177,7 +177,7 @@
         incarnation = registry.entries["i"].incarnation
         known.append((incarnation.state, incarnation.count, incarnation.address))
         number = registry.version
-        for late in versions:  # each once more: nothing changes
+        for late in versions:  # receiving each once more changes nothing
             assert not registry.observe(late, 1.5)
         assert registry.version == number
     assert set(known) == {(ends or BackendState.READY, len(versions), f"10.9.0.{len(versions)}:80")}
--- a/tests/support/call_rig.py
+++ b/tests/support/call_rig.py
@@ -1,4 +1,4 @@
-"""A caller and a callee, each a simulated machine, with our client and server between them."""
+"""Test rig with an RPC client and an RPC server on two simulated machines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CallRig:
-    """A caller and a callee, each a simulated machine; `play` returns what its scenario returns."""
+    """A caller machine and a host machine; `play` runs a scenario on the caller and returns its result."""
 
     def __init__(self) -> None:
         self.world = World(3)
@@ -45,7 +45,7 @@
         (host or self.host).start(run())
 
     def answer_with(self, peer: Callable[[], asyncio.Protocol]) -> None:
-        """Let a scripted peer answer in place of our server."""
+        """Let a scripted peer answer in place of the RPC server."""
 
         async def run() -> int:
             loop = asyncio.get_running_loop()
@@ -71,7 +71,7 @@
 
 
 def answering(times: dict[str, float], ran: list[Any] | None = None) -> Callable[[], RpcServer]:
-    """A server that answers each call with its body, after `times[kind]` s."""
+    """Return a factory of servers that answer each call with its body after `times[kind]` s."""
 
     async def handle(peer: str, kind: str, body: Any) -> Any:
         if ran is not None:
