--- a/irisdeal/runtime/__init__.py
+++ b/irisdeal/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateway's programs share: settings, errors, log events, metrics, ports, the life cycle of a process."""
+"""Shared by all programs of the gateway: settings, errors, log events, metrics, ports, process startup."""
--- a/irisdeal/runtime/early_listen.py
+++ b/irisdeal/runtime/early_listen.py
@@ -1,9 +1,9 @@
-"""Listen at the start of a process, before the modules are imported that it needs to answer.
+"""Opens the listening sockets of a process before its other modules are imported.
 
-On a fifth of a core it takes over a second from the start of a process to its first answer, most of it for
-importing modules. A client that connects meanwhile waits in the kernel's accept queue, where it would be refused
-otherwise. So this module imports next to nothing, and reads only the addresses from the settings; whatever it
-cannot read is left to `irisdeal.runtime.settings`, which reports what is wrong.
+On a fifth of a core, a process needs over a second until its first answer, most of it for importing modules. With
+the sockets already open, clients that connect meanwhile wait in the kernel's accept queue instead of being refused.
+This module therefore imports very little and reads only the addresses from the settings; values that it cannot read
+are reported later by `irisdeal.runtime.settings`.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 import os
 import socket
 
-BACKLOG = 1024  # connections in the accept queue: more than the clients of a zone open in a second
-ListeningSockets = dict[str, socket.socket]  # by name of the address in the settings
+BACKLOG_COUNT = 1024  # connections in the accept queue: more than the clients of a zone open in a second
+ListeningSockets = dict[str, socket.socket]  # by name of the address in the settings section `bind`
 
 
 def bind_addresses(text: str, names: tuple[str, ...]) -> dict[str, tuple[str, int]]:
-    """Return the addresses of these names in the section `bind`; those that cannot be read are left out."""
-    section, found = "", {}
+    """Return the addresses with these names from the section `bind`, except those that cannot be read."""
+    section, addresses = "", {}
     for line in text.splitlines():
         line = line.strip()
         if line.startswith("["):
@@ -26,12 +26,12 @@
             name, _, value = line.partition("=")
             host, _, port = value.strip().strip('"').rpartition(":")
             if name.strip() in names and host and port.isdigit():
-                found[name.strip()] = (host, int(port))
-    return found
+                addresses[name.strip()] = (host, int(port))
+    return addresses
 
 
 def listen(*names: str) -> ListeningSockets:
-    """Open listening sockets at the addresses of these names in the file that `IRISDEAL_SETTINGS` names."""
+    """Open listening sockets at the addresses with these names in the file that `IRISDEAL_SETTINGS` names."""
     listening: ListeningSockets = {}
     try:
         with open(
@@ -42,9 +42,9 @@
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(address)
-            sock.listen(BACKLOG)
+            sock.listen(BACKLOG_COUNT)
             sock.setblocking(False)
             listening[name] = sock
-    except OSError:  # reported when the process listens, or reads its settings, the usual way
+    except OSError:  # reported later, when the process reads its settings and listens
         pass
     return listening
--- a/irisdeal/runtime/errors.py
+++ b/irisdeal/runtime/errors.py
@@ -1,8 +1,8 @@
-"""The typed errors that the gateway's programs share.
+"""Error types shared by the gateway's programs.
 
-`IrisdealError` is the root. An error of this tree may be raised, or stand as a value in the `Failure` of a
-`returns.result.Result`; the calls between processes and the reading of settings return it as a value. Each type
-knows whether it is worth another attempt, as those of aiokafka do.
+`IrisdealError` is the base class. Its subclasses may be raised, or returned in the `Failure` of a
+`returns.result.Result`, as RPC calls and the loading of settings do. Each type states whether the operation may be
+retried, as the errors of aiokafka do.
 """
 
 from __future__ import annotations
@@ -12,11 +12,10 @@
 
 
 class IrisdealError(Exception):
-    """Root of the typed errors.
+    """Base class of the gateway's errors.
 
-    `is_retriable`: whether the fault is transient, so that another attempt of the same operation may succeed.
-    It does not say that a repetition is safe: that is decided by the call's `RetryRule` (`irisdeal.rpc.calls`), or
-    by `OperationError.never_sent`.
+    `is_retriable`: whether the fault is transient, so that a retry of the same operation may succeed. Whether a
+    retry is safe depends on the call's `RetryRule` (`irisdeal.rpc.calls`) and on `OperationError.never_sent`.
     """
 
     is_retriable: ClassVar[bool] = False
@@ -24,11 +23,11 @@
 
 @dataclass(unsafe_hash=True)
 class OperationError(IrisdealError):
-    """An operation that failed: at which step, with whom and why.
+    """An operation that failed.
 
-    `step` names the operation ("connect", "settings", the kind of a call), `peer` its other side ("10.1.0.3:7340",
-    a path, a key of a file), `detail` what was found and what was wanted. `never_sent` says that no byte of the
-    operation has left this process, so that it is safe to repeat.
+    `step`: the operation ("connect", "settings", the kind of a call); `peer`: what it was performed on
+    ("10.1.0.3:7340", a path, a key in a file); `detail`: the cause, such as the value found and the value expected;
+    `never_sent`: whether no byte of the operation has left this process, so that a retry is safe.
     """
 
     step: str
@@ -41,25 +40,25 @@
 
 
 class ConnectError(OperationError):
-    """No connection to the peer came up in time; nothing was sent."""
+    """No connection to the peer could be opened in time; nothing was sent."""
 
     is_retriable = True
 
 
 class ConnectionLostError(OperationError):
-    """The connection ended before the answer came; the peer may have run the call."""
+    """The connection closed before the answer arrived; the peer may have run the call."""
 
     is_retriable = True
 
 
 class CallTimeoutError(OperationError):
-    """No answer came within the call's time; the peer may have run the call, and may still answer."""
+    """No answer arrived before the call's deadline; the peer may have run the call, and may still answer."""
 
     is_retriable = True
 
 
 class MessageTooLongError(OperationError):
-    """The message is longer than a frame may be; nothing was sent."""
+    """The message exceeds the maximum frame length; nothing was sent."""
 
 
 class RemoteError(OperationError):
@@ -67,4 +66,4 @@
 
 
 class SettingsError(OperationError):
-    """The settings file cannot be read, or one of its fields is wrong; `peer` is the file or the field."""
+    """The settings file cannot be read, or one of its fields is invalid; `peer` is the file or the field."""
--- a/irisdeal/runtime/events.py
+++ b/irisdeal/runtime/events.py
@@ -11,7 +11,7 @@
 
 
 class Event(IntEnum):
-    """Every event that a process logs. The number is stable and appears in the line as `E416`.
+    """All log events. The number of an event is stable and appears in the log line, for example as `E416`.
 
     Hundreds: 1 process, 2 configuration store, 3 registry, 4 proxy, 5 calls between processes, 9 invariants.
     """
@@ -97,68 +97,77 @@
     Event.SETTINGS_RELOADED: (INFO, "settings reloaded"),
     Event.SETTINGS_INVALID: (ERROR, "settings are invalid"),
     Event.TASK_FAILED: (ERROR, "a task failed"),
-    Event.VERSION_STORED: (INFO, "a configuration version is stored and synced to disk"),
+    Event.VERSION_STORED: (INFO, "a configuration version was stored and synced to disk"),
     Event.VERSION_REJECTED: (WARNING, "a configuration was rejected as invalid"),
     Event.VERSION_NOT_REPLICATED: (WARNING, "a configuration version did not reach a majority in time"),
     Event.DISK_WRITE_FAILED: (WARNING, "a write to the disk failed"),
     Event.FILE_DAMAGED: (WARNING, "a file on disk is truncated or unreadable and is skipped"),
-    Event.DECIDED_VERSION_STORED: (INFO, "the committed value is stored here"),
-    Event.STARTED_AS_LEARNER: (INFO, "started without state, as a learner: does not count for a quorum"),
+    Event.DECIDED_VERSION_STORED: (INFO, "the committed value is stored on this machine"),
+    Event.STARTED_AS_LEARNER: (
+        INFO,
+        "started without state as a learner, which does not count toward a quorum",
+    ),
     Event.BALLOT_RETRIED: (INFO, "a ballot failed and is retried"),
-    Event.VALUE_DECIDED: (INFO, "a value is committed"),
+    Event.VALUE_DECIDED: (INFO, "a value was committed"),
     Event.ACCEPTOR_CAUGHT_UP: (INFO, "the acceptor has caught up with the values that its peers accepted"),
-    Event.DISK_IDENTITY_ASSIGNED: (INFO, "a disk without state has been given its identity"),
+    Event.DISK_IDENTITY_ASSIGNED: (INFO, "an empty disk was assigned a new identity"),
     Event.ACCEPTOR_STATE_DAMAGED: (
         ERROR,
-        "the acceptor's state on disk is damaged: the disk counts as lost and gets a new identity",
+        "the acceptor's state on disk is damaged: the disk is treated as lost and gets a new identity",
     ),
-    Event.REQUEST_WITHOUT_CONTACT: (WARNING, "a put or a read came while there is no contact with a quorum"),
+    Event.REQUEST_WITHOUT_CONTACT: (WARNING, "a put or a read was received without contact with a quorum"),
     Event.PROCESS_STALLED: (
         WARNING,
-        "the process was stalled: contact with its peers has to be confirmed anew",
+        "the process was stalled: contact with its peers must be confirmed again",
     ),
     Event.MEMBERSHIP_CHANGE_PROPOSED: (INFO, "a membership change is proposed"),
-    Event.PUT_BACKLOG_FULL: (WARNING, "the backlog of puts is full: one more is forwarded to another store"),
+    Event.PUT_BACKLOG_FULL: (WARNING, "the queue of puts is full: a put is forwarded to another store"),
     Event.MEMBERSHIP_JOINT: (
         INFO,
-        "a membership change is committed; joint quorums of the old and the new list are in force",
+        "a membership change is committed: decisions need a quorum of the old and of the new list",
     ),
     Event.MEMBERSHIP_CHANGE_COMPLETED: (
         INFO,
-        "the membership change is complete: the new list alone is in force",
+        "a membership change is complete: only the new list is in force",
     ),
-    Event.MEMBER_UNRESPONSIVE: (WARNING, "a member has not answered for too long"),
+    Event.MEMBER_UNRESPONSIVE: (WARNING, "a member has stopped answering"),
     Event.LEARNER_READY: (INFO, "a learner has caught up and is ready to vote"),
     Event.QUORUM_CONTACT_LOST: (
         WARNING,
-        "contact with a quorum is lost: nothing is committed, read or rejected",
+        "contact with a quorum is lost: puts and reads cannot be answered",
     ),
-    Event.QUORUM_CONTACT_REGAINED: (INFO, "in contact with a quorum again"),
+    Event.QUORUM_CONTACT_REGAINED: (INFO, "contact with a quorum is restored"),
     Event.QUORUM_UNREACHABLE: (
         ERROR,
-        "so many disks are lost that no quorum is possible: `irisdeal store adopt` begins a new list",
+        "too many disks are lost for a quorum: `irisdeal store adopt` starts a new list of members",
     ),
     Event.MEMBER_HANDED_OVER: (INFO, "a leaving member has handed over its state"),
-    Event.MEMBER_LEFT_EARLY: (WARNING, "a member leaves before enough peers are known to store its state"),
+    Event.MEMBER_LEFT_EARLY: (
+        WARNING,
+        "a member leaves before enough peers are confirmed to store its state",
+    ),
     Event.MEMBERSHIP_ADOPTED: (
         WARNING,
-        "an operator has written a new first list: state that only other disks store is given up",
+        "an operator has started a new list of members: state stored only on other disks is discarded",
     ),
-    Event.STORE_CALLS_UNANSWERED: (WARNING, "calls of other processes were cut off unanswered at shutdown"),
+    Event.STORE_CALLS_UNANSWERED: (WARNING, "calls from other processes were unanswered at shutdown"),
     Event.ACCEPTED_VALUE_RECOVERED: (
         WARNING,
-        "a value that was accepted but not known to be committed is resolved by a new ballot",
+        "an accepted value that may not be committed is resolved by a new ballot",
     ),
     Event.BACKEND_ADDED: (INFO, "a backend was added"),
     Event.BACKEND_DRAINING: (INFO, "a backend is draining"),
     Event.BACKEND_GONE: (INFO, "a backend is gone"),
     Event.BACKEND_UNRESPONSIVE: (WARNING, "heartbeats of a backend have stopped"),
-    Event.DRAIN_NOT_ACKNOWLEDGED: (WARNING, "a drain was not acknowledged by enough of the core"),
+    Event.DRAIN_NOT_ACKNOWLEDGED: (
+        WARNING,
+        "a drain or an end was not recorded by a majority of the core in time",
+    ),
     Event.REMOTE_STORE_FOLLOWED: (
         WARNING,
-        "the configuration store of this machine does not answer or has no quorum: a peer's is followed",
+        "the local configuration store does not answer or has no quorum: the store of another machine is followed",
     ),
-    Event.LOCAL_STORE_FOLLOWED: (INFO, "the configuration store of this machine is followed again"),
+    Event.LOCAL_STORE_FOLLOWED: (INFO, "the local configuration store is followed again"),
     Event.STORE_CONTACT_LOST: (
         WARNING,
         "no configuration store is in contact with a quorum: proxies are notified, puts are answered with 503",
@@ -166,16 +175,16 @@
     Event.STORE_CONTACT_REGAINED: (INFO, "a configuration store in contact with a quorum is followed"),
     Event.STORE_STATE_STALE: (
         ERROR,
-        "a configuration store in contact with a quorum reports older state than was committed: not followed",
+        "a configuration store in contact with a quorum reports older state than was committed: it is not followed",
     ),
     Event.CORE_MEMBERSHIP_CHANGED: (
         INFO,
-        "the membership of the core has changed: machines that left are forgotten",
+        "the membership of the core has changed: the state of machines that left is discarded",
     ),
-    Event.BACKENDS_LEARNED: (INFO, "the backend table is loaded from enough of the core"),
+    Event.BACKENDS_LEARNED: (INFO, "the backend table is synchronized with enough of the core"),
     Event.BACKENDS_LEARNED_PARTIALLY: (
         WARNING,
-        "the backend table could be loaded from too few of the core; continues without the rest",
+        "too few registries answered the synchronization of the backend table: the table may be incomplete",
     ),
     Event.PERMITS_SUSPENDED: (
         WARNING,
@@ -185,52 +194,55 @@
     Event.ISSUER_LIST_STORED: (INFO, "the core membership under which permits are issued is stored on disk"),
     Event.REGISTRY_CALLS_UNANSWERED: (
         WARNING,
-        "calls from outside or of other processes were cut off unanswered at shutdown",
+        "requests over HTTP or calls from other processes were unanswered at shutdown",
     ),
-    Event.CONFIGURATION_APPLIED: (INFO, "a configuration version is applied"),
+    Event.CONFIGURATION_APPLIED: (INFO, "a configuration version was applied"),
     Event.READY: (INFO, "ready"),
     Event.NOT_READY: (INFO, "not ready"),
-    Event.SOURCE_UNRESPONSIVE: (WARNING, "a registry does not answer: the proxy leaves it for another"),
+    Event.SOURCE_UNRESPONSIVE: (WARNING, "a registry does not answer: the proxy switches to another"),
     Event.RESPONSE_MISMATCH: (WARNING, "a backend's response does not belong to the request"),
-    Event.BACKEND_EJECTED: (WARNING, "a backend is ejected for a while"),
-    Event.CONFIGURATION_UNREADABLE: (ERROR, "a configuration that was received cannot be read"),
+    Event.BACKEND_EJECTED: (WARNING, "a backend is temporarily ejected"),
+    Event.CONFIGURATION_UNREADABLE: (ERROR, "a received configuration cannot be parsed"),
     Event.RESPONSES_UNFINISHED: (
         WARNING,
-        "requests without an answer, or bytes of answers, were cut off at shutdown",
+        "requests were unanswered, or bytes of responses unsent, at shutdown",
     ),
     Event.SOURCE_WITHOUT_CONTACT: (
         WARNING,
-        "a registry has no contact with a quorum: the proxy leaves it for another",
+        "a registry has no contact with a quorum: the proxy switches to another",
     ),
     Event.CONTACT_LOST: (
         WARNING,
         "no registry is in contact with a quorum: the last state received stays in force",
     ),
     Event.CONTACT_REGAINED: (INFO, "a registry is in contact with a quorum again"),
-    Event.SOURCES_CHANGED: (INFO, "the registries have changed: those that left the core are forgotten"),
+    Event.SOURCES_CHANGED: (
+        INFO,
+        "the list of registries has changed: those that left the core are no longer used",
+    ),
     Event.PERMITS_UNAVAILABLE: (
         WARNING,
-        "no registry grants permits: tenants with a rate limit have only those reserved ahead",
+        "no registry grants permits: tenants with a rate limit can use only prefetched permits",
     ),
     Event.PERMITS_AVAILABLE: (INFO, "a registry grants permits again"),
-    Event.DRAIN_SUMMARY: (INFO, "requests since the stop was requested, by outcome"),
+    Event.DRAIN_SUMMARY: (INFO, "numbers of requests since the stop was requested, by outcome"),
     Event.FRAME_INVALID: (WARNING, "a peer sent an invalid frame"),
-    Event.UNEXPECTED_ANSWER: (WARNING, "a peer answered a call that was not made; its connection is closed"),
-    Event.DUPLICATE_CALL: (WARNING, "a call was received twice; it is not run, and its connection is closed"),
+    Event.UNEXPECTED_ANSWER: (WARNING, "a peer answered a call that was not made: the connection is closed"),
+    Event.DUPLICATE_CALL: (WARNING, "a call was received twice: it is not run, and the connection is closed"),
     Event.DUPLICATE_RESPONSE: (WARNING, "a backend sent more than one response; its connection is closed"),
     Event.INVARIANT_VIOLATED: (ERROR, "an invariant is violated"),
 }
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Log `event` at its level: its number, its text, then the fields as `key=value`."""
+    """Log `event` at its level: number, text, then the fields as `key=value`."""
     level, text = CATALOGUE[event]
     if log.isEnabledFor(level):
         log.log(level, "E%d %s%s", event, text, "".join(f" {key}={value}" for key, value in fields.items()))
 
 
 def check_invariant(is_true: bool, rule: str, **fields: object) -> bool:
-    """Return `is_true`; log `Event.INVARIANT_VIOLATED` with the rule and the fields where it is false."""
+    """Return `is_true`; if it is false, log `Event.INVARIANT_VIOLATED` with the rule and the fields."""
     if not is_true:
         log_event(Event.INVARIANT_VIOLATED, rule=rule, **fields)
     return is_true
--- a/irisdeal/runtime/metrics.py
+++ b/irisdeal/runtime/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of a process, in the text format of Prometheus (`metrics` = "PORT/PATH" in the settings).
+"""Metrics of a process in the Prometheus text format (`metrics` = "PORT/PATH" in the settings).
 
-Metrics are always counted, since log events report some of them. The library that formats them is loaded with the
-first scrape, as most machines are never scraped.
+Metrics are always recorded, because log events report some of them. The library that formats them is imported at
+the first scrape, because most machines are never scraped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Counter:
-    """A counter with at most one label. `name`: without the prefix; `label`: its name, empty for none."""
+    """A counter with at most one label. `name`: without the prefix; `label`: name of the label, empty for none."""
 
     name: str
     help: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Summary:
-    """Number, sum and maximum of measurements. `name`: without the prefix, ends with the unit."""
+    """Number, sum and maximum of observations. `name`: without the prefix; ends with the unit."""
 
     name: str
     help: str
@@ -46,7 +46,7 @@
     maximum: float = 0.0
 
     def observe(self, value: float) -> None:
-        """Add a measurement."""
+        """Record one observation."""
         self.count += 1
         self.sum += value
         self.maximum = max(self.maximum, value)
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsAddress:
-    """Where a process serves its metrics; `path` begins with a slash."""
+    """The port and path at which a process serves its metrics; `path` begins with a slash."""
 
     port: int
     path: str
 
 
 def parse_metrics_address(text: str) -> MetricsAddress:
-    """Read `PORT/PATH`. ValueError where it is none."""
+    """Parse `PORT/PATH`. Raises ValueError if the text is malformed."""
     port, slash, path = text.partition("/")
     if not (slash and port.isdigit() and 0 < int(port) < 65536):
         raise ValueError(f"metrics: wanted PORT/PATH, got {text!r}")
@@ -76,19 +76,19 @@
         self.summaries: list[Summary] = []
 
     def counter(self, name: str, text: str, label: str = "") -> Counter:
-        """Register a new counter; `text` says what is counted."""
+        """Register a new counter; `text`: description of what is counted."""
         counter = Counter(name, text, label)
         self.counters.append(counter)
         return counter
 
     def summary(self, name: str, text: str) -> Summary:
-        """Register a new summary; `text` says what is measured, and the unit."""
+        """Register a new summary; `text`: description of the observations and their unit."""
         summary = Summary(name, text)
         self.summaries.append(summary)
         return summary
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics as families of prometheus_client."""
+        """Yield all metrics as metric families of prometheus_client."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, SummaryMetricFamily
 
         for counter in self.counters:
@@ -105,7 +105,7 @@
             )
 
     def text(self) -> bytes:
-        """Format all metrics as Prometheus scrapes them."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
--- a/irisdeal/runtime/ports.py
+++ b/irisdeal/runtime/ports.py
@@ -1,10 +1,13 @@
-"""The port of `port_range` at which each program listens; the same on all machines of a deployment."""
+"""The port of `port_range` on which each program listens; the same on all machines of a deployment."""
 
 from __future__ import annotations
 
 from irisdeal.runtime.settings import Address, Settings, parse_address
 
-CONFIG_STORE, REGISTRY, PROXY = 0, 1, 2  # offsets from the first port
+# Offsets from the first port of `port_range`
+CONFIG_STORE = 0
+REGISTRY = 1
+PROXY = 2
 
 
 def port(settings: Settings, program: int) -> int:
@@ -13,7 +16,7 @@
 
 
 def seeds(settings: Settings) -> list[str]:
-    """Return the IPs of the seed peers, in the file's order, each once."""
+    """Return the distinct IPs of the seed peers, in the order of the settings file."""
     return list(dict.fromkeys(parse_address(text)[0] for text in settings.seed_peers))
 
 
--- a/irisdeal/runtime/process.py
+++ b/irisdeal/runtime/process.py
@@ -1,4 +1,4 @@
-"""The life cycle of a process: settings, log, event loop, signals, shutdown."""
+"""Startup and shutdown of a process: settings, logging, event loop and signals."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Settings, load_settings
 
-DEFAULT_SETTINGS = "/etc/irisdeal/settings.toml"  # where `IRISDEAL_SETTINGS` names no other file
-SETTINGS_EXIT_CODE = 2  # of a process whose settings are invalid
+DEFAULT_SETTINGS_PATH = "/etc/irisdeal/settings.toml"  # used if `IRISDEAL_SETTINGS` is not set
+INVALID_SETTINGS_EXIT_CODE = 2
 
 T = TypeVar("T")
 
 
 class Program(Protocol):
-    """What a process runs."""
+    """A program that a process runs."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self) -> None:
         """Shut down gracefully; the process ends once this returns."""
 
     def reload(self, settings: Settings) -> None:
-        """Take over settings that were read again."""
+        """Apply settings that were read again."""
 
 
 class Tasks:
-    """The tasks of one program. It holds references to them, since the event loop's are weak."""
+    """The running tasks of one program. Keeps references to them, because the event loop's references are weak."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run this in a task of its own; an exception is logged as `Event.TASK_FAILED`."""
+        """Run a coroutine in its own task; an exception is logged as `Event.TASK_FAILED`."""
         task = asyncio.create_task(work)
         self.running.add(task)
         task.add_done_callback(self._finish)
@@ -54,13 +54,13 @@
             log_event(Event.TASK_FAILED, error=repr(error))
 
     def cancel(self) -> None:
-        """Cancel all tasks that are running."""
+        """Cancel all running tasks."""
         for task in list(self.running):
             task.cancel()
 
 
 async def run_periodically(period_s: float, action: Callable[[], Awaitable[None] | None]) -> None:
-    """Run `action` for ever, with `period_s` between the end of one run and the next."""
+    """Run `action` repeatedly, with a pause of `period_s` before each run."""
     while True:
         await asyncio.sleep(period_s)
         pending = action()
@@ -69,14 +69,14 @@
 
 
 async def _serve(make_program: Callable[[Settings], Program], settings: Settings, path: str) -> None:
-    """Run a program until SIGTERM or SIGINT. SIGHUP reads the settings in `path` again."""
+    """Run a program until SIGTERM or SIGINT. SIGHUP reloads the settings in `path`."""
     loop = asyncio.get_running_loop()
     program, stop_requested = make_program(settings), asyncio.Event()
     await program.start()
     log_event(Event.STARTED, node=settings.node_name, role=settings.role, zone=settings.zone)
 
     def reload_settings() -> None:
-        """Read the settings file again; one that is invalid changes nothing."""
+        """Reload the settings file; an invalid file is logged and ignored."""
         result = load_settings(path)
         if isinstance(result, Failure):
             log_event(Event.SETTINGS_INVALID, error=result.failure())
@@ -88,7 +88,7 @@
     loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reload_settings)
     gc.collect()
-    gc.freeze()  # what start made stays: later collections need not look at it
+    gc.freeze()  # excludes the objects created at startup from later collections
     await stop_requested.wait()
     log_event(Event.STOP_REQUESTED)
     await program.stop()
@@ -96,16 +96,16 @@
 
 
 def main(make_program: Callable[[Settings], Program]) -> int:
-    """Run a program until it is requested to stop; return the exit code."""
-    os.environ["UV_USE_IO_URING"] = "0"  # read by libuv at its start, which is the next import
+    """Run a program until a signal requests its stop; return the exit code."""
+    os.environ["UV_USE_IO_URING"] = "0"  # libuv reads it when it is loaded by the next import
     import uvloop
 
     logging.basicConfig(level=os.environ.get("IRISDEAL_LOG", "INFO"), stream=sys.stderr, format="%(message)s")
-    path = os.environ.get("IRISDEAL_SETTINGS", DEFAULT_SETTINGS)
+    path = os.environ.get("IRISDEAL_SETTINGS", DEFAULT_SETTINGS_PATH)
     result = load_settings(path)
     if isinstance(result, Failure):
         log_event(Event.SETTINGS_INVALID, error=result.failure())
-        return SETTINGS_EXIT_CODE
+        return INVALID_SETTINGS_EXIT_CODE
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(make_program, result.unwrap(), path))
     return 0
--- a/irisdeal/runtime/settings.py
+++ b/irisdeal/runtime/settings.py
@@ -1,6 +1,6 @@
-"""The settings file that `IRISDEAL_SETTINGS` names, checked. Unknown fields are ignored.
+"""Loads and validates the settings file that `IRISDEAL_SETTINGS` names. Unknown fields are ignored.
 
-Field names are those of the file, which the platform writes.
+The names of the dataclass fields are the keys of the file, which the platform writes.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from irisdeal.runtime.errors import SettingsError
 from irisdeal.runtime.metrics import parse_metrics_address
 
-Address = tuple[str, int]  # host, port, as asyncio takes them
-FEWEST_PORTS = 4  # of `port_range`; three are in use (`irisdeal.runtime.ports`)
+Address = tuple[str, int]  # host, port
+MIN_PORT_COUNT = 4  # size of `port_range`; three ports are in use (`irisdeal.runtime.ports`)
 MAX_PORT = 65535
 
 
 @dataclass(frozen=True)
 class Bind:
-    """The addresses (`ip:port`) at which this process serves; empty where it does not."""
+    """The addresses (`ip:port`) at which this process serves; empty if it does not serve there."""
 
     front: str = ""
     readiness: str = ""
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Tolerance:
-    """How many failure domains of each kind may be lost at the same time."""
+    """The number of failure domains of each kind that may be lost at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The settings of one process. `beat_interval_ms`: between two heartbeats of a backend."""
+    """The settings of one process. `beat_interval_ms`: interval of a backend's heartbeats."""
 
     node_name: str
     role: str
@@ -68,10 +68,9 @@
     counted: bool = False
     data_path: str = ""
     beat_interval_ms: int = 1500
-    config_source: str = (
-        "highest"  # how a put is compared with the version in force; else another body is rejected
-    )
-    metrics: str = ""  # PORT/PATH at which this process serves its metrics; empty where it does not
+    # "highest": a put of another body under a decided number counts as superseded. Otherwise it is a conflict.
+    config_source: str = "highest"
+    metrics: str = ""  # PORT/PATH at which this process serves its metrics; empty if it serves none
     bounds: tuple[str, ...] = ()
     zones: dict[str, str] = field(default_factory=dict)
     bind: Bind = field(default_factory=Bind)
@@ -79,7 +78,7 @@
     tolerance: Tolerance = field(default_factory=Tolerance)
 
     def bound(self, name: str, default: float) -> float:
-        """Return a figure of `bounds`; `default` where it is missing or is no number."""
+        """Return a number from `bounds`; `default` if it is missing or not a number."""
         for text in self.bounds:
             key, _, value = text.partition("=")
             if key.strip() == name:
@@ -91,7 +90,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read `ip:port`. ValueError where it is none."""
+    """Parse `ip:port`. Raises ValueError if the text is malformed."""
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isdigit() and 0 < int(port) <= MAX_PORT):
         raise ValueError(f"{text!r} is no ip:port")
@@ -99,9 +98,9 @@
 
 
 def parse_settings(data: Mapping[str, object]) -> Result[Settings, SettingsError]:
-    """Check the settings in `data`, the decoded file; the error names the wrong field and what was wanted."""
+    """Validate the settings in `data`, the decoded file; the error names the invalid field."""
     fields = dict(data)
-    if isinstance(bounds := fields.get("bounds"), str):  # one line, separated by commas
+    if isinstance(bounds := fields.get("bounds"), str):  # a comma-separated list
         fields["bounds"] = [bound for bound in bounds.split(",") if bound.strip()]
     try:
         settings = dacite.from_dict(Settings, fields, dacite.Config(cast=[tuple], type_hooks={float: float}))
@@ -115,14 +114,14 @@
 
 
 def _check_ports(settings: Settings) -> None:
-    """ValueError where the range of ports cannot be used."""
+    """Raise ValueError if the port range is invalid or too small."""
     low, high = settings.port_range
-    if not 0 < low <= high <= MAX_PORT or high - low + 1 < FEWEST_PORTS:
-        raise ValueError(f"port_range: wanted four ports or more, got {low}..{high}")
+    if not 0 < low <= high <= MAX_PORT or high - low + 1 < MIN_PORT_COUNT:
+        raise ValueError(f"port_range: expected at least four ports, got {low}..{high}")
 
 
 def _check_addresses(settings: Settings) -> None:
-    """ValueError where an address is none; an empty one is right."""
+    """Raise ValueError if an address is malformed; an empty one is allowed."""
     bind = settings.bind
     for text in (*settings.seed_peers, bind.front, bind.readiness, bind.control):
         if text:
@@ -132,7 +131,7 @@
 
 
 def load_settings(path: str) -> Result[Settings, SettingsError]:
-    """Read and check the settings in this file."""
+    """Read and validate the settings file at `path`."""
     try:
         data = tomllib.loads(Path(path).read_text("utf-8"))
     except (OSError, ValueError) as error:
--- a/irisdeal/runtime/socket_state.py
+++ b/irisdeal/runtime/socket_state.py
@@ -1,4 +1,4 @@
-"""Whether a socket is readable, asked of the kernel directly: an event loop reports it a turn later."""
+"""Polls a socket directly, because the event loop reports readiness only in its next iteration."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def is_readable(file_descriptor: int) -> bool:
-    """Whether bytes, an end of file or an error wait on this descriptor; on a listening one, a connection."""
+    """Return whether the descriptor has bytes, end of file or an error pending; if listening, a connection."""
     poller = select.poll()
     poller.register(file_descriptor, select.POLLIN)
     return bool(poller.poll(0))
--- a/tests/runtime/test_early_listen.py
+++ b/tests/runtime/test_early_listen.py
@@ -1,4 +1,4 @@
-"""Listening before the program's modules are loaded."""
+"""Opening of the listening sockets before the program's other modules are imported."""
 
 import socket
 from pathlib import Path
@@ -30,6 +30,6 @@
         assert list(listening) == ["front"]
 
 
-def test_missing_settings_are_left_to_the_checked_reading(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_settings_are_left_to_the_loading_of_settings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("IRISDEAL_SETTINGS", "/nowhere/settings.toml")
     assert listen("front") == {}
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a process: the address in the settings, and the exported text."""
+"""Metrics of a process: the address in the settings, and the exported text."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from irisdeal.runtime.metrics import Metrics, MetricsAddress, parse_metrics_address
 from irisdeal.runtime.settings import Settings, parse_settings
 
-GIVEN = {
+SETTINGS = {
     "node_name": "n",
     "role": "r",
     "ip": "10.0.0.1",
@@ -27,7 +27,7 @@
 
 
 def samples(text: bytes) -> dict[tuple[str, str], float]:
-    """The samples by name and label values."""
+    """Return the samples by name and label values."""
     return {
         (sample.name, ",".join(sample.labels.values())): sample.value
         for family in text_string_to_metric_families(text.decode())
@@ -37,12 +37,12 @@
 
 @pytest.mark.parametrize("text", ["", "9100/metrics", "9100/"])
 def test_settings_name_a_port_and_a_path(text: str) -> None:
-    assert parse_settings({**GIVEN, "metrics": text}).unwrap().metrics == text
+    assert parse_settings({**SETTINGS, "metrics": text}).unwrap().metrics == text
 
 
 @pytest.mark.parametrize("text", ["metrics", "9100", "0/metrics", "70000/metrics", "-1/m", "x/metrics"])
 def test_an_invalid_metrics_address_is_rejected_by_name(text: str) -> None:
-    error = parse_settings({**GIVEN, "metrics": text}).failure()
+    error = parse_settings({**SETTINGS, "metrics": text}).failure()
     assert "metrics: wanted PORT/PATH" in str(error)
     assert type(error) is SettingsError and not error.is_retriable
 
@@ -52,22 +52,22 @@
 
 
 @pytest.mark.parametrize(
-    "made", [ProxyMetrics(), RegistryMetrics(), StoreMetrics()], ids=["proxy", "registry", "store"]
+    "metrics", [ProxyMetrics(), RegistryMetrics(), StoreMetrics()], ids=["proxy", "registry", "store"]
 )
-def test_counts_are_exported_and_what_was_not_counted_is_zero(made: Metrics) -> None:
-    for counter in made.counters:
+def test_counts_are_exported_and_what_was_not_counted_is_zero(metrics: Metrics) -> None:
+    for counter in metrics.counters:
         counter.add("some" if counter.label else "", 2)
-    for summary in made.summaries:
+    for summary in metrics.summaries:
         summary.observe(0.25)
         summary.observe(0.5)
-    told = samples(made.text())
-    for counter in made.counters:
-        assert told[f"irisdeal_{counter.name}_total", "some" if counter.label else ""] == 2
-    for summary in made.summaries:
-        assert told[f"irisdeal_{summary.name}_count", ""] == 2
-        assert told[f"irisdeal_{summary.name}_sum", ""] == 0.75
-        assert told[f"irisdeal_{summary.name}_max", ""] == 0.5
-    fresh = type(made)()
+    exported = samples(metrics.text())
+    for counter in metrics.counters:
+        assert exported[f"irisdeal_{counter.name}_total", "some" if counter.label else ""] == 2
+    for summary in metrics.summaries:
+        assert exported[f"irisdeal_{summary.name}_count", ""] == 2
+        assert exported[f"irisdeal_{summary.name}_sum", ""] == 0.75
+        assert exported[f"irisdeal_{summary.name}_max", ""] == 0.5
+    fresh = type(metrics)()
     without = [counter for counter in fresh.counters if not counter.label]
     assert all(samples(fresh.text())[f"irisdeal_{counter.name}_total", ""] == 0 for counter in without)
 
