--- a/irisdeal/http1/__init__.py
+++ b/irisdeal/http1/__init__.py
@@ -1,1 +1,1 @@
-"""The server side of HTTP/1.1: whole requests are handed to a handler, its answers go out in their order."""
+"""HTTP/1.1 server: passes complete requests to a handler, and sends its responses in the order of the requests."""
--- a/irisdeal/http1/errors.py
+++ b/irisdeal/http1/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the server side of HTTP/1.1."""
+"""Errors of the HTTP/1.1 server."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class MalformedRequestError(IrisdealError):
-    """A request that cannot be read, or exceeds a limit; it is answered with `status` and `text`.
+    """A request that cannot be parsed, or exceeds a limit; it is answered with `status` and `text`.
 
-    Nothing behind it on its connection can be read, so that the connection ends with the answer.
+    Nothing after it on its connection can be parsed, so the connection is closed after the response.
     """
 
     def __init__(self, status: int, text: str) -> None:
--- a/irisdeal/http1/messages.py
+++ b/irisdeal/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the server side, and the limits on what a client may send."""
+"""Requests and responses of the HTTP/1.1 server, and the limits on what a client may send."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Request:
-    """A request that was received to its end. `received_at`: s on the loop's clock, when its last byte was read."""
+    """A completely received request. `received_at`: when its last byte was read, s on the loop's clock."""
 
     __slots__ = (
         "body",
@@ -30,17 +30,15 @@
     ) -> None:
         self.method, self.target, self.headers, self.body = method, target, headers, body
         self.received_at = received_at
-        self.headers_by_name = {name.lower(): value for name, value in headers}  # of two alike the last one
-        self.is_head = method == b"HEAD"  # its answer has no body (RFC 9110, 9.3.2)
-        self.keep_alive = True  # whether the connection goes on behind its answer (RFC 9112, 9.3)
-        self.disconnected_at: float | None = (
-            None  # s on the loop's clock, when its client was seen to have left
-        )
+        self.headers_by_name = {name.lower(): value for name, value in headers}  # duplicates: the last one
+        self.is_head = method == b"HEAD"  # the response has no body (RFC 9110, 9.3.2)
+        self.keep_alive = True  # whether the connection stays open after the response (RFC 9112, 9.3)
+        self.disconnected_at: float | None = None  # s on the loop's clock
         self.phase = Phase.PIPELINED
 
 
 class Response:
-    """A complete answer. `close`: the connection ends behind it."""
+    """A complete response. `close`: the connection closes after it."""
 
     __slots__ = ("body", "close", "headers", "status")
 
@@ -54,15 +52,15 @@
 
 
 class RequestLimits:
-    """The limits on what a client may send, and how long it may take; they may change while a server runs.
+    """Limits on the size of requests and the time that clients may take.
 
-    The values here stand until the settings or a configuration give others.
+    The values here are defaults; settings or a configuration may change them while the server runs.
     """
 
     __slots__ = ("head_timeout_s", "idle_timeout_s", "max_body_bytes", "max_head_bytes")
 
     def __init__(self) -> None:
-        self.max_head_bytes = 16384  # of a request's target and fields
+        self.max_head_bytes = 16384  # target and fields of a request
         self.max_body_bytes = 64 << 20
         self.head_timeout_s = 3.0  # from the first byte of a request to the end of its head
-        self.idle_timeout_s = 15.0  # that a connection may stay without a byte from its client
+        self.idle_timeout_s = 15.0  # longest time without a byte from the client
--- a/irisdeal/http1/metrics_server.py
+++ b/irisdeal/http1/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serve the metrics of a process over HTTP, where the settings ask for it."""
+"""Serves the metrics of a process over HTTP, if the settings enable it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MetricsServer:
-    """Answers a GET of the settings' `metrics` path with the metrics as text; does nothing where none is set."""
+    """Serves the metrics as text at the path of the `metrics` setting; does nothing if that is empty."""
 
     def __init__(self, settings: Settings, metrics: Metrics, loop: asyncio.AbstractEventLoop) -> None:
         self.metrics = metrics
@@ -20,7 +20,7 @@
         self.http = HttpServer(self._answer, loop)
 
     async def start(self) -> None:
-        """Listen. OSError where the port is taken."""
+        """Listen. Raises OSError if the port is in use."""
         if self.address is not None:
             await self.http.listen((self.ip, self.address.port))
 
--- a/irisdeal/http1/phase.py
+++ b/irisdeal/http1/phase.py
@@ -1,4 +1,4 @@
-"""The phases of a request on its way through a process."""
+"""Processing phases of a request."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Phase(Enum):
-    """What a request waits for. The values are those of the metrics' label `phase`."""
+    """What a request is waiting for. The values are those of the metric label `phase`."""
 
-    PIPELINED = "pipelined"  # the answer to an earlier request of its connection
-    STARTED = "started"  # nothing yet, or the first configuration
-    TENANT_QUEUE = "tenant_queue"  # its turn within the bound of its tenant
-    PLACEMENT = "placement"  # a registry's permit and choice of a backend
-    CONNECTING = "connecting"  # a connection to a backend
-    BACKEND = "backend"  # a backend, which may be at work on it
-    ANSWERED = "answered"  # nothing more: its answer has been written
+    PIPELINED = "pipelined"  # waits for the response to an earlier request on its connection
+    STARTED = "started"  # does not wait, or waits for the first configuration
+    TENANT_QUEUE = "tenant_queue"  # waits for the concurrency limit of its tenant
+    PLACEMENT = "placement"  # waits for a permit and a backend from a registry
+    CONNECTING = "connecting"  # waits for a connection to a backend
+    BACKEND = "backend"  # waits for a backend, which may be running it
+    ANSWERED = "answered"  # its response has been written
--- a/irisdeal/http1/request_parser.py
+++ b/irisdeal/http1/request_parser.py
@@ -1,7 +1,7 @@
-"""Parse the bytes of one client into requests (RFC 9112). No input or output here.
+"""Parses the byte stream of one client into requests (RFC 9112). This module does no I/O.
 
-A request whose framing could be read in two ways is malformed: the second reading might hide another request in its
-body (RFC 9112, 11.2).
+A request with ambiguous framing is rejected as malformed, because another recipient might find a second request in
+its body (request smuggling, RFC 9112, 11.2).
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from irisdeal.http1.messages import Request, RequestLimits
 
 Clock = Callable[[], float]
-FIELD_OVERHEAD_BYTES = 4  # of a field's line beside its name and value: colon, space, CR and LF
+FIELD_OVERHEAD_BYTES = 4  # colon, space, CR and LF in the line of a field
 
 
 class RequestParser:
-    """The parser of one connection: `on_request` is called with each complete request, `on_head` at each head."""
+    """The parser of one connection."""
 
     def __init__(
         self,
@@ -28,31 +28,34 @@
         on_request: Callable[[Request], None],
         on_head: Callable[[], None],
     ) -> None:
-        """`clock`: s on the loop's clock."""
+        """Create a parser.
+
+        `clock`: returns s on the loop's clock; `on_request`: called with each complete request; `on_head`: called
+        after each complete head.
+        """
         self.limits, self.clock, self.on_request, self.on_head = limits, clock, on_request, on_head
         self.parser = httptools.HttpRequestParser(self)
-        self.is_reading = False  # some bytes of a request have come, and not all
-        self.since = clock()  # when the request began, its body went on, or the last one was complete
+        self.has_partial_request = False  # a request is partly received
+        self.last_progress_at = clock()  # when a request began or ended, or a part of its body was received
         self._reset()
 
     def _reset(self) -> None:
         self.url = b""
         self.headers: Headers = []
         self.body_chunks: list[bytes] = []
-        self.head_size, self.body_size, self.has_head = 0, 0, False
-        self.framing_field: bytes | None = None  # the one that says where the body ends
-        self.expects_continue = (
-            False  # the client waits for a 100 before it sends the body (RFC 9110, 10.1.1)
-        )
+        self.head_size, self.body_size, self.is_head_complete = 0, 0, False
+        self.framing_field: bytes | None = None  # the field that determines the body length
+        # Whether the client waits for a 100 before it sends the body (RFC 9110, 10.1.1)
+        self.expects_continue = False
 
     def feed(self, data: bytes) -> None:
-        """Parse these bytes. MalformedRequestError where neither they nor any behind them can be read."""
+        """Parse these bytes. Raises MalformedRequestError if they and anything after them cannot be parsed."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise MalformedRequestError(400, "no upgrades here") from None
         except httptools.HttpParserError as error:
-            cause = error.__context__  # what a callback below has raised
+            cause = error.__context__  # an exception raised by one of the callbacks below
             if isinstance(cause, MalformedRequestError):
                 raise cause from None
             raise MalformedRequestError(400, "malformed request") from None
@@ -60,19 +63,19 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._reset()
-        self.is_reading, self.since = True, self.clock()
+        self.has_partial_request, self.last_progress_at = True, self.clock()
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the target."""
+        """Append a part of the target."""
         self.url += url
         self._add_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a field of the head; one of the trailer counts for the size alone."""
+        """Append a header field; a trailer field only counts toward the size."""
         self._add_head_size(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
-        if self.has_head:  # a trailer (RFC 9112, 7.1.2)
+        if self.is_head_complete:  # a trailer (RFC 9112, 7.1.2)
             return
         key, value = normalized_field_name(name), value.strip(OWS)
         if key in FRAMING_FIELDS:
@@ -82,7 +85,7 @@
         self.headers.append((name, value))
 
     def _check_framing(self, key: bytes, value: bytes, has_underscore: bool) -> None:
-        """Reject a framing field that some recipient may read another way (RFC 9112, 6.1 and 6.3)."""
+        """Reject a framing field that another recipient may interpret differently (RFC 9112, 6.1 and 6.3)."""
         is_other_coding = key == b"transfer-encoding" and value.lower() != b"chunked"
         if self.framing_field is not None or is_other_coding or has_underscore:
             raise MalformedRequestError(400, "odd framing")
@@ -102,23 +105,23 @@
             raise MalformedRequestError(431, f"head over {self.limits.max_head_bytes} bytes")
 
     def on_headers_complete(self) -> None:
-        """Check the whole head."""
-        self.has_head = True
+        """Check the complete head."""
+        self.is_head_complete = True
         if self.framing_field == b"transfer-encoding" and self.parser.get_http_version() == "1.0":
             raise MalformedRequestError(400, "odd framing")  # RFC 9112, 6.1
         self.on_head()
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body."""
-        self.body_size, self.since = self.body_size + len(body), self.clock()
+        """Append a part of the body."""
+        self.body_size, self.last_progress_at = self.body_size + len(body), self.clock()
         if self.body_size > self.limits.max_body_bytes:
             raise self._body_too_long()
         self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand on the request."""
-        self.is_reading, self.since = False, self.clock()
+        """Pass on the complete request."""
+        self.has_partial_request, self.last_progress_at = False, self.clock()
         body = b"".join(self.body_chunks)
-        request = Request(self.parser.get_method(), self.url, self.headers, body, self.since)
+        request = Request(self.parser.get_method(), self.url, self.headers, body, self.last_progress_at)
         request.keep_alive = self.parser.should_keep_alive()
         self.on_request(request)
--- a/irisdeal/http1/server.py
+++ b/irisdeal/http1/server.py
@@ -1,8 +1,8 @@
-"""The server side of HTTP/1.1: complete requests go to a handler, its answers go out in the requests' order.
+"""HTTP/1.1 server: passes complete requests to a handler, and sends its responses in the order of the requests.
 
-A server shuts down by a drain, the same for all programs: it goes on for a while, since new requests still come;
-then it stops listening, answers what it has received, closes its end of each connection behind the last answer, and
-is done once the clients have closed theirs and all bytes are out, or the time is over.
+Graceful shutdown, the same for all programs: the server continues for a while, because new requests still arrive.
+Then it stops listening, answers the requests it has received, closes its end of each connection after the last
+response, and is done once the clients have closed their ends and all bytes are sent, or the time has run out.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from irisdeal.http1.messages import Handler, Request, RequestLimits, Response
 from irisdeal.runtime.process import Tasks
 
-TIMEOUT_CHECK_S = 1.0  # between two checks of the clients' time-outs
-DRAIN_POLL_S = 0.05  # between two checks of what a drain waits for
+TIMEOUT_CHECK_INTERVAL_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """What a drain left: requests without an answer, and bytes of answers that were not sent in its time."""
+    """The result of a drain: requests without a response, and response bytes that were not sent in time."""
 
     requests: list[Request]
     unsent_bytes: int
 
 
 class HttpServer:
-    """Listens, and hands complete requests to `handler`.
+    """Listens, and passes complete requests to `handler`.
 
     A handler's task is cancelled when its client resets the connection; with `cancels_on_eof` also when the client
-    closes its end (FIN). `on_client_disconnected` is called with each request whose client was seen to have left.
+    closes its end (FIN). `on_client_disconnected` is called with each unanswered request whose client disconnected.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
     async def listen(
         self, address: tuple[str, int], backlog: int = 1024, sock: socket.socket | None = None
     ) -> None:
-        """Serve at an address, or at a socket that listens there already. OSError where the address is taken."""
+        """Listen at an address, or use a socket that already listens. Raises OSError if the address is in use."""
         if sock is not None:
             self.listener = await self.loop.create_server(
                 lambda: Connection(self), sock=sock, backlog=backlog
@@ -63,7 +63,7 @@
         self._check_timeouts()
 
     def serve(self, request: Request) -> asyncio.Task[Response]:
-        """Begin to serve a request."""
+        """Start serving a request."""
         task = self.tasks.start(self.handler(request))
         self.serving[task] = request
         return task
@@ -72,24 +72,24 @@
         now = self.loop.time()
         for connection in list(self.connections):
             connection.check_timeouts(now)
-        self.timeout_check = self.loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
+        self.timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
-    # The end
+    # Shutdown
 
     def unanswered(self) -> list[Request]:
-        """Return the requests that have no answer yet, and those at work whose clients have left."""
+        """Return the requests without a response, including running ones whose clients have disconnected."""
         waiting = [request for connection in self.connections for request in connection.waiting]
         return [*self.serving.values(), *waiting]
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes of answers the system has not taken yet."""
+        """Return how many response bytes are not yet passed to the operating system."""
         transports = (connection.transport for connection in self.connections)
         return sum(transport.get_write_buffer_size() for transport in transports if transport is not None)
 
     async def drain(self, quiet_until: float, ends_at: float) -> Unanswered:
-        """Shut down gracefully; return what was cut off unanswered.
+        """Shut down gracefully; return what was left unanswered.
 
-        Requests are accepted until `quiet_until` at least, and all is over by `ends_at` (s on the loop's clock).
+        Requests are accepted at least until `quiet_until`; the shutdown ends by `ends_at` (s on the loop's clock).
         """
         self.is_draining = True
         await self._poll(lambda: self.loop.time() >= quiet_until and not self.unanswered(), ends_at)
@@ -101,10 +101,10 @@
 
     async def _poll(self, is_over: Callable[[], bool], ends_at: float) -> None:
         while not is_over() and self.loop.time() < ends_at:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _close_connections(self) -> bool:
-        """Close the connections that can be closed now; return whether something is left."""
+        """Close the connections that can be closed now; return whether connections or running requests remain."""
         for connection in list(self.connections):
             connection.close_for_shutdown()
         return bool(self.connections or self.serving)
@@ -115,7 +115,7 @@
             self.listener = None
 
     def close(self) -> None:
-        """Stop listening, and close all connections at once."""
+        """Stop listening, and abort all connections."""
         self._stop_listening()
         if self.timeout_check is not None:
             self.timeout_check.cancel()
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,6 +1,4 @@
-"""The server side of HTTP/1.1: answers in the order of the requests, whatever a client does. Time
-is virtual.
-"""
+"""HTTP/1.1 server in virtual time: responses in the order of the requests, whatever the client does."""
 
 from __future__ import annotations
 
@@ -20,11 +18,11 @@
 ADDRESS = ("10.0.0.2", 80)
 BODIED = b"POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
 EXPECTING = b"POST /%d HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
-Step = bytes | float | str  # write, wait for s, or `eof`, `abort`, `reset`
+Step = bytes | float | str  # bytes to write, seconds to wait, or `eof`, `abort` or `reset`
 
 
-class Play:
-    """One client's steps against a server whose requests take 0.2 s, all but `/0`."""
+class ServerRun:
+    """The steps of one client against a server that takes 0.2 s for each request except `/0`."""
 
     def __init__(
         self,
@@ -37,7 +35,7 @@
         self.received = b""
         self.ran: list[bytes] = []
         self.ended_at = 0.0
-        self.over = False
+        self.is_over = False
 
     async def handle(self, request: Request) -> Response:
         self.ran.append(request.target)
@@ -77,22 +75,22 @@
                 case float():
                     await asyncio.sleep(step)
         await asyncio.sleep(4.0)
-        self.over = True
+        self.is_over = True
         return 0
 
     def play(self) -> list[bytes]:
-        """Run the steps; return the first lines and the bodies of the answers, in order."""
+        """Run the steps; return the status lines and the bodies of the responses, in order."""
         server = Machine(self.world, self.net, "server", Core(), Costs())
         client = Machine(self.world, self.net, "client", Core(), Costs())
         server.start(self.serve())
         client.start(self.ask())
-        self.world.run(lambda: self.over, START + 60_000_000)
+        self.world.run(lambda: self.is_over, START + 60_000_000)
         assert not server.errors and not client.errors
         return [line for line in self.received.split(b"\r\n") if line.startswith((b"HTTP/1.1 ", b"did "))]
 
 
-def answers(*targets: int) -> list[bytes]:
-    """The answers to these targets, as `Play.play` returns them: each body is followed by the next head."""
+def expected_lines(*targets: int) -> list[bytes]:
+    """Return the responses to these targets as `Play.play` does: each body is followed by the next head."""
     lines: list[bytes] = [b"HTTP/1.1 200 OK"]
     for target in targets[:-1]:
         lines.append(b"did /%dHTTP/1.1 200 OK" % target)
@@ -100,52 +98,50 @@
 
 
 def test_answers_go_out_in_the_order_of_the_requests_however_long_each_takes() -> None:
-    play = Play([BODIED % 1 + BODIED % 0 + (BODIED % 2)[:20], 0.05, (BODIED % 2)[20:]])
-    assert play.play() == answers(1, 0, 2)
+    play = ServerRun([BODIED % 1 + BODIED % 0 + (BODIED % 2)[:20], 0.05, (BODIED % 2)[20:]])
+    assert play.play() == expected_lines(1, 0, 2)
 
 
 def test_a_100_is_sent_once_the_earlier_requests_are_answered_and_not_before() -> None:
-    play = Play([BODIED % 1 + EXPECTING % 2, 0.5, b"body"])
+    play = ServerRun([BODIED % 1 + EXPECTING % 2, 0.5, b"body"])
     assert play.play() == [b"HTTP/1.1 200 OK", b"did /1HTTP/1.1 100 Continue", b"HTTP/1.1 200 OK", b"did /2"]
-    alone = Play([EXPECTING % 0, 0.1, b"body"])
+    alone = ServerRun([EXPECTING % 0, 0.1, b"body"])
     assert alone.play() == [b"HTTP/1.1 100 Continue", b"HTTP/1.1 200 OK", b"did /0"]
 
 
 def test_a_client_that_does_not_wait_for_a_100_gets_none_out_of_order() -> None:
-    assert Play([BODIED % 1 + EXPECTING % 2 + b"body"]).play() == answers(1, 2)
+    assert ServerRun([BODIED % 1 + EXPECTING % 2 + b"body"]).play() == expected_lines(1, 2)
 
 
 def test_a_request_that_is_rejected_by_its_head_gets_no_100() -> None:
     def small(server: HttpServer) -> None:
         server.limits.max_body_bytes = 3
 
-    assert Play([EXPECTING % 1], small).play() == [b"HTTP/1.1 413 Request Entity Too Large"]
+    assert ServerRun([EXPECTING % 1], small).play() == [b"HTTP/1.1 413 Request Entity Too Large"]
 
 
 def test_complete_requests_before_a_malformed_one_are_answered() -> None:
-    play = Play([BODIED % 1 + BODIED % 2 + b"\x00\r\n\r\n"])
-    assert play.play() == answers(1, 2) and play.ended_at > 0
+    play = ServerRun([BODIED % 1 + BODIED % 2 + b"\x00\r\n\r\n"])
+    assert play.play() == expected_lines(1, 2) and play.ended_at > 0
 
 
 def test_complete_requests_before_a_shutdown_are_answered() -> None:
     def leave(server: HttpServer) -> None:
         server.loop.call_later(0.15, setattr, server, "is_draining", True)
 
-    play = Play([BODIED % 1 + BODIED % 2, 0.05], leave)
-    assert play.play() == answers(1, 2)
+    play = ServerRun([BODIED % 1 + BODIED % 2, 0.05], leave)
+    assert play.play() == expected_lines(1, 2)
     assert play.received.count(b"Connection: close") == 1
 
 
 def test_after_a_half_close_the_answers_are_sent_and_the_connection_ends() -> None:
-    play = Play([BODIED % 1 + BODIED % 2 + (BODIED % 3)[:30], "eof"])
-    assert play.play() == answers(1, 2) and 0 < play.ended_at < 2.0 and len(play.ran) == 2
+    play = ServerRun([BODIED % 1 + BODIED % 2 + (BODIED % 3)[:30], "eof"])
+    assert play.play() == expected_lines(1, 2) and 0 < play.ended_at < 2.0 and len(play.ran) == 2
 
 
-def test_waiting_requests_are_not_begun_once_their_client_is_seen_to_have_left() -> None:
-    """A FIN alone may be a half-close of a client that still reads: a reset by its first answer
-    shows it left.
-    """
-    play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "abort"])
+def test_waiting_requests_are_not_started_once_their_client_has_disconnected() -> None:
+    """A FIN alone may be a half-close; the reset in reply to the first response shows the disconnect."""
+    play = ServerRun([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "abort"])
     assert play.play() == [] and play.ran == [b"/1", b"/2"]
 
 
@@ -156,18 +152,18 @@
     pieces: list[Step] = [(BODIED % 0)[:-4]]
     for byte in b"body":
         pieces += [1.0, bytes([byte])]
-    assert Play(pieces, brief).play() == answers(0)
+    assert ServerRun(pieces, brief).play() == expected_lines(0)
 
 
 def test_an_incomplete_request_is_not_run() -> None:
     def brief(server: HttpServer) -> None:
         server.limits.idle_timeout_s = 1.5
 
-    play: Any = Play([(BODIED % 1)[:-1]], brief)
+    play: Any = ServerRun([(BODIED % 1)[:-1]], brief)
     assert play.play() == [] and play.ran == [] and play.ended_at > 0
 
 
-# A client that leaves ends the work for it, where the server is configured so
+# Cancellation of the work for a client that disconnects
 
 
 def cancels_on_eof(server: HttpServer) -> None:
@@ -175,7 +171,7 @@
 
 
 def test_a_fin_cancels_the_handler_and_waiting_requests_are_rejected_unrun() -> None:
-    play = Play([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "eof"], cancels_on_eof)
+    play = ServerRun([BODIED % 1 + BODIED % 2 + BODIED % 3, 0.05, "eof"], cancels_on_eof)
     play.play()
     assert play.received.count(b"HTTP/1.1 503 ") == 3 and play.ran == [b"/1"]
     assert 0 < play.ended_at < 0.3 and play.received.count(b"Connection: close") == 1
@@ -195,7 +191,7 @@
 
         server.handler = handle
 
-    play = Play([BODIED % 1, 0.05, "reset"], watched)
+    play = ServerRun([BODIED % 1, 0.05, "reset"], watched)
     assert play.play() == []
     assert len(ended) == 1 and ended[0] < 0.2
     assert not play.server.serving and not play.server.unanswered()
@@ -216,12 +212,12 @@
         server.handler = handle
         server.cancels_on_eof = True
 
-    play = Play([BODIED % 1, 0.05, "eof"], shielding)
+    play = ServerRun([BODIED % 1, 0.05, "eof"], shielding)
     assert play.play() == [b"HTTP/1.1 503 Service Unavailable"] and done == [b"/1"]
 
 
 class DepartedTransport:
-    """The transport of a client that has gone, which the kernel knows and asyncio does not yet."""
+    """The transport of a client whose disconnect the kernel has noticed and asyncio has not yet reported."""
 
     def __init__(self) -> None:
         self.is_aborted = False
@@ -248,7 +244,7 @@
         self.is_aborted = True
 
 
-def test_a_client_that_only_the_kernel_knows_to_be_gone_leaves_no_connection() -> None:
+def test_a_connection_whose_disconnect_only_the_kernel_has_noticed_is_aborted() -> None:
     async def main() -> bool:
         async def handle(request: Request) -> Response:
             return Response(200, close=True)
