--- a/irisdeal/registry/admission_service.py
+++ b/irisdeal/registry/admission_service.py
@@ -1,6 +1,6 @@
-"""Admission of attempts: a permit of the tenant, a retry of the budget, and a backend, in one call of a proxy.
+"""Admission of attempts: the tenant's permit, the retry budget and the choice of a backend.
 
-One call asks for all three, so a request costs one round trip to the registry.
+A proxy gets all three with one call, so a request costs one round trip to the registry.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from irisdeal.registry.backend_table import BackendTable
 from irisdeal.registry.messages import PlacementReply, PlacementRequest, PlacementResult, ReservationEnd
 from irisdeal.registry.placement_service import NO_BACKEND, PlacementService
-from irisdeal.registry.quota_service import Age, Lend, QuotaService
+from irisdeal.registry.quota_service import BorrowFrom, QuotaService, StateAge
 from irisdeal.rpc.server import DEFERRED
 from irisdeal.runtime.settings import Settings
 
-# Defaults of a deployment's bounds of retries
-RETRY_RATIO = 0.2  # retries for each request of a service
-RETRY_WINDOW_S = 10.0  # over which requests are counted
-RETRY_SLACK = 50.0  # retries beyond the ratio, over all registries
+# Defaults of the retry limits in a deployment's `bounds`
+DEFAULT_RETRY_RATIO = 0.2  # retries per request of a service
+DEFAULT_RETRY_WINDOW_S = 10.0  # sliding window over which requests and retries are counted
+DEFAULT_RETRY_SLACK_COUNT = 50.0  # retries allowed in addition to the ratio, over all registries
 
 OVER_QUOTA = PlacementReply(PlacementResult.OVER_QUOTA)
 OVER_BUDGET = PlacementReply(PlacementResult.OVER_BUDGET)
@@ -30,7 +30,7 @@
 
 
 class AdmissionService:
-    """The permits, retry budgets and placements of one registry's process."""
+    """The permits, retry budgets and placements of one registry process."""
 
     def __init__(
         self,
@@ -38,21 +38,24 @@
         backends: BackendTable,
         loop: asyncio.AbstractEventLoop,
         incarnation: int,
-        age: Age,
-        lend_from: Lend,
+        state_age_s: StateAge,
+        borrow_from: BorrowFrom,
     ) -> None:
-        """`age`: of the store's state that is known here; `lend_from`: asks another registry for permits."""
-        self.loop, self.age = loop, age
+        """`state_age_s`: returns the age of the store state held here; `borrow_from`: calls another registry."""
+        self.loop, self.state_age_s = loop, state_age_s
         self.authority = IssuingAuthority(settings.ip)
         self.placements = PlacementService(settings.zones, backends, loop)
-        self.quotas = QuotaService(settings, loop, incarnation, self.authority, age, lend_from)
+        self.quotas = QuotaService(settings, loop, incarnation, self.authority, state_age_s, borrow_from)
         bound = settings.bound
-        slack = REGISTRY_SLACK_SHARE * bound("retry_slack", RETRY_SLACK)
-        ratio, window_s = bound("retry_ratio", RETRY_RATIO), bound("retry_window_s", RETRY_WINDOW_S)
+        slack = REGISTRY_SLACK_SHARE * bound("retry_slack", DEFAULT_RETRY_SLACK_COUNT)
+        ratio, window_s = (
+            bound("retry_ratio", DEFAULT_RETRY_RATIO),
+            bound("retry_window_s", DEFAULT_RETRY_WINDOW_S),
+        )
         self.retry_budgets = RetryBudgets(ratio, window_s, slack, loop.time())
 
     def answer_at_once(self, caller: str, kind: str, body: object) -> object:
-        """Answer a call that needs no waiting; `DEFERRED` for all others."""
+        """Answer a call that does not have to wait; return `DEFERRED` for any other call."""
         if kind == call_kinds.END_RESERVATION:
             self.placements.end(caller, ReservationEnd.decode(body))
             return None
@@ -62,12 +65,12 @@
         return DEFERRED
 
     def _admit_at_once(self, caller: str, request: PlacementRequest) -> PlacementReply | None:
-        """None where permits have to be borrowed first."""
+        """Admit a request without waiting; return None if permits must be borrowed first."""
         if not request.tenant:
-            return self._assign(caller, request)
+            return self._reserve(caller, request)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._assign(caller, request)
+                return self._reserve(caller, request)
             case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         if request.is_late or not self.quotas.can_borrow(request.tenant):
@@ -75,26 +78,26 @@
         return None
 
     async def borrow_and_admit(self, caller: str, request: PlacementRequest) -> PlacementReply:
-        """Admit a request that found no permit here, with one of another registry."""
+        """Admit a request for which this registry has no permit, after borrowing from another registry."""
         await self.quotas.borrow(request.tenant)
         match self.quotas.claim(request.tenant, request.is_late):
             case ClaimResult.GRANTED:
-                return self._assign(caller, request)
+                return self._reserve(caller, request)
             case ClaimResult.NOT_ISSUING:
                 return NOT_ISSUING
         return OVER_QUOTA
 
-    def _assign(self, caller: str, request: PlacementRequest) -> PlacementReply:
-        """Place a request that is within its quota."""
+    def _reserve(self, caller: str, request: PlacementRequest) -> PlacementReply:
+        """Check the retry budget of a request within its quota, and reserve a backend for it."""
         now = self.loop.time()
         if not request.is_repeat:
             if not request.is_counted:
                 self.retry_budgets.record_request(request.service, now)
-        elif not self.retry_budgets.consume(request.service, now, self._budget_sharers(now)):
+        elif not self.retry_budgets.consume(request.service, now, self._slack_sharer_count(now)):
             return OVER_BUDGET
         reply = self.placements.reserve(caller, request)
         return reply or (NO_BACKEND if request.max_wait_s <= 0 else WAIT)
 
-    def _budget_sharers(self, now: float) -> int:
-        """Registries that share the slack of the retry budgets; 0 where this one may have no part in it."""
-        return self.authority.issuers(now) if self.authority.may_issue(self.age(), now) else 0
+    def _slack_sharer_count(self, now: float) -> int:
+        """Return how many registries share the slack of the retry budgets; 0 if this one gets no share."""
+        return self.authority.issuers(now) if self.authority.may_issue(self.state_age_s(), now) else 0
--- a/irisdeal/registry/authority_monitor.py
+++ b/irisdeal/registry/authority_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors a registry's authority to issue permits: logs when it comes and goes, and records its issuer list."""
+"""Monitors a registry's authority to issue permits: logs its changes, and records the issuer list on disk."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class AuthorityMonitor:
-    """One registry's authority and its record. The disk may be slow, and nothing waits for it."""
+    """One registry's authority and its record. Writes run in the background, because the disk may be slow."""
 
     def __init__(
         self,
         authority: IssuingAuthority,
         record: IssuerListRecord | None,
-        age: Callable[[], float | None],
+        state_age_s: Callable[[], float | None],
         tasks: Tasks,
     ) -> None:
-        """`record`: None on a machine without a disk; `age`: s, of the store's state that is known here."""
-        self.authority, self.record, self.age, self.tasks = authority, record, age, tasks
+        """`record`: None on a machine without a disk; `state_age_s`: returns the age of the local store state."""
+        self.authority, self.record, self.state_age_s, self.tasks = authority, record, state_age_s, tasks
         self.loop = asyncio.get_running_loop()
         self.is_saving = self.was_issuing = False
 
     async def restore(self) -> None:
-        """Read the list that an earlier process of this machine recorded."""
+        """Load the list that an earlier process on this machine recorded."""
         if self.record is None:
             return
         recorded = await self.loop.run_in_executor(None, self.record.load)
@@ -35,14 +35,14 @@
             self.authority.restore_recorded(recorded, self.loop.time())
 
     def check(self) -> None:
-        """Log when the authority was gained or lost, and record the list once it may be relied on."""
+        """Log if the authority was gained or lost, and record the issuer list once it is established."""
         now = self.loop.time()
-        is_issuing = self.authority.may_issue(self.age(), now)
+        is_issuing = self.authority.may_issue(self.state_age_s(), now)
         if is_issuing != self.was_issuing:
             self.was_issuing = is_issuing
             log_event(
                 Event.PERMITS_RESUMED if is_issuing else Event.PERMITS_SUSPENDED,
-                age=self.age(),
+                state_age_s=self.state_age_s(),
                 issuers=self.authority.issuers(now),
             )
         listed = self.authority.to_record(now)
--- a/irisdeal/registry/backend_table.py
+++ b/irisdeal/registry/backend_table.py
@@ -1,8 +1,8 @@
-"""The table of backends that a registry keeps, by incarnation. Time is an argument; no input or output.
+"""A registry's table of backend incarnations. Time is passed as an argument; this module does no I/O.
 
-What is known of an incarnation only moves forward: by its count of heartbeats, and from ready to draining to
-gone. So two registries that merge reports in any order know the same, and a late heartbeat revives no
-incarnation. One that is gone stays in the table for a while as a tombstone.
+Updates of an incarnation are monotonic: its heartbeat count only increases, and its state only moves from ready to
+draining to gone. Registries therefore converge whatever the order in which they merge reports, and a late heartbeat
+does not revive an incarnation. An incarnation that is gone is kept for a while as a tombstone.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 )
 from irisdeal.runtime.events import Event, check_invariant, log_event
 
-# Heartbeat intervals without a heartbeat after which a backend is unresponsive: two missed ones and a transit.
-MISSED_HEARTBEATS = 2.7
-TOMBSTONE_S = 120.0  # that an incarnation that is gone is remembered: far over the transit of any heartbeat
-GONE_AFTER_S = 60.0  # without a heartbeat, after which an incarnation is taken to be gone
-MAX_INCARNATIONS = 20_000  # remembered; beyond it tombstones are dropped early
+# Heartbeat intervals without a heartbeat after which a backend is unresponsive: two missed ones plus network delay
+UNRESPONSIVE_AFTER_INTERVALS = 2.7
+TOMBSTONE_TTL_S = 120.0  # much longer than any heartbeat is delayed in the network
+GONE_AFTER_S = 60.0  # time without a heartbeat after which an incarnation is considered gone
+MAX_INCARNATIONS = 20_000  # in the table; with more, tombstones are dropped early
 
 EVENT_OF_STATE = {
     BackendState.READY: Event.BACKEND_ADDED,
@@ -35,32 +35,32 @@
 class BackendEntry:
     """An incarnation in the table.
 
-    `heartbeat_at`: s on the local clock, when the last heartbeat was received; `changed_in`: the table's
-    version in which watchers last saw it change.
+    `last_heartbeat_at`: when the last heartbeat was received, s on the local clock; `changed_at_version`: the table
+    version of its last change that watchers are notified of.
     """
 
     incarnation: BackendIncarnation
-    heartbeat_at: float
-    changed_in: int
+    last_heartbeat_at: float
+    changed_at_version: int
     is_unresponsive: bool = False
 
     def status(self) -> IncarnationStatus:
-        """Return what watchers are notified of."""
+        """Return the status that is sent to watchers."""
         return IncarnationStatus(self.incarnation, self.is_unresponsive)
 
 
 class BackendTable:
-    """All incarnations, and which of them changed since a version of the table."""
+    """All incarnations, with a version number that increases with each change."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
-        self.unresponsive_after_s = heartbeat_interval_s * MISSED_HEARTBEATS
+        self.unresponsive_after_s = heartbeat_interval_s * UNRESPONSIVE_AFTER_INTERVALS
         self.entries: dict[str, BackendEntry] = {}
         self.version = 0
 
     def observe(self, incarnation: BackendIncarnation, now: float, age_s: float = 0.0) -> bool:
-        """Merge a heartbeat, or another process's report of one, received `age_s` ago.
+        """Merge a heartbeat received `age_s` ago, here or by another process.
 
-        Returns whether anything changed that watchers are notified of.
+        Returns whether watchers must be notified.
         """
         entry = self.entries.get(incarnation.id)
         if entry is None:
@@ -75,9 +75,9 @@
         )
         check_invariant(merged.state >= known.state, "an incarnation never goes back", id=incarnation.id)
         if is_newer:
-            entry.heartbeat_at = max(entry.heartbeat_at, now - age_s)
+            entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - age_s)
         has_changed = merged.state != known.state or merged.address != known.address
-        if entry.is_unresponsive and now - entry.heartbeat_at < self.unresponsive_after_s:
+        if entry.is_unresponsive and now - entry.last_heartbeat_at < self.unresponsive_after_s:
             entry.is_unresponsive, has_changed = False, True
         entry.incarnation = merged
         if has_changed:
@@ -86,9 +86,9 @@
                 log_event(EVENT_OF_STATE[merged.state], id=incarnation.id, service=incarnation.service)
         return has_changed
 
-    def _add(self, incarnation: BackendIncarnation, heartbeat_at: float) -> None:
+    def _add(self, incarnation: BackendIncarnation, last_heartbeat_at: float) -> None:
         self.version += 1
-        self.entries[incarnation.id] = BackendEntry(incarnation, heartbeat_at, self.version)
+        self.entries[incarnation.id] = BackendEntry(incarnation, last_heartbeat_at, self.version)
         log_event(
             EVENT_OF_STATE[incarnation.state],
             id=incarnation.id,
@@ -98,10 +98,10 @@
 
     def _bump_version(self, entry: BackendEntry) -> None:
         self.version += 1
-        entry.changed_in = self.version
+        entry.changed_at_version = self.version
 
     def deregister(self, id_: str, now: float) -> BackendIncarnation | None:
-        """Mark an incarnation as gone, as its backend said. None where it is not known."""
+        """Mark an incarnation as gone at its backend's request. Returns None if it is not in the table."""
         entry = self.entries.get(id_)
         if entry is None:
             return None
@@ -110,15 +110,15 @@
         return entry.incarnation
 
     def expire(self, now: float) -> bool:
-        """Find backends whose heartbeats are missing, and drop old tombstones.
+        """Update backends whose heartbeats are overdue, and drop expired tombstones.
 
-        Returns whether anything changed that watchers are notified of.
+        Returns whether watchers must be notified.
         """
         has_changed = False
         for entry in list(self.entries.values()):
-            elapsed_s = now - entry.heartbeat_at
+            elapsed_s = now - entry.last_heartbeat_at
             if entry.incarnation.state is BackendState.GONE:
-                if elapsed_s > TOMBSTONE_S or len(self.entries) > MAX_INCARNATIONS:
+                if elapsed_s > TOMBSTONE_TTL_S or len(self.entries) > MAX_INCARNATIONS:
                     del self.entries[entry.incarnation.id]
             elif elapsed_s > GONE_AFTER_S:
                 entry.incarnation = replace(entry.incarnation, state=BackendState.GONE)
@@ -135,22 +135,19 @@
                 )
         return has_changed
 
-    def forgive_missed_heartbeats(self, now: float) -> None:
-        """Give backends time after this process was suspended.
-
-        Heartbeats that it could not receive are not held against them.
-        """
+    def extend_heartbeat_deadlines(self, now: float) -> None:
+        """Extend the heartbeat deadlines after this process was suspended and could not receive heartbeats."""
         for entry in self.entries.values():
             if entry.incarnation.state is not BackendState.GONE:
-                entry.heartbeat_at = max(entry.heartbeat_at, now - self.unresponsive_after_s / 2)
+                entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - self.unresponsive_after_s / 2)
 
     def changed_since(self, version: int) -> Iterable[BackendEntry]:
-        """Entries that changed after this version of the table."""
-        return (entry for entry in self.entries.values() if entry.changed_in > version)
+        """Return the entries that changed after this table version."""
+        return (entry for entry in self.entries.values() if entry.changed_at_version > version)
 
     def observed(self, now: float) -> list[ObservedIncarnation]:
-        """Every incarnation with the age of its last heartbeat, for another registry."""
+        """Return every incarnation with the age of its last heartbeat, for another registry."""
         return [
-            ObservedIncarnation(entry.incarnation, round((now - entry.heartbeat_at) * 1000))
+            ObservedIncarnation(entry.incarnation, round((now - entry.last_heartbeat_at) * 1000))
             for entry in self.entries.values()
         ]
--- a/irisdeal/registry/commands.py
+++ b/irisdeal/registry/commands.py
@@ -1,4 +1,4 @@
-"""HTTP calls of backends and operators, decoded into commands that run elsewhere. No input or output here."""
+"""Decodes HTTP requests of backends and operators into commands. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from irisdeal.runtime.errors import OperationError
 from irisdeal.runtime.settings import parse_address
 
-MAX_HEARTBEAT_BYTES = 4096  # far over what a heartbeat needs
-ID = re.compile(r"[\x21-\x7e]{1,200}")
+MAX_HEARTBEAT_BYTES = 4096  # much larger than any valid heartbeat
+ID_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A backend reports that it is alive. Its fields are the operators' JSON; `call_count`: heartbeats so far."""
+    """A backend's heartbeat. The fields are the keys of its JSON body; `call_count`: heartbeats sent so far."""
 
     id: str
     service: str
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """An operator puts a configuration, which is validated."""
+    """An operator puts a configuration; `version` is already validated."""
 
     version: ConfigVersion
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """An operator reads the newest configuration."""
+    """An operator reads the newest committed configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListBackends:
-    """An operator asks for the registry's state and its backends."""
+    """An operator reads the registry's state and its list of backends."""
 
 
 Command = Heartbeat | Deregister | PutConfiguration | ReadConfiguration | ListBackends
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedCall:
-    """A call that is no command: the HTTP status and the reason."""
+    """A request that is not a valid command: the HTTP status and the reason."""
 
     status: int
     error: OperationError
 
 
 def decode(method: bytes, target: bytes, body: bytes) -> Result[Command, RejectedCall]:
-    """Return the command in a call, or why it is none."""
+    """Return the command in a request, or the reason for its rejection."""
     path = target.partition(b"?")[0].decode("ascii", "replace")
     segments = path.strip("/").split("/")
     match method, segments:
@@ -88,7 +88,7 @@
 
 
 def _deregister(id_: str) -> Result[Command, RejectedCall]:
-    if ID.fullmatch(id_):
+    if ID_PATTERN.fullmatch(id_):
         return Success(Deregister(id_))
     return Failure(RejectedCall(400, OperationError("deregister", id_, "the id cannot be used")))
 
@@ -96,7 +96,7 @@
 def _heartbeat(id_: str, body: bytes) -> Result[Command, RejectedCall]:
     try:
         data: Any = json.loads(body) if len(body) <= MAX_HEARTBEAT_BYTES else None
-        if not isinstance(data, dict) or not ID.fullmatch(id_):
+        if not isinstance(data, dict) or not ID_PATTERN.fullmatch(id_):
             raise ValueError(f"wanted an object of at most {MAX_HEARTBEAT_BYTES} bytes and a printable id")
         heartbeat = dacite.from_dict(Heartbeat, {**data, "id": id_}, dacite.Config(type_hooks={float: float}))
         if heartbeat.state not in ("ready", "draining"):
--- a/irisdeal/registry/control_api.py
+++ b/irisdeal/registry/control_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a registry for backends and operators: heartbeats, deregistration, configuration, status."""
+"""HTTP API of a registry for backends and operators: heartbeats, deregistration, configuration, status."""
 
 from __future__ import annotations
 
@@ -25,20 +25,21 @@
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.registry.metrics import RegistryMetrics
 from irisdeal.registry.peers import RegistryPeers
-from irisdeal.registry.status import status
+from irisdeal.registry.status import registry_status
 from irisdeal.registry.store_client import RETRY_AFTER_S, StoreClient
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
+# Reasons in the bodies of 503 answers, as operators and backends see them
 NOT_REPLICATED = "too few of the core were told"
 NO_STORE = "no store has contact with a majority of the core, or none answered in time"
 NOT_DECIDED = "not decided by a majority of the core in time"
 
 
 class ControlApi:
-    """Carries out the calls of backends and operators at one registry."""
+    """Executes the requests of backends and operators at one registry."""
 
     def __init__(
         self,
@@ -51,7 +52,7 @@
         tasks: Tasks,
         on_change: Callable[[], None],
     ) -> None:
-        """`on_change`: called when proxies are to be notified."""
+        """`on_change`: called when proxies must be notified."""
         self.settings, self.store_client, self.backends = settings, store_client, backends
         self.peers, self.admission, self.metrics, self.tasks = peers, admission, metrics, tasks
         self.on_change = on_change
@@ -71,23 +72,23 @@
         return Response(rejected.status, json.dumps({"error": str(rejected.error)}).encode(), JSON_HEADERS)
 
     async def run(self, command: Command) -> Response:
-        """Carry out a command."""
+        """Execute a command."""
         match command:
             case Heartbeat():
                 return await self._heartbeat(command)
             case Deregister():
                 return await self._deregister(command)
-            case PutConfiguration():  # goes on when the caller has left: its result is counted
+            case PutConfiguration():  # continues if the client disconnects: its result is counted
                 return await asyncio.shield(self.tasks.start(self._put(command)))
             case ReadConfiguration():
                 return await self._read()
             case ListBackends():
-                state = status(self.store_client, self.backends, self.admission, self.loop.time())
+                state = registry_status(self.store_client, self.backends, self.admission, self.loop.time())
                 return Response(200, json.dumps(state).encode(), JSON_HEADERS)
 
     @staticmethod
     def _unavailable(reason: str) -> Response:
-        """503 with Retry-After: the call may be sent again, here or to another registry."""
+        """Return a 503 with Retry-After: the client may retry here or at another registry."""
         body = json.dumps({"error": reason, "retry_after_s": RETRY_AFTER_S}).encode()
         return Response(503, body, [*JSON_HEADERS, (b"Retry-After", b"%.1f" % RETRY_AFTER_S)])
 
@@ -101,7 +102,7 @@
 
     async def _put(self, command: PutConfiguration) -> Response:
         answer = await self._put_to_store(command)
-        self.metrics.orders.add(str(answer.status))
+        self.metrics.config_calls.add(str(answer.status))
         return answer
 
     async def _put_to_store(self, command: PutConfiguration) -> Response:
@@ -121,23 +122,28 @@
         incarnation = _incarnation(heartbeat, now)
         if self.backends.observe(incarnation, now):
             self.on_change()
-        self.peers.unsent[incarnation.id] = self.backends.entries[incarnation.id].incarnation
+        self.peers.unreplicated[incarnation.id] = self.backends.entries[incarnation.id].incarnation
         is_draining = incarnation.state is BackendState.DRAINING
         if is_draining and not await self.peers.replicate_end(incarnation.id):
             return self._unavailable(NOT_REPLICATED)
-        target = self._closer_registry(heartbeat.zone)
+        target = self._registry_in_zone(heartbeat.zone)
         body = {"beat_target": target} if target is not None else {}
         return Response(200, json.dumps(body).encode(), JSON_HEADERS)
 
-    def _closer_registry(self, zone: str) -> str | None:
-        """Return the control address of a registry in a backend's zone, where this one is in another."""
+    def _registry_in_zone(self, zone: str) -> str | None:
+        """Return the control address of a registry in the backend's zone; None if this one is in that zone."""
         if zone == self.settings.zone:
             return None
         peers = self.peers
-        return next((control for ip, control in peers.controls.items() if peers.zones.get(ip) == zone), None)
+        return next(
+            (control for ip, control in peers.control_addresses.items() if peers.zones.get(ip) == zone), None
+        )
 
     async def _deregister(self, command: Deregister) -> Response:
-        """End an incarnation, known here or not: others may know it, and an acknowledged end holds for all."""
+        """Record the end of an incarnation, even of one missing here.
+
+        Other registries may have it, and an acknowledged end is valid at all registries.
+        """
         now = self.loop.time()
         if self.backends.deregister(command.id, now) is None:
             tombstone = BackendIncarnation(command.id, "", "", "", 0, BackendState.GONE, 0, now)
--- a/irisdeal/registry/incarnation.py
+++ b/irisdeal/registry/incarnation.py
@@ -1,6 +1,6 @@
-"""A backend's incarnation: one start of a backend, as registries and proxies know it. No input or output.
+"""Backend incarnations (one per start of a backend) and their wire form. This module does no I/O.
 
-Clocks of machines differ, so on the wire a time is what is left of it when the message is encoded.
+The clocks of machines differ, so times are sent as the remaining duration when the message is encoded.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class BackendState(IntEnum):
-    """How far an incarnation has come; it never goes back."""
+    """Lifecycle state of an incarnation; it never moves back."""
 
     READY = 0
     DRAINING = 1
@@ -23,8 +23,8 @@
 class BackendIncarnation:
     """One start of a backend.
 
-    `capacity`: requests that it serves at once; `count`: heartbeats sent so far, which orders two reports of
-    one incarnation; `warm_at`: s on the local clock, when its slow start ends.
+    `capacity`: requests that it serves concurrently; `count`: heartbeats sent so far, which orders reports of the
+    same incarnation; `warm_at`: end of its slow start, s on the local clock.
     """
 
     id: str
@@ -37,7 +37,7 @@
     warm_at: float
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form: its time is sent as ms left from `now`, as clocks differ."""
+        """Return the wire form, with `warm_at` as the ms left from `now`."""
         return [
             self.id,
             self.service,
@@ -51,9 +51,9 @@
 
     @staticmethod
     def decode(fields: Sequence[Any], now: float) -> BackendIncarnation:
-        """Read the wire form at `now`, s of the local clock.
+        """Parse the wire form; `now`: s on the local clock.
 
-        Raises ValueError or TypeError where a field is missing or of another type.
+        Raises ValueError or TypeError if a field is missing or has a wrong type.
         """
         id_, service, address, zone, capacity, state, count, warmup_left_ms = fields
         return BackendIncarnation(
@@ -69,7 +69,7 @@
 
 
 class ObservedIncarnation(NamedTuple):
-    """An incarnation and how many ms ago its last heartbeat was received."""
+    """An incarnation, and the time in ms since its last heartbeat was received."""
 
     incarnation: BackendIncarnation
     age_ms: int
@@ -80,13 +80,13 @@
 
     @staticmethod
     def decode(fields: Sequence[Any], now: float) -> ObservedIncarnation:
-        """Read the wire form. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire form. Raises ValueError or TypeError if it is malformed."""
         incarnation, age_ms = fields
         return ObservedIncarnation(BackendIncarnation.decode(incarnation, now), int(age_ms))
 
 
 class IncarnationStatus(NamedTuple):
-    """An incarnation and whether the registry misses its heartbeats, as proxies are notified of it."""
+    """An incarnation as proxies are notified of it, and whether its heartbeats have stopped."""
 
     incarnation: BackendIncarnation
     is_unresponsive: bool
@@ -97,6 +97,6 @@
 
     @staticmethod
     def decode(fields: Sequence[Any], now: float) -> IncarnationStatus:
-        """Read the wire form. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire form. Raises ValueError or TypeError if it is malformed."""
         incarnation, is_unresponsive = fields
         return IncarnationStatus(BackendIncarnation.decode(incarnation, now), bool(is_unresponsive))
--- a/irisdeal/registry/messages.py
+++ b/irisdeal/registry/messages.py
@@ -1,9 +1,8 @@
-"""The messages that a registry answers, each with its encoding for the wire.
+"""Messages of the calls that a registry answers, with their encoding on the wire.
 
-Kinds of calls and the order of fields are fixed: processes of the version before and after stand side by side
-in a rolling upgrade. A new field goes to the end, in a release after one whose `decode` accepts lists with and
-without it; a flag needs no such release. Each `decode` raises ValueError or TypeError where a body is not of the
-message's form.
+The kinds of calls and the order of fields are fixed, because processes of adjacent versions run side by side during
+a rolling upgrade. A new field is appended, one release after `decode` accepts lists with and without it; a new flag
+needs no such release. Each `decode` raises ValueError or TypeError if the body does not have the message's form.
 """
 
 from __future__ import annotations
@@ -18,11 +17,13 @@
 from irisdeal.ratelimit.messages import Usages, decode_usages, encode_usages
 from irisdeal.registry.incarnation import IncarnationStatus, ObservedIncarnation
 
-# Flags of a `PlacementRequest` on the wire
-IS_REPEAT, IS_COUNTED, IS_LATE = 1, 2, 4
+# Bits of the flags of a `PlacementRequest` on the wire
+IS_REPEAT_FLAG = 1
+IS_COUNTED_FLAG = 2
+IS_LATE_FLAG = 4
 
-NO_CONTACT_AGE_MS = -1  # age of a registry's state that is not known: it has no contact with a store
-OLDER_CHANGE = -1  # change number beside a chunk of a version that is not the newest
+NO_CONTACT_AGE_MS = -1  # sent as the age of a registry's state when it has no contact with a store
+OLDER_CHANGE = -1  # sent as the change number with a chunk of a version that is not the newest
 
 
 # Watching backends and configuration
@@ -30,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """A proxy's long poll for whatever is newer than what it has.
+    """A proxy's long poll for changes of the configuration and the backends.
 
-    `sync_state`: the configuration that it has; `registry_incarnation`: of the registry process that answered
-    last, 0 for none; `table_version`: of that process's backend table as of that answer; `change`: the newest
-    change of the store that it has completely.
+    `sync_state`: the configuration that the proxy has; `registry_incarnation`: the registry process that answered
+    last, 0 for none; `table_version`: version of that process's backend table in that answer; `change`: the newest
+    store change that the proxy has completely.
     """
 
     sync_state: SyncState
@@ -48,21 +49,20 @@
 
     @staticmethod
     def decode(fields: Any) -> WatchRequest:
-        """Read the wire form."""
+        """Parse the wire form."""
         sync_state, registry_incarnation, table_version, change = fields
         return WatchRequest(SyncState.decode(sync_state), registry_incarnation, table_version, change)
 
 
 @dataclass(frozen=True, slots=True)
 class WatchReply:
-    """What has changed since a `WatchRequest`.
-
-    `chunk`: of a newer configuration, encoded, as `ChunkAssembler.take` checks it; None for none;
-    `registry_incarnation`: of the process that answers; `table_version`: of its backend table; `backends`:
-    those that changed; `zones`: the zone of each core machine by IP; `age_ms`: how long ago the registry's
-    state was known to be current when the request came, or `NO_CONTACT_AGE_MS`; `change`: the newest change
-    that the registry has completely, or `OLDER_CHANGE` where the chunk is of an older version, whose transfer
-    was under way.
+    """The changes since a `WatchRequest`.
+
+    `chunk`: an encoded chunk of a newer configuration, checked by `ChunkAssembler.take`, or None;
+    `registry_incarnation`: the process that answers; `table_version`: version of its backend table; `backends`:
+    the changed ones; `zones`: the zone of each core machine by IP; `age_ms`: age of the registry's state when the
+    request was received, or `NO_CONTACT_AGE_MS`; `change`: the newest change that the registry has completely, or
+    `OLDER_CHANGE` if the chunk belongs to an older version whose transfer had already started.
     """
 
     chunk: list[object] | None
@@ -74,7 +74,7 @@
     change: int
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s on the local clock."""
         return [
             self.chunk,
             self.registry_incarnation,
@@ -87,7 +87,7 @@
 
     @staticmethod
     def decode(fields: Any, now: float) -> WatchReply:
-        """Read the wire form; `now`: s of the local clock."""
+        """Parse the wire form; `now`: s on the local clock."""
         chunk, registry_incarnation, table_version, backends, zones, age_ms, change = fields
         return WatchReply(
             chunk,
@@ -105,13 +105,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A proxy asks for a backend for an attempt, and for the permit and the retry budget that it needs.
+    """A proxy's request for a backend for one attempt, with the permit and the retry that the attempt needs.
 
-    `typical_latency_s`: of the service; `avoid`, `connected`: keys of backends not to use, and of those with an
-    idle connection; `rank`: the least goes first; `max_wait_s`: that the request may wait for capacity;
-    `time_left_s`: until its deadline; `tenant`: whose permit is wanted, empty for none; `is_repeat`: an attempt
-    beyond the request's first; `is_counted`: another registry was asked for the same attempt before; `is_late`:
-    the latency target is already missed.
+    `typical_latency_s`: typical latency of the service; `avoid`: keys of backends not to use; `connected`: keys of
+    backends to which the proxy has an idle connection; `rank`: place in the queue, lowest first; `max_wait_s`: how
+    long the request may wait for capacity; `time_left_s`: time until its deadline; `tenant`: the tenant to charge a
+    permit, empty for none; `is_repeat`: not the request's first attempt; `is_counted`: another registry was called
+    for the same attempt before; `is_late`: the latency target is already missed.
     """
 
     zone: str
@@ -129,7 +129,9 @@
 
     def encode(self) -> list[Any]:
         """Return the wire form."""
-        flags = IS_REPEAT * self.is_repeat + IS_COUNTED * self.is_counted + IS_LATE * self.is_late
+        flags = (
+            IS_REPEAT_FLAG * self.is_repeat + IS_COUNTED_FLAG * self.is_counted + IS_LATE_FLAG * self.is_late
+        )
         return [
             self.zone,
             self.service,
@@ -145,7 +147,7 @@
 
     @staticmethod
     def decode(fields: Any) -> PlacementRequest:
-        """Read the wire form."""
+        """Parse the wire form."""
         zone, service, latency, avoid, rank, max_wait, time_left, tenant, flags, connected = fields
         return PlacementRequest(
             str(zone),
@@ -156,31 +158,31 @@
             float(max_wait),
             float(time_left),
             str(tenant),
-            bool(flags & IS_REPEAT),
-            bool(flags & IS_COUNTED),
-            bool(flags & IS_LATE),
+            bool(flags & IS_REPEAT_FLAG),
+            bool(flags & IS_COUNTED_FLAG),
+            bool(flags & IS_LATE_FLAG),
             connected,
         )
 
 
 class PlacementResult(IntEnum):
-    """The result of a `PlacementRequest`; all but `PLACED` stand on the wire by their numbers."""
+    """The result of a `PlacementRequest`. The numbers are sent on the wire, except that of `PLACED`."""
 
     PLACED = 1
     NO_BACKEND = 0
     OVER_QUOTA = -1
-    OVER_BUDGET = -2  # of retries
-    WAIT = -3  # no capacity yet: ask again with a `wait` call
-    NOT_ISSUING = -4  # this registry issues no permits of this tenant: ask another
-    NO_REGISTRY = -5  # none answered; never on the wire
+    OVER_BUDGET = -2  # the retry budget is exhausted
+    WAIT = -3  # no capacity yet: to be repeated as a `wait` call
+    NOT_ISSUING = -4  # this registry issues no permits for the tenant: another one is to be called
+    NO_REGISTRY = -5  # no registry answered; never sent on the wire
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementReply:
-    """The result; where it is `PLACED`, a slot of a backend is reserved.
+    """The answer to a `PlacementRequest`; if the result is `PLACED`, a slot of a backend is reserved.
 
-    `reservation`: its number, above 0; `backend`: the id of the incarnation; `load_factor`: by what factor the
-    load there lengthens the attempt.
+    `reservation`: number of the reservation, above 0; `backend`: id of the backend's incarnation; `load_factor`:
+    factor by which the load of the backend increases the latency of the attempt.
     """
 
     result: PlacementResult
@@ -189,7 +191,7 @@
     load_factor: float = 0.0
 
     def encode(self) -> list[Any]:
-        """Return the wire form: the reservation's number, or the result where there is none."""
+        """Return the wire form: the reservation's number, or the result if nothing is reserved."""
         return [
             self.reservation if self.result is PlacementResult.PLACED else int(self.result),
             self.backend,
@@ -198,7 +200,7 @@
 
     @staticmethod
     def decode(fields: Any) -> PlacementReply:
-        """Read the wire form."""
+        """Parse the wire form."""
         number, backend, load_factor = fields
         if number > 0:
             return PlacementReply(PlacementResult.PLACED, int(number), str(backend), float(load_factor))
@@ -207,9 +209,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationEnd:
-    """The end of the attempt that had a reservation.
+    """The end of an attempt with a reservation.
 
-    `result`: the number of an `AttemptResult`; `latency_ratio`: the attempt's time over the service's typical
+    `result`: number of an `AttemptResult`; `latency_ratio`: latency of the attempt divided by the service's typical
     latency.
     """
 
@@ -223,14 +225,14 @@
 
     @staticmethod
     def decode(fields: Any) -> ReservationEnd:
-        """Read the wire form."""
+        """Parse the wire form."""
         reservation, result, latency_ratio = fields
         return ReservationEnd(int(reservation), int(result), float(latency_ratio))
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """How many requests one registry's proxies have in flight at each backend, by the backend's key."""
+    """The number of requests that one registry's proxies have in flight at each backend, by the backend's key."""
 
     registry: str
     in_flight: dict[int, int]
@@ -241,7 +243,7 @@
 
     @staticmethod
     def decode(fields: Any) -> LoadReport:
-        """Read the wire form."""
+        """Parse the wire form."""
         return LoadReport(fields[0], fields[1])
 
 
@@ -252,8 +254,8 @@
 class IntervalReport:
     """A proxy's report of an interval.
 
-    `position`: on the shared interval clock; `number`: of the interval, below 0 where the proxy has none yet;
-    `usages`: what it was asked for; `prefetched`: the permits that it holds unused.
+    `position`: of the proxy on the shared interval clock; `number`: of the interval, negative if the proxy has none
+    yet; `usages`: the requests that it received, by tenant; `prefetched`: its unused permits.
     """
 
     position: float
@@ -267,10 +269,10 @@
 
     @staticmethod
     def decode(fields: Any) -> IntervalReport:
-        """Read the wire form."""
-        position, number, usages, held = fields
+        """Parse the wire form."""
+        position, number, usages, prefetched = fields
         return IntervalReport(
-            float(position), int(number), decode_usages(usages), PrefetchReport.decode(held)
+            float(position), int(number), decode_usages(usages), PrefetchReport.decode(prefetched)
         )
 
 
@@ -278,9 +280,9 @@
 class IntervalReply:
     """The answer to an `IntervalReport`.
 
-    `position`: of the registry on the shared interval clock; `proxies`: how many there are; `number`: of the
-    newest completed interval; `reserve`: changes of the permits that the proxy holds; `totals`: of that
-    interval, for the tenants that were reported.
+    `position`: of the registry on the shared interval clock; `proxies`: number of proxies; `number`: of the newest
+    completed interval; `reserve`: changes to the proxy's prefetched permits; `totals`: usage in that interval of
+    the tenants in the report.
     """
 
     position: float
@@ -295,7 +297,7 @@
 
     @staticmethod
     def decode(fields: Any) -> IntervalReply:
-        """Read the wire form."""
+        """Parse the wire form."""
         position, proxies, number, reserve, totals = fields
         return IntervalReply(
             float(position), int(proxies), int(number), PrefetchReply.decode(reserve), decode_usages(totals)
@@ -304,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntervalSum:
-    """A registry's sum over its proxies in one interval, for the other registries; `proxies`: their keys."""
+    """A registry's sum over its proxies in one interval, for other registries; `proxies`: keys of those proxies."""
 
     registry: str
     position: float
@@ -318,7 +320,7 @@
 
     @staticmethod
     def decode(fields: Any) -> IntervalSum:
-        """Read the wire form."""
+        """Parse the wire form."""
         registry, position, number, usages, proxies = fields
         return IntervalSum(
             str(registry),
@@ -334,25 +336,25 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationReport:
-    """Incarnations with the ages of their heartbeats: a proxy repeats to a registry what it may have forgotten."""
+    """Incarnations and the ages of their heartbeats, sent by a proxy to a registry that may have lost them."""
 
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s on the local clock."""
         return [each.encode(now) for each in self.observed]
 
     @staticmethod
     def decode(fields: Any, now: float) -> IncarnationReport:
-        """Read the wire form; `now`: s of the local clock."""
+        """Parse the wire form; `now`: s on the local clock."""
         return IncarnationReport([ObservedIncarnation.decode(each, now) for each in fields])
 
 
 @dataclass(frozen=True, slots=True)
 class BackendUpdate:
-    """A registry replicates incarnations to another, and says where it is itself.
+    """Incarnations that a registry replicates to another, with its own addresses.
 
-    `control`: the address at which it takes heartbeats.
+    `control`: the address at which the sender receives heartbeats.
     """
 
     ip: str
@@ -361,12 +363,12 @@
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s on the local clock."""
         return [[each.encode(now) for each in self.observed], [self.ip, self.zone, self.control]]
 
     @staticmethod
     def decode(fields: Any, now: float) -> BackendUpdate:
-        """Read the wire form; `now`: s of the local clock."""
+        """Parse the wire form; `now`: s on the local clock."""
         observed, (ip, zone, control) = fields
         return BackendUpdate(
             str(ip), str(zone), str(control), [ObservedIncarnation.decode(each, now) for each in observed]
@@ -375,21 +377,21 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendSnapshot:
-    """All incarnations that a registry knows, for one that synchronizes.
+    """All incarnations in a registry's table, for a registry that synchronizes.
 
-    `is_complete`: whether it has everything that it, or an earlier process of its machine, has acknowledged.
+    `is_complete`: whether the table has everything that this or an earlier process of its machine acknowledged.
     """
 
     is_complete: bool
     observed: Sequence[ObservedIncarnation]
 
     def encode(self, now: float) -> list[Any]:
-        """Return the wire form; `now`: s of the local clock."""
+        """Return the wire form; `now`: s on the local clock."""
         return [self.is_complete, [each.encode(now) for each in self.observed]]
 
     @staticmethod
     def decode(fields: Any, now: float) -> BackendSnapshot:
-        """Read the wire form; `now`: s of the local clock."""
+        """Parse the wire form; `now`: s on the local clock."""
         is_complete, observed = fields
         return BackendSnapshot(
             bool(is_complete), [ObservedIncarnation.decode(each, now) for each in observed]
--- a/irisdeal/registry/metrics.py
+++ b/irisdeal/registry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a registry."""
+"""Metrics of a registry process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RegistryMetrics(Metrics):
-    """Metrics of one registry: its acknowledgements, the operators' calls, and its shutdown."""
+    """Metrics of acknowledged drains, the operators' configuration calls, and the shutdown."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -15,11 +15,11 @@
             "Acknowledged drains and ends of backends, by how many of the core knew by then.",
             "machines",
         )
-        self.refused_ends = self.counter(
+        self.unacknowledged_ends = self.counter(
             "unacknowledged_backend_ends",
             "Drains and ends of backends that too few of the core were told in time.",
         )
-        self.orders = self.counter(
+        self.config_calls = self.counter(
             "orders",
             "Configuration calls of the operator, by the status answered.",
             "status",
--- a/irisdeal/registry/server.py
+++ b/irisdeal/registry/server.py
@@ -1,4 +1,4 @@
-"""The registry's process: puts its services together, and dispatches the calls of proxies and other registries."""
+"""The registry process: assembles its services, and dispatches the calls of proxies and other registries."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from irisdeal.registry.peers import RegistryPeers
 from irisdeal.registry.quota_service import LEND_TIMEOUT_S
 from irisdeal.registry.store_client import StoreClient
-from irisdeal.registry.tombstone_record import FOLDER, TombstoneRecord
+from irisdeal.registry.tombstone_record import FOLDER_NAME, TombstoneRecord
 from irisdeal.registry.watch import WatchService
 from irisdeal.rpc.server import RpcServer
 from irisdeal.runtime import ports
@@ -45,16 +45,14 @@
 from irisdeal.runtime.process import Tasks, run_periodically
 from irisdeal.runtime.settings import Settings, parse_address
 
-FLUSH_INTERVAL_S = 0.2  # between two batches of heartbeats for the other registries
-CHECK_INTERVAL_S = 0.25  # between two checks of what is overdue
-SUSPENDED_S = (
-    1.0  # between two checks, from which this process was suspended and could not receive heartbeats
-)
-GRACE_S = 6.0  # default of a deployment's bound on the end of a process
-ACCEPTING_S = 0.1  # that a registry which ends goes on accepting: callers go to another once it does not
-END_S = 0.4  # of the grace that is reserved for the process's own end
+FLUSH_INTERVAL_S = 0.2  # between batches of heartbeats sent to the other registries
+CHECK_INTERVAL_S = 0.25  # between checks for overdue heartbeats and expired reservations
+SUSPENSION_THRESHOLD_S = 1.0  # a longer time between checks means that this process was suspended
+DEFAULT_GRACE_S = 6.0  # default of `grace_s` in `bounds`: from the stop request to the exit of the process
+MIN_ACCEPT_S = 0.1  # a stopping registry accepts HTTP requests for this long; after that, clients use another
+EXIT_RESERVE_S = 0.4  # part of the grace period kept for the exit of the process
 
-# Calls answered to the end of a draining process: others rely on the answers.
+# Calls answered until a draining process exits, because their callers depend on the answers
 SERVED_WHILE_DRAINING = frozenset(
     {
         call_kinds.UPDATE_BACKENDS,
@@ -66,10 +64,10 @@
 
 
 class RegistryServer:
-    """One registry's process."""
+    """One registry process."""
 
     def __init__(self, settings: Settings, folder: Folder | None = None) -> None:
-        """`folder`: of the tombstone record, in place of the one that the settings name."""
+        """`folder`: folder of the tombstone record; by default the one named in the settings."""
         self.settings, self.ip = settings, settings.ip
         self.loop = asyncio.get_running_loop()
         self.incarnation = secrets.randbits(48)
@@ -91,7 +89,7 @@
             self.loop,
             self.incarnation,
             self.store_client.state_age_s,
-            self._lend_from,
+            self._borrow_from,
         )
         self.authority_monitor = AuthorityMonitor(
             self.admission.authority,
@@ -131,10 +129,10 @@
             self.watch.notify_proxies,
         )
 
-    # Life cycle
+    # Start and shutdown
 
     async def start(self) -> None:
-        """Listen, and start what runs in the background."""
+        """Listen, and start the background tasks."""
         await self.peers.restore()
         await self.server.listen((self.ip, ports.port(self.settings, ports.REGISTRY)))
         self.store_client.start()
@@ -150,12 +148,12 @@
     async def stop(self) -> None:
         """Shut down gracefully.
 
-        Proxies go to other registries at once, HTTP requests that were read are answered.
+        Proxies switch to other registries immediately; HTTP requests that were already received are answered.
         """
         now = self.loop.time()
-        ends_at = now + self.settings.bound("grace_s", GRACE_S) - END_S
+        ends_at = now + self.settings.bound("grace_s", DEFAULT_GRACE_S) - EXIT_RESERVE_S
         self.server.begin_drain(SERVED_WHILE_DRAINING)
-        unanswered = await self.http.drain(now + ACCEPTING_S, ends_at)
+        unanswered = await self.http.drain(now + MIN_ACCEPT_S, ends_at)
         internal = await self.server.drain(ends_at)
         if unanswered.requests or unanswered.unsent_bytes or internal:
             self.metrics.unanswered_calls.add(amount=len(unanswered.requests))
@@ -170,7 +168,7 @@
         self.metrics_server.close()
 
     def reload(self, settings: Settings) -> None:
-        """Take the deployment's settings anew."""
+        """Apply reloaded settings."""
         self.settings = self.control.settings = settings
         self.store_client.reload(settings)
 
@@ -182,22 +180,23 @@
             self.admission.quotas.configure(checked.unwrap())
 
     def _on_store_change(self) -> None:
-        """Follow a newer configuration, another list of members, or contact with the store lost or regained."""
+        """Handle a newer configuration, a changed list of members, or contact with the store lost or regained."""
         if self.store_client.value.change >= 0:
             members = self.store_client.members
             self.admission.authority.observe_list(IssuerList(members.number, members.ips()), self.loop.time())
         self.peers.retain_only(self.store_client.core_ips())
         has_contact = self.store_client.has_contact
         if has_contact and not self.had_contact and self.peers.is_synchronized:
-            self.tasks.start(self.peers.synchronize())  # while it was cut off, others may have received ends
+            # Other registries may have received drains or ends while this one was cut off.
+            self.tasks.start(self.peers.synchronize())
         self.had_contact = has_contact
         self.watch.notify_proxies()
 
-    # To other registries
+    # Calls to other registries
 
-    async def _lend_from(self, ip: str, request: LendRequest) -> int:
-        link = self.peers.rpc_client(ip)
-        answer = await link.call(call_kinds.LEND_PERMITS, request.encode(), LEND_TIMEOUT_S)
+    async def _borrow_from(self, ip: str, request: LendRequest) -> int:
+        client = self.peers.rpc_client(ip)
+        answer = await client.call(call_kinds.LEND_PERMITS, request.encode(), LEND_TIMEOUT_S)
         return int(answer.value_or(0))
 
     def _share_sum(self, interval_sum: IntervalSum) -> None:
@@ -209,10 +208,10 @@
             self.peers.notify(call_kinds.SHARE_LOADS, report.encode())
 
     def _check(self) -> None:
-        """Find what is overdue."""
+        """Expire heartbeats and reservations, and check the authority to issue permits."""
         now = self.loop.time()
-        if now - self.checked_at > SUSPENDED_S:
-            self.backends.forgive_missed_heartbeats(now)
+        if now - self.checked_at > SUSPENSION_THRESHOLD_S:
+            self.backends.extend_heartbeat_deadlines(now)
             self.tasks.start(self.peers.synchronize())
         self.checked_at = now
         if self.backends.expire(now):
@@ -220,7 +219,7 @@
         self.admission.placements.refresh()
         self.authority_monitor.check()
 
-    # Calls of proxies and of other registries
+    # Calls from proxies and other registries
 
     def _handlers(self) -> dict[str, Callable[[str, Any], Awaitable[object]]]:
         """Return the handler of each kind of call; its arguments are the caller's name and the body."""
@@ -239,7 +238,7 @@
         }
 
     async def handle(self, caller: str, kind: str, body: object) -> object:
-        """Answer a call that was not answered at once."""
+        """Answer a call that the immediate handler deferred."""
         handler = self.handlers.get(kind)
         if handler is None:
             raise ValueError(f"no call {kind!r}")
@@ -269,7 +268,7 @@
         return self.peers.snapshot().encode(self.loop.time())
 
     async def _fetch_backends_old(self, caller: str, body: object) -> object:
-        """Answer a registry of the version before, which does not ask whether this one is complete."""
+        """Answer a registry of the previous version, whose call does not return whether the table is complete."""
         return IncarnationReport(self.peers.snapshot().observed).encode(self.loop.time())
 
     async def _receive_sum(self, caller: str, body: object) -> None:
@@ -284,5 +283,5 @@
 
 def _tombstone_record(settings: Settings, folder: Folder | None) -> TombstoneRecord | None:
     if folder is None and settings.data_path:
-        folder = DiskFolder(f"{settings.data_path}/{FOLDER}")
+        folder = DiskFolder(f"{settings.data_path}/{FOLDER_NAME}")
     return TombstoneRecord(folder) if folder is not None else None
--- a/irisdeal/registry/status.py
+++ b/irisdeal/registry/status.py
@@ -1,4 +1,4 @@
-"""The JSON of GET /status at a registry. Its keys are the operators' and are fixed."""
+"""The JSON of GET /status at a registry. The keys are part of the operators' interface and are fixed."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from irisdeal.registry.store_client import StoreClient
 
 
-def status(
+def registry_status(
     store_client: StoreClient, backends: BackendTable, admission: AdmissionService, now: float
 ) -> dict[str, object]:
-    """Return the registry's state for operators; `now`: s of the local clock."""
+    """Return the registry's state for operators; `now`: s on the local clock."""
     quotas, authority = admission.quotas, admission.authority
     total = quotas.counter.total
     return {
@@ -41,5 +41,5 @@
         "zone": entry.incarnation.zone,
         "state": entry.incarnation.state.name.lower(),
         "silent": entry.is_unresponsive,
-        "heard_s": round(now - entry.heartbeat_at, 2),
+        "heard_s": round(now - entry.last_heartbeat_at, 2),
     }
--- a/irisdeal/registry/store_client.py
+++ b/irisdeal/registry/store_client.py
@@ -1,14 +1,15 @@
-"""What a registry knows of the configuration store, and how old that is.
-
-It follows one replica, its own if it can. Rules that must hold here:
-1. State is as of a moment of our steady clock: when our request was sent, less the age of the replica's contact
-   with a quorum that it reports. So a reply of a replica that was cut off, suspended or late is old by itself.
-2. It counts only once the body of the decided version is here, complete.
-3. It only moves forward: by `change`, or by a higher number where a core began anew.
-4. A replica that does not answer, or reports that it has no contact, is left at once for another that has; our own
-   is probed on and followed again as soon as it has contact.
-5. A put or a read goes to a replica that has contact, and to the next where that one gives up at once: a put may be
-   sent twice, since its number and digest name it. Without any, the answer is that there is none, at once.
+"""A registry's client of the configuration store, which keeps a copy of its state and the age of that copy.
+
+The client follows one replica, preferably the one on its own machine. Invariants:
+1. State is dated on the local monotonic clock: the time at which the request was sent, minus the age of the
+   replica's contact with a quorum, which the reply contains. A reply of a replica that was cut off, suspended or
+   slow is therefore dated as old.
+2. State counts only once the body of the decided version is completely received.
+3. State only moves forward: by `change`, or by a higher version number if a new core was bootstrapped.
+4. A replica that does not answer, or reports no contact, is immediately replaced by another that has contact. The
+   local replica is still probed, and followed again as soon as it has contact.
+5. A put or a read goes to a replica that has contact, and to the next one if that replica fails early. A put may be
+   sent twice, because its number and digest identify it. Without contact to any replica, it fails immediately.
 """
 
 from __future__ import annotations
@@ -36,29 +37,24 @@
 from irisdeal.runtime.process import Tasks, run_periodically
 from irisdeal.runtime.settings import Settings
 
-MAX_POLL_S = 1.0  # that a replica may keep a long poll pending while nothing changes
-CALL_TIMEOUT_S = 0.4  # time-out of a short call to a replica
-PROBE_INTERVAL_S = (
-    0.2  # between two probes of the state's age; on the same machine, so they cost no bytes on a link
-)
-MAX_STATE_AGE_S = (
-    CONTACT_LEASE_S + PROBE_INTERVAL_S + CALL_TIMEOUT_S
-)  # age from which state is no contact, whatever was reported
-FAILOVER_GRACE_S = (
-    0.15  # that another replica is searched for before proxies are notified of the lost contact
-)
-# Between two searches for a replica that has contact, times 0.75 to 1.25: registries do not search at once.
+MAX_POLL_S = 1.0  # a replica keeps a long poll pending for at most this long while nothing changes
+CALL_TIMEOUT_S = 0.4  # of a short call to a replica
+PROBE_INTERVAL_S = 0.2  # short, because probes normally stay on this machine and use no bandwidth
+# Older state counts as lost contact, whatever the replica reports.
+MAX_STATE_AGE_S = CONTACT_LEASE_S + PROBE_INTERVAL_S + CALL_TIMEOUT_S
+FAILOVER_GRACE_S = 0.15  # time for finding another replica before proxies are notified of the lost contact
+# Between searches for a replica with contact, times 0.75 to 1.25, so that registries do not search simultaneously
 SEARCH_INTERVAL_S = 0.5
-OWN_PROBE_INTERVAL_S = 0.1  # between two probes of the own replica meanwhile
-PUT_TIMEOUT_S = 0.95  # of a put or a read: the caller goes elsewhere after a second without an answer
-MIN_ATTEMPT_S = 0.1  # of the time-out, below which no further replica is asked
-RETRY_AFTER_S = 0.5  # after which a put may find a replica: a search and its answers; sent as Retry-After
-IDLE_POLL_PAUSE_S = 0.05  # before the next poll, where one was answered at once and brought nothing
-NO_WAIT_CHANGE = -2  # as `change` of a watch: no replica has it, so it answers at once
+OWN_PROBE_INTERVAL_S = 0.1  # between probes of the local replica during a search
+PUT_TIMEOUT_S = 0.95  # of a put or a read; callers go to another registry after 1 s without an answer
+MIN_ATTEMPT_S = 0.1  # with less of the timeout left, no further replica is called
+RETRY_AFTER_S = 0.5  # sent as Retry-After: the time of one search and its answers
+IDLE_POLL_PAUSE_S = 0.05  # pause before the next poll if the last one returned immediately without news
+NO_WAIT_CHANGE = -2  # sent as `change` of a watch: it matches no replica's change, so the reply is immediate
 
 
 class ProbeResult(Enum):
-    """What a probe showed of a replica."""
+    """The result of polling a replica."""
 
     GOOD = 0
     NO_CONTACT = 1
@@ -66,7 +62,7 @@
 
 
 class StoreClient:
-    """The configuration store as this registry knows it. Times are s of the loop's clock."""
+    """A copy of the configuration store's state at a registry. Times are s on the loop's clock."""
 
     def __init__(
         self,
@@ -75,24 +71,25 @@
         on_version: Callable[[ConfigVersion], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Follow the store once `start` is called.
+        """Create a client that follows the store once `start` is called.
 
-        `on_version`: called with a newer version; `on_change`: called when the version, the list of members or
-        whether there is contact has changed.
+        `on_version`: called with each newer version; `on_change`: called when the version, the list of members or
+        the presence of contact has changed.
         """
         self.settings, self.ip, self.version_store = settings, settings.ip, version_store
         self.on_version, self.on_change = on_version, on_change
         self.loop = asyncio.get_running_loop()
-        self.chance = random.Random(settings.ip)
+        self.random = random.Random(settings.ip)
         self.assembler = ChunkAssembler(version_store)
-        self.value = Value(-1, NO_VERSION, Members.initial(ports.seeds(settings)))  # -1: none was received
+        # Change -1 means that no value has been received yet.
+        self.value = Value(-1, NO_VERSION, Members.initial(ports.seeds(settings)))
         self.version: ConfigVersion | None = None
-        self.change = -1  # of the newest value whose body is here
+        self.change = -1  # change number of the newest value whose body is completely received
         self.learners: frozenset[str] = frozenset()
-        self.source = self.ip  # whose replica is followed
-        self.as_of = float("-inf")  # everything is known here that was decided by then
-        self.has_contact = False  # as proxies were last notified
-        self.stale_replicas: set[str] = set()  # for which `STORE_STATE_STALE` was logged
+        self.source = self.ip  # IP of the replica that is followed
+        self.as_of = float("-inf")  # the state includes everything that was decided before this time
+        self.has_contact = False  # as last reported to proxies
+        self.stale_replicas: set[str] = set()  # replicas for which `STORE_STATE_STALE` was logged
         self.rpc_clients: dict[str, RpcClient] = {}
         self.search: asyncio.Task[None] | None = None
         self.tasks = Tasks()
@@ -103,40 +100,40 @@
         self.tasks.start(run_periodically(PROBE_INTERVAL_S, self._probe_source))
 
     def stop(self) -> None:
-        """Follow the store no more."""
+        """Stop following the store and close the connections."""
         self.tasks.cancel()
-        for link in self.rpc_clients.values():
-            link.close()
+        for client in self.rpc_clients.values():
+            client.close()
 
     def reload(self, settings: Settings) -> None:
-        """Take the deployment's settings anew."""
+        """Apply reloaded settings."""
         self.settings = settings
 
-    # What is known
+    # The state
 
     @property
     def version_id(self) -> VersionId:
-        """Of the newest version that is here."""
+        """The id of the newest version received."""
         return self.version.version_id if self.version is not None else NO_VERSION
 
     @property
     def members(self) -> Members:
-        """The store's members, as decided last."""
+        """The store's members in the newest value received."""
         return self.value.members
 
     def core_ips(self) -> frozenset[str]:
-        """Return the core machines: members, learners and this one; the seeds until a list was received."""
+        """Return the IPs of the core: members, learners, this machine and, until a list is received, the seeds."""
         seeds = ports.seeds(self.settings) if self.value.change < 0 else ()
         return self.members.ips() | self.learners | {self.ip, *seeds}
 
     def is_majority(self, ips: Iterable[str]) -> bool:
-        """Whether these machines are a majority of the members, and of the former ones during a change."""
+        """Return whether these are a majority of the members and, during a change, of the former members."""
         ips = set(ips)
         lists = (frozenset(map(ip_of, seats)) for seats in (self.members.seats, self.members.former) if seats)
         return all(len(ips & machines) >= majority(machines) for machines in lists)
 
     def state_age_s(self) -> float | None:
-        """Return the s since everything decided was known here; None where there is no contact."""
+        """Return the age of the state in s; None without contact."""
         age_s = self.loop.time() - self.as_of
         return age_s if self.has_contact and age_s <= MAX_STATE_AGE_S else None
 
@@ -144,7 +141,7 @@
 
     def _link(self, ip: str) -> RpcClient:
         if ip not in self.rpc_clients:
-            # The name is fixed: replicas of the version before read it.
+            # The name `gauge` is fixed, because replicas of the previous version parse it.
             address = ports.address_of(self.settings, ip, ports.CONFIG_STORE)
             self.rpc_clients[ip] = RpcClient(address, f"gauge {self.ip}")
         return self.rpc_clients[ip]
@@ -153,7 +150,7 @@
         return sorted(self.core_ips() - {self.ip})
 
     async def _follow(self) -> None:
-        """Poll the source for changes."""
+        """Long-poll the followed replica for changes."""
         while True:
             source, before, sent_at = self.source, self._progress(), self.loop.time()
             result = await self._poll(source, True)
@@ -170,7 +167,7 @@
         return self.value.change, self.assembler.sync_state(self.version_id)
 
     async def _probe_source(self) -> None:
-        """Probe how old our state is, and whether our own replica can be followed again."""
+        """Probe the followed replica, to refresh the age of the state, and the local one, to follow it again."""
         if self.search is not None:
             return
         source = self.source
@@ -185,7 +182,7 @@
             await self._fail_over()
 
     async def _fail_over(self) -> None:
-        """Find a replica that has contact; all who need one wait for the same search."""
+        """Search for a replica that has contact. Concurrent callers wait for the same search."""
         if self.search is None:
             self.search = self.tasks.start(self._search())
         await asyncio.shield(self.search)
@@ -200,8 +197,9 @@
                     if result is ProbeResult.GOOD:
                         return self._follow_replica(ip)
                 self._lose_contact()
-                next_at = self.loop.time() + SEARCH_INTERVAL_S * (0.75 + 0.5 * self.chance.random())
-                while self.loop.time() < next_at:  # at a start of all machines the own replica is there first
+                next_at = self.loop.time() + SEARCH_INTERVAL_S * (0.75 + 0.5 * self.random.random())
+                # If all machines start at the same time, the local replica is ready first.
+                while self.loop.time() < next_at:
                     await asyncio.sleep(OWN_PROBE_INTERVAL_S)
                     if await self._poll(self.ip, False) is ProbeResult.GOOD:
                         return self._follow_replica(self.ip)
@@ -213,7 +211,7 @@
         return ip, await self._poll(ip, False)
 
     def _follow_replica(self, ip: str) -> None:
-        """Follow this replica: it has contact."""
+        """Follow this replica, which has contact."""
         if ip != self.source:
             log_event(Event.LOCAL_STORE_FOLLOWED if ip == self.ip else Event.REMOTE_STORE_FOLLOWED, store=ip)
             self.source = ip
@@ -235,7 +233,7 @@
     # Polls
 
     async def _poll(self, ip: str, is_long: bool) -> ProbeResult:
-        """Poll a replica; `is_long`: it may wait for a change before it answers."""
+        """Poll a replica; `is_long`: the replica may wait for a change before it answers."""
         sync_state, sent_at = self.assembler.sync_state(self.version_id), self.loop.time()
         request = WatchRequest(sync_state, self.value.change if is_long else NO_WAIT_CHANGE)
         timeout_s = MAX_POLL_S + CALL_TIMEOUT_S if is_long else CALL_TIMEOUT_S
@@ -249,10 +247,10 @@
             return ProbeResult.UNREACHABLE
 
     def _apply(self, ip: str, sync_state: SyncState, sent_at: float, reply: WatchReply) -> ProbeResult:
-        """Apply a reply to a request that was sent at `sent_at` with `sync_state`."""
+        """Apply the reply to a request that was sent at `sent_at` with `sync_state`."""
         value, has_contact = reply.value, reply.contact_age_ms >= 0
         as_of = sent_at - reply.contact_age_ms / 1000
-        if value.change < 0:  # its disk came empty: it knows nothing yet
+        if value.change < 0:  # the replica started with an empty disk and has no state yet
             return ProbeResult.NO_CONTACT
         if value.change < self.value.change and value.version_id.number <= self.value.version_id.number:
             if has_contact and as_of > self.as_of:
@@ -272,13 +270,13 @@
         return ProbeResult.GOOD if has_contact else ProbeResult.NO_CONTACT
 
     def _log_stale(self, ip: str, value: Value) -> None:
-        """Log once that a replica reports contact with state older than what was decided."""
+        """Log once for each replica that reports contact but has older state than was decided."""
         if ip not in self.stale_replicas:
             self.stale_replicas.add(ip)
             log_event(Event.STORE_STATE_STALE, store=ip, change=value.change, known=self.value.change)
 
     def _apply_members(self, value: Value, learners: frozenset[str]) -> bool:
-        """Take the value and the learners; return whether the list of members has changed."""
+        """Apply the value and the learners; return whether the list of members has changed."""
         before, number = self.core_ips(), self.members.number
         self.value, self.learners = value, learners
         gone = before - self.core_ips()
@@ -295,7 +293,7 @@
         return value.members.number != number
 
     def _apply_chunk(self, sync_state: SyncState, encoded_chunk: object) -> bool:
-        """Take a chunk, unless another answer has brought it meanwhile; return whether a newer version is here."""
+        """Apply a chunk unless another reply already provided it; return whether a newer version is complete."""
         if encoded_chunk is None or sync_state != self.assembler.sync_state(self.version_id):
             return False
         version = self.assembler.add_chunk(encoded_chunk)
@@ -308,7 +306,7 @@
     # Puts and reads
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """Have a version decided. UNDECIDED at once where no replica has contact."""
+        """Put a version. Returns UNDECIDED immediately if no replica has contact."""
         answer = await self._call_store(
             messages.PUT, PutRequest(version).encode(), lambda outcome: outcome != PutOutcome.UNDECIDED
         )
@@ -319,7 +317,7 @@
             return PutOutcome.UNDECIDED
 
     async def read(self) -> tuple[bool, bytes | None]:
-        """Return whether it is known what is decided, and its body; None where nothing was ever put."""
+        """Return whether a quorum was read, and the body of the newest version, None if nothing was ever put."""
         answer = await self._call_store(messages.READ, None, lambda reply: ReadReply.decode(reply).is_known)
         if isinstance(answer, Failure):
             return False, None
@@ -329,7 +327,7 @@
     async def _call_store(
         self, kind: str, body: list[object] | None, is_final: Callable[[object], bool]
     ) -> Result[object, OperationError]:
-        """Call one replica after the other; return the first answer that is final, the last one where none is."""
+        """Call the replicas in turn; return the first final answer, or the last answer if none is final."""
         answer: Result[object, OperationError] = Failure(
             OperationError(kind, "store", "no contact", never_sent=True)
         )
--- a/irisdeal/registry/tombstone_record.py
+++ b/irisdeal/registry/tombstone_record.py
@@ -1,9 +1,9 @@
-"""The record of the backends that drain or are gone, on the machine's disk.
+"""On-disk record of the backends that are draining or gone.
 
-A drain or an end is acknowledged once a majority of the core has it here, synced: so it outlives every
-tolerated loss, also where all machines lose power at the same moment. The file is written as a whole beside the
-old one, synced and renamed, and the folder synced: after any loss of power the one or the other is there. What
-arrives during a write goes into the next one together.
+A drain or an end is acknowledged once a majority of the core has synced it to this record, so it survives every
+tolerated loss, even if all machines lose power at the same time. The file is replaced atomically: the new file is
+written beside the old one, synced and renamed, and the folder is synced, so that after a power loss one of the two
+is intact. Changes that arrive during a write are combined in the next write.
 """
 
 from __future__ import annotations
@@ -20,77 +20,79 @@
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.events import Event, log_event
 
-FOLDER, NAME = "registry", "ended"  # on disk: fixed, as each version opens what the one before wrote
+# Names on disk: fixed, because each version reads the files of the previous one
+FOLDER_NAME = "registry"
+FILE_NAME = "ended"
 MAGIC = b"irisdeal-ended-1 "
 
 
 def encode(incarnations: Iterable[BackendIncarnation]) -> bytes:
-    """Return the file's bytes: a line with the magic and a SHA-256 of the rest, then the incarnations as CBOR."""
+    """Return the content of the file: a line with the magic and the SHA-256 of the rest, then CBOR."""
     body: bytes = cbor2.dumps([incarnation.encode(0.0) for incarnation in incarnations])
     return MAGIC + hashlib.sha256(body).hexdigest().encode() + b"\n" + body
 
 
 def decode(data: bytes) -> list[BackendIncarnation]:
-    """Read the file's bytes. Raises ValueError or TypeError where they are damaged."""
+    """Parse the content of the file. Raises ValueError or TypeError if it is damaged."""
     head, _, body = data.partition(b"\n")
     if head != MAGIC + hashlib.sha256(body).hexdigest().encode():
-        raise ValueError("damaged")
+        raise ValueError("checksum mismatch")
     encoded: list[list[Any]] = cbor2.loads(body)
     return [BackendIncarnation.decode(fields, 0.0) for fields in encoded]
 
 
 class TombstoneRecord:
-    """The file in its folder."""
+    """The record file in its folder."""
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
-        self.recorded: dict[str, BackendState] = {}  # on the disk, synced, by incarnation
+        self.recorded: dict[str, BackendState] = {}  # states synced to disk, by incarnation id
         self.lock = asyncio.Lock()
 
     async def load(self) -> list[BackendIncarnation] | None:
-        """Return what is recorded.
+        """Return the recorded incarnations.
 
-        None where there is no record, or a damaged one, so that an earlier process may have known more.
+        Returns None if the file is missing or damaged: an earlier process may have acknowledged more.
         """
         try:
             async with self.lock:
                 return await asyncio.get_running_loop().run_in_executor(None, self._load)
         except (OSError, ValueError, TypeError) as error:
-            log_event(Event.FILE_DAMAGED, file=NAME, error=error)
+            log_event(Event.FILE_DAMAGED, file=FILE_NAME, error=error)
             return None
 
     def _load(self) -> list[BackendIncarnation] | None:
-        if NAME not in self.folder.list_files():
+        if FILE_NAME not in self.folder.list_files():
             return None
-        incarnations = decode(self.folder.read(NAME))
-        # Written again, as the process that wrote it may have been killed before it synced.
-        write_atomically(self.folder, NAME, encode(incarnations))
+        incarnations = decode(self.folder.read(FILE_NAME))
+        # The file is written again, because the process that wrote it may have been killed before the sync.
+        write_atomically(self.folder, FILE_NAME, encode(incarnations))
         self.recorded = _states(incarnations)
         return incarnations
 
     def has(self, incarnation: BackendIncarnation) -> bool:
-        """Whether this state of an incarnation is on the disk, or need not be."""
+        """Return whether this state of an incarnation is on disk, or need not be recorded."""
         return incarnation.state <= self.recorded.get(incarnation.id, BackendState.READY)
 
     async def save(
         self, incarnations: Iterable[BackendIncarnation], known: Iterable[BackendIncarnation]
     ) -> bool:
-        """Return whether these states are on the disk, synced, after a write where one is needed.
+        """Write these states if needed; return whether they are synced to disk.
 
-        `known`: all incarnations, read as a write begins.
+        `known`: all incarnations of the table, iterated when a write starts.
         """
         wanted = list(incarnations)
         if all(map(self.has, wanted)):
             return True
         async with self.lock:
-            if all(map(self.has, wanted)):  # they went with the write before
+            if all(map(self.has, wanted)):  # included in a write that was running
                 return True
             return await self._write(known) and all(map(self.has, wanted))
 
     async def initialize(self, known: Iterable[BackendIncarnation]) -> bool:
-        """Write the record though there may be no tombstone.
+        """Write the record, even without tombstones.
 
-        From now on the file shows that this machine forgot none.
+        From now on the file proves that this machine has lost no acknowledged drain or end.
         """
         async with self.lock:
             return await self._write(known)
@@ -99,9 +101,9 @@
         ended = [incarnation for incarnation in known if incarnation.state > BackendState.READY]
         try:
             loop = asyncio.get_running_loop()
-            await loop.run_in_executor(None, write_atomically, self.folder, NAME, encode(ended))
+            await loop.run_in_executor(None, write_atomically, self.folder, FILE_NAME, encode(ended))
         except OSError as error:
-            log_event(Event.DISK_WRITE_FAILED, file=NAME, error=error)
+            log_event(Event.DISK_WRITE_FAILED, file=FILE_NAME, error=error)
             return False
         self.recorded = _states(ended)
         return True
--- a/irisdeal/registry/watch.py
+++ b/irisdeal/registry/watch.py
@@ -1,9 +1,9 @@
-"""Answers the proxies' long polls: configuration, backends, core machines, and how old the registry's state is.
+"""Answers the proxies' long polls: configuration, backends, core machines and the age of the registry's state.
 
-A proxy sends what it has and is answered at once where there is more, else within `MAX_POLL_S`. The age in the
-answer is as of the moment at which the request came, at least 0: the proxy adds the time since it sent the
-request, which contains the time that the poll was pending. So a pending poll makes state look no older than it
-is by more than `MAX_POLL_S`.
+A proxy sends the versions that it has. It is answered immediately if there is something newer, otherwise after at
+most `MAX_POLL_S`. The age in the answer is that at the arrival of the request, at least 0: the proxy adds the time
+since it sent the request, which includes the time for which the poll was pending. A pending poll therefore makes
+the state appear older than it is by at most `MAX_POLL_S`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from irisdeal.registry.messages import NO_CONTACT_AGE_MS, OLDER_CHANGE, WatchReply, WatchRequest
 from irisdeal.registry.store_client import StoreClient
 
-MAX_POLL_S = 1.0  # that a proxy's poll may be pending while nothing changes
+MAX_POLL_S = 1.0  # a proxy's poll is pending for at most this long while nothing changes
 
 
 class WatchService:
@@ -31,10 +31,10 @@
         zones: dict[str, str],
         is_synchronized: Callable[[], bool],
     ) -> None:
-        """Answer from these.
+        """Create the service.
 
-        `incarnation`: of this registry's process; `zones`: of registries by IP; `is_synchronized`: whether this
-        registry has fetched the backends that the others know.
+        `incarnation`: of this registry process; `zones`: zones of the registries by IP; `is_synchronized`: whether
+        this registry has fetched the backends of the other registries.
         """
         self.store_client, self.backends = store_client, backends
         self.incarnation, self.zones = incarnation, zones
@@ -43,7 +43,7 @@
         self.changed = asyncio.Event()
 
     def notify_proxies(self) -> None:
-        """Something changed, or contact was lost or regained: answer all pending polls."""
+        """Answer all pending polls, after a change or when contact was lost or regained."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -85,7 +85,7 @@
         return max(0, math.ceil((age_s - (self.loop.time() - received_at)) * 1000))
 
     def _is_newer(self, request: WatchRequest) -> bool:
-        """Whether this registry has anything that the proxy lacks; a proxy may also know more."""
+        """Return whether this registry has anything newer than the proxy; the proxy may also be ahead."""
         return (
             self.store_client.version_id.number > request.sync_state.version_id.number
             or self.backends.version > request.table_version
--- a/tests/registry/test_drain.py
+++ b/tests/registry/test_drain.py
@@ -1,4 +1,4 @@
-"""SIGTERM to a registry: orders, drains and deregistrations that it has read are answered before it ends."""
+"""Graceful shutdown of a registry: it answers the puts, drains and deregistrations that it has received."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from irisdeal.simulation.machine import Machine
 from tests.registry.test_server import ServerRig, heartbeat
 
-ORDER = b'{"generation": "r9", "sockets": [], "pools": []}'
+CONFIGURATION = b'{"generation": "r9", "sockets": [], "pools": []}'
 
 
 class Caller(asyncio.Protocol):
-    """One call over a connection of its own."""
+    """One HTTP request over its own connection."""
 
     def __init__(self) -> None:
-        self.heard, self.is_over = b"", False
+        self.received, self.is_over = b"", False
 
     def data_received(self, data: bytes) -> None:
-        self.heard += data
+        self.received += data
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.is_over = True
 
     def status(self) -> int:
-        """Of its whole answer; 0 for none."""
-        head, end, _ = self.heard.partition(b"\r\n\r\n")
+        """Return the status of the response; 0 without a complete head."""
+        head, end, _ = self.received.partition(b"\r\n\r\n")
         return int(head.split()[1]) if end else 0
 
 
 class DrainRig(ServerRig):
-    """Registries that end as their processes do, and callers over the network."""
+    """Registries that shut down as their processes do, and HTTP clients over the network."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
-        self.ending: dict[str, asyncio.Event] = {}
+        self.stop_requested: dict[str, asyncio.Event] = {}
         self.callers: list[Caller] = []
         self.caller: Machine | None = None
         super().__init__(count, seed)
@@ -47,9 +47,9 @@
     def start_registry_process(self, host: str) -> Machine:
         async def run() -> int:
             server = self.servers[host] = RegistryServer(self.settings(host))
-            self.ending[host] = asyncio.Event()
+            self.stop_requested[host] = asyncio.Event()
             await server.start()
-            await self.ending[host].wait()
+            await self.stop_requested[host].wait()
             await server.stop()
             return 0
 
@@ -59,7 +59,7 @@
         return self.process(host, make)
 
     def call(self, host: str, method: str, target: str, body: bytes) -> None:
-        """Over a connection of its own, now."""
+        """Send a request over its own connection now."""
         if self.caller is None:
             self.caller = Machine(self.world, self.net, "caller", Core(), Costs())
         loop, caller = self.caller, Caller()
@@ -77,12 +77,12 @@
         loop.call_soon(lambda: loop.create_task(run()))
 
     def terminate(self, host: str) -> None:
-        """SIGTERM to the registry."""
-        self.machines[host][-1].call_soon(self.ending[host].set)
+        """Stop the registry as SIGTERM does."""
+        self.machines[host][-1].call_soon(self.stop_requested[host].set)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.3, 0.5])
-def test_orders_that_a_registry_has_read_are_answered_before_it_ends(after_s: float) -> None:
+def test_puts_that_a_registry_has_received_are_answered_before_it_exits(after_s: float) -> None:
     rig = DrainRig(3)
     host = rig.hosts[0]
 
@@ -92,20 +92,20 @@
 
     rig.at(3.0, slow_down)
     for number in range(3):
-        rig.at(4.0 + 0.01 * number, partial(rig.call, host, "POST", "/config/replace", ORDER))
+        rig.at(4.0 + 0.01 * number, partial(rig.call, host, "POST", "/config/replace", CONFIGURATION))
     rig.at(4.05 + after_s, partial(rig.terminate, host))
     rig.play(12.0)
     assert [caller.status() for caller in rig.callers] == [200, 200, 200]
-    assert rig.machines[host][-1].dead, "it ends"
+    assert rig.machines[host][-1].dead, "the process must exit"
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.001, 0.002, 0.1])
-def test_drains_and_deregistrations_are_answered_amid_the_end_of_a_registry(after_s: float) -> None:
+def test_drains_and_deregistrations_are_answered_during_the_shutdown_of_a_registry(after_s: float) -> None:
     rig = DrainRig(3)
     host, other, _ = rig.hosts
     rig.call(host, "POST", "/backends/i-1/heartbeat", heartbeat())
     rig.call(host, "POST", "/backends/i-2/heartbeat", heartbeat())
-    rig.at(3.0, partial(rig.cut, other))  # one is not heard: a majority takes the other's answer
+    rig.at(3.0, partial(rig.cut, other))  # one registry is unreachable: a majority needs the third one
     rig.at(4.0, partial(rig.call, host, "POST", "/backends/i-1/heartbeat", heartbeat("draining", 2)))
     rig.at(4.0, partial(rig.call, host, "POST", "/backends/i-2/deregister", b""))
     rig.at(4.002 + after_s, partial(rig.terminate, host))
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -1,9 +1,9 @@
-"""A core and proxies in virtual time, with partitions by direction: fake stores, the registries' own
-`StoreClient` and `WatchService`, the proxies' own `RegistryWatcher`.
+"""Test rig of a core and proxies in virtual time, with partitions per direction.
 
-A fake store keeps the rule of the real one: it has contact while a majority answered asks that it sent
-within the lease, and merges what these answers tell before it counts them. What is decided is put on a
-majority by the test and reaches all others by their rounds alone: the slowest way there is.
+The stores are fake; the registries run the real `StoreClient` and `WatchService`, the proxies the real
+`RegistryWatcher`. A fake store follows the rule of the real one: it has contact while a majority answered calls
+that it sent within the lease, and it merges the state in these answers before it counts them. A test puts a decided
+value on a majority of the stores; the others receive it only by polling, which is the slowest path.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from irisdeal.simulation.sockets import NetworkLink, Socket
 from irisdeal.simulation.world import START, World
 
-HOLD = 1.0  # s, the real store's
+MAX_POLL_S = 1.0  # as in the real store
 
 
 def zone_of(ip: str) -> str:
@@ -59,24 +59,24 @@
 
 
 class CutNetwork(Network):
-    """With cuts by direction: what is on its way is held until they end, and no connection comes up."""
+    """A network with cuts per direction: data in transit is held until a cut ends, and no connection opens."""
 
     def __init__(self, world: World, usual: NetworkLink) -> None:
         super().__init__(world, usual)
         self.cuts: set[tuple[str, str]] = set()  # (from, to)
-        self.kept: list[tuple[tuple[str, str], Socket, int, str, Callable[..., None], tuple[Any, ...]]] = []
+        self.held: list[tuple[tuple[str, str], Socket, int, str, Callable[..., None], tuple[Any, ...]]] = []
 
     def _transmit(self, sock: Socket, size: int, what: str, call: Callable[..., None], *args: Any) -> None:
-        there = sock.peer.machine.name if sock.peer is not None else args[1][0] if what == "syn" else ""
-        leg = sock.machine.name, there
-        if leg not in self.cuts:
+        destination = sock.peer.machine.name if sock.peer is not None else args[1][0] if what == "syn" else ""
+        direction = sock.machine.name, destination
+        if direction not in self.cuts:
             return super()._transmit(sock, size, what, call, *args)
-        if what != "syn":  # that one is sent again by itself
-            self.kept.append((leg, sock, size, what, call, args))
+        if what != "syn":  # a SYN is retransmitted by the simulated system
+            self.held.append((direction, sock, size, what, call, args))
 
     def lose(self, host: str) -> None:
-        """The systems have given up all connections of this machine: what was on its way is lost."""
-        self.kept = [kept for kept in self.kept if host not in kept[0]]
+        """Reset all connections of this machine, as after a TCP timeout; data in transit is lost."""
+        self.held = [held for held in self.held if host not in held[0]]
         for sock in list(self.default_link.endpoints):
             if sock.peer is not None and host in (sock.machine.name, sock.peer.machine.name):
                 sock.inbox.clear()
@@ -84,13 +84,13 @@
 
     def join(self) -> None:
         self.cuts.clear()
-        kept, self.kept = self.kept, []
-        for _, sock, size, what, call, args in kept:
+        held, self.held = self.held, []
+        for _, sock, size, what, call, args in held:
             self._transmit(sock, size, what, call, *args)
 
 
 class FakeStore:
-    """One store. It shares nothing with the real one but `QuorumContact`, `Value` and the parcels."""
+    """A fake store. It shares only `QuorumContact`, `Value` and the chunks with the real one."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip, self.seat = rig, ip, format_seat(ip, INITIAL_DISK_ID)
@@ -99,19 +99,19 @@
         self.learners: list[str] = []
         self.version_store = VersionStore()
         self.contact = QuorumContact()
-        self.news = asyncio.Event()
+        self.changed_event = asyncio.Event()
         self.links: dict[str, RpcClient] = {}
         self.server = RpcServer(self.handle)
         self.puts: list[int] = []
         self.outcome = 1
-        self.put_s = 0.0  # that an order takes
+        self.put_s = 0.0  # duration of a put
 
     async def run(self) -> int:
         await self.server.listen((self.ip, ports.port(self.settings, ports.CONFIG_STORE)))
         loop = asyncio.get_running_loop()
         while True:
             self.contact.tick(loop.time())
-            await asyncio.gather(*(self.ask(ip) for ip in self.value.members.ips() - {self.ip}))
+            await asyncio.gather(*(self.poll_state(ip) for ip in self.value.members.ips() - {self.ip}))
             await asyncio.sleep(STATUS_INTERVAL_S if self.has_contact() else SEARCH_INTERVAL_S)
 
     def age(self) -> float:
@@ -120,23 +120,23 @@
     def has_contact(self) -> bool:
         return self.age() <= CONTACT_LEASE_S
 
-    async def ask(self, ip: str) -> None:
+    async def poll_state(self, ip: str) -> None:
         if ip not in self.links:
             self.links[ip] = RpcClient((ip, ports.port(self.settings, ports.CONFIG_STORE)), self.ip)
         sent = asyncio.get_running_loop().time()
         answer = await self.links[ip].call("state", None, STATUS_TIMEOUT_S)
         if isinstance(answer, Success):
-            told, body = answer.unwrap()
-            value = Value.decode(told)
-            self.take(value, ConfigVersion(value.version_id, bytes(body)))
+            encoded_value, body = answer.unwrap()
+            value = Value.decode(encoded_value)
+            self.merge(value, ConfigVersion(value.version_id, bytes(body)))
             self.contact.record_answer(format_seat(ip, INITIAL_DISK_ID), sent)
 
-    def take(self, value: Value, version: ConfigVersion) -> None:
+    def merge(self, value: Value, version: ConfigVersion) -> None:
         if value.change > self.value.change:
             self.value, self.version = value, version
             self.version_store.add(version)
-            self.news.set()
-            self.news = asyncio.Event()
+            self.changed_event.set()
+            self.changed_event = asyncio.Event()
 
     async def handle(self, peer: str, kind: str, body: Any) -> Any:
         match kind:
@@ -156,8 +156,8 @@
     async def watch(self, sync_state: SyncState, change: int) -> list[Any]:
         if sync_state.version_id == self.value.version_id and change == self.value.change:
             try:
-                async with asyncio.timeout(HOLD):
-                    await self.news.wait()
+                async with asyncio.timeout(MAX_POLL_S):
+                    await self.changed_event.wait()
             except TimeoutError:
                 pass
         version_id = self.value.version_id
@@ -171,13 +171,13 @@
 
 
 class WatchedRegistry:
-    """One registry: its store client, and its answers to the polls of proxies."""
+    """A registry reduced to its store client and its answers to the polls of proxies."""
 
     def __init__(self, rig: CoreRig, ip: str, incarnation: int) -> None:
         self.settings = rig.settings(ip)
         self.ip, self.versions, self.is_synchronized = ip, list[int](), True
-        self.backends, self.waking = BackendTable(1.5), [0]
-        self.store_client = StoreClient(self.settings, VersionStore(), self.on_version, self.changed)
+        self.backends, self.change_count = BackendTable(1.5), [0]
+        self.store_client = StoreClient(self.settings, VersionStore(), self.on_version, self.on_change)
         zones = {host: zone_of(host) for host in rig.hosts}
         self.watch = WatchService(
             self.store_client, self.backends, incarnation, zones, lambda: self.is_synchronized
@@ -188,8 +188,8 @@
     def on_version(self, version: ConfigVersion) -> None:
         self.versions.append(version.version_id.number)
 
-    def changed(self) -> None:
-        self.waking[0] += 1
+    def on_change(self) -> None:
+        self.change_count[0] += 1
         self.watch.notify_proxies()
 
     async def run(self) -> int:
@@ -208,7 +208,7 @@
 
 
 class WatchingProxy:
-    """One door's ear: when each word came, and which sources it used when."""
+    """A proxy reduced to its registry watcher; records when each version arrived."""
 
     def __init__(self, rig: CoreRig, ip: str) -> None:
         self.rig, self.ip = rig, ip
@@ -225,10 +225,10 @@
 
 
 class CoreRig:
-    """`count` core machines, each with a store and a registry, and proxies."""
+    """`count` core machines, each with a store and a registry, and some proxies."""
 
     def __init__(self, count: int, proxies: int, seed: int = 1, delay: int = 700, jitter: int = 300) -> None:
-        """`delay`, `jitter`: µs of each way between machines."""
+        """`delay`, `jitter`: one-way network delay between machines and its variation, µs."""
         self.world = World(seed)
         self.net = CutNetwork(self.world, NetworkLink(delay, jitter))
         self.hosts = [f"10.{number}.0.1" for number in range(count)]
@@ -249,7 +249,7 @@
         return settings_of(ip, self.hosts)
 
     def process(self, host: str, make: Callable[[], Coroutine[Any, Any, int]]) -> Machine:
-        """One process; what is made is made in its loop."""
+        """Start a process; `make` is called in its event loop."""
         machine = Machine(self.world, self.net, host, Core(), Costs())
 
         async def run() -> int:
@@ -287,7 +287,7 @@
 
         self.process(ip, proxy)
 
-    # Acts
+    # Actions
 
     def at(self, seconds: float, act: Callable[..., None], *given: Any) -> None:
         self.world.at(START + round(seconds * 1e6), "test", act, *given)
@@ -299,16 +299,16 @@
             at += seconds
 
     def decide(self, number: int, holders: list[str], members: Members | None = None) -> None:
-        """A majority has this version now; all others receive it in their rounds."""
+        """Put this version on `holders`, a majority; the other stores receive it in their rounds."""
         newest = max((store.value for store in self.stores.values()), key=lambda value: value.change)
         version = ConfigVersion.of(f"r{number}", b"r%d" % number)
         value = Value(newest.change + 1, version.version_id, members or newest.members)
         for host in holders:
-            self.stores[host].take(value, version)
+            self.stores[host].merge(value, version)
         self.decided.append((self.world.seconds(), number))
 
     def cut(self, host: str, away: bool = True, here: bool = True, from_proxies: bool = False) -> None:
-        """Between this core machine and the others: `away`, what it sends; `here`, what they send."""
+        """Cut this core machine from the others: `away`, what it sends; `here`, what they send."""
         for other in {*self.hosts, *((proxy.ip for proxy in self.proxies) if from_proxies else ())} - {host}:
             if away:
                 self.net.cuts.add((host, other))
@@ -324,7 +324,7 @@
             machine.kill()
 
     def play(self, until: float) -> None:
-        """To this second of the world."""
+        """Run until this second of virtual time."""
         over = False
 
         def end() -> None:
@@ -334,14 +334,14 @@
         self.at(until, end)
         self.world.run(lambda: over, START + round((until + 1) * 1e6))
 
-    # What was seen
+    # Results
 
     def in_force(self, proxy: WatchingProxy, at: float) -> int:
-        """The number in force at a door at this second."""
+        """Return the version number in force at a proxy at this second."""
         return max((number for when, number in proxy.versions if when <= at), default=-1)
 
     def late(self, bound: float, since: float = 0.0) -> list[tuple[str, int, float]]:
-        """Doors at which a word decided after `since` was not in force `bound` s later."""
+        """Return the proxies at which a version decided after `since` was not in force `bound` s later."""
         return [
             (proxy.ip, number, at)
             for at, number in self.decided
