--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Tests that are known to fail for a real fault: listed in KNOWN-RED.txt, run, and told at the end.
+"""Handles tests that are known to fail because of a real fault, which are listed in KNOWN-RED.txt.
 
-A line is `test | cause | issue`, where `test` is a node id up to its parameters. A run fails on a listed test
-that passes, on one that does not exist, on a line that cannot be read and on more than `MOST` lines.
+A line is `test | cause | issue`, where `test` is a node id without parameters. The tests run as strict expected
+failures and are printed in the summary. A run fails if a listed test passes or does not exist, if a line is
+malformed, or if there are more than `MAX_LINE_COUNT` lines.
 """
 
 from __future__ import annotations
@@ -11,25 +12,25 @@
 
 import pytest
 
-MOST = 3  # lines
+MAX_LINE_COUNT = 3
 FILE = "KNOWN-RED.txt"
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One line."""
+    """One line of the file."""
 
     test: str
     cause: str
     issue: str
 
     def names(self, node_id: str) -> bool:
-        """Whether this line is of that test, with whichever parameters."""
+        """Return whether the line lists this test, with any parameters."""
         return node_id == self.test or node_id.startswith(self.test + "[")
 
 
 def parse(text: str) -> list[KnownRed]:
-    """pytest.UsageError where a line cannot be read, or there are too many."""
+    """Parse the file. Raises pytest.UsageError if a line is malformed, or if there are too many lines."""
     known = []
     for line in text.splitlines():
         if not line.strip():
@@ -38,13 +39,13 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{FILE}: wanted `test | cause | issue`, got {line!r}")
         known.append(KnownRed(*parts))
-    if len(known) > MOST:
-        raise pytest.UsageError(f"{FILE}: {MOST} lines at most, got {len(known)}")
+    if len(known) > MAX_LINE_COUNT:
+        raise pytest.UsageError(f"{FILE}: {MAX_LINE_COUNT} lines at most, got {len(known)}")
     return known
 
 
 def read(root: Path) -> list[KnownRed]:
-    """What is listed; nothing where there is no file."""
+    """Return the listed tests; nothing if there is no file."""
     path = root / FILE
     return parse(path.read_text("utf-8")) if path.exists() else []
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -1,9 +1,8 @@
-"""A real exchange in virtual time: stores, registries and a proxy, and every call between them as it was
-made.
+"""Records every call of a real exchange between stores, registries and a proxy in virtual time.
 
-It is the same to the last byte in each play: chance, lives and identities come from seeds. Orders, a
-backend's beats and its end come from outside, and a store and a registry are lost amid it, so that each call
-of the table is made, most of them with several kinds of bodies.
+Each run produces the same bytes, because random numbers, incarnations and identities come from seeds. Puts,
+heartbeats and a deregistration come from outside, and a store and a registry fail during the run, so that each
+specified call is made, most of them with several forms of bodies.
 """
 
 from __future__ import annotations
@@ -43,17 +42,15 @@
 
 PROXY = "10.0.9.1"
 TENANT, SERVICE = "t-1", "s"
-STARTED = 1.5  # s by which the core has begun
-ENDS = 16.0  # s
-LIFE_BITS = 48
+STARTED_S = 1.5  # s by which the core has started
+END_S = 16.0  # s
 
 
 @dataclass(frozen=True)
 class Call:
-    """One call and its good answer as frames, numbered 1; no `answer` to a word, which wants none.
+    """One call and its successful answer as frames with request id 1; a notification has no `answer`.
 
-    `sender`: the name that it told as its connection came up; `shape`: of its bodies, apart from their
-    values.
+    `sender`: the name in the hello of its connection; `shape`: types of the values in its bodies.
     """
 
     kind: str
@@ -65,7 +62,7 @@
 
 
 def shape_of(body: Any) -> str:
-    """Which kinds of values these are, in which order; of a list of many alike, one."""
+    """Return the types of the values in order; equal types in a list are given once."""
     if isinstance(body, list | tuple):
         return f"[{','.join(dict.fromkeys(map(shape_of, body)))}]"
     if isinstance(body, dict):
@@ -75,16 +72,16 @@
 
 
 class Recorder:
-    """Hears every call of every link."""
+    """Records every call of every RPC client."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
 
     @contextmanager
-    def hearing(self) -> Iterator[None]:
-        call, tell = RpcClient.call, RpcClient.notify
+    def recording(self) -> Iterator[None]:
+        call, notify = RpcClient.call, RpcClient.notify
 
-        async def heard_call(
+        async def recorded_call(
             link: RpcClient, kind: str, body: Any, within: float
         ) -> Result[Any, OperationError]:
             ask, shape = encode([1, kind, body]), shape_of(body)
@@ -95,23 +92,23 @@
                 self.calls.append(Call(kind, link.name, link.peer, ask, encode([1, True, told]), shape))
             return answer
 
-        def heard_word(link: RpcClient, kind: str, body: Any) -> bool:
-            is_sent = tell(link, kind, body)
+        def recorded_notification(link: RpcClient, kind: str, body: Any) -> bool:
+            is_sent = notify(link, kind, body)
             if is_sent:
                 frame = encode([NOTIFICATION_REQUEST_ID, kind, body])
                 self.calls.append(Call(kind, link.name, link.peer, frame, None, shape_of(body)))
             return is_sent
 
         with (
-            mock.patch.object(RpcClient, "call", heard_call),
-            mock.patch.object(RpcClient, "notify", heard_word),
+            mock.patch.object(RpcClient, "call", recorded_call),
+            mock.patch.object(RpcClient, "notify", recorded_notification),
         ):
             yield
 
 
 @contextmanager
-def fixed_chance() -> Iterator[None]:
-    """Whatever is drawn without a seed is drawn from one."""
+def seeded_randomness() -> Iterator[None]:
+    """Replace unseeded random numbers by seeded ones."""
     chance = random.Random(11)
 
     class Seeded(random.Random):
@@ -127,7 +124,7 @@
 
 
 def configuration(number: int) -> bytes:
-    """One service and one tenant with a small limit."""
+    """Return a configuration with one service and one tenant with a low limit."""
     rule = {
         "name": "r-1",
         "kind": "idempotent",
@@ -147,7 +144,7 @@
 
 
 class ExchangeRig(CoreRig):
-    """Three core machines with the real store and the real registry, and a proxy's ears and asks."""
+    """Three core machines with the real store and registry, and a proxy's registry watcher and client."""
 
     def __init__(self) -> None:
         self.disks: dict[tuple[str, str], MemoryDisk] = {}
@@ -158,7 +155,7 @@
         self.watcher: RegistryWatcher | None = None
         self.client: RegistryClient | None = None
         self.held = PrefetchedPermits(77)
-        self.numbers: list[tuple[str, int]] = []  # places that are held: registry and number
+        self.reservations: list[tuple[str, int]] = []  # reservations held: registry and number
         super().__init__(3, 0)
         self.start_proxy()
 
@@ -182,7 +179,7 @@
         )
 
     def process(self, host: str, make: Callable[[], Coroutine[Any, Any, int]]) -> Machine:
-        """With turns that take time: a wait that ends by the clock looks again until its time is over."""
+        """Start a process whose event loop iterations take time, so that waiting on the clock makes progress."""
         machine = super().process(host, make)
         machine.costs = Costs(turn=1)
         return machine
@@ -228,10 +225,10 @@
     def disk(self, host: str, role: str) -> MemoryDisk:
         return self.disks.setdefault((host, role), MemoryDisk())
 
-    # Acts
+    # Actions
 
     def on(self, seconds: float, host: str, role: str, act: Callable[[], Awaitable[Any]]) -> None:
-        """At this second in the process that plays this role there."""
+        """Run `act` at this second in the process with this role on this host."""
 
         async def run() -> None:
             await act()
@@ -243,7 +240,7 @@
         self.at(seconds, begin)
 
     def outside(self, seconds: float, host: str, method: bytes, target: bytes, body: bytes = b"") -> None:
-        """A call from outside at a registry."""
+        """Send an HTTP request to a registry at this second."""
 
         async def act() -> None:
             server = self.servers[host]
@@ -267,7 +264,7 @@
         self.outside(seconds, host, b"POST", f"/backends/{id_}/heartbeat".encode(), json.dumps(told).encode())
 
     def start_again(self, host: str, role: str) -> None:
-        """With its disk as it is, and no first start."""
+        """Restart a process with its disk, without the bootstrap flag."""
         (self.start_store if role == "store" else self.start_registry_process)(host)
 
     def lose(self, host: str, role: str, wipe: bool = False) -> None:
@@ -275,7 +272,7 @@
         if wipe:
             del self.disks[host, role]
 
-    # What the proxy asks
+    # Calls of the proxy
 
     async def report(self, number: int) -> None:
         assert self.client is not None
@@ -305,17 +302,17 @@
         }
         placement = await self.client.request_placement(PlacementRequest(**asked), 0.5)
         if placement.reply.reservation > 0:
-            self.numbers.append((placement.registry, placement.reply.reservation))
+            self.reservations.append((placement.registry, placement.reply.reservation))
 
-    async def end_places(self) -> None:
+    async def end_reservations(self) -> None:
         assert self.client is not None
-        for number, (registry, place) in enumerate(self.numbers):
+        for number, (registry, place) in enumerate(self.reservations):
             how = AttemptResult.SUCCESS if number % 2 else AttemptResult.FAILED
             self.client.end_reservation(registry, ReservationEnd(place, int(how), 1.25 + number))
-        self.numbers.clear()
+        self.reservations.clear()
 
-    async def ask_as_before(self) -> None:
-        """A call of the table that is answered and that this version makes no more."""
+    async def call_as_previous_version(self) -> None:
+        """Make a specified call that is still answered, but not made by this version."""
         host = self.hosts[1]
         link = RpcClient((host, ports.port(self.settings(host), ports.REGISTRY)), "gauge 10.7.0.1")
         await link.call("all", None, 0.4)
@@ -327,42 +324,42 @@
 
 
 def script(rig: ExchangeRig) -> None:
-    """What befalls them, and who asks for what."""
+    """Schedule the faults and the calls of the exchange."""
     one, two, three = rig.hosts
-    rig.outside(STARTED + 0.1, one, b"GET", b"/config/read")
-    rig.outside(STARTED + 0.5, one, b"POST", b"/config/replace", configuration(1))
-    rig.outside(STARTED + 0.8, two, b"GET", b"/config/read")
+    rig.outside(STARTED_S + 0.1, one, b"GET", b"/config/read")
+    rig.outside(STARTED_S + 0.5, one, b"POST", b"/config/replace", configuration(1))
+    rig.outside(STARTED_S + 0.8, two, b"GET", b"/config/read")
     for number in range(1, 28):
-        rig.heartbeat(STARTED + 0.4 * number, two, number)
-    rig.heartbeat(STARTED + 1.1, three, 1, id_="i-2")
-    rig.outside(STARTED + 3.6, one, b"POST", b"/config/replace", configuration(2))
+        rig.heartbeat(STARTED_S + 0.4 * number, two, number)
+    rig.heartbeat(STARTED_S + 1.1, three, 1, id_="i-2")
+    rig.outside(STARTED_S + 3.6, one, b"POST", b"/config/replace", configuration(2))
     for number in range(14):
-        rig.on(STARTED + 1.0 + 0.5 * number, PROXY, "proxy", partial(rig.report, number))
+        rig.on(STARTED_S + 1.0 + 0.5 * number, PROXY, "proxy", partial(rig.report, number))
     for number in range(4):
-        rig.on(STARTED + 2.0 + 0.01 * number, PROXY, "proxy", rig.place)
-    rig.on(STARTED + 2.2, PROXY, "proxy", partial(rig.place, is_repeat=True, is_late=True))
-    rig.on(STARTED + 2.3, PROXY, "proxy", partial(rig.place, max_wait_s=0.2))
-    rig.on(STARTED + 2.4, PROXY, "proxy", partial(rig.place, max_wait_s=0.5))
-    rig.on(STARTED + 2.6, PROXY, "proxy", rig.end_places)
-    for number in range(80):  # more than this registry's part of the tenant's permits
-        rig.on(STARTED + 5.0 + 0.005 * number, PROXY, "proxy", partial(rig.place, tenant=TENANT))
-    rig.on(STARTED + 5.6, PROXY, "proxy", rig.end_places)
-    rig.on(STARTED + 5.8, PROXY, "proxy", rig.ask_as_before)
-    rig.on(STARTED + 5.9, PROXY, "proxy", rig.survey)
-    rig.heartbeat(STARTED + 6.1, two, 2, "draining", "i-2")
-    rig.at(STARTED + 6.5, partial(rig.lose, three, "store", True))
-    rig.at(STARTED + 7.0, partial(rig.start_again, three, "store"))
-    rig.at(STARTED + 8.0, partial(rig.lose, one, "registry"))
-    rig.at(STARTED + 8.3, partial(rig.start_again, one, "registry"))
-    rig.outside(STARTED + 11.0, two, b"POST", b"/config/replace", configuration(3))
-    rig.outside(STARTED + 11.5, two, b"POST", b"/backends/i-1/deregister")
-
-
-def recorded() -> list[Call]:
-    """The whole exchange, in the order of the answers."""
+        rig.on(STARTED_S + 2.0 + 0.01 * number, PROXY, "proxy", rig.place)
+    rig.on(STARTED_S + 2.2, PROXY, "proxy", partial(rig.place, is_repeat=True, is_late=True))
+    rig.on(STARTED_S + 2.3, PROXY, "proxy", partial(rig.place, max_wait_s=0.2))
+    rig.on(STARTED_S + 2.4, PROXY, "proxy", partial(rig.place, max_wait_s=0.5))
+    rig.on(STARTED_S + 2.6, PROXY, "proxy", rig.end_reservations)
+    for number in range(80):  # more than this registry's share of the tenant's permits
+        rig.on(STARTED_S + 5.0 + 0.005 * number, PROXY, "proxy", partial(rig.place, tenant=TENANT))
+    rig.on(STARTED_S + 5.6, PROXY, "proxy", rig.end_reservations)
+    rig.on(STARTED_S + 5.8, PROXY, "proxy", rig.call_as_previous_version)
+    rig.on(STARTED_S + 5.9, PROXY, "proxy", rig.survey)
+    rig.heartbeat(STARTED_S + 6.1, two, 2, "draining", "i-2")
+    rig.at(STARTED_S + 6.5, partial(rig.lose, three, "store", True))
+    rig.at(STARTED_S + 7.0, partial(rig.start_again, three, "store"))
+    rig.at(STARTED_S + 8.0, partial(rig.lose, one, "registry"))
+    rig.at(STARTED_S + 8.3, partial(rig.start_again, one, "registry"))
+    rig.outside(STARTED_S + 11.0, two, b"POST", b"/config/replace", configuration(3))
+    rig.outside(STARTED_S + 11.5, two, b"POST", b"/backends/i-1/deregister")
+
+
+def record_exchange() -> list[Call]:
+    """Run the exchange; return its calls in the order of their answers."""
     recorder = Recorder()
-    with fixed_chance(), recorder.hearing():
+    with seeded_randomness(), recorder.recording():
         rig = ExchangeRig()
         script(rig)
-        rig.play(ENDS)
+        rig.play(END_S)
     return recorder.calls
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -1,4 +1,4 @@
-"""Real program code between fake peers on loopback sockets: backends, discovery, counter, clients."""
+"""The real front door between fake peers on loopback sockets: backends, discovery, counter and clients."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-LIMIT = 20.0  # s for a whole test: only a test that hangs meets it
+LIMIT = 20.0  # s for a whole test; only a test that hangs reaches it
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -111,7 +111,7 @@
     }
     base.update(changes)
     made = parse(base)
-    # Port 0: the kernel picks one, and the test asks which.
+    # With port 0, the kernel chooses a free port, which the test reads from the program.
     changed: dict[str, Any] = {"listen": ("127.0.0.1", 0)}
     if made.operator is not None:
         changed["operator"] = ("127.0.0.1", 0)
@@ -137,7 +137,7 @@
 
 
 class Peer:
-    """A listening peer; each connection is a queue item that the test serves as it likes."""
+    """A listening peer; each accepted connection is queued for the test to serve."""
 
     def __init__(self) -> None:
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
@@ -168,7 +168,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of one HTTP message."""
+    """Read one HTTP message; return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     return head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
@@ -179,7 +179,7 @@
 
 
 def ask(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
-    """A client's request; a header set to None is left out."""
+    """Return a client's request; a header set to None is omitted."""
     headers: dict[str, str | None] = {
         "X-Trace-Id": trace,
         "X-Qos": kind,
@@ -196,7 +196,7 @@
 
 
 class Running:
-    """A front door that runs in this test's loop."""
+    """A front door that runs in the event loop of the test."""
 
     def __init__(self, program: Program) -> None:
         self.program = program
@@ -215,7 +215,7 @@
 
 @asynccontextmanager
 async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[Running]:
-    """The whole program, without its signals; discovery may be nobody."""
+    """Run the complete program without its signal handlers; no discovery service needs to listen."""
     made = config(**changes)
     loop = asyncio.get_running_loop()
     program = Program(made, loop, decider or Gateway(made.settings, made.seed))
@@ -233,7 +233,7 @@
 
 
 def socket_test(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test on the program's own kind of loop."""
+    """Run a test on uvloop, as the program does."""
 
     def run() -> None:
         async def limited() -> None:
@@ -251,7 +251,7 @@
 
 
 class Script:
-    """A decider that does as the test says: `reply` turns each event into actions."""
+    """A scripted decider: `reply` returns the actions for each event."""
 
     def __init__(self, reply: Callable[[Event], list[Action]]) -> None:
         self.reply, self.seen, self.actions = reply, list[Event](), list[Action]()
@@ -269,7 +269,7 @@
         return self.reply(event)
 
     async def wait_for(self, kind: type[E], count: int = 1) -> list[E]:
-        """Once so many events of this kind have come: all of them."""
+        """Wait until `count` events of this kind have arrived; return all of them."""
         while len(found := list(filter(lambda event: isinstance(event, kind), self.seen))) < count:
             self.changed.clear()
             await self.changed.wait()
@@ -277,7 +277,7 @@
 
 
 def send_all(event: Event, server: bytes = b"s-1") -> list[Action]:
-    """Each request gets one attempt; whatever ends badly fails."""
+    """Send one attempt for each request, and fail the request if the attempt fails."""
     if isinstance(event, RequestArrived):
         return [StartAttempt(event.request_id, server)]
     if isinstance(event, AttemptEnded) and not event.request_ended:
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -1,8 +1,8 @@
-"""A proxy of our own between processes: one gate for each pair of caller and called, with two directions.
+"""A TCP fault proxy between processes: one gate per pair of caller and callee, with two directions.
 
-Members find each other by an address and one port, the first of their own range. Each member of a test has a
-range of its own, so it calls `(other's address, own port)`: there is the gate of that pair, which leads on to
-where the other one listens.
+Members reach each other at an address and the first port of their own range. Each member of a test has its own
+range, so it calls `(the other's address, its own port)`. The gate of that pair listens there and forwards to the
+port at which the other member really listens.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import asyncio
 import contextlib
 
-MOST_READ = 65_536  # bytes
+MAX_READ_BYTES = 65_536
 Address = tuple[str, int]
 
 
 class Gate:
-    """TCP from one address to another. What comes while a direction is shut waits, whole and in order."""
+    """Forwards TCP from one address to another. Data in a closed direction waits, complete and in order."""
 
     def __init__(self, at: Address, to: Address) -> None:
         self.at, self.to = at, to
@@ -29,7 +29,7 @@
         self.server = await asyncio.start_server(self._connected, *self.at)
 
     def shut(self, forth: bool, back: bool) -> None:
-        """Which of the two directions is shut from now on."""
+        """Close or open each of the two directions."""
         for event, is_shut in ((self.forth, forth), (self.back, back)):
             if is_shut:
                 event.clear()
@@ -46,20 +46,23 @@
             far_reader, far_writer = await asyncio.open_connection(*self.to)
             try:
                 await asyncio.gather(
-                    self._pump(reader, far_writer, self.forth), self._pump(far_reader, writer, self.back)
+                    self._forward(reader, far_writer, self.forth),
+                    self._forward(far_reader, writer, self.back),
                 )
             finally:
                 far_writer.close()
         writer.close()
 
     @staticmethod
-    async def _pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: asyncio.Event) -> None:
-        """Until either end is gone: then both go, as a connection ends."""
-        while data := await reader.read(MOST_READ):
+    async def _forward(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: asyncio.Event
+    ) -> None:
+        """Forward one direction until the reader ends; then raise, so that both directions are closed."""
+        while data := await reader.read(MAX_READ_BYTES):
             await way.wait()
             writer.write(data)
             await writer.drain()
-        raise ConnectionResetError("the end of one side")
+        raise ConnectionResetError("one side has closed the connection")
 
     async def close(self) -> None:
         if self.server is not None:
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -1,11 +1,11 @@
-"""Frames of every call between the processes, and the messages of a handover, as they were on the wire.
+"""Recorded frames of every call between processes, and the recorded messages of a handover.
 
-`python -m tests.support.wire_formats --write` makes `tests/data/frames.json` anew: sample bodies of each
-call, the frames of a real exchange (`exchange.py`), and a handover. It was made before the packages were
-renamed: whoever needs to make it anew has processes of two versions that do not understand each other.
+`python -m tests.support.wire_formats --write` regenerates `tests/data/frames.json`: sample bodies of each call, the
+frames of a real exchange (`exchange.py`), and a handover. The committed file dates from before the packages were
+renamed. A change that requires regenerating it makes processes of two versions incompatible.
 
-The tables here are all that knows the program's own names. A reader takes a body by the program's decoder and
-gives it as its encoder writes it.
+Only the tables in this module refer to names in the program. A reader decodes a body with the program's decoder and
+encodes it again.
 """
 
 from __future__ import annotations
@@ -77,77 +77,80 @@
 from irisdeal.rpc.calls import CALLS, CANCEL
 from irisdeal.rpc.frames import HELLO_REQUEST_ID, NOTIFICATION_REQUEST_ID, FrameReader, encode
 from tests.front_door.test_handover import worked
-from tests.support.exchange import Call, recorded
+from tests.support.exchange import Call, record_exchange
 
 DATA = Path(__file__).parent.parent / "data" / "frames.json"
-DOOR = ("n0", "127.0.0.1:9000")  # name and address of the door whose state is handed over
-Again = Callable[[Any], Any]  # a body -> the same one through the program's decoder and encoder
+DOOR = ("n0", "127.0.0.1:9000")  # name and address of the front door whose state is handed over
+Again = Callable[[Any], Any]  # decodes a body and encodes it again
 
 
 # Readers: the program's decoders and encoders, by call
 
 
-def as_is(told: Any) -> Any:
-    """What no class of the program stands for."""
-    return told
+def as_is(decoded: Any) -> Any:
+    """Return a body for which the program has no class."""
+    return decoded
 
 
-def nothing(told: Any) -> None:
-    assert told is None
+def nothing(decoded: Any) -> None:
+    assert decoded is None
 
 
 def maybe(again: Again) -> Again:
-    return lambda told: None if told is None else again(told)
+    return lambda decoded: None if decoded is None else again(decoded)
 
 
 def each(*agains: Again) -> Again:
-    """Of a list, each by its own."""
-    return lambda told: [again(part) for again, part in zip(agains, told, strict=True)]
+    """Return a reader of a list with one reader for each element."""
+    return lambda decoded: [again(part) for again, part in zip(agains, decoded, strict=True)]
 
 
 def every(again: Again) -> Again:
-    return lambda told: [again(part) for part in told]
+    return lambda decoded: [again(part) for part in decoded]
 
 
-def number(told: Any) -> int:
-    assert type(told) is int
-    return told
+def number(decoded: Any) -> int:
+    assert type(decoded) is int
+    return decoded
 
 
-def ballot(told: Any) -> Any:
-    return Ballot.decode(told).encode()
+def ballot(decoded: Any) -> Any:
+    return Ballot.decode(decoded).encode()
 
 
-def kept(told: Any) -> Any:
-    return AcceptorState.decode(told).encode()
+def kept(decoded: Any) -> Any:
+    return AcceptorState.decode(decoded).encode()
 
 
-def value(told: Any) -> Any:
-    return Value.decode(told).encode()
+def value(decoded: Any) -> Any:
+    return Value.decode(decoded).encode()
 
 
-def report(told: Any) -> Any:
-    return ReplicaStatus.decode(told).encode()
+def report(decoded: Any) -> Any:
+    return ReplicaStatus.decode(decoded).encode()
 
 
-def sync_state(told: Any) -> Any:
-    return SyncState.decode(told).encode()
+def sync_state(decoded: Any) -> Any:
+    return SyncState.decode(decoded).encode()
 
 
-def outcome(told: Any) -> int:
-    return int(PutOutcome(told))
+def outcome(decoded: Any) -> int:
+    return int(PutOutcome(decoded))
 
 
-def incarnation(told: Any) -> Any:
-    return BackendIncarnation.decode(told, 0.0).encode(0.0)
+def incarnation(decoded: Any) -> Any:
+    return BackendIncarnation.decode(decoded, 0.0).encode(0.0)
 
 
-def accepted(told: Any) -> Any:
-    """Whether it is accepted, with what is promised; None, with what is there, where the body is missing."""
-    return [told[0], (sync_state if told[0] is None else ballot)(told[1])]
+def accepted(decoded: Any) -> Any:
+    """Read the answer to an accept: whether it is accepted, and the promised ballot.
 
+    If the acceptor lacks the body, the answer is None and its sync state.
+    """
+    return [decoded[0], (sync_state if decoded[0] is None else ballot)(decoded[1])]
 
-AGED = every(each(incarnation, number))  # lives, and how many ms ago each was heard
+
+AGED = every(each(incarnation, number))  # incarnations, each with the age of its last heartbeat in ms
 READERS: dict[str, tuple[Again, Again]] = {
     "state": (maybe(report), report),
     "prepare": (each(str, ballot), maybe(each(bool, kept))),
@@ -159,29 +162,29 @@
     "put": (each(number, bytes, bytes), outcome),
     "read": (nothing, each(bool, maybe(bytes))),
     "news": (
-        lambda told: WatchRequest.decode(told).encode(),
-        lambda told: WatchReply.decode(told, 0.0).encode(0.0),
+        lambda decoded: WatchRequest.decode(decoded).encode(),
+        lambda decoded: WatchReply.decode(decoded, 0.0).encode(0.0),
     ),
-    "lives": (lambda told: IncarnationReport.decode(told, 0.0).encode(0.0), nothing),
+    "lives": (lambda decoded: IncarnationReport.decode(decoded, 0.0).encode(0.0), nothing),
     "count": (
-        lambda told: IntervalReport.decode(told).encode(),
-        lambda told: IntervalReply.decode(told).encode(),
+        lambda decoded: IntervalReport.decode(decoded).encode(),
+        lambda decoded: IntervalReply.decode(decoded).encode(),
     ),
     "place": (
-        lambda told: PlacementRequest.decode(told).encode(),
-        lambda told: PlacementReply.decode(told).encode(),
+        lambda decoded: PlacementRequest.decode(decoded).encode(),
+        lambda decoded: PlacementReply.decode(decoded).encode(),
     ),
     "wait": (
-        lambda told: PlacementRequest.decode(told).encode(),
-        lambda told: PlacementReply.decode(told).encode(),
+        lambda decoded: PlacementRequest.decode(decoded).encode(),
+        lambda decoded: PlacementReply.decode(decoded).encode(),
     ),
-    "ended": (lambda told: ReservationEnd.decode(told).encode(), nothing),
-    "told": (lambda told: BackendUpdate.decode(told, 0.0).encode(0.0), nothing),
+    "ended": (lambda decoded: ReservationEnd.decode(decoded).encode(), nothing),
+    "told": (lambda decoded: BackendUpdate.decode(decoded, 0.0).encode(0.0), nothing),
     "all": (nothing, AGED),
-    "all_lives": (nothing, lambda told: BackendSnapshot.decode(told, 0.0).encode(0.0)),
-    "sums": (lambda told: IntervalSum.decode(told).encode(), nothing),
-    "loads": (lambda told: LoadReport.decode(told).encode(), nothing),
-    "lend": (lambda told: LendRequest.decode(told).encode(), number),
+    "all_lives": (nothing, lambda decoded: BackendSnapshot.decode(decoded, 0.0).encode(0.0)),
+    "sums": (lambda decoded: IntervalSum.decode(decoded).encode(), nothing),
+    "loads": (lambda decoded: LoadReport.decode(decoded).encode(), nothing),
+    "lend": (lambda decoded: LendRequest.decode(decoded).encode(), number),
 }
 
 
@@ -190,7 +193,7 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """A call with bodies as the program's encoders write them. `name`: which of its kind."""
+    """A call with bodies from the program's encoders. `name`: distinguishes the samples of a kind."""
 
     kind: str
     name: str
@@ -198,7 +201,7 @@
     answer: Any = None
 
     def frames(self) -> list[str]:
-        """In hex: the call, its answer, and the call as a word where it may be one."""
+        """Return in hex: the call, its answer, and the call as a notification if that is allowed."""
         frames = [encode([7, self.kind, self.ask]), encode([7, True, self.answer])]
         if CALLS[self.kind].is_one_way:
             frames.append(encode([NOTIFICATION_REQUEST_ID, self.kind, self.ask]))
@@ -206,7 +209,7 @@
 
 
 def versions() -> tuple[ConfigVersion, ConfigVersion, ConfigVersion]:
-    """Two versions that differ by little, and one of several pieces."""
+    """Return two versions with a small difference, and one of several chunks."""
     lines = [hashlib.sha256(b"%d" % at).hexdigest().encode() for at in range(200)]
     first, second = b"\n".join(lines), b"\n".join([*lines[:100], b"another", *lines[101:]])
     long = b"".join(b"%08d;" % (at // 900) for at in range((2 * CHUNK_BYTES) // 9 + 900))
@@ -214,7 +217,7 @@
 
 
 def chunks() -> dict[str, Any]:
-    """Each kind of a parcel: a whole body, a difference, the first piece and the one after it."""
+    """Return each kind of chunk: a complete body, a difference, and the first two chunks of a long body."""
     first, second, long = versions()
     version_store, assembler = VersionStore(), ChunkAssembler(VersionStore())
     version_store.add(first)
@@ -241,10 +244,13 @@
     here, there = format_seat(ips[0], INITIAL_DISK_ID), format_seat(ips[1], INITIAL_DISK_ID)
     low, high = Ballot(3, here), Ballot(70_000, there)
     arriving = SyncState(first.version_id, long.version_id, CHUNK_BYTES).encode()
-    told = ReplicaStatus(here, "z0", low, now, now, True).encode()
+    decoded = ReplicaStatus(here, "z0", low, now, now, True).encode()
     samples = [
         Sample(
-            "state", "of a member", told, ReplicaStatus(there, "z1", high, joint, now, False, True).encode()
+            "state",
+            "of a member",
+            decoded,
+            ReplicaStatus(there, "z1", high, joint, now, False, True).encode(),
         ),
         Sample(
             "state",
@@ -297,7 +303,7 @@
     return samples
 
 
-# The names of these samples in the recorded data, from which they may not move
+# Names of these samples in the recorded data, which must not change
 PLACEMENT_SAMPLES = {PlacementResult.NO_BACKEND: "no_place"}
 ATTEMPT_SAMPLES = {
     AttemptResult.SUCCESS: "good",
@@ -386,12 +392,12 @@
 
 
 def samples() -> dict[str, list[str]]:
-    """Frames by the name of the sample."""
+    """Return the frames by name of the sample."""
     return {f"{one.kind}: {one.name}": one.frames() for one in [*_store_samples(), *_registry_samples()]}
 
 
 def of_the_link() -> dict[str, str]:
-    """What a link tells by itself."""
+    """Return the frames that clients and servers send by themselves."""
     return {
         "hello": encode([HELLO_REQUEST_ID, "hello", "proxy 10.1.0.9"]).hex(),
         "cancel": encode([NOTIFICATION_REQUEST_ID, CANCEL, 70_000]).hex(),
@@ -403,7 +409,7 @@
 
 
 def firsts(calls: list[Call]) -> list[dict[str, str | None]]:
-    """The first call of each kind and shape."""
+    """Return the first call of each kind and shape."""
     chosen: dict[tuple[str, str], Call] = {}
     for call in calls:
         chosen.setdefault((call.kind, call.shape), call)
@@ -420,7 +426,7 @@
 
 
 def totals(calls: list[Call]) -> dict[str, list[int | str]]:
-    """Of each kind: how many there were, and a digest of all of them in order."""
+    """Return for each kind the number of calls and a digest of all of them in order."""
     digests: dict[str, tuple[int, Any]] = {}
     for call in calls:
         count, digest = digests.get(call.kind, (0, hashlib.sha256()))
@@ -433,28 +439,28 @@
 
 
 def read_frame(frame: bytes) -> list[Any]:
-    """The number, the kind or whether it went well, and the body of one frame."""
+    """Return the request id, the kind or the success flag, and the body of one frame."""
     (item,) = FrameReader().feed(frame)
     assert isinstance(item, list) and len(item) == 3
     return item
 
 
 def again(frame: str, kind: str) -> str:
-    """A frame of this call or of its answer, through the program's decoder and encoder."""
-    head, what, told = read_frame(bytes.fromhex(frame))
+    """Decode a frame of this call or of its answer, and encode it again."""
+    head, what, decoded = read_frame(bytes.fromhex(frame))
     ask, answer = READERS[kind]
-    return encode([head, what, (answer if what is True else ask)(told)]).hex()
+    return encode([head, what, (answer if what is True else ask)(decoded)]).hex()
 
 
 # A handover
 
 
 def handover() -> dict[str, str]:
-    """The state, in hex, of a gateway that has served for a while; and of the one that took over from it."""
+    """Return in hex the messages of a handover, and the state of the gateway that took over."""
     old = worked()
-    told = pack(old.gateway, old.now, HALF)
+    decoded = pack(old.gateway, old.now, HALF)
     old.handle(CeilingShareChanged(HALF, False))
-    state = body({**told, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
+    state = body({**decoded, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
     return {
         "request": request(*DOOR).hex(),
         "state": state.hex(),
@@ -464,23 +470,23 @@
     }
 
 
-def read_handover(told: bytes) -> dict[str, Any]:
-    length, crc = read_head(told[: HEAD.size])
-    return read_body(told[HEAD.size :], length, crc)
+def read_handover(decoded: bytes) -> dict[str, Any]:
+    length, crc = read_head(decoded[: HEAD.size])
+    return read_body(decoded[HEAD.size :], length, crc)
 
 
 def read_asked(line: bytes) -> None:
-    """Raises where it is no request for this door's state."""
+    """Raise if the line is not a request for the state of this front door."""
     read_request(line.strip(), *DOOR)
 
 
 def taken_over(state: bytes) -> bytes:
-    """What a new gateway, told this state and the list, would hand over in its turn."""
-    old, told = worked(), read_handover(state)
+    """Return the state that a new gateway would hand over after it received this state and the list."""
+    old, decoded = worked(), read_handover(state)
     new = Gateway(old.settings, 99)
     entries = tuple(server.listed_entry() for server in old.gateway.servers.values())
     new.handle(old.now, [ServerList(ServerListKind.REMEMBERED, 2, entries), CeilingShareChanged(HALF, True)])
-    unpack(told, new, old.now)
+    unpack(decoded, new, old.now)
     new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return body(pack(new, old.now, HALF))
 
@@ -489,8 +495,8 @@
 
 
 def made() -> dict[str, Any]:
-    """All of it, as today's program writes it."""
-    calls = recorded()
+    """Return all data as the present code encodes it."""
+    calls = record_exchange()
     return {
         "link": of_the_link(),
         "samples": samples(),
@@ -501,14 +507,14 @@
 
 
 def expected() -> dict[str, Any]:
-    """What is committed."""
-    told: dict[str, Any] = json.loads(DATA.read_text("utf-8"))
-    return told
+    """Return the committed data."""
+    decoded: dict[str, Any] = json.loads(DATA.read_text("utf-8"))
+    return decoded
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--write", action="store_true", required=True, help="make the committed data anew")
+    parser.add_argument("--write", action="store_true", required=True, help="regenerate the committed data")
     parser.parse_args()
     DATA.write_text(json.dumps(made(), indent=1) + "\n", "utf-8")
 
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""What the play of two versions side by side reads from a checkout, and what it calls broken."""
+"""The run of two versions side by side: what it reads from a checkout, and which results count as breaches."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return Checkout.read("other", root)
 
 
-def test_roles_are_known_by_what_they_serve_whatever_they_are_called(tmp_path: Path) -> None:
+def test_roles_are_identified_by_what_they_serve_and_not_by_name(tmp_path: Path) -> None:
     roles = checkout(tmp_path, RENAMED).roles
     assert {part: (role.name, role.module) for part, role in roles.items()} == {
         Part.PROXY: ("door", "program.door"),
@@ -50,19 +50,19 @@
     }
 
 
-def test_a_deployment_without_one_of_the_three_is_told(tmp_path: Path) -> None:
+def test_a_deployment_without_one_of_the_three_roles_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ValueError, match="not a store, a registry and a proxy"):
         checkout(tmp_path, RENAMED.partition("[roles.vault]")[0])
     with pytest.raises(ValueError, match="a role that serves"):
         part_of({"on": "edge", "serves": []})
 
 
-def test_this_checkout_names_modules_that_are_here() -> None:
+def test_this_checkout_names_modules_that_exist() -> None:
     for role in Checkout.read("new", ROOT).roles.values():
         assert (ROOT / role.module.replace(".", "/") / "__main__.py").exists()
 
 
-def test_every_mix_has_both_and_a_split_of_core_and_proxy_comes_first(tmp_path: Path) -> None:
+def test_every_mix_has_both_versions_and_the_split_of_core_and_proxy_comes_first(tmp_path: Path) -> None:
     old, new = checkout(tmp_path, RENAMED), Checkout.read("new", ROOT)
     played = [[mix[part].name for part in (Part.STORE, Part.REGISTRY, Part.PROXY)] for mix in mixes(old, new)]
     assert played[:2] == [["other", "other", "new"], ["new", "new", "other"]]
@@ -71,14 +71,14 @@
 
 
 def good() -> Played:
-    """A change at 10 s, acknowledged at 10.2 and in force at 10.5; a drain acknowledged at 14 s."""
+    """A change at 10 s, acknowledged at 10.2 s and in force at 10.5 s; a drain acknowledged at 14 s."""
     asked = [Asked("a", 9.0, 9.1, 200), Asked("b", 10.1, 10.3, 200), Asked("c", 10.4, 10.5, 200)]
     asked += [Asked("d", 10.6, 10.7, 200), Asked("e", 14.9, 15.0, 200)]
     ran = {"a": {"i-1"}, "b": {"i-2"}, "c": {"i-3"}, "d": {"i-3"}, "e": {"i-4"}}
     return Played(asked, ran, 10.0, 10.2, 14.0, [10.4, 10.6, 14.0 + ON_ITS_WAY_S / 2], [])
 
 
-def test_what_goes_well_is_no_breach() -> None:
+def test_a_good_run_has_no_breaches() -> None:
     assert good().breaches() == []
 
 
@@ -89,7 +89,10 @@
         ({"asked": [*good().asked, Asked("x", 12.0, 12.1, 503)]}, "not answered: 1 of 6"),
         ({"ran": {**good().ran, "a": {"i-3"}}}, "by another configuration: 1"),  # before the change
         ({"ran": {**good().ran, "e": {"i-1"}}}, "by another configuration: 1"),  # after it was in force
-        ({"ran": {**good().ran, "d": {"i-1"}}}, "by another configuration: 1"),  # another had the second
+        (
+            {"ran": {**good().ran, "d": {"i-1"}}},
+            "by another configuration: 1",
+        ),  # the second was already in use
         ({"ran": {**good().ran, "b": set()}}, "by another configuration: 1"),  # no backend began it
         ({"confirmed_at": None}, "the change was not acknowledged"),
         ({"drained_at": None}, "the drain was not acknowledged"),
@@ -100,11 +103,11 @@
         ({"faults": ["store: E500 x"]}, "store: E500 x"),
     ],
 )
-def test_each_breach_is_told(changes: dict[str, object], told: str) -> None:
+def test_each_breach_is_reported(changes: dict[str, object], told: str) -> None:
     assert told in replace(good(), **changes).breaches()  # type: ignore[arg-type]
 
 
-def test_a_configuration_is_in_force_in_time_though_nobody_has_shown_it() -> None:
+def test_a_configuration_must_be_in_force_in_time_even_if_no_request_used_it_before() -> None:
     late = replace(good(), ran={id_: {"i-1"} for id_ in "abcde"})
     assert late.confirmed_at is not None and late.confirmed_at + APPLY_S < 14.9
     assert [asked.attempt_id for asked in late.misrouted()] == ["e"]
