--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -193,7 +193,7 @@
     stores.at(2.9, prepare)
     stores.at(begun, lambda: stores.net.cuts.update((other, late) for other in others))
     stores.at(begun + 0.02, lambda: stores.on(others[0], lambda one: one.put(VERSION), decided))
-    stores.at(begun + 0.3, stores.net.join)
+    stores.at(begun + 0.3, stores.net.heal)
     for number in range(60):
         stores.at(begun + number * 0.02, ask)
     stores.play(begun + 2.0)
--- a/tests/config_store/test_store_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -27,7 +27,7 @@
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.rpc.client import RpcClient
 from irisdeal.simulation.cluster.linearizability import NONE, Kind, Op, check
-from tests.support.fault_proxy import Gate
+from tests.support.fault_proxy import FaultProxy
 
 ROOT = Path(__file__).parents[2]
 COUNT = 5
@@ -45,7 +45,7 @@
 
     folder: Path
     running: dict[int, subprocess.Popen[bytes]] = field(default_factory=dict)
-    gates: dict[tuple[int, int], Gate] = field(default_factory=dict)
+    gates: dict[tuple[int, int], FaultProxy] = field(default_factory=dict)
 
     @staticmethod
     def address(member: int) -> tuple[str, int]:
@@ -54,7 +54,7 @@
     async def open_gates(self) -> None:
         for caller, called in itertools.permutations(range(COUNT), 2):
             host, port = self.address(called)
-            self.gates[caller, called] = gate = Gate((host, self.address(caller)[1]), (host, port))
+            self.gates[caller, called] = gate = FaultProxy((host, self.address(caller)[1]), (host, port))
             await gate.open()
 
     def start(self, member: int, first: bool = False) -> None:
@@ -94,9 +94,9 @@
     def partition(self, member: int, out: bool, into: bool) -> None:
         for (caller, called), gate in self.gates.items():
             if caller == member:
-                gate.shut(out, into)
+                gate.set_blocked(out, into)
             elif called == member:
-                gate.shut(into, out)
+                gate.set_blocked(into, out)
 
     async def end(self) -> None:
         for process in self.running.values():
--- a/tests/permits/test_quota_processes.py
+++ b/tests/permits/test_quota_processes.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from irisdeal.simulation.quota.judge import QuotaJudge
-from tests.support.fault_proxy import Gate
+from tests.support.fault_proxy import FaultProxy
 
 ROOT = Path(__file__).parents[2]
 CORE, DOORS = "127.8.0.1", ("127.8.0.2", "127.8.0.3", "127.8.0.4")
@@ -54,7 +54,7 @@
 
     folder: Path
     running: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
-    gates: dict[str, Gate] = field(default_factory=dict)
+    gates: dict[str, FaultProxy] = field(default_factory=dict)
     judge: QuotaJudge = field(default_factory=lambda: QuotaJudge(RATE, RATE))
     asked: int = 0
 
@@ -93,7 +93,7 @@
 
     async def open_gates(self) -> None:
         for number, door in enumerate(DOORS, 1):
-            gate = Gate((CORE, CORE_PORT + APART * number + 1), (CORE, CORE_PORT + 1))
+            gate = FaultProxy((CORE, CORE_PORT + APART * number + 1), (CORE, CORE_PORT + 1))
             self.gates[door] = gate
             await gate.open()
 
@@ -193,22 +193,22 @@
     """One proxy hears and misses in turns, one is cut off, the registry and a proxy are killed."""
     first, second, third = (processes.gates[door] for door in DOORS)
     for _ in range(15):
-        first.shut(True, True)
+        first.set_blocked(True, True)
         await asyncio.sleep(0.1)
-        first.shut(False, False)
+        first.set_blocked(False, False)
         await asyncio.sleep(0.1)
-    second.shut(True, True)
+    second.set_blocked(True, True)
     await asyncio.sleep(3.0)
-    second.shut(False, False)
+    second.set_blocked(False, False)
     processes.kill("registry", CORE)
     await asyncio.sleep(0.3)
     processes.start("registry", CORE)
     await asyncio.sleep(1.5)
     processes.kill("proxy", DOORS[0])
     processes.start("proxy", DOORS[0])
-    third.shut(False, True)
+    third.set_blocked(False, True)
     await asyncio.sleep(1.5)
-    third.shut(False, False)
+    third.set_blocked(False, False)
 
 
 async def day(processes: Processes) -> float:
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -158,7 +158,7 @@
     lost = rig.hosts[0]
     changing(rig, 2.0, 26.0, [lost])
     rig.at(4.0, partial(rig.cut, lost, **CUTS[how]))
-    rig.at(24.0, rig.net.join)
+    rig.at(24.0, rig.net.heal)
     used, wrong = uses(rig, lost, 4.0, 8.0), looked_at(rig, 27.0)
     rig.play(27.0)
     assert used, "nobody used it: nothing is shown"
@@ -175,7 +175,7 @@
     lost = rig.hosts[0]
     changing(rig, 2.0, 26.0, [lost])
     rig.at(4.0, partial(rig.cut, lost, from_proxies=True))
-    rig.at(24.0, rig.net.join)
+    rig.at(24.0, rig.net.heal)
     used, wrong = uses(rig, lost, 4.0, 8.0), looked_at(rig, 27.0)
     rig.play(27.0)
     assert used and max(used.values()) - 4.0 <= max(LEAVE_CUT, LEAVE_SILENT) + SLACK
@@ -245,7 +245,7 @@
     changing(rig, 3.0, 8.0, [])
     for host in rig.hosts:
         rig.at(8.0, partial(rig.cut, host))
-    rig.at(28.0, rig.net.join)
+    rig.at(28.0, rig.net.heal)
     asked: list[int] = []
     rig.at(13.0, lambda: asked.append(sum(len(post.ages) for post in rig.watched_registries.values())))
     rig.at(27.0, lambda: asked.append(sum(len(post.ages) for post in rig.watched_registries.values())))
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -132,11 +132,11 @@
             rig.at(8.0, partial(rig.start, away))
         case "frozen":
             rig.at(4.0, partial(rig.freeze, away, 4.0))
-            rig.at(7.9, partial(rig.net.lose, away))
+            rig.at(7.9, partial(rig.net.drop_connections, away))
         case "cut off":
             rig.at(4.0, partial(rig.cut, away))
-            rig.at(7.9, partial(rig.net.lose, away))
-            rig.at(8.0, rig.net.join)
+            rig.at(7.9, partial(rig.net.drop_connections, away))
+            rig.at(8.0, rig.net.heal)
     schedule_drain(rig, 5.0)
     poll_repeatedly(rig, away, 8.001, 11.0)
     rig.play(11.1)
@@ -199,7 +199,7 @@
     rig.request(7.1, host, b"GET", b"/config/read")
     rig.request(7.2, host, b"POST", b"/config/replace", b"{")
     rig.request(7.3, host, b"GET", b"/status")
-    rig.at(8.0, rig.net.join)
+    rig.at(8.0, rig.net.heal)
     rig.request(10.0, host, b"POST", b"/config/replace", valid)
     rig.play(11.0)
     put, read, invalid, status, again = (answer for _, answer in rig.results)
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -174,7 +174,7 @@
             else None
         ),
     )
-    rig.at(9.0, rig.net.join)
+    rig.at(9.0, rig.net.heal)
     back: list[float] = []
     rig.every(
         0.01,
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -74,7 +74,7 @@
         if what != "syn":  # a SYN is retransmitted by the simulated system
             self.held.append((direction, sock, size, what, call, args))
 
-    def lose(self, host: str) -> None:
+    def drop_connections(self, host: str) -> None:
         """Reset all connections of this machine, as after a TCP timeout; data in transit is lost."""
         self.held = [held for held in self.held if host not in held[0]]
         for sock in list(self.default_link.endpoints):
@@ -82,7 +82,7 @@
                 sock.inbox.clear()
                 self._on_reset(sock)
 
-    def join(self) -> None:
+    def heal(self) -> None:
         self.cuts.clear()
         held, self.held = self.held, []
         for _, sock, size, what, call, args in held:
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -14,7 +14,7 @@
 Address = tuple[str, int]
 
 
-class Gate:
+class FaultProxy:
     """Forwards TCP from one address to another. Data in a closed direction waits, complete and in order."""
 
     def __init__(self, at: Address, to: Address) -> None:
@@ -28,7 +28,7 @@
     async def open(self) -> None:
         self.server = await asyncio.start_server(self._connected, *self.at)
 
-    def shut(self, forth: bool, back: bool) -> None:
+    def set_blocked(self, forth: bool, back: bool) -> None:
         """Close or open each of the two directions."""
         for event, is_shut in ((self.forth, forth), (self.back, back)):
             if is_shut:
