--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A TCP fault proxy between processes: one gate per pair of caller and callee, with two directions.
+"""A TCP proxy between processes that injects faults: one for each pair of caller and callee.
 
 Members reach each other at an address and the first port of their own range. Each member of a test has its own
-range, so it calls `(the other's address, its own port)`. The gate of that pair listens there and forwards to the
+range, so it calls `(the other's address, its own port)`. The proxy of that pair listens there and forwards to the
 port at which the other member really listens.
 """
 
@@ -15,23 +15,23 @@
 
 
 class FaultProxy:
-    """Forwards TCP from one address to another. Data in a closed direction waits, complete and in order."""
+    """Forwards TCP from one address to another. Data in a blocked direction waits, complete and in order."""
 
     def __init__(self, at: Address, to: Address) -> None:
         self.at, self.to = at, to
-        self.forth, self.back = asyncio.Event(), asyncio.Event()
-        self.forth.set()
-        self.back.set()
+        self.forward_open, self.backward_open = asyncio.Event(), asyncio.Event()
+        self.forward_open.set()
+        self.backward_open.set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self._connected, *self.at)
 
-    def set_blocked(self, forth: bool, back: bool) -> None:
-        """Close or open each of the two directions."""
-        for event, is_shut in ((self.forth, forth), (self.back, back)):
-            if is_shut:
+    def set_blocked(self, forward: bool, backward: bool) -> None:
+        """Block or unblock each of the two directions."""
+        for event, is_blocked in ((self.forward_open, forward), (self.backward_open, backward)):
+            if is_blocked:
                 event.clear()
             else:
                 event.set()
@@ -42,12 +42,12 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            await self.forth.wait()
+            await self.forward_open.wait()
             far_reader, far_writer = await asyncio.open_connection(*self.to)
             try:
                 await asyncio.gather(
-                    self._forward(reader, far_writer, self.forth),
-                    self._forward(far_reader, writer, self.back),
+                    self._forward(reader, far_writer, self.forward_open),
+                    self._forward(far_reader, writer, self.backward_open),
                 )
             finally:
                 far_writer.close()
@@ -55,11 +55,11 @@
 
     @staticmethod
     async def _forward(
-        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: asyncio.Event
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_open: asyncio.Event
     ) -> None:
         """Forward one direction until the reader ends; then raise, so that both directions are closed."""
         while data := await reader.read(MAX_READ_BYTES):
-            await way.wait()
+            await is_open.wait()
             writer.write(data)
             await writer.drain()
         raise ConnectionResetError("one side has closed the connection")
