--- a/irisdeal/config_store/__init__.py
+++ b/irisdeal/config_store/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated configuration store: consensus on its versions, membership, and what is on disk."""
+"""The replicated configuration store: consensus, membership, storage, and the configuration format."""
--- a/irisdeal/config_store/__main__.py
+++ b/irisdeal/config_store/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m irisdeal.config_store`: runs one replica of the configuration store."""
+"""Entry point: `python -m irisdeal.config_store` runs one replica of the configuration store."""
 
 import sys
 
--- a/irisdeal/config_store/configuration/__init__.py
+++ b/irisdeal/config_store/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its model, how a version is parsed, validated, indexed, and encoded as a delta."""
+"""The operator's configuration: its model, and the parsing, validation, indexing and delta encoding of versions."""
--- a/irisdeal/config_store/configuration/cached_reading.py
+++ b/irisdeal/config_store/configuration/cached_reading.py
@@ -1,4 +1,4 @@
-"""Parsing of the configurations that one process receives one after the other, which shares work between them."""
+"""Parses successive configurations of one process, each incrementally from the previous one."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 
 
 class _ParsingCache:
-    """The last valid configuration of this process, from which the next one is parsed. It changes cost alone."""
+    """The last valid configuration of this process; it speeds up the next parse without changing its result."""
 
     def __init__(self) -> None:
         self.last: ParsedConfiguration | None = None
 
     def parse(self, body: bytes) -> Result[ParsedConfiguration, OperationError]:
-        """Return the valid configuration in these bytes, or what makes it invalid."""
-        found = run_to_completion(read_incrementally(body, self.last))
-        if isinstance(found, Success):
-            self.last = found.unwrap()
-        return found
+        """Return the valid configuration in these bytes, or the error that lists its faults."""
+        result = run_to_completion(read_incrementally(body, self.last))
+        if isinstance(result, Success):
+            self.last = result.unwrap()
+        return result
 
 
 _cache = _ParsingCache()
 
 
 def parse_cached(body: bytes) -> Result[Configuration, OperationError]:
-    """Return the valid configuration in these bytes, or an error that names all that is wrong."""
-    found = _cache.parse(body)
-    return Failure(found.failure()) if isinstance(found, Failure) else Success(found.unwrap().configuration)
+    """Return the valid configuration in these bytes, or the error that lists its faults."""
+    result = _cache.parse(body)
+    return (
+        Failure(result.failure()) if isinstance(result, Failure) else Success(result.unwrap().configuration)
+    )
--- a/irisdeal/config_store/configuration/incremental_reading.py
+++ b/irisdeal/config_store/configuration/incremental_reading.py
@@ -1,13 +1,13 @@
-"""Parsing a configuration again only where it changed. No input or output here.
+"""Incremental parsing: only the changed entries of a configuration are parsed. No I/O.
 
-What is equal, byte for byte, is taken over from the previous version. The bytes of two versions are walked together
-(`delta.align`). An entry of a list (a tenant, a pool, a rule of a host) is an object, and so ends where it ends
-whatever stands around it: where its bytes are equal, its value is. New entries are parsed with `dacite`, and
-validated as all entries are; what concerns several (names, keys and routes that are there twice, services that were
-removed) is checked against the index.
+Entries that are byte-identical in the previous version are reused. `delta.align` finds the equal bytes of the two
+versions. An entry of a list (a tenant, a pool, a rule of a host) is a JSON object, whose end does not depend on the
+surrounding text: equal bytes mean an equal value. New entries are parsed with `dacite` and validated like all
+entries; conditions across entries (duplicate names, keys and routes, references to removed services) are checked
+against the index.
 
-Only a valid configuration comes out of this way. At the least doubt (an error, a key twice, bytes that are no
-ASCII, another shape) the whole is parsed and validated in one go by `parse_configuration`, so that errors read the
+Only valid configurations result from this path. In all other cases (an error, a duplicate key, non-ASCII bytes, an
+unsupported shape) `parse_configuration` parses and validates the complete body, so that error messages are the
 same.
 """
 
@@ -39,14 +39,14 @@
 
 E = TypeVar("E")
 
-PARSED_PER_PAUSE = 8  # entries parsed with dacite between two pauses, some 0.6 ms
-MIN_EQUAL_BYTES = 64  # in a row that are worth a search for entries
+PARSED_PER_PAUSE = 8  # entries parsed with dacite between two yields, about 0.6 ms
+MIN_EQUAL_BYTES = 64  # shorter equal runs are not searched for reusable entries
 
-ParseEntry = Callable[[int], Generator[None, None, tuple[E, int]]]  # offset of an entry -> its value and end
+ParseEntry = Callable[[int], Generator[None, None, tuple[E, int]]]  # start of an entry -> its value and end
 
 
 class EqualBytes(NamedTuple):
-    """Bytes from an offset on that are equal in the previous body: where they stand there, and how many."""
+    """A run of bytes that is equal in the previous body: its offset there and its length."""
 
     previous_offset: int
     length: int
@@ -56,7 +56,7 @@
 
 
 class ListRead(NamedTuple):
-    """A list that was read: all entries, the values that are new, and the offset of its end."""
+    """A parsed list: all entries, the values of new entries, and the end offset."""
 
     entries: EntryList[Any]
     new_values: list[Any]
@@ -64,11 +64,11 @@
 
 
 class _EntryReader:
-    """Reads lists of entries of one body, beside the previous version."""
+    """Reads lists of entries of one body, reusing entries of the previous version."""
 
     def __init__(self, body: bytes, previous: ParsedConfiguration | None) -> None:
         self.cursor = JsonCursor(body)
-        self.parsed = 0  # entries, with dacite
+        self.parsed_count = 0  # entries parsed with dacite
         self.outline = previous.outline if previous is not None else None
         self.copies: list[DeltaStep] = []
         if previous is not None and self.outline is not None:
@@ -80,11 +80,11 @@
         self.copy_offsets = [step.target_offset for step in self.copies]
 
     def equal_bytes(self, offset: int) -> EqualBytes:
-        """Return the bytes from here on that are equal in the previous body."""
-        which = bisect_right(self.copy_offsets, offset) - 1
-        if which < 0:
+        """Return the equal bytes of the previous body that start at this offset."""
+        index = bisect_right(self.copy_offsets, offset) - 1
+        if index < 0:
             return NO_EQUAL_BYTES
-        base_offset, target_offset, length = self.copies[which]
+        base_offset, target_offset, length = self.copies[index]
         skipped = offset - target_offset
         return EqualBytes(base_offset + skipped, length - skipped) if skipped < length else NO_EQUAL_BYTES
 
@@ -94,10 +94,10 @@
         """Walk a list.
 
         Args:
-            offset: of its begin.
-            base: the offset from which the offsets of its entries count.
-            previous: the list in the previous version; its entries that are equal are taken over.
-            parse: reads the entry that begins at an offset.
+            offset: start of the list.
+            base: the offset to which the offsets of its entries are relative.
+            previous: the list in the previous version, whose equal entries are reused.
+            parse: parses the entry that starts at an offset.
         """
         cursor = self.cursor
         entries: EntryList[E] = EntryList()
@@ -106,7 +106,7 @@
         if cursor.has(offset, "]"):
             return ListRead(entries, new_values, offset + 1)
         while True:
-            end = self._take_over(offset, base, previous, entries) if previous is not None else -1
+            end = self._reuse_entries(offset, base, previous, entries) if previous is not None else -1
             if end < 0:
                 value, end = yield from parse(offset)
                 entries.append(offset - base, end - base, value)
@@ -116,8 +116,10 @@
                 return ListRead(entries, new_values, offset + 1)
             offset = cursor.expect(offset, ",")
 
-    def _take_over(self, offset: int, base: int, previous: PreviousEntries[E], entries: EntryList[E]) -> int:
-        """Take over all entries that are equal from here on; return where the last of them ends, or -1 for none."""
+    def _reuse_entries(
+        self, offset: int, base: int, previous: PreviousEntries[E], entries: EntryList[E]
+    ) -> int:
+        """Reuse all equal entries from this offset on; return the end offset of the last one, or -1."""
         previous_offset, length = self.equal_bytes(offset)
         if length <= 0:
             return -1
@@ -125,30 +127,30 @@
         old = previous.entries
         first = bisect_left(old.starts, previous_offset)
         last = bisect_right(old.ends, previous_offset + length)
-        if first >= last or old.starts[first] != previous_offset or 1 in previous.taken[first:last]:
+        if first >= last or old.starts[first] != previous_offset or 1 in previous.reused[first:last]:
             return -1
-        previous.take(first, last)
+        previous.mark_reused(first, last)
         entries.extend_from(old, first, last, offset - base - previous_offset)
         return entries.ends[-1] + base
 
     def entry_parser(self, kind: type[E]) -> ParseEntry[E]:
-        """Return what parses an entry of this type."""
+        """Return a parser for entries of this type."""
 
         def parse(offset: int) -> Generator[None, None, tuple[E, int]]:
-            """Return the entry at this offset, and the offset of its end."""
-            self.parsed += 1
-            if self.parsed % PARSED_PER_PAUSE == 0:
+            """Return the entry at this offset, and its end offset."""
+            self.parsed_count += 1
+            if self.parsed_count % PARSED_PER_PAUSE == 0:
                 yield
             data, end = self.cursor.decode(self.cursor.text, offset)
             if not isinstance(data, dict):
-                raise UnsupportedShapeError("an entry that is no object")
+                raise UnsupportedShapeError("entry is not an object")
             return parse_entry(kind, data), end
 
         return parse
 
 
 class _HostParser:
-    """Parses entries of `sockets`; what changed in their rules is noted in `changes`."""
+    """Parses entries of `sockets`, and records changes of their rules in `changes`."""
 
     def __init__(
         self, reader: _EntryReader, previous: PreviousEntries[HostEntry], changes: IndexChanges
@@ -158,14 +160,16 @@
         self.changes = changes
 
     def parse(self, offset: int) -> Generator[None, None, tuple[HostEntry, int]]:
-        """Return the host that begins at this offset, and the offset of its end."""
+        """Return the host that starts at this offset, and its end offset."""
         reader, hostname = self.reader, ""
         rules: ListRead | None = None
-        found = self._take_previous(offset)
-        previous_rules = PreviousEntries(found[0].rules, found[1]) if found is not None else None
+        previous_host = self._reuse_previous(offset)
+        previous_rules = (
+            PreviousEntries(previous_host[0].rules, previous_host[1]) if previous_host is not None else None
+        )
 
         def read_value(key: str, at: int) -> Generator[None, None, int]:
-            """Read what a key of the host has; return the offset of its end."""
+            """Read the value of a key of the host; return its end offset."""
             nonlocal hostname, rules
             if key == "rules":
                 rules = yield from reader.read_list(at, offset, previous_rules, reader.entry_parser(Rule))
@@ -177,45 +181,45 @@
 
         end = yield from reader.cursor.walk_object(offset, read_value)
         if not hostname or rules is None:
-            raise UnsupportedShapeError("a socket without hostname or rules")
+            raise UnsupportedShapeError("socket has no hostname or no rules")
         self.changes.added_rules += [(hostname, rule) for rule in rules.new_values]
-        if found is not None and previous_rules is not None:
-            self._record_changes(found[0], previous_rules, hostname)
+        if previous_host is not None and previous_rules is not None:
+            self._record_changes(previous_host[0], previous_rules, hostname)
         return HostEntry(Socket(hostname, tuple(rules.entries.values)), rules.entries), end
 
-    def _take_previous(self, offset: int) -> tuple[HostEntry, int] | None:
-        """Return the entry of the previous version that this one follows, and its offset; None where there is none.
+    def _reuse_previous(self, offset: int) -> tuple[HostEntry, int] | None:
+        """Return the entry of the previous version at the equal bytes, and its offset; None if there is none.
 
-        It is taken over here, but for what is not equal.
+        It is marked as reused; `_record_changes` records the rules that differ.
         """
         previous_offset, length = self.reader.equal_bytes(offset)
         if length <= 0:
             return None
         old = self.previous.entries
-        which = bisect_right(old.starts, previous_offset) - 1
-        if which < 0 or previous_offset >= old.ends[which] or self.previous.taken[which]:
+        index = bisect_right(old.starts, previous_offset) - 1
+        if index < 0 or previous_offset >= old.ends[index] or self.previous.reused[index]:
             return None
-        self.previous.take(which, which + 1)
-        return old.values[which], old.starts[which]
+        self.previous.mark_reused(index, index + 1)
+        return old.values[index], old.starts[index]
 
     def _record_changes(self, previous: HostEntry, rules: PreviousEntries[Rule], hostname: str) -> None:
-        """Note the rules that were removed, and those that stand under another hostname now."""
+        """Record the rules that were removed, and those that moved to another hostname."""
         old_name, old_rules = previous.socket.hostname, previous.socket.rules
         self.changes.removed_rules += [(old_name, old_rules[position]) for position in rules.removed()]
         if old_name.lower() != hostname.lower():
-            moved = [rule for position, rule in enumerate(old_rules) if rules.taken[position]]
+            moved = [rule for position, rule in enumerate(old_rules) if rules.reused[position]]
             self.changes.removed_rules += [(old_name, rule) for rule in moved]
             self.changes.added_rules += [(hostname, rule) for rule in moved]
 
 
 def _checked_hostname(data: object) -> str:
     if not isinstance(data, str) or validate_hostname(data):
-        raise UnsupportedShapeError("hostname")
+        raise UnsupportedShapeError("invalid hostname")
     return data
 
 
 class _ConfigurationReader:
-    """Reads one body beside the previous version. `changes` says what differs, once all was read."""
+    """Reads one body, reusing the previous version. `changes` has the differences once `read` is complete."""
 
     def __init__(self, body: bytes, previous: ParsedConfiguration | None) -> None:
         self.reader = _EntryReader(body, previous)
@@ -226,18 +230,18 @@
         self.hosts = PreviousEntries(outline.hosts)
         self.tenants = PreviousEntries(outline.tenants)
         self.lists = {name: ListRead(EntryList(), [], 0) for name in ("pools", "sockets", "tenants")}
-        self.fields: dict[str, Any] = {}  # by key, as far as they were read
+        self.fields: dict[str, Any] = {}  # values by key, as far as read
 
     def read(self) -> Generator[None, None, tuple[Configuration, Outline]]:
-        """Return the configuration and where its entries stand; pauses now and then."""
+        """Return the configuration and the positions of its entries; yields periodically."""
         cursor = self.reader.cursor
         end = yield from cursor.walk_object(0, self._read_value)
         if cursor.skip_blanks(end) != len(cursor.text):
-            raise UnsupportedShapeError("more after the end")
+            raise UnsupportedShapeError("text after the end of the object")
         fields = self.fields
         generation_number(fields.get("generation"))
         if "sockets" not in fields or "pools" not in fields:
-            raise UnsupportedShapeError("a list is missing")
+            raise UnsupportedShapeError("pools or sockets are missing")
         limits = parse_entry(Limits, fields["limits"]) if "limits" in fields else Limits()
         self._record_changes()
         pools, hosts, tenants = (self.lists[name].entries for name in ("pools", "sockets", "tenants"))
@@ -248,7 +252,7 @@
         )
 
     def _read_value(self, key: str, offset: int) -> Generator[None, None, int]:
-        """Read what a key of the configuration has; return the offset of its end."""
+        """Read the value of a key of the configuration; return its end offset."""
         cursor = self.reader.cursor
         if key in self.lists and cursor.has(offset, "["):
             self.lists[key] = found = yield from self._read_list(key, offset)
@@ -257,7 +261,7 @@
             return found.end
         data, end = cursor.decode(cursor.text, offset)
         if key in ("pools", "sockets") or (key == "tenants" and data is not None):
-            raise UnsupportedShapeError(f"{key}: no list")
+            raise UnsupportedShapeError(f"{key}: not a list")
         self.fields[key] = data
         return end
 
@@ -271,7 +275,7 @@
         return (yield from reader.read_list(offset, 0, self.hosts, hosts.parse))
 
     def _record_changes(self) -> None:
-        """Note what was removed and added; rules of hosts that go on were noted as these were parsed."""
+        """Record removed and added entries; rules of retained hosts were recorded when their hosts were parsed."""
         changes = self.changes
         for position in self.hosts.removed():
             socket = self.hosts.entries.values[position].socket
@@ -285,7 +289,7 @@
 
 
 def _check(configuration: Configuration, index: Index, changes: IndexChanges) -> Generator[None, None, None]:
-    """Check new entries, and that those that stayed name no service that was removed.
+    """Validate new entries, and check that reused rules do not refer to removed services.
 
     Raises:
         UnsupportedShapeError: an entry is invalid.
@@ -300,7 +304,7 @@
 
 
 def _check_added(index: Index, changes: IndexChanges) -> Generator[None, None, None]:
-    """Validate the entries that are new."""
+    """Validate the new entries."""
     for count, (_, rule) in enumerate(changes.added_rules):
         if count % ENTRIES_PER_PAUSE == ENTRIES_PER_PAUSE - 1:
             yield
@@ -316,13 +320,13 @@
 def read_incrementally(
     body: bytes, previous: ParsedConfiguration | None
 ) -> Generator[None, None, Result[ParsedConfiguration, OperationError]]:
-    """Return the valid configuration in these bytes, or what makes it invalid; pauses each ms or so.
+    """Return the valid configuration in these bytes, or the error that lists its faults; yields about every ms.
 
-    What has another shape, or is invalid, is parsed in one go, without pauses.
+    A body that is invalid or has an unsupported shape is parsed non-incrementally, without yielding.
 
     Args:
         body: the bytes.
-        previous: the last valid configuration, from which equal entries are taken over.
+        previous: the last valid configuration, whose equal entries are reused.
     """
     if previous is not None and previous.body == body:
         return Success(previous)
@@ -336,7 +340,7 @@
         yield from _check(configuration, index, reader.changes)
         return Success(ParsedConfiguration(body, configuration, index, outline))
     except (dacite.DaciteError, ValueError, TypeError, KeyError, AttributeError, RecursionError):
-        pass  # what is wrong is said below, by the parsing in one go
+        pass  # the complete parse below reports the error
     yield
     complete = parse_configuration(body)
     if isinstance(complete, Failure):
--- a/irisdeal/config_store/configuration/index.py
+++ b/irisdeal/config_store/configuration/index.py
@@ -1,8 +1,8 @@
-"""What a configuration has under each name, as persistent maps. No input or output here.
+"""Index of the entries of a configuration by name, as persistent maps. No I/O.
 
-Versions share the maps: a change costs what it touches, and whoever has an older index is not disturbed.
-`immutables` (a hash trie, as in CPython's contextvars) was weighed beside a copied dict (110,000 keys anew with
-each change) and layers of dicts (each lookup asks all layers, and now and then one pays for a copy).
+Versions share the maps: the cost of a change depends only on its size, and older indexes stay valid. `immutables`
+(a hash trie, as in CPython's contextvars) was preferred to copied dicts (110,000 keys copied for each change) and
+to layered dicts (each lookup searches all layers, and layers must be merged from time to time).
 """
 
 from __future__ import annotations
@@ -17,15 +17,12 @@
 
 
 class DuplicateNameError(ValueError):
-    """Two entries have one name."""
+    """Two entries have the same name."""
 
 
 @dataclass(slots=True)
 class IndexChanges:
-    """Entries that were removed, and those that were added; one that changed is both.
-
-    Rules stand with their hostname.
-    """
+    """Removed and added entries; a changed entry is in both. Rules are listed with their hostname."""
 
     removed_pools: list[Pool] = field(default_factory=list)
     added_pools: list[Pool] = field(default_factory=list)
@@ -36,7 +33,7 @@
 
     @staticmethod
     def all_of(configuration: Configuration) -> IndexChanges:
-        """Return the changes from nothing to this configuration."""
+        """Return the changes from an empty configuration to this one."""
         return IndexChanges(
             added_pools=list(configuration.pools),
             added_rules=[
@@ -47,21 +44,21 @@
 
 
 class _HostRoutes:
-    """Copies of the rules by prefix of those hosts that change."""
+    """Copy-on-write access to the rules of each host, by path prefix."""
 
     def __init__(self, hosts: Map[str, dict[str, Rule]]) -> None:
         self.hosts = hosts
         self.changed: dict[str, dict[str, Rule]] = {}
 
     def of(self, hostname: str) -> dict[str, Rule]:
-        """Return the copy of this host's rules."""
+        """Return the modifiable copy of this host's rules."""
         host = hostname.lower()
         if host not in self.changed:
             self.changed[host] = dict(self.hosts.get(host, {}))
         return self.changed[host]
 
     def finish(self) -> Map[str, dict[str, Rule]]:
-        """Return the hosts after the change; one without rules is removed."""
+        """Return the hosts after the change, without those that have no rules."""
         hosts = self.hosts.mutate()
         for host, rules in self.changed.items():
             if rules:
@@ -76,10 +73,10 @@
     """The entries of a configuration by name. Immutable.
 
     Attributes:
-        pools: by name.
-        hosts: rules by path prefix, by hostname in lower case; the dict of each host is never changed.
-        tenants: by name.
-        keys: tenants by key.
+        pools: pools by name.
+        hosts: rules by path prefix, by hostname in lower case; the dict of a host is never modified.
+        tenants: tenants by name.
+        keys: tenants by API key.
     """
 
     pools: Map[str, Pool] = field(default_factory=Map)
@@ -88,10 +85,10 @@
     keys: Map[bytes, Tenant] = field(default_factory=Map)
 
     def apply_changes(self, changes: IndexChanges) -> Generator[None, None, Index]:
-        """Return the index after these changes; pauses now and then.
+        """Return the index after these changes; yields periodically.
 
         Raises:
-            DuplicateNameError: a name is there twice.
+            DuplicateNameError: two entries have the same name.
         """
         pools = self.pools.mutate()
         for pool in changes.removed_pools:
--- a/irisdeal/config_store/configuration/json_cursor.py
+++ b/irisdeal/config_store/configuration/json_cursor.py
@@ -1,4 +1,4 @@
-"""Walks the text of a JSON document by offset. No input or output here."""
+"""Walks the text of a JSON document by offset. No I/O."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 
 BLANKS = re.compile(r"[ \t\n\r]*")  # between tokens, by RFC 8259
 
-ReadValue = Callable[[str, int], Generator[None, None, int]]  # key, offset of its value -> offset of its end
+ReadValue = Callable[[str, int], Generator[None, None, int]]  # key, start of its value -> end of the value
 
 
 class UnsupportedShapeError(ValueError):
-    """The text has another shape than an incremental reading supports: it must be parsed in one go."""
+    """The text has a shape that incremental parsing does not support; it must be parsed non-incrementally."""
 
 
 class JsonCursor:
-    """One document.
+    """One JSON document.
 
     Args:
-        body: its bytes.
+        body: the bytes of the document.
 
     Raises:
-        UnsupportedShapeError: the body is not ASCII, so offsets of bytes and characters differ.
+        UnsupportedShapeError: the body is not ASCII, so byte and character offsets differ.
     """
 
     def __init__(self, body: bytes) -> None:
         if not body.isascii():
-            raise UnsupportedShapeError("bytes beyond ASCII: offsets of bytes and of characters differ")
+            raise UnsupportedShapeError("non-ASCII bytes: byte and character offsets differ")
         self.text = body.decode("ascii")
-        self.decode = json.JSONDecoder().raw_decode  # text, offset -> value, offset of its end
+        self.decode = json.JSONDecoder().raw_decode  # text, start -> value, end
 
     def has(self, offset: int, character: str) -> bool:
-        """Whether this character stands here."""
+        """Whether the character at this offset is the given one."""
         return self.text[offset : offset + 1] == character
 
     def skip_blanks(self, offset: int) -> int:
-        """Return the offset after blanks."""
+        """Return the offset of the next non-blank character."""
         found = BLANKS.match(self.text, offset)
         assert found is not None
         return found.end()
 
     def expect(self, offset: int, character: str) -> int:
-        """Return the offset after this character and the blanks around it."""
+        """Return the offset after the expected character and the blanks around it."""
         offset = self.skip_blanks(offset)
         if not self.has(offset, character):
-            raise UnsupportedShapeError(f"at {offset}: wanted {character}")
+            raise UnsupportedShapeError(f"offset {offset}: expected {character}")
         return self.skip_blanks(offset + 1)
 
     def walk_object(self, offset: int, read_value: ReadValue) -> Generator[None, None, int]:
-        """Walk an object and return the offset of its end.
+        """Walk an object and return its end offset.
 
         Args:
-            offset: of its begin.
-            read_value: called with each key and the offset of its value; returns the offset of the value's end.
+            offset: start of the object.
+            read_value: called with each key and the start offset of its value; returns the end offset of the value.
         """
         offset, seen = self.expect(offset, "{"), set()
         if self.has(offset, "}"):
@@ -61,7 +61,7 @@
         while True:
             key, offset = self.decode(self.text, offset)
             if not isinstance(key, str) or key in seen:
-                raise UnsupportedShapeError("a key twice, or none")
+                raise UnsupportedShapeError("duplicate or non-string key")
             seen.add(key)
             offset = self.skip_blanks((yield from read_value(key, self.expect(offset, ":"))))
             if self.has(offset, "}"):
--- a/irisdeal/config_store/configuration/model.py
+++ b/irisdeal/config_store/configuration/model.py
@@ -1,7 +1,7 @@
-"""The configuration as the operator writes it. No input or output here.
+"""The configuration model. No I/O.
 
-Fields have the names of the JSON that operators send. The names of the types stand in the errors that operators get
-(`should be "Limits"`), so they stay as they are.
+The field names are the keys of the JSON that operators send. The type names appear in error messages for operators
+(`should be "Limits"`), so both must not change.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """One of the services of a rule, and its weight: requests are split in proportion to the weights."""
+    """A service of a rule with its weight: requests are split in proportion to the weights."""
 
     service: str
     weight: float
@@ -22,10 +22,10 @@
     """Where a rule's requests go.
 
     Attributes:
-        timeout_ms: how long a request may be pending here, all attempts included.
-        max_tries: backends to which one request may be sent at most.
-        service: the one service, where `weighted` is empty.
-        weighted: several services by weight.
+        timeout_ms: time limit of a request, including all attempts.
+        max_tries: maximum number of backends to which one request is sent.
+        service: the only service, if `weighted` is empty.
+        weighted: several services with weights.
     """
 
     timeout_ms: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """Which requests to a host a rule is for: those whose path begins with this prefix; the longest prefix wins."""
+    """Matches requests to a host whose path starts with this prefix; the longest matching prefix wins."""
 
     path_prefix: str
 
@@ -46,13 +46,13 @@
     """A route of a host.
 
     Attributes:
-        name: for operators.
+        name: name for operators.
         kind: `idempotent`: a request may run more than once; `mutating`: at most once.
-        target_ms: the latency target (SLO), within which an answer earns its full value.
-        pattern: which requests it is for.
-        effect: where they go.
+        target_ms: the latency target (SLO); a response within it has its full value.
+        pattern: the requests that match.
+        effect: where they are sent.
         priority: rank under overload; 0 is served first.
-        public: whether requests need no key, though there are tenants.
+        public: whether requests need no API key even if there are tenants.
     """
 
     name: str
@@ -64,7 +64,7 @@
     public: bool = False
 
     def shares(self) -> tuple[Share, ...]:
-        """Return the services by weight, also where there is one alone."""
+        """Return the services with their weights; a single service has weight 1."""
         return self.effect.weighted or (Share(self.effect.service, 1.0),)
 
 
@@ -78,12 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A service and how its backends are reached.
+    """A service and the settings of its backends.
 
     Attributes:
-        name: of the service.
+        name: name of the service.
         health_path: path of the health check.
-        max_conns: connections that a backend takes from all callers together.
+        max_conns: connections that a backend accepts from all callers together.
     """
 
     name: str
@@ -96,11 +96,11 @@
     """A customer.
 
     Attributes:
-        name: of the tenant.
-        api_keys: the keys by which its requests are known.
-        priority: rank under overload, before that of the rule; 0 is served first.
-        rate_per_s: its rate limit over all proxies together, in requests per s; 0: no limit.
-        burst: requests that may come on top of the rate.
+        name: name of the tenant.
+        api_keys: the keys that identify its requests.
+        priority: rank under overload, compared before that of the rule; 0 is served first.
+        rate_per_s: rate limit over all proxies together, in requests per second; 0: no limit.
+        burst: requests allowed on top of the rate.
     """
 
     name: str
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of what clients send, in bytes and ms."""
+    """Limits for client requests, in bytes and ms."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 64 << 20
@@ -125,11 +125,11 @@
     """A complete configuration.
 
     Attributes:
-        generation: `r` and a number that rises with each version.
+        generation: `r` and a number that increases with each version.
         sockets: the virtual hosts.
         pools: the services.
-        tenants: the customers; with None or none requests need no key.
-        limits: of what clients send.
+        tenants: the customers; if None or empty, requests need no API key.
+        limits: limits for client requests.
     """
 
     generation: str
--- a/irisdeal/config_store/configuration/outline.py
+++ b/irisdeal/config_store/configuration/outline.py
@@ -1,4 +1,4 @@
-"""Where the entries of a configuration's body stand, so that the next reading can take them over. No I/O here."""
+"""Positions of the entries in a configuration's body, which let the next parse reuse them. No I/O."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     """The entries of one JSON list.
 
     Attributes:
-        starts: the offset at which each begins, counted from a base that the owner of the list knows.
-        ends: the offset at which each ends.
-        values: each entry's value.
+        starts: start offset of each entry, relative to a base that the owner of the list defines.
+        ends: end offset of each entry, relative to the same base.
+        values: the value of each entry.
     """
 
     starts: list[int] = field(default_factory=list)
@@ -27,13 +27,13 @@
     values: list[E] = field(default_factory=list)
 
     def append(self, start: int, end: int, value: E) -> None:
-        """Add an entry behind the others."""
+        """Append an entry."""
         self.starts.append(start)
         self.ends.append(end)
         self.values.append(value)
 
     def extend_from(self, other: EntryList[E], first: int, last: int, shift: int) -> None:
-        """Add entries `first` to `last` (exclusive) of another list, whose offsets differ by `shift`."""
+        """Append entries `first` to `last` (exclusive) of another list, with `shift` added to their offsets."""
         self.starts += [start + shift for start in other.starts[first:last]]
         self.ends += [end + shift for end in other.ends[first:last]]
         self.values += other.values[first:last]
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One entry of `sockets`; the offsets of its rules count from its begin."""
+    """One entry of `sockets`; the offsets of its rules are relative to its start."""
 
     socket: Socket
     rules: EntryList[Rule]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outline:
-    """Where the entries of a body stand; offsets count from the body's begin."""
+    """Positions of the entries of a body; offsets are relative to the start of the body."""
 
     pools: EntryList[Pool] = field(default_factory=EntryList)
     hosts: EntryList[HostEntry] = field(default_factory=EntryList)
@@ -58,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedConfiguration:
-    """A valid configuration, and what the next reading takes over.
+    """A valid configuration, and the data that lets the next parse reuse its entries.
 
     Attributes:
-        body: the bytes that were parsed.
-        configuration: what they say.
+        body: the parsed bytes.
+        configuration: the resulting configuration.
         index: its entries by name.
-        outline: where its entries stand; None where the body was parsed in one go.
+        outline: the positions of its entries; None if the body was parsed non-incrementally.
     """
 
     body: bytes
@@ -74,25 +74,25 @@
 
 
 class PreviousEntries(Generic[E]):
-    """A list of the previous version, and which of its entries were taken over.
+    """A list of the previous version, with a mark for each entry that the new version reuses.
 
     Args:
         entries: the list.
-        base: the offset in the body from which the list's offsets count.
+        base: the offset in the body to which the offsets of the list are relative.
     """
 
     def __init__(self, entries: EntryList[E], base: int = 0) -> None:
         self.entries = entries
         self.base = base
-        self.taken = bytearray(len(entries.starts))  # 1 for each entry that was taken over
+        self.reused = bytearray(len(entries.starts))  # 1 for each reused entry
 
-    def take(self, first: int, last: int) -> None:
-        """Note that entries `first` to `last` (exclusive) were taken over."""
-        self.taken[first:last] = b"\1" * (last - first)
+    def mark_reused(self, first: int, last: int) -> None:
+        """Mark entries `first` to `last` (exclusive) as reused."""
+        self.reused[first:last] = b"\1" * (last - first)
 
     def removed(self) -> Iterator[int]:
-        """Yield the positions of the entries that were not taken over."""
-        position = self.taken.find(0)
+        """Yield the positions of the entries that were not reused."""
+        position = self.reused.find(0)
         while position >= 0:
             yield position
-            position = self.taken.find(0, position + 1)
+            position = self.reused.find(0, position + 1)
--- a/irisdeal/config_store/configuration/parsing.py
+++ b/irisdeal/config_store/configuration/parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of a configuration's JSON into the model, by `dacite`. No input or output here."""
+"""Parses configuration JSON into the model with `dacite`. No I/O."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 T = TypeVar("T")
 
-REQUIRED = ("generation", "sockets", "pools")
+REQUIRED_KEYS = ("generation", "sockets", "pools")
 
 
 def _check_list(value: object) -> object:
-    """Refuse what is no list.
+    """Reject values that are not lists.
 
-    Else dacite makes a tuple of a text's letters, or of the text of a generator, which no two processes agree on.
+    Otherwise dacite converts a string to a tuple of its characters, or of those of a generator's repr, which
+    differs between processes.
     """
     if value is not None and not isinstance(value, list | tuple):
         raise dacite.DaciteError(f"wanted a list, got {type(value).__name__}")
@@ -29,20 +30,20 @@
 
 
 def _check_texts(value: object) -> object:
-    """Refuse what is no list: a text by itself would be taken for a list of its characters."""
+    """Reject values that are not lists: a string would become a tuple of its characters."""
     if not isinstance(value, list | tuple):
         raise dacite.DaciteError(f"wanted a list of texts, got {value!r}")
     return value
 
 
 def _read_number(value: object) -> float:
-    """Return the number; JSON may have an integer where the model has a float."""
+    """Return the number as a float; JSON integers are allowed for float fields."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise dacite.DaciteError(f"wanted a number, got {value!r}")
     return float(value)
 
 
-LIST_TYPES: tuple[Any, ...] = (  # types as annotations name them, which have no common type
+LIST_TYPES: tuple[Any, ...] = (  # list types as annotated in the model; `Any`, as they have no common type
     tuple[Share, ...],
     tuple[Rule, ...],
     tuple[Socket, ...],
@@ -61,12 +62,12 @@
 
 
 def parse_entry(kind: type[T], data: Mapping[str, object]) -> T:
-    """Return the entry of this type. Raises `dacite.DaciteError` where the data has another shape."""
+    """Return the data as an entry of this type. Raises `dacite.DaciteError` if its shape does not match."""
     return dacite.from_dict(kind, data, DACITE_CONFIG)
 
 
 def parse_configuration(body: bytes) -> Result[Configuration, OperationError]:
-    """Return the valid configuration in these bytes, or an error that names all that is wrong."""
+    """Return the valid configuration in these bytes, or the error that lists its faults."""
     try:
         configuration = parse_entry(Configuration, _load_object(body))
     except dacite.DaciteError as error:
@@ -81,11 +82,11 @@
 
 
 def _load_object(body: bytes) -> dict[str, object]:
-    """Return the JSON object. Raises ValueError where it is none, or a key is missing."""
+    """Return the JSON object. Raises ValueError if it is not an object or lacks a required key."""
     data = json.loads(body)
     if not isinstance(data, dict):
         raise ValueError("wanted an object")
-    for key in REQUIRED:
+    for key in REQUIRED_KEYS:
         if key not in data:
             raise ValueError(f"{key}: missing")
     return data
--- a/irisdeal/config_store/configuration/stepwise.py
+++ b/irisdeal/config_store/configuration/stepwise.py
@@ -1,4 +1,4 @@
-"""Long computations as generators that pause, so that an event loop can do other work between two steps."""
+"""Long computations as generators, which yield so that the event loop can do other work between steps."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 T = TypeVar("T")
 
-ENTRIES_PER_PAUSE = 200  # entries of a configuration that are handled between two pauses, some 0.2 ms
+ENTRIES_PER_PAUSE = 200  # configuration entries processed between two yields, about 0.2 ms
 
 
 def run_to_completion(steps: Generator[None, None, T]) -> T:
-    """Return the result, without pauses."""
+    """Run all steps at once and return the result."""
     while True:
         try:
             next(steps)
--- a/irisdeal/config_store/configuration/validation.py
+++ b/irisdeal/config_store/configuration/validation.py
@@ -1,7 +1,7 @@
-"""The rules that a configuration must keep beyond its shape. No input or output here.
+"""Validation of configurations beyond their shape. No I/O.
 
-`validate` checks a complete configuration; `validate_hostname`, `validate_tenant` and `validate_rule` check what
-one entry shows by itself, so that an incremental reading checks only entries that changed.
+`validate` checks a complete configuration; `validate_hostname`, `validate_tenant` and `validate_rule` check single
+entries, so that incremental parsing validates only the changed ones.
 """
 
 from __future__ import annotations
@@ -14,23 +14,21 @@
 from irisdeal.config_store.configuration.version import generation_number
 
 KINDS = ("idempotent", "mutating")
-MAX_TARGET_OVER_TIMEOUT_MS = (
-    60_000  # a `target_ms` that is over its `timeout_ms` by this much or more is a slip
-)
-MAX_REPORTED_ERRORS = 20  # of one configuration, at once
-NOT_TEXT = "no text"  # what an operator gets for text that cannot be encoded
-SURROGATES = ("\ud800", "\udfff")  # first and last half of a character outside the basic plane
+MAX_TARGET_OVER_TIMEOUT_MS = 60_000  # a `target_ms` this far or further above its `timeout_ms` is a mistake
+MAX_REPORTED_ERRORS = 20  # reported at once for one configuration
+NOT_TEXT = "no text"  # error text for strings that cannot be encoded as UTF-8
+SURROGATES = ("\ud800", "\udfff")  # first and last surrogate code point
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationError:
-    """A rule that a configuration breaks.
+    """A violated rule of a configuration.
 
     Attributes:
-        path: the entry and the field, as `rules['api'].kind`.
-        found: what stands there.
-        wanted: what must stand there.
-        message: the sentence that operators get; tools match it, so it stays as it is.
+        path: the entry and the field, such as `rules['api'].kind`.
+        found: the value found there.
+        wanted: the value expected there.
+        message: the message for operators; tools match it, so it must not change.
     """
 
     path: str
@@ -43,7 +41,7 @@
 
 
 def validate(configuration: Configuration) -> list[ValidationError]:
-    """Return the rules that it breaks, the first `MAX_REPORTED_ERRORS` of them; empty where it is valid."""
+    """Return the first `MAX_REPORTED_ERRORS` violations; empty if the configuration is valid."""
     errors = chain(
         _validate_generation(configuration.generation),
         _validate_pools(configuration.pools),
@@ -71,7 +69,7 @@
 
 
 def _validate_sockets(sockets: Sequence[Socket], services: Container[str]) -> list[ValidationError]:
-    """Check all hosts and rules, and that no two rules have the same host and prefix."""
+    """Validate all hosts and rules, and check that no two rules have the same host and prefix."""
     errors: list[ValidationError] = []
     routes: set[tuple[str, str]] = set()
     for socket in sockets:
@@ -88,10 +86,10 @@
 
 
 def _validate_tenants(tenants: Sequence[Tenant]) -> list[ValidationError]:
-    """Check all tenants, and that no two have the same name or a key in common."""
+    """Validate all tenants, and check that no two share a name or a key."""
     errors: list[ValidationError] = []
     names: set[str] = set()
-    owners: dict[str, str] = {}  # key -> tenant
+    owners: dict[str, str] = {}  # API key -> name of its tenant
     for tenant in tenants:
         if tenant.name in names:
             message = f"tenants: two are called {tenant.name!r}"
@@ -109,7 +107,7 @@
 
 
 def _is_encodable(text: str) -> bool:
-    """Whether it can be encoded as UTF-8: JSON may name halves of characters (surrogates)."""
+    """Whether the text can be encoded as UTF-8: JSON strings may contain unpaired surrogates."""
     if text.isascii():
         return True
     first, last = SURROGATES
@@ -117,7 +115,7 @@
 
 
 def validate_hostname(hostname: str) -> list[ValidationError]:
-    """Return the rules that a hostname breaks."""
+    """Return the violations of a hostname."""
     errors = []
     if not hostname.strip():
         message = "sockets: a hostname is empty"
@@ -129,7 +127,7 @@
 
 
 def validate_tenant(tenant: Tenant) -> list[ValidationError]:
-    """Return the rules that a tenant breaks by itself."""
+    """Return the violations within one tenant."""
     errors = []
     if tenant.rate_per_s < 0 or tenant.burst < 0:
         message = f"tenant {tenant.name!r}: rate_per_s and burst: wanted 0 or more"
@@ -142,11 +140,11 @@
 
 
 def validate_rule(rule: Rule, services: Container[str]) -> list[ValidationError]:
-    """Return the rules of the configuration that a route breaks by itself.
+    """Return the violations within one rule.
 
     Args:
-        rule: the route.
-        services: names of the pools there are.
+        rule: the rule to validate.
+        services: names of the existing pools.
     """
     return [*_validate_pattern(rule), *_validate_shares(rule, services), *_validate_times(rule)]
 
@@ -156,7 +154,7 @@
 
 
 def _validate_pattern(rule: Rule) -> list[ValidationError]:
-    """Check the path prefix and the kind."""
+    """Validate the path prefix and the kind."""
     errors = []
     prefix, field = rule.pattern.path_prefix, "pattern.path_prefix"
     if not (prefix.startswith("/") and prefix.endswith("/")):
@@ -173,7 +171,7 @@
 
 
 def _validate_shares(rule: Rule, services: Container[str]) -> list[ValidationError]:
-    """Check the services and their weights."""
+    """Validate the services and their weights."""
     errors = []
     shares = rule.shares()
     for share in shares:
@@ -190,7 +188,7 @@
 
 
 def _validate_times(rule: Rule) -> list[ValidationError]:
-    """Check the time-out and the latency target."""
+    """Validate the timeout and the latency target."""
     errors = []
     timeout_ms, target_ms = rule.effect.timeout_ms, rule.target_ms
     if timeout_ms <= 0:
--- a/irisdeal/config_store/configuration/version.py
+++ b/irisdeal/config_store/configuration/version.py
@@ -1,6 +1,6 @@
-"""A version of the configuration, complete, and its identity. No input or output here.
+"""A complete version of the configuration, and its identity. No I/O.
 
-Which version is in force is decided by the register (`consensus/register.py`).
+The register (`consensus/register.py`) decides which version is in force.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from functools import total_ordering
 
-GENERATION = re.compile(r"r([0-9]{1,18})")  # 18 digits fit in a signed integer of 64 bits
+GENERATION_PATTERN = re.compile(r"r([0-9]{1,18})")  # 18 digits fit into a signed 64-bit integer
 
 
 def generation_number(generation: object) -> int:
-    """Return the number of a generation, 12 of `r12`. Raises ValueError where it is none."""
-    found = GENERATION.fullmatch(generation) if isinstance(generation, str) else None
+    """Return the number of a generation, such as 12 for `r12`. Raises ValueError if malformed."""
+    found = GENERATION_PATTERN.fullmatch(generation) if isinstance(generation, str) else None
     if found is None:
         raise ValueError(f"generation: wanted r and a number, got {generation!r}")
     return int(found[1])
@@ -24,11 +24,11 @@
 @total_ordering
 @dataclass(frozen=True, slots=True)
 class VersionId:
-    """Identity and order of a version.
+    """Identity and ordering of a version.
 
     Attributes:
         number: the number of its generation.
-        digest: SHA-256 of its body; decides where two operators gave one number to different bodies.
+        digest: SHA-256 of its body; breaks ties if two operators used one number for different bodies.
     """
 
     number: int
@@ -38,21 +38,21 @@
         return (self.number, self.digest) < (other.number, other.digest)
 
 
-NO_VERSION = VersionId(-1, b"")  # before any: lower than all there are
+NO_VERSION = VersionId(-1, b"")  # before the first version; lower than all others
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigVersion:
-    """A complete version: its identity, and its body byte for byte as the operator sent it."""
+    """A complete version: its identity, and its body exactly as the operator sent it."""
 
     version_id: VersionId
     body: bytes
 
     @staticmethod
     def of(generation: object, body: bytes) -> ConfigVersion:
-        """Return the version of this generation with this body. Raises ValueError where the generation is none."""
+        """Return the version with this generation and body. Raises ValueError if the generation is malformed."""
         return ConfigVersion(VersionId(generation_number(generation), hashlib.sha256(body).digest()), body)
 
     def is_intact(self) -> bool:
-        """Whether the body has the digest that the identity names."""
+        """Whether the body matches the digest of the identity."""
         return hashlib.sha256(self.body).digest() == self.version_id.digest
--- a/irisdeal/config_store/consensus/__init__.py
+++ b/irisdeal/config_store/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus on one register: acceptors, proposers and the ballots by which they decide."""
+"""Single-register consensus (CASPaxos): acceptors, proposers and ballots."""
--- a/irisdeal/config_store/consensus/acceptor.py
+++ b/irisdeal/config_store/consensus/acceptor.py
@@ -1,6 +1,6 @@
-"""A replica as acceptor: its state and its configuration versions, on disk. Each write is synced before it returns.
+"""The acceptor of a replica: its durable state and configuration versions. Each write is synced before it returns.
 
-Writes to the disk come one after the other; reading the state (`state`, `decided`) never waits for them.
+Disk writes are serialized by a lock; reading `state` and `decided` never waits for them.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 T = TypeVar("T")
 Args = TypeVarTuple("Args")
-DISK_ID_BYTES = 8  # of random identity: no two disks ever have the same
+DISK_ID_BYTES = 8  # random bytes in a disk identity; enough that no two disks share one
 
 
 class Acceptor:
-    """One seat and its disk."""
+    """The acceptor of one seat, and its disk."""
 
     def __init__(self, ip: str, path: str, folder: Folder | None, tasks: Tasks) -> None:
-        """`folder`: in place of the one at `path`."""
+        """`folder`: used instead of the one at `path`, without a disk thread."""
         self.ip, self.tasks = ip, tasks
         self.folder = folder or DiskFolder(path)
-        self.thread = ThreadPoolExecutor(1, "disk") if folder is None else None
+        self.executor = ThreadPoolExecutor(1, "disk") if folder is None else None
         self.version_files = VersionFiles(self.folder)
         self.state_file = AcceptorStateFile(self.folder)
         self.version_store = VersionStore()
@@ -51,60 +51,59 @@
         self.disk_id = ""
         self.state = AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE)
         self.decided = UNKNOWN_VALUE
-        self.written = UNKNOWN_VALUE  # the decided value that is on the disk
-        self.needed: dict[
-            VersionId, ConfigVersion
-        ] = {}  # what is accepted and decided, whatever else arrives
+        self.persisted_decided = UNKNOWN_VALUE  # the decided value on the disk
+        # Versions of the accepted and the decided value, kept regardless of what `version_store` drops.
+        self.retained_versions: dict[VersionId, ConfigVersion] = {}
 
     @property
     def seat(self) -> str:
-        """The address and the disk's identity, as member lists name them."""
+        """The seat of this disk, as member lists name it (`10.0.0.1/9f3c`)."""
         return format_seat(self.ip, self.disk_id)
 
-    async def open(self, first: Value | None) -> None:
-        """Load what the disk has; an empty or damaged one gets a new identity. OSError where it refuses.
+    async def open(self, initial_value: Value | None) -> None:
+        """Load the state from disk; an empty or damaged disk gets a new identity. Raises OSError if the disk fails.
 
-        `first`: the value of a system that starts for the first time; None on any other start.
+        `initial_value`: the value at the first start of a cluster; None on any other start.
         """
         persisted = None
         try:
-            persisted = await self._on_disk(self.state_file.open)
+            persisted = await self._run_on_disk(self.state_file.open)
         except ValueError as error:
             log_event(Event.ACCEPTOR_STATE_DAMAGED, ip=self.ip, error=error)
-            first = None
-        versions = await self._on_disk(self.version_files.open)
+            initial_value = None
+        versions = await self._run_on_disk(self.version_files.open)
         if persisted is None:
-            persisted = await self._write_new_identity(first)
+            persisted = await self._write_new_identity(initial_value)
         self.disk_id, self.state = persisted.disk_id, persisted.acceptor_state
-        self.decided = self.written = persisted.decided
+        self.decided = self.persisted_decided = persisted.decided
         for version in versions:
             if version.version_id in (self.state.value.version_id, self.decided.version_id):
                 self.version_store.add(version)
-        self._retain_needed()
+        self._retain_versions()
 
-    async def _write_new_identity(self, first: Value | None) -> PersistedState:
-        """Give an empty disk an identity.
+    async def _write_new_identity(self, initial_value: Value | None) -> PersistedState:
+        """Write an identity to an empty disk.
 
-        `replace_wiped_disk` of membership/reconfiguration.py lets it into the member list again.
+        `replace_wiped_disk` of membership/reconfiguration.py makes the new seat a member again.
         """
-        value = first or UNKNOWN_VALUE
-        disk_id = INITIAL_DISK_ID if first else secrets.token_hex(DISK_ID_BYTES)
+        value = initial_value or UNKNOWN_VALUE
+        disk_id = INITIAL_DISK_ID if initial_value else secrets.token_hex(DISK_ID_BYTES)
         persisted = PersistedState(disk_id, AcceptorState(NO_BALLOT, NO_BALLOT, value), value)
-        await self._on_disk(self.state_file.write, persisted)
+        await self._run_on_disk(self.state_file.write, persisted)
         log_event(Event.DISK_IDENTITY_ASSIGNED, seat=format_seat(self.ip, persisted.disk_id))
         return persisted
 
-    async def _on_disk(self, act: Callable[[*Args], T], *args: *Args) -> T:
-        """Run a blocking call in the disk's thread."""
-        return await asyncio.get_running_loop().run_in_executor(self.thread, act, *args)
+    async def _run_on_disk(self, function: Callable[[*Args], T], *args: *Args) -> T:
+        """Run a blocking call in the disk thread."""
+        return await asyncio.get_running_loop().run_in_executor(self.executor, function, *args)
 
-    async def _run_to_end(self, act: Coroutine[None, None, T]) -> T:
-        """Run this to its end also where the caller is cancelled. OSError where the disk refuses."""
+    async def _run_shielded(self, operation: Coroutine[None, None, T]) -> T:
+        """Run the operation to completion even if the caller is cancelled. Raises OSError if the disk fails."""
 
         async def run() -> Result[T, OSError]:
-            """Run it, with a refusal as a value: an error would be lost with a cancelled caller."""
+            """Return a disk error as a value: an exception would be lost if the caller is cancelled."""
             try:
-                return Success(await act)
+                return Success(await operation)
             except OSError as error:
                 log_event(Event.DISK_WRITE_FAILED, error=error)
                 return Failure(error)
@@ -117,8 +116,8 @@
     # Prepare and accept
 
     async def prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
-        """Return whether the ballot is promised, synced, and the state. OSError where the disk refuses."""
-        return await self._run_to_end(self._prepare(ballot))
+        """Return whether the ballot is promised and synced, and the state. Raises OSError if the disk fails."""
+        return await self._run_shielded(self._prepare(ballot))
 
     async def _prepare(self, ballot: Ballot) -> tuple[bool, AcceptorState]:
         async with self.write_lock:
@@ -128,11 +127,11 @@
             return is_granted, self.state
 
     async def accept(self, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
-        """Return whether the value is accepted, synced, and the highest ballot promised.
+        """Return whether the value is accepted and synced, and the highest promised ballot.
 
-        None where its configuration version is not here. OSError where the disk refuses.
+        None if the configuration version that the value names is not stored here. Raises OSError if the disk fails.
         """
-        return await self._run_to_end(self._accept(ballot, value))
+        return await self._run_shielded(self._accept(ballot, value))
 
     async def _accept(self, ballot: Ballot, value: Value) -> tuple[bool, Ballot] | None:
         async with self.write_lock:
@@ -145,56 +144,56 @@
 
     async def _write(self, state: AcceptorState) -> None:
         decided = self.decided
-        await self._on_disk(self.state_file.write, PersistedState(self.disk_id, state, decided))
-        self.state, self.written = state, decided
-        self._retain_needed()
+        await self._run_on_disk(self.state_file.write, PersistedState(self.disk_id, state, decided))
+        self.state, self.persisted_decided = state, decided
+        self._retain_versions()
 
-    # What is decided
+    # Decided value
 
     def learn(self, value: Value) -> bool:
-        """Return whether this decided value is newer. It is on the disk with the next write."""
+        """Record a decided value; return whether it is newer. It reaches the disk with the next write."""
         if value.change <= self.decided.change:
             return False
         self.decided = value
-        self._retain_needed()
+        self._retain_versions()
         return True
 
-    async def save(self) -> None:
-        """Write the decided value to the disk. OSError where the disk refuses."""
-        await self._run_to_end(self._save())
+    async def save_decided(self) -> None:
+        """Write the decided value to the disk. Raises OSError if the disk fails."""
+        await self._run_shielded(self._save_decided())
 
-    async def _save(self) -> None:
+    async def _save_decided(self) -> None:
         async with self.write_lock:
-            if self.written != self.decided:
+            if self.persisted_decided != self.decided:
                 await self._write(self.state)
 
     # Configuration versions
 
-    def _retain_needed(self) -> None:
+    def _retain_versions(self) -> None:
         version_ids = {self.state.value.version_id, self.decided.version_id} - {NO_VERSION}
-        self.needed = {
+        self.retained_versions = {
             version_id: version
             for version_id in version_ids
-            if (version := self.version(version_id)) is not None
+            if (version := self.get_version(version_id)) is not None
         }
 
-    def version(self, version_id: VersionId) -> ConfigVersion | None:
-        """Return this version where it is in memory."""
-        return self.needed.get(version_id) or self.version_store.get(version_id.digest)
+    def get_version(self, version_id: VersionId) -> ConfigVersion | None:
+        """Return this version if it is in memory."""
+        return self.retained_versions.get(version_id) or self.version_store.get(version_id.digest)
 
     def has_version(self, version_id: VersionId) -> bool:
-        """Whether this version is here, synced; `NO_VERSION` always is."""
+        """Whether this version is stored here and synced; always true for `NO_VERSION`."""
         if version_id == NO_VERSION:
             return True
-        return self.version_files.has(version_id) and self.version(version_id) is not None
+        return self.version_files.has(version_id) and self.get_version(version_id) is not None
 
     async def save_version(self, version: ConfigVersion) -> bool:
-        """Keep this version, synced; return False where the disk refuses."""
+        """Store and sync this version; return False if the disk fails."""
         if not check_invariant(
             version.is_intact(), "a stored version is complete", number=version.version_id.number
         ):
             return False
-        return await self._run_to_end(self._save_version(version))
+        return await self._run_shielded(self._save_version(version))
 
     async def _save_version(self, version: ConfigVersion) -> bool:
         self.version_store.add(version)
@@ -202,11 +201,11 @@
             if not self.version_files.has(version.version_id):
                 needed = {self.state.value.version_id, self.decided.version_id}
                 try:
-                    await self._on_disk(self.version_files.save, version, needed)
+                    await self._run_on_disk(self.version_files.save, version, needed)
                 except OSError as error:
                     log_event(Event.DISK_WRITE_FAILED, error=error)
                     return False
                 generation = f"r{version.version_id.number}"
                 log_event(Event.VERSION_STORED, generation=generation, bytes=len(version.body))
-            self._retain_needed()
+            self._retain_versions()
         return True
--- a/irisdeal/config_store/membership/decided_value.py
+++ b/irisdeal/config_store/membership/decided_value.py
@@ -1,4 +1,4 @@
-"""Which value the statuses of several replicas show to be decided. No input or output here."""
+"""Derives decided values from the statuses of several replicas. No I/O."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def decided_among(statuses: Iterable[ReplicaStatus]) -> Value | None:
-    """Return the newest value that a quorum of its own list accepted in one ballot; None where there is none.
+    """Return the newest value that a quorum of its own member list accepted in one ballot; None if there is none.
 
-    That a replica accepted a ballot stays true, so statuses of different moments may be combined.
+    An accepted ballot is never undone, so statuses of different times may be combined.
     """
     acceptors: dict[tuple[Ballot, Value], set[str]] = {}
     for status in statuses:
@@ -22,18 +22,18 @@
 
 
 def value_for_read(statuses: Iterable[ReplicaStatus], known: Members) -> Value | None:
-    """Return what a linearizable read answers: the newest decided value.
+    """Return the newest decided value for a linearizable read.
 
     Args:
-        statuses: all requested after the read began.
-        known: the newest list of members that the reader knows.
+        statuses: statuses that were all requested after the read began.
+        known: the newest member list that the reader has learned as decided.
 
     Returns:
-        None where too few answered, or where a ballot is needed first: the highest accepted value is not shown to
-        be decided, and may yet be decided, or lost.
+        None without a quorum of replies, or if a ballot is needed first: the statuses do not show that the highest
+        accepted value is decided, so it may still be decided or discarded.
     """
-    answers = list(statuses)
-    if not known.is_quorum(status.seat for status in answers):
+    replies = list(statuses)
+    if not known.is_quorum(status.seat for status in replies):
         return None
-    highest = max(status.accepted for status in answers)
-    return decided_among(status for status in answers if status.accepted == highest)
+    highest = max(status.accepted for status in replies)
+    return decided_among(status for status in replies if status.accepted == highest)
--- a/irisdeal/config_store/membership/goals.py
+++ b/irisdeal/config_store/membership/goals.py
@@ -1,4 +1,4 @@
-"""What a list of members must withstand, and so how many members it has. No input or output here."""
+"""The failures that a member list must tolerate, and the list size that follows from them. No I/O."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MIN_MEMBERS = 3  # where there are as many machines: the smallest list that stands a loss
-DEFAULT_MAX_MEMBERS = 5  # where nothing asks for more: more would only add disks to wait for
-MAX_MEMBERS = 9  # whatever is asked for
+MIN_MEMBERS = 3  # the smallest list that tolerates the loss of a member, if there are enough machines
+DEFAULT_MAX_MEMBERS = 5  # unless the tolerance needs more: further members only add disks to wait for
+MAX_MEMBERS = 9  # upper limit for any tolerance
 
 
 @dataclass(frozen=True)
 class ReconfigurationGoals:
-    """Which losses the list must withstand at once.
+    """The simultaneous losses that the member list must tolerate.
 
     Attributes:
-        machines: number of machines, of `settings.tolerance`.
-        zones: number of zones, of `settings.tolerance`.
-        regions: number of regions, of `settings.tolerance`.
-        region_of: the region of each zone; a zone that is not named is a region of its own.
-        sync_s: s within which a machine that came back has caught up.
+        machines: number of lost machines, from `settings.tolerance`.
+        zones: number of lost zones, from `settings.tolerance`.
+        regions: number of lost regions, from `settings.tolerance`.
+        region_of: the region of each zone; a zone that is not listed is a region of its own.
+        sync_s: seconds within which a restarted machine catches up.
     """
 
     machines: int = 1
@@ -31,21 +31,18 @@
 
     @property
     def min_members(self) -> int:
-        """The list is never made shorter than this, where it was as long."""
+        """Minimum list size; a change never shrinks the list below it."""
         return min(MAX_MEMBERS, max(MIN_MEMBERS, 2 * self.machines + 1))
 
     @property
     def max_members(self) -> int:
-        """The list is never made longer than this.
-
-        With one member in each zone (or region) so many members withstand the loss.
-        """
+        """Maximum list size: enough members to tolerate the losses with one member in each zone or region."""
         return min(
             MAX_MEMBERS, max(DEFAULT_MAX_MEMBERS, 2 * max(self.machines, self.zones, self.regions) + 1)
         )
 
     def largest_loss(self, zones: Iterable[str]) -> int:
-        """Return how many members the largest loss to withstand takes.
+        """Return the number of members lost in the worst case that must be tolerated.
 
         Args:
             zones: the zone of each member.
@@ -54,9 +51,13 @@
         by_region: Counter[str] = Counter()
         for zone, count in by_zone.items():
             by_region[self.region_of.get(zone, zone)] += count
-        return max(self.machines, _in_largest(by_zone, self.zones), _in_largest(by_region, self.regions))
+        return max(
+            self.machines,
+            _members_in_largest(by_zone, self.zones),
+            _members_in_largest(by_region, self.regions),
+        )
 
 
-def _in_largest(counts: Counter[str], how_many: int) -> int:
-    """Return how many members the largest so many groups have together."""
-    return sum(count for _, count in counts.most_common(how_many))
+def _members_in_largest(counts: Counter[str], group_count: int) -> int:
+    """Return the total number of members in the `group_count` largest groups."""
+    return sum(count for _, count in counts.most_common(group_count))
--- a/irisdeal/config_store/membership/messages.py
+++ b/irisdeal/config_store/membership/messages.py
@@ -1,4 +1,4 @@
-"""The message of the call `state`, by which replicas exchange their status."""
+"""The message of the `state` call, with which replicas exchange their status."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """One replica's status, as of when it was sent. What it accepted is synced to its disk before it is reported.
+    """The status of one replica when it was sent. An accepted value is synced to disk before it is reported.
 
     Attributes:
         seat: the replica (see `members`).
         zone: the failure domain of its machine.
         accepted: the ballot under which it accepted `value`.
-        value: the value that it accepted last, perhaps not decided.
-        decided: the newest value that it knows to be decided.
-        has_body: whether it has the body of `decided`, synced: it has caught up.
+        value: the last accepted value, not necessarily decided.
+        decided: the newest value known to it as decided.
+        has_body: whether it has synced the body of `decided`, so that it has caught up.
         is_leaving: whether it is shutting down gracefully.
     """
 
@@ -37,7 +37,7 @@
         return ip_of(self.seat)
 
     def encode(self) -> list[object]:
-        """Return the form on the wire. Peers of other releases read it by position."""
+        """Return the fields in wire order. Peers of other releases read them by position."""
         return [
             self.seat,
             self.zone,
@@ -50,7 +50,7 @@
 
     @staticmethod
     def decode(fields: list[Any]) -> ReplicaStatus:
-        """Read what `encode` made. Raises ValueError or TypeError where it is no status."""
+        """Decode the output of `encode`. Raises ValueError or TypeError if malformed."""
         seat, zone, accepted, value, decided, has_body, leaving = fields
         return ReplicaStatus(
             str(seat),
--- a/irisdeal/config_store/membership/status_rounds.py
+++ b/irisdeal/config_store/membership/status_rounds.py
@@ -1,8 +1,8 @@
-"""Status rounds of one replica: it asks all others for their status, and proposes changes of the member list.
+"""Status rounds of one replica: it polls its peers for their status and proposes membership changes.
 
-From the answers it knows whether it has contact with a quorum, what is decided, and who became a member or left. A
-peer that does not answer is waited for beside the rounds. What takes a disk's time or a ballot's runs beside the
-rounds, too, one such background task at a time.
+From the replies it derives its quorum contact, the decided value, and membership changes. Rounds do not wait for
+peers that do not reply. Work that needs the disk or a ballot runs in one background task at a time, so that it does
+not delay the rounds either.
 """
 
 from __future__ import annotations
@@ -28,28 +28,29 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-STATUS_INTERVAL_S = 0.5  # between two rounds; what was missed is received within two of them
-SEARCH_INTERVAL_S = 0.12  # between two rounds without contact
-# For this long, to twice as long, a value may be accepted and not known to be decided; then a ballot decides it.
+STATUS_INTERVAL_S = 0.5  # between two rounds; a lost notice is made up for within two rounds
+SEARCH_INTERVAL_S = 0.12  # between two rounds without quorum contact
+# After this time, up to twice as long, a ballot decides a value that is accepted but not known to be decided.
 UNDECIDED_WAIT_S = 0.3
-STATUS_TIMEOUT_S = 0.35  # for a short answer of another machine: hundreds of round trips
-STATUS_WAIT_S = 0.02  # that a round waits for the answers of healthy peers: a few round trips
-DEFAULT_SYNC_S = 4.0  # the bound `sync_s` where no setting says another
+STATUS_TIMEOUT_S = 0.35  # for a short reply from another machine: hundreds of round trips
+STATUS_WAIT_S = 0.02  # how long a round waits for the replies of healthy peers: a few round trips
+DEFAULT_SYNC_S = 4.0  # default of the bound `sync_s` in the settings
 NOTHING_UNDECIDED = (-1, 0.0)
 
-LearnDecided = Callable[[Value, list[str]], None]  # this value is decided, its body is at these addresses
+# Takes a decided value and the addresses that have its body.
+LearnDecided = Callable[[Value, list[str]], None]
 
 
 class StatusRounds:
-    """One replica's view of its peers.
+    """Polls the peers of one replica.
 
     Args:
-        settings: of the process; replaced on a reload.
-        acceptor: the own acceptor.
+        settings: settings of the process; replaced on a reload.
+        acceptor: the acceptor of this replica.
         peers: calls to the other replicas.
-        proposer: the own proposer.
-        tasks: where tasks are started, so that the process can cancel them.
-        learn: called with each value that was learned to be decided, and the addresses that have its body.
+        proposer: the proposer of this replica.
+        tasks: starts tasks, so that the process can cancel them.
+        learn: called with each decided value that a status shows, and the addresses that have its body.
     """
 
     def __init__(
@@ -70,18 +71,18 @@
         self.contact = QuorumContact()
         self.monitor = MembershipMonitor(now())
         self.random = random.Random(acceptor.ip)
-        self.leaving = False
-        self.had_contact = False  # as was logged last
-        self.requested: set[str] = set()  # addresses whose answer is pending
-        # The highest change that was accepted and is not known to be decided, and since when.
+        self.is_leaving = False
+        self.had_contact = False  # as logged last
+        self.pending_requests: set[str] = set()  # addresses with an outstanding status request
+        # The highest accepted change that is not known to be decided, and when it was first seen, plus jitter.
         self.undecided: tuple[int, float] = NOTHING_UNDECIDED
-        self.background: asyncio.Task[None] | None = None
+        self.background_task: asyncio.Task[None] | None = None
 
-    # What is known
+    # State
 
     @property
     def members(self) -> Members:
-        """The newest list that is known to be decided."""
+        """The newest member list known to be decided."""
         return self.acceptor.decided.members
 
     def other_ips(self) -> list[str]:
@@ -90,39 +91,39 @@
         return sorted((ips | set(ports.seeds(self.settings)) | set(self.learners())) - {self.settings.ip})
 
     def learners(self) -> list[str]:
-        """Return the addresses of live replicas outside the list."""
+        """Return the addresses of live replicas that are not members."""
         return self.monitor.learners(self.acceptor.decided, now())
 
     def has_contact(self) -> bool:
-        """Whether this replica may answer for the store."""
+        """Whether this replica may serve requests for the store."""
         return self.contact.has_lease(self.members, self.acceptor.seat, now())
 
     def knowledge_age_s(self, change: int) -> float:
-        """Return the s since a moment by which all that was decided is in force here; inf where there was none.
+        """Return the seconds since a time before which every decided change is applied here; inf if there is none.
 
         Args:
-            change: number of the change that is in force here.
+            change: number of the change that is applied here.
         """
         accepted = self.acceptor.state.value.change
         return self.contact.knowledge_age_s(self.members, self.acceptor.seat, now(), change, accepted)
 
     def own_status(self) -> ReplicaStatus:
         """Return this replica's status."""
-        kept, decided = self.acceptor.state, self.acceptor.decided
+        accepted_state, decided = self.acceptor.state, self.acceptor.decided
         return ReplicaStatus(
             self.acceptor.seat,
             self.settings.zone,
-            kept.accepted,
-            kept.value,
+            accepted_state.accepted,
+            accepted_state.value,
             decided,
             decided != UNKNOWN_VALUE and self.acceptor.has_version(decided.version_id),
-            self.leaving,
+            self.is_leaving,
         )
 
     # Requests
 
     def record_status(self, status: ReplicaStatus) -> None:
-        """Take a peer's status, requested or not."""
+        """Process a peer's status, whether requested or sent with a request."""
         self.monitor.record_status(status, now())
         if status.has_body:
             self.peers.newest[status.ip] = status.decided.version_id
@@ -130,28 +131,28 @@
         self.learn(status.decided, [status.ip])
 
     async def request_status(self, ip: str) -> ReplicaStatus | None:
-        """Request a peer's status; None where it does not answer. Only an answer shows that we reach it."""
+        """Request a peer's status; None without a reply. Only a reply shows that the peer is reachable."""
         asked_at = now()
-        answer = await self.peers.call(ip, "state", self.own_status().encode(), STATUS_TIMEOUT_S)
-        if not isinstance(answer, Success):
+        result = await self.peers.call(ip, "state", self.own_status().encode(), STATUS_TIMEOUT_S)
+        if not isinstance(result, Success):
             return None
-        status = ReplicaStatus.decode(answer.unwrap())
+        status = ReplicaStatus.decode(result.unwrap())
         self.record_status(status)
         self.contact.record_answer(status.seat, asked_at, status.value.change)
         return status
 
     async def _request_once(self, ip: str) -> None:
-        """Request a peer's status unless a request to it is pending."""
-        if ip not in self.requested:
-            self.requested.add(ip)
+        """Request a peer's status unless a request to it is outstanding."""
+        if ip not in self.pending_requests:
+            self.pending_requests.add(ip)
             try:
                 await self.request_status(ip)
             finally:
-                self.requested.discard(ip)
+                self.pending_requests.discard(ip)
 
     def announce_leaving(self) -> None:
-        """Send all peers a status that says that this replica shuts down."""
-        self.leaving = True
+        """Notify all peers that this replica is shutting down."""
+        self.is_leaving = True
         self.monitor.record_status(self.own_status(), now())
         for ip in self.other_ips():
             self.tasks.start(self.request_status(ip))
@@ -159,7 +160,7 @@
     # Rounds
 
     async def run(self) -> None:
-        """Run a round at each interval, until cancelled."""
+        """Run status rounds until cancelled."""
         while True:
             if self.contact.tick(now()):
                 log_event(Event.PROCESS_STALLED)
@@ -171,10 +172,10 @@
             await asyncio.sleep(STATUS_INTERVAL_S if self.had_contact else SEARCH_INTERVAL_S)
 
     def _evaluate(self) -> None:
-        """Draw the conclusions from all statuses together."""
-        own, at = self.own_status(), now()
-        self.monitor.record_status(own, at)
-        for event, seat in self.monitor.new_events(self.acceptor.decided, self.acceptor.seat, at):
+        """Evaluate the statuses after a round: events, decided value, contact, background work."""
+        own_status, current_time = self.own_status(), now()
+        self.monitor.record_status(own_status, current_time)
+        for event, seat in self.monitor.new_events(self.acceptor.decided, self.acceptor.seat, current_time):
             log_event(event, seat=seat)
         statuses = [peer.status for peer in self.monitor.statuses.values()]
         decided = decided_among(statuses)
@@ -186,39 +187,39 @@
                 Event.QUORUM_CONTACT_REGAINED if self.had_contact else Event.QUORUM_CONTACT_LOST,
                 list=self.members.number,
             )
-        if self.background is None or self.background.done():
-            self.background = self.tasks.start(self._run_background(statuses))
+        if self.background_task is None or self.background_task.done():
+            self.background_task = self.tasks.start(self._run_background(statuses))
 
     async def _run_background(self, statuses: Iterable[ReplicaStatus]) -> None:
-        """Do what takes a disk's time or a ballot's."""
+        """Do the work that needs the disk or a ballot."""
         try:
             await self._catch_up(statuses)
-            await self.acceptor.save()
+            await self.acceptor.save_decided()
         except OSError:
-            return  # logged as event 203; the next round tries again
+            return  # logged as DISK_WRITE_FAILED; the next round retries
         if self.had_contact:
-            await self._decide_undecided(statuses)
+            await self._recover_undecided(statuses)
             await self._propose_members()
 
     async def _catch_up(self, statuses: Iterable[ReplicaStatus]) -> None:
-        """Accept what is decided as others accepted it, as if its proposer had reached us."""
-        kept, decided = self.acceptor.state, self.acceptor.decided
+        """Accept the decided value under the ballot of its proposer, as if the accept request had arrived here."""
+        accepted_state, decided = self.acceptor.state, self.acceptor.decided
         for status in statuses:
-            is_acceptable = status.value == decided and status.accepted >= kept.promised
-            if is_acceptable and kept.value != decided:
+            is_acceptable = status.value == decided and status.accepted >= accepted_state.promised
+            if is_acceptable and accepted_state.value != decided:
                 log_event(Event.ACCEPTOR_CAUGHT_UP, change=decided.change, ballot=status.accepted.count)
                 await self.acceptor.accept(status.accepted, status.value)
                 return
 
-    async def _decide_undecided(self, statuses: Iterable[ReplicaStatus]) -> None:
-        """Run a ballot for a value that was accepted and is not known to be decided.
+    async def _recover_undecided(self, statuses: Iterable[ReplicaStatus]) -> None:
+        """Run a ballot if a value has been accepted for some time without being known as decided.
 
-        It may have been confirmed by a replica that is partitioned now. All that see it wait a random time, and
-        whoever is first spares the others the ballot.
+        It may have been confirmed by a replica that is now partitioned. Each replica that sees it waits a random
+        time, so that usually only the first one runs a ballot.
         """
-        kept, decided = self.acceptor.state, self.acceptor.decided
-        # Nothing under the ballot of what is decided can be decided any more.
-        finished = kept.accepted if kept.value == decided else NO_BALLOT
+        accepted_state, decided = self.acceptor.state, self.acceptor.decided
+        # No other value can be decided under a ballot up to that of the decided value.
+        finished = accepted_state.accepted if accepted_state.value == decided else NO_BALLOT
         change = max((status.value.change for status in statuses if status.accepted > finished), default=-1)
         undecided_change, since = self.undecided
         if change <= decided.change:
@@ -231,7 +232,7 @@
             await self.proposer.read(BALLOT_TIMEOUT_S)
 
     async def _propose_members(self) -> None:
-        """Propose the next list where there is one and it is our turn, and complete it at once."""
+        """Propose the next member list if it is this replica's turn, and complete a joint list at once."""
         members = self.members
         proposal = self.monitor.next_proposal(self.acceptor.decided, self.acceptor.seat, now(), self._goals())
         if proposal is None:
@@ -243,12 +244,13 @@
             former=" ".join(proposal.former),
         )
         await self.proposer.decide(set_members(proposal), lambda value: value.members != members)
-        if proposal.former and self.members == proposal:  # a joint list stands fewer losses: complete it now
+        # A joint list tolerates fewer losses, so it is completed at once.
+        if proposal.former and self.members == proposal:
             completed = set_members(proposal.leave_joint())
             await self.proposer.decide(completed, lambda value: value.members != proposal)
 
     def _goals(self) -> ReconfigurationGoals:
-        """Return what the settings ask the list to withstand."""
+        """Return the losses to tolerate according to the settings."""
         settings = self.settings
         return ReconfigurationGoals(
             settings.tolerance.machines,
--- a/irisdeal/config_store/membership/survey.py
+++ b/irisdeal/config_store/membership/survey.py
@@ -1,4 +1,4 @@
-"""The status of all stores that run, requested once by somebody who is no replica."""
+"""Requests the status of all running stores once, from a process that is not a replica."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime.settings import Address
 
-TIMEOUT_S = 1.0  # for an answer: hundreds of round trips
-CLIENT_NAME = "irisdeal almanac"  # what stores of all releases are told of who asks
+STATUS_TIMEOUT_S = 1.0  # for a reply: hundreds of round trips
+CLIENT_NAME = "irisdeal almanac"  # client name on the connection, fixed across releases
 
 
 @dataclass(frozen=True)
 class Survey:
-    """Answers of stores.
+    """Replies of the surveyed stores.
 
     Attributes:
-        statuses: the status of each store that answered, by address.
-        failures: why there is none of each other store, by address.
+        statuses: the status of each store that replied, by address.
+        failures: the error for each store that did not, by address.
     """
 
     statuses: dict[Address, ReplicaStatus]
@@ -32,7 +32,7 @@
 
     @property
     def decided(self) -> Value:
-        """The newest value that any store knows to be decided; `UNKNOWN_VALUE` where none does."""
+        """The newest decided value in any status; `UNKNOWN_VALUE` if there is none."""
         return max(
             (status.decided for status in self.statuses.values()),
             key=lambda value: value.change,
@@ -41,59 +41,59 @@
 
     @property
     def members(self) -> Members:
-        """The newest list of members that any store knows."""
+        """The newest decided member list in any status."""
         return self.decided.members
 
     def answered(self) -> frozenset[str]:
-        """Return the seats that answered."""
+        """Return the seats that replied."""
         return frozenset(status.seat for status in self.statuses.values())
 
     @property
     def has_quorum(self) -> bool:
-        """Whether a quorum of the newest list answered."""
+        """Whether a quorum of the newest member list replied."""
         return self.members.is_quorum(self.answered())
 
     def spare_members(self) -> int:
-        """Return how many more members may be lost before there is no quorum; -1 where there is none now."""
+        """Return how many more members may be lost while a quorum remains; -1 if there is none now."""
         answered = self.answered()
         lists = [seats for seats in (self.members.seats, self.members.former) if seats]
         spare = min((len(answered & set(seats)) - majority(seats) for seats in lists), default=-1)
         return max(-1, spare)
 
     def learners(self) -> list[str]:
-        """Return the seats that answered and are no members."""
+        """Return the seats that replied and are not members, sorted."""
         return sorted(self.answered() - self.members.voters())
 
 
 async def request_status(address: Address) -> Result[ReplicaStatus, str]:
-    """Request one store's status. A failure says why there is none."""
+    """Request one store's status; a failure holds the error text."""
     client = RpcClient(address, CLIENT_NAME)
     try:
-        answer = await client.call("state", None, TIMEOUT_S)
-        if isinstance(answer, Success):
-            return Success(ReplicaStatus.decode(answer.unwrap()))
-        return Failure(answer.failure().detail)
+        result = await client.call("state", None, STATUS_TIMEOUT_S)
+        if isinstance(result, Success):
+            return Success(ReplicaStatus.decode(result.unwrap()))
+        return Failure(result.failure().detail)
     except (ValueError, TypeError) as error:
-        return Failure(f"its answer is no report: {error}")
+        return Failure(f"malformed status: {error}")
     finally:
         client.close()
 
 
 async def survey(addresses: Iterable[Address]) -> Survey:
-    """Ask these stores, and at the same ports all members that they name."""
+    """Survey these stores, and all members named in their replies at the same ports."""
     statuses: dict[Address, ReplicaStatus] = {}
     failures: dict[Address, str] = {}
-    waiting = set(addresses)
-    ports = {port for _, port in waiting}
-    while waiting:
-        asked = sorted(waiting)
-        answers = await asyncio.gather(*map(request_status, asked))
-        for address, answer in zip(asked, answers, strict=True):
-            if isinstance(answer, Success):
-                statuses[address] = answer.unwrap()
+    pending = set(addresses)
+    ports = {port for _, port in pending}
+    while pending:
+        batch = sorted(pending)
+        results = await asyncio.gather(*map(request_status, batch))
+        for address, result in zip(batch, results, strict=True):
+            if isinstance(result, Success):
+                statuses[address] = result.unwrap()
             else:
-                failures[address] = answer.failure()
+                failures[address] = result.failure()
         ips = {ip for status in statuses.values() for ip in status.decided.members.ips() | {status.ip}}
         named = {(ip, port) for ip in ips for port in ports}
-        waiting = named - set(statuses) - set(failures)
+        pending = named - set(statuses) - set(failures)
     return Survey(statuses, failures)
--- a/irisdeal/config_store/membership/view.py
+++ b/irisdeal/config_store/membership/view.py
@@ -1,4 +1,4 @@
-"""What one replica knows of the others when it considers a change of the list. No input or output here."""
+"""One replica's view of its peers, from which membership changes are derived. No I/O."""
 
 from __future__ import annotations
 
@@ -13,48 +13,46 @@
 from irisdeal.config_store.membership.members import ip_of, majority
 from irisdeal.config_store.membership.messages import ReplicaStatus
 
-DEAD_AFTER_S = (
-    2.0  # without a status: four rounds; a process that is killed and started again is back within one
-)
-RECENT_S = 1.2  # two rounds of 0.5 and an answer; whose status is younger is healthy
-MAX_LAG_CHANGES = 4  # that a learner may be behind: made between two rounds at 160 changes in 22 s
+DEAD_AFTER_S = 2.0  # four rounds without a status; a killed process that restarts is back within one
+HEALTHY_AGE_S = 1.2  # maximum status age of a healthy peer: two rounds of 0.5 s and a reply
+MAX_LAG_CHANGES = 4  # how far a ready learner may be behind: 160 changes in 22 s make 4 between two rounds
 
 
 class PeerStatus(NamedTuple):
-    """The last status of a seat.
+    """The last status of a seat. Times are in seconds of the monotonic clock.
 
     Attributes:
-        at: when it was received, in s of the monotonic clock.
+        received_at: when it was received.
         status: the status.
-        steady_since: since when statuses have come without a break of `DEAD_AFTER_S`.
+        steady_since: start of the current series of statuses without a gap of `DEAD_AFTER_S`.
     """
 
-    at: float
+    received_at: float
     status: ReplicaStatus
     steady_since: float = float("-inf")
 
 
-PeerStatuses = Mapping[str, PeerStatus]  # by seat; the own seat's status is one of them
+PeerStatuses = Mapping[str, PeerStatus]  # by seat, including the own seat
 Seats = frozenset[str]
 
 
 @dataclass(frozen=True)
 class MembershipView:
-    """What one replica knows. Times are in s of the monotonic clock.
+    """The view of one replica. Times are in seconds of the monotonic clock.
 
     Attributes:
-        value: the newest value that is known to be decided.
+        value: the newest value known to be decided.
         statuses: the last status of each seat.
-        own: the seat of this process.
-        now: the present.
-        goals: what the list must withstand.
-        listening_since: from when on this process has listened without a stall.
-        assumed_live: members that others added though this process receives nothing from them; they count as alive.
+        own_seat: the seat of this process.
+        now: the current time.
+        goals: the losses that the list must tolerate.
+        listening_since: since when this process has been receiving statuses without a stall.
+        assumed_live: members added by other proposers that this process receives nothing from; they count as alive.
     """
 
     value: Value
     statuses: PeerStatuses
-    own: str
+    own_seat: str
     now: float
     goals: ReconfigurationGoals
     listening_since: float
@@ -66,31 +64,33 @@
         return frozenset(self.value.members.seats)
 
     def unreachable_s(self, seat: str) -> float:
-        """Return the s since the seat's last status; 0 for the own seat and for those that are assumed live."""
-        if seat == self.own or seat in self.assumed_live:
+        """Return the seconds since the seat's last status; 0 for the own seat and for seats assumed live."""
+        if seat == self.own_seat or seat in self.assumed_live:
             return 0.0
         peer = self.statuses.get(seat)
-        last = peer.at if peer is not None else self.listening_since
-        return self.now - max(last, self.listening_since)
+        last_received_at = peer.received_at if peer is not None else self.listening_since
+        return self.now - max(last_received_at, self.listening_since)
 
     def is_wiped(self, seat: str) -> bool:
-        """Whether a newer status came from another disk at the seat's address: the seat's disk is gone."""
+        """Whether the seat's disk is gone: a newer status came from another disk at its address."""
         ip = ip_of(seat)
-        if seat == self.own or ip == ip_of(self.own):
-            return seat != self.own
-        at = self.statuses[seat].at if seat in self.statuses else float("-inf")
-        return any(other.at > at and other.status.ip == ip for other in self.statuses.values())
+        if seat == self.own_seat or ip == ip_of(self.own_seat):
+            return seat != self.own_seat
+        received_at = self.statuses[seat].received_at if seat in self.statuses else float("-inf")
+        return any(
+            other.received_at > received_at and other.status.ip == ip for other in self.statuses.values()
+        )
 
     def is_healthy(self, seat: str) -> bool:
-        """Whether its status is younger than `RECENT_S`, whatever this process missed."""
-        if seat == self.own:
+        """Whether its status is younger than `HEALTHY_AGE_S`, even if this process was stalled meanwhile."""
+        if seat == self.own_seat:
             return True
-        if seat not in self.statuses or self.now - self.statuses[seat].at >= RECENT_S:
+        if seat not in self.statuses or self.now - self.statuses[seat].received_at >= HEALTHY_AGE_S:
             return False
         return not self.is_wiped(seat)
 
     def live(self, seats: Iterable[str]) -> Seats:
-        """Return those of the seats that are not dead."""
+        """Return the seats that are not dead."""
         return frozenset(
             seat for seat in seats if self.unreachable_s(seat) < DEAD_AFTER_S and not self.is_wiped(seat)
         )
@@ -100,11 +100,11 @@
         return seat in self.statuses and self.statuses[seat].status.is_leaving
 
     def zone(self, seat: str) -> str:
-        """Return its zone; a seat without a status counts as a zone of its own."""
+        """Return the zone of a seat; a seat without a status counts as a zone of its own."""
         return self.statuses[seat].status.zone if seat in self.statuses else seat
 
     def ready_learners(self) -> list[str]:
-        """Return the learners that are healthy and have caught up."""
+        """Return the learners that are healthy, caught up and not leaving, sorted."""
         return sorted(
             seat
             for seat, peer in self.statuses.items()
@@ -115,27 +115,27 @@
         )
 
     def has_caught_up(self, status: ReplicaStatus) -> bool:
-        """Whether it has the body of the newest change, or of one at most `MAX_LAG_CHANGES` before it."""
-        known = status.decided
+        """Whether the replica has the body of a change at most `MAX_LAG_CHANGES` behind the newest."""
+        reported = status.decided
         return (
             status.has_body
-            and known.change >= max(0, self.value.change - MAX_LAG_CHANGES)
-            and (known.version_id != NO_VERSION or self.value.version_id == NO_VERSION)
+            and reported.change >= max(0, self.value.change - MAX_LAG_CHANGES)
+            and (reported.version_id != NO_VERSION or self.value.version_id == NO_VERSION)
         )
 
     def ready_at_new_addresses(self) -> list[str]:
-        """Return the ready learners at addresses that no member has."""
-        taken = {ip_of(seat) for seat in self.seats}
-        return [seat for seat in self.ready_learners() if ip_of(seat) not in taken]
+        """Return the ready learners whose address is not that of a member."""
+        member_ips = {ip_of(seat) for seat in self.seats}
+        return [seat for seat in self.ready_learners() if ip_of(seat) not in member_ips]
 
     def largest_loss(self, seats: Iterable[str]) -> int:
-        """Return how many of the seats the largest loss that must be withstood takes."""
+        """Return how many of the seats are lost in the worst case that must be tolerated."""
         return self.goals.largest_loss(map(self.zone, seats))
 
     def concentration(self, seats: Seats) -> tuple[int, int, int, float]:
-        """Return how concentrated a list is in few zones: the lower, the better spread.
+        """Return a sort key for how concentrated a list is in few zones and regions; lower is better spread.
 
-        Of lists that are spread alike, the one whose new seats have been steady for longer is lower.
+        Among equally spread lists, the one whose new seats have been steady for longer sorts first.
         """
         zones = Counter(map(self.zone, seats))
         regions = Counter(self.goals.region_of.get(self.zone(seat), "") for seat in seats)
@@ -152,17 +152,17 @@
         )
 
     def may_change_to(self, seats: Seats) -> bool:
-        """Whether both lists have a live majority, and the new one is not too short."""
+        """Whether the current and the new list have a live majority, and the new one is long enough."""
         return (
             len(self.live(seats)) >= majority(seats)
             and len(self.live(self.seats)) >= majority(self.seats)
             and len(seats) >= min(self.goals.min_members, len(self.seats))
         )
 
-    def best(self, choices: Iterable[Seats]) -> Seats | None:
-        """Return the best spread list of those that may be; None where none may."""
+    def best_list(self, candidates: Iterable[Seats]) -> Seats | None:
+        """Return the best spread list among the allowed candidates; None if none is allowed."""
         return min(
-            (seats for seats in choices if self.may_change_to(seats)),
+            (seats for seats in candidates if self.may_change_to(seats)),
             key=lambda seats: (self.concentration(seats), sorted(seats)),
             default=None,
         )
--- a/irisdeal/config_store/messages.py
+++ b/irisdeal/config_store/messages.py
@@ -1,8 +1,8 @@
-"""Messages that a replica of the configuration store answers, and how they stand on the wire.
+"""Messages of the configuration store, and their wire format.
 
-Each message is encoded as a list whose fields come in a fixed order: replicas and registries of two releases
-run side by side during a rolling upgrade. `decode` raises ValueError, TypeError or IndexError where the value that
-arrived is no such message.
+Each message is encoded as a list with a fixed order of fields, because replicas and registries of two releases run
+side by side during a rolling upgrade. `decode` raises ValueError, TypeError or IndexError if the received value is
+malformed.
 """
 
 from __future__ import annotations
@@ -14,36 +14,36 @@
 from irisdeal.config_store.consensus.register import AcceptorState, Ballot, Value
 from irisdeal.config_store.storage.chunks import SyncState
 
-# Names of the calls on the wire: fixed, as releases run side by side.
+# Names of the calls on the wire; fixed, because two releases run side by side during an upgrade.
 STATE = "state"
 PREPARE = "prepare"
 ACCEPT = "accept"
 DECIDED = "decided"
-PUSH_STATE = "bring"
+PUSH_CHUNK = "bring"
 FETCH = "fetch"
 PUT = "put"
 READ = "read"
 WATCH = "watch"
 
-WireBody = Any  # the body of a message as CBOR reads it, which `decode` checks
+WireBody = Any  # the body of a message as decoded from CBOR; `decode` validates it
 
-NO_CONTACT_AGE_MS = -1  # the age in a `WatchReply` of a replica that has no contact with a quorum
+NO_CONTACT_AGE_MS = -1  # `contact_age_ms` in the `WatchReply` of a replica without quorum contact
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareRequest:
-    """Phase 1 of a ballot. `seat`: the acceptor that is asked; another disk at that address does not answer."""
+    """Phase 1 of a ballot. `seat`: the addressed acceptor; another disk at its address does not answer."""
 
     seat: str
     ballot: Ballot
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.seat, self.ballot.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> PrepareRequest:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         seat, ballot = encoded
         return PrepareRequest(str(seat), Ballot.decode(ballot))
 
@@ -52,19 +52,19 @@
 class PrepareReply:
     """Whether the promise is granted, and the acceptor's synced state.
 
-    In its place the wire carries None where the seat is not this disk's, or the disk refuses the write.
+    On the wire None replaces it if the seat has another disk than the receiver, or the disk write fails.
     """
 
     is_granted: bool
     state: AcceptorState
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.is_granted, self.state.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> PrepareReply:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         is_granted, state = encoded
         return PrepareReply(bool(is_granted), AcceptorState.decode(state))
 
@@ -78,12 +78,12 @@
     value: Value
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.seat, self.ballot.encode(), self.value.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> AcceptRequest:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         seat, ballot, value = encoded
         return AcceptRequest(str(seat), Ballot.decode(ballot), Value.decode(value))
 
@@ -92,30 +92,30 @@
 class AcceptReply:
     """Whether the value is accepted and synced, and the highest ballot that the acceptor promised.
 
-    In its place the wire carries None where the seat is not this disk's, or the disk refuses the write.
+    On the wire None replaces it if the seat has another disk than the receiver, or the disk write fails.
     """
 
     is_accepted: bool
     promised: Ballot
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.is_accepted, self.promised.encode()]
 
 
 @dataclass(frozen=True, slots=True)
 class VersionMissingReply:
-    """Answer to an accept whose configuration version is not on the acceptor's disk: push it, then ask again."""
+    """Reply to an accept if the acceptor's disk lacks the configuration version: push it, then resend."""
 
     sync_state: SyncState
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire; None tells it from an `AcceptReply`."""
+        """Return the fields in wire order; None distinguishes it from an `AcceptReply`."""
         return [None, self.sync_state.encode()]
 
 
 def decode_accept_reply(encoded: Any) -> AcceptReply | VersionMissingReply:
-    """Read the answer to an `AcceptRequest` that is not None."""
+    """Decode the reply to an `AcceptRequest`, unless it is None."""
     is_accepted, detail = encoded
     if is_accepted is None:
         return VersionMissingReply(SyncState.decode(detail))
@@ -124,123 +124,123 @@
 
 @dataclass(frozen=True, slots=True)
 class DecidedNotice:
-    """A value that the sender's ballot decided. It has no answer."""
+    """Notice of a value that the sender's ballot decided. It has no reply."""
 
     ballot: Ballot
     value: Value
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.ballot.encode(), self.value.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> DecidedNotice:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         ballot, value, *_ = encoded  # a later release may append fields
         return DecidedNotice(Ballot.decode(ballot), Value.decode(value))
 
 
 @dataclass(frozen=True, slots=True)
 class PushReply:
-    """Answer to a pushed chunk: whether the version is complete and synced, and what the receiver has."""
+    """Reply to a pushed chunk: whether the version is complete and synced, and the state of the receiver."""
 
     is_complete: bool
     sync_state: SyncState
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.is_complete, self.sync_state.encode()]
 
     @staticmethod
     def decode(encoded: Any) -> PushReply:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         is_complete, sync_state = encoded
         return PushReply(bool(is_complete), SyncState.decode(sync_state))
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """Ask for the next chunk of a version: the answer is an encoded chunk, or None where it is not held."""
+    """Request for the next chunk of a version. The reply is an encoded chunk, or None if it is not available."""
 
     sync_state: SyncState
     version_id: VersionId
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.sync_state.encode(), self.version_id.number, self.version_id.digest]
 
     @staticmethod
     def decode(encoded: Any) -> FetchRequest:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         sync_state, number, digest = encoded
         return FetchRequest(SyncState.decode(sync_state), VersionId(int(number), bytes(digest)))
 
 
 @dataclass(frozen=True, slots=True)
 class PutRequest:
-    """Have this version decided. The answer is a `PutOutcome` as a number."""
+    """Request to have a version decided. The reply is a `PutOutcome` as a number."""
 
     version: ConfigVersion
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         version_id = self.version.version_id
         return [version_id.number, version_id.digest, self.version.body]
 
     @staticmethod
     def decode(encoded: Any) -> PutRequest:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         number, digest, body, *_ = encoded  # a later release may append fields
         return PutRequest(ConfigVersion(VersionId(int(number), bytes(digest)), bytes(body)))
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """Answer to a linearizable read, whose request has no fields.
+    """Reply to a linearizable read, whose request has no fields.
 
-    `is_known`: whether a quorum answered; `body`: the decided configuration, None where none was ever put.
+    `is_known`: whether a quorum replied; `body`: the decided configuration, None before the first put.
     """
 
     is_known: bool
     body: bytes | None
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.is_known, self.body]
 
     @staticmethod
     def decode(encoded: Any) -> ReadReply:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         is_known, body = encoded
         return ReadReply(bool(is_known), bytes(body) if is_known and body is not None else None)
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Long poll for what is decided after `change`, the caller's newest change; `sync_state`: what it has."""
+    """Long poll for values after `change`, the caller's newest change; `sync_state`: the state of the caller."""
 
     sync_state: SyncState
     change: int
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.sync_state.encode(), self.change]
 
     @staticmethod
     def decode(encoded: Any) -> WatchRequest:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         sync_state, change, *_ = encoded  # a later release may append fields
         return WatchRequest(SyncState.decode(sync_state), int(change))
 
 
 @dataclass(frozen=True, slots=True)
 class WatchReply:
-    """Answer to a watch.
+    """Reply to a watch.
 
-    `encoded_chunk`: the next chunk of the version of `value`, as it stands on the wire, which a `ChunkAssembler`
-    checks; None where there is none. `value`: the newest decided value whose version the replica holds.
-    `learners`: addresses of replicas outside the member list. `contact_age_ms`: age of the replica's last contact
-    with a quorum in ms, `NO_CONTACT_AGE_MS` where it has none.
+    `encoded_chunk`: the next chunk of the version of `value` in wire format, to be checked by a `ChunkAssembler`;
+    None if there is none. `value`: the newest decided value whose version the replica has. `learners`: addresses of
+    replicas outside the member list. `contact_age_ms`: knowledge age of the replica in ms (see
+    `membership/contact.py`), `NO_CONTACT_AGE_MS` without quorum contact.
     """
 
     encoded_chunk: object
@@ -249,12 +249,12 @@
     contact_age_ms: int
 
     def encode(self) -> list[Any]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return [self.encoded_chunk, self.value.encode(), list(self.learners), self.contact_age_ms]
 
     @staticmethod
     def decode(encoded: Any) -> WatchReply:
-        """Read what `encode` wrote."""
+        """Decode the output of `encode`."""
         chunk, value, learners, age_ms = encoded
         return WatchReply(
             chunk, Value.decode(value), tuple(str(learner) for learner in learners), int(age_ms)
--- a/irisdeal/config_store/metrics.py
+++ b/irisdeal/config_store/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one replica of the configuration store."""
+"""Metrics of a configuration store replica."""
 
 from __future__ import annotations
 
--- a/irisdeal/config_store/replica.py
+++ b/irisdeal/config_store/replica.py
@@ -1,6 +1,6 @@
-"""One replica of the configuration store: it accepts and proposes, learns what is decided, and answers its callers.
+"""One replica of the configuration store: acceptor, proposer and learner, and the server for its callers.
 
-All replicas are alike; there is no leader.
+All replicas have the same role; there is no leader.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     FETCH,
     NO_CONTACT_AGE_MS,
     PREPARE,
-    PUSH_STATE,
+    PUSH_CHUNK,
     PUT,
     READ,
     STATE,
@@ -55,23 +55,25 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings
 
-DEFAULT_DATA_PATH = "almanac-data"  # fixed: folders of earlier releases have this name
-PUT_TIMEOUT_S = 0.85  # the operator's tool goes to another machine after a second without an answer
-READ_TIMEOUT_S = 0.85  # likewise
-WATCH_TIMEOUT_S = 1.0  # that a watch waits for something newer
-LEAVE_NOTICE_S = 0.15  # in which all peers learn that we leave; also between two looks while we wait
-EXIT_RESERVE_S = 0.4  # of the grace period that is left for the process's own end
-HANDOVER_TIMEOUT_S = 1.5  # that we wait until others have what we have, well within any grace period
-DEFAULT_GRACE_S = 6.0  # where the settings give no `grace_s`
+DEFAULT_DATA_PATH = "almanac-data"  # fixed: the folder name of earlier releases
+PUT_TIMEOUT_S = 0.85  # operator tools switch to another machine after 1 s without a reply
+READ_TIMEOUT_S = 0.85  # for the same reason
+WATCH_TIMEOUT_S = 1.0  # how long a watch waits for a newer value
+# Time for the shutdown notice to reach all peers; also the polling interval of the handover and of fetches.
+LEAVE_NOTICE_S = 0.15
+EXIT_RESERVE_S = 0.4  # part of the grace period reserved for the exit of the process
+HANDOVER_TIMEOUT_S = 1.5  # wait for peers to catch up before exiting, well within any grace period
+DEFAULT_GRACE_S = 6.0  # if the settings have no `grace_s`
 
-Handler = Callable[[str, WireBody], Awaitable[object]]  # of the caller's name and a message; gives the answer
+# Takes the caller's name and a message, returns the reply.
+Handler = Callable[[str, WireBody], Awaitable[object]]
 
 
 class StoreReplica:
-    """The process of one replica."""
+    """A replica process."""
 
     def __init__(self, settings: Settings, folder: Folder | None = None) -> None:
-        """`folder`: in place of the one that the settings name."""
+        """`folder`: used instead of the data path in the settings."""
         self.settings, self.ip = settings, settings.ip
         self.tasks = Tasks()
         self.acceptor = Acceptor(self.ip, settings.data_path or DEFAULT_DATA_PATH, folder, self.tasks)
@@ -81,15 +83,15 @@
             self.acceptor, self.peers, self.tasks, self.announce_decision, reports_conflicts
         )
         self.rounds = StatusRounds(settings, self.acceptor, self.peers, self.proposer, self.tasks, self.learn)
-        self.applied = UNKNOWN_VALUE  # the newest decided value whose configuration version is here
-        self.fetching: asyncio.Task[None] | None = None
-        self.update = asyncio.Event()  # set, and replaced, when `applied` changes
+        self.applied = UNKNOWN_VALUE  # the newest decided value whose configuration version is stored here
+        self.fetch_task: asyncio.Task[None] | None = None
+        self.applied_event = asyncio.Event()  # set, then replaced, when `applied` changes
         self.handlers: dict[str, Handler] = {
             STATE: self._on_state,
             PREPARE: self._on_prepare,
             ACCEPT: self._on_accept,
             DECIDED: self._on_decided,
-            PUSH_STATE: self._on_push_state,
+            PUSH_CHUNK: self._on_push_chunk,
             FETCH: self._on_fetch,
             PUT: self._on_put,
             READ: self._on_read,
@@ -103,9 +105,9 @@
     # Lifecycle
 
     async def start(self) -> None:
-        """Open the disk, then answer calls. OSError where the disk or the address is refused."""
-        first = Value.initial(Members.initial(ports.seeds(self.settings)))
-        await self.acceptor.open(first if self.settings.bootstrap else None)
+        """Open the disk and start serving. Raises OSError if the disk fails or the address cannot be bound."""
+        initial_value = Value.initial(Members.initial(ports.seeds(self.settings)))
+        await self.acceptor.open(initial_value if self.settings.bootstrap else None)
         if self.acceptor.decided == UNKNOWN_VALUE:
             log_event(Event.STARTED_AS_LEARNER, seat=self.acceptor.seat)
         self._apply_decided()
@@ -114,7 +116,7 @@
         await self.metrics_server.start()
 
     async def stop(self) -> None:
-        """Shut down gracefully: hand over what we have, answer the calls in progress."""
+        """Shut down gracefully: wait until peers have caught up, and answer the calls in progress."""
         started_at = now()
         self.rounds.announce_leaving()
         await asyncio.sleep(LEAVE_NOTICE_S)
@@ -131,7 +133,7 @@
         self.peers.close()
 
     async def _wait_for_handover(self, deadline: float) -> bool:
-        """Wait until the peers no longer need us; polled, as that depends on the clock as well as on reports."""
+        """Wait until this replica may leave; polled, since that depends on elapsed time as well as on statuses."""
         while now() < deadline:
             if self._may_leave():
                 return True
@@ -145,23 +147,24 @@
         )
 
     def reload(self, settings: Settings) -> None:
-        """Use these settings from now on."""
+        """Replace the settings."""
         self.settings = self.rounds.settings = settings
 
-    # What is decided
+    # Decided values
 
     def learn(self, value: Value, ips: list[str]) -> None:
-        """Take note that this value is decided. `ips`: replicas that have its configuration version."""
+        """Process a decided value. `ips`: addresses of replicas that have its configuration version."""
         members_before = self.rounds.members
         if not self.acceptor.learn(value):
             return
         self._log_decided(value, members_before)
         if value.members != members_before:
-            self.tasks.start(self._save())  # whoever acts on this list is needed by the one before it
+            # Saved at once: replicas that still have the former list learn the new one from those that act on it.
+            self.tasks.start(self._save_decided())
         self.proposer.on_decision()
         self._apply_decided()
-        if self.applied != value and (self.fetching is None or self.fetching.done()):
-            self.fetching = self.tasks.start(self._fetch_decided(ips))
+        if self.applied != value and (self.fetch_task is None or self.fetch_task.done()):
+            self.fetch_task = self.tasks.start(self._fetch_decided(ips))
 
     @staticmethod
     def _log_decided(value: Value, members_before: Members) -> None:
@@ -172,30 +175,30 @@
             event = Event.MEMBERSHIP_JOINT if members.former else Event.MEMBERSHIP_CHANGE_COMPLETED
             log_event(event, list=members.number, seats=" ".join(members.seats))
 
-    async def _save(self) -> None:
-        """Write what is decided; a refusal is logged by the acceptor, and the next status round tries again."""
+    async def _save_decided(self) -> None:
+        """Write the decided value; the acceptor logs a disk error, and the next status round retries."""
         with contextlib.suppress(OSError):
-            await self.acceptor.save()
+            await self.acceptor.save_decided()
 
     def announce_decision(self, ballot: Ballot, value: Value) -> None:
-        """Learn what our ballot decided, and notify all replicas."""
+        """Process the decision of a ballot of this replica, and notify all other replicas."""
         self.learn(value, [])
         for ip in self.rounds.other_ips():
             self.peers.notify(ip, DECIDED, DecidedNotice(ballot, value).encode())
 
     async def _fetch_decided(self, ips: list[str]) -> None:
-        """Fetch the configuration version of the newest decided value, until it is here."""
+        """Fetch the configuration version of the newest decided value, retrying until it is stored here."""
         while self.applied.change < self.acceptor.decided.change:
             value = self.acceptor.decided
-            sources = [*ips, *self._holders(value), *sorted(value.members.ips())]
-            if await self.peers.version(value.version_id, list(dict.fromkeys(sources))):
+            sources = [*ips, *self._sources(value), *sorted(value.members.ips())]
+            if await self.peers.obtain_version(value.version_id, list(dict.fromkeys(sources))):
                 self._apply_decided()
             else:
                 await asyncio.sleep(LEAVE_NOTICE_S)
 
-    def _holders(self, value: Value) -> list[str]:
-        """Return the replicas that reported to have the version of this value, the last to answer first."""
-        peers = sorted(self.rounds.monitor.statuses.values(), key=lambda peer: peer.at, reverse=True)
+    def _sources(self, value: Value) -> list[str]:
+        """Return the replicas that reported to have the version of this value, most recent report first."""
+        peers = sorted(self.rounds.monitor.statuses.values(), key=lambda peer: peer.received_at, reverse=True)
         return [
             peer.status.ip
             for peer in peers
@@ -203,25 +206,25 @@
         ]
 
     def _apply_decided(self) -> None:
-        """Apply what is decided, once its configuration version is here, and wake the watches."""
+        """Apply the decided value once its configuration version is stored here, and complete pending watches."""
         decided = self.acceptor.decided
         if decided.change > self.applied.change and self.acceptor.has_version(decided.version_id):
             self.applied = decided
             log_event(Event.DECIDED_VERSION_STORED, change=decided.change)
-            self.update.set()
-            self.update = asyncio.Event()
+            self.applied_event.set()
+            self.applied_event = asyncio.Event()
 
-    # Calls: each is decoded, answered by a method of its own, and its answer encoded
+    # RPC dispatch: each handler decodes the request and encodes the reply of its method
 
     async def handle(self, peer: str, kind: str, body: WireBody) -> object:
-        """Answer one call. ValueError where there is no such call, or the message is malformed."""
+        """Handle one call. Raises ValueError if the call is unknown or the message malformed."""
         handler = self.handlers.get(kind)
         if handler is None:
             raise ValueError(f"no call {kind!r}")
         return await handler(peer, body)
 
     async def _on_state(self, peer: str, body: WireBody) -> object:
-        if body is not None:  # None: the caller is no replica
+        if body is not None:  # None: the caller is not a replica
             self.rounds.record_status(ReplicaStatus.decode(body))
         return self.rounds.own_status().encode()
 
@@ -239,7 +242,7 @@
         peer_ip = peer.rpartition(" ")[2]
         self.learn(notice.value, [peer_ip])
 
-    async def _on_push_state(self, peer: str, body: WireBody) -> object:
+    async def _on_push_chunk(self, peer: str, body: WireBody) -> object:
         reply = await self.peers.on_push(peer, body)
         return reply.encode()
 
@@ -259,10 +262,10 @@
         reply = await self.watch(WatchRequest.decode(body))
         return reply.encode()
 
-    # Calls of proposers
+    # Calls from proposers
 
     async def prepare(self, request: PrepareRequest) -> PrepareReply | None:
-        """Promise a ballot. None where this is not that seat's disk, or the disk refuses."""
+        """Promise a ballot. None if the seat has another disk than this replica, or the disk fails."""
         if request.seat != self.acceptor.seat:
             return None
         try:
@@ -271,7 +274,7 @@
             return None
 
     async def accept(self, request: AcceptRequest) -> AcceptReply | VersionMissingReply | None:
-        """Accept a value. None where this is not that seat's disk, or the disk refuses."""
+        """Accept a value. None if the seat has another disk than this replica, or the disk fails."""
         if request.seat != self.acceptor.seat:
             return None
         try:
@@ -282,14 +285,14 @@
             return VersionMissingReply(SyncState(self.peers.newest_id()))
         return AcceptReply(*result)
 
-    # Calls of registries
+    # Calls from registries
 
     def has_contact(self) -> bool:
-        """Whether a quorum answered within the lease."""
+        """Whether this replica has quorum contact."""
         return self.rounds.has_contact()
 
     async def put(self, version: ConfigVersion) -> PutOutcome:
-        """Have this version decided. After `PutOutcome.UNDECIDED` it may still come to be decided."""
+        """Have this version decided. After `PutOutcome.UNDECIDED` it may still be decided later."""
         if not self.has_contact():
             generation = f"r{version.version_id.number}"
             log_event(Event.REQUEST_WITHOUT_CONTACT, call=PUT, generation=generation)
@@ -297,7 +300,7 @@
         return await self.proposer.put(version, PUT_TIMEOUT_S)
 
     async def read(self) -> ReadReply:
-        """Return what is decided now (a linearizable read); not known without a quorum."""
+        """Return the decided configuration (a linearizable read); unknown without a quorum."""
         if not self.has_contact():
             log_event(Event.REQUEST_WITHOUT_CONTACT, call=READ)
             return ReadReply(False, None)
@@ -308,30 +311,30 @@
         self.learn(value, [])
         if value.version_id == NO_VERSION:
             return ReadReply(True, None)
-        version = await self.peers.version(value.version_id, sorted(value.members.ips()))
+        version = await self.peers.obtain_version(value.version_id, sorted(value.members.ips()))
         return ReadReply(version is not None, version.body if version is not None else None)
 
     async def _value_from_statuses(self) -> Value | None:
-        """Return what a quorum, asked now, shows to be decided; None where a ballot is needed."""
-        known, own = self.rounds.members, self.rounds.own_status()
-        waiting = {self.tasks.start(self.rounds.request_status(ip)) for ip in sorted(known.ips() - {self.ip})}
-        statuses = [own]
-        while (value := value_for_read(statuses, known)) is None and waiting:
-            answered, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-            statuses += [status for task in answered if (status := task.result()) is not None]
+        """Return the decided value shown by a quorum of fresh statuses; None if a ballot is needed."""
+        known, own_status = self.rounds.members, self.rounds.own_status()
+        pending = {self.tasks.start(self.rounds.request_status(ip)) for ip in sorted(known.ips() - {self.ip})}
+        statuses = [own_status]
+        while (value := value_for_read(statuses, known)) is None and pending:
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            statuses += [status for task in done if (status := task.result()) is not None]
         return value
 
     async def watch(self, request: WatchRequest) -> WatchReply:
-        """Return the applied value and the next chunk of its version, at once where it is newer, else within 1 s.
+        """Return the applied value and the next chunk of its version: at once if it is newer, otherwise within 1 s.
 
-        A caller that knows more than we do gets nothing newer from us.
+        A caller with a newer change than this replica gets no chunk.
         """
         has_applied = (request.sync_state.version_id, request.change) == (
             self.applied.version_id,
             self.applied.change,
         )
         if has_applied or self.applied.change < request.change:
-            await self._wait_for_update()
+            await self._wait_for_applied()
         applied = self.applied
         age_s = self.rounds.knowledge_age_s(applied.change)
         return WatchReply(
@@ -341,15 +344,15 @@
             math.ceil(age_s * 1000) if age_s <= CONTACT_LEASE_S else NO_CONTACT_AGE_MS,
         )
 
-    async def _wait_for_update(self) -> None:
+    async def _wait_for_applied(self) -> None:
         try:
             async with asyncio.timeout(WATCH_TIMEOUT_S):
-                await self.update.wait()
+                await self.applied_event.wait()
         except TimeoutError:
             pass
 
     def _encoded_chunk(self, request: WatchRequest, applied: Value) -> list[object] | None:
-        """Return the next chunk for a watch; None where the caller has, or knows of, something as new."""
+        """Return the next chunk for a watch; None if the caller has this version or a newer change."""
         if applied.change < request.change:
             return None
         if applied.version_id in (request.sync_state.version_id, NO_VERSION):
--- a/irisdeal/config_store/storage/__init__.py
+++ b/irisdeal/config_store/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a replica stores: files on disk, the last versions in memory, and the chunks that transfer them."""
+"""Storage of a replica: files on disk, recent versions in memory, and the chunks that transfer them."""
--- a/irisdeal/config_store/storage/chunks.py
+++ b/irisdeal/config_store/storage/chunks.py
@@ -1,9 +1,9 @@
-"""Chunks in which a configuration version travels, and what a receiver says that it has. No input or output here.
+"""Chunks that transfer a configuration version, and the sync state that a receiver reports. No I/O.
 
-A version travels as a snapshot, its body compressed chunk by chunk, or as a delta, a packed difference against an
-older version that the receiver has, cut into chunks. On the wire a chunk is a list: number and digest of the
-version; length of its body; digest of the base, empty in a snapshot; length of what is cut into chunks (the body,
-or the packed difference); the chunk's offset in that; a CRC-32 over all of these and the data; the data.
+A version is sent as a snapshot, its body compressed chunk by chunk, or as a delta, a packed difference against an
+older version of the receiver, split into chunks. On the wire a chunk is a list: number and digest of the version;
+length of its body; digest of the base, empty in a snapshot; length of the payload that is split (the body or the
+packed delta); offset of the chunk in the payload; a CRC-32 over all of these and the data; the data.
 """
 
 from __future__ import annotations
@@ -15,25 +15,24 @@
 from irisdeal.config_store.configuration.version import NO_VERSION, VersionId
 from irisdeal.runtime.errors import IrisdealError
 
-MAX_BODY_BYTES = 16 << 20  # of a body: what one frame of `irisdeal.rpc` can carry
-CHUNK_BYTES = 96 << 10  # of a body, some 27 KB compressed; at worst 0.4 s on a link of 2 Mbit/s
-DELTA_CHUNK_BYTES = 48 << 10  # of a packed difference
+MAX_BODY_BYTES = 16 << 20  # limit of one frame of `irisdeal.rpc`
+CHUNK_BYTES = 96 << 10  # uncompressed; about 27 KB compressed, at worst 0.4 s on a link of 2 Mbit/s
+DELTA_CHUNK_BYTES = 48 << 10  # of a packed delta
 
 
 class InvalidChunkError(IrisdealError, ValueError):
-    """A chunk that does not continue the transfer under way; the transfer goes on with the next one."""
+    """A chunk that does not continue the transfer in progress; the transfer continues with the next chunk."""
 
 
 class VersionMismatchError(InvalidChunkError):
-    """The chunks cannot become the version that they announce; the transfer starts again with a snapshot."""
+    """The chunks do not result in the announced version; the transfer restarts with a snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class SyncState:
-    """What a receiver has: its newest version, and how much of another has arrived.
+    """The state of a receiver: its newest version, and how much of the version `arriving` it has received.
 
-    `offset` counts bytes of the body of `arriving`, or, where negative, bytes of its packed difference against
-    `version_id`.
+    `offset`: bytes received of the body of `arriving`, or, if negative, of its packed delta against `version_id`.
     """
 
     version_id: VersionId = NO_VERSION
@@ -41,7 +40,7 @@
     offset: int = 0
 
     def encode(self) -> list[object]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         arriving = self.arriving
         return [
             self.version_id.number,
@@ -53,7 +52,7 @@
 
     @staticmethod
     def decode(encoded: object) -> SyncState:
-        """Read what `encode` wrote. ValueError, TypeError where it is something else."""
+        """Decode the output of `encode`. Raises ValueError or TypeError if malformed."""
         if not isinstance(encoded, list):
             raise TypeError(f"sync state: wanted a list, got {type(encoded).__name__}")
         number, digest, arriving_number, arriving_digest, offset = encoded
@@ -66,9 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """A part of a version's whole body.
+    """A part of a version's body.
 
-    `length`: bytes of the body; `offset`: of this chunk in the body; `data`: the chunk, compressed by zlib.
+    `length`: size of the body in bytes; `offset`: position of the chunk in the body; `data`: the chunk, compressed
+    with zlib.
     """
 
     version_id: VersionId
@@ -78,29 +78,29 @@
 
     @property
     def base(self) -> bytes:
-        """Digest of the base: empty, as a snapshot needs none."""
+        """Digest of the base: empty, as a snapshot has none."""
         return b""
 
     @property
     def size(self) -> int:
-        """Bytes that the chunks of this transfer add up to."""
+        """Total size of the transfer in bytes."""
         return self.length
 
-    def expanded(self) -> bytes:
-        """Return the part of the body. ValueError where it is damaged or longer than was announced."""
+    def unpack(self) -> bytes:
+        """Return the uncompressed data. Raises ValueError if it is damaged or longer than announced."""
         return decompress(self.data, min(CHUNK_BYTES, self.length - self.offset))
 
     def encode(self) -> list[object]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return _encode(self.version_id, self.length, self.base, self.size, self.offset, self.data)
 
 
 @dataclass(frozen=True, slots=True)
 class DeltaChunk:
-    """A part of the packed difference between two versions.
+    """A part of the packed delta between two versions.
 
-    `length`: bytes of the body that results; `base`: digest of the version that the difference applies to; `size`:
-    bytes of the whole packed difference; `offset`: of this chunk in it.
+    `length`: size of the resulting body in bytes; `base`: digest of the version that the delta applies to; `size`:
+    size of the complete packed delta in bytes; `offset`: position of the chunk in it.
     """
 
     version_id: VersionId
@@ -110,12 +110,12 @@
     offset: int
     data: bytes
 
-    def expanded(self) -> bytes:
-        """Return the part of the packed difference, which is unpacked once it is complete."""
+    def unpack(self) -> bytes:
+        """Return the data unchanged: a delta is decompressed only once it is complete."""
         return self.data
 
     def encode(self) -> list[object]:
-        """Return the fields in the order of the wire."""
+        """Return the fields in wire order."""
         return _encode(self.version_id, self.length, self.base, self.size, self.offset, self.data)
 
 
@@ -123,7 +123,7 @@
 
 
 def checksum(version_id: VersionId, length: int, base: bytes, size: int, offset: int, data: bytes) -> int:
-    """CRC-32 of all fields, so that a damaged chunk, or one under another's header, is found at once."""
+    """Return a CRC-32 of all fields, which detects damaged chunks and data under the header of another chunk."""
     header = b"%d %d %d %d " % (version_id.number, length, size, offset)
     return zlib.crc32(data, zlib.crc32(header + version_id.digest + base))
 
@@ -136,30 +136,30 @@
 
 
 def decode_chunk(encoded: object) -> VersionChunk:
-    """Read a chunk. InvalidChunkError where it is none, is damaged, or has impossible lengths."""
+    """Decode a chunk. Raises InvalidChunkError if it is malformed, damaged, or has impossible lengths."""
     if not isinstance(encoded, list) or len(encoded) != 8:
-        raise InvalidChunkError("chunk: wanted a list of eight fields")
+        raise InvalidChunkError("chunk: expected a list of eight fields")
     number, digest, length, base, size, offset, check, data = encoded
-    if not _are_all(int, number, length, size, offset, check):
-        raise InvalidChunkError("chunk: wanted whole numbers for number, lengths, offset and check")
-    if not _are_all(bytes, digest, base, data):
-        raise InvalidChunkError("chunk: wanted bytes for digests and data")
+    if not _have_type(int, number, length, size, offset, check):
+        raise InvalidChunkError("chunk: expected integers for number, lengths, offset and checksum")
+    if not _have_type(bytes, digest, base, data):
+        raise InvalidChunkError("chunk: expected bytes for digests and data")
     version_id = VersionId(number, digest)
     if checksum(version_id, length, base, size, offset, data) != check:
         raise InvalidChunkError("chunk: the checksum does not match")
-    if not _are_possible(length, size, offset):
+    if not _are_lengths_valid(length, size, offset):
         raise InvalidChunkError("chunk: a length or the offset is out of range")
     if base:
         return DeltaChunk(version_id, length, base, size, offset, data)
     if size != length:
-        raise InvalidChunkError("chunk: a snapshot's size is not the length of its body")
+        raise InvalidChunkError("chunk: the size of a snapshot differs from the length of its body")
     return SnapshotChunk(version_id, length, offset, data)
 
 
-def _are_all(kind: type, *fields: object) -> bool:
-    """Whether each field is exactly of this type: a bool is no int here."""
+def _have_type(kind: type, *fields: object) -> bool:
+    """Whether each field has exactly this type; unlike with isinstance, a bool is not an int."""
     return all(type(field) is kind for field in fields)
 
 
-def _are_possible(length: int, size: int, offset: int) -> bool:
+def _are_lengths_valid(length: int, size: int, offset: int) -> bool:
     return 0 < length <= MAX_BODY_BYTES and 0 < size <= MAX_BODY_BYTES and 0 <= offset < size
--- a/irisdeal/config_store/storage/folder.py
+++ b/irisdeal/config_store/storage/folder.py
@@ -1,4 +1,4 @@
-"""A folder on a disk: the operations that the store needs, each of which may be the last before a crash."""
+"""File operations on one folder. Tests simulate a crash after each of them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Folder(Protocol):
-    """Operations on one folder. Each blocks, and raises OSError where the disk refuses."""
+    """Operations on one folder. Each blocks, and raises OSError if the disk fails."""
 
     def list_files(self) -> list[str]:
         """Return the names of the files, sorted."""
@@ -17,26 +17,26 @@
         """Return the content of the file."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Write the whole file, not synced."""
+        """Replace the content of the file, without a sync."""
 
     def sync(self, name: str) -> None:
-        """Sync what was written to this file."""
+        """Sync the content of the file to disk."""
 
-    def rename(self, name: str, other: str) -> None:
-        """Rename the file, in place of one that has the other name."""
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename the file, replacing any file with the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove the file where it is there."""
+        """Remove the file if it exists."""
 
     def sync_directory(self) -> None:
-        """Sync the names that were made, changed and removed last."""
+        """Sync the directory: names of files that were created, renamed or removed."""
 
 
 class DiskFolder:
-    """A folder of the machine's disk, as `Folder` describes it."""
+    """A `Folder` in the file system."""
 
     def __init__(self, path: str) -> None:
-        """Make the folder where it is not there. OSError where the disk refuses."""
+        """Create the folder if it does not exist. Raises OSError if the disk fails."""
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
 
@@ -49,35 +49,35 @@
         return (self.path / name).read_bytes()
 
     def write(self, name: str, data: bytes) -> None:
-        """Write the whole file, not synced."""
-        file = os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+        """Replace the content of the file, without a sync."""
+        descriptor = os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
             view = memoryview(data)
             while view:
-                view = view[os.write(file, view) :]
+                view = view[os.write(descriptor, view) :]
         finally:
-            os.close(file)
+            os.close(descriptor)
 
     def sync(self, name: str) -> None:
-        """Sync what was written to this file."""
+        """Sync the content of the file to disk."""
         self._fsync(self.path / name)
 
-    def rename(self, name: str, other: str) -> None:
-        """Rename the file, in place of one that has the other name."""
-        os.rename(self.path / name, self.path / other)
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename the file, replacing any file with the new name."""
+        os.rename(self.path / name, self.path / new_name)
 
     def remove(self, name: str) -> None:
-        """Remove the file where it is there."""
+        """Remove the file if it exists."""
         (self.path / name).unlink(missing_ok=True)
 
     def sync_directory(self) -> None:
-        """Sync the names that were made, changed and removed last."""
+        """Sync the directory: names of files that were created, renamed or removed."""
         self._fsync(self.path)
 
     @staticmethod
     def _fsync(path: Path) -> None:
-        file = os.open(path, os.O_RDONLY)
+        descriptor = os.open(path, os.O_RDONLY)
         try:
-            os.fsync(file)
+            os.fsync(descriptor)
         finally:
-            os.close(file)
+            os.close(descriptor)
--- a/irisdeal/config_store/storage/inspection.py
+++ b/irisdeal/config_store/storage/inspection.py
@@ -1,4 +1,4 @@
-"""What a replica's folder contains, read without changing it. Calls here block; OSError where the disk refuses."""
+"""Read-only inspection of a replica's folder. Calls block, and raise OSError if the disk fails."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @dataclass
 class FolderContent:
-    """What was found. `state` is None where the disk has no identity yet, or the file that has it is damaged."""
+    """The content of a folder. `state` is None if the acceptor state file is missing or damaged."""
 
     state: PersistedState | None = None
-    versions: dict[str, ConfigVersion] = field(default_factory=dict)  # by file
-    errors: list[OperationError] = field(default_factory=list)  # a damaged file each
+    versions: dict[str, ConfigVersion] = field(default_factory=dict)  # by file name
+    errors: list[OperationError] = field(default_factory=list)  # one for each damaged file
 
     def version(self, version_id: VersionId) -> ConfigVersion | None:
-        """Return this version; None where it is not there."""
+        """Return this version; None if it is not in the folder."""
         return next((version for version in self.versions.values() if version.version_id == version_id), None)
 
     @property
     def values(self) -> list[Value]:
-        """The newest value that the disk knew to be decided, and the one that it accepted."""
+        """The newest value known to be decided, and the last accepted value."""
         return [self.state.decided, self.state.acceptor_state.value] if self.state is not None else []
 
     def has_version_of(self, value: Value) -> bool:
-        """Whether the configuration version that the value names is there; `NO_VERSION` always is."""
+        """Whether the configuration version that the value names is in the folder; always true for `NO_VERSION`."""
         return value.version_id == NO_VERSION or self.version(value.version_id) is not None
 
     def status(self, version_id: VersionId) -> str:
-        """Return `decided`, `accepted` (perhaps not decided) or `kept` (an older one, or one never decided)."""
+        """Return `decided`, `accepted` (not known to be decided) or `kept` (an older or undecided version)."""
         if self.state is not None and version_id == self.state.decided.version_id:
             return "decided"
         if self.state is not None and version_id == self.state.acceptor_state.value.version_id:
@@ -43,7 +43,7 @@
 
 
 def inspect_folder(folder: Folder) -> FolderContent:
-    """Read all that is there."""
+    """Read all files of the folder."""
     content = FolderContent()
     for name in folder.list_files():
         try:
@@ -57,7 +57,7 @@
 
 
 def verify(content: FolderContent) -> list[OperationError]:
-    """Return what is wrong: damaged files, no identity, or an accepted value whose version is not there."""
+    """Return all errors: damaged files, a missing identity, or a missing version of the accepted value."""
     if content.state is None:
         return content.errors + _missing_identity(content)
     value = content.state.acceptor_state.value
@@ -68,20 +68,20 @@
 
 
 def _missing_identity(content: FolderContent) -> list[OperationError]:
-    """Return the error of a disk without identity, where no damaged file accounts for it already."""
+    """Return the error for a disk without identity, unless a damaged state file is already reported."""
     if any(error.peer == acceptor_state.FILE_NAME for error in content.errors):
         return []
     return [OperationError("read", acceptor_state.FILE_NAME, "missing: this disk has no identity yet")]
 
 
 def newest_version(content: FolderContent) -> ConfigVersion | None:
-    """Return the version to export: of the decided value, else of the accepted one, whichever is there."""
+    """Return the version to export: that of the decided value, otherwise that of the accepted one."""
     versions = (content.version(value.version_id) for value in content.values)
     return next((version for version in versions if version is not None), None)
 
 
 def find_version(content: FolderContent, generation: str) -> ConfigVersion | None:
-    """Return the version `r12`; where two have this number, the one that was decided or accepted."""
+    """Return the version of a generation such as `r12`; of several bodies, the decided or accepted one."""
     found = [
         version for version in content.versions.values() if f"r{version.version_id.number}" == generation
     ]
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -11,7 +11,7 @@
 from irisdeal.config_store.membership.contact import (
     CONTACT_LEASE_S,
     MAX_TRACKED_SEATS,
-    STALL_S,
+    STALL_THRESHOLD_S,
     QuorumContact,
 )
 from irisdeal.config_store.membership.members import Members, format_seat
@@ -88,7 +88,7 @@
                 assert isinstance(given_, Members)
                 members = given_
             case "tick":
-                still = ticked is not None and now - ticked >= STALL_S
+                still = ticked is not None and now - ticked >= STALL_THRESHOLD_S
                 assert contact.tick(now) is still
                 reference.woke, ticked = now if still else reference.woke, now
         expected = reference.has_lease(now, [list(members.seats), list(members.former)], CONTACT_LEASE_S)
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -151,7 +151,7 @@
         decompress(bomb, CHUNK_BYTES)
     with pytest.raises(DeltaError):
         apply_delta(b"", bomb, MAX_BODY_BYTES)
-    with pytest.raises(DeltaError, match="torn"):
+    with pytest.raises(DeltaError, match="truncated"):
         decompress(zlib.compress(b"abc")[:-1], 10)
 
 
@@ -472,7 +472,7 @@
     version_store.add(two)
     version_store.add(three)
     wrong = encode_delta(b"", bytes(len(three.body)))
-    version_store.cache.add(CacheKey.of_difference(three.version_id.digest, two.version_id.digest), wrong)
+    version_store.cache.add(CacheKey.of_delta(three.version_id.digest, two.version_id.digest), wrong)
     assembler = ChunkAssembler(store_with(two))
     bases = []
     for _ in range(4):
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -92,7 +92,7 @@
 async def decided(acceptor: Acceptor, value: Value) -> None:
     """It is known here that this was decided, and on the disk."""
     acceptor.learn(value)
-    await acceptor.save()
+    await acceptor.save_decided()
 
 
 def next_value(value: Value, body: ConfigVersion) -> Value:
@@ -124,7 +124,7 @@
         acceptor = await opened(path)
     state = acceptor.state
     version_ids: list[VersionId] = sorted(acceptor.version_files.version_ids.values())
-    bodies = [acceptor.version(version_id) for version_id in version_ids]
+    bodies = [acceptor.get_version(version_id) for version_id in version_ids]
     return {
         "identity": acceptor.disk_id,
         "seat": acceptor.seat,
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -56,7 +56,7 @@
         if not self.has_version(value.version_id):
             return None
         is_granted, self.state = on_accept(self.state, ballot, value)
-        self._retain_needed()
+        self._retain_versions()
         return is_granted, self.state.promised
 
 
@@ -119,7 +119,7 @@
 
 async def read_without_quorum(self: StoreReplica) -> ReadReply:
     """A read returns what this replica knows, without asking a quorum."""
-    version = self.acceptor.version(self.applied.version_id)
+    version = self.acceptor.get_version(self.applied.version_id)
     return ReadReply(True, version.body if version is not None else None)
 
 
@@ -130,8 +130,8 @@
     reply = await ACCEPT(self, request)
     if isinstance(reply, AcceptReply) and reply.is_accepted:
         self.applied = request.value
-        self.update.set()
-        self.update = asyncio.Event()
+        self.applied_event.set()
+        self.applied_event = asyncio.Event()
     return reply
 
 
