--- a/irisdeal/front_door/decisions/__init__.py
+++ b/irisdeal/front_door/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway that keeps each customer of a shared back end to its plan."""
+"""Decisions of a gateway that limits each account of a shared backend to its plan. No I/O, no own clock."""
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import Settings
--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -1,6 +1,6 @@
-"""The decisions of one gateway. Settings, events and actions are in `interface.py`; read it first.
+"""Decisions of one gateway. Its settings, events and actions are defined in `interface.py`; read that first.
 
-The ordinary path is the demand split of Padala et al. (port allocator); see
+Splits shared quotas by demand, as the port allocator of Padala et al. does; see
 docs/design/front-door-decisions.md.
 """
 
@@ -46,65 +46,104 @@
     WatchServerList,
 )
 from irisdeal.front_door.decisions.records import Attempt, Request, Server
-from irisdeal.front_door.decisions.tenant import MAX_ESTIMATING_GATEWAYS, NEAR, SECOND, Tenant
+from irisdeal.front_door.decisions.tenant import (
+    MAX_ESTIMATING_GATEWAYS,
+    NEAR_CAPACITY_RATIO,
+    US_PER_S,
+    Tenant,
+)
 from irisdeal.front_door.queueing.fair_queue import FairQueue
 from irisdeal.front_door.quota.counter_calls import CounterCall
 from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
 from irisdeal.front_door.quota.quota_account import QuotaAccount
 from irisdeal.front_door.zones.belief import Word, Zones
 
-ROOM, FILL, LEFT = 0.90, 0.7, 0.5  # parts that the chance aims at: of rate, cap, what is left of a burst
-TELLERS = 25  # gateways that tell in one interval
-KNOWN_FOR, FORGOTTEN = 20_000_000, 4  # a total so old says little; customers forgotten at most for an arrival
-STRAIN_MOST, STRAIN_UP, STRAIN_DOWN = 20.0, 1.15, 0.80  # failed calls, once most fail, spare further ones
-FIRST_WORK_SHARE = 1 / 6  # a class's service time before any answer, as a share of its aim: high on purpose
-CALL_PATIENCE = 4  # counter time-outs that a claim is waited for, where a front door can: late, it counts
-STALL, NO_SERVER_PAUSE = 100_000, 20_000  # woken so late, we stood still; held requests look again after this
-SLOW = 2.0  # usual times after which an attempt speaks against its zone: one in ten takes so long
-ZONES_EVERY = 50_000  # how often it is looked after zones in trouble
-LEARN, LEARN_BAD = 0.1, 0.25  # weight of a new sample: in averages; in failures, which must show fast
-CREEP = 0.01  # part of the way to the usual time that the least one creeps up with each good answer
-PATIENCE = 4.0  # an attempt out for so many usual times counts against its server
-GOOD_SHARE = 0.35  # an answer in this share of its aim widens the window of attempts, a later one narrows it
-WINDOW, WIDEST = 2.0, 4.0  # attempts of all for each server while half the answers are good; most times that
-FIRST_USE = 3_000_000  # doors of many draw when, in this time, each first uses one that is back by hand
-SPARE = 2.0  # square roots of its usual window that a gateway of many keeps beside it, for its own chance
-LOOK = 16  # servers compared for a request, drawn at random: many gateways with one favourite would drown it
-FADE = 0.1  # share of a server's bad name forgotten each second unused, so that it is tried again
-# Bands of worth for the time: the window is so many times as wide for each, and they share it by this weight,
-# half to double, as cheap plans must not starve.
-BANDS = tuple(2.0 ** (n / 4 - 1.0) for n in range(9))
-MOST_WAITING, MOST_BYTES, MOST_QUEUES = 4096, 8 << 20, 8192  # a door of 32 MB has some 16 for all of it
-LEAST_WORK = 20_000.0  # µs that a turn at a cold server is worth at least
-COLD_MARGIN = 0.6  # part of the budget for a cold server that is used: work sizes vary
-CROSSING_LEAN = 1.5  # how much faster a server in another zone must look, where crossing costs
-AGAIN_SHARE, AGAIN_MOST = 0.1, 10.0  # further attempts per first, and saved up: no swelling of an overload
-HOLD_SHARE, HOLD_MOST = 0.6, 0.4  # of the aim's spare time that a request may wait for its bound; of its own
-QUEUE_SHARE = 0.2  # the same for a wait for the fleet: a standing queue is delay for all (RFC 8289, 3.2)
+# Targets of admission by probability, as ratios of a plan's rate, its slots and what is left of its burst.
+TARGET_RATE_RATIO = 0.90
+TARGET_SLOTS_RATIO = 0.7
+TARGET_BURST_RATIO = 0.5
+REPORTS_PER_DECAY = 25  # counter calls by all gateways of a tenant in one time constant of its demand
+MAX_TOTAL_AGE_US = 20_000_000  # after which a total is obsolete
+MAX_TENANTS_CHECKED = 4  # for each request received, to discard idle ones
+# Once most counter calls fail, fewer are made: a factor grows with each failure, falls with each success.
+MAX_COUNTER_BACKOFF = 20.0
+COUNTER_BACKOFF_INCREASE = 1.15
+COUNTER_BACKOFF_DECREASE = 0.80
+# Of the latency target: a class's duration before any response. High, which is safe for cold servers.
+INITIAL_DURATION_RATIO = 1 / 6
+MAX_WAIT_COUNTER_TIMEOUTS = 4  # a late answer to a claim is still valid: the front door waits where it can
+COUNTER_NAME_GRACE_S = 5  # for which a counter is kept after its name's period
+STALL_US = 100_000  # a timer this late means that the process was not running
+DISPATCH_RETRY_US = 20_000  # after which waiting requests are tried again
+SLOW_DURATION_RATIO = 2.0  # of the mean duration, counts against a zone; one attempt in ten exceeds it
+ZONE_CHECK_INTERVAL_US = 50_000  # while a zone is suspected, left or returning
+# Weights of a new sample in moving means. Failures have to show fast.
+MEAN_WEIGHT = 0.1
+FAILURE_WEIGHT = 0.25
+SLOW_MEAN_WEIGHT = 0.01  # of minimum durations and service times, which rise slowly
+OVERDUE_DURATION_RATIO = 4.0  # of the mean duration: a longer attempt counts against its server
+MAX_SAMPLE_RATIO = 5  # of the mean duration: longer samples are clipped
+# The window limits this gateway's attempts in flight. A response within this ratio of the latency target
+# widens it, a later one narrows it.
+FAST_LATENCY_RATIO = 0.35
+WINDOW_PER_SERVER = 2.0  # attempts of all gateways, while half the responses are fast
+MAX_WINDOW_RATIO = 4.0  # of that window
+MIN_WINDOW_DEVIATIONS = 2.0  # square roots of the window, added in a large fleet: load varies as much
+FIRST_USE_SPREAD_US = 3_000_000  # of the first uses of an enabled server by a large fleet
+MAX_SERVERS_COMPARED = 16  # for a request, drawn at random: all gateways would overload the same best server
+PENALTY_DECAY_PER_S = 0.1  # of an unused server's penalties, so that it is tried again
+COST_JITTER_RATIO = 0.05  # so that gateways do not all select the same server
+# Bands of value per time, of ratio 2**(1/4): a band's window is wider by its weight, and bands share the
+# servers by weight. From half to double, so that plans of low value are not starved.
+BAND_WEIGHTS = tuple(2.0 ** (n / 4 - 1.0) for n in range(9))
+# Bounds of the queue: a front door of 32 MB has about 16 MB for it.
+MAX_QUEUED_REQUESTS = 4096
+MAX_QUEUED_BYTES = 8 << 20
+MAX_FLOWS = 8192
+MIN_COLD_WORK_US = 20_000.0  # least estimate of one request's work at a cold server
+COLD_BUDGET_RATIO = 0.6  # of the work that makes a cold server collapse: work sizes vary
+TURN_SPACING = 1.5  # a turn stays open for half a collapse window, so turns are as much fewer
+CROSS_ZONE_COST_FACTOR = 1.5  # a server in another zone has to be so much faster, where crossing zones costs
+# Retry budget: tokens per first attempt, and most tokens saved. Keeps retries from amplifying an overload.
+RETRY_BUDGET_RATIO = 0.1
+MAX_RETRY_BUDGET = 10.0
+# Waits: for its tenant's limits a request may wait for a ratio of the spare time in its latency target, and
+# for a ratio of its own time left.
+TENANT_WAIT_TARGET_RATIO = 0.6
+TENANT_WAIT_TIME_RATIO = 0.4
+FLEET_WAIT_TARGET_RATIO = 0.2  # for a server: a standing queue delays all requests (RFC 8289, section 3.2)
+MAX_REFILL_WAIT_US = 1e9
 NOT_EXECUTED_RESULTS = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
 
 
 class Gateway:
-    """All decisions of one front door."""
+    """The decision module of one front door."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, random.Random(seed)
+        self.settings = settings
+        self.random = random.Random(seed)
         self.servers: dict[bytes, Server] = {}
         self.ready_servers: list[Server] = []
-        self.disabled_servers: dict[bytes, int] = {}  # left out by hand, and since when
-        self.ceiling_share, self.may_use_cold_servers = (
-            1.0,
-            True,
-        )  # beside another process of this door: less, and one of them
-        self.last_timer_sequence, self.timer_at, self.resumed_at, self.now, self.started_at = 0, 0, -1, -1, -1
-        self.in_flight, self.last_sent_at = 0, -SECOND
-        self.window, self.usual_window = WIDEST, 1.0  # most attempts of ours at once: queues stay short
+        self.disabled_servers: dict[bytes, int] = {}  # by an operator, and since when
+        # Of this process, where another one of the same front door runs.
+        self.ceiling_share = 1.0
+        self.may_use_cold_servers = True
+        self.last_timer_sequence = 0
+        self.timer_at = 0
+        self.resumed_at = -1  # when the process last ran again after a stall
+        self.now = -1
+        self.started_at = -1
+        self.in_flight = 0
+        self.last_sent_at = -US_PER_S
+        self.window = MAX_WINDOW_RATIO
+        self.usual_window = 1.0  # while half the responses are fast
         self.next_zone_check_at = 0
-        self.unreported_attempts: deque[tuple[Request, Attempt]] = (
-            deque()
-        )  # attempts that may yet be slow, as sent
-        self.next_dispatch_at = 0  # when those that wait are looked at again whatever happens
-        self.queue: FairQueue[Request] = FairQueue(BANDS, MOST_WAITING, MOST_BYTES, MOST_QUEUES)
+        # Attempts not yet reported as slow, in the order of sending.
+        self.unreported_attempts: deque[tuple[Request, Attempt]] = deque()
+        self.next_dispatch_at = 0
+        self.queue: FairQueue[Request] = FairQueue(
+            BAND_WEIGHTS, MAX_QUEUED_REQUESTS, MAX_QUEUED_BYTES, MAX_FLOWS
+        )
         self.tenants: dict[tuple[int, int], Tenant] = {}
         self.requests: dict[int, Request] = {}
         self.demand_calls: dict[int, deque[tuple[Request, float, int]]] = {}
@@ -119,25 +158,19 @@
             settings.may_hedge and settings.max_attempts > 1,
             random.Random(seed + 1),
         )
-        self.mean_duration_us = [c.latency_target_us * FIRST_WORK_SHARE for c in settings.classes]
-        self.min_duration_us = [
-            0.0 for _ in settings.classes
-        ]  # least time that an answer of late took, creeping up
-        self.is_large_fleet = (
-            settings.gateway_count > MAX_ESTIMATING_GATEWAYS
-        )  # where cold servers are used by turns throughout
-        self.service_time_us = (
-            0.0  # µs that serving takes by the servers' own word, without waiting; 0: not heard
-        )
-        self.retry_budget, self.counter_backoff_factor, self.initial_work_us = (
-            AGAIN_MOST,
-            1.0,
-            max(self.mean_duration_us),
-        )
+        # By class; 0 for a minimum not yet known.
+        self.mean_duration_us = [c.latency_target_us * INITIAL_DURATION_RATIO for c in settings.classes]
+        self.min_duration_us = [0.0 for _ in settings.classes]
+        # Gateways of a large fleet take turns at every cold server.
+        self.is_large_fleet = settings.gateway_count > MAX_ESTIMATING_GATEWAYS
+        self.service_time_us = 0.0  # as reported by servers, without queueing; 0: unknown
+        self.retry_budget = MAX_RETRY_BUDGET
+        self.counter_backoff_factor = 1.0
+        self.initial_work_us = max(self.mean_duration_us)
         self.mean_value_per_us = (
             sum(c.value / c.latency_target_us for c in settings.classes)
             / len(self.mean_duration_us)
-            / FIRST_WORK_SHARE
+            / INITIAL_DURATION_RATIO
         )
         self.timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
@@ -156,8 +189,8 @@
         }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what happened by `now`; return what to do, in order."""
-        self.resumed_at = now if self.timers and now > self.timer_at + STALL else self.resumed_at
+        """Process the events up to `now`; return the actions to take, in order."""
+        self.resumed_at = now if self.timers and now > self.timer_at + STALL_US else self.resumed_at
         self.now, self.actions = now, []
         if self.started_at < 0:
             self.started_at = now
@@ -167,7 +200,7 @@
         self._report_slow_attempts()
         if self.zones.troubled:
             self._update_zones()
-        self._dispatch()  # before time-outs: who can be sent in this turn is not refused in it
+        self._dispatch()  # before timeouts: a request that can be sent now is not rejected
         while self.timers and self.timers[0][0] <= now:
             _, _, action, subject = heapq.heappop(self.timers)
             action(subject)
@@ -178,45 +211,47 @@
         return self.actions
 
     def _schedule(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
-        self.last_timer_sequence += 1  # keeps the order of equal times
+        self.last_timer_sequence += 1  # orders equal times
         heapq.heappush(self.timers, (when, self.last_timer_sequence, action, subject))
 
     def _classes_changed(self, event: ClassesChanged) -> None:
-        old, kinds = self.settings.classes, event.classes
-        if len(kinds) < len(old):
-            raise ValueError(f"classes are {len(kinds)}: wanted no fewer than the {len(old)} known")
+        old_classes, classes = self.settings.classes, event.classes
+        if len(classes) < len(old_classes):
+            raise ValueError(f"{len(classes)} classes: wanted at least the {len(old_classes)} known ones")
+        # Classes that changed lose their statistics.
         kept = [
-            self.mean_duration_us[n] if n < len(old) and old[n] == kind else None
-            for n, kind in enumerate(kinds)
+            self.mean_duration_us[n] if n < len(old_classes) and old_classes[n] == request_class else None
+            for n, request_class in enumerate(classes)
         ]
         self.mean_duration_us = [
-            kinds[n].latency_target_us * FIRST_WORK_SHARE if u is None else u for n, u in enumerate(kept)
+            classes[n].latency_target_us * INITIAL_DURATION_RATIO if mean_us is None else mean_us
+            for n, mean_us in enumerate(kept)
         ]
-        self.min_duration_us = [0.0 if u is None else self.min_duration_us[n] for n, u in enumerate(kept)]
-        self.settings = replace(self.settings, classes=kinds)
+        self.min_duration_us = [
+            0.0 if mean_us is None else self.min_duration_us[n] for n, mean_us in enumerate(kept)
+        ]
+        self.settings = replace(self.settings, classes=classes)
 
     def _request_class_changed(self, event: RequestClassChanged) -> None:
         if request := self.requests.get(event.request_id):
             old, new = (self.settings.classes[n] for n in (request.class_index, event.class_index))
             if (order := list(Idempotency)).index(new.idempotency) < order.index(old.idempotency):
                 raise ValueError(
-                    f"request {event.request_id} would be {new.idempotency.value}: wanted no milder"
+                    f"request {event.request_id} would become {new.idempotency.value}: wanted no weaker rule"
                 )
             request.class_index = event.class_index
 
     def _update_servers(self, event: ServerList) -> None:
         if event.kind is ServerListKind.FAILED:
-            return self._schedule(self.now + SECOND, lambda _: self.actions.append(WatchServerList()), None)
-        if event.kind is not ServerListKind.CHANGES:  # absent from a full list: gone
+            return self._schedule(self.now + US_PER_S, lambda _: self.actions.append(WatchServerList()), None)
+        if event.kind is not ServerListKind.CHANGES:  # servers missing from a complete list are gone
             named = {entry.server_id for entry in event.entries}
             self.servers = {key: server for key, server in self.servers.items() if key in named}
         for entry in event.entries:
             server = self.servers.get(entry.server_id)
             if entry.state is ServerState.GONE:
                 self.servers.pop(entry.server_id, None)
-            elif (
-                server is None or server.listed_started_at != entry.started_at
-            ):  # a restart begins a fresh record
+            elif server is None or server.listed_started_at != entry.started_at:  # new, or restarted
                 self.servers[entry.server_id] = Server(entry)
             else:
                 server.entry = replace(entry, started_at=server.entry.started_at)
@@ -233,24 +268,25 @@
         }:
             self._call_zone_counters(self.zones.listed(zones, self.now))
             self.ready_servers = [s for s in self.ready_servers if self.zones.share(s.entry.zone, self.now)]
-        usual = WINDOW * max(1, len(self.ready_servers)) / self.settings.gateway_count
-        self.window, self.usual_window = self.window * usual / self.usual_window, usual
+        usual_window = WINDOW_PER_SERVER * max(1, len(self.ready_servers)) / self.settings.gateway_count
+        self.window, self.usual_window = self.window * usual_window / self.usual_window, usual_window
 
     def _report_slow_attempts(self) -> None:
-        """Out for twice the usual time, or over: evidence on zones, with no timer of its own."""
+        """Report attempts as slow to their zones; called at each event, so that it needs no timer."""
         while self.unreported_attempts:
             request, attempt = self.unreported_attempts[0]
             if (
                 attempt.is_in_flight
-                and self.now - attempt.started_at < SLOW * self.mean_duration_us[request.class_index]
+                and self.now - attempt.started_at
+                < SLOW_DURATION_RATIO * self.mean_duration_us[request.class_index]
             ):
                 return
             self.unreported_attempts.popleft()
-            cold = self._capacity_ratio(attempt.server) < 1.0  # slow it may be, and is not lost
+            is_cold = self._capacity_ratio(attempt.server) < 1.0  # a slow attempt is expected there
             if (
                 attempt.is_in_flight
                 and attempt.started_at >= self.resumed_at
-                and not (request.is_uploading or attempt.is_streaming or cold)
+                and not (request.is_uploading or attempt.is_streaming or is_cold)
             ):
                 entry = attempt.server.entry
                 self._call_zone_counters(
@@ -258,54 +294,66 @@
                 )
 
     def _update_zones(self) -> None:
-        """Some zone is left, comes back, or is suspected."""
+        """Update the zones that are suspected, left or returning."""
         self._call_zone_counters(self.zones.due(self.now))
         if changed := self.zones.settle(self.now):
             self._update_ready_servers()
             self.actions += [LogMessage(self.zones.text(zone)) for zone in changed]
-            for server in self.servers.values():  # its marks are the zone's, and gone with them
+            for server in self.servers.values():  # their failures were the zone's
                 if server.entry.zone in changed:
                     server.failure_rates.clear()
-            for request in list(self.requests.values()):  # what is out in a zone that was left just now
-                done = request.is_ended or request.is_uploading
-                out = [t for t in request.attempts if t.is_in_flight and not (t.is_streaming or done)]
-                if out and not any(self.zones.share(t.server.entry.zone, self.now) for t in out):
-                    self._hedge(request, out[-1])
+            for request in list(self.requests.values()):  # retry those in flight in a zone that was just left
+                is_done = request.is_ended or request.is_uploading
+                pending = [
+                    attempt
+                    for attempt in request.attempts
+                    if attempt.is_in_flight and not (attempt.is_streaming or is_done)
+                ]
+                if pending and not any(
+                    self.zones.share(attempt.server.entry.zone, self.now) for attempt in pending
+                ):
+                    self._hedge(request, pending[-1])
         if self.zones.troubled and self.next_zone_check_at <= self.now:
-            self.next_zone_check_at = self.now + ZONES_EVERY
+            self.next_zone_check_at = self.now + ZONE_CHECK_INTERVAL_US
             self._schedule(self.next_zone_check_at, lambda _: None, None)
 
-    def _call_zone_counters(self, words: list[Word]) -> None:
-        for word in words if self.settings.has_counter else []:
-            self.zone_calls.setdefault(word.name, deque()).append(word)
+    def _call_zone_counters(self, calls: list[Word]) -> None:
+        for call in calls if self.settings.has_counter else []:
+            self.zone_calls.setdefault(call.name, deque()).append(call)
             self.actions.append(
                 AddToCounter(
-                    word.name, word.amount, word.life, CALL_PATIENCE * self.settings.counter_timeout_us
+                    call.name,
+                    call.amount,
+                    call.life,
+                    MAX_WAIT_COUNTER_TIMEOUTS * self.settings.counter_timeout_us,
                 )
             )
 
     def _send_zone_trial(self, request: Request) -> None:
-        """A second attempt at a zone that is left, beside one of a request that may be repeated."""
-        safe = self.settings.classes[request.class_index].idempotency is Idempotency.SAFE and not (
+        """Send a duplicate of a safely repeatable request to a zone that was left, as a trial.
+
+        Not under a limit on requests in flight, as the duplicate would count.
+        """
+        is_safe = self.settings.classes[request.class_index].idempotency is Idempotency.SAFE and not (
             request.is_uploading or request.tenant.plan.max_in_flight
-        )  # it would count among what is out
-        if safe and self.zones.trials and (zone := self.zones.trial(self.now)) is not None:
-            able = [
+        )
+        if is_safe and self.zones.trials and (zone := self.zones.trial(self.now)) is not None:
+            candidates = [
                 s
                 for key, s in self.servers.items()
                 if s.entry.zone == zone
                 and key not in self.disabled_servers
                 and s.entry.state is ServerState.READY
             ]
-            able = [
+            candidates = [
                 s
-                for s in able
-                if (w := self._capacity_ratio(s)) == 1.0
-                or (self.may_use_cold_servers and self._has_cold_budget(s, w))
+                for s in candidates
+                if (ratio := self._capacity_ratio(s)) == 1.0
+                or (self.may_use_cold_servers and self._has_cold_budget(s, ratio))
             ]
-            if able:
+            if candidates:
                 self.zones.tried(zone, self.now)
-                self._start_attempt(request, self.random.choice(able))
+                self._start_attempt(request, self.random.choice(candidates))
 
     def _server_admin_state_changed(self, event: ServerAdminStateChanged) -> None:
         if event.is_disabled:
@@ -313,82 +361,104 @@
         elif (since := self.disabled_servers.pop(event.server_id, None)) is not None and (
             server := self.servers.get(event.server_id)
         ):
-            # It was restarted meanwhile, perhaps just now: cold from now on, until the list knows better.
-            entry, told = server.entry, server.listed_started_at
+            # It may have been restarted while disabled: cold from now on, until the list has its new start.
+            entry, listed_started_at = server.entry, server.listed_started_at
             server = Server(replace(entry, started_at=self.now) if entry.started_at <= since else entry)
-            server.listed_started_at, self.servers[event.server_id] = told, server
-            server.first_use_at = self.now + int(self.is_large_fleet * FIRST_USE * self.random.random())
+            server.listed_started_at, self.servers[event.server_id] = listed_started_at, server
+            server.first_use_at = self.now + int(
+                self.is_large_fleet * FIRST_USE_SPREAD_US * self.random.random()
+            )
         self._update_ready_servers()
 
     def _ceiling_share_changed(self, event: CeilingShareChanged) -> None:
-        times, self.ceiling_share, self.may_use_cold_servers = (
+        factor, self.ceiling_share, self.may_use_cold_servers = (
             event.ceiling_share / self.ceiling_share,
             event.ceiling_share,
             event.may_use_cold_servers,
         )
-        for customer in self.tenants.values():
-            customer.scale_ceiling(times, self.now)
+        for tenant in self.tenants.values():
+            tenant.scale_ceiling(factor, self.now)
 
     def _request_body_received(self, event: RequestBodyReceived) -> None:
-        """Its time counts from now: its answer's, and that of what was sent with its body on the way."""
+        """Start the time of a request, and that of attempts sent while its body was incomplete."""
         if (request := self.requests.get(event.request_id)) and not request.is_ended and request.is_uploading:
             self._end_upload(request)
             request.arrived_at, request.deadline_at = self.now, self.now + event.time_left_us
             request.answer_by = max(self.now, request.deadline_at - 2 * self.settings.tick_us)
             self._schedule(request.answer_by, self._request_timed_out, request)
             for attempt in [t for t in request.attempts if t.is_in_flight]:
-                attempt.started_at, patience = (
+                attempt.started_at, overdue_us = (
                     self.now,
-                    int(PATIENCE * self.mean_duration_us[request.class_index]),
+                    int(OVERDUE_DURATION_RATIO * self.mean_duration_us[request.class_index]),
                 )
-                self._schedule(self.now + patience, self._attempt_overdue, (request, attempt))
+                self._schedule(self.now + overdue_us, self._attempt_overdue, (request, attempt))
 
-    def _end_upload(
-        self, request: Request
-    ) -> None:  # units of a ceiling count from here: room for them again
+    def _end_upload(self, request: Request) -> None:
+        """Restore the ceiling's capacity, which `_start_attempt` reduced by an incomplete request's units."""
         if request.attempts and request.tenant.plan.ceiling_rate_per_s:
-            request.tenant.refill(self.now)  # what flowed in meanwhile had no room beyond that
+            request.tenant.refill(self.now)  # up to the reduced capacity
             request.tenant.ceiling_capacity += request.units
         request.is_uploading = False
 
-    def _capacity_ratio(self, server: Server) -> float:  # the least share of its capacity that it has by now
-        part = max(0, self.now - server.entry.started_at) / max(1, self.settings.warm_up_us)
+    def _capacity_ratio(self, server: Server) -> float:
+        """Return the least share of its capacity that a server has by now, as it warms up."""
+        warm_up_ratio = max(0, self.now - server.entry.started_at) / max(1, self.settings.warm_up_us)
         return min(
-            1.0, self.settings.start_capacity_ratio + (1.0 - self.settings.start_capacity_ratio) * part
+            1.0,
+            self.settings.start_capacity_ratio + (1.0 - self.settings.start_capacity_ratio) * warm_up_ratio,
         )
 
-    def _cold_work_us(
-        self,
-    ) -> float:  # learnt: by the first guess, which is high, a fleet leaves the cold idle
+    def _cold_work_us(self) -> float:
+        """Return the estimated work of a request at a cold server.
+
+        As measured, since the high initial estimate would leave cold servers idle.
+        """
         return (
-            min(self.initial_work_us, max(LEAST_WORK, self.service_time_us))
+            min(self.initial_work_us, max(MIN_COLD_WORK_US, self.service_time_us))
             if self.service_time_us
             else self.initial_work_us
         )
 
-    def _has_cold_budget(self, server: Server, warmth: float) -> bool:
-        """Our part of what a cold server may be sent, taken to have one core: even, or by turns."""
-        s, work, rate = self.settings, self._cold_work_us(), COLD_MARGIN * self.settings.collapse_load_ratio
-        if (budget := rate * warmth * s.collapse_window_us / s.gateway_count) >= work:
+    def _has_cold_budget(self, server: Server, capacity_ratio: float) -> bool:
+        """Return whether this gateway may send a request to a cold server, assumed to have one core.
+
+        It may use an even share of the server's budget or, where that is less than one request, take turns.
+        """
+        settings, work, rate = (
+            self.settings,
+            self._cold_work_us(),
+            COLD_BUDGET_RATIO * self.settings.collapse_load_ratio,
+        )
+        if (budget := rate * capacity_ratio * settings.collapse_window_us / settings.gateway_count) >= work:
             return (
-                work + sum(w for at, w in server.cold_work_sent if at > self.now - s.collapse_window_us)
+                work
+                + sum(
+                    sent
+                    for sent_at, sent in server.cold_work_sent
+                    if sent_at > self.now - settings.collapse_window_us
+                )
                 <= budget
             )
-        # All gateways number the turns alike; ours stays open for half a window, so turns are as much fewer.
+        # All gateways number the turns alike; a turn stays open for half a collapse window.
         turn = int(
-            rate / 1.5 * (s.start_capacity_ratio + warmth) / 2 * (self.now - server.entry.started_at) / work
+            rate
+            / TURN_SPACING
+            * (settings.start_capacity_ratio + capacity_ratio)
+            / 2
+            * (self.now - server.entry.started_at)
+            / work
         )
-        behind = (turn - s.rank - int.from_bytes(server.entry.server_id)) % s.gateway_count
-        ago = behind * work * 1.5 / (rate * warmth)
-        if 0 <= server.first_use_at <= self.now:  # its first use, for which no turn may come for long
+        turns_since = (turn - settings.rank - int.from_bytes(server.entry.server_id)) % settings.gateway_count
+        turn_age_us = turns_since * work * TURN_SPACING / (rate * capacity_ratio)
+        if 0 <= server.first_use_at <= self.now:  # does not wait for a turn, which may be far off
             return True
-        server.open_turn = turn - behind
-        taken = (
+        server.open_turn = turn - turns_since
+        is_taken = (
             server.open_turn <= server.last_turn_used
             if self.is_large_fleet
-            else server.last_sent_at >= self.now - ago
+            else server.last_sent_at >= self.now - turn_age_us
         )
-        return ago <= s.collapse_window_us / 2 and not taken
+        return turn_age_us <= settings.collapse_window_us / 2 and not is_taken
 
     def _request_value(self, request: Request) -> float:
         return (
@@ -398,246 +468,288 @@
         )
 
     def _value_band(self, request: Request) -> int:
-        """Its worth for its time beside that of all, as a band."""
-        favour = (
+        """Return the band of a request's value per time, relative to the mean of all."""
+        relative_value = (
             self._request_value(request) / self.mean_duration_us[request.class_index] / self.mean_value_per_us
         )
-        return min(len(BANDS) - 1, max(0, round(4.0 * math.log2(max(1e-9, favour)) + 4.0)))
+        return min(len(BAND_WEIGHTS) - 1, max(0, round(4.0 * math.log2(max(1e-9, relative_value)) + 4.0)))
 
-    def _window_has_room(self, request: Request, band: int) -> bool:  # the window, for a request of that band
-        window: float = self.window * BANDS[band]
+    def _window_has_room(self, request: Request, band: int) -> bool:
+        """Return whether the window of a band has room; one below 1 spaces attempts out in time."""
+        window: float = self.window * BAND_WEIGHTS[band]
         return self.in_flight < window and (
             window >= 1.0
             or self.now - self.last_sent_at >= self.mean_duration_us[request.class_index] / window
         )
 
     def _select_server(self, request: Request) -> Server | None:
-        """The server that should finish first, failures counted as an aim lost."""
-        rule, usual = self.settings.classes[request.class_index], self.mean_duration_us[request.class_index]
-        ready, tied = (
+        """Return the server that should finish a request first; a failure costs one latency target."""
+        request_class, expected_us = (
+            self.settings.classes[request.class_index],
+            self.mean_duration_us[request.class_index],
+        )
+        ready, first_entry = (
             self.ready_servers,
             next((t.server.entry for t in request.attempts if t.may_have_run), None),
         )
         if (
-            tied and rule.idempotency is Idempotency.KEYED and rule.dedup_scope is not DedupScope.ALL
-        ):  # rule 2
-            zonal = rule.dedup_scope is DedupScope.ZONE
-            ready = [s for s in ready if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)]
-        # A turn at a cold server is rare and short: all of them are looked at.
+            first_entry
+            and request_class.idempotency is Idempotency.KEYED
+            and request_class.dedup_scope is not DedupScope.ALL
+        ):  # only servers that recognize the key
+            is_by_zone = request_class.dedup_scope is DedupScope.ZONE
+            ready = [
+                s
+                for s in ready
+                if (s.entry.zone == first_entry.zone if is_by_zone else s.entry.cell == first_entry.cell)
+            ]
+        # All cold servers are compared, as a turn at one is rare and short.
         cold = [
             s
             for s in ready
             if s.first_use_at >= 0
             or (self.is_large_fleet and s.entry.started_at and self._capacity_ratio(s) < 1.0)
         ]
-        ready = self.random.sample(ready, min(LOOK, len(ready))) + cold
-        tried, best, least = [t.server for t in request.attempts], None, math.inf
+        ready = self.random.sample(ready, min(MAX_SERVERS_COMPARED, len(ready))) + cold
+        tried, best, min_cost = [t.server for t in request.attempts], None, math.inf
         for server in (s for s in ready if s not in tried):
             if self.zones.troubled and self.random.random() >= self.zones.share(server.entry.zone, self.now):
                 continue
-            warmth = self._capacity_ratio(server)
-            if warmth < 1.0 and not (self.may_use_cold_servers and self._has_cold_budget(server, warmth)):
+            capacity_ratio = self._capacity_ratio(server)
+            if capacity_ratio < 1.0 and not (
+                self.may_use_cold_servers and self._has_cold_budget(server, capacity_ratio)
+            ):
                 continue
-            others = server.others_in_flight * max(0.0, 1.0 - (self.now - server.load_reported_at) / SECOND)
-            kept = (1.0 - FADE) ** ((self.now - server.last_sent_at) / SECOND)
+            others = server.others_in_flight * max(0.0, 1.0 - (self.now - server.load_reported_at) / US_PER_S)
+            penalty_ratio = (1.0 - PENALTY_DECAY_PER_S) ** ((self.now - server.last_sent_at) / US_PER_S)
             cost = (
-                usual
-                * (1.0 + (server.relative_duration - 1.0) * kept)
+                expected_us
+                * (1.0 + (server.relative_duration - 1.0) * penalty_ratio)
                 * (1.0 + server.in_flight + others)
-                / warmth
+                / capacity_ratio
             )
             cost += (
                 (server.failure_rates[None] + server.failure_rates[request.tenant.plan])
-                * kept
-                * rule.latency_target_us
+                * penalty_ratio
+                * request_class.latency_target_us
             )
-            # Turns are rare, and who has one of many gateways finds the server nearly idle.
-            soon = self.service_time_us or usual
-            cost *= warmth / 2 if warmth < 1.0 and soon < warmth * rule.latency_target_us / 2 else 1.0
-            cost *= 0.0 if 0 <= server.first_use_at <= self.now else 1.0  # chosen, not left to chance
+            # Turns are rare, and find the cold server nearly idle.
+            service_us = self.service_time_us or expected_us
+            cost *= (
+                capacity_ratio / 2
+                if capacity_ratio < 1.0 and service_us < capacity_ratio * request_class.latency_target_us / 2
+                else 1.0
+            )
+            cost *= 0.0 if 0 <= server.first_use_at <= self.now else 1.0  # its first use is due
             if self.settings.cross_zone_cost and server.entry.zone != self.settings.zone:
-                cost *= CROSSING_LEAN
-            cost *= 1.0 + 0.05 * self.random.random()  # so that gateways do not herd
-            if cost < least:
-                best, least = server, cost
+                cost *= CROSS_ZONE_COST_FACTOR
+            cost *= 1.0 + COST_JITTER_RATIO * self.random.random()
+            if cost < min_cost:
+                best, min_cost = server, cost
         return best
 
     def _request_arrived(self, event: RequestArrived) -> None:
         self.settings.validate_request(event)
-        key = (event.account_id, event.plan_index)  # a stranger's plan must not become this customer's
-        if not (customer := self.tenants.pop(key, None)):
-            customer = Tenant(event, self.settings, self.now, self.started_at, self.ceiling_share)
-            customer.admission_credit = self.random.random()
-        self.tenants[key] = customer  # in the order of their last requests
-        request = self.requests[event.request_id] = Request(event, customer, self.now, self.settings.tick_us)
-        rule, usual = self.settings.classes[request.class_index], self.mean_duration_us[request.class_index]
-        hold = max(0, int(min((rule.latency_target_us - usual) * HOLD_SHARE, event.time_left_us * HOLD_MOST)))
-        request.queue_until = min(request.answer_by, self.now + hold)
+        # With the plan: a client that sends another plan must not change this tenant's.
+        key = (event.account_id, event.plan_index)
+        if not (tenant := self.tenants.pop(key, None)):
+            tenant = Tenant(event, self.settings, self.now, self.started_at, self.ceiling_share)
+            tenant.admission_credit = self.random.random()
+        self.tenants[key] = tenant  # ordered by their last requests
+        request = self.requests[event.request_id] = Request(event, tenant, self.now, self.settings.tick_us)
+        request_class, expected_us = (
+            self.settings.classes[request.class_index],
+            self.mean_duration_us[request.class_index],
+        )
+        max_wait_us = max(
+            0,
+            int(
+                min(
+                    (request_class.latency_target_us - expected_us) * TENANT_WAIT_TARGET_RATIO,
+                    event.time_left_us * TENANT_WAIT_TIME_RATIO,
+                )
+            ),
+        )
+        request.queue_until = min(request.answer_by, self.now + max_wait_us)
         self._schedule(
-            min(request.answer_by, self.now + int(hold * QUEUE_SHARE / HOLD_SHARE)),
+            min(
+                request.answer_by,
+                self.now + int(max_wait_us * FLEET_WAIT_TARGET_RATIO / TENANT_WAIT_TARGET_RATIO),
+            ),
             self._request_timed_out,
             request,
         )
         if event.time_left_us < self.min_duration_us[request.class_index] or (
             self.disabled_servers and not self.ready_servers
-        ):  # none can; may
+        ):  # no server can answer in time, or all are disabled
             return self._reject_or_fail(request)
-        self.mean_value_per_us += LEARN / 10 * (self._request_value(request) / usual - self.mean_value_per_us)
-        weight, room = self._demand_and_capacity(request)
-        customer.record_demand(weight, self.now)
+        self.mean_value_per_us += (
+            MEAN_WEIGHT / 10 * (self._request_value(request) / expected_us - self.mean_value_per_us)
+        )
+        demand, capacity = self._demand_and_capacity(request)
+        tenant.record_demand(demand, self.now)
         self._discard_idle_tenants()
-        if customer.quota_account:
-            return self._decide_by_quota_account(request, customer.quota_account, event.is_retry)
-        age = self.now - customer.total_known_at if customer.total_known_at >= 0 else KNOWN_FOR
-        spare = customer.decay_us * min(1.0, customer.gateway_count / TELLERS) * self.counter_backoff_factor
-        if age >= KNOWN_FOR:
-            call = self.random.random() * self.counter_backoff_factor < 1.0
-            # One that calls speaks for those that do not: once, and for no more than what it asks itself.
-            customer.unreported_demand += weight * (self.counter_backoff_factor - 1.0) if call else -weight
+        if tenant.quota_account:
+            return self._decide_by_quota_account(request, tenant.quota_account, event.is_retry)
+        age_us = self.now - tenant.total_known_at if tenant.total_known_at >= 0 else MAX_TOTAL_AGE_US
+        min_age_us = (
+            tenant.decay_us * min(1.0, tenant.gateway_count / REPORTS_PER_DECAY) * self.counter_backoff_factor
+        )
+        if age_us >= MAX_TOTAL_AGE_US:
+            makes_call = self.random.random() * self.counter_backoff_factor < 1.0
+            # A call reports the expected demand of the requests that make none; these do not report theirs.
+            tenant.unreported_demand += (
+                demand * (self.counter_backoff_factor - 1.0) if makes_call else -demand
+            )
         else:
-            near = (
-                NEAR * room < customer.estimated_total(weight) * self.counter_backoff_factor
-                and customer.estimated_total(weight) < room
+            is_near = (
+                NEAR_CAPACITY_RATIO * capacity < tenant.estimated_total(demand) * self.counter_backoff_factor
+                and tenant.estimated_total(demand) < capacity
             )
-            call = age > (spare / 4 if near else spare)
-        (self._report_demand if call and self.settings.has_counter and room else self._admit_by_estimate)(
-            request
-        )
+            makes_call = age_us > (min_age_us / 4 if is_near else min_age_us)
+        (
+            self._report_demand
+            if makes_call and self.settings.has_counter and capacity
+            else self._admit_by_estimate
+        )(request)
 
-    def _decide_by_quota_account(self, request: Request, account: QuotaAccount, again: bool) -> None:
-        """The count decides, unless what it told before does, or it has no time."""
+    def _decide_by_quota_account(self, request: Request, account: QuotaAccount, is_retry: bool) -> None:
+        """Decide by the quota account: without a call, by a claim or, with an overloaded counter, locally."""
         account.record_demand(request.units, self.now)
         if account.rejects_without_call(self.now, self.random.random()):
             return self._reject_or_fail(request)
-        way = self.counter_overload.admission_path(again, self.random.random())
-        if way is AdmissionPath.CLAIM:
+        path = self.counter_overload.admission_path(is_retry, self.random.random())
+        if path is AdmissionPath.CLAIM:
             claim = account.claim(request.units, self.now, self.random.random())
             self._make_quota_calls(request.tenant, [claim], request)
         else:
-            (self._admit_locally if way is AdmissionPath.LOCAL else self._reject_or_fail)(request)
+            (self._admit_locally if path is AdmissionPath.LOCAL else self._reject_or_fail)(request)
 
     def _admit_locally(self, request: Request) -> None:
-        alone = request.tenant.quota_account and request.tenant.quota_account.admit_locally(
+        is_admitted = request.tenant.quota_account and request.tenant.quota_account.admit_locally(
             request.units, self.now
         )
-        (self._enqueue if alone else self._reject_or_fail)(request)
+        (self._enqueue if is_admitted else self._reject_or_fail)(request)
 
     def _make_quota_calls(
-        self, customer: Tenant, calls: list[CounterCall], request: Request | None = None
+        self, tenant: Tenant, calls: list[CounterCall], request: Request | None = None
     ) -> None:
         for call in calls:
-            self.quota_calls.setdefault(call.name, deque()).append((customer, call, request))
+            self.quota_calls.setdefault(call.name, deque()).append((tenant, call, request))
             self.actions.append(
                 AddToCounter(
-                    call.name, call.amount, call.lifetime_us, CALL_PATIENCE * self.settings.counter_timeout_us
+                    call.name,
+                    call.amount,
+                    call.lifetime_us,
+                    MAX_WAIT_COUNTER_TIMEOUTS * self.settings.counter_timeout_us,
                 )
             )
 
     def _discard_idle_tenants(self) -> None:
-        for _ in range(FORGOTTEN):
+        for _ in range(MAX_TENANTS_CHECKED):
             oldest = self.tenants[key := next(iter(self.tenants))]
             if (
-                self.now - oldest.last_request_at <= KNOWN_FOR
+                self.now - oldest.last_request_at <= MAX_TOTAL_AGE_US
                 or oldest.in_flight
                 or oldest.queued
                 or oldest.refill(self.now) < oldest.ceiling_capacity
-            ):  # a ceiling is not given back early
+            ):  # a new record would have a refilled ceiling
                 return
             del self.tenants[key]
 
     def _demand_and_capacity(self, request: Request) -> tuple[float, float]:
-        """What a request asks and the room for all in one interval: units, or slots times seconds."""
-        plan, took = request.tenant.plan, self.mean_duration_us[request.class_index] / SECOND
-        interval = request.tenant.decay_us / SECOND
-        if plan.rate_per_s:  # a cap passes so much: Little's law
-            return request.units, interval * min(
-                ROOM * plan.rate_per_s, plan.max_in_flight * request.units / took or math.inf
+        """Return a request's demand and the capacity of one decay time: in units, or in slot-seconds."""
+        plan, duration_s = request.tenant.plan, self.mean_duration_us[request.class_index] / US_PER_S
+        decay_s = request.tenant.decay_us / US_PER_S
+        if plan.rate_per_s:  # the rate that the limit on requests in flight permits is by Little's law
+            return request.units, decay_s * min(
+                TARGET_RATE_RATIO * plan.rate_per_s,
+                plan.max_in_flight * request.units / duration_s or math.inf,
             )
-        return took, (
-            FILL if request.tenant.has_more_gateways_than_slots else 1.0
-        ) * plan.max_in_flight * interval
-
-    def _admit_by_estimate(self, request: Request) -> None:  # the companion's chance, then the bound
-        plan = (customer := request.tenant).plan
-        weight, room = self._demand_and_capacity(request)
-        total = customer.estimated_total(weight) if room else 0.0
-        customer.refill(self.now)
-        room = max(0.0, room + LEFT * customer.burst_left) if plan.rate_per_s else room
-        if total > 0 and plan.max_in_flight and customer.total_known_at >= 0:
-            slots = self.mean_duration_us[request.class_index] / weight  # by Little's law, and as a mean
-            customer.set_max_in_flight(
-                slots * customer.local_demand / customer.local_decay_us, slots * total / customer.decay_us
+        return duration_s, (
+            TARGET_SLOTS_RATIO if request.tenant.has_more_gateways_than_slots else 1.0
+        ) * plan.max_in_flight * decay_s
+
+    def _admit_by_estimate(self, request: Request) -> None:
+        """Admit a request with the probability that keeps the estimated total demand within the capacity."""
+        plan = (tenant := request.tenant).plan
+        demand, capacity = self._demand_and_capacity(request)
+        total = tenant.estimated_total(demand) if capacity else 0.0
+        tenant.refill(self.now)
+        capacity = (
+            max(0.0, capacity + TARGET_BURST_RATIO * tenant.burst_left) if plan.rate_per_s else capacity
+        )
+        if total > 0 and plan.max_in_flight and tenant.total_known_at >= 0:
+            slots = self.mean_duration_us[request.class_index] / demand  # Little's law
+            tenant.set_max_in_flight(
+                slots * tenant.local_demand / tenant.local_decay_us, slots * total / tenant.decay_us
             )
-            self._unblock(customer)  # its bound may have grown
-        chance = (
-            max(0.0, 1.0 - room / total)
-            if total > 0 and (plan.rate_per_s or customer.has_more_gateways_than_slots)
+            self._unblock(tenant)  # the limit may have risen
+        rejection_probability = (
+            max(0.0, 1.0 - capacity / total)
+            if total > 0 and (plan.rate_per_s or tenant.has_more_gateways_than_slots)
             else 0.0
         )
-        passes, customer.admission_credit = divmod(
-            customer.admission_credit + 1.0 - chance, 1.0
-        )  # spread evenly
-        (self._enqueue if passes >= 1.0 else self._reject_or_fail)(request)
+        # Rejections are spread evenly, not drawn at random.
+        admitted, tenant.admission_credit = divmod(tenant.admission_credit + 1.0 - rejection_probability, 1.0)
+        (self._enqueue if admitted >= 1.0 else self._reject_or_fail)(request)
 
     def _enqueue(self, request: Request) -> None:
-        customer = request.tenant
-        if (
-            customer.quota_account
-            and customer.plan.max_in_flight
-            and customer.quota_account.total_known_at >= 0
-        ):
-            slots = (
-                self.mean_duration_us[request.class_index] / SECOND / request.units
-            )  # by Little's law, and as a mean
-            customer.set_max_in_flight(
-                slots * customer.quota_account.local_rate_per_s(self.now),
-                slots * customer.quota_account.total_rate_per_s(self.now),
+        tenant = request.tenant
+        if tenant.quota_account and tenant.plan.max_in_flight and tenant.quota_account.total_known_at >= 0:
+            # Little's law
+            slots = self.mean_duration_us[request.class_index] / US_PER_S / request.units
+            tenant.set_max_in_flight(
+                slots * tenant.quota_account.local_rate_per_s(self.now),
+                slots * tenant.quota_account.total_rate_per_s(self.now),
             )
-            self._unblock(customer)  # its bound may have grown
+            self._unblock(tenant)  # the limit may have risen
         request.queue_entry.cost = self.mean_duration_us[request.class_index]
-        customer.queued += 1
-        for other in self.queue.push(
+        tenant.queued += 1
+        for dropped in self.queue.push(
             self._value_band(request),
-            customer.key % len(self.settings.plans),
-            customer.key,
+            tenant.key % len(self.settings.plans),
+            tenant.key,
             request.queue_entry,
-            customer.plan.rate_per_s or customer.plan.max_in_flight or 1.0,
+            tenant.plan.rate_per_s or tenant.plan.max_in_flight or 1.0,
             self.now,
         ):
-            other.tenant.queued -= 1
-            self._reject_or_fail(other)
+            dropped.tenant.queued -= 1
+            self._reject_or_fail(dropped)
 
     def _dispatch(self) -> None:
-        """Send those that wait, each in its turn, while bounds, ceilings and servers allow."""
-        queue, closed = self.queue, 0
+        """Send waiting requests in queue order, within the limits, ceilings and capacity of servers."""
+        queue, first_band = self.queue, 0
         while queue.entries:
-            entry = queue.head(max(closed, bisect_right(BANDS, self.in_flight / self.window)))
-            if entry is None or entry.flow is None:  # an attempt's end or a store's refill opens the way
-                return self._schedule_dispatch() if closed else None
-            request, flow, customer = entry.item, entry.flow, entry.item.tenant
-            lack = request.units - customer.refill(self.now) if customer.plan.ceiling_rate_per_s else 0.0
-            ready = self.now + int(min(1e9, max(0.0, lack) / max(1e-9, customer.ceiling_rate_per_us)))
-            if lack > 0 and ready > request.queue_until:  # nothing to wait for
+            entry = queue.head(max(first_band, bisect_right(BAND_WEIGHTS, self.in_flight / self.window)))
+            if entry is None or entry.flow is None:  # until an attempt ends or a ceiling is refilled
+                return self._schedule_dispatch() if first_band else None
+            request, flow, tenant = entry.item, entry.flow, entry.item.tenant
+            missing_units = request.units - tenant.refill(self.now) if tenant.plan.ceiling_rate_per_s else 0.0
+            refilled_at = self.now + int(
+                min(MAX_REFILL_WAIT_US, max(0.0, missing_units) / max(1e-9, tenant.ceiling_rate_per_us))
+            )
+            if missing_units > 0 and refilled_at > request.queue_until:  # too late
                 self._reject_or_fail(request)
                 continue
-            if lack > 0 or (customer.max_in_flight and customer.in_flight >= customer.max_in_flight):
+            if missing_units > 0 or (tenant.max_in_flight and tenant.in_flight >= tenant.max_in_flight):
                 queue.block(flow)
-                customer.blocked_flows.append(flow)
-                if lack > 0 and customer.next_unblock_at <= self.now:
-                    customer.next_unblock_at = ready + NO_SERVER_PAUSE
-                    self._schedule(customer.next_unblock_at, self._unblock, customer)
+                tenant.blocked_flows.append(flow)
+                if missing_units > 0 and tenant.next_unblock_at <= self.now:
+                    tenant.next_unblock_at = refilled_at + DISPATCH_RETRY_US
+                    self._schedule(tenant.next_unblock_at, self._unblock, tenant)
                 continue
-            # By the band it came in with, as the queue goes: its head's worth may have moved since, and
-            # asked anew it would hold up all that it has been put before.
+            # The band in which it was queued: its value may have changed since, and by a lower band it would
+            # hold up the requests behind it.
             if not self._window_has_room(request, flow.band):
-                closed = flow.band + 1  # so few attempts that they are spaced out: closer for higher bands
+                first_band = flow.band + 1  # attempts of higher bands are spaced out less
                 continue
             if (server := self._select_server(request)) is None:
                 return self._schedule_dispatch()
             queue.serve(entry)
-            customer.queued -= 1
-            customer.charge_attempt(request.units, self._demand_and_capacity(request)[0])
-            self.retry_budget = min(AGAIN_MOST, self.retry_budget + AGAIN_SHARE)
+            tenant.queued -= 1
+            tenant.charge_attempt(request.units, self._demand_and_capacity(request)[0])
+            self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
             self._start_attempt(request, server)
             if self.zones.troubled:
                 self._send_zone_trial(request)
@@ -645,49 +757,55 @@
 
     def _schedule_dispatch(self) -> None:
         if self.next_dispatch_at <= self.now:
-            self.next_dispatch_at = self.now + NO_SERVER_PAUSE
+            self.next_dispatch_at = self.now + DISPATCH_RETRY_US
             self._schedule(self.next_dispatch_at, lambda _: None, None)
 
-    def _unblock(self, customer: Tenant) -> None:
-        """Its bound or its ceiling may have room again."""
-        while customer.blocked_flows:
-            self.queue.unblock(customer.blocked_flows.pop())
+    def _unblock(self, tenant: Tenant) -> None:
+        """Check a tenant's blocked flows again, as its limit or ceiling may have room."""
+        while tenant.blocked_flows:
+            self.queue.unblock(tenant.blocked_flows.pop())
 
     def _start_attempt(self, request: Request, server: Server) -> None:
         request.tenant.in_flight += 1
         if request.is_uploading and not request.attempts and request.tenant.plan.ceiling_rate_per_s:
-            request.tenant.ceiling_capacity -= request.units  # they fill no room before their body has come
+            request.tenant.ceiling_capacity -= request.units  # see `_end_upload`
         request.attempts.append(attempt := Attempt(server, self.now))
         if self.zones.zones:
             self.unreported_attempts.append((request, attempt))
         server.in_flight, server.last_sent_at, server.first_use_at = server.in_flight + 1, self.now, -1
         self.in_flight, self.last_sent_at = self.in_flight + 1, self.now
-        usual = self.mean_duration_us[request.class_index]
+        expected_us = self.mean_duration_us[request.class_index]
         if self._capacity_ratio(server) < 1.0:
             server.cold_work_sent.append((self.now, self._cold_work_us()))
             server.last_turn_used = server.open_turn
         self.actions.append(StartAttempt(request.id, server.entry.server_id))
-        self._schedule(self.now + int(PATIENCE * usual), self._attempt_overdue, (request, attempt))
+        self._schedule(
+            self.now + int(OVERDUE_DURATION_RATIO * expected_us), self._attempt_overdue, (request, attempt)
+        )
 
     def _select_retry_server(self, request: Request) -> Server | None:
-        """Where a further attempt may go: rule 2, and the limits that keep retries few."""
-        rule = self.settings.classes[request.class_index]
-        late = self.now + self.mean_duration_us[request.class_index] > min(
-            request.deadline_at, request.arrived_at + rule.latency_target_us
+        """Return the server for a further attempt, or None where the request may not or need not be repeated.
+
+        An attempt that may have been executed is repeated only if the class is safe, or keyed and within its
+        deduplication window.
+        """
+        request_class = self.settings.classes[request.class_index]
+        is_late = self.now + self.mean_duration_us[request.class_index] > min(
+            request.deadline_at, request.arrived_at + request_class.latency_target_us
         )
-        risky = [t for t in request.attempts if t.may_have_run]
+        may_have_run = [t for t in request.attempts if t.may_have_run]
         if (
             request.is_ended
-            or late
+            or is_late
             or len(request.attempts) >= self.settings.max_attempts
             or self.retry_budget < 1.0
         ):
             return None
-        if risky and (
-            rule.idempotency is Idempotency.UNSAFE
+        if may_have_run and (
+            request_class.idempotency is Idempotency.UNSAFE
             or (
-                rule.idempotency is Idempotency.KEYED
-                and self.now - risky[0].started_at >= rule.dedup_window_us
+                request_class.idempotency is Idempotency.KEYED
+                and self.now - may_have_run[0].started_at >= request_class.dedup_window_us
             )
         ):
             return None
@@ -703,61 +821,77 @@
             self._start_attempt(request, server)
         return server is not None
 
-    def _record_outcome(self, attempt: Attempt, good: bool, slow: float | None, *plans: Plan | None) -> None:
-        if (
-            attempt.started_at >= self.resumed_at
-        ):  # what was out while we stood still is no sign of a server's health
+    def _record_outcome(
+        self, attempt: Attempt, succeeded: bool, relative_duration: float | None, *plans: Plan | None
+    ) -> None:
+        if attempt.started_at >= self.resumed_at:  # others were delayed by a stall of this process
             server, entry = attempt.server, attempt.server.entry
-            if None in plans and not good and (slow is None or self._capacity_ratio(server) >= 1.0):
+            if (
+                None in plans
+                and not succeeded
+                and (relative_duration is None or self._capacity_ratio(server) >= 1.0)
+            ):
                 self._call_zone_counters(
                     self.zones.fails(entry.zone, entry.server_id, attempt.started_at, self.now)
                 )
-            for plan in plans:  # a server may be full for one plan alone
-                server.failure_rates[plan] += LEARN_BAD * (
-                    (0.0 if good else 1.0) - server.failure_rates[plan]
+            for plan in plans:  # None: the server as a whole
+                server.failure_rates[plan] += FAILURE_WEIGHT * (
+                    (0.0 if succeeded else 1.0) - server.failure_rates[plan]
                 )
             server.relative_duration += (
-                LEARN * (min(slow, PATIENCE) - server.relative_duration) if slow is not None else 0.0
+                MEAN_WEIGHT * (min(relative_duration, OVERDUE_DURATION_RATIO) - server.relative_duration)
+                if relative_duration is not None
+                else 0.0
             )
 
     def _attempt_overdue(self, subject: tuple[Request, Attempt]) -> None:
-        """Out for much longer than usual: a mark against the server long before the time-out."""
+        """Count an attempt that lasts too long against its server, long before its timeout."""
         request, attempt = subject
         if attempt.is_in_flight and not (request.is_uploading or attempt.is_streaming):
-            self._record_outcome(
-                attempt, attempt.server.last_success_at > attempt.started_at, PATIENCE, None
-            )  # silent or slow?
+            # A failure only where the server has answered no other attempt since.
+            has_succeeded_since = attempt.server.last_success_at > attempt.started_at
+            self._record_outcome(attempt, has_succeeded_since, OVERDUE_DURATION_RATIO, None)
             self._hedge(request, attempt)
 
     def _hedge(self, request: Request, attempt: Attempt) -> None:
-        """Another attempt beside one that may have been lost, or in its place."""
+        """Start another attempt beside one that may be lost, or cancel that one to retry at its end."""
         if self.settings.may_hedge:
             self._retry(request)
         elif self.settings.may_cancel and self._select_retry_server(request):
-            self.actions.append(
-                CancelAttempt(request.id, request.attempts.index(attempt))
-            )  # its end sends anew
+            self.actions.append(CancelAttempt(request.id, request.attempts.index(attempt)))
 
-    def _record_success(self, request: Request, attempt: Attempt, took: int) -> None:
-        """A good answer, or its first bytes: what it tells of its server, the fleet and the class."""
-        server, usual = attempt.server, self.mean_duration_us[request.class_index]
+    def _record_success(self, request: Request, attempt: Attempt, duration_us: int) -> None:
+        """Update server, zone, window and class from a successful response or its first bytes."""
+        server, expected_us = attempt.server, self.mean_duration_us[request.class_index]
         server.last_success_at = self.now
         self._call_zone_counters(
             self.zones.answers(server.entry.zone, server.entry.server_id, attempt.started_at, self.now)
         )
-        late = took > GOOD_SHARE * self.settings.classes[request.class_index].latency_target_us
-        over = self.window / self.usual_window  # settles at the number of good answers for a late one
-        step = -min(self.window, over) if late else min(self.window, 1.0 / over)
-        step = (
-            0.0 if self.is_large_fleet and self._capacity_ratio(server) < 1.0 else step
-        )  # its time is no sign of a queue
-        # A gateway of many hears too little to narrow far by: a few late answers are not its own doing.
-        least = self.usual_window + SPARE * math.sqrt(self.usual_window) if self.is_large_fleet else LEARN
-        self.window = max(least, min(max(2.0, WIDEST * self.usual_window), self.window + LEARN * step))
-        self._record_outcome(attempt, True, took / usual, None, request.tenant.plan)
-        self.mean_duration_us[request.class_index] = usual + LEARN * (min(took, 5 * usual) - usual)
-        least = self.min_duration_us[request.class_index] or took
-        self.min_duration_us[request.class_index] = min(float(took), least + CREEP * (usual - least))
+        is_late = (
+            duration_us > FAST_LATENCY_RATIO * self.settings.classes[request.class_index].latency_target_us
+        )
+        # The window settles where this is the square root of the ratio of fast to late responses.
+        relative_window = self.window / self.usual_window
+        step = -min(self.window, relative_window) if is_late else min(self.window, 1.0 / relative_window)
+        # Long durations at a cold server do not indicate a queue.
+        step = 0.0 if self.is_large_fleet and self._capacity_ratio(server) < 1.0 else step
+        # One of many gateways must not narrow far for a few late responses, which it has not caused itself.
+        min_window = (
+            self.usual_window + MIN_WINDOW_DEVIATIONS * math.sqrt(self.usual_window)
+            if self.is_large_fleet
+            else MEAN_WEIGHT
+        )
+        self.window = max(
+            min_window, min(max(2.0, MAX_WINDOW_RATIO * self.usual_window), self.window + MEAN_WEIGHT * step)
+        )
+        self._record_outcome(attempt, True, duration_us / expected_us, None, request.tenant.plan)
+        self.mean_duration_us[request.class_index] = expected_us + MEAN_WEIGHT * (
+            min(duration_us, MAX_SAMPLE_RATIO * expected_us) - expected_us
+        )
+        min_us = self.min_duration_us[request.class_index] or duration_us
+        self.min_duration_us[request.class_index] = min(
+            float(duration_us), min_us + SLOW_MEAN_WEIGHT * (expected_us - min_us)
+        )
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
@@ -767,47 +901,50 @@
             or not request.attempts[event.attempt_index].is_in_flight
         ):
             return
-        customer, attempt = request.tenant, request.attempts[event.attempt_index]
-        server, usual = attempt.server, self.mean_duration_us[request.class_index]
-        customer.in_flight -= 1
+        tenant, attempt = request.tenant, request.attempts[event.attempt_index]
+        server, expected_us = attempt.server, self.mean_duration_us[request.class_index]
+        tenant.in_flight -= 1
         attempt.is_in_flight, attempt.may_have_run = False, event.result not in NOT_EXECUTED_RESULTS
         if not attempt.is_streaming:
             server.in_flight, self.in_flight = server.in_flight - 1, self.in_flight - 1
         if event.result is Result.OK and not attempt.is_streaming:
             self._record_success(request, attempt, event.duration_us)
         elif event.result not in (Result.OK, Result.CANCELLED, Result.NOT_SENT) and (
-            event.result is not Result.TIMED_OUT or event.duration_us >= PATIENCE * usual
-        ):  # else little time
+            event.result is not Result.TIMED_OUT or event.duration_us >= OVERDUE_DURATION_RATIO * expected_us
+        ):  # an earlier timeout was the request's own deadline
             self._record_outcome(
-                attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None
+                attempt, False, None, tenant.plan if event.result is Result.TURNED_AWAY else None
             )
         if load := event.load_report:
-            told = load.in_flight if load.in_flight is not None else (load.queued or 0.0) + (load.busy or 0.0)
-            server.others_in_flight, server.load_reported_at = max(0.0, told - server.in_flight), self.now
+            reported = (
+                load.in_flight if load.in_flight is not None else (load.queued or 0.0) + (load.busy or 0.0)
+            )
+            server.others_in_flight, server.load_reported_at = max(0.0, reported - server.in_flight), self.now
             if load.service_ms and self._capacity_ratio(server) >= 1.0:
-                took = load.service_ms * 1000.0
-                step = (
-                    LEARN if took < self.service_time_us else CREEP
-                )  # crowded, they take longer for the same work
-                self.service_time_us += step * (took - self.service_time_us) if self.service_time_us else took
+                service_us = load.service_ms * 1000.0
+                # Loaded servers take longer for the same work, so the estimate rises slowly.
+                step = MEAN_WEIGHT if service_us < self.service_time_us else SLOW_MEAN_WEIGHT
+                self.service_time_us += (
+                    step * (service_us - self.service_time_us) if self.service_time_us else service_us
+                )
         if event.request_ended or request.is_ended:
             self._end_request(request)
         elif not (any(t.is_in_flight for t in request.attempts) or self._retry(request)):
             self._reject_or_fail(request)
-        self._unblock(customer)
+        self._unblock(tenant)
 
     def _reject_or_fail(self, request: Request) -> None:
-        """The final answer: a refusal where rule 2 lets us promise, else a failure."""
-        rule = self.settings.classes[request.class_index]
-        free = rule.idempotency is Idempotency.SAFE or (
-            rule.idempotency is Idempotency.KEYED and rule.dedup_scope is DedupScope.ALL
+        """Answer finally: a rejection if the client may safely retry, else an error."""
+        request_class = self.settings.classes[request.class_index]
+        is_repeatable = request_class.idempotency is Idempotency.SAFE or (
+            request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope is DedupScope.ALL
         )
-        promise = free or not any(t.may_have_run for t in request.attempts)
-        self.actions.append(RejectRequest(request.id) if promise else FailRequest(request.id))
+        may_retry = is_repeatable or not any(t.may_have_run for t in request.attempts)
+        self.actions.append(RejectRequest(request.id) if may_retry else FailRequest(request.id))
         self._end_request(request)
 
     def _stream_started(self, event: StreamStarted) -> None:
-        """Its answer flows: out for its customer until its end, but no more work for its server."""
+        """Count a streaming attempt as in flight for its tenant only; its server has done its work."""
         if (
             (request := self.requests.get(event.request_id))
             and event.attempt_index < len(request.attempts)
@@ -822,7 +959,7 @@
             self._end_request(request)
 
     def _end_request(self, event: Request | RequestEnded) -> None:
-        """Answered, or the client left: nothing more is owed."""
+        """End a request that is answered or abandoned; keep it while attempts are in flight."""
         request = event if isinstance(event, Request) else self.requests.get(event.request_id)
         if request is None:
             return
@@ -846,7 +983,7 @@
             flow and (not flow.is_blocked or self.now >= request.queue_until)
         ):
             self._reject_or_fail(request)
-        else:  # it is out, or waits for its count or for room of its own
+        else:  # in flight, or waiting for the counter or for its tenant's limits
             self._schedule(
                 request.queue_until if self.now < request.queue_until else request.answer_by,
                 self._request_timed_out,
@@ -854,68 +991,76 @@
             )
 
     def _report_demand(self, request: Request) -> None:
-        """Add what is owed to the customer's count; the answer is the total, and the request waits for it."""
-        customer = request.tenant
-        index, into = divmod(self.now - customer.phase_us, customer.name_period_us)
-        name = (customer.key << 24) | (index % 2**24)
-        self.demand_calls.setdefault(name, deque()).append((request, customer.unreported_demand, index))
-        amount = customer.unreported_demand * math.exp(into / customer.decay_us)
-        self.actions.append(AddToCounter(name, amount, customer.name_period_us + 5 * SECOND))
-        customer.unreported_demand = 0.0
+        """Add the unreported demand to the tenant's counter; the request waits for the total."""
+        tenant = request.tenant
+        index, elapsed_us = divmod(self.now - tenant.phase_us, tenant.name_period_us)
+        name = (tenant.key << 24) | (index % 2**24)
+        self.demand_calls.setdefault(name, deque()).append((request, tenant.unreported_demand, index))
+        amount = tenant.unreported_demand * math.exp(elapsed_us / tenant.decay_us)
+        self.actions.append(
+            AddToCounter(name, amount, tenant.name_period_us + COUNTER_NAME_GRACE_S * US_PER_S)
+        )
+        tenant.unreported_demand = 0.0
 
     def _quota_call_answered(self, event: CounterAnswered) -> None:
-        """The answer to a call for an account."""
+        """Process the answer to a call of a quota account."""
         calls = self.quota_calls[event.counter_name]
-        customer, call, request = calls.popleft()
+        tenant, call, request = calls.popleft()
         if not calls:
             del self.quota_calls[event.counter_name]
-        account, live = customer.quota_account, request if request and not request.is_ended else None
+        account, waiting_request = tenant.quota_account, request if request and not request.is_ended else None
         assert account is not None
         if event.result is Result.OK:
             self.counter_overload.answered()
-            first = account.total_known_at < 0
-            holds, more = account.counter_answered(call, event.total, self.now)
-            self._make_quota_calls(customer, more, request if holds is None else None)
-            if first and (ceiling := customer.plan.ceiling_rate_per_s):
-                part = 0.5 - account.total_rate_per_s(self.now) / ceiling
-                customer.ceiling_tokens = max(customer.ceiling_tokens, customer.ceiling_capacity * part)
-            if live and holds:
-                live.claim = call
-                self._enqueue(live)
-            elif live and holds is False:
-                self._reject_or_fail(live)
+            is_first = account.total_known_at < 0
+            holds, next_calls = account.counter_answered(call, event.total, self.now)
+            self._make_quota_calls(tenant, next_calls, request if holds is None else None)
+            if is_first and (ceiling_rate_per_s := tenant.plan.ceiling_rate_per_s):
+                # As in `Tenant.record_total`.
+                share = 0.5 - account.total_rate_per_s(self.now) / ceiling_rate_per_s
+                tenant.ceiling_tokens = max(tenant.ceiling_tokens, tenant.ceiling_capacity * share)
+            if waiting_request and holds:
+                waiting_request.claim = call
+                self._enqueue(waiting_request)
+            elif waiting_request and holds is False:
+                self._reject_or_fail(waiting_request)
             elif request and holds:
-                self._make_quota_calls(customer, account.return_claim(call, self.now))
+                self._make_quota_calls(tenant, account.return_claim(call, self.now))
         elif event.result is Result.TURNED_AWAY:
             self.counter_overload.rejected()
-            if live:  # its client comes again: a call made again here helps less
-                self._reject_or_fail(live)
+            if waiting_request:  # its client retries, which is better than a repeated call here
+                self._reject_or_fail(waiting_request)
         else:
             self.counter_overload.unanswered()
-            if live:
-                self._admit_locally(live)
+            if waiting_request:
+                self._admit_locally(waiting_request)
 
     def _counter_answered(self, event: CounterAnswered) -> None:
         if event.counter_name in self.quota_calls:
             return self._quota_call_answered(event)
-        if words := self.zone_calls.get(event.counter_name):
-            word = words.popleft()
-            if not words:
+        if zone_calls := self.zone_calls.get(event.counter_name):
+            zone_call = zone_calls.popleft()
+            if not zone_calls:
                 del self.zone_calls[event.counter_name]
             if event.result is Result.OK:
-                self._call_zone_counters(self.zones.hear(word, event.total, self.now))
+                self._call_zone_counters(self.zones.hear(zone_call, event.total, self.now))
             return
         if not (calls := self.demand_calls.pop(event.counter_name, None)):
             return
         request, amount, index = calls.popleft()
         self.demand_calls |= {event.counter_name: calls} if calls else {}
-        heard, customer = event.result is Result.OK, request.tenant
+        is_answered, tenant = event.result is Result.OK, request.tenant
         self.counter_backoff_factor = min(
-            STRAIN_MOST, max(1.0, self.counter_backoff_factor * (STRAIN_DOWN if heard else STRAIN_UP))
+            MAX_COUNTER_BACKOFF,
+            max(
+                1.0,
+                self.counter_backoff_factor
+                * (COUNTER_BACKOFF_DECREASE if is_answered else COUNTER_BACKOFF_INCREASE),
+            ),
         )
-        if heard:
-            customer.record_total(event.total, index, self._demand_and_capacity(request)[1], self.now)
+        if is_answered:
+            tenant.record_total(event.total, index, self._demand_and_capacity(request)[1], self.now)
         elif event.result is not Result.TIMED_OUT:
-            customer.unreported_demand += amount
+            tenant.unreported_demand += amount
         if not request.is_ended:
             self._admit_by_estimate(request)
--- a/irisdeal/front_door/decisions/interface.py
+++ b/irisdeal/front_door/decisions/interface.py
@@ -1,7 +1,7 @@
-"""What a front door tells the decision module and what the module asks of it.
+"""Interface between a front door and its decision module: settings, events and actions.
 
-Times are whole microseconds of the front door's own clock. A server and a count are
-named by values that the module only hands back; they carry no meaning of their own.
+Times are whole microseconds of the front door's own clock, durations whole microseconds. Server ids and
+counter names are opaque: the module only returns them in its actions.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may have its effect more than once."""
+    """Whether a request may be executed more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class DedupScope(Enum):
-    """The servers that drop a repeat of one key."""
+    """The servers that share their record of idempotency keys and so drop duplicates of one key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class Result(Enum):
-    """How an attempt, a probe or a call to the counter ended."""
+    """Outcome of an attempt, a probe or a call to the counter service."""
 
     OK = "ok"
     ERROR = "error"
@@ -41,7 +41,7 @@
 
 
 class ServerState(Enum):
-    """What the server list says of a server."""
+    """State of a server in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -49,7 +49,7 @@
 
 
 class ServerListKind(Enum):
-    """What a message of the server list brings."""
+    """Kind of a server list message: changes, a complete list, a list from the local cache, or a failure."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -59,7 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One kind of request: its wishes in time and its rule on repeats."""
+    """A class of requests: times, idempotency and value.
+
+    `dedup_window_us` is how long the servers of `dedup_scope` remember an idempotency key. `value` is that of
+    a response within `latency_target_us`, `late_value` of a later one; `is_streaming` marks streamed
+    responses.
+    """
 
     latency_target_us: int
     deadline_us: int
@@ -73,7 +78,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What every customer of a plan may use over all gateways; 0 means no such limit."""
+    """Limits of each account of a plan, over all gateways; 0 means no such limit.
+
+    `rate_per_s` and `burst` are a token bucket of quota units, `max_in_flight` limits concurrent requests.
+    The ceiling is a hard token bucket of `ceiling_depth` units that must never be exceeded by more than
+    `ceiling_slack`. `value_factor` multiplies the value of requests. Units beyond the quota cost
+    `excess_cost` each and are of value `excess_value`.
+    """
 
     rate_per_s: float
     burst: float
@@ -88,7 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway is told when it starts."""
+    """Settings of a gateway, fixed from its start but for `classes`.
+
+    A server starts with `start_capacity_ratio` of its capacity and reaches all of it after `warm_up_us`. It
+    collapses when it receives `collapse_load_ratio` times its current capacity for `collapse_window_us`.
+    `rank` is this gateway's index among `gateway_count`.
+    """
 
     gateway_count: int
     rank: int
@@ -131,21 +147,26 @@
             "collapse_window_us",
             "counter_timeout_us",
         ):
-            _require(getattr(self, field) >= 0, field, getattr(self, field), "no negative time")
+            _require(getattr(self, field) >= 0, field, getattr(self, field), "a time of at least 0")
         _require(
             0.0 < self.start_capacity_ratio <= 1.0,
             "start_capacity_ratio",
             self.start_capacity_ratio,
-            "a share over 0",
+            "over 0 and at most 1",
         )
-        for n, kind in enumerate(self.classes):
+        for n, request_class in enumerate(self.classes):
             _require(
-                kind.latency_target_us > 0,
+                request_class.latency_target_us > 0,
                 f"classes[{n}].latency_target_us",
-                kind.latency_target_us,
+                request_class.latency_target_us,
+                "a time over 0",
+            )
+            _require(
+                request_class.deadline_us > 0,
+                f"classes[{n}].deadline_us",
+                request_class.deadline_us,
                 "a time over 0",
             )
-            _require(kind.deadline_us > 0, f"classes[{n}].deadline_us", kind.deadline_us, "a time over 0")
         for n, plan in enumerate(self.plans):
             for field in (
                 "rate_per_s",
@@ -156,22 +177,22 @@
                 "ceiling_slack",
             ):
                 value = getattr(plan, field)
-                _require(value >= 0, f"plans[{n}].{field}", value, "no negative limit")
+                _require(value >= 0, f"plans[{n}].{field}", value, "a limit of at least 0")
 
     def validate_request(self, event: RequestArrived) -> None:
-        """Raise where a request names a class or plan that these settings do not have."""
+        """Raise ValueError where a request has a class or plan that these settings do not have."""
         _require(0 <= event.class_index < len(self.classes), "class_index", event.class_index, "known")
         _require(0 <= event.plan_index < len(self.plans), "plan_index", event.plan_index, "known")
 
 
-def _require(holds: bool, field: str, value: object, wanted: str) -> None:
-    if not holds:
-        raise ValueError(f"{field} is {value!r}: wanted {wanted}")
+def _require(is_valid: bool, field: str, value: object, expected: str) -> None:
+    if not is_valid:
+        raise ValueError(f"{field} is {value!r}: wanted {expected}")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the server list. `started` is 0 for a server that began long ago."""
+    """An entry of the server list. `started_at` is 0 for a server that started long ago."""
 
     server_id: bytes
     state: ServerState
@@ -184,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's own word on its load; None where it does not say."""
+    """Load as reported by a server; None for values that it does not report."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -199,6 +220,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
+    """A message of the server list. A complete list replaces the previous one."""
+
     kind: ServerListKind
     version: int
     entries: tuple[ServerEntry, ...]
@@ -206,9 +229,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request. `first_gateway` and `gateways` name the customer's set; `size` is its bytes.
+    """A request was received.
 
-    Where it is `uploading` its body is still on the way, and its time counts from `BodyComplete` on.
+    The account's requests come through `gateway_count` gateways from the one of rank `first_gateway` on.
+    While the request `is_uploading`, its body is incomplete, and its time counts from `RequestBodyReceived`
+    on.
     """
 
     request_id: int
@@ -227,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`ended` tells that the request has its final answer; `usage` is a percentage or None."""
+    """An attempt ended, with `request_ended` also its request. `usage_percent` is None where unknown."""
 
     request_id: int
     attempt_index: int
@@ -242,6 +267,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
+    """The response of an attempt has started and is streamed to the client."""
+
     request_id: int
     attempt_index: int
     server_id: bytes
@@ -250,13 +277,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """The client left; nothing is owed any more."""
+    """The client disconnected: the request needs no response."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
+    """The outcome of `AddToCounter`, with the counter's total where it is OK."""
+
     counter_name: int
     result: Result
     total: float
@@ -265,6 +294,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """The outcome of `ProbeServer`."""
+
     server_id: bytes
     result: Result
     duration_us: int
@@ -273,18 +304,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """A message from another gateway."""
+
     sender: int
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer of `SetTimer` has expired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClassesChanged:
-    """The classes from now on. A number whose class changes has no open request; what was learnt is lost."""
+    """The request classes changed.
+
+    A class that differs from the previous one at its index has no open request; its statistics are reset.
+    """
 
     classes: tuple[RequestClass, ...]
 
@@ -294,7 +332,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassChanged:
-    """An open request has another class from now on, whose rule on repeats is no milder."""
+    """An open request now has another class, which permits no more repeats than the previous one."""
 
     request_id: int
     class_index: int
@@ -302,7 +340,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerAdminStateChanged:
-    """A server is left out by hand from now on, whatever the list says, or is no longer (`barred` False)."""
+    """An operator disabled or enabled a server. A disabled one gets no requests, whatever the list says."""
 
     server_id: bytes
     is_disabled: bool
@@ -310,22 +348,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CeilingShareChanged:
-    """Another process of this front door is there, or has gone.
+    """Another process of this front door started or ended.
 
-    `part` of the door's share of each ceiling is this process's from now on, over 0 and at most 1; it uses
-    cold servers only if `warms`, since the other may not do so as well.
+    This process may now use `ceiling_share` (over 0, at most 1) of the front door's share of each ceiling.
+    Only one of the processes may use cold servers, as each would use the whole budget for them.
     """
 
     ceiling_share: float
     may_use_cold_servers: bool
 
     def __post_init__(self) -> None:
-        _require(0.0 < self.ceiling_share <= 1.0, "ceiling_share", self.ceiling_share, "a share over 0")
+        _require(0.0 < self.ceiling_share <= 1.0, "ceiling_share", self.ceiling_share, "over 0 and at most 1")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyReceived:
-    """The last byte of a request's body has come; from now on `time_left` counts."""
+    """The last byte of a request's body was received; its time counts from here."""
 
     request_id: int
     time_left_us: int
@@ -354,7 +392,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; `timeout` 0 lets it run until the client gives up."""
+    """Send a request to a server. With `timeout_us` 0 the attempt may last until the request's deadline."""
 
     request_id: int
     server_id: bytes
@@ -363,13 +401,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Cancel an attempt in flight."""
+
     request_id: int
     attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: the client may safely try again, best after `retry_after`."""
+    """Answer a request finally: not executed, and safe to retry, preferably after `retry_after_us`."""
 
     request_id: int
     retry_after_us: int = 0
@@ -377,16 +417,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer without a promise."""
+    """Answer a request finally with an error: it may have been executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a named count and hear its total; a new name is forgotten after `lifetime`.
+    """Add to a counter and request its total; a new counter expires after `lifetime_us`.
 
-    `patience` is for how long an answer is of use, where the front door may wait beyond the usual time-out.
+    With `max_wait_us` over 0, an answer is of use for that long, even after the configured timeout.
     """
 
     counter_name: int
@@ -397,33 +437,41 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Set a timer."""
+
     delay_us: int
     token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeServer:
+    """Probe a server."""
+
     server_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
+    """Close the idle connections to a server."""
+
     server_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class FetchServerList:
-    pass
+    """Read the server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchServerList:
+    """Start or stop watching the server list."""
+
     is_on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """A message to one gateway, or to all others when `gateway` is None."""
+    """Send a message to one gateway, or to all others where `gateway_index` is None."""
 
     gateway_index: int | None
     content: bytes
@@ -431,6 +479,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
+    """Write a log message."""
+
     text: str
 
 
@@ -451,10 +501,10 @@
 
 
 class Decider(Protocol):
-    """The shape of `irisdeal.front_door.decisions.gateway.Gateway`."""
+    """A decision module, such as `irisdeal.front_door.decisions.gateway.Gateway`."""
 
-    actions: list[Action]  # of the last call; what was decided before an event failed stands
+    actions: list[Action]  # of the last call; where an event raised, those decided before it are valid
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what happened by `now`; return what to do, in order."""
+        """Process the events up to `now`; return the actions to take, in order."""
         ...
--- a/irisdeal/front_door/decisions/records.py
+++ b/irisdeal/front_door/decisions/records.py
@@ -1,4 +1,4 @@
-"""What one gateway keeps of a server, an attempt and a request: records, with no decision in them."""
+"""State that one gateway keeps of a server, an attempt and a request. No decisions."""
 
 from __future__ import annotations
 
@@ -10,54 +10,61 @@
 from irisdeal.front_door.queueing.fair_queue import Entry
 from irisdeal.front_door.quota.counter_calls import CounterCall
 
+MAX_COLD_WORK_ENTRIES = 1000
+
 
 class Server:
-    """One server as this gateway knows it."""
+    """A server with its statistics at this gateway."""
 
     def __init__(self, entry: ServerEntry) -> None:
-        self.entry, self.in_flight = entry, 0  # its line of the list; attempts of this gateway out there
-        self.listed_started_at, self.first_use_at = (
-            entry.started_at,
-            -1,
-        )  # its start as listed; back by hand: when it is to be used
-        self.others_in_flight, self.relative_duration = (
-            0.0,
-            1.0,
-        )  # what the others have there, as told; its times over those of all
-        self.failure_rates: defaultdict[Plan | None, float] = defaultdict(
-            float
-        )  # failures, 0 to 1; by plan: full
-        self.last_success_at = self.load_reported_at = self.last_sent_at = 0
-        self.open_turn, self.last_turn_used = (
-            0,
-            -1,
-        )  # ours while it is cold: the one that is open; the last one taken
-        self.cold_work_sent: deque[tuple[int, float]] = deque(maxlen=1000)  # work sent while cold
+        self.entry = entry  # of the server list; its start may be later than listed
+        self.in_flight = 0  # attempts of this gateway
+        self.listed_started_at = entry.started_at
+        self.first_use_at = -1  # when to use it first after an operator enabled it; -1 once used
+        self.others_in_flight = 0.0  # requests of other gateways, by its last load report
+        self.relative_duration = 1.0  # mean of durations, relative to those at all servers
+        # Failures, from 0 to 1; under a plan the rejections of its requests, as a server may be full for one
+        # alone.
+        self.failure_rates: defaultdict[Plan | None, float] = defaultdict(float)
+        self.last_success_at = 0
+        self.load_reported_at = 0
+        self.last_sent_at = 0
+        # Turns at a server that is warming up.
+        self.open_turn = 0
+        self.last_turn_used = -1
+        # Time and work in µs of attempts sent while it was warming up.
+        self.cold_work_sent: deque[tuple[int, float]] = deque(maxlen=MAX_COLD_WORK_ENTRIES)
 
     def listed_entry(self) -> ServerEntry:
-        """Its line as the list told it."""
+        """Return its entry as in the server list."""
         return replace(self.entry, started_at=self.listed_started_at)
 
 
 class Attempt:
-    """One attempt; it may have run until its outcome proves that it never did."""
+    """An attempt. It may have been executed unless its result shows otherwise."""
 
-    def __init__(self, server: Server, at: int) -> None:
-        self.server, self.started_at, self.is_in_flight, self.may_have_run = server, at, True, True
-        self.is_streaming = False  # its answer has begun and is passed on
+    def __init__(self, server: Server, now: int) -> None:
+        self.server = server
+        self.started_at = now
+        self.is_in_flight = True
+        self.may_have_run = True
+        self.is_streaming = False  # its response has started
 
 
 class Request:
-    """A request taken, kept until it is answered and no attempt of it is out."""
-
-    def __init__(self, event: RequestArrived, customer: Tenant, now: int, tick: int) -> None:
-        self.id, self.class_index = event.request_id, event.class_index
-        self.units, self.tenant = event.units, customer
-        self.arrived_at, self.deadline_at = now, now + event.time_left_us
-        self.answer_by = self.queue_until = max(
-            now, self.deadline_at - 2 * tick
-        )  # when it must be answered; sent
+    """A request, kept until it is answered and has no attempt in flight."""
+
+    def __init__(self, event: RequestArrived, tenant: Tenant, now: int, tick_us: int) -> None:
+        self.id = event.request_id
+        self.class_index = event.class_index
+        self.units = event.units
+        self.tenant = tenant
+        self.arrived_at = now
+        self.deadline_at = now + event.time_left_us
+        self.answer_by = max(now, self.deadline_at - 2 * tick_us)  # while there is time to send an answer
+        self.queue_until = self.answer_by  # it is rejected if it still waits then
         self.attempts: list[Attempt] = []
-        self.is_ended, self.is_uploading = False, event.is_uploading  # its body is still on the way
-        self.claim: CounterCall | None = None  # by which it holds units of its customer's quota
-        self.queue_entry = Entry(self, 1.0, event.body_bytes, now)  # its place while it waits
+        self.is_ended = False
+        self.is_uploading = event.is_uploading  # its body is incomplete
+        self.claim: CounterCall | None = None  # for its units of the quota
+        self.queue_entry = Entry(self, 1.0, event.body_bytes, now)
--- a/irisdeal/front_door/decisions/simulator.py
+++ b/irisdeal/front_door/decisions/simulator.py
@@ -1,4 +1,4 @@
-"""Standard input to standard output: one `Gateway` for each instance on the wire."""
+"""Runs decision modules for the simulator: a `Gateway` per instance, over standard input and output."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 
 class GatewayHost:
-    """The instances that one process holds. They share nothing."""
+    """The gateway instances of one process. They share no state."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.columns: dict[int, simulator_wire.Columns] = {}
 
     def reply(self, frame: bytes) -> bytes:
-        """The reply to one batch."""
+        """Process a batch frame; return the reply frame."""
         clock, records = simulator_wire.read_batch(frame, self.columns)
-        waiting: dict[int, list[Event]] = {}
-        for door, event in records:
+        events_of: dict[int, list[Event]] = {}
+        for instance, event in records:
             if isinstance(event, simulator_wire.InstanceStopped):
-                self.gateways.pop(door, None)
-                waiting.pop(door, None)
+                self.gateways.pop(instance, None)
+                events_of.pop(instance, None)
             elif isinstance(event, simulator_wire.InstanceStarted):
-                self.gateways[door] = Gateway(event.settings, event.seed)
-                self.columns[door] = event.columns
-                waiting[door] = []
-            elif door in self.gateways:
-                waiting.setdefault(door, []).append(event)
+                self.gateways[instance] = Gateway(event.settings, event.seed)
+                self.columns[instance] = event.columns
+                events_of[instance] = []
+            elif instance in self.gateways:
+                events_of.setdefault(instance, []).append(event)
             else:
-                raise simulator_wire.WireError(f"{type(event).__name__} for unknown instance {door}")
-        out: list[bytes] = []
-        for door, events in waiting.items():
+                raise simulator_wire.WireError(f"{type(event).__name__} for unknown instance {instance}")
+        replies: list[bytes] = []
+        for instance, events in events_of.items():
             try:
-                actions = self.gateways[door].handle(clock, events)
-            except Exception as error:  # reported on the wire: the day ends with its text
-                out.append(simulator_wire.exception_record(door, f"{type(error).__name__}: {error}"))
+                actions = self.gateways[instance].handle(clock, events)
+            except Exception as error:  # reported to the simulator, which stops with its text
+                replies.append(simulator_wire.exception_record(instance, f"{type(error).__name__}: {error}"))
                 break
-            out += [simulator_wire.write_action(door, action) for action in actions]
-        return simulator_wire.write_reply(out)
+            replies += [simulator_wire.write_action(instance, action) for action in actions]
+        return simulator_wire.write_reply(replies)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the end of input."""
     host = GatewayHost()
     while header := source.read(simulator_wire.BATCH_HEADER.size):
         if len(header) < simulator_wire.BATCH_HEADER.size:
@@ -53,17 +53,19 @@
         rest = simulator_wire.frame_size(header) - len(header)
         body = source.read(rest)
         if len(body) < rest:
-            whole = rest + len(header)
-            raise simulator_wire.WireError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
+            frame_bytes = rest + len(header)
+            raise simulator_wire.WireError(
+                f"frame of {frame_bytes} bytes cut off after {len(header) + len(body)}"
+            )
         sink.write(host.reply(header + body))
         sink.flush()
 
 
 def main() -> int:
-    """Run until the end of input; malformed input ends with one plain line."""
+    """Run until the end of input; malformed input ends with a one-line error and status 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except ValueError as error:  # of the wire or of the settings
+    except ValueError as error:  # malformed frames or settings
         print(f"irisdeal.front_door.decisions: {error}", file=sys.stderr)
         return 2
     return 0
--- a/tests/front_door/test_patience.py
+++ b/tests/front_door/test_patience.py
@@ -1,4 +1,4 @@
-"""Bad clients end soon and take no place from others. Time is the tests' own."""
+"""Misbehaving clients are disconnected soon and take no slot from others. The clock is simulated."""
 
 import asyncio
 import gc
@@ -31,25 +31,25 @@
 )
 
 
-class Hand:
-    """A clock that the test sets."""
+class ManualClock:
+    """A clock that the test advances."""
 
     def __init__(self, side: HttpServer) -> None:
         self.side, self.time = side, 1000.0
         side.now = lambda: self.time
 
-    def on(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.time += seconds
         self.side.sweep()
 
 
 async def connected(door: Running, count: int) -> list[Streams]:
-    made = [await door.client() for _ in range(count)]
+    clients = [await door.client() for _ in range(count)]
     while len(door.program.clients.connections) < count or not all(
         c.transport for c in door.program.clients.connections
     ):
         await asyncio.sleep(0)
-    return made
+    return clients
 
 
 async def ended(reader: asyncio.StreamReader) -> bytes:
@@ -63,21 +63,21 @@
 
 
 @socket_test
-async def test_one_that_never_says_anything_is_closed() -> None:
+async def test_a_silent_connection_is_closed() -> None:
     async with running(Script(silent)) as door:
-        hand = Hand(door.program.clients)
+        clock = ManualClock(door.program.clients)
         [(reader, _)] = await connected(door, 1)
-        hand.on(1.0)
+        clock.advance(1.0)
         assert door.program.clients.connections
-        hand.on(0.75)
-        told = await ended(reader)  # an answer: a request that crosses the end must not be cut
-        assert told.startswith(b"HTTP/1.1 408 ") and b"Connection: close\r\n" in told
+        clock.advance(0.75)
+        response = await ended(reader)  # a response, as a request may be on its way
+        assert response.startswith(b"HTTP/1.1 408 ") and b"Connection: close\r\n" in response
 
 
 @socket_test
-async def test_half_a_request_ends_however_slowly_it_drips() -> None:
+async def test_an_incomplete_request_times_out_however_slowly_it_arrives() -> None:
     async with running(Script(silent)) as door:
-        hand = Hand(door.program.clients)
+        clock = ManualClock(door.program.clients)
         [(reader, writer)] = await connected(door, 1)
         client = next(iter(door.program.clients.connections))
         for byte in ask()[:8]:
@@ -85,25 +85,25 @@
             size = client.head_bytes
             while client.head_bytes == size and not client.in_message:
                 await asyncio.sleep(0)
-            hand.on(0.2)
-        hand.on(0.2)
+            clock.advance(0.2)
+        clock.advance(0.2)
         assert b" 408 " in await ended(reader)
 
 
 @pytest.mark.parametrize("rest", [ask(trace="a2")[:20], b"noise\r\n\r\n"])
-def test_what_cannot_be_read_behind_an_open_request_ends_with_it(rest: bytes) -> None:
+def test_malformed_input_behind_an_open_request_ends_the_connection(rest: bytes) -> None:
     @socket_test
     async def run() -> None:
         script = Script(silent)
         async with running(script) as door:
-            hand = Hand(door.program.clients)
+            clock = ManualClock(door.program.clients)
             [(reader, writer)] = await connected(door, 1)
             client = next(iter(door.program.clients.connections))
             writer.write(ask(trace="a1") + rest)
             await script.wait_for(RequestArrived)
-            hand.on(1.0)
-            assert client.requests  # it may still be answered
-            hand.on(0.75)
+            clock.advance(1.0)
+            assert client.requests  # its response may still come
+            clock.advance(0.75)
             answers = await ended(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
             assert not door.program.clients.open_traces and not door.program.decision_loop.unanswered_count
@@ -112,37 +112,37 @@
 
 
 @socket_test
-async def test_one_that_does_not_read_its_end_is_cut_off() -> None:
+async def test_a_client_that_does_not_read_the_final_response_is_reset() -> None:
     async with running(Script(silent)) as door:
-        hand = Hand(door.program.clients)
+        clock = ManualClock(door.program.clients)
         [(_, writer)] = await connected(door, 1)
         writer.write(b"noise\r\n\r\n")
         client = next(iter(door.program.clients.connections))
         while not client.close_deadline:
             await asyncio.sleep(0)
-        hand.on(1.25)
+        clock.advance(1.25)
         while door.program.clients.connections:
             await asyncio.sleep(0)
 
 
 @socket_test
-async def test_one_that_never_reads_its_answers_is_cut_off_sooner_in_a_crowd() -> None:
+async def test_a_client_that_reads_no_responses_is_reset_sooner_with_all_slots_used() -> None:
     async with running(Script(silent)) as door:
-        hand = Hand(door.program.clients)
+        clock = ManualClock(door.program.clients)
         await connected(door, 2)
-        one, _ = door.program.clients.connections
-        one.pause_writing()  # as the transport does once 64 KiB wait
-        one.has_sent_request = True
-        hand.on(4.9)
-        assert one in door.program.clients.connections
-        shrink(door.program.clients, 2, 0)
-        hand.on(0.0)
-        while one in door.program.clients.connections:
+        connection, _ = door.program.clients.connections
+        connection.pause_writing()  # as the transport does with 64 KiB unsent
+        connection.has_sent_request = True
+        clock.advance(4.9)
+        assert connection in door.program.clients.connections
+        set_slots(door.program.clients, 2, 0)
+        clock.advance(0.0)
+        while connection in door.program.clients.connections:
             await asyncio.sleep(0)
 
 
 @socket_test
-async def test_the_bound_on_open_requests_holds_inside_one_read() -> None:
+async def test_the_limit_on_pipelined_requests_holds_within_one_read() -> None:
     script = Script(silent)
     async with running(script) as door:
         reader, writer = await door.client()
@@ -159,7 +159,7 @@
 
 
 @socket_test
-async def test_hundreds_of_requests_at_once_end_their_connection() -> None:
+async def test_hundreds_of_pipelined_requests_close_their_connection() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
@@ -173,7 +173,7 @@
 
 
 @socket_test
-async def test_an_id_that_is_open_is_not_taken_again() -> None:
+async def test_a_trace_id_in_use_is_rejected() -> None:
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
@@ -186,12 +186,12 @@
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nmine")
         assert (await read_message(client))[2] == b"mine"
         assert len(await script.wait_for(RequestArrived)) == 1
-        to_door.write(ask(trace="a1"))  # answered: the id is free again
+        to_door.write(ask(trace="a1"))  # answered: the id can be used again
         await script.wait_for(RequestArrived, 2)
 
 
 @socket_test
-async def test_trailers_are_no_headers() -> None:
+async def test_trailers_are_not_used_as_headers() -> None:
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
@@ -207,7 +207,7 @@
 
 
 @socket_test
-async def test_deadlines_beyond_the_classs_are_cut_to_it() -> None:
+async def test_deadlines_are_limited_to_that_of_the_class() -> None:
     script = Script(silent)
     async with running(script) as door:
         _, to_door = await door.client()
@@ -216,16 +216,16 @@
         assert arrival.time_left_us <= 10_000_000
 
 
-def shrink(side: HttpServer, most: int, reserve: int) -> None:
-    side.slots.regular_slots, side.slots.reserve_slots = most, reserve
+def set_slots(side: HttpServer, regular_slots: int, reserve_slots: int) -> None:
+    side.slots.regular_slots, side.slots.reserve_slots = regular_slots, reserve_slots
 
 
 @socket_test
-async def test_one_that_was_silent_long_enough_makes_room_and_a_fresh_one_does_not() -> None:
+async def test_only_a_connection_silent_for_long_enough_gives_up_its_slot() -> None:
     async with running(Script(silent)) as door:
         side = door.program.clients
-        hand = Hand(side)
-        shrink(side, 4, 0)
+        clock = ManualClock(side)
+        set_slots(side, 4, 0)
         for n in range(2):
             _, to_door = await door.client()
             to_door.write(ask(trace=f"busy{n}"))
@@ -234,52 +234,52 @@
         first, second = [await door.client() for _ in range(2)]
         while len(side.connections) < 4 or not all(c.transport for c in side.connections):
             await asyncio.sleep(0)
-        _, to_door = await door.client()  # in the kernel's queue, its request with it
+        _, to_door = await door.client()  # in the kernel's queue, with its request
         to_door.write(ask(trace="a0"))
-        hand.on(0.2)
+        clock.advance(0.2)
         await asyncio.sleep(0)
         assert len(side.connections) == 4 and not first[0].at_eof()
-        second[1].write(ask(trace="a1"))  # it speaks just in time
+        second[1].write(ask(trace="a1"))  # just in time
         await script.wait_for(RequestArrived, 3)
-        hand.on(0.1)
+        clock.advance(0.1)
         assert (await ended(first[0])).startswith(b"HTTP/1.1 408 ")
         first[1].close()
         await script.wait_for(RequestArrived, 4)
 
 
 @socket_test
-async def test_with_all_places_busy_each_further_request_gets_a_whole_refusal_and_none_is_cut() -> None:
+async def test_with_all_slots_used_each_further_request_gets_a_complete_rejection() -> None:
     script = Script(silent)
     async with running(script) as door:
         side = door.program.clients
-        shrink(side, 4, 2)
+        set_slots(side, 4, 2)
         for n in range(4):
             _, to_door = await door.client()
             to_door.write(ask(trace=f"a{n}"))
         await script.wait_for(RequestArrived, 4)
-        more = [await door.client() for _ in range(40)]
-        for n, (_, to_door) in enumerate(more):
+        extra_clients = [await door.client() for _ in range(40)]
+        for n, (_, to_door) in enumerate(extra_clients):
             to_door.write(ask("file", trace=f"b{n}", Content_Length="1000") + bytes(1000))
-        for reader, _ in more:
+        for reader, _ in extra_clients:
             line, headers, body = await read_message(reader)
             assert line.split()[1] == "503" and body
             assert headers["connection"] == "close" and float(headers["retry-after"]) > 0
-            assert await reader.read() == b""  # an end, no reset
+            assert await reader.read() == b""  # closed, not reset
         reader, to_door = await door.client()
         door.program.decision_loop.has_server_list = True
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         line, headers, _ = await read_message(reader)
-        assert line.split()[1] == "200" and headers["connection"] == "close"  # full is not unwell
+        assert line.split()[1] == "200" and headers["connection"] == "close"  # used up, but healthy
         assert len(await script.wait_for(RequestArrived)) == 4
         assert len(side.connections) == 4 and all(c.requests for c in side.connections)
 
 
 @socket_test
-async def test_one_in_the_reserve_moves_up_where_a_place_is_free_by_then() -> None:
+async def test_a_connection_in_a_reserve_slot_moves_to_a_free_regular_slot() -> None:
     script = Script(silent)
     async with running(script) as door:
         side = door.program.clients
-        shrink(side, 1, 1)
+        set_slots(side, 1, 1)
         [(_, leaves)] = await connected(door, 1)
         _, to_door = await door.client()
         while len(side.connections) < 2:
@@ -292,20 +292,20 @@
 
 
 @socket_test
-async def test_what_the_kernel_holds_at_the_end_is_taken_before_the_door_closes() -> None:
+async def test_connections_in_the_kernels_queue_are_accepted_before_the_listener_closes() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
     async with running(script) as door:
         side = door.program.clients
-        shrink(side, 1, 1)
-        [(_, one), (_, other)] = await connected(door, 2)
+        set_slots(side, 1, 1)
+        [(_, connection), (_, other)] = await connected(door, 2)
         waiting = [await door.client() for _ in range(20)]
         for n, (_, to_door) in enumerate(waiting):
             to_door.write(ask(trace=f"a{n}"))
         side.draining = True
         side.stop_listening()
-        one.transport.abort()
+        connection.transport.abort()
         other.transport.abort()
         for reader, _ in waiting:
             line, _, _ = await read_message(reader)
@@ -315,35 +315,35 @@
 
 
 @socket_test
-async def test_in_a_crowd_the_idle_leave_first_and_not_before_two_seconds() -> None:
+async def test_with_all_slots_used_idle_connections_are_closed_after_two_seconds() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
     async with running(script) as door:
         side = door.program.clients
-        hand = Hand(side)
+        clock = ManualClock(side)
         readers = []
         for n in range(2):
             reader, writer = await door.client()
             writer.write(ask(trace=f"a{n}"))
             await read_message(reader)
             readers.append(reader)
-            hand.time += 0.1
-        shrink(side, 2, 0)
-        hand.time += 1.75
+            clock.time += 0.1
+        set_slots(side, 2, 0)
+        clock.time += 1.75
         await door.client()
         side.listener.resume_accepting()
         for _ in range(20):
             await asyncio.sleep(0)
         assert not readers[0].at_eof() and len(side.connections) == 2
-        hand.time += 0.1
+        clock.time += 0.1
         side.listener.resume_accepting()
         assert await ended(readers[0]) == b""
         while len(side.connections) < 2:
             await asyncio.sleep(0)
 
 
-def test_what_is_shared_out_stays_under_the_descriptors() -> None:
+def test_limits_stay_within_the_file_descriptors() -> None:
     for sockets in (256, 384, 512, 1024):
         limits = share_descriptors(sockets)
         assert limits.clients + limits.reserve + limits.backends + OWN_DESCRIPTORS <= sockets
@@ -351,15 +351,15 @@
 
 
 @socket_test
-async def test_accepting_goes_on_after_descriptors_ran_out() -> None:
+async def test_accepting_continues_after_file_descriptors_ran_out() -> None:
     loop = asyncio.get_running_loop()
     async with running(Script(silent)) as door:
         listener: Listener = door.program.clients.listener
         assert listener.socket is not None
         real, tries = listener.socket, 0
 
-        class Short:
-            """The socket, once without descriptors."""
+        class FailingSocket:
+            """The socket; the first `accept` fails for lack of file descriptors."""
 
             def __getattr__(self, name: str) -> object:
                 return getattr(real, name)
@@ -372,28 +372,28 @@
                 return real.accept()
 
         loop.remove_reader(real)
-        listener.socket = Short()  # type: ignore[assignment]
+        listener.socket = FailingSocket()  # type: ignore[assignment]
         loop.add_reader(real, listener._accept)
         await connected(door, 1)
         assert tries >= 2
 
 
 @socket_test
-async def test_a_closed_connection_leaves_nothing_for_the_collector() -> None:
+async def test_a_closed_connection_leaves_no_reference_cycle() -> None:
     async with running(Script(silent)) as door:
         gc.disable()
         try:
             [(_, writer)] = await connected(door, 1)
-            held = weakref.ref(next(iter(door.program.clients.connections)))
+            reference = weakref.ref(next(iter(door.program.clients.connections)))
             writer.transport.abort()
-            while held() is not None:
+            while reference() is not None:
                 await asyncio.sleep(0)
         finally:
             gc.enable()
 
 
 @socket_test
-async def test_a_request_that_has_come_and_is_not_read_yet_keeps_its_connection() -> None:
+async def test_a_request_not_yet_read_keeps_its_connection_open() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
@@ -401,36 +401,36 @@
         [(reader, writer)] = await connected(door, 1)
         writer.write(ask(trace="a0"))
         await read_message(reader)
-        [one] = door.program.clients.connections
-        writer.write(ask(trace="a1"))  # the kernel has it before the loop turns
-        one.close_if_idle()
-        assert not one.evict() and not one.close_deadline
+        [connection] = door.program.clients.connections
+        writer.write(ask(trace="a1"))  # in the kernel before the event loop runs
+        connection.close_if_idle()
+        assert not connection.evict() and not connection.close_deadline
         await script.wait_for(RequestArrived, 2)
 
 
 @socket_test
-async def test_at_the_end_one_that_came_just_now_gets_the_time_to_speak() -> None:
+async def test_at_shutdown_a_new_connection_gets_time_for_its_request() -> None:
     async with running(Script(silent)) as door:
         side = door.program.clients
-        hand = Hand(side)
+        clock = ManualClock(side)
         [(reader, _)] = await connected(door, 1)
-        [one] = side.connections
+        [connection] = side.connections
         side.close_idle()
-        assert not one.close_deadline
-        hand.time += MIN_UNUSED_S
+        assert not connection.close_deadline
+        clock.time += MIN_UNUSED_S
         side.close_idle()
         assert (await ended(reader)).startswith(b"HTTP/1.1 408 ")
 
 
 @socket_test
-async def test_the_queues_new_length_is_set_in_the_kernel() -> None:
+async def test_a_new_backlog_length_is_set_in_the_kernel() -> None:
     async with running(Script(silent)) as door:
         listener = door.program.clients.listener
         real, lengths = listener.socket, list[int]()
         assert real is not None
 
-        class Heard:
-            """The socket, whose lengths are noted."""
+        class RecordingSocket:
+            """The socket, recording backlog lengths."""
 
             def __getattr__(self, name: str) -> object:
                 return getattr(real, name)
@@ -438,7 +438,7 @@
             def listen(self, length: int) -> None:
                 lengths.append(length)
 
-        listener.socket = Heard()  # type: ignore[assignment]
+        listener.socket = RecordingSocket()  # type: ignore[assignment]
         listener.backlog.record_accepted = lambda count, more_waiting, now: 77  # type: ignore[method-assign]
         await connected(door, 1)
         assert set(lengths) == {77}
--- a/tests/front_door/test_simulator_wire.py
+++ b/tests/front_door/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The codec: whole, short and broken frames."""
+"""Wire format of the simulator: complete, truncated and malformed frames."""
 
 from __future__ import annotations
 
@@ -64,24 +64,24 @@
     return list(simulator_wire.read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
 
 
-def init(door: int = 3, text: bytes = SETTINGS) -> bytes:
-    return record(1050, struct.pack("<IQI", door, 4, len(text)) + text)
+def instance_started(instance: int = 3, text: bytes = SETTINGS) -> bytes:
+    return record(1050, struct.pack("<IQI", instance, 4, len(text)) + text)
 
 
 def test_every_common_event() -> None:
-    where = b"\x0a\x01\x02\x03\x50\x00"
-    row = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, where)
-    got = read(
+    server_id = b"\x0a\x01\x02\x03\x50\x00"
+    list_entry = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, server_id)
+    decoded = read(
         record(1060, struct.pack("<IQfBHfQIfB", 3, 77, 1.0, 0, 2, 2.0, 55, 9000, 3.0, 2)),
-        record(1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, where, 41, 6, 2, 7.0, 1.0)),
+        record(1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, server_id, 41, 6, 2, 7.0, 1.0)),
         record(1040, struct.pack("<IIQHf", 3, 12, 99, 100, 4.5)),
         record(1080, struct.pack("<IQ", 3, 78)),
         record(1010, struct.pack("<II", 3, 6)),
-        record(1100, struct.pack("<IBII", 3, 1, 8, 1) + row),
+        record(1100, struct.pack("<IBII", 3, 1, 8, 1) + list_entry),
         record(4321, b"skipped"),
     )
-    events = [event for _, event in got]
-    assert [door for door, _ in got] == [3] * 6
+    events = [event for _, event in decoded]
+    assert [instance for instance, _ in decoded] == [3] * 6
     assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
     assert isinstance(ended, AttemptEnded) and ended.result is Result.TURNED_AWAY
@@ -95,40 +95,41 @@
     assert isinstance(events[5], ServerList) and events[5].entries[0].state is ServerState.DRAINING
 
 
-def test_omitted_fields_read_as_nought() -> None:
+def test_omitted_fields_are_read_as_0() -> None:
     [(_, event)] = read(record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
     assert event == RequestArrived(77, 55, 2, 0, 0, 0.0, 1, 2)
 
 
-def test_actions_go_out_as_the_wire_has_them() -> None:
-    out = simulator_wire.write_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
-    assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
-    assert simulator_wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
+def test_actions_are_encoded() -> None:
+    output = simulator_wire.write_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+    assert output == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
+    assert simulator_wire.write_reply([output]) == struct.pack("<II", 8 + len(output), 1) + output
 
 
 @settings(deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**52), strategies.integers(0, 2**32 - 1), strategies.integers(0, 120))
-def test_cut_off_frames_are_refused(request: int, left: int, cut: int) -> None:
-    whole = frame(
-        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
+def test_truncated_frames_are_rejected(request_id: int, time_left_us: int, cut: int) -> None:
+    complete = frame(
+        instance_started(),
+        record(1060, struct.pack("<IQfBHfQIfB", 3, request_id, 0.0, 0, 0, 1.0, 5, time_left_us, 1.0, 0)),
     )
-    [_, (_, event)] = list(simulator_wire.read_batch(whole, {})[1])
-    assert (event.request_id, event.time_left_us) == (request, left)  # type: ignore[union-attr]
+    [_, (_, event)] = list(simulator_wire.read_batch(complete, {})[1])
+    assert (event.request_id, event.time_left_us) == (request_id, time_left_us)  # type: ignore[union-attr]
     with pytest.raises(simulator_wire.WireError):
-        simulator.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
+        simulator.serve(io.BytesIO(complete[: len(complete) - 1 - cut]), io.BytesIO())
 
 
 @pytest.mark.parametrize(
-    ("broken", "says"),
+    ("broken", "message"),
     [
         (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
-        (frame(init(text=b"rank=1")), "discovery is missing"),
-        (frame(init(text=SETTINGS.replace(b"rank=0", b"rank=x"))), "rank is no number"),
+        (frame(instance_started(text=b"rank=1")), "discovery is missing"),
+        (frame(instance_started(text=SETTINGS.replace(b"rank=0", b"rank=x"))), "rank is no number"),
         (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
         (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
     ],
 )
-def test_malformed_input_is_named_in_one_line(broken: bytes, says: str) -> None:
+def test_malformed_input_ends_with_a_one_line_error(broken: bytes, message: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "irisdeal.front_door.decisions.simulator"],
         input=broken,
@@ -136,24 +137,26 @@
         check=False,
     )
     assert done.returncode != 0 and done.stdout == b""
-    assert says in done.stderr.decode() and done.stderr.count(b"\n") == 1
+    assert message in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
 
-def test_halt_then_init_in_one_batch_and_the_end_of_input() -> None:
-    out = io.BytesIO()
-    halt = record(1020, struct.pack("<I", 3))
-    simulator.serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), out)
-    sizes, at, data = [], 0, out.getvalue()
+def test_stop_and_start_of_an_instance_in_one_batch() -> None:
+    output = io.BytesIO()
+    instance_stopped = record(1020, struct.pack("<I", 3))
+    simulator.serve(
+        io.BytesIO(frame(instance_started()) + frame(instance_stopped, instance_started()) + frame()), output
+    )
+    sizes, at, data = [], 0, output.getvalue()
     while at < len(data):
         sizes.append(struct.unpack_from("<I", data, at)[0])
         at += sizes[-1]
     assert len(sizes) == 3 and sizes[-1] == 8
 
 
-def test_a_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_an_instance_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr("irisdeal.front_door.decisions.simulator.Gateway.handle", fail)
-    reply = simulator.GatewayHost().reply(frame(init()))
+    reply = simulator.GatewayHost().reply(frame(instance_started()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/support/decisions_rig.py
+++ b/tests/support/decisions_rig.py
@@ -1,4 +1,4 @@
-"""A front door's desk for tests: settings, events and a gateway with its clock."""
+"""Test harness of a decision module: settings, events, and a gateway with a simulated clock and counter."""
 
 from __future__ import annotations
 
@@ -36,12 +36,14 @@
 FREE, RATED, CAPPED, CEILED = 0, 1, 2, 3
 
 
-def request_class(repeat: Idempotency, group: DedupScope = DedupScope.ZONE, **changes: Any) -> RequestClass:
+def request_class(
+    idempotency: Idempotency, dedup_scope: DedupScope = DedupScope.ZONE, **changes: Any
+) -> RequestClass:
     base = RequestClass(
         latency_target_us=900 * MS,
         deadline_us=3 * SECOND,
-        idempotency=repeat,
-        dedup_scope=group,
+        idempotency=idempotency,
+        dedup_scope=dedup_scope,
         dedup_window_us=2 * SECOND,
         value=1.0,
         late_value=0.1,
@@ -124,7 +126,7 @@
 
 
 class GatewayHarness:
-    """Drives one gateway; wakes it as it asked and remembers what it did."""
+    """Drives one gateway: fires its timers, answers its counter calls and logs its actions."""
 
     def __init__(self, servers: int = 4, seed: int = 5, start: int = 77 * SECOND, **changes: Any) -> None:
         self.settings = make_settings(**changes)
@@ -134,12 +136,13 @@
         self.log: list[tuple[int, Action]] = []
         self.counter_totals: dict[int, float] = {}
         self.counter_is_up, self.counter_failure = True, Result.TIMED_OUT
-        self.remote_demand: float = 0.0  # what other gateways add to each name before it is read
+        self.remote_demand: float = 0.0  # of other gateways, added to each counter before it is first read
         self.next_request_id = 1
         self.attempts: dict[int, int] = {}
         self.handle(ServerList(ServerListKind.REMEMBERED, 1, tuple(server_entry(n) for n in range(servers))))
 
     def handle(self, *events: Event) -> list[Action]:
+        """Process events at the current time; return the actions, with those of counter answers."""
         actions = self.gateway.handle(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
@@ -147,9 +150,11 @@
                 self.timers.append(self.now + max(1, action.delay_us))
             elif isinstance(action, StartAttempt):
                 self.attempts[action.request_id] = self.attempts.get(action.request_id, 0) + 1
-        return actions + [a for call in actions_of_type(AddToCounter, actions) for a in self._count(call)]
+        return actions + [
+            a for call in actions_of_type(AddToCounter, actions) for a in self._answer_counter(call)
+        ]
 
-    def _count(self, call: AddToCounter) -> list[Action]:
+    def _answer_counter(self, call: AddToCounter) -> list[Action]:
         if not self.counter_is_up:
             return self.handle(
                 CounterAnswered(
@@ -160,16 +165,16 @@
         self.counter_totals[call.counter_name] = total
         return self.handle(CounterAnswered(call.counter_name, Result.OK, total, MS))
 
-    def advance(self, duration: int) -> list[Action]:
-        """Let time pass; only wakes happen."""
-        seen = len(self.log)
-        end = self.now + duration
+    def advance(self, duration_us: int) -> list[Action]:
+        """Advance the clock, firing the timers that are due; return the actions."""
+        logged = len(self.log)
+        end = self.now + duration_us
         while self.timers and min(self.timers) <= end:
             self.now = max(self.now, min(self.timers))
-            self.timers = [w for w in self.timers if w > self.now]
+            self.timers = [at for at in self.timers if at > self.now]
             self.handle(TimerFired(0))
         self.now = end
-        return [action for _, action in self.log[seen:]]
+        return [action for _, action in self.log[logged:]]
 
     def send_request(
         self,
@@ -182,7 +187,7 @@
         gateway_count: int = 3,
         is_retry: bool = False,
     ) -> tuple[int, list[Action]]:
-        """A new request; its number and the actions at once."""
+        """Send a new request; return its id and the immediate actions."""
         number = self.next_request_id
         self.next_request_id += 1
         deadline_us = self.settings.classes[class_index].deadline_us
@@ -212,7 +217,7 @@
         load_report: LoadReport | None = None,
         actual_units: int | None = None,
     ) -> list[Action]:
-        """The outcome of an attempt, the last one if none is named."""
+        """End an attempt, by default the last one; return the actions."""
         attempt_index = self.attempts[request_id] - 1 if attempt_index is None else attempt_index
         request_ended = result is Result.OK if request_ended is None else request_ended
         return self.handle(
@@ -229,9 +234,9 @@
         )
 
     def serve_request(self, **request: Any) -> bool:
-        """Ask, and answer well at once whatever is sent; whether it was this one."""
+        """Send a request and answer all that are forwarded; return whether it was forwarded."""
         number, actions = self.send_request(**request)
         attempts = actions_of_type(StartAttempt, actions)
-        for attempt in attempts:  # one that waits goes before it
+        for attempt in attempts:  # including requests that waited
             self.end_attempt(attempt.request_id, attempt.server_id)
         return number in {attempt.request_id for attempt in attempts}
