--- a/irisdeal/front_door/queueing/queue_statistics.py
+++ b/irisdeal/front_door/queueing/queue_statistics.py
@@ -1,7 +1,7 @@
 """Statistics of a front door's queues for its report: the accounts with most demand, and their retries.
 
-Fed from what the front door does anyway; bounded: a number of accounts, each with a record of fixed size. No
-decision depends on it. Times are whole microseconds of the caller's clock.
+Memory is bounded: a number of accounts, each with a record of fixed size. No decision depends on it.
+Times are whole microseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from irisdeal.front_door.queueing.heavy_hitters import HeavyHitter, HeavyHitterSketch
 
 MAX_ACCOUNTS = 512  # with a record: some 600 bytes each
-HALF_LIFE_US = 5_000_000  # in which demand decays by half: a person reads a table that moves slowly
+HALF_LIFE_US = 5_000_000  # of demand; long enough that the table can be read while it is updated
 MAX_RETRY_TIMES = 16  # rejections with `Retry-After` of one account that are remembered
 RETRY_TOLERANCE_US = 20_000  # by which a client may be early: clocks and timers round
 # Upper ends of the histogram's intervals; one more interval counts all longer waits.
@@ -27,7 +27,7 @@
 
     customer: str
     plan: int
-    plan_name: NotRequired[str]  # added by whoever knows the configuration
+    plan_name: NotRequired[str]  # added where the configuration is available
     share: float
     share_error: float
     asked: int
--- a/irisdeal/front_door/queueing/reports.py
+++ b/irisdeal/front_door/queueing/reports.py
@@ -9,7 +9,7 @@
 
 
 class InvalidReportError(ValueError):
-    """The input is no report of this version; the text says what is wrong."""
+    """The input is no report of this version; the text names the fault."""
 
 
 @dataclass(slots=True)
--- a/irisdeal/front_door/quota/counter_calls.py
+++ b/irisdeal/front_door/quota/counter_calls.py
@@ -37,7 +37,7 @@
 class ClaimResult(NamedTuple):
     """The effect of the counter service's answer.
 
-    `holds` says whether the claim succeeded, None where a further READ decides that; `calls` are to be made next.
+    `holds` is whether the claim succeeded, None where a further READ decides that; `calls` are to be made next.
     """
 
     holds: bool | None
--- a/irisdeal/front_door/quota/counter_overload.py
+++ b/irisdeal/front_door/quota/counter_overload.py
@@ -1,4 +1,4 @@
-"""How many claims a front door makes at an overloaded counter service, and what it does without an answer.
+"""Rate of claims at an overloaded counter service, and decisions without an answer.
 
 Two signals, which call for opposite reactions:
 
@@ -36,7 +36,7 @@
 
 
 class CounterOverload:
-    """What one front door knows of the counter service's load."""
+    """The counter service's load, as observed by one front door."""
 
     def __init__(self) -> None:
         self.attempts_per_claim = 1.0  # for which the service seems to have capacity
--- a/irisdeal/front_door/quota/quota_account.py
+++ b/irisdeal/front_door/quota/quota_account.py
@@ -1,15 +1,16 @@
 """A quota account by time slots: each slot has one count, to which all front doors of the account add.
 
-With a hundred front doors each sees an account once in minutes: only the count knows the demand, and calls to it
-are scarce. One call decides one attempt, and a rejected attempt costs no second one (`docs/design/fleet.md`).
+With a hundred front doors each receives a request of an account once in minutes: only the count shows the
+demand, and calls to it are scarce. One call decides one attempt, and a rejected attempt costs no second one
+(`docs/design/fleet.md`).
 The rules:
 
 1. Time is divided into slots, the same at all front doors, each with a name of its own at the counter service. A
    claim adds its units there and holds if the total is within what is carried over and the rate times the slot.
    One that does not hold stays in the total: later ones in the slot find no capacity either.
 2. The first rate times slot of units need no knowledge. The claim that exceeds them reads the previous slot,
-   computes what is carried over, and publishes it in the name for all others. After a slot in which nobody did
-   so, a full burst is carried over. The first claim that does not hold publishes in the next slot what capacity
+   computes what is carried over, and publishes it in the name for all others. After a slot in which none did so,
+   a full burst is carried over. The first claim that does not hold publishes in the next slot what capacity
    it left, so none is lost.
 3. Carried over is what was carried into the previous slot, plus its rate times slot, minus its total: from zero
    to the burst. Where several publish it at once, their mean counts.
@@ -35,9 +36,8 @@
 from irisdeal.front_door.quota.counter_calls import CallPurpose, ClaimResult, CounterCall
 
 US_PER_S = 1_000_000
-SLOT_SHARE_OF_BURST = (
-    0.5  # of the time that the burst lasts: shorter costs more calls, longer runs further ahead
-)
+# Of the time that the burst lasts: shorter slots cost more calls, longer ones exceed the rate by more.
+SLOT_SHARE_OF_BURST = 0.5
 # Four of the longest slots are as long as the counter service keeps a name.
 MAX_SLOT_S = 15.0
 MIN_SLOT_S = 1.0
@@ -50,7 +50,7 @@
 MIN_SLOT_FRACTION = 0.4  # of a slot after which its total shows a rate
 EXCESS_FACTOR = 1.2  # times the rate from which on an account's demand is excessive
 EXCESS_MEMORY_SLOTS = 3  # for which that is assumed: excess lasts for many slots, a spike for less than one
-CLAIM_MARGIN = 1.5  # claims for each unit of capacity of such an account: its front doors see it unevenly
+CLAIM_MARGIN = 1.5  # claims per unit of such an account's capacity: demand at its front doors is uneven
 DEMAND_MEAN_S = 4.0  # time constant of the local demand's mean
 ASSUMED_SHARES = 2.0  # even shares that the local demand is assumed to be before a total is known
 LOCAL_SHARES = 2.0  # even shares of the rate that are admitted locally: most accounts use half
@@ -102,7 +102,7 @@
         self.total_known_at = -1  # time of the last total; below 0 none is known
         self.local_demand = 0.0
         self.local_demand_at = now
-        self.local_allowance = self.burst  # that may be admitted while the counter service does not answer
+        self.local_allowance = self.burst  # units that may be admitted without the counter service
         self.local_allowance_at = now
 
     def refill(self, time_us: int) -> float:
@@ -231,9 +231,8 @@
         return self._call(CallPurpose.CARRY, slot_index, CLAIMED_MODULUS * (CARRIED_MODULUS + carried_quanta))
 
     def _observe(self, claim: CounterCall, claimed: float, carried_over: float | None, now: int) -> None:
-        if (
-            claim.slot_index == self.slot_index
-        ):  # a count that was lost starts anew: what was known here stands
+        if claim.slot_index == self.slot_index:
+            # After the count was lost it starts from zero: the last values known here remain.
             claimed = self.claimed + claim.units if claimed < self.claimed else claimed
             carried_over = self.carried_over if carried_over is None else carried_over
         self.slot_index = claim.slot_index
--- a/tests/front_door/test_queue_statistics.py
+++ b/tests/front_door/test_queue_statistics.py
@@ -1,4 +1,4 @@
-"""The sketch's bounds against exact counts, and what a report tells of stores."""
+"""Error bounds of the sketch against exact counts, and reports of accounts."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(1, 5)), max_size=300), st.integers(1, 12))
-def test_an_estimate_is_over_by_at_most_its_error(stream: list[tuple[int, int]], most: int) -> None:
-    sketch: HeavyHitterSketch[int] = HeavyHitterSketch(most, 10**12)
+def test_an_estimate_is_over_by_at_most_its_error(stream: list[tuple[int, int]], capacity: int) -> None:
+    sketch: HeavyHitterSketch[int] = HeavyHitterSketch(capacity, 10**12)
     exact: Counter[int] = Counter()
     for key, weight in stream:
         sketch.add(key, float(weight), 0)
         exact[key] += weight
-    found = sketch.top(most, 0)
+    found = sketch.top(capacity, 0)
     weights = [h.weight for h in found]
-    assert len(sketch) <= most and weights == sorted(weights, reverse=True)
+    assert len(sketch) <= capacity and weights == sorted(weights, reverse=True)
     for heavy in found:
         assert heavy.weight - heavy.error - 1e-9 <= exact[heavy.key] <= heavy.weight + 1e-9
-        assert heavy.error <= exact.total() / most + 1e-9
+        assert heavy.error <= exact.total() / capacity + 1e-9
     for key, weight in exact.items():
-        assert weight <= exact.total() / most or key in sketch
+        assert weight <= exact.total() / capacity or key in sketch
 
 
-def test_weights_fade_by_half_and_the_landmark_moves_unseen() -> None:
+def test_weights_decay_by_half_and_the_landmark_moves_without_effect() -> None:
     sketch: HeavyHitterSketch[str] = HeavyHitterSketch(4, SECOND)
     sketch.add("old", 8.0, 5 * SECOND)
     sketch.add("new", 1.0, 8 * SECOND)
     assert {h.key: round(h.weight, 9) for h in sketch.top(4, 8 * SECOND)} == {"old": 1.0, "new": 1.0}
-    for n in range(400):  # far past what a float could hold without moving
+    for n in range(400):  # more half-lives than weights without a moving landmark permit
         sketch.add("new", 1.0, (8 + n) * SECOND)
     top = sketch.top(2, 407 * SECOND)
     assert top[0].key == "new" and 1.9 < top[0].weight < 2.1 and top[1].weight < 1e-9
 
 
-def test_the_least_goes_after_the_landmark_has_moved() -> None:
+def test_the_smallest_is_evicted_after_the_landmark_has_moved() -> None:
     sketch: HeavyHitterSketch[str] = HeavyHitterSketch(2, SECOND)
     sketch.add("a", 1.0, 0)
     sketch.add("b", 5.0, 0)
@@ -52,13 +52,13 @@
     assert sketch.add("c", 1.0, 100 * SECOND) == "a"
 
 
-@pytest.mark.parametrize(("most", "half"), [(0, 1), (1, 0)])
-def test_bounds_are_checked(most: int, half: int) -> None:
+@pytest.mark.parametrize(("capacity", "half_life_us"), [(0, 1), (1, 0)])
+def test_bounds_are_checked(capacity: int, half_life_us: int) -> None:
     with pytest.raises(ValueError, match="wanted both over 0"):
-        HeavyHitterSketch(most, half)
+        HeavyHitterSketch(capacity, half_life_us)
 
 
-def test_the_heaviest_store_is_first_and_memory_is_flat_under_a_flood() -> None:
+def test_the_account_of_most_demand_is_first_and_memory_is_bounded() -> None:
     statistics, rng, now = QueueStatistics(64), random.Random(4), 0
     for n in range(20_000):
         now += 6_000
@@ -73,13 +73,15 @@
     assert abs(first["share"] - 1 / 6) < 0.05 + first["share_error"] and report["asked"] > 23_000
 
 
-def test_who_heeds_advice_and_who_does_not() -> None:
+def test_retries_in_time_and_early_are_counted() -> None:
     statistics = QueueStatistics()
-    for store, back in ((1, 500_000), (2, 90_000)):
-        statistics.record_received((store, 0), False, 0)
-        statistics.record_rejected((store, 0), 500_000, 0)
-        statistics.record_received((store, 0), True, back)
-        statistics.record_received((store, 0), True, back + 1)  # no advice stands any more: neither
+    for account, retry_at in ((1, 500_000), (2, 90_000)):
+        statistics.record_received((account, 0), False, 0)
+        statistics.record_rejected((account, 0), 500_000, 0)
+        statistics.record_received((account, 0), True, retry_at)
+        statistics.record_received(
+            (account, 0), True, retry_at + 1
+        )  # after no further rejection: not counted
     report = {
         s["customer"][-1]: (s["advice_heeded"], s["advice_ignored"])
         for s in statistics.report(SECOND, 9)["stores"]
@@ -90,7 +92,7 @@
     ) == (1, 1)
 
 
-def test_a_retry_a_little_early_has_heeded() -> None:
+def test_a_retry_within_the_tolerance_is_in_time() -> None:
     statistics = QueueStatistics()
     statistics.record_received((1, 0), False, 0)
     statistics.record_rejected((1, 0), 500_000, 0)
@@ -98,11 +100,11 @@
     assert (statistics.retries_in_time, statistics.retries_early) == (1, 0)
 
 
-def test_waits_are_told_as_a_histogram() -> None:
+def test_waits_are_reported_as_a_histogram() -> None:
     statistics = QueueStatistics()
     statistics.record_received((1, 0), False, 0)
-    for waited in (0, 1_000, 1_001, 3_000_000):
-        statistics.record_sent((1, 0), waited)
+    for wait_us in (0, 1_000, 1_001, 3_000_000):
+        statistics.record_sent((1, 0), wait_us)
     counts = statistics.report(0, 1)["waits_ms"]["counts"]
     assert counts[0] == 2 and counts[1] == 1 and counts[len(WAIT_BUCKETS_MS)] == 1
     assert statistics.report(0, 1)["stores"][0]["longest_wait_ms"] == 3000.0
