--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -113,7 +113,7 @@
 TENANT_WAIT_TIME_RATIO = 0.4
 FLEET_WAIT_TARGET_RATIO = 0.2  # for a server: a standing queue delays all requests (RFC 8289, section 3.2)
 MAX_REFILL_WAIT_US = 1e9
-NOT_EXECUTED_RESULTS = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
+NOT_EXECUTED_RESULTS = (Result.REJECTED, Result.NOT_CONNECTED, Result.NOT_SENT)
 
 
 class Gateway:
@@ -681,7 +681,7 @@
         )
         if total > 0 and plan.max_in_flight and tenant.total_known_at >= 0:
             slots = self.mean_duration_us[request.class_index] / demand  # Little's law
-            tenant.set_max_in_flight(
+            tenant.set_local_max_in_flight(
                 slots * tenant.local_demand / tenant.local_decay_us, slots * total / tenant.decay_us
             )
             self._unblock(tenant)  # the limit may have risen
@@ -699,7 +699,7 @@
         if tenant.quota_account and tenant.plan.max_in_flight and tenant.quota_account.total_known_at >= 0:
             # Little's law
             slots = self.mean_duration_us[request.class_index] / US_PER_S / request.units
-            tenant.set_max_in_flight(
+            tenant.set_local_max_in_flight(
                 slots * tenant.quota_account.local_rate_per_s(self.now),
                 slots * tenant.quota_account.total_rate_per_s(self.now),
             )
@@ -732,7 +732,9 @@
             if missing_units > 0 and refilled_at > request.queue_until:  # too late
                 self._reject_or_fail(request)
                 continue
-            if missing_units > 0 or (tenant.max_in_flight and tenant.in_flight >= tenant.max_in_flight):
+            if missing_units > 0 or (
+                tenant.local_max_in_flight and tenant.in_flight >= tenant.local_max_in_flight
+            ):
                 queue.block(flow)
                 tenant.blocked_flows.append(flow)
                 if missing_units > 0 and tenant.next_unblock_at <= self.now:
@@ -913,7 +915,7 @@
             event.result is not Result.TIMED_OUT or event.duration_us >= OVERDUE_DURATION_RATIO * expected_us
         ):  # an earlier timeout was the request's own deadline
             self._record_outcome(
-                attempt, False, None, tenant.plan if event.result is Result.TURNED_AWAY else None
+                attempt, False, None, tenant.plan if event.result is Result.REJECTED else None
             )
         if load := event.load_report:
             reported = (
@@ -1026,7 +1028,7 @@
                 self._reject_or_fail(waiting_request)
             elif request and holds:
                 self._make_quota_calls(tenant, account.return_claim(call, self.now))
-        elif event.result is Result.TURNED_AWAY:
+        elif event.result is Result.REJECTED:
             self.counter_overload.rejected()
             if waiting_request:  # its client retries, which is better than a repeated call here
                 self._reject_or_fail(waiting_request)
--- a/irisdeal/front_door/decisions/interface.py
+++ b/irisdeal/front_door/decisions/interface.py
@@ -32,7 +32,7 @@
 
     OK = "ok"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     CONNECTION_LOST = "connection lost"
@@ -53,7 +53,7 @@
 
     CHANGES = "changes"
     COMPLETE = "complete"
-    REMEMBERED = "remembered"
+    CACHED = "remembered"
     FAILED = "failed"
 
 
--- a/irisdeal/front_door/decisions/simulator_wire.py
+++ b/irisdeal/front_door/decisions/simulator_wire.py
@@ -107,7 +107,7 @@
 RESULTS = {
     100: Result.OK,
     301: Result.ERROR,
-    302: Result.TURNED_AWAY,
+    302: Result.REJECTED,
     303: Result.TIMED_OUT,
     304: Result.NOT_CONNECTED,
     305: Result.CONNECTION_LOST,
@@ -116,9 +116,7 @@
 }
 STATES = {0: ServerState.GONE, 1: ServerState.READY, 2: ServerState.DRAINING}
 LIST_KINDS = dict(
-    enumerate(
-        (ServerListKind.CHANGES, ServerListKind.COMPLETE, ServerListKind.REMEMBERED, ServerListKind.FAILED)
-    )
+    enumerate((ServerListKind.CHANGES, ServerListKind.COMPLETE, ServerListKind.CACHED, ServerListKind.FAILED))
 )
 LOAD_REPORT_ATTRIBUTES = {
     "concurrent": "in_flight",
@@ -423,7 +421,7 @@
         except ValueError:
             raise WireError(f"setting {path} is no number: {text!r}") from None
 
-    def whole(self, path: str, default: str | None = None) -> int:
+    def integer(self, path: str, default: str | None = None) -> int:
         return int(self.number(path, default))
 
     def flag(self, path: str, default: str | None = None) -> bool:
@@ -465,29 +463,29 @@
     pushed = reader.one_of("discovery", {"pushed": True, "on_request": False})
     columns = tuple(c for c in reader.text("report.columns", "").split(",") if c)
     return Settings(
-        gateway_count=reader.whole("peers_total"),
-        rank=reader.whole("rank"),
-        zone=reader.whole("locality"),
-        classes=tuple(_class(reader, f"profiles.{n}.") for n in range(reader.whole("profiles.count"))),
-        plans=tuple(_plan(reader, f"packages.{n}.") for n in range(reader.whole("packages.count", "0"))),
-        tick_us=reader.whole("round_us"),
-        answer_grace_us=reader.whole("safety.grace_to_answer_us"),
-        drain_grace_us=reader.whole("safety.drain_grace_us"),
+        gateway_count=reader.integer("peers_total"),
+        rank=reader.integer("rank"),
+        zone=reader.integer("locality"),
+        classes=tuple(_class(reader, f"profiles.{n}.") for n in range(reader.integer("profiles.count"))),
+        plans=tuple(_plan(reader, f"packages.{n}.") for n in range(reader.integer("packages.count", "0"))),
+        tick_us=reader.integer("round_us"),
+        answer_grace_us=reader.integer("safety.grace_to_answer_us"),
+        drain_grace_us=reader.integer("safety.drain_grace_us"),
         start_capacity_ratio=reader.number("safety.start_capacity"),
-        warm_up_us=reader.whole("safety.warm_up_us"),
+        warm_up_us=reader.integer("safety.warm_up_us"),
         collapse_load_ratio=reader.number("safety.tip_multiple"),
-        collapse_window_us=reader.whole("safety.fall_us"),
-        max_attempts=reader.whole("permissions.max_attempts"),
+        collapse_window_us=reader.integer("safety.fall_us"),
+        max_attempts=reader.integer("permissions.max_attempts"),
         may_hedge=reader.flag("permissions.parallel_tries"),
         may_cancel=reader.flag("permissions.cancel"),
         may_probe=reader.flag("permissions.probes"),
         may_set_retry_after=reader.flag("permissions.retry_after"),
-        max_retry_after_us=reader.whole("permissions.max_retry_after_us", "0"),
+        max_retry_after_us=reader.integer("permissions.max_retry_after_us", "0"),
         server_list_is_pushed=pushed,
         has_counter=reader.flag("family_info.shared_counter", "false"),
-        counter_timeout_us=reader.whole("family_info.count_wait_us", "0"),
+        counter_timeout_us=reader.integer("family_info.count_wait_us", "0"),
         counter_call_cost=reader.number("family_info.count_fee", "0"),
-        metering_period_us=reader.whole("family_info.meter_us", "0"),
+        metering_period_us=reader.integer("family_info.meter_us", "0"),
         settles_actual_units=reader.flag("family_info.settles", "false"),
         cross_zone_cost=reader.number("costs.cross_zone", "0"),
         wasted_work_cost=reader.number("costs.waste", "0"),
@@ -498,13 +496,13 @@
     repeat = reader.one_of(prefix + "repeat", REPEATS)
     keyed = repeat is Idempotency.KEYED
     return RequestClass(
-        latency_target_us=reader.whole(prefix + "slo_us"),
-        deadline_us=reader.whole(prefix + "deadline_us"),
+        latency_target_us=reader.integer(prefix + "slo_us"),
+        deadline_us=reader.integer(prefix + "deadline_us"),
         idempotency=repeat,
         dedup_scope=reader.one_of(prefix + "group", GROUPS, None if keyed else "")
         if keyed
         else DedupScope.CELL,
-        dedup_window_us=reader.whole(prefix + "window_us", None if keyed else "0"),
+        dedup_window_us=reader.integer(prefix + "window_us", None if keyed else "0"),
         value=reader.number(prefix + "worth"),
         late_value=reader.number(prefix + "late_value", "0"),
         is_streaming=reader.flag(prefix + "stream", "false"),
@@ -515,7 +513,7 @@
     return Plan(
         rate_per_s=reader.number(prefix + "refill"),
         burst=reader.number(prefix + "burst"),
-        max_in_flight=reader.whole(prefix + "concurrency"),
+        max_in_flight=reader.integer(prefix + "concurrency"),
         ceiling_rate_per_s=reader.number(prefix + "hard_rate"),
         ceiling_depth=reader.number(prefix + "never_over_depth"),
         ceiling_slack=reader.number(prefix + "cap_slack"),
--- a/irisdeal/front_door/decisions/tenant.py
+++ b/irisdeal/front_door/decisions/tenant.py
@@ -46,7 +46,9 @@
         self.refilled_at = now
         self.last_request_at = now
         # This gateway's limit; 0 means none.
-        self.max_in_flight = max(1, plan.max_in_flight // self.gateway_count) if plan.max_in_flight else 0
+        self.local_max_in_flight = (
+            max(1, plan.max_in_flight // self.gateway_count) if plan.max_in_flight else 0
+        )
         self.burst_left = plan.burst
         # One slot at each gateway would exceed the plan's limit: requests are also rejected by probability.
         self.has_more_gateways_than_slots = self.gateway_count > plan.max_in_flight
@@ -125,7 +127,7 @@
         )
         self.last_request_at = now
 
-    def set_max_in_flight(self, local: float, total: float) -> None:
+    def set_local_max_in_flight(self, local: float, total: float) -> None:
         """Set this gateway's limit from the mean requests in flight that it and all gateways demand."""
         plan_limit = self.plan.max_in_flight
         limit = (
@@ -133,7 +135,7 @@
             if total < plan_limit
             else plan_limit * local / total
         )
-        self.max_in_flight = max(1, int(limit + LIMIT_ROUNDING))
+        self.local_max_in_flight = max(1, int(limit + LIMIT_ROUNDING))
 
     def estimated_total(self, demand: float) -> float:
         """Return the total demand: the last one known, scaled by the change of the local demand since.
--- a/irisdeal/front_door/handover/state.py
+++ b/irisdeal/front_door/handover/state.py
@@ -54,7 +54,7 @@
     "told_at": "total_known_at",
     "since": "base_demand_at",
 }
-CUSTOMER_WHOLE = {"told_index": "name_index", "bound": "max_in_flight"}
+CUSTOMER_WHOLE = {"told_index": "name_index", "bound": "local_max_in_flight"}
 ACCOUNT = {
     "drawn": "claimed",
     "carried": "carried_over",
@@ -197,7 +197,9 @@
     customer.ceiling_tokens = min(customer.ceiling_capacity, customer.ceiling_tokens)
     _take_times(customer, told, CUSTOMER_TIMES, now)
     _take_whole(customer, told, CUSTOMER_WHOLE)
-    customer.max_in_flight = max(1, customer.max_in_flight) if settings.plans[plan].max_in_flight else 0
+    customer.local_max_in_flight = (
+        max(1, customer.local_max_in_flight) if settings.plans[plan].max_in_flight else 0
+    )
     if customer.quota_account is not None and isinstance(one := told.get("account"), dict):
         _take(customer.quota_account, one, ACCOUNT)
         _take_times(customer.quota_account, one, ACCOUNT_TIMES, now)
--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -102,7 +102,7 @@
     if answer.status == 200:
         return Result.OK
     if answer.status in (503, 504) and answer.never_ran:
-        return Result.TURNED_AWAY
+        return Result.REJECTED
     return Result.ERROR  # it may have run
 
 
--- a/irisdeal/front_door/server/counter_client.py
+++ b/irisdeal/front_door/server/counter_client.py
@@ -182,7 +182,7 @@
                 self._mark_healthy()
                 if words != [b"busy"]:
                     log.warning("counter: %s to %s", line, call.line)
-                self._answer(call, Result.TURNED_AWAY)
+                self._answer(call, Result.REJECTED)
             else:
                 self._answer(call, Result.TIMED_OUT)  # it may have been added
                 return self._reject_line(line)
--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -219,13 +219,13 @@
     def apply_known_list(self) -> None:
         """Pass on the list that the configuration brought."""
         try:
-            told, places = self.reader.read(self.known_list, ServerListKind.REMEMBERED)
+            told, places = self.reader.read(self.known_list, ServerListKind.CACHED)
             self.on_list(told, places)
             if told.entries:  # the watch goes on from it; what is too old is answered with the whole
                 self.schedule.version = told.version
         except ValueError as error:
             log.warning("known list passed over: %s", error)
-            self.on_list(ServerList(ServerListKind.REMEMBERED, 0, ()), {})
+            self.on_list(ServerList(ServerListKind.CACHED, 0, ()), {})
 
     def refetch(self) -> None:
         """Make the next call one for the whole list."""
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -233,7 +233,7 @@
 
     def update_server_list(self, told: ServerList, places: dict[bytes, Address]) -> None:
         """News of the list."""
-        if told.kind is not ServerListKind.REMEMBERED or told.entries:
+        if told.kind is not ServerListKind.CACHED or told.entries:
             self.has_server_list = True
         old = self.addresses
         whole = told.kind is not ServerListKind.CHANGES
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -49,7 +49,7 @@
 
 def _late_503() -> list[Patch]:
     def made(old: Any) -> Any:
-        return lambda answer: Result.TURNED_AWAY if answer.status >= 500 else old(answer)
+        return lambda answer: Result.REJECTED if answer.status >= 500 else old(answer)
 
     return _wrap(backends, "response_result", made)
 
@@ -171,7 +171,7 @@
     def made(old: Any) -> Any:
         def ended(self: Gateway, event: Any) -> None:
             old(self, event)
-            if event.result is Result.TURNED_AWAY:
+            if event.result is Result.REJECTED:
                 self.in_flight += 1
 
         return ended
--- a/tests/front_door/test_counter.py
+++ b/tests/front_door/test_counter.py
@@ -31,8 +31,8 @@
         told = await script.wait_for(CounterAnswered, 4)
         assert [(a.counter_name, a.result, a.total) for a in told] == [
             (0xAB, Result.OK, 2.5),
-            (0xAB, Result.TURNED_AWAY, 0.0),
-            (0xAB, Result.TURNED_AWAY, 0.0),
+            (0xAB, Result.REJECTED, 0.0),
+            (0xAB, Result.REJECTED, 0.0),
             (0xAB, Result.OK, 1000.0),
         ]
 
--- a/tests/front_door/test_discovery.py
+++ b/tests/front_door/test_discovery.py
@@ -41,7 +41,7 @@
         assert "index=43&" in (await read_message(reader))[0]
         told = await script.wait_for(ServerList, 3)
         assert [t.kind for t in told] == [
-            ServerListKind.REMEMBERED,
+            ServerListKind.CACHED,
             ServerListKind.COMPLETE,
             ServerListKind.CHANGES,
         ]
@@ -91,7 +91,7 @@
         assert "index=40&" in (await read_message(reader))[0]
         writer.write(changes(41, member("s-2", 9)))
         told = await script.wait_for(ServerList, 2)
-        assert [t.kind for t in told] == [ServerListKind.REMEMBERED, ServerListKind.CHANGES]
+        assert [t.kind for t in told] == [ServerListKind.CACHED, ServerListKind.CHANGES]
 
 
 @socket_test
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -135,7 +135,7 @@
     told = json.loads(json.dumps(told))
     new = Gateway(old.settings, 99)
     entries = tuple(s.listed_entry() for s in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ServerListKind.REMEMBERED, 2, entries), CeilingShareChanged(HALF, True)])
+    new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF, True)])
     unpack(told, new, old.now)
     new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return new, told
@@ -188,9 +188,7 @@
 
     for seed in range(60):
         new = Gateway(old.settings, seed)
-        new.handle(
-            old.now, [ServerList(ServerListKind.REMEMBERED, 2, tuple(server_entry(n) for n in range(4)))]
-        )
+        new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, tuple(server_entry(n) for n in range(4)))])
         try:
             unpack({key: spoil(value) for key, value in told.items()}, new, old.now)
         except ValueError as error:
--- a/tests/front_door/test_mechanism.py
+++ b/tests/front_door/test_mechanism.py
@@ -44,7 +44,7 @@
     for _ in range(20):
         harness.serve_request(account_id=4, plan_index=CAPPED)
         harness.advance(200 * MS)
-    return harness.gateway.tenants[4, CAPPED].max_in_flight
+    return harness.gateway.tenants[4, CAPPED].local_max_in_flight
 
 
 def test_max_in_flight_starts_at_an_even_share() -> None:
@@ -54,7 +54,7 @@
         bool(actions_of_type(StartAttempt, harness.send_request(account_id=4, plan_index=CAPPED)[1]))
         for _ in range(5)
     )
-    assert sent == 2 == harness.gateway.tenants[4, CAPPED].max_in_flight
+    assert sent == 2 == harness.gateway.tenants[4, CAPPED].local_max_in_flight
 
 
 @pytest.mark.parametrize(
@@ -70,8 +70,8 @@
 )
 def test_max_in_flight_follows_the_demand_split(local: float, total: float, limit: int) -> None:
     tenant = tenant_of(GatewayHarness(), 4, CAPPED)
-    tenant.set_max_in_flight(local, total)
-    assert tenant.max_in_flight == limit
+    tenant.set_local_max_in_flight(local, total)
+    assert tenant.local_max_in_flight == limit
 
 
 def test_max_in_flight_falls_with_the_total_demand() -> None:
@@ -190,7 +190,7 @@
     assert 2 <= sent <= 8  # an even share of the rate is 2
 
 
-@pytest.mark.parametrize("failure", [Result.TURNED_AWAY, Result.TIMED_OUT])
+@pytest.mark.parametrize("failure", [Result.REJECTED, Result.TIMED_OUT])
 def test_failing_counter_calls_are_reduced(failure: Result) -> None:
     """Guards against: 174 gateways call for each request, four times the counter's capacity."""
     harness = GatewayHarness(gateway_count=250)
@@ -217,7 +217,7 @@
 
 def test_demand_of_a_rejected_call_is_reported_later() -> None:
     harness = GatewayHarness()
-    harness.counter_is_up, harness.counter_failure = False, Result.TURNED_AWAY
+    harness.counter_is_up, harness.counter_failure = False, Result.REJECTED
     assert tenant_of(harness, 5, RATED).unreported_demand == 1.0
     harness.counter_failure = Result.TIMED_OUT
     assert tenant_of(harness, 6, RATED).unreported_demand == 0.0
@@ -437,7 +437,7 @@
                 StartAttempt, harness.send_request(account_id=plan_index, plan_index=plan_index)[1]
             ):
                 harness.end_attempt(
-                    send.request_id, send.server_id, Result.TURNED_AWAY if plan_index == FREE else Result.OK
+                    send.request_id, send.server_id, Result.REJECTED if plan_index == FREE else Result.OK
                 )
     failing_server = harness.gateway.servers[server_id(0)].failure_rates
     assert (
@@ -493,7 +493,7 @@
     ]  # the cheap one is not starved
 
 
-@pytest.mark.parametrize("failure", [Result.NOT_CONNECTED, Result.TURNED_AWAY])
+@pytest.mark.parametrize("failure", [Result.NOT_CONNECTED, Result.REJECTED])
 def test_the_first_total_after_an_outage_is_the_recent_demand(failure: Result) -> None:
     """Guards against: the first total contains all demand of the outage, and rejects for seconds."""
     harness = GatewayHarness()
@@ -587,19 +587,19 @@
 def test_retries_are_rejected_by_an_overloaded_counter_and_admitted_by_a_lost_one() -> None:
     """With an overloaded counter most retries exceed their quotas; a lost one gives no information."""
     sent = {}
-    for failure in (Result.TURNED_AWAY, Result.TIMED_OUT):
+    for failure in (Result.REJECTED, Result.TIMED_OUT):
         harness = GatewayHarness(servers=100, gateway_count=200)
         harness.counter_is_up, harness.counter_failure = False, failure
         sent[failure] = sum(
             harness.serve_request(account_id=n, plan_index=RATED, gateway_count=200, is_retry=True)
             for n in range(200)
         )
-    assert sent[Result.TURNED_AWAY] == 0 and sent[Result.TIMED_OUT] >= 190
+    assert sent[Result.REJECTED] == 0 and sent[Result.TIMED_OUT] >= 190
 
 
 def test_a_claim_rejected_by_the_counter_is_not_repeated() -> None:
     harness = GatewayHarness(gateway_count=40)
-    harness.counter_is_up, harness.counter_failure = False, Result.TURNED_AWAY
+    harness.counter_is_up, harness.counter_failure = False, Result.REJECTED
     harness.send_request(account_id=4, plan_index=RATED, gateway_count=20)
     harness.advance(SECOND)
     assert len(actions_of_type(AddToCounter, [a for _, a in harness.log])) == 1
--- a/tests/front_door/test_property.py
+++ b/tests/front_door/test_property.py
@@ -25,7 +25,7 @@
 )
 from tests.support.decisions_rig import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, GatewayHarness, server_entry
 
-NOT_EXECUTED = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
+NOT_EXECUTED = (Result.REJECTED, Result.NOT_CONNECTED, Result.NOT_SENT)
 FAILURES = (*NOT_EXECUTED, Result.ERROR, Result.TIMED_OUT, Result.CONNECTION_LOST)
 
 
--- a/tests/front_door/test_rules.py
+++ b/tests/front_door/test_rules.py
@@ -56,7 +56,7 @@
     harness = GatewayHarness()
     number, actions = harness.send_request(class_index=UNSAFE)
     first = actions_of_type(StartAttempt, actions)[0].server_id
-    again = harness.end_attempt(number, first, Result.TURNED_AWAY)
+    again = harness.end_attempt(number, first, Result.REJECTED)
     assert (
         len(actions_of_type(StartAttempt, again)) == 1
         and actions_of_type(StartAttempt, again)[0].server_id != first
--- a/tests/front_door/test_simulator_wire.py
+++ b/tests/front_door/test_simulator_wire.py
@@ -84,7 +84,7 @@
     assert [instance for instance, _ in decoded] == [3] * 6
     assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
-    assert isinstance(ended, AttemptEnded) and ended.result is Result.TURNED_AWAY
+    assert isinstance(ended, AttemptEnded) and ended.result is Result.REJECTED
     assert (ended.usage_percent, ended.actual_units, ended.load_report and ended.load_report.in_flight) == (
         40,
         6,
--- a/tests/front_door/test_waiting.py
+++ b/tests/front_door/test_waiting.py
@@ -143,7 +143,7 @@
     harness = GatewayHarness(has_counter=False)
     harness.send_request(account_id=4, plan_index=CAPPED)
     tenant = harness.gateway.tenants[4, CAPPED]
-    tenant.max_in_flight = 1  # as with a large total
+    tenant.local_max_in_flight = 1  # as with a large total
     waiting, actions = harness.send_request(account_id=4, plan_index=CAPPED)
     assert not actions_of_type(StartAttempt, actions)
     tenant.total_known_at, tenant.total_demand, tenant.local_demand_at_total = (
@@ -154,7 +154,7 @@
     _, actions = harness.send_request(
         account_id=4, plan_index=CAPPED
     )  # with a known total of almost no demand
-    assert tenant.max_in_flight == 2 and waiting in {
+    assert tenant.local_max_in_flight == 2 and waiting in {
         send.request_id for send in actions_of_type(StartAttempt, actions)
     }
 
--- a/tests/support/decisions_rig.py
+++ b/tests/support/decisions_rig.py
@@ -139,7 +139,7 @@
         self.remote_demand: float = 0.0  # of other gateways, added to each counter before it is first read
         self.next_request_id = 1
         self.attempts: dict[int, int] = {}
-        self.handle(ServerList(ServerListKind.REMEMBERED, 1, tuple(server_entry(n) for n in range(servers))))
+        self.handle(ServerList(ServerListKind.CACHED, 1, tuple(server_entry(n) for n in range(servers))))
 
     def handle(self, *events: Event) -> list[Action]:
         """Process events at the current time; return the actions, with those of counter answers."""
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -485,7 +485,7 @@
     old, decoded = worked(), read_handover(state)
     new = Gateway(old.settings, 99)
     entries = tuple(server.listed_entry() for server in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ServerListKind.REMEMBERED, 2, entries), CeilingShareChanged(HALF, True)])
+    new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF, True)])
     unpack(decoded, new, old.now)
     new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return body(pack(new, old.now, HALF))
