--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends, and attempts, each of which ends in exactly one `Result`."""
+"""Pool of backend connections, and attempts, each of which ends with exactly one `Result`."""
 
 from __future__ import annotations
 
@@ -22,21 +22,25 @@
 
 MAX_BODY_BYTES = 65_536
 MAX_HEAD_BYTES = 16_384
-MAX_STREAM_BYTES = 64 << 20  # bytes of an answer that is passed on: twice the longest there are
-MAX_READ_BYTES = 65_536  # bytes that one read of a stream brings at most: `MAX_READ_BYTES` of the byte budget
-WRITE_BUFFER_BYTES = 65_536  # bytes of a body that may wait for a backend to read
-STREAM_DELAY_S = 0.1  # s after its head: an answer of unknown length is passed on from here
-OPTIONAL_WHITESPACE = b" \t"  # round a field's value, and no part of it (RFC 9110, 5.5)
-MAX_INTERIM_RESPONSES = 16  # 1xx answers ahead of one that counts
-IDLE_TIME_RATIO = 0.5  # of the set idle time: a request on a connection closed meanwhile ends as a reset
-# Some close sooner: a request on a dead connection costs far more than a new connection.
-MIN_IDLE_LIMIT_S, IDLE_LIMIT_DECREASE_RATIO, IDLE_LIMIT_INCREASE_RATIO = 0.05, 0.8, 1.02
-IDLE_LIMIT_RECOVERY_RATIO = 1.1  # times each second
-MIN_IDLE_S = 0.01  # s before a connection is used again: bytes that belong to no answer show within that time
-STALL_TIMEOUT_S = 0.25  # s for the rest of an answer that has begun: backends write theirs whole
-# The most of each figure that a backend can mean; beyond it is noise.
+MAX_STREAM_BYTES = 64 << 20  # of a streamed response: twice the longest that backends send
+MAX_READ_BYTES = 65_536  # per read of a stream: `MAX_READ_BYTES` of the byte budget
+WRITE_BUFFER_BYTES = 65_536  # buffered bytes of a body that the backend has not read yet
+STREAM_DELAY_S = 0.1  # from its headers until a response of unknown length is streamed
+OPTIONAL_WHITESPACE = b" \t"  # around a field value (RFC 9110, 5.5)
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before a final one
+# Share of the configured idle time: a request sent as the backend closes the connection ends in a reset.
+IDLE_TIME_RATIO = 0.5
+# The idle limit adapts to backends that close sooner: a request lost on a closed connection costs far more than
+# a new connection.
+MIN_IDLE_LIMIT_S = 0.05
+IDLE_LIMIT_DECREASE_RATIO = 0.8  # after a connection that the backend had closed
+IDLE_LIMIT_INCREASE_RATIO = 1.02  # after a response on a connection with about that idle time
+IDLE_LIMIT_RECOVERY_RATIO = 1.1  # per second
+MIN_IDLE_S = 0.01  # before reuse: unexpected bytes after a response arrive within that time
+STALL_TIMEOUT_S = 0.25  # for the rest of a started response: backends write a response at once
+# Larger values in a load report are invalid.
 MAX_LOAD = {"in_flight": 10_000.0, "queued": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
-LOAD_FIELDS = {  # the names of load figures, as in the settings and as plain words
+LOAD_FIELDS = {  # `LoadReport` fields by the names that backends send: those of the settings, and common ones
     **LOAD_REPORT_ATTRIBUTES,
     "inflight": "in_flight",
     "queue": "queued",
@@ -48,29 +52,35 @@
 
 
 class ResponseSink(Protocol):
-    """Where an answer goes that is passed on as it comes (`flows.py`)."""
+    """Receiver of a streamed response (`flows.py`)."""
 
     source: BackendConnection | None
 
-    def feed(self, data: bytes) -> None: ...
+    def feed(self, data: bytes) -> None:
+        """Add bytes of the body."""
 
-    def end(self) -> None: ...
+    def end(self) -> None:
+        """Complete the response."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """End the response before it is complete."""
 
 
 class RequestBody(Protocol):
-    """A request's body that is still on its way (`flows.py`)."""
+    """A request's body that is streamed to a backend (`flows.py`)."""
 
-    def attach(self, sink: BackendConnection) -> None: ...
+    def attach(self, sink: BackendConnection) -> None:
+        """Start writing the body to a connection, from its first byte."""
 
-    def detach(self, sink: BackendConnection) -> None: ...
+    def detach(self, sink: BackendConnection) -> None:
+        """Stop writing to the connection."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Continue after the connection's write buffer has drained."""
 
 
 class BackendResponse:
-    """What a backend answered."""
+    """A backend's response."""
 
     __slots__ = ("body", "body_bytes", "content_type", "load_report", "never_ran", "status", "usage_percent")
 
@@ -83,8 +93,8 @@
 
 
 def parse_load_report(text: bytes) -> LoadReport | None:
-    """A load report; figures that are unknown or no numbers are passed over."""
-    found: dict[str, float] = {}
+    """Parse a load report; unknown names and invalid values are skipped. None if nothing is left."""
+    values: dict[str, float] = {}
     for part in text.decode("latin-1").removeprefix("TEXT").split(","):
         name, _, value = part.partition("=")
         field = LOAD_FIELDS.get(name.strip())
@@ -93,21 +103,21 @@
         except ValueError:
             continue
         if field and 0 <= number <= MAX_LOAD.get(field, 1e6):
-            found[field] = number
-    return LoadReport(**found) if found else None
+            values[field] = number
+    return LoadReport(**values) if values else None
 
 
-def response_result(answer: BackendResponse) -> Result:
-    """The protocol's table of outcomes, for whole answers."""
-    if answer.status == 200:
+def response_result(response: BackendResponse) -> Result:
+    """The result of an attempt with a complete response."""
+    if response.status == 200:
         return Result.OK
-    if answer.status in (503, 504) and answer.never_ran:
+    if response.status in (503, 504) and response.never_ran:
         return Result.REJECTED
-    return Result.ERROR  # it may have run
+    return Result.ERROR  # the request may have been executed
 
 
 class Attempt:
-    """One attempt of a request, out until `finish`."""
+    """One attempt of a request, in progress until `finish`. Times are µs."""
 
     __slots__ = (
         "address",
@@ -131,31 +141,31 @@
         request: Any,
         number: int,
         server: bytes,
-        sent: int,
+        sent_at: int,
         on_end: Callable[[Attempt, Result, BackendResponse | None], None],
     ) -> None:
         self.request, self.number, self.server, self.sent_at, self.on_end = (
             request,
             number,
             server,
-            sent,
+            sent_at,
             on_end,
         )
         self.address: Address = ("", 0)
         self.payload = b""
-        self.body: RequestBody | None = None  # what follows the payload as it comes
-        # Called where an answer is passed on as it comes; None: it has nowhere to go.
+        self.body: RequestBody | None = None  # streamed after the payload
+        # Starts streaming a response of the given length, None if unknown; returns None if that is impossible.
         self.on_stream: Callable[[Attempt, BackendResponse, int | None], ResponseSink | None] = lambda *_: (
             None
         )
-        self.first_byte_us: int | None = None  # µs to the first bytes of an answer that is passed on
-        self.is_head_request = False  # HEAD: its answer ends with its head
+        self.first_byte_us: int | None = None  # until the start of a streamed response
+        self.is_head_request = False  # the response ends with its headers
         self.connection: BackendConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.done = False
 
-    def finish(self, result: Result, answer: BackendResponse | None = None) -> None:
-        """Its one end; what comes later is dropped."""
+    def finish(self, result: Result, response: BackendResponse | None = None) -> None:
+        """End the attempt; further calls have no effect."""
         if self.done:
             return
         self.done = True
@@ -164,25 +174,25 @@
         connection, self.connection, self.payload = self.connection, None, b""
         if connection is not None:
             connection.detach_attempt()
-        self.on_end(self, result, answer)
+        self.on_end(self, result, response)
 
     def is_written(self) -> bool:
         return self.connection is not None and self.connection.written
 
     def time_out(self) -> None:
-        # A request that was never written cannot have run, however long the connection took.
+        # A request that was never written cannot have been executed, however long connecting took.
         self.finish(Result.TIMED_OUT if self.is_written() else Result.NOT_CONNECTED)
 
 
 def limit_read_size(transport: asyncio.Transport) -> None:
-    """No read of this connection brings more than a budget reckons with (`byte_budget.MAX_READ_BYTES`)."""
-    made = transport.get_extra_info("socket")
-    if made is not None:
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MAX_READ_BYTES // 2)
+    """Limit the bytes per read of a connection to what the byte budget assumes (`byte_budget.MAX_READ_BYTES`)."""
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None:
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MAX_READ_BYTES // 2)
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a backend. It carries one request at a time."""
+    """One connection to a backend, with one request at a time."""
 
     def __init__(self, pool: BackendPool, server: bytes, address: Address) -> None:
         self.pool, self.server, self.address = pool, server, address
@@ -191,7 +201,7 @@
         self.parser: httptools.HttpResponseParser | None = None
         self.written = self.lost = self.retired = False
         self.idle_since = 0.0
-        self.idle_time_s: float | None = None  # s before the present request; None on a new connection
+        self.idle_time_s: float | None = None  # before the current request; None on a new connection
         self.fd = -1
         self.connect_task: asyncio.Task[None] | None = None
         self.stall_timer: asyncio.TimerHandle | None = None
@@ -199,7 +209,7 @@
         self.body_parts: list[bytes] = []
         self.head_bytes = self.interim_count = 0
         self.in_response = self.is_complete = self.is_reusable = False
-        # What only a door that passes long bodies on needs:
+        # Used only where long bodies are streamed:
         self.request_body: RequestBody | None = None
         self.sink: ResponseSink | None = None
         self.content_length: int | None = None
@@ -208,7 +218,7 @@
         self.last_read_at = 0.0
         self.stream_timer: asyncio.TimerHandle | None = None
 
-    # For the pool
+    # Used by the pool
 
     def start_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
@@ -227,18 +237,18 @@
         self.transport.write(payload)
 
     def _mark_written(self) -> None:
-        """What the kernel takes may run: from here a break is a reset."""
+        """The request may be executed from now on: a lost connection no longer means that it was not sent."""
         self.written = True
         self.pool.written_count += 1
 
-    # A body that follows as it comes
+    # Streamed request bodies
 
     def write_body(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(data)
 
     def end_body(self, data: bytes) -> None:
-        """The last of it; it has left once nothing of it waits any more."""
+        """Write the last bytes; the request counts as written once the write buffer is empty."""
         if self.transport is None or self.body_ended:
             return
         self.body_ended = True
@@ -258,10 +268,10 @@
         elif self.request_body is not None:
             self.request_body.resume()
 
-    # An answer that is passed on
+    # Streamed responses
 
     def pause_reading(self) -> None:
-        """Whoever it goes to does not read: neither do we."""
+        """Read no more while the client does not read."""
         if not self.read_paused and self.transport is not None:
             self.read_paused = True
             self.transport.pause_reading()
@@ -272,14 +282,14 @@
             self.transport.resume_reading()
 
     def cancel(self) -> None:
-        """Nobody wants the rest of the answer."""
+        """Cancel the attempt: its response is no longer needed."""
         if self.attempt is not None:
             self.attempt.finish(Result.CANCELLED)
 
     def _start_stream(self) -> None:
         if self.attempt is None or self.sink is not None or self.is_complete:
             return
-        if self.written:  # an answer ahead of the body's end is none to this request
+        if self.written:  # a response before the end of the body is invalid
             self.sink = self.attempt.on_stream(self.attempt, self.response, self.content_length)
         if self.sink is None:
             self._finish_attempt(Result.ERROR)
@@ -290,7 +300,7 @@
         self.body_parts = []
 
     def detach_attempt(self) -> None:
-        """The attempt has ended: back to the pool after a whole answer, else closed."""
+        """Return the connection to the pool after a complete response; close it otherwise."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
@@ -313,19 +323,21 @@
             self.stream_timer = None
         body, self.request_body = self.request_body, None
         if body is not None:
-            self.is_reusable = self.is_reusable and self.written  # an answer ahead of the body's end
+            self.is_reusable = (
+                self.is_reusable and self.written
+            )  # not after a response before the end of the body
             body.detach(self)
             if self.transport is not None and self.is_reusable:
                 self.transport.set_write_buffer_limits()
         self.body_ended = False
-        flow, self.sink = self.sink, None
-        if flow is not None:
+        sink, self.sink = self.sink, None
+        if sink is not None:
             self.resume_reading()
             if not self.is_complete:
-                flow.abort()
+                sink.abort()
 
     def abort(self) -> None:
-        """Close at once; the backend need not hear why."""
+        """Close the connection at once."""
         self.lost = True
         self.pool.remove(self)
         if self.transport is not None:
@@ -338,42 +350,44 @@
             async with asyncio.timeout(timeout):
                 await self.pool.loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError) as error:
-            # Time may run out in the turn in which it came up and the request was written.
+            # The timeout may expire in the loop iteration in which the request was written.
             self._finish_attempt(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
-            log.warning("no connection to %s:%d: %s", *self.address, error or "timed out")
+            log.warning("cannot connect to backend %s:%d: %s", *self.address, error or "timed out")
         finally:
             self.connect_task = None
 
     def is_idle_without_input(self) -> bool:
-        """Nothing has come since the last answer: what came would be taken for the next one."""
+        """Whether nothing was received since the last response; it would be taken for the next response."""
         if self.transport is None or self.transport.is_closing():
             return False
         return not self.pool.host.has_bytes(self.fd)
 
     def _check_stall(self) -> None:
         if self.pool.budget is not None and self.attempt is not None:
-            least = self.pool.stream_stall_timeout_s if self.sink is not None else self.pool.stall_timeout_s
-            stood = 0.0 if self.read_paused else self.pool.loop.time() - self.last_read_at
-            if stood < least:  # it still flows, or it is we who do not read
-                self.stall_timer = self.pool.loop.call_later(least - stood, self._check_stall)
+            timeout_s = (
+                self.pool.stream_stall_timeout_s if self.sink is not None else self.pool.stall_timeout_s
+            )
+            stalled_s = 0.0 if self.read_paused else self.pool.loop.time() - self.last_read_at
+            if stalled_s < timeout_s:  # data still arrives, or reading is paused
+                self.stall_timer = self.pool.loop.call_later(timeout_s - stalled_s, self._check_stall)
                 return
         if self.attempt is not None:
-            log.warning("an answer from %s:%d stopped half way", *self.address)
+            log.warning("incomplete response from backend %s:%d: no data before the timeout", *self.address)
             self._finish_attempt(Result.CONNECTION_LOST)
             self.abort()
 
-    def _finish_attempt(self, result: Result, answer: BackendResponse | None = None) -> None:
+    def _finish_attempt(self, result: Result, response: BackendResponse | None = None) -> None:
         attempt = self.attempt
-        if result is not Result.OK and answer is None:
+        if result is not Result.OK and response is None:
             self.lost = True
             self.pool.remove(self)
         if attempt is not None:
-            attempt.finish(result, answer)
+            attempt.finish(result, response)
 
-    # The transport's calls
+    # Transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.transport = transport
         if self.lost or self.attempt is None:
             return self.abort()
@@ -389,23 +403,21 @@
             self.parser = self.transport = None
             self.pool.remove(self)
             return self._complete_response()
-        self.parser = self.transport = None  # parser and connection hold each other
+        self.parser = self.transport = None  # breaks the reference cycle with the parser
         if self.attempt is not None and self.idle_time_s is not None and not self.in_response:
-            self.pool.update_idle_limit(
-                self.idle_time_s, False
-            )  # closed while it stood idle, and not seen in time
+            self.pool.update_idle_limit(self.idle_time_s, False)  # the backend closed it while it was idle
         self._finish_attempt(Result.CONNECTION_LOST if self.written else Result.NOT_CONNECTED)
 
     def data_received(self, data: bytes) -> None:
-        if self.attempt is None or self.parser is None:  # an answer to nothing
+        if self.attempt is None or self.parser is None:  # a response without a request
             return self.abort()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            log.warning("odd answer from %s:%d: %s", *self.address, error.__context__ or error)
+            log.warning("invalid response from backend %s:%d: %s", *self.address, error.__context__ or error)
             self.is_reusable = False
-            if not self.is_complete:  # behind a whole answer it takes nothing from that one
-                self._finish_attempt(Result.CONNECTION_LOST)  # it may have run
+            if not self.is_complete:  # bytes after a complete response do not invalidate it
+                self._finish_attempt(Result.CONNECTION_LOST)  # the request may have been executed
                 return self.abort()
         if self.is_complete:
             self._complete_response()
@@ -416,18 +428,18 @@
                 self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._check_stall)
 
     def _complete_response(self) -> None:
-        answer = self.response
+        response = self.response
         if self.sink is not None:
             self.sink.end()
         else:
-            answer.body = b"".join(self.body_parts)
-        self._finish_attempt(response_result(answer), answer)
+            response.body = b"".join(self.body_parts)
+        self._finish_attempt(response_result(response), response)
 
-    # The parser's calls
+    # Parser callbacks
 
     def on_message_begin(self) -> None:
         if self.is_complete:
-            raise ValueError("more than one answer to one request")
+            raise ValueError("more than one response to one request")
         self.response, self.body_parts, self.head_bytes, self.in_response = BackendResponse(), [], 0, True
         self.content_length, self.chunked, self.ends_at_close, self.in_trailer = None, False, False, False
 
@@ -435,15 +447,15 @@
         self.head_bytes += len(name) + len(value)
         if self.head_bytes > MAX_HEAD_BYTES:
             raise ValueError(f"head over {MAX_HEAD_BYTES} bytes")
-        if self.in_trailer:  # behind the body: no header of the answer
+        if self.in_trailer:  # trailer fields are not response headers
             return
         key, value = name.lower(), value.strip(OPTIONAL_WHITESPACE)
         if key == b"content-length":
             if self.attempt is not None and self.attempt.is_head_request:
-                return  # what GET would bring
-            most = MAX_BODY_BYTES if self.pool.budget is None else MAX_STREAM_BYTES
-            if len(value) > 9 or int(value) > most:  # an answer of gigabytes is not waited for
-                raise ValueError(f"body over {most} bytes")
+                return  # the length of the response to GET
+            max_bytes = MAX_BODY_BYTES if self.pool.budget is None else MAX_STREAM_BYTES
+            if len(value) > 9 or int(value) > max_bytes:  # rejected before the body is read
+                raise ValueError(f"body over {max_bytes} bytes")
             self.content_length = int(value)
         elif key == b"transfer-encoding":
             self.chunked = True
@@ -457,7 +469,7 @@
             self.response.content_type = value
 
     def on_headers_complete(self) -> None:
-        """An answer to HEAD is whole here; the parser waits for a body, so the connection ends with it."""
+        """Complete a response to HEAD. The parser expects a body, so the connection cannot be reused."""
         assert self.parser is not None
         if self.attempt is not None and self.attempt.is_head_request and self.parser.get_status_code() >= 200:
             self.in_response, self.is_reusable = False, False
@@ -479,7 +491,7 @@
 
     def on_body(self, body: bytes) -> None:
         if self.attempt is not None and self.attempt.is_head_request:
-            return  # it should not be there; the connection ends anyway
+            return  # invalid, but the connection is closed anyway
         if self.sink is not None:
             return self.sink.feed(body)
         self.response.body_bytes += len(body)
@@ -493,57 +505,57 @@
         assert self.parser is not None
         status = self.parser.get_status_code()
         self.in_response = False
-        if self.is_complete:  # an answer to HEAD that says it has no body
+        if self.is_complete:  # a response to HEAD, completed with its headers
             return
-        if status >= 200:  # an interim answer is followed by the final one
+        if status >= 200:  # an interim response is followed by a final one
             self.response.status, self.is_complete, self.interim_count = status, True, 0
-            self.is_reusable = self.parser.should_keep_alive()  # asked later, the parser has forgotten
+            self.is_reusable = self.parser.should_keep_alive()  # valid only in this callback
         else:
             self.interim_count += 1
             if self.interim_count > MAX_INTERIM_RESPONSES:
-                raise ValueError("interim answers without end")
+                raise ValueError(f"more than {MAX_INTERIM_RESPONSES} interim responses")
 
 
 class BackendPool:
-    """The connections to all backends, bounded in number."""
+    """A bounded pool of connections to all backends."""
 
     def __init__(
         self,
         config: Config,
-        most: int,
+        max_connections: int,
         loop: asyncio.AbstractEventLoop,
         host: Host | None = None,
     ) -> None:
         self.host = host or Host()
-        self.loop, self.max_connections = loop, most
+        self.loop, self.max_connections = loop, max_connections
         self.min_idle_s, self.stall_timeout_s = MIN_IDLE_S, STALL_TIMEOUT_S
-        self.budget: ByteBudget | None = None  # where long bodies are passed on
+        self.budget: ByteBudget | None = None  # set where long bodies are streamed
         self.stream_stall_timeout_s = 0.0
         self.connect_timeout_s = config.connect_timeout_us / 1e6
         self.idle_limit_s = self.max_idle_limit_s = config.keepalive_us / 1e6 * IDLE_TIME_RATIO
-        # By backend, not by address: a new backend may stand where another one stood.
+        # By backend, not by address: a new backend may have the address of a former one.
         self.idle: dict[bytes, list[BackendConnection]] = {}
         self.connections: set[BackendConnection] = set()
-        self.written_count = 0  # attempts whose last byte has left
+        self.written_count = 0  # attempts whose request was written completely
         loop.call_later(1.0, self._sweep)
 
     def send(self, attempt: Attempt) -> None:
-        """On the newest connection that has rested, else on a new one."""
+        """Send an attempt on the most recently used idle connection, or on a new one."""
         if connection := self._take_idle(attempt.server):
             return connection.start_attempt(attempt)
         if len(self.connections) >= self.max_connections and not self._close_oldest_idle():
-            log.warning("all %d connections to backends are busy", self.max_connections)
-            return attempt.finish(Result.NOT_SENT)  # our want of descriptors says nothing of the backend
+            log.warning("all %d backend connections are in use", self.max_connections)
+            return attempt.finish(Result.NOT_SENT)  # not a failure of the backend
         connection = BackendConnection(self, attempt.server, attempt.address)
         self.connections.add(connection)
         connection.start_attempt(attempt)
         connection.connect_task = self.loop.create_task(connection.connect(self.connect_timeout_s))
 
     def _take_idle(self, server: bytes) -> BackendConnection | None:
-        resting, now = self.idle.get(server, []), self.loop.time()
-        for n in range(len(resting) - 1, -1, -1):
-            if resting[n].idle_since <= now - self.min_idle_s:
-                connection = resting.pop(n)
+        idle, now = self.idle.get(server, []), self.loop.time()
+        for n in range(len(idle) - 1, -1, -1):
+            if idle[n].idle_since <= now - self.min_idle_s:
+                connection = idle.pop(n)
                 connection.idle_time_s = now - connection.idle_since
                 if connection.idle_time_s <= self.idle_limit_s and connection.is_idle_without_input():
                     return connection
@@ -551,23 +563,23 @@
         return None
 
     def raise_idle_limit(self) -> None:
-        """Once a second: where none may rest, none would show that it could."""
+        """Raise the idle limit, once a second; without idle connections no response would raise it."""
         self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RECOVERY_RATIO)
 
-    def update_idle_limit(self, rested: float, good: bool) -> None:
-        """How long connections may rest: less than those that were found dead, in time again more."""
-        if not good:
+    def update_idle_limit(self, idle_time_s: float, was_open: bool) -> None:
+        """Adapt the idle limit to a connection that was open, or closed by the backend, after `idle_time_s`."""
+        if not was_open:
             self.idle_limit_s = max(
-                MIN_IDLE_LIMIT_S, min(self.idle_limit_s, rested) * IDLE_LIMIT_DECREASE_RATIO
+                MIN_IDLE_LIMIT_S, min(self.idle_limit_s, idle_time_s) * IDLE_LIMIT_DECREASE_RATIO
             )
-        elif rested > self.idle_limit_s * IDLE_LIMIT_DECREASE_RATIO:
+        elif idle_time_s > self.idle_limit_s * IDLE_LIMIT_DECREASE_RATIO:
             self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_INCREASE_RATIO)
 
     def _close_oldest_idle(self) -> bool:
-        resting = [c for few in self.idle.values() for c in few]
-        if resting:
-            min(resting, key=lambda c: c.idle_since).abort()
-        return bool(resting)
+        idle = [c for connections in self.idle.values() for c in connections]
+        if idle:
+            min(idle, key=lambda c: c.idle_since).abort()
+        return bool(idle)
 
     def release(self, connection: BackendConnection) -> None:
         connection.idle_since = self.loop.time()
@@ -575,10 +587,10 @@
 
     def remove(self, connection: BackendConnection) -> None:
         self.connections.discard(connection)
-        resting = self.idle.get(connection.server)
-        if resting and connection in resting:
-            resting.remove(connection)
-        if not resting:
+        idle = self.idle.get(connection.server)
+        if idle and connection in idle:
+            idle.remove(connection)
+        if not idle:
             self.idle.pop(connection.server, None)
 
     def close_idle(self, server: bytes) -> None:
@@ -586,7 +598,7 @@
             connection.abort()
 
     def retire(self, server: bytes) -> None:
-        """It has moved or is gone: its connections carry nothing more than what they have."""
+        """Send no further requests on a backend's connections: it has moved or is gone."""
         self.close_idle(server)
         for connection in self.connections:
             if connection.server == server:
@@ -595,7 +607,7 @@
     def _sweep(self) -> None:
         self.loop.call_later(1.0, self._sweep)
         self.raise_idle_limit()
-        oldest = self.loop.time() - self.idle_limit_s
-        for resting in list(self.idle.values()):
-            for connection in [c for c in resting if c.idle_since < oldest]:
+        earliest = self.loop.time() - self.idle_limit_s
+        for idle in list(self.idle.values()):
+            for connection in [c for c in idle if c.idle_since < earliest]:
                 connection.abort()
--- a/irisdeal/front_door/server/loop.py
+++ b/irisdeal/front_door/server/loop.py
@@ -1,4 +1,4 @@
-"""The loop round the decision module: events in, actions out, and the books of what is open."""
+"""Connects the decision module to sockets and timers: collects events, executes actions, tracks open requests."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 log = logging.getLogger("irisdeal.front_door.server")
 
-NO_DEADLINE_US = 1 << 50  # µs: the time of a request whose body is still on its way has not begun
-FAILED_DECISION_DELAY_US = 10_000  # µs after a failed decision: one that fails each time must not spin
+NO_DEADLINE_US = 1 << 50  # while a body is streamed: the request's time starts at its last byte
+FAILED_DECISION_DELAY_US = 10_000  # before a retry, so that a decision that always fails does not busy-loop
 
 
 class EventBatch(list[Event]):
-    """Events that tell how far a reader got, so that one that fails does not take the others along."""
+    """A list of events that records how many have been read, to find the one whose handling failed."""
 
     read_count = 0
 
@@ -61,7 +61,7 @@
 
 
 class OpenRequest:
-    """A request in the books: until it is answered and none of its attempts is out."""
+    """A request that is unanswered or has an attempt in progress. Times are µs."""
 
     __slots__ = (
         "attempts",
@@ -73,8 +73,8 @@
         "received_at",
     )
 
-    def __init__(self, client: ClientRequest, taken: int, gives_up: int) -> None:
-        self.client, self.received_at, self.deadline = client, taken, gives_up
+    def __init__(self, client: ClientRequest, received_at: int, deadline: int) -> None:
+        self.client, self.received_at, self.deadline = client, received_at, deadline
         self.attempts: list[Attempt] = []
         self.attempts_out = 0
         self.is_answered = False
@@ -82,7 +82,7 @@
 
 
 class DecisionLoop:
-    """Transport for one `Decider`."""
+    """Delivers events to one `Decider` and executes its actions. Times are µs."""
 
     def __init__(
         self,
@@ -99,20 +99,19 @@
         if config.counter is not None:
             self.counter = CounterClient(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, OpenRequest] = {}
-        self.just_closed: dict[int, int] = {}  # requests that left it since the last turn, and their attempts
+        self.just_closed: dict[int, int] = {}  # attempts of requests closed since the last batch
         self.unanswered_count = 0
         self.last_request_number = 0
         self.addresses: dict[bytes, Address] = {}
         self.events = EventBatch()
-        self.is_turn_scheduled = self.has_server_list = False
-        self.drain_deadline = 0  # when all must be answered; 0 while in service
+        self.is_batch_scheduled = self.has_server_list = False
+        self.drain_deadline = 0  # when all requests must be answered; 0 while not draining
         self.event_loop_lag = EventLoopLag()
-        self.statistics: QueueStatistics | None = None  # where a report is to be had
+        self.statistics: QueueStatistics | None = None  # set if the report is enabled
         self.on_server_list: Callable[[ServerList], None] = lambda _: None
         self.on_fetch_list: Callable[[], None] = lambda: None
-        self.on_request_closed: Callable[[ClientRequest], None] = lambda _: (
-            None
-        )  # answered, and no attempt is out
+        # Called once a request is answered and has no attempt in progress.
+        self.on_request_closed: Callable[[ClientRequest], None] = lambda _: None
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._send,
             CancelAttempt: self._cancel,
@@ -122,39 +121,39 @@
             SetTimer: self._wake,
             CloseIdleConnections: self._close_idle,
             FetchServerList: lambda _: self.on_fetch_list(),
-            WatchServerList: lambda _: None,  # the watch always runs
+            WatchServerList: lambda _: None,  # the list is always watched
             LogMessage: lambda note: log.info("%s", note.text),
         }
 
-    # Events in
+    # Events
 
     def post(self, event: Event) -> None:
-        """Queue an event for the next turn."""
+        """Queue an event for the next batch."""
         self.events.append(event)
-        if not self.is_turn_scheduled:
-            self.is_turn_scheduled = True
+        if not self.is_batch_scheduled:
+            self.is_batch_scheduled = True
             self.loop.call_soon(self.process_events)
 
     def process_events(self) -> None:
-        """Let the module hear what has been posted, and do what it says, at once."""
+        """Pass the queued events to the decider and execute its actions."""
         events, self.events = self.events, EventBatch()
-        self.is_turn_scheduled = False
-        if not events:  # another turn took them
+        self.is_batch_scheduled = False
+        if not events:  # already processed by a direct call
             return
         try:
             actions = self.decider.handle(self.host.now(), events)
         except Exception:
-            log.exception("a decision failed")
+            log.exception("error in the decision module")
             actions = self._recover_failed_batch(events)
         for action in actions:
             try:
                 self._apply(action)
-            except Exception:  # guards the others: one action's failure is its own
-                log.exception("%r failed", action)
+            except Exception:  # must not affect the other actions
+                log.exception("error while executing %r", action)
         self.just_closed.clear()
 
     def _recover_failed_batch(self, events: EventBatch) -> list[Action]:
-        """One event failed: its request fails, what was decided before it stands, the rest goes on."""
+        """Fail the request of the failed event, queue the remaining events; return the actions decided so far."""
         if (
             events.read_count
             and (number := getattr(events[events.read_count - 1], "request_id", None)) is not None
@@ -162,29 +161,28 @@
             self._end_request(number, lambda client: client.reply(500, b"failed\n"))
         for event in events[events.read_count :]:
             self.post(event)
-        self._call_later(
-            FAILED_DECISION_DELAY_US, self.post, TimerFired(0)
-        )  # what was due may have been left undone
+        # Timers that were due may not have been handled.
+        self._call_later(FAILED_DECISION_DELAY_US, self.post, TimerFired(0))
         return list(self.decider.actions)
 
     def handle_request(self, client: ClientRequest) -> None:
-        """A well-formed request of a client."""
+        """Start a request."""
         now = self.host.now()
-        left = client.time_left
+        time_left = client.time_left
         if self.drain_deadline:
-            left = max(1, min(left, self.drain_deadline - now))
+            time_left = max(1, min(time_left, self.drain_deadline - now))
         self.last_request_number += 1
         client.number = number = self.last_request_number
         request = self.requests[number] = OpenRequest(
-            client, now, now + (left if client.upload is None else NO_DEADLINE_US)
+            client, now, now + (time_left if client.upload is None else NO_DEADLINE_US)
         )
         if self.statistics is not None:
             self.statistics.record_received((client.customer, client.plan), client.is_retry, now)
         self.unanswered_count += 1
-        uploading = client.upload is not None  # its time counts from its last byte
-        if not uploading:
+        is_uploading = client.upload is not None  # its time starts at the last byte
+        if not is_uploading:
             request.deadline_timer = self._call_later(
-                left + self.settings.answer_grace_us, self._answer_overdue, number
+                time_left + self.settings.answer_grace_us, self._answer_overdue, number
             )
         self.post(
             RequestArrived(
@@ -192,103 +190,104 @@
                 client.customer,
                 client.plan,
                 client.request_class,
-                left,
+                time_left,
                 client.units,
                 client.first_gateway,
                 client.gateway_count,
                 client.is_retry,
                 client.is_write,
                 len(client.head) + len(client.body),
-                uploading,
+                is_uploading,
             )
         )
 
     def upload_completed(self, client: ClientRequest) -> None:
-        """The last byte of its body has come: from now its time counts."""
+        """Start the time of a request whose streamed body is complete."""
         request = self.requests.get(client.number)
         if request is None or request.is_answered:
             return
-        now, left = self.host.now(), client.time_left
+        now, time_left = self.host.now(), client.time_left
         if self.drain_deadline:
-            left = max(1, min(left, self.drain_deadline - now))
-        request.received_at, request.deadline = now, now + left
+            time_left = max(1, min(time_left, self.drain_deadline - now))
+        request.received_at, request.deadline = now, now + time_left
         request.deadline_timer = self._call_later(
-            left + self.settings.answer_grace_us, self._answer_overdue, client.number
+            time_left + self.settings.answer_grace_us, self._answer_overdue, client.number
         )
         for attempt in request.attempts:
             if not attempt.done:
-                attempt.sent_at, attempt.timer = now, self._call_later(left, attempt.time_out)
-        self.post(RequestBodyReceived(client.number, left))
+                attempt.sent_at, attempt.timer = now, self._call_later(time_left, attempt.time_out)
+        self.post(RequestBodyReceived(client.number, time_left))
 
     def client_disconnected(self, client: ClientRequest) -> None:
-        """The client left; attempts that are out go on and still count as out."""
+        """End a request whose client has disconnected; attempts in progress continue and stay counted."""
         self._end_request(client.number)
 
     def fail_request(self, client: ClientRequest) -> None:
-        """Its connection ends and cannot wait for it; what is out goes on and counts, as above."""
+        """Answer 502, because the client's connection is being closed; attempts in progress continue."""
         self._end_request(client.number, lambda client: client.reply(502, b"failed\n"))
 
     def can_serve(self) -> bool:
+        """Whether a server list has been received."""
         return self.has_server_list
 
-    def update_server_list(self, told: ServerList, places: dict[bytes, Address]) -> None:
-        """News of the list."""
-        if told.kind is not ServerListKind.CACHED or told.entries:
+    def update_server_list(self, server_list: ServerList, addresses: dict[bytes, Address]) -> None:
+        """Apply a server list or its changes; `addresses` are those of the servers it contains."""
+        if server_list.kind is not ServerListKind.CACHED or server_list.entries:
             self.has_server_list = True
-        old = self.addresses
-        whole = told.kind is not ServerListKind.CHANGES
-        self.addresses = dict(places) if whole else {**old, **places}
-        for entry in told.entries:
-            if entry.server_id not in places:
+        former = self.addresses
+        is_complete = server_list.kind is not ServerListKind.CHANGES
+        self.addresses = dict(addresses) if is_complete else {**former, **addresses}
+        for entry in server_list.entries:
+            if entry.server_id not in addresses:
                 self.addresses.pop(entry.server_id, None)
-        for server, place in old.items():
-            if self.addresses.get(server) != place:  # moved or gone
+        for server, address in former.items():
+            if self.addresses.get(server) != address:  # moved or gone
                 self.pool.retire(server)
-        self.on_server_list(told)
-        self.post(told)
+        self.on_server_list(server_list)
+        self.post(server_list)
 
     def move_counter(self, address: Address | None) -> None:
-        """The counter has another address."""
+        """Use the counter at another address."""
         if self.counter is not None and address is not None:
             self.counter.move(address)
 
     def _answer_overdue(self, number: int) -> None:
-        """The module has let a request's time pass: it is still owed an answer."""
+        """Answer a request that the decider has not answered in time."""
         request = self.requests.get(number)
         if request is not None and not request.is_answered:
-            # Where the loop stood still, the module's own wake is due as well and comes a turn behind this:
-            # it is asked first, since it knows whether a refusal may be promised.
+            # After a stall of the event loop the decider's own timer is due as well, but runs later. The decider
+            # goes first: it can answer that a retry is safe.
             self.events.append(TimerFired(0))
             self.process_events()
         if request is not None and not request.is_answered:
-            log.error("request %d was left unanswered", number)
+            log.error("the decision module did not answer request %d in time", number)
             self._end_request(number, lambda client: client.reply(500, b"failed\n"))
 
-    def _end_request(self, number: int, answer: Callable[[ClientRequest], None] = lambda _: None) -> None:
-        """Its end is not the module's doing, so the module hears of it."""
+    def _end_request(self, number: int, respond: Callable[[ClientRequest], None] = lambda _: None) -> None:
+        """End a request that the decider has not ended, and notify the decider."""
         request = self.requests.get(number)
         if request is not None and not request.is_answered:
-            answer(request.client)
+            respond(request.client)
             self._mark_answered(number, request)
             self.post(RequestEnded(number))
 
     def _start_stream(
-        self, attempt: Attempt, answer: BackendResponse, length: int | None
+        self, attempt: Attempt, response: BackendResponse, length: int | None
     ) -> ResponseSink | None:
-        """An answer is to be passed on as it comes: there is no further attempt from here on."""
+        """Stream a response to the client; the request gets no further attempts."""
         request = self.requests[attempt.request]
         if request.is_answered or attempt.done:
             return None
         client = request.client
-        flow = client.connection.start_stream(client, length, answer.content_type, self._stream_finished)
-        if flow is not None:
+        stream = client.connection.start_stream(client, length, response.content_type, self._stream_finished)
+        if stream is not None:
             if attempt.timer is not None:
-                attempt.timer.cancel()  # what flows is not cut
+                attempt.timer.cancel()  # a started stream has no deadline
             attempt.first_byte_us = self.host.now() - attempt.sent_at
-            self.unanswered_count += 1  # until the flow is over
+            self.unanswered_count += 1  # until the stream ends
             self._mark_answered(attempt.request, request)
             self.post(StreamStarted(attempt.request, attempt.number, attempt.server, attempt.first_byte_us))
-        return flow
+        return stream
 
     def _stream_finished(self) -> None:
         self.unanswered_count -= 1
@@ -298,7 +297,7 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         self.unanswered_count -= 1
-        for attempt in request.attempts:  # one whose connection is still coming up: nothing more is sent
+        for attempt in request.attempts:  # an attempt that is still connecting sends nothing
             if not (attempt.done or attempt.is_written()):
                 attempt.finish(Result.NOT_SENT)
         if not request.attempts_out:
@@ -309,27 +308,27 @@
             self.just_closed[number] = len(request.attempts)
             self.on_request_closed(request.client)
 
-    def drain(self, by: int) -> None:
-        """Answer all that is open, and all that still comes, until then."""
-        self.drain_deadline = by
-        self._call_later(by - self.host.now(), self._fail_open_requests)
+    def drain(self, deadline: int) -> None:
+        """Answer all open and further requests until the deadline."""
+        self.drain_deadline = deadline
+        self._call_later(deadline - self.host.now(), self._fail_open_requests)
 
     def _fail_open_requests(self) -> None:
         for number in list(self.requests):
             self._end_request(number, lambda client: client.reply(500, b"shutting down\n"))
 
     def _call_later(self, delay: int, call: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """A timer that is never early by its rounding: the loop's timers count whole milliseconds."""
+        """Start a timer, rounded up to the millisecond resolution of the event loop so that it is never early."""
         return self.loop.call_later(-(-max(0, delay) // 1000) / 1000, call, *args)
 
-    # Actions out
+    # Actions
 
     def _apply(self, action: Action) -> None:
-        apply = self.action_handlers.get(type(action))
-        if apply is None:  # probes and messages: neither is to be had here
-            log.warning("%s is not to be had here", type(action).__name__)
+        handler = self.action_handlers.get(type(action))
+        if handler is None:  # probes and messages to other gateways
+            log.warning("action %s is not supported", type(action).__name__)
         else:
-            apply(action)
+            handler(action)
 
     def _send(self, action: StartAttempt) -> None:
         request = self.requests.get(action.request_id)
@@ -345,16 +344,21 @@
             self.statistics.record_sent(
                 (request.client.customer, request.client.plan), now - request.received_at
             )
-        place = self.addresses.get(action.server_id)
-        left = request.deadline - now
+        address = self.addresses.get(action.server_id)
+        time_left = request.deadline - now
         if action.timeout_us > 0:
-            left = min(left, action.timeout_us)
-        if request.is_answered or place is None or left <= 0 or attempt.number >= self.settings.max_attempts:
+            time_left = min(time_left, action.timeout_us)
+        if (
+            request.is_answered
+            or address is None
+            or time_left <= 0
+            or attempt.number >= self.settings.max_attempts
+        ):
             return attempt.finish(Result.NOT_SENT)
         client, upload = request.client, request.client.upload
         if upload is not None and upload.is_consumed:
-            return attempt.finish(Result.NOT_SENT)  # its first bytes are gone
-        attempt.address, attempt.body, attempt.on_stream = place, upload, self._start_stream
+            return attempt.finish(Result.NOT_SENT)  # its first bytes are no longer buffered
+        attempt.address, attempt.body, attempt.on_stream = address, upload, self._start_stream
         length = b"Content-Length: %d\r\n" % len(client.body) if client.is_write else b""
         if upload is not None:
             length = (
@@ -362,45 +366,47 @@
                 if upload.length is None
                 else (b"Content-Length: %d\r\n" % upload.length)
             )
-            left = min(left, client.time_left)
+            time_left = min(time_left, client.time_left)
         attempt.payload = b"".join(
-            (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body)
+            (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, time_left // 1000), client.body)
         )
         attempt.is_head_request = client.is_head_request
         if upload is None or upload.is_complete:
-            attempt.timer = self._call_later(left, attempt.time_out)
+            attempt.timer = self._call_later(time_left, attempt.time_out)
         self.pool.send(attempt)
 
     def _reject_late_send(self, action: StartAttempt) -> None:
-        """Its request ended in the turn in which the module decided this: it was out in its books alone."""
-        number = self.just_closed.get(action.request_id)
-        if number is None:
-            return log.error("an attempt for request %d, which is not open", action.request_id)
-        self.just_closed[action.request_id] = number + 1
-        self.post(AttemptEnded(action.request_id, number, action.server_id, Result.NOT_SENT, 0, True))
-
-    def _attempt_ended(self, attempt: Attempt, result: Result, answer: BackendResponse | None) -> None:
-        """An attempt's one end. The first good answer goes to the client and is final."""
-        number = attempt.request
-        request = self.requests[number]
+        """Report an attempt as not sent whose request ended while the decider decided on it."""
+        attempt_number = self.just_closed.get(action.request_id)
+        if attempt_number is None:
+            return log.error("attempt for request %d, which is not open", action.request_id)
+        self.just_closed[action.request_id] = attempt_number + 1
+        self.post(AttemptEnded(action.request_id, attempt_number, action.server_id, Result.NOT_SENT, 0, True))
+
+    def _attempt_ended(self, attempt: Attempt, result: Result, response: BackendResponse | None) -> None:
+        """Handle the end of an attempt. The first successful response is passed to the client."""
+        request_number = attempt.request
+        request = self.requests[request_number]
         request.attempts_out -= 1
-        if result is Result.OK and answer is not None and not request.is_answered:
-            kind = answer.content_type
-            request.client.reply(200, answer.body, b"Content-Type: " + kind + b"\r\n" if kind else b"")
-            self._mark_answered(number, request)
+        if result is Result.OK and response is not None and not request.is_answered:
+            content_type = response.content_type
+            request.client.reply(
+                200, response.body, b"Content-Type: " + content_type + b"\r\n" if content_type else b""
+            )
+            self._mark_answered(request_number, request)
         elif request.is_answered and not request.attempts_out:
-            self._close_request(number)
+            self._close_request(request_number)
         self.post(
             AttemptEnded(
-                number,
+                request_number,
                 attempt.number,
                 attempt.server,
                 result,
                 self.host.now() - attempt.sent_at if attempt.first_byte_us is None else attempt.first_byte_us,
                 request.is_answered,
-                answer.usage_percent if answer else None,
+                response.usage_percent if response else None,
                 None,
-                answer.load_report if answer else None,
+                response.load_report if response else None,
             )
         )
 
@@ -438,16 +444,16 @@
     def _wake(self, action: SetTimer) -> None:
         self._call_later(action.delay_us, self._woken, action.token, self.host.now() + action.delay_us)
 
-    def _woken(self, token: int, due: int) -> None:
+    def _woken(self, token: int, due_at: int) -> None:
         now = self.host.now()
-        if now < due:  # the loop counts from the start of its turn: a long one makes its timers early
-            self._call_later(due - now, self._woken, token, due)
+        if now < due_at:  # timers count from the start of the loop iteration: a long one makes them early
+            self._call_later(due_at - now, self._woken, token, due_at)
             return
-        self.event_loop_lag.record((now - due) / 1e6, now / 1e6)
+        self.event_loop_lag.record((now - due_at) / 1e6, now / 1e6)
         self.post(TimerFired(token))
 
     def read_delay_us(self) -> int:
-        """µs by which what clients write is read late by now, beyond the usual."""
+        """Current delay until input of clients is read, beyond the usual."""
         return round(self.event_loop_lag.excess_s(self.host.now() / 1e6) * 1e6)
 
     def _close_idle(self, action: CloseIdleConnections) -> None:
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -152,7 +152,7 @@
             if shared is not None:
                 self.clients.adopt(shared)
             else:
-                self.clients.listen(beside=self.config.operator is not None)
+                self.clients.listen(reuse_port=self.config.operator is not None)
         self.discovery.start()
         if self.handover is not None:
             self.handover.announce_accepting()
