--- a/irisdeal/front_door/server/__init__.py
+++ b/irisdeal/front_door/server/__init__.py
@@ -1,1 +1,1 @@
-"""One front door: sockets, timers and signals round the decision module."""
+"""One front door process: sockets, timers and signals around the decision module."""
--- a/irisdeal/front_door/server/config.py
+++ b/irisdeal/front_door/server/config.py
@@ -1,4 +1,4 @@
-"""From the environment and its JSON file to `Config`. What is wrong is told in one plain line."""
+"""Loads `Config` from environment variables and a JSON file. Each error is reported in one line."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from irisdeal.front_door.decisions.interface import Settings
 
 Address = tuple[str, int]
-DEFAULT_MEMORY_MB = 192  # MB, where none is told: the most on the days that are scored (DEPLOY, Limits)
-MAX_SOCKET_PATH_BYTES = 107  # bytes; unix(7): 108 with the null that ends it
+DEFAULT_MEMORY_MB = 192  # the largest memory limit among the scored scenarios
+MAX_SOCKET_PATH_BYTES = 107  # unix(7): 108 with the terminating null byte
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used; the text says where and why."""
+    """An invalid configuration; the message contains the key and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Routes:
-    """A description of routes, and how often to look whether it has changed (µs; 0: on SIGHUP alone)."""
+    """File with the description of the routes, and how often it is checked for changes (µs; 0: only on SIGHUP)."""
 
     file: str
     watch_interval_us: int = 1_000_000
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a front door is told at its start. Times are microseconds."""
+    """The configuration of a front door. Times are µs."""
 
     name: str
     listen: Address
@@ -38,8 +38,8 @@
     counter: Address | None
     seed: int
     max_sockets: int
-    memory_bytes: int  # bytes
-    known_list: object | None
+    memory_bytes: int
+    known_list: object | None  # initial server list
     settings: Settings
     classes: tuple[str, ...]
     plans: tuple[str, ...]
@@ -48,12 +48,12 @@
     connect_timeout_us: int
     keepalive_us: int
     routes: Routes | None = None
-    operator: Address | None = None  # where operators call
-    report_path: str | None = None  # where the door's own report is to be had: a socket of the file system
+    operator: Address | None = None  # of the listener for operators
+    report_path: str | None = None  # of the Unix socket that serves the report
 
 
 def address(text: object, what: str) -> Address:
-    """`host:port` in its two parts."""
+    """Parse `host:port`; `what` names the key in the error message."""
     host, colon, port = str(text).rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise ConfigError(f"{what} is {text!r}: wanted host:port")
@@ -61,21 +61,22 @@
 
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
-    """Read what `EDGE_CONFIG` names; the other variables go before the file where both speak.
+    """Read the file that `EDGE_CONFIG` names; other environment variables take precedence over it.
 
-    Read `again`, the file goes before `EDGE_DISCOVERY`, which still names where discovery was at the start.
+    With `again`, on a reload, the file takes precedence over `EDGE_DISCOVERY`, which still has the address from
+    the start of the process.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            values = json.load(file)
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(values, dict):
         raise ConfigError(f"EDGE_CONFIG: {path}: wanted an object")
     for key, variable in (
         ("name", "EDGE_NAME"),
@@ -83,44 +84,44 @@
         ("discovery", "EDGE_DISCOVERY"),
         ("operator", "EDGE_OPERATOR"),
     ):
-        if environ.get(variable) and not (again and told.get(key) and key == "discovery"):
-            told[key] = environ[variable]
+        if environ.get(variable) and not (again and values.get(key) and key == "discovery"):
+            values[key] = environ[variable]
     try:
-        return parse(told)
+        return parse(values)
     except ConfigError:
         raise
     except (ValueError, TypeError, KeyError, OverflowError) as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error}") from None
 
 
-def parse(told: Mapping[str, Any]) -> Config:
-    """The configuration from its JSON object."""
-    nested = told.get("settings")
+def parse(document: Mapping[str, Any]) -> Config:
+    """Parse the configuration from its JSON object."""
+    nested = document.get("settings")
     if not isinstance(nested, dict):
         raise ConfigError("settings are missing")
     values = dict(flatten(nested))
     settings, _ = simulator_wire.read_settings(values)
     reader = simulator_wire.SettingsReader(values)
-    counter = told.get("counter")
+    counter = document.get("counter")
     if settings.has_counter and not counter:
-        raise ConfigError("counter is missing, though the settings tell of one")
-    limits = told.get("limits") or {}
-    listen, operator = address(told.get("listen"), "listen"), told.get("operator")
+        raise ConfigError("counter is missing, though the settings require one")
+    limits = document.get("limits") or {}
+    listen, operator = address(document.get("listen"), "listen"), document.get("operator")
     if operator and address(operator, "operator") == listen:
         raise ConfigError(f"operator is {operator!r}: wanted another address than listen")
     try:
-        seed = int(str(told.get("seed") or "0"), 16)
+        seed = int(str(document.get("seed") or "0"), 16)
     except ValueError:
-        raise ConfigError(f"seed is {told.get('seed')!r}: wanted hex digits") from None
+        raise ConfigError(f"seed is {document.get('seed')!r}: wanted hex digits") from None
     return Config(
-        name=str(told.get("name") or f"gateway {settings.rank}"),
+        name=str(document.get("name") or f"gateway {settings.rank}"),
         listen=listen,
-        discovery=address(told.get("discovery"), "discovery"),
+        discovery=address(document.get("discovery"), "discovery"),
         counter=address(counter, "counter") if counter else None,
         seed=seed,
         max_sockets=int(limits.get("sockets") or 1024),
         memory_bytes=int(float(limits.get("memory_mb") or DEFAULT_MEMORY_MB) * 2**20),
-        known_list=told.get("known"),
+        known_list=document.get("known"),
         settings=settings,
         classes=_names(reader, "profiles", len(settings.classes)),
         plans=_names(reader, "packages", len(settings.plans)),
@@ -128,42 +129,42 @@
         kinds=_string_list(nested.get("kinds")),
         connect_timeout_us=reader.integer("permissions.connect_timeout_us", "250000"),
         keepalive_us=reader.integer("permissions.keepalive_us", "30000000"),
-        routes=_routes(told.get("routes")),
+        routes=_routes(document.get("routes")),
         operator=address(operator, "operator") if operator else None,
-        report_path=_report(told.get("report")),
+        report_path=_report(document.get("report")),
     )
 
 
-def _report(told: object) -> str | None:
-    if told is None:
+def _report(value: object) -> str | None:
+    if value is None:
         return None
     if (
-        not isinstance(told, str)
-        or not told.startswith("/")
-        or len(os.fsencode(told)) > MAX_SOCKET_PATH_BYTES
+        not isinstance(value, str)
+        or not value.startswith("/")
+        or len(os.fsencode(value)) > MAX_SOCKET_PATH_BYTES
     ):
         raise ConfigError(
-            f"report is {told!r}: wanted an absolute path of {MAX_SOCKET_PATH_BYTES} bytes at most"
+            f"report is {value!r}: wanted an absolute path of {MAX_SOCKET_PATH_BYTES} bytes at most"
         )
-    return told
+    return value
 
 
-def _routes(told: object) -> Routes | None:
-    if told is None:
+def _routes(value: object) -> Routes | None:
+    if value is None:
         return None
-    if not isinstance(told, dict) or not isinstance(told.get("file"), str) or not told["file"]:
-        raise ConfigError(f"routes is {told!r}: wanted an object with file")
-    if unknown := set(told) - {"file", "watch_ms"}:
+    if not isinstance(value, dict) or not isinstance(value.get("file"), str) or not value["file"]:
+        raise ConfigError(f"routes is {value!r}: wanted an object with file")
+    if unknown := set(value) - {"file", "watch_ms"}:
         raise ConfigError(f"routes.{min(unknown)}: no such key: wanted file, watch_ms")
-    watch = told.get("watch_ms", 1000)
+    watch = value.get("watch_ms", 1000)
     number = isinstance(watch, int | float) and not isinstance(watch, bool)
     if not (number and (watch == 0 or 10 <= watch <= 3_600_000)):
         raise ConfigError(f"routes.watch_ms is {watch!r}: wanted 0, or 10 to 3600000")
-    return Routes(told["file"], round(watch * 1000))
+    return Routes(value["file"], round(watch * 1000))
 
 
 def flatten(value: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Nested JSON as the paths and texts of the simulator's settings."""
+    """Flatten nested JSON to the dotted paths and text values of the simulator's settings."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
--- a/irisdeal/front_door/server/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -1,7 +1,7 @@
-"""What a door asks of its machine beside the loop, so that it runs unchanged on a machine in memory.
+"""Access to the operating system besides the event loop, replaced when the front door runs in a simulation.
 
-Whatever a door's files take from the clock, the kernel and the process goes through here or through the loop
-that they were given; a test holds that nothing else does.
+All uses of the clock, the kernel and the process go through this class or the event loop that is passed in; a
+test checks that there is no other use.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Host:
-    """The real machine. Times are whole µs that never go back and agreed with Unix time at the start."""
+    """The real operating system. Times are integer µs: monotonic, and equal to Unix time at the start."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
@@ -25,22 +25,22 @@
         return (time.monotonic_ns() + self._offset) // 1000
 
     def create_socket(self, family: int) -> socket.socket:
-        """A new TCP socket that is to listen. OSError where there is none to be had."""
+        """Create a TCP socket to listen on. Raises OSError."""
         return socket.socket(family, socket.SOCK_STREAM)
 
     def has_bytes(self, file: int) -> bool:
-        """Whether this descriptor has something to read, asked of the kernel."""
+        """Whether the kernel has input to read for this descriptor."""
         return is_readable(file)
 
     def reload_config(self) -> Config:
-        """The configuration as it is by now. ConfigError where it cannot be used."""
+        """Load the current configuration. Raises ConfigError."""
         return load(os.environ, again=True)
 
     def handover_folder(self) -> str:
-        """A folder that another process of this door shares; empty where there is none."""
+        """Folder shared with other processes of this front door; empty if there is none."""
         return os.environ.get("TMPDIR", "")
 
     def startup_complete(self) -> None:
-        """The program has started: what is in memory now stays, and need not be looked at again."""
+        """Exclude the objects created at startup from garbage collection: they are never freed."""
         gc.collect()
         gc.freeze()
--- a/irisdeal/front_door/server/listener.py
+++ b/irisdeal/front_door/server/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket. It accepts no more than there is room for.
+"""A listening socket that accepts no more connections than there are free slots.
 
-The loop's own server accepts all that waits before it tells of the first: a burst of connections would
-take every descriptor that backends, counter and discovery need.
+The server of asyncio accepts the whole backlog before its first callback: a burst of connections would use up
+the descriptors that backends, counter and discovery need.
 """
 
 from __future__ import annotations
@@ -19,77 +19,76 @@
 
 log = logging.getLogger("irisdeal.listener")
 
-# Connections accepted in one turn; the others wait for the next. At 0.15 ms for a refusal that is 10 ms.
+# Accepted per iteration of the event loop: at 0.15 ms for a rejection, 10 ms.
 MAX_ACCEPTS_PER_TURN = 64
-DESCRIPTOR_RETRY_DELAY_S = 0.05  # s without accepting when descriptors have run out all the same
-CAPACITY_RETRY_DELAY_S = (
-    0.02  # s without accepting while no place is free, at most: one that is freed ends it
-)
+DESCRIPTOR_RETRY_DELAY_S = 0.05  # after accept() found no free descriptor
+CAPACITY_RETRY_DELAY_S = 0.02  # longest pause while no slot is free; a freed slot ends it sooner
 
 
 class AcceptedConnection(Protocol):
-    """What the listener needs of a client's connection."""
+    """A connection object for an accepted socket."""
 
-    def protocol(self) -> asyncio.Protocol: ...
+    def protocol(self) -> asyncio.Protocol:
+        """The protocol to connect to the transport."""
 
     def connection_failed(self) -> None:
-        """No transport came of it."""
+        """Clean up: no transport could be created."""
 
 
 class Listener:
-    """Hands each accepted connection to what `admit` returns.
+    """Connects each accepted socket to the object that `admit` returns.
 
-    `room` says whether one may be accepted. While it says no, what waits stays in the kernel's queue:
-    accepted and closed, it would be reset, and a request already written would be lost.
+    `has_room` returns whether a connection may be accepted. Until it does, connections stay in the backlog:
+    accepting and closing them would reset them, and a request already written would be lost.
     """
 
     def __init__(
         self,
         admit: Callable[[], AcceptedConnection],
         loop: asyncio.AbstractEventLoop,
-        room: Callable[[], bool] = lambda: True,
+        has_room: Callable[[], bool] = lambda: True,
         host: Host | None = None,
     ) -> None:
-        self.admit, self.loop, self.has_room, self.host = admit, loop, room, host or Host()
+        self.admit, self.loop, self.has_room, self.host = admit, loop, has_room, host or Host()
         self.socket: socket.socket | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.backlog = Backlog()
         self.is_paused = self.closes_when_empty = self.is_suspended = False
         self.on_closed: Callable[[], None] = lambda: None
 
-    def listen(self, address: Address, beside: bool = False) -> None:
-        """`beside`: another process may listen at the address as well. OSError where it cannot be had."""
-        made = self.host.create_socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+    def listen(self, address: Address, reuse_port: bool = False) -> None:
+        """Listen; with `reuse_port` other processes may use the same address. Raises OSError."""
+        listening_socket = self.host.create_socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restart takes its address again
-            if beside:
-                made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            made.bind((address[0].strip("[]"), address[1]))
-            made.listen(self.backlog.length)
-            made.setblocking(False)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # after a restart
+            if reuse_port:
+                listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listening_socket.bind((address[0].strip("[]"), address[1]))
+            listening_socket.listen(self.backlog.length)
+            listening_socket.setblocking(False)
         except OSError:
-            made.close()
+            listening_socket.close()
             raise
-        self.socket = made
+        self.socket = listening_socket
         self.backlog.start_listening(self.loop.time())
-        self.loop.add_reader(made, self._accept)
+        self.loop.add_reader(listening_socket, self._accept)
 
-    def adopt(self, listening: socket.socket) -> None:
-        """Accept from a socket that listens already; another process may do so as well."""
-        listening.setblocking(False)
-        listening.listen(self.backlog.length)
-        self.socket = listening
+    def adopt(self, listening_socket: socket.socket) -> None:
+        """Accept from a socket that is listening_socket already, and that other processes may share."""
+        listening_socket.setblocking(False)
+        listening_socket.listen(self.backlog.length)
+        self.socket = listening_socket
         self.backlog.start_listening(self.loop.time())
-        self.loop.add_reader(listening, self._accept)
+        self.loop.add_reader(listening_socket, self._accept)
 
     def suspend(self) -> None:
-        """Accept no more: another process has the same queue."""
+        """Stop accepting: another process accepts from the same backlog."""
         if self.socket is not None and not self.is_suspended:
             self.is_suspended = self.is_paused = True
             self.loop.remove_reader(self.socket)
 
     def resume(self) -> None:
-        """It has gone."""
+        """Accept again: the other process has ended."""
         if self.is_suspended:
             self.is_suspended = False
             self.resume_accepting()
@@ -99,15 +98,15 @@
         return int(self.socket.getsockname()[1])
 
     def close_when_empty(self) -> None:
-        """Close once nothing waits any more: closing resets what the kernel still holds, requests and all."""
+        """Close once the backlog is empty: closing resets the connections in it, and their requests are lost."""
         self.closes_when_empty = True
-        if self.is_suspended:  # what waits is the other's
+        if self.is_suspended:  # the other process accepts the backlog
             self.close()
         elif not self.is_paused:
             self._accept()
 
     def close(self) -> None:
-        """At once."""
+        """Close at once."""
         if self.socket is not None:
             self.loop.remove_reader(self.socket)
             self.socket.close()
@@ -115,11 +114,11 @@
             self.on_closed()
 
     def resume_accepting(self) -> None:
-        """There may be room again."""
+        """Accept again after a pause: a slot may be free."""
         if self.is_paused and not self.is_suspended and self.socket is not None:
             self.is_paused = False
             self.loop.add_reader(self.socket, self._accept)
-            if self.closes_when_empty:  # an empty queue makes no socket readable
+            if self.closes_when_empty:  # an empty backlog triggers no read event
                 self._accept()
 
     def _accept(self) -> None:
@@ -127,10 +126,10 @@
         if self.socket is not None:
             more = self.host.has_bytes(self.socket.fileno())
             if (length := self.backlog.record_accepted(count, more, self.loop.time())) is not None:
-                self.socket.listen(length)  # a listening socket takes a new length as it is
+                self.socket.listen(length)  # changes the length of the backlog
 
     def _accept_batch(self) -> int:
-        """Accept what may be accepted in this turn; how many that were."""
+        """Accept connections for this loop iteration; return their number."""
         for count in range(MAX_ACCEPTS_PER_TURN):
             if self.socket is None or self.is_paused:
                 return count
@@ -138,35 +137,35 @@
                 self._pause_accepting(self.socket, CAPACITY_RETRY_DELAY_S)
                 return count
             try:
-                made, _ = self.socket.accept()
+                accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
                 if self.closes_when_empty:
                     self.close()
                 return count
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    log.warning("cannot accept: %s", error)
+                    log.warning("cannot accept connections: %s", error)
                     self._pause_accepting(self.socket, DESCRIPTOR_RETRY_DELAY_S)
                     return count
-                continue  # that one was gone before we came to it
-            task = self.loop.create_task(self._start_connection(made, self.admit()))
-            self.tasks.add(task)  # the loop holds tasks weakly
+                continue  # the client closed the connection while it was in the backlog
+            task = self.loop.create_task(self._start_connection(accepted, self.admit()))
+            self.tasks.add(task)  # the event loop keeps only weak references
             task.add_done_callback(self.tasks.discard)
         if self.closes_when_empty:
             self.loop.call_soon(self._accept)
         return MAX_ACCEPTS_PER_TURN
 
-    def _pause_accepting(self, listening: socket.socket, seconds: float) -> None:
-        """The socket stays readable: without a pause the loop would do nothing else."""
-        self.loop.remove_reader(listening)
+    def _pause_accepting(self, listening_socket: socket.socket, seconds: float) -> None:
+        """Stop reading the socket for a while; it stays readable and would busy-loop the event loop."""
+        self.loop.remove_reader(listening_socket)
         self.is_paused = True
         self.loop.call_later(seconds, self.resume_accepting)
 
-    async def _start_connection(self, made: socket.socket, client: AcceptedConnection) -> None:
+    async def _start_connection(self, accepted: socket.socket, connection: AcceptedConnection) -> None:
         try:
-            made.setblocking(False)
-            made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(client.protocol, made)
-        except OSError:  # reset meanwhile
-            made.close()
-            client.connection_failed()
+            accepted.setblocking(False)
+            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            await self.loop.connect_accepted_socket(connection.protocol, accepted)
+        except OSError:  # reset by the client meanwhile
+            accepted.close()
+            connection.connection_failed()
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -1,6 +1,6 @@
-"""The operators' listener: calls in, one answer each; what they ask is decided in `irisdeal/front_door/operator/`.
+"""HTTP listener for operators: readiness, metrics, and bans of backends (`irisdeal/front_door/operator/`).
 
-Only a door whose configuration has `operator` imports this file.
+Imported only where the configuration has `operator`.
 """
 
 from __future__ import annotations
@@ -25,10 +25,8 @@
 
 log = logging.getLogger("irisdeal.front_door.operator")
 
-CALL_TIMEOUT_S = (
-    5.0  # s for a whole call and for its answer to be read: one second more than slow callers take
-)
-SWEEP_INTERVAL_S = 0.5  # s
+CALL_TIMEOUT_S = 5.0  # for a request and for reading its response: one second more than slow callers need
+SWEEP_INTERVAL_S = 0.5
 TEXT_CONTENT_TYPE = b"text/plain; charset=utf-8"
 REASON_PHRASES = {
     200: b"OK",
@@ -44,13 +42,13 @@
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection of an operator, for one call."""
+    """A connection of an operator, for one request."""
 
-    def __init__(self, desk: OperatorServer) -> None:
-        self.server = desk
+    def __init__(self, server: OperatorServer) -> None:
+        self.server = server
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.connected_at = desk.loop.time()
+        self.connected_at = server.loop.time()
         self.url, self.head_bytes, self.body_bytes = b"", 0, 0
         self.is_answered = False
 
@@ -64,19 +62,19 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.parser = self.transport = None  # parser and connection hold each other
+        self.parser = self.transport = None  # breaks the reference cycle with the parser
         self.server.remove(self)
 
     def data_received(self, data: bytes) -> None:
         if self.is_answered or self.parser is None:
-            return  # what comes behind the one call is read and dropped, so that the answer is not reset
+            return  # further input is discarded: closing with unread input would reset the connection
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            fault = error.__context__
-            if not isinstance(fault, TurnedDown):
-                fault = TurnedDown(400, "malformed call")
-            self.reject(fault)
+            cause = error.__context__
+            if not isinstance(cause, TurnedDown):
+                cause = TurnedDown(400, "malformed call")
+            self.reject(cause)
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -100,24 +98,24 @@
             return
         method = self.parser.get_method()
         try:
-            status, text, kind = self.server.execute(read(method, self.url))
-        except TurnedDown as fault:
-            return self.reject(fault)
-        except Exception:  # guards the door: a call's failure is its own
-            log.exception("a call failed")
+            status, text, content_type = self.server.execute(read(method, self.url))
+        except TurnedDown as error:
+            return self.reject(error)
+        except Exception:  # must not affect the front door
+            log.exception("error while handling an operator's request")
             return self.reject(TurnedDown(500, "failed"))
-        self.respond(status, text, kind, has_body=method != b"HEAD")
+        self.respond(status, text, content_type, has_body=method != b"HEAD")
 
-    def reject(self, fault: TurnedDown) -> None:
-        extra = b"Allow: %s\r\n" % fault.allow.encode() if fault.allow else b""
-        self.respond(fault.status, fault.text.encode() + b"\n", TEXT_CONTENT_TYPE, extra)
+    def reject(self, error: TurnedDown) -> None:
+        extra_headers = b"Allow: %s\r\n" % error.allow.encode() if error.allow else b""
+        self.respond(error.status, error.text.encode() + b"\n", TEXT_CONTENT_TYPE, extra_headers)
 
     def respond(
         self,
         status: int,
         text: bytes,
-        kind: bytes,
-        extra: bytes = b"",
+        content_type: bytes,
+        extra_headers: bytes = b"",
         has_body: bool = True,
     ) -> None:
         if self.is_answered or self.transport is None:
@@ -127,14 +125,14 @@
             b"".join(
                 (
                     b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"
-                    % (status, REASON_PHRASES.get(status, b"Other"), kind, len(text)),
-                    extra,
+                    % (status, REASON_PHRASES.get(status, b"Other"), content_type, len(text)),
+                    extra_headers,
                     b"Connection: close\r\n\r\n",
                     text if has_body else b"",
                 )
             )
         )
-        # Closed with bytes unread it would be reset, answer and all: the caller closes, or the sweep does.
+        # Closing with unread input would reset the connection and lose the response; the peer or the sweep closes.
         self.transport.write_eof()
 
     def abort(self) -> None:
@@ -146,18 +144,18 @@
 
 
 class OperatorServer:
-    """The desk that operators call."""
+    """Serves the operators' requests."""
 
     def __init__(
         self,
         address: Address,
         program: ProcessView,
-        most: int,
+        max_connections: int,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """`most` callers are connected at once; the one that came first makes room."""
-        self.address, self.program, self.max_connections, self.loop = address, program, most, loop
-        self.connections: dict[OperatorConnection, None] = {}  # in the order in which they came
+        """Allow `max_connections` at the same time; a new one replaces the oldest."""
+        self.address, self.program, self.max_connections, self.loop = address, program, max_connections, loop
+        self.connections: dict[OperatorConnection, None] = {}  # in the order of their start
         self.metrics = Registry()
         self.bans = Bans()
         program.decision_loop.on_server_list = self.update_server_list
@@ -166,7 +164,7 @@
         self._register_metrics()
 
     def start(self) -> None:
-        """Listen. OSError where the address cannot be had."""
+        """Listen. Raises OSError."""
         self.listener.listen(self.address)
         self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -174,103 +172,115 @@
         self.listener.close()
         if self.timer is not None:
             self.timer.cancel()
-        for caller in list(self.connections):
-            if caller.transport is not None and not caller.transport.get_write_buffer_size():
-                caller.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None and not connection.transport.get_write_buffer_size():
+                connection.abort()
 
     def admit(self) -> OperatorConnection:
-        caller = OperatorConnection(self)
-        self.connections[caller] = None
-        return caller
+        connection = OperatorConnection(self)
+        self.connections[connection] = None
+        return connection
 
     def has_room(self) -> bool:
-        """There always is: whoever has held a place for longest without a whole call gives way."""
+        """Always true; if needed, the oldest connection without a complete request is aborted."""
         if len(self.connections) >= self.max_connections:
             oldest = next((c for c in self.connections if not c.is_answered), next(iter(self.connections)))
             oldest.abort()
-            self.remove(oldest)  # its descriptor is closed within this turn
+            self.remove(oldest)  # its descriptor is closed within this loop iteration
         return True
 
-    def remove(self, caller: OperatorConnection) -> None:
-        self.connections.pop(caller, None)
+    def remove(self, connection: OperatorConnection) -> None:
+        self.connections.pop(connection, None)
 
     def _sweep(self) -> None:
         self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        oldest = self.loop.time() - CALL_TIMEOUT_S
-        for caller in [c for c in self.connections if c.connected_at < oldest]:
-            if caller.is_answered:
-                caller.abort()
+        earliest = self.loop.time() - CALL_TIMEOUT_S
+        for connection in [c for c in self.connections if c.connected_at < earliest]:
+            if connection.is_answered:
+                connection.abort()
             else:
-                caller.connected_at = self.loop.time()  # to read why
-                caller.reject(TurnedDown(408, "no whole call came"))
+                connection.connected_at = self.loop.time()  # time to read the response
+                connection.reject(TurnedDown(408, "no whole call came"))
 
-    # What is asked
+    # Requests
 
     def execute(self, call: Call) -> tuple[int, bytes, bytes]:
-        """Status, text and type of the answer. TurnedDown where it is a no with a reason of its own."""
+        """Execute a request; return status, body and content type. Raises TurnedDown."""
         if call.what is What.READY:
-            ready, why = self.program.is_ready()
+            is_ready, reason = self.program.is_ready()
             return (
                 (200, b"ready\n", TEXT_CONTENT_TYPE)
-                if ready
-                else (503, f"not ready: {why}\n".encode(), TEXT_CONTENT_TYPE)
+                if is_ready
+                else (503, f"not ready: {reason}\n".encode(), TEXT_CONTENT_TYPE)
             )
         if call.what is What.METRICS:
             return 200, self.metrics.text(), CONTENT_TYPE
-        bans, out = self.bans, call.what is What.DISABLE
-        news = bans.disable(call.target) if out else bans.enable(call.target)
-        if news is None:
+        bans, is_ban = self.bans, call.what is What.DISABLE
+        has_changed = bans.disable(call.target) if is_ban else bans.enable(call.target)
+        if has_changed is None:
             raise TurnedDown(404, "no list has named this id")
-        if news:  # the module has heard of it before the yes is written
-            self.program.decision_loop.post(ServerAdminStateChanged(call.target, out))
+        if has_changed:  # the ban is in effect before the response is written
+            self.program.decision_loop.post(ServerAdminStateChanged(call.target, is_ban))
             self.program.decision_loop.process_events()
-            log.info("%r is %s by hand", call.target.decode(errors="replace"), "out" if out else "back")
-        return 200, b"out\n" if out else b"back\n", TEXT_CONTENT_TYPE
+            log.info(
+                "backend %r was %s by an operator",
+                call.target.decode(errors="replace"),
+                "disabled" if is_ban else "enabled",
+            )
+        return 200, b"out\n" if is_ban else b"back\n", TEXT_CONTENT_TYPE
 
-    def update_server_list(self, told: ServerList) -> None:
-        """News of the list."""
-        self.bans.named([entry.server_id for entry in told.entries], self.program.decision_loop.addresses)
+    def update_server_list(self, server_list: ServerList) -> None:
+        """Record the servers that a list contains."""
+        self.bans.named(
+            [entry.server_id for entry in server_list.entries], self.program.decision_loop.addresses
+        )
 
     def _register_metrics(self) -> None:
         program, classes = self.program, self.program.config.classes
-        side, door = program.clients, program.decision_loop
+        server, decision_loop = program.clients, program.decision_loop
 
-        def counter(name: str, text: str, read: Callable[[], list[int]]) -> None:
+        def class_counter(name: str, text: str, read: Callable[[], list[int]]) -> None:
             self.metrics.add(Figure(name, Kind.COUNTER, text, read, CLASS_LABEL, classes))
 
-        def one(name: str, kind: Kind, text: str, read: Callable[[], int]) -> None:
+        def add(name: str, kind: Kind, text: str, read: Callable[[], int]) -> None:
             self.metrics.add(Figure(name, kind, text, read))
 
-        counter("completed_total", "Requests answered with a backend's answer.", lambda: side.completed)
-        counter("rejected_total", "Requests refused: trying again is harmless.", lambda: side.rejected)
-        counter("failed_total", "Requests failed.", lambda: side.failed)
-        counter("gone_total", "Requests whose client left before the answer.", lambda: side.disconnected)
-        one(
+        class_counter(
+            "completed_total", "Requests answered with a backend's answer.", lambda: server.completed
+        )
+        class_counter(
+            "rejected_total", "Requests refused: trying again is harmless.", lambda: server.rejected
+        )
+        class_counter("failed_total", "Requests failed.", lambda: server.failed)
+        class_counter(
+            "gone_total", "Requests whose client left before the answer.", lambda: server.disconnected
+        )
+        add(
             "upstream_requests_total",
             Kind.COUNTER,
             "Attempts written whole to backends.",
             lambda: program.pool.written_count,
         )
-        one("pending", Kind.GAUGE, "Requests taken and not ended.", lambda: side.pending - side.uploading)
-        one("members", Kind.GAUGE, "Backends in the list.", lambda: len(self._servers()))
-        one(
+        add("pending", Kind.GAUGE, "Requests taken and not ended.", lambda: server.pending - server.uploading)
+        add("members", Kind.GAUGE, "Backends in the list.", lambda: len(self._servers()))
+        add(
             "members_unavailable",
             Kind.GAUGE,
             "Listed backends that are avoided now.",
             self._unavailable_count,
         )
-        one("client_connections", Kind.GAUGE, "Connections of clients.", lambda: len(side.connections))
-        one(
+        add("client_connections", Kind.GAUGE, "Connections of clients.", lambda: len(server.connections))
+        add(
             "backend_connections",
             Kind.GAUGE,
             "Connections to backends.",
             lambda: len(program.pool.connections),
         )
-        one(
+        add(
             "open_requests",
             Kind.GAUGE,
             "Requests with an attempt out or no answer.",
-            lambda: len(door.requests),
+            lambda: len(decision_loop.requests),
         )
 
     def _servers(self) -> dict[bytes, ServerState]:
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -1,4 +1,4 @@
-"""Start, signals, exit."""
+"""The front door process: startup, signals, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 
 log = logging.getLogger("irisdeal")
 
-ACCEPT_AFTER_SIGTERM_S = 0.5  # s after SIGTERM: connections go on coming
-DRAIN_TIMEOUT_US = 3_300_000  # µs after SIGTERM: all is answered, with time to write before 3.5 s
-DRAIN_CHECK_INTERVAL_S = 0.01  # s between two looks at what is still open
-DISCOVERY_SEED_MASK = 0x6C697374  # sets the pauses of discovery apart from the chances of the module
-MAX_LOG_LINES_PER_S = 50  # of the log: a flood of failures must not cost the CPU
+ACCEPT_AFTER_SIGTERM_S = 0.5  # clients still connect for a while after SIGTERM
+DRAIN_TIMEOUT_US = 3_300_000  # all requests are answered by then; responses must be written within 3.5 s
+DRAIN_CHECK_INTERVAL_S = 0.01
+DISCOVERY_SEED_MASK = 0x6C697374  # gives discovery another random sequence than the decision module
+MAX_LOG_LINES_PER_S = 50  # bounds the CPU time spent on logging repeated failures
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets some lines a second through and tells how many it dropped."""
+    """Limits the log lines per second, and adds the number of dropped lines to the next one."""
 
     second, line_count, dropped_count = 0, 0, 0
 
@@ -62,19 +62,20 @@
 
 
 class ListenError(OSError):
-    """An address that cannot be had; the text names it."""
+    """Listening failed; the message contains the setting and the address."""
 
 
 @contextmanager
-def naming_listen_error(key: str, place: Address) -> Iterator[None]:
+def naming_listen_error(key: str, address: Address) -> Iterator[None]:
+    """Convert OSError to `ListenError` with the name of the setting."""
     try:
         yield
     except OSError as error:
-        raise ListenError(f"cannot listen on {key} {place[0]}:{place[1]}: {error}") from None
+        raise ListenError(f"cannot listen on {key} {address[0]}:{address[1]}: {error}") from None
 
 
 class Program:
-    """One front door, from its start to its end."""
+    """One front door process."""
 
     def __init__(
         self,
@@ -91,12 +92,12 @@
         self.clients = HttpServer(
             config, self.decision_loop, limits.clients, limits.reserve, loop, host=self.host
         )
-        chance = random.Random(config.seed ^ DISCOVERY_SEED_MASK)
-        self.discovery = DiscoveryClient(config, self.decision_loop.update_server_list, chance.random)
+        generator = random.Random(config.seed ^ DISCOVERY_SEED_MASK)
+        self.discovery = DiscoveryClient(config, self.decision_loop.update_server_list, generator.random)
         self.decision_loop.on_fetch_list = self.discovery.refetch
         self.router: Router | None = None
         if config.routes is not None:
-            from irisdeal.front_door.server.routed import Router  # a door without routes imports none of it
+            from irisdeal.front_door.server.routed import Router  # imported only where routes are configured
 
             self.router = Router(config, config.routes, self.decision_loop, self.clients, loop)
         self.report: Report | None = None
@@ -123,34 +124,34 @@
         from irisdeal.front_door.streaming import progress
         from irisdeal.front_door.streaming.byte_budget import ByteBudget
 
-        budget, side = ByteBudget(config.memory_bytes), self.clients
-        side.budget = self.pool.budget = budget
+        budget, server = ByteBudget(config.memory_bytes), self.clients
+        server.budget = self.pool.budget = budget
         self.pool.stall_timeout_s, self.pool.stream_stall_timeout_s = (
             progress.SMALL_RESPONSE_IDLE_TIMEOUT_S,
             progress.RESPONSE_IDLE_TIMEOUT_S,
         )
-        side.max_body_bytes, side.replay_bytes = progress.MAX_BODY_BYTES, progress.MAX_REPLAY_BYTES
-        side.request_timeout_s, side.write_stall_timeout_s = (
+        server.max_body_bytes, server.replay_bytes = progress.MAX_BODY_BYTES, progress.MAX_REPLAY_BYTES
+        server.request_timeout_s, server.write_stall_timeout_s = (
             progress.HEAD_TIMEOUT_S,
             progress.RESPONSE_IDLE_TIMEOUT_S,
         )
-        side.new_receive_progress = progress.ReceiveProgress
-        side.new_upload = lambda client, length: UploadRelay(client, length, budget)
-        side.new_stream = lambda request, head, chunked, on_over: ResponseRelay(
+        server.new_receive_progress = progress.ReceiveProgress
+        server.new_upload = lambda client, length: UploadRelay(client, length, budget)
+        server.new_stream = lambda request, head, chunked, on_over: ResponseRelay(
             request, head, chunked, budget, on_over
         )
 
     def start(self) -> None:
-        """Listen, and watch the list."""
-        shared = self.handover.apply_state() if self.handover is not None else None
-        if shared is None:
+        """Listen, and start watching the server list. Raises ListenError."""
+        listening_socket = self.handover.apply_state() if self.handover is not None else None
+        if listening_socket is None:
             self.discovery.apply_known_list()
         if self.operator is not None:
             with naming_listen_error("operator", self.operator.address):
                 self.operator.start()
         with naming_listen_error("listen", self.config.listen):
-            if shared is not None:
-                self.clients.adopt(shared)
+            if listening_socket is not None:
+                self.clients.adopt(listening_socket)
             else:
                 self.clients.listen(reuse_port=self.config.operator is not None)
         self.discovery.start()
@@ -158,7 +159,7 @@
             self.handover.announce_accepting()
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then until all is answered."""
+        """Serve until SIGTERM, then until all requests are answered."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self._on_sighup)
@@ -180,15 +181,15 @@
             self.report.stop()
         if self.operator is not None:
             self.operator.stop()
-        # Answers just written leave with their connections, which close once written.
-        until = self.loop.time() + 0.15
-        while self.clients.connections and self.loop.time() < until:
+        # Connections close once their last responses are written.
+        deadline = self.loop.time() + 0.15
+        while self.clients.connections and self.loop.time() < deadline:
             await asyncio.sleep(0.005)
         if self.handover is not None:
-            self.handover.stop()  # last: from here the other process has all that this one might spend
+            self.handover.stop()  # last: from now on the other process may use all of the quotas and descriptors
 
     async def start_report(self) -> None:
-        """Make the report to be had, where there is one. ConfigError where its socket cannot be had."""
+        """Start serving the report, if configured. Raises ConfigError if its socket cannot be created."""
         if self.report is not None:
             try:
                 await self.report.start()
@@ -196,13 +197,13 @@
                 raise ConfigError(f"report: {self.report.path}: {error.strerror or error}") from None
 
     def resize(self, sockets: int) -> None:
-        """So many descriptors are ours from now on; what is over goes as it ends."""
+        """Use at most `sockets` descriptors; connections beyond the limit stay until they end."""
         limits = share_descriptors(sockets, self.config.operator is not None)
         self.clients.slots.regular_slots, self.clients.slots.reserve_slots = limits.clients, limits.reserve
         self.pool.max_connections = limits.backends
 
     def descriptors_in_use(self) -> int:
-        """Descriptors that are in use by now, at most."""
+        """Upper bound of the descriptors in use."""
         return (
             OWN_DESCRIPTORS
             + OPERATOR_DESCRIPTORS
@@ -211,7 +212,7 @@
         )
 
     def is_ready(self) -> tuple[bool, str]:
-        """Whether this process can serve, and why not."""
+        """Whether this process can serve; if not, why."""
         if self.is_stopping:
             return False, "shutting down"
         if self.clients.listener.socket is None:
@@ -219,20 +220,20 @@
         return (True, "") if self.decision_loop.can_serve() else (False, "no list of backends yet")
 
     def _on_sighup(self) -> None:
-        """SIGHUP; while the description is read for the first time it must wait, and not be lost."""
+        """Handle SIGHUP; postponed while the description of routes is first read."""
         if self.may_reload:
             self.reload()
         else:
             self.is_reload_pending = True
 
     def reload(self) -> None:
-        """Read the configuration again: discovery and the counter may have moved."""
+        """Reload the configuration: discovery and the counter may have other addresses."""
         try:
             config = self.host.reload_config()
         except ConfigError as error:
-            return log.error("the old configuration goes on: %s", " ".join(str(error).split()))
+            return log.error("reload failed, keeping the old configuration: %s", " ".join(str(error).split()))
         log.info(
-            "configuration read again: discovery %s:%d, counter %s:%d",
+            "configuration reloaded: discovery %s:%d, counter %s:%d",
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
@@ -242,6 +243,7 @@
             self.router.reload(config.routes)
 
     def stop(self) -> None:
+        """Drain: answer the open requests, then end the process."""
         if not self.is_stopping:
             self.is_stopping = self.clients.draining = True
             self.decision_loop.drain(self.decision_loop.host.now() + DRAIN_TIMEOUT_US)
@@ -252,10 +254,10 @@
         self._finish_when_drained()
 
     def _finish_when_drained(self) -> None:
-        """Over once nothing is open and nothing can come; the drain's end bounds it."""
+        """Finish once no request is open and no connection can send one, or at the end of the drain."""
         self.clients.close_idle()
-        settled = self.clients.is_drained() and not self.decision_loop.unanswered_count
-        if settled or self.decision_loop.host.now() >= self.decision_loop.drain_deadline:
+        is_drained = self.clients.is_drained() and not self.decision_loop.unanswered_count
+        if is_drained or self.decision_loop.host.now() >= self.decision_loop.drain_deadline:
             self.clients.listener.close()
             self.finished.set()
         else:
@@ -263,6 +265,7 @@
 
 
 async def serve(config: Config) -> int:
+    """Run a front door; return the exit code of the process."""
     try:
         gateway = Gateway(config.settings, config.seed)
         await Program(config, asyncio.get_running_loop(), gateway).run()
@@ -276,7 +279,8 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # before there is a handler, it would end the process
+    """Run a front door with the configuration from the environment; return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # without a handler SIGHUP would end the process
     logging.basicConfig(
         stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", level=logging.INFO
     )
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -1,7 +1,7 @@
-"""A door's own report: one JSON document to each that connects to a socket of the file system.
+"""Report of a front door: each connection to a Unix socket receives one JSON document.
 
-For installations that may have one (the configuration's `report`); a platform door imports none of it. Who
-may read is what the file system says: the socket is made for its owner alone, since it tells stores' numbers.
+Imported only where the configuration has `report`. Access is controlled by file permissions: only the owner may
+connect, since the report contains customer numbers.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 log = logging.getLogger("irisdeal.report")
 
-MAX_REPORTED_TENANTS = 50  # told in one report: what a person's screen holds, and some
-MAX_READERS = 4  # at once; a further one is closed unanswered
-READ_TIMEOUT_S = 2.0  # s for a reader to take its report
+MAX_REPORTED_TENANTS = 50  # somewhat more than fit on one screen
+MAX_READERS = 4  # at the same time; further ones are disconnected
+READ_TIMEOUT_S = 2.0  # for a reader to receive its report
 
 
 class _Reader(asyncio.Protocol):
@@ -50,23 +50,23 @@
 
 
 class Report:
-    """The socket, and what the report is made of."""
+    """Serves the report, and collects its queue statistics."""
 
-    def __init__(self, path: str, door: DecisionLoop, loop: asyncio.AbstractEventLoop) -> None:
-        self.path, self.decision_loop, self.loop = path, door, loop
+    def __init__(self, path: str, decision_loop: DecisionLoop, loop: asyncio.AbstractEventLoop) -> None:
+        self.path, self.decision_loop, self.loop = path, decision_loop, loop
         self.readers: set[_Reader] = set()
         self.server: asyncio.Server | None = None
-        door.statistics = self.statistics = QueueStatistics()
+        decision_loop.statistics = self.statistics = QueueStatistics()
 
     async def start(self) -> None:
-        """Listen. OSError where the path cannot be had; one that a dead door left behind is taken over."""
+        """Listen, replacing the socket of a process that has ended. Raises OSError."""
         _remove_stale_socket(self.path)
-        before = os.umask(0o177)
+        former_mask = os.umask(0o177)
         try:
             self.server = await self.loop.create_unix_server(lambda: _Reader(self), self.path)
         finally:
-            os.umask(before)
-        log.info("report at %s", self.path)
+            os.umask(former_mask)
+        log.info("serving the report at %s", self.path)
 
     def stop(self) -> None:
         if self.server is not None:
@@ -75,59 +75,60 @@
             _unlink(self.path)
 
     def document(self) -> dict[str, Any]:
-        """The report as plain values."""
-        door, config = self.decision_loop, self.decision_loop.config
-        watch = self.statistics.report(door.host.now(), MAX_REPORTED_TENANTS)
+        """The report as a JSON object."""
+        loop, config = self.decision_loop, self.decision_loop.config
+        watch = self.statistics.report(loop.host.now(), MAX_REPORTED_TENANTS)
         for store in watch["stores"]:
             store["plan_name"] = config.plans[store["plan"]]
-        made: dict[str, Any] = {
+        report: dict[str, Any] = {
             "version": VERSION,
             "name": config.name,
-            "open": len(door.requests),
-            "unanswered": door.unanswered_count,
+            "open": len(loop.requests),
+            "unanswered": loop.unanswered_count,
             "queue": {"entries": 0, "bytes": 0, "flows": 0, "given_way": 0},
             "out": 0,
             "window": 0.0,
             "watch": watch,
         }
-        if isinstance(decider := door.decider, Gateway):
+        if isinstance(decider := loop.decider, Gateway):
             queue = decider.queue
-            made["queue"] = {
+            report["queue"] = {
                 "entries": queue.entries,
                 "bytes": queue.bytes,
                 "flows": queue.flows,
                 "given_way": queue.dropped,
             }
-            made["out"], made["window"] = decider.in_flight, round(decider.window, 2)
-            made["zones"] = decider.zones.told(door.host.now())
-        return made
+            report["out"], report["window"] = decider.in_flight, round(decider.window, 2)
+            report["zones"] = decider.zones.told(loop.host.now())
+        return report
 
     def encode(self) -> bytes:
+        """The report as one line of JSON."""
         return json.dumps(self.document()).encode() + b"\n"
 
 
 def _remove_stale_socket(path: str) -> None:
-    """Take away a socket on which nobody listens. OSError where one does, or where it is something else."""
+    """Remove a socket on which no process listens. Raises OSError if one does, or if the file is no socket."""
     try:
         mode = os.stat(path).st_mode
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise FileExistsError(17, "it is there and is no socket", path)
-    with socket.socket(socket.AF_UNIX) as asked:
-        asked.setblocking(False)
+        raise FileExistsError(17, "file exists and is not a socket", path)
+    with socket.socket(socket.AF_UNIX) as probe:
+        probe.setblocking(False)
         try:
-            asked.connect(path)
+            probe.connect(path)
         except ConnectionRefusedError:
             os.unlink(path)
             return
         except BlockingIOError:
             pass
-    raise OSError(98, "another program listens there", path)
+    raise OSError(98, "another process is listening", path)
 
 
 def _unlink(path: str) -> None:
     try:
         os.unlink(path)
     except OSError as error:
-        log.warning("%s stays behind: %s", path, error.strerror)
+        log.warning("cannot remove %s: %s", path, error.strerror)
--- a/tests/cli/test_queues.py
+++ b/tests/cli/test_queues.py
@@ -149,7 +149,7 @@
         async with running(known=whole_list(), report=str(left)) as door:
             await door.program.start_report()
             assert (await fetch(left))["version"] == 1
-        for path, says in ((used, "another program"), (plain, "no socket")):
+        for path, says in ((used, "another process is listening"), (plain, "is not a socket")):
             async with running(known=whole_list(), report=str(path)) as door:
                 with pytest.raises(ConfigError, match=says):
                     await door.program.start_report()
--- a/tests/front_door/test_reload.py
+++ b/tests/front_door/test_reload.py
@@ -128,7 +128,7 @@
             await old.connection()  # it has started
             path.write_text("{")
             door.send_signal(signal.SIGHUP)
-            while b"the old configuration goes on" not in await door.stderr.readline():
+            while b"keeping the old configuration" not in await door.stderr.readline():
                 pass
             path.write_text(json.dumps(told(new, counter, listen=listen)))
             door.send_signal(signal.SIGHUP)
