--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -1,6 +1,6 @@
-"""The list of backends: a watch from the list held, or the whole, for as long as the program runs.
+"""Client of discovery: polls the server list, or watches for changes to the list that it has.
 
-What is asked when is decided in `irisdeal/front_door/membership/polling_schedule.py`.
+The schedule of the calls is in `irisdeal/front_door/membership/polling_schedule.py`.
 """
 
 from __future__ import annotations
@@ -19,52 +19,52 @@
 
 log = logging.getLogger("irisdeal.discovery")
 
-MIN_POLL_INTERVAL_S = 0.05  # s at least between answers that bring nothing
-INTERNAL_ERROR_DELAY_S = 1.0  # s after an error of ours
+MIN_POLL_INTERVAL_S = 0.05  # between responses without changes
+INTERNAL_ERROR_DELAY_S = 1.0  # after an unexpected exception
 OVERLOAD_STATUSES = (429, 503)  # discovery is overloaded (RFC 6585, 4; RFC 9110, 15.6.4)
 MAX_LIST_BYTES = 8_000_000
-MAX_NAMES = 64  # of zones, and of kinds
+MAX_NAMES = 64  # of zones, and of backend kinds
 STATES_BY_PHASE = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
 ListCallback = Callable[[ServerList, dict[bytes, Address]], None]
 
 
 class MemberListReader:
-    """Lists in discovery's form to `ServerList`. Names get the settings' numbers, new ones further ones."""
+    """Parses server lists. Zones and kinds are numbered as in the settings; new names get further numbers."""
 
     def __init__(self, config: Config) -> None:
         self.zones = {name: n for n, name in enumerate(config.zones)}
         self.kinds = {name: n for n, name in enumerate(config.kinds)}
 
     def read(
-        self, told: object, kind: ServerListKind | None = None
+        self, document: object, kind: ServerListKind | None = None
     ) -> tuple[ServerList, dict[bytes, Address]]:
-        """The list and the addresses it tells; ValueError where it is none."""
-        if not isinstance(told, dict) or not isinstance(told.get("members"), list):
+        """Parse a list and the addresses of its servers. Raises ValueError if it is invalid."""
+        if not isinstance(document, dict) or not isinstance(document.get("members"), list):
             raise ValueError("no list of members")
         if kind is None:
-            kind = ServerListKind.COMPLETE if told.get("complete") is True else ServerListKind.CHANGES
+            kind = ServerListKind.COMPLETE if document.get("complete") is True else ServerListKind.CHANGES
         entries: list[ServerEntry] = []
-        places: dict[bytes, Address] = {}
-        for member in told["members"]:
+        addresses: dict[bytes, Address] = {}
+        for member in document["members"]:
             try:
-                entry, place = self._read_entry(member)
+                entry, server_address = self._read_entry(member)
             except (ValueError, TypeError, KeyError, OverflowError) as error:
-                log.warning("odd entry of the list passed over: %s", error)
+                log.warning("skipping an invalid entry of the server list: %s", error)
                 continue
             if entry.state is not ServerState.GONE or kind is ServerListKind.CHANGES:
                 entries.append(entry)
-                if place is not None:
-                    places[entry.server_id] = place
-        return ServerList(kind, _version(told), tuple(entries)), places
+                if server_address is not None:
+                    addresses[entry.server_id] = server_address
+        return ServerList(kind, _version(document), tuple(entries)), addresses
 
     def write(
         self,
         version: int,
         entries: Iterable[ServerEntry],
-        places: Mapping[bytes, Address],
+        addresses: Mapping[bytes, Address],
     ) -> dict[str, Any]:
-        """Entries as discovery tells them: the reverse of `read`."""
+        """Encode a list in discovery's format, the reverse of `read`."""
         zones, kinds = ({n: name for name, n in names.items()} for names in (self.zones, self.kinds))
         phases = {state: phase for phase, state in STATES_BY_PHASE.items()}
         return {
@@ -73,7 +73,7 @@
             "members": [
                 {
                     "id": entry.server_id.decode(),
-                    "host_port": "{}:{}".format(*places[entry.server_id]),
+                    "host_port": "{}:{}".format(*addresses[entry.server_id]),
                     "locality": zones.get(entry.zone, ""),
                     "flavor": kinds.get(entry.machine_kind, ""),
                     "cell": entry.cell,
@@ -82,7 +82,7 @@
                     "up_since_ms": entry.started_at // 1000,
                 }
                 for entry in entries
-                if entry.server_id in places
+                if entry.server_id in addresses
             ],
         }
 
@@ -90,10 +90,10 @@
         if not (isinstance(member, dict) and isinstance(member.get("id"), str) and member["id"]):
             raise ValueError("no id")
         state = STATES_BY_PHASE.get(member.get("phase", ""))
-        if state is None:  # safe: nothing new goes there
-            log.warning("unknown phase %r", member.get("phase"))
+        if state is None:  # the safe choice: a draining server gets no new requests
+            log.warning("unknown phase %r, treated as draining", member.get("phase"))
             state = ServerState.DRAINING
-        place = None if state is ServerState.GONE else address(member.get("host_port"), "host_port")
+        server_address = None if state is ServerState.GONE else address(member.get("host_port"), "host_port")
         return ServerEntry(
             server_id=member["id"].encode(),
             state=state,
@@ -102,11 +102,11 @@
             zone=_name_number(self.zones, member.get("locality")),
             cell=int(member.get("cell") or 0),
             machine_kind=_name_number(self.kinds, member.get("flavor")),
-        ), place
+        ), server_address
 
 
 def _name_number(names: dict[str, int], name: object) -> int:
-    """The number of a name. Once there are many, new ones share one: the table must not grow all day."""
+    """The number of a name. Beyond MAX_NAMES, new names share one number, which bounds the table."""
     number = names.get(str(name))
     if number is None:
         number = len(names)
@@ -115,26 +115,26 @@
     return number
 
 
-def _version(told: dict[str, Any]) -> int:
-    revision = told.get("revision")
+def _version(document: dict[str, Any]) -> int:
+    revision = document.get("revision")
     if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
         raise ValueError(f"revision is {revision!r}")
     return revision
 
 
 class DiscoveryOverloadedError(Exception):
-    """Discovery has too much to do; `retry_after` is what it asks for, in s."""
+    """Discovery is overloaded; `retry_after_s` is the delay that it requested, if any."""
 
-    def __init__(self, status: int, retry_after: float | None) -> None:
-        super().__init__(f"turned away, status {status}")
-        self.retry_after_s = retry_after
+    def __init__(self, status: int, retry_after_s: float | None) -> None:
+        super().__init__(f"overloaded, status {status}")
+        self.retry_after_s = retry_after_s
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection to discovery that carries one call at a time."""
+    """A connection to discovery, with one call at a time."""
 
-    def __init__(self, place: Address) -> None:
-        self.host = f"{place[0]}:{place[1]}".encode()
+    def __init__(self, server_address: Address) -> None:
+        self.host = f"{server_address[0]}:{server_address[1]}".encode()
         self.transport: asyncio.Transport | None = None
         self.response: asyncio.Future[bytes] | None = None
         self.parser = httptools.HttpResponseParser(self)
@@ -162,23 +162,23 @@
         self.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._fail(ConnectionResetError("connection ended"))
+        self._fail(ConnectionResetError("connection closed"))
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(ValueError(f"odd answer: {error.__context__ or error}"))
+            self._fail(ValueError(f"invalid response: {error.__context__ or error}"))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after" and len(value) < 10:
             try:
-                self.retry_after_s = float(value)  # a date is passed over: our own pause stands
+                self.retry_after_s = float(value)  # dates are not supported; the default delay applies
             except ValueError:
                 self.retry_after_s = None
 
@@ -192,7 +192,7 @@
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if status in OVERLOAD_STATUSES:  # the connection is as good as before
+        if status in OVERLOAD_STATUSES:  # the connection stays usable
             if self.response is not None and not self.response.done():
                 self.response.set_exception(DiscoveryOverloadedError(status, self.retry_after_s))
         elif status != 200:
@@ -204,37 +204,38 @@
 
 
 class DiscoveryClient:
-    """Keeps the list: `found` hears of each news, in order."""
+    """Polls the server list and passes each list or change to `on_list`, in order."""
 
-    def __init__(self, config: Config, found: ListCallback, draw: Callable[[], float]) -> None:
-        self.address, self.on_list, self.reader = config.discovery, found, MemberListReader(config)
-        told_on_its_own = config.settings.server_list_is_pushed
+    def __init__(self, config: Config, on_list: ListCallback, draw: Callable[[], float]) -> None:
+        """`draw` returns random numbers in [0, 1), for jitter."""
+        self.address, self.on_list, self.reader = config.discovery, on_list, MemberListReader(config)
+        is_pushed = config.settings.server_list_is_pushed
         self.schedule = PollingSchedule(
-            draw, 0.0 if told_on_its_own else polling_period_s(config.settings.gateway_count)
+            draw, 0.0 if is_pushed else polling_period_s(config.settings.gateway_count)
         )
         self.connection: DiscoveryConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.known_list = config.known_list
 
     def apply_known_list(self) -> None:
-        """Pass on the list that the configuration brought."""
+        """Use the list from the configuration until discovery responds."""
         try:
-            told, places = self.reader.read(self.known_list, ServerListKind.CACHED)
-            self.on_list(told, places)
-            if told.entries:  # the watch goes on from it; what is too old is answered with the whole
-                self.schedule.version = told.version
+            server_list, addresses = self.reader.read(self.known_list, ServerListKind.CACHED)
+            self.on_list(server_list, addresses)
+            if server_list.entries:  # watch from here; discovery sends a complete list if it is too old
+                self.schedule.version = server_list.version
         except ValueError as error:
-            log.warning("known list passed over: %s", error)
+            log.warning("ignoring an invalid known list: %s", error)
             self.on_list(ServerList(ServerListKind.CACHED, 0, ()), {})
 
     def refetch(self) -> None:
-        """Make the next call one for the whole list."""
+        """Request the complete list with the next call."""
         self.schedule.reset()
         if self.connection is not None:
             self.connection.close()
 
     def start(self) -> None:
-        """Watch, until `stop`."""
+        """Poll until `stop`."""
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
@@ -244,10 +245,10 @@
             self.connection.close()
             self.connection = None
 
-    def move(self, place: Address) -> None:
-        """Ask another discovery, whose versions are its own; the list held stands until it answers."""
+    def move(self, server_address: Address) -> None:
+        """Use discovery at another address, with its own versions; the list stays in use until it responds."""
         self.stop()
-        self.address = place
+        self.address = server_address
         self.schedule.reset()
         self.start()
 
@@ -269,8 +270,8 @@
                 log.warning("discovery: %s", error)
                 pause = self.schedule.invalid_response()
                 self._close()
-            except Exception:  # an error of ours must not end the watch
-                log.exception("discovery")
+            except Exception:  # polling must continue
+                log.exception("error while polling discovery")
                 self.schedule.invalid_response()
                 self._close()
                 pause = INTERNAL_ERROR_DELAY_S
@@ -282,25 +283,26 @@
         self.connection = None
 
     async def _poll_once(self) -> None:
-        """One call: asked again at once after the last, or what changes between counts as told unheard."""
-        ask = self.schedule.next_call()
+        """Make one call. The next one must follow at once: discovery counts changes in between as delivered."""
+        call = self.schedule.next_call()
         path = b"/catalog/members" + (
-            b"" if ask.is_full_list else b"?index=%d&wait=%d" % (ask.version, ask.watch_ms)
+            b"" if call.is_full_list else b"?index=%d&wait=%d" % (call.version, call.watch_ms)
         )
-        asked = asyncio.get_running_loop().time()
-        async with asyncio.timeout(ask.timeout_s):
+        started_at = asyncio.get_running_loop().time()
+        async with asyncio.timeout(call.timeout_s):
             if self.connection is None or not self.connection.is_usable():
-                self.connection = call = DiscoveryConnection(self.address)
-                await asyncio.get_running_loop().create_connection(lambda: call, *self.address)
-            text = await self.connection.get(path)
-        told, places = self.reader.read(json.loads(text))
-        if told.kind is ServerListKind.CHANGES and (ask.is_full_list or told.version < ask.version):
-            raise ValueError("changes to a list that is not held")
-        news = bool(told.entries) or told.kind is ServerListKind.COMPLETE
-        if news:
-            self.on_list(told, places)
-        elif asyncio.get_running_loop().time() < asked + MIN_POLL_INTERVAL_S:
-            await asyncio.sleep(
-                MIN_POLL_INTERVAL_S
-            )  # one that answers each watch at once must not take the core
-        self.schedule.succeeded(told.version, not ask.is_full_list)
+                self.connection = connection = DiscoveryConnection(self.address)
+                await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
+            body = await self.connection.get(path)
+        server_list, addresses = self.reader.read(json.loads(body))
+        if server_list.kind is ServerListKind.CHANGES and (
+            call.is_full_list or server_list.version < call.version
+        ):
+            raise ValueError("changes to an unknown version of the list")
+        has_changed = bool(server_list.entries) or server_list.kind is ServerListKind.COMPLETE
+        if has_changed:
+            self.on_list(server_list, addresses)
+        elif asyncio.get_running_loop().time() < started_at + MIN_POLL_INTERVAL_S:
+            # Limits the CPU time if discovery answers each watch at once.
+            await asyncio.sleep(MIN_POLL_INTERVAL_S)
+        self.schedule.succeeded(server_list.version, not call.is_full_list)
--- a/irisdeal/front_door/server/flows.py
+++ b/irisdeal/front_door/server/flows.py
@@ -1,7 +1,7 @@
-"""Bodies that are passed on as they come: a client's to a backend, and a backend's answer to a client.
+"""Streaming of long bodies: requests to backends, and responses to clients.
 
-Only a door whose configuration has `operator` imports this file. How much may be held and how slow a peer may
-be is decided in `irisdeal/front_door/streaming/`.
+Imported only where the configuration has `operator`. The limits of buffered bytes and of slow peers are in
+`irisdeal/front_door/streaming/`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk (RFC 9112, 7.1); never the last one, which is empty."""
+    """Encode one chunk (RFC 9112, 7.1). `data` is not empty: an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -26,7 +26,7 @@
 
 
 class ResponseRelay:
-    """An answer on its way to a client. It is whole, or its client sees that it is not."""
+    """Streams a response to a client. If it stays incomplete, the client's connection is aborted."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         head: bytes,
         chunked: bool,
         budget: ByteBudget,
-        on_over: Callable[[], None],
+        on_finished: Callable[[], None],
     ) -> None:
         self.request, self.client, self.chunked, self.allowance = (
             request,
@@ -42,10 +42,10 @@
             chunked,
             budget.admit(),
         )
-        self.on_finished = on_over
+        self.on_finished = on_finished
         self.source: BackendConnection | None = None
-        self.parts: list[bytes] = [head]  # until it is this answer's turn on its connection
-        self.buffered_bytes = 0  # bytes of it
+        self.parts: list[bytes] = [head]  # buffered until all earlier responses are written
+        self.buffered_bytes = 0  # size of `parts` without the head
         self.is_open = self.has_ended = self.is_finished = False
 
     def feed(self, data: bytes) -> None:
@@ -66,12 +66,13 @@
             if self.client.write_paused:
                 self._apply_backpressure(transport.get_write_buffer_size())
 
-    def _apply_backpressure(self, held: int) -> None:
-        if self.source is not None and not self.allowance.allows(held):
+    def _apply_backpressure(self, buffered_bytes: int) -> None:
+        """Stop reading the response from the backend if too much of it is buffered."""
+        if self.source is not None and not self.allowance.allows(buffered_bytes):
             self.source.pause_reading()
 
     def end(self) -> None:
-        """The backend's answer is whole."""
+        """Complete the response."""
         if self.is_finished or self.has_ended:
             return
         if self.chunked:
@@ -83,18 +84,18 @@
         self.client.write_ready_responses()
 
     def abort(self) -> None:
-        """It breaks off: nothing more comes."""
+        """End the response before it is complete."""
         if self.is_finished or self.has_ended:
             return
         self._finish()
-        if not self.is_open:  # not a byte has gone on: the client can be told
+        if not self.is_open:  # nothing has been sent, so an error response is possible
             self.request.response_stream = None
             self.client.reply(self.request, 502, b"failed\n", b"")
         else:
             self.client.abort_response(self.request)
 
     def open(self) -> bool:
-        """It is this answer's turn: pour what waits; whether it has been passed on whole."""
+        """Write the buffered data, as all earlier responses are written; True once the response is complete."""
         transport = self.client.transport
         if self.is_finished or transport is None:
             return False
@@ -111,12 +112,12 @@
         return self.has_ended
 
     def resume(self) -> None:
-        """The client reads again."""
+        """Continue after the client has read its data."""
         if self.source is not None and not self.is_finished:
             self.source.resume_reading()
 
     def client_disconnected(self) -> None:
-        """The client has gone: nobody wants the rest."""
+        """Cancel the response: the client has disconnected."""
         if self.is_finished:
             return
         self._finish()
@@ -132,19 +133,20 @@
 
 
 class UploadRelay:
-    """A request's body on its way to a backend, collected as far as it can be sent again."""
+    """Streams a request's body to a backend, and buffers its beginning for retries."""
 
     def __init__(self, client: ClientConnection, length: int | None, budget: ByteBudget) -> None:
-        """`length` is None for chunks."""
+        """`length` is in bytes, None if chunked."""
         self.client, self.length, self.allowance = client, length, budget.admit()
-        self.parts: list[bytes] = []  # from the first byte, or what has not been passed on once `spent`
-        self.next_part = 0  # of the parts: the first that the sink has not had
-        self.buffered_bytes = 0  # bytes of all parts
-        self.received_bytes = 0  # bytes that have come
+        self.parts: list[bytes] = []  # from the first byte on; if `is_consumed`, only what is not written
+        self.next_part = 0  # index of the first part that is not written
+        self.buffered_bytes = 0  # size of `parts`
+        self.received_bytes = 0
         self.is_complete = self.is_consumed = self.is_closed = False
         self.sink: BackendConnection | None = None
 
     def feed(self, data: bytes) -> None:
+        """Add bytes received from the client."""
         if self.is_closed or not data:
             return
         self.received_bytes += len(data)
@@ -153,23 +155,25 @@
         self.resume()
 
     def complete(self) -> None:
+        """Mark the last byte as received."""
         self.is_complete = True
         self.resume()
 
     def attach(self, sink: BackendConnection) -> None:
-        """A connection to a backend takes it from the first byte on. ValueError once that is gone."""
+        """Start writing the body to a connection. Raises ValueError if its first bytes are no longer buffered."""
         if self.is_consumed:
-            raise ValueError("the body has been passed on already")
+            raise ValueError("the beginning of the body is no longer buffered")
         self.sink, self.next_part = sink, 0
         self.resume()
 
     def detach(self, sink: BackendConnection) -> None:
+        """Stop writing to the connection."""
         if self.sink is sink:
             self.sink = None
             self.next_part = 0
 
     def resume(self) -> None:
-        """Pass on what may be, and read on or not."""
+        """Write what the connection accepts; read from the client while the buffer has room."""
         sink = self.sink
         while sink is not None and self.next_part < len(self.parts) and not sink.write_paused:
             sink.write_body(self.parts[self.next_part])
@@ -185,7 +189,7 @@
         self.client.set_upload_blocked(not (self.is_complete or self.is_closed or may_hold))
 
     def close(self) -> None:
-        """Its request has ended, or its body has been passed on for good."""
+        """Discard the buffered data: the request has ended."""
         if not self.is_closed:
             self.is_closed, self.parts, self.sink = True, [], None
             self.allowance.release()
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -1,7 +1,7 @@
-"""The I/O of a handover: a Unix socket in the shared folder, the state and the listening socket through it.
+"""Handover between an old and a new process: sends state and the listening socket through a Unix socket.
 
-What is told and who may spend what is decided in `irisdeal/front_door/handover/`. Only a door whose configuration
-has `operator` imports this file.
+The messages, and how the two processes share quotas, are defined in `irisdeal/front_door/handover/`. Imported only
+where the configuration has `operator`.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 log = logging.getLogger("irisdeal.front_door.handover")
 
-HANDOVER_TIMEOUT_S = 1.0  # s for an older process to tell its state: the new one owes its yes within 6 s
-RETRY_PERIOD_S = 3.5  # s that a new process asks again while the older one has one beside it itself
-RETRY_DELAY_S = 0.05  # s
-MIN_NEWER_SOCKETS = 128  # descriptors that the new one gets at least: our own, and some for each side
-SPARE_SOCKETS = 8  # descriptors that the old one may still need beyond those it holds
-MAX_SOCKET_PATH_BYTES = 107  # bytes; unix(7): 108 with the null that ends it
+HANDOVER_TIMEOUT_S = 1.0  # for the state of the older process: the newer one must be ready within 6 s
+RETRY_PERIOD_S = 3.5  # for retries while the older process is in another handover
+RETRY_DELAY_S = 0.05
+MIN_NEWER_SOCKETS = 128  # for the newer process: its own descriptors, and some for clients and backends
+SPARE_SOCKETS = 8  # for the older process, beyond its descriptors in use
+MAX_SOCKET_PATH_BYTES = 107  # unix(7): 108 with the terminating null byte
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid (unix(7), SO_PEERCRED)
 
 
 class Handover:
-    """Both sides: what an older process tells this one at its start, and what this one tells a newer."""
+    """Receives the state of an older process at the start, and sends its own state to a newer process."""
 
     def __init__(self, program: ProcessView, folder: str, loop: asyncio.AbstractEventLoop) -> None:
         self.program, self.folder, self.loop = program, folder, loop
@@ -55,90 +55,94 @@
         self.name, self.listen = config.name, "{}:{}".format(*config.listen)
         self.socket_name = f"irisdeal-{zlib.crc32(f'{self.name} {self.listen}'.encode()):08x}.sock"
         self.role = Role(has_older=False)
-        self.received_state: dict[str, Any] | None = None  # by the older process
-        self.listening_socket: socket.socket | None = None  # its listening socket
+        self.received_state: dict[str, Any] | None = None  # of the older process
+        self.listening_socket: socket.socket | None = None  # of the older process
         self.older_connection: socket.socket | None = None
         self.newer_connection: socket.socket | None = None
-        self.request_socket: socket.socket | None = None  # where a newer process asks
+        self.request_socket: socket.socket | None = None  # accepts the request of a newer process
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopped = False
 
     # From an older process
 
     async def fetch_state(self) -> None:
-        """Ask an older process, if there is one, for its state. Whatever fails, the start goes on without."""
-        until = self.loop.time() + RETRY_PERIOD_S
+        """Request the state of an older process, if there is one; errors are logged and the start continues."""
+        deadline = self.loop.time() + RETRY_PERIOD_S
         while True:
             try:
                 async with asyncio.timeout(HANDOVER_TIMEOUT_S):
-                    told = await self._request_state()
+                    state = await self._request_state()
             except (FileNotFoundError, ConnectionRefusedError, NotADirectoryError):
-                return  # nobody, or what a crash left behind
+                return  # no older process, or it crashed and left its socket
             except (OSError, TimeoutError, Unreadable) as error:
-                log.warning("starting without the older process's state: %s", error or "no answer in time")
+                log.warning("starting without the older process's state: %s", error or "no response in time")
                 return self._close_older_connection()
-            if why := told.get("refused"):
+            if reason := state.get("refused"):
                 self._close_older_connection()
-                if told.get("later") is True and self.loop.time() < until:
+                if state.get("later") is True and self.loop.time() < deadline:
                     await asyncio.sleep(RETRY_DELAY_S)
                     continue
-                return log.warning("starting without the older process's state: %s", why)
-            self.received_state, self.role = told, Role(has_older=True)
+                return log.warning("starting without the older process's state: %s", reason)
+            self.received_state, self.role = state, Role(has_older=True)
             return
 
     async def _request_state(self) -> dict[str, Any]:
-        self.older_connection = made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        made.setblocking(False)
+        self.older_connection = connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        connection.setblocking(False)
         with self._socket_path() as path:
-            made.connect(path)  # a Unix socket's connect is done at once, or not at all
-        _check_owner(made)
-        made.send(request(self.name, self.listen))
+            connection.connect(path)  # connecting a Unix socket succeeds or fails at once
+        _check_owner(connection)
+        connection.send(request(self.name, self.listen))
         head, files = b"", list[int]()
         while len(head) < HEAD.size:
-            part, more = await self._receive(made, HEAD.size - len(head))
-            files += more
+            part, more_files = await self._receive(connection, HEAD.size - len(head))
+            files += more_files
             if not part:
-                raise Unreadable("the older process closed")
+                raise Unreadable("the older process closed the connection")
             head += part
         if files:
             self.listening_socket = socket.socket(fileno=files[0])
         length, crc = read_head(head)
         parts = bytearray()
         while len(parts) < length:
-            part, _ = await self._receive(made, min(1 << 16, length - len(parts)))
+            part, _ = await self._receive(connection, min(1 << 16, length - len(parts)))
             if not part:
-                raise Unreadable("the older process closed half way")
+                raise Unreadable("the older process closed the connection before the end of its state")
             parts += part
         return read_body(bytes(parts), length, crc)
 
     def apply_state(self) -> socket.socket | None:
-        """Take over what was told, and the list in place of the known one; its socket, where there is one."""
-        told, program = self.received_state, self.program
-        if told is None:
+        """Apply the received state, including the server list; return the listening socket, if there is one."""
+        state, program = self.received_state, self.program
+        if state is None:
             return None
         program.resize(
-            max(MIN_NEWER_SOCKETS, min(program.config.max_sockets, _integer_or_zero(told.get("sockets"))))
+            max(MIN_NEWER_SOCKETS, min(program.config.max_sockets, _integer_or_zero(state.get("sockets"))))
         )
-        known = told.get("list")
-        if isinstance(known, dict) and known.get("members"):
-            program.discovery.known_list = known
+        known_list = state.get("list")
+        if isinstance(known_list, dict) and known_list.get("members"):
+            program.discovery.known_list = known_list
         program.discovery.apply_known_list()
         self._apply_duty(Duty(HALF, True, True, False))
         decider = program.decision_loop.decider
         if isinstance(decider, Gateway):
             try:
-                count = unpack(told, decider, program.host.now())
+                count = unpack(state, decider, program.host.now())
                 log.info(
-                    "took over from an older process: %d customers, %d bans",
+                    "received the state of the older process: %d customers, %d bans",
                     count,
                     len(decider.disabled_servers),
                 )
             except (ValueError, TypeError, KeyError, OverflowError) as error:
-                log.warning("the older process's state is of no use: %s", error)
+                log.warning("cannot use the older process's state: %s", error)
             for server in decider.disabled_servers:
                 program.decision_loop.post(ServerAdminStateChanged(server, True))
             if program.operator is not None:
-                ids = [one.encode("latin-1", "ignore") for one in told.get("ids", ()) if isinstance(one, str)]
+                ids = [
+                    identifier.encode("latin-1", "ignore")
+                    for identifier in state.get("ids", ())
+                    if isinstance(identifier, str)
+                ]
                 program.operator.bans.named([*ids, *decider.disabled_servers])
                 program.operator.bans.banned.update(dict.fromkeys(decider.disabled_servers))
             program.decision_loop.process_events()
@@ -146,7 +150,7 @@
         return self.listening_socket
 
     def announce_accepting(self) -> None:
-        """This process accepts: the older one need not, and a newer one may ask."""
+        """Notify the older process that this one accepts connections, and allow newer processes to connect."""
         if self.older_connection is not None:
             with contextlib.suppress(OSError):
                 self.older_connection.send(ACCEPTING)
@@ -156,7 +160,7 @@
     async def _watch_older(self, older: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while (await self._receive(older, 64))[0]:
-                pass  # it has nothing more to say
+                pass  # no further messages are defined
         self._close_older_connection()
         if (duty := self.role.hear(Event.OLDER_ENDED)) is not None and not self.stopped:
             log.info("the older process has ended")
@@ -167,22 +171,22 @@
     def _open_request_socket(self) -> None:
         if self.stopped or self.request_socket is not None:
             return
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            made.setblocking(False)
+            listening_socket.setblocking(False)
             with self._socket_path() as path:
-                own = f"{path}.{os.getpid()}"
+                own_path = f"{path}.{os.getpid()}"
                 with contextlib.suppress(FileNotFoundError):
-                    os.unlink(own)
-                made.bind(own)
-                os.chmod(own, 0o600)
-                made.listen(4)
-                os.rename(own, path)  # in one step: whoever asks finds the older one or this one
+                    os.unlink(own_path)
+                listening_socket.bind(own_path)
+                os.chmod(own_path, 0o600)
+                listening_socket.listen(4)
+                os.rename(own_path, path)  # atomic: a newer process finds the older process or this one
         except OSError as error:
-            made.close()
-            return log.warning("no newer process can take over: %s", error)
-        self.request_socket = made
-        self.loop.add_reader(made, self._accept_request)
+            listening_socket.close()
+            return log.warning("cannot accept handovers to a newer process: %s", error)
+        self.request_socket = listening_socket
+        self.loop.add_reader(listening_socket, self._accept_request)
 
     def _close_request_socket(self) -> None:
         if self.request_socket is not None:
@@ -193,11 +197,11 @@
     def _accept_request(self) -> None:
         assert self.request_socket is not None
         try:
-            made, _ = self.request_socket.accept()
+            connection, _ = self.request_socket.accept()
         except OSError:
             return
-        made.setblocking(False)
-        self._start_task(self._serve(made))
+        connection.setblocking(False)
+        self._start_task(self._serve(connection))
 
     async def _serve(self, newer: socket.socket) -> None:
         try:
@@ -211,11 +215,11 @@
                     line += part
             read_request(line, self.name, self.listen)
             if not self.role.may_tell() or not isinstance(self.program.decision_loop.decider, Gateway):
-                refusal = body({"refused": "another handover is under way", "later": True})
-                await self.loop.sock_sendall(newer, refusal)
+                rejection = body({"refused": "another handover is under way", "later": True})
+                await self.loop.sock_sendall(newer, rejection)
                 return newer.close()
         except (OSError, TimeoutError, Unreadable) as error:
-            log.warning("a handover was not begun: %s", error or "no request in time")
+            log.warning("handover rejected: %s", error or "no request in time")
             with contextlib.suppress(OSError):
                 newer.send(body({"refused": str(error)}))
             return newer.close()
@@ -224,61 +228,61 @@
     async def _send_state(self, newer: socket.socket) -> None:
         self.newer_connection = newer
         try:
-            text = self._encode_state()
-            listening = self.program.clients.listener.socket
-            files = [listening.fileno()] if listening is not None else []
-            socket.send_fds(newer, [text[: HEAD.size]], files)
-            await self.loop.sock_sendall(newer, text[HEAD.size :])
-            heard = b""
+            message = self._encode_state()
+            listening_socket = self.program.clients.listener.socket
+            files = [listening_socket.fileno()] if listening_socket is not None else []
+            socket.send_fds(newer, [message[: HEAD.size]], files)
+            await self.loop.sock_sendall(newer, message[HEAD.size :])
+            received = b""
             while part := (await self._receive(newer, 64))[0]:
-                heard = (heard + part)[-64:]
-                if ACCEPTING in heard and (duty := self.role.hear(Event.ACCEPTS)) is not None:
-                    log.info("the newer process accepts")
-                    self._close_request_socket()  # its own is there by now, or soon
+                received = (received + part)[-64:]
+                if ACCEPTING in received and (duty := self.role.hear(Event.ACCEPTS)) is not None:
+                    log.info("the newer process accepts connections")
+                    self._close_request_socket()  # the newer process opens its own
                     self._apply_duty(duty)
         except OSError as error:
-            log.warning("the newer process has gone: %s", error)
+            log.warning("lost the connection to the newer process: %s", error)
         except Unreadable as error:
-            log.warning("the state cannot be told: %s", error)
+            log.warning("cannot send the state: %s", error)
         self.newer_connection = None
         newer.close()
         if (duty := self.role.hear(Event.NEWER_ENDED)) is not None and not self.stopped:
-            log.warning("the newer process has ended: this one goes on")
+            log.warning("the newer process has ended, this one continues")
             self._apply_duty(duty)
             self._open_request_socket()
 
     def _encode_state(self) -> bytes:
-        """Told in one turn with the step that halves what this process may spend."""
+        """Encode the state and halve the quotas of this process, in the same loop iteration."""
         program, gateway = self.program, self.program.decision_loop.decider
         assert isinstance(gateway, Gateway)
-        program.decision_loop.process_events()  # what has come is decided before it is told
-        keeps = min(
+        program.decision_loop.process_events()  # decide on received events first
+        own_sockets = min(
             max(program.config.max_sockets // 2, program.descriptors_in_use() + SPARE_SOCKETS),
             program.config.max_sockets - MIN_NEWER_SOCKETS,
         )
-        told = pack(gateway, program.host.now(), HALF)
-        told["sockets"] = program.config.max_sockets - keeps
-        told["list"] = program.discovery.reader.write(
+        state = pack(gateway, program.host.now(), HALF)
+        state["sockets"] = program.config.max_sockets - own_sockets
+        state["list"] = program.discovery.reader.write(
             program.discovery.schedule.version,
             [s.listed_entry() for s in gateway.servers.values()],
             program.decision_loop.addresses,
         )
         if program.operator is not None:
-            told["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
-        text = body(told)
+            state["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
+        message = body(state)
         if (duty := self.role.hear(Event.ASKED)) is not None:
             self._apply_duty(duty)
-        program.resize(keeps)
-        return text
+        program.resize(own_sockets)
+        return message
 
-    # Both
+    # Shared by both sides
 
     def _apply_duty(self, duty: Duty) -> None:
         program = self.program
         program.decision_loop.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
         if duty.warms and not duty.at_once:
-            pause = program.config.settings.collapse_window_us / 1e6
-            self.loop.call_later(pause, self._warm_again)
+            delay_s = program.config.settings.collapse_window_us / 1e6
+            self.loop.call_later(delay_s, self._warm_again)
         if duty.part == 1.0:
             program.resize(program.config.max_sockets)
         if not program.is_stopping:
@@ -290,15 +294,15 @@
         program.decision_loop.process_events()
 
     def _warm_again(self) -> None:
-        if self.role.may_tell():  # alone still
+        if self.role.may_tell():  # still the only process
             self.program.decision_loop.post(CeilingShareChanged(1.0, True))
 
     def stop(self) -> None:
-        """This process ends; the other hears it by the connection."""
+        """End the handover; the other process notices that the connection is closed."""
         self.stopped = True
         if self.request_socket is not None:
             with contextlib.suppress(OSError), self._socket_path() as path:
-                os.unlink(path)  # nobody has taken its place: a newer one would have closed our desk
+                os.unlink(path)  # still the path of this process: a newer one would have closed the socket
         self._close_request_socket()
         for task in list(self.tasks):
             task.cancel()
@@ -311,16 +315,16 @@
             self.older_connection.close()
             self.older_connection = None
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
-        self.tasks.add(task)  # the loop holds tasks weakly
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(coroutine)
+        self.tasks.add(task)  # the event loop keeps only weak references
         task.add_done_callback(self.tasks.discard)
 
     @contextlib.contextmanager
     def _socket_path(self) -> Iterator[str]:
-        """A path by which the socket can be named, however long the folder's is."""
+        """A path of the socket within the limit of Unix socket addresses, however long the folder's path is."""
         path = os.path.join(self.folder, self.socket_name)
-        if len(os.fsencode(path)) + 12 <= MAX_SOCKET_PATH_BYTES:  # with room for the number behind it
+        if len(os.fsencode(path)) + 12 <= MAX_SOCKET_PATH_BYTES:  # and the suffix with the process id
             yield path
             return
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -329,11 +333,11 @@
         finally:
             os.close(folder)
 
-    async def _receive(self, source: socket.socket, most: int) -> tuple[bytes, list[int]]:
-        """Bytes and descriptors as they come; no bytes at the end."""
+    async def _receive(self, source: socket.socket, max_bytes: int) -> tuple[bytes, list[int]]:
+        """Receive bytes and descriptors; no bytes at the end of the stream."""
         while True:
             try:
-                part, files, _, _ = socket.recv_fds(source, most, 1)
+                part, files, _, _ = socket.recv_fds(source, max_bytes, 1)
                 return part, files
             except BlockingIOError:
                 readable = asyncio.Event()
@@ -345,7 +349,7 @@
 
 
 def _check_owner(peer: socket.socket) -> None:
-    """Unreadable where the other end is another user's process: it must not be told, nor believed."""
+    """Raises Unreadable if the peer is a process of another user, which is not trusted."""
     _, user, _ = CREDENTIALS.unpack(peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     if user != os.getuid():
         raise Unreadable(f"a process of user {user}: wanted {os.getuid()}")
