--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -1,10 +1,10 @@
-"""A door whose routes and costs come from a description: reading requests by their route, and swaps.
+"""Routing by an OpenAPI description: finds the route of each request, and replaces the route table on changes.
 
-Imported only where the configuration has `routes`. What is decided here is little: the matcher, the costs,
-the rules of a swap and the numbers of classes are `irisdeal.front_door.routes`'s; which box, whether again and what
-to turn away stay the module's. A description is read and checked by a process of its own
-(`irisdeal.front_door.sources.openapi`), so that neither its libraries nor its size touch the loop; its routes come
-line by line and the table is built in slices between which the loop runs.
+Imported only where the configuration has `routes`. The matcher, the costs, the rules for replacing a table and
+the class numbers are in `irisdeal.front_door.routes`; the decision module still chooses backends, retries and
+rejections. A separate process (`irisdeal.front_door.sources.openapi`) reads and checks the description, so that
+its libraries and size do not affect the event loop. It sends one route per line, and the table is built in slices
+between which the event loop runs.
 """
 
 from __future__ import annotations
@@ -52,9 +52,9 @@
 
 log = logging.getLogger("irisdeal.routed")
 
-READ_TIMEOUT_S = 120.0  # s: a public description of 13 MB takes 1 s
-MAX_LINE_BYTES = 1_048_576  # bytes of one route's line
-MAX_IDENTITY_CHARS = 256  # characters of a customer's name
+READ_TIMEOUT_S = 120.0  # a public description of 13 MB takes 1 s
+MAX_LINE_BYTES = 1_048_576  # of one route
+MAX_IDENTITY_CHARS = 256  # of a customer's name
 SPREAD_PATTERN = re.compile(r"spread=([0-9]{1,9})")
 FIRST_PATTERN = re.compile(r"first=([0-9]{1,9})")
 REPEAT_RULES = {Repeat.SAFE: Repeats.SAFE, Repeat.KEYED: Repeats.KEYED, Repeat.UNSAFE: Repeats.UNSAFE}
@@ -62,11 +62,11 @@
 
 
 class DescriptionError(Exception):
-    """A description that is not taken, with file, place and reason."""
+    """A description was rejected; the message contains the file, the position and the reason."""
 
 
 class RouteContext:
-    """What the router keeps with a request: its route as it came, its rule as it stands."""
+    """The router's data about a request: its method and target, and the rule in effect for it."""
 
     __slots__ = ("method", "rule", "target")
 
@@ -75,7 +75,7 @@
 
 
 def request_class(rule: Rule) -> RequestClass:
-    """A rule as the module knows it."""
+    """Convert a rule to a class of the decision module."""
     return RequestClass(
         latency_target_us=rule.aim,
         deadline_us=rule.deadline,
@@ -89,32 +89,32 @@
 
 
 def _expires_in_us(text: bytes | None) -> int:
-    """`X-Expires-In` in µs; as long as may be where it is not there."""
+    """Parse `X-Expires-In` to µs; the maximum if it is missing."""
     if text is None:
         return MAX_EXPIRES_IN_US
     expires = EXPIRES_IN_PATTERN.fullmatch(text)
-    wait = float(expires[1]) * (1000 if expires[2] == b"m" else 1) if expires else 0.0
-    if not 0 < wait <= MAX_EXPIRES_IN_US:
+    expires_in_us = float(expires[1]) * (1000 if expires[2] == b"m" else 1) if expires else 0.0
+    if not 0 < expires_in_us <= MAX_EXPIRES_IN_US:
         raise RequestError(400, "bad X-Expires-In")
-    return int(wait)
+    return int(expires_in_us)
 
 
 class Router:
-    """Reads requests by their routes, and swaps one generation for the next."""
+    """Fills requests by their routes, and replaces the route table with its next generation."""
 
     def __init__(
         self,
         config: Config,
         routes: Routes,
-        door: DecisionLoop,
-        clients: HttpServer,
+        decision_loop: DecisionLoop,
+        http_server: HttpServer,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.config, self.routes, self.decision_loop, self.http_server, self.loop = (
             config,
             routes,
-            door,
-            clients,
+            decision_loop,
+            http_server,
             loop,
         )
         self.settings: Settings = config.settings
@@ -123,17 +123,17 @@
         self.request_classes: list[RequestClass] = list(config.settings.classes)
         self.class_numbers: dict[Rule, int] = {}
         self.plans = {name: n for n, name in enumerate(config.plans)}
-        self.description_files: list[str] = []  # of the description last read
-        self.loaded_signature: object = None  # of the files when they were last read
-        self.last_signature: object = None  # of the files when they were last looked at
+        self.description_files: list[str] = []  # of the description
+        self.loaded_signature: object = None  # state of the files when they were last read
+        self.last_signature: object = None  # state of the files at the last check
         self.task: asyncio.Task[None] | None = None
         self.is_reload_requested = False
-        self.rejected_count = 0  # descriptions that were not taken
-        self.on_loaded: Callable[[], None] = lambda: None  # after each reading, taken or not
-        door.on_request_closed = self.request_closed
-        clients.router = self
+        self.rejected_count = 0  # rejected descriptions
+        self.on_loaded: Callable[[], None] = lambda: None  # after each attempt to load
+        decision_loop.on_request_closed = self.request_closed
+        http_server.router = self
 
-    # A request
+    # Requests
 
     def read(
         self,
@@ -144,13 +144,13 @@
         body: bytes,
         expires: bytes | None,
     ) -> None:
-        """Fill a request by its route. Raises `Malformed`: 400, 404, or 405 with `Allow`."""
-        name = method.decode("latin-1")
+        """Fill a request by its route. Raises `RequestError`: 400, 404, or 405 with `Allow`."""
+        method_name = method.decode("latin-1")
         try:
             target = read_target(url.decode("latin-1"))
         except BadTarget as error:
             raise RequestError(400, str(error)) from None
-        found = self.table.find(name, target)
+        found = self.table.find(method_name, target)
         route = found.route
         if route is None:
             if not found.allow:
@@ -158,56 +158,56 @@
             raise RequestError(
                 405, "the path has other methods", b"Allow: " + ", ".join(found.allow).encode() + b"\r\n"
             )
-        if body and name in ("GET", "HEAD"):
-            raise RequestError(400, f"{name} with a body")
-        told: dict[bytes, bytes] = {}
-        twice: set[bytes] = set()
+        if body and method_name in ("GET", "HEAD"):
+            raise RequestError(400, f"{method_name} with a body")
+        values: dict[bytes, bytes] = {}
+        repeated: set[bytes] = set()
         for n in range(0, len(headers), 4):
             key = headers[n].lower()
-            if key in told:
-                twice.add(key)
-            told[key] = headers[n + 2].strip()
+            if key in values:
+                repeated.add(key)
+            values[key] = headers[n + 2].strip()
         rule = route.rule
-        if twice:  # of two identities or keys, which one counts? A box may take the other
+        if repeated:  # ambiguous: a backend may use another one of two identities or keys
             for source in (route.customer, route.plan, Source("header", rule.key_header)):
-                if source.place == "header" and source.name.encode() in twice:
+                if source.place == "header" and source.name.encode() in repeated:
                     raise RequestError(400, f"header {source.name} more than once")
         if rule.repeat is Repeat.KEYED and not TOKEN_PATTERN.fullmatch(
-            told.get(rule.key_header.encode(), b"")
+            values.get(rule.key_header.encode(), b"")
         ):
             raise RequestError(400, f"bad {rule.key_header}")
-        plan = self.plans.get(self._value(route.plan, told, target, found.parameters))
+        plan = self.plans.get(self._value(route.plan, values, target, found.parameters))
         if plan is None:
             raise RequestError(400, "unknown plan")
-        request.customer = self._customer(self._value(route.customer, told, target, found.parameters))
+        request.customer = self._customer(self._value(route.customer, values, target, found.parameters))
         try:
             request.units = units_of(route.units, target.query, body)
         except BadUnits as error:
             raise RequestError(400, str(error)) from None
         if request.units > self.http_server.max_units[plan]:
             raise RequestError(400, "more units than the plan can pass")
-        request.trace_id, extra = self._trace_id(told)
+        request.trace_id, extra_headers = self._trace_id(values)
         request.time_left = max(1, min(_expires_in_us(expires), rule.deadline) - RESPONSE_MARGIN_US)
-        request.first_gateway, request.gateway_count = self._gateways(told)
+        request.first_gateway, request.gateway_count = self._gateways(values)
         request.plan, request.request_class = plan, self.class_numbers[rule]
-        request.is_retry = told.get(b"x-second-try", b"") == b"1"
-        request.is_write = name not in ("GET", "HEAD")
+        request.is_retry = values.get(b"x-second-try", b"") == b"1"
+        request.is_write = method_name not in ("GET", "HEAD")
         request.head = b"".join(
-            (method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra)
+            (method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra_headers)
         )
         request.body = body
-        request.route_context = RouteContext(name, target, rule)
+        request.route_context = RouteContext(method_name, target, rule)
         self.classes.use(request.request_class)
 
     def _value(
         self,
         source: Source,
-        told: dict[bytes, bytes],
+        headers: dict[bytes, bytes],
         target: Target,
         parameters: dict[str, str],
     ) -> str:
         if source.place == "header":
-            return told.get(source.name.encode(), b"").decode("latin-1")
+            return headers.get(source.name.encode(), b"").decode("latin-1")
         if source.place == "path":
             return parameters.get(source.name, "")
         try:
@@ -216,16 +216,16 @@
             raise RequestError(400, str(error)) from None
 
     def _customer(self, text: str) -> int:
-        """16 hex digits below 2^33 as they are (PROTOCOL); any other name by a digest of 64 bits."""
+        """The number of a customer: 16 hex digits below 2^33 directly, any other name by a digest of 64 bits."""
         if not 0 < len(text) <= MAX_IDENTITY_CHARS:
             raise RequestError(400, "no customer")
         if ACCOUNT_PATTERN.fullmatch(text.encode("latin-1", "replace")) and (number := int(text, 16)) < 2**33:
             return number
         return int.from_bytes(hashlib.blake2b(text.encode("utf-8", "surrogatepass"), digest_size=8).digest())
 
-    def _trace_id(self, told: dict[bytes, bytes]) -> tuple[bytes, bytes]:
-        """The request's id; one of our own where it has none."""
-        trace = told.get(b"x-trace-id")
+    def _trace_id(self, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+        """The trace id of a request, and the header to add where a new one was generated."""
+        trace = headers.get(b"x-trace-id")
         if trace is None:
             trace = secrets.token_hex(8).encode()
             return trace, b"X-Trace-Id: " + trace + b"\r\n"
@@ -235,27 +235,27 @@
             raise RequestError(409, "X-Trace-Id of an open request")
         return trace, b""
 
-    def _gateways(self, told: dict[bytes, bytes]) -> tuple[int, int]:
-        """The customer's set of doors: `Quota-Info`'s where it is there; its units do not count here."""
-        text = told.get(b"quota-info")
-        doors = self.settings.gateway_count
+    def _gateways(self, headers: dict[bytes, bytes]) -> tuple[int, int]:
+        """First and number of the customer's gateways, from `Quota-Info` if present; its units are not used."""
+        text = headers.get(b"quota-info")
+        gateway_count = self.settings.gateway_count
         if text is None:
-            return 0, doors
-        plain = text.decode("latin-1") if len(text) <= MAX_QUOTA_INFO_BYTES else ""
-        spread, first = SPREAD_PATTERN.search(plain), FIRST_PATTERN.search(plain)
-        if not (spread and first and 1 <= int(spread[1]) <= doors and int(first[1]) < doors):
+            return 0, gateway_count
+        decoded = text.decode("latin-1") if len(text) <= MAX_QUOTA_INFO_BYTES else ""
+        spread, first = SPREAD_PATTERN.search(decoded), FIRST_PATTERN.search(decoded)
+        if not (spread and first and 1 <= int(spread[1]) <= gateway_count and int(first[1]) < gateway_count):
             raise RequestError(400, "bad Quota-Info")
         return int(first[1]), int(spread[1])
 
     def request_closed(self, request: ClientRequest) -> None:
-        """A request is answered and none of its attempts is out: its class number is free of it."""
+        """Release the class number of a request that is answered and has no attempt in progress."""
         if request.route_context is not None:
             self.classes.release(request.request_class)
 
     # Generations
 
     async def load_first(self) -> None:
-        """The first table. Raises `ConfigError` where the description is not to be used."""
+        """Load the first table. Raises `ConfigError` if the description is rejected."""
         try:
             await self._load_table()
         except DescriptionError as error:
@@ -263,15 +263,15 @@
         self._watch_files()
 
     def reload(self, routes: Routes) -> None:
-        """SIGHUP: read again, perhaps another file."""
-        was, self.routes = self.routes, routes
-        if routes.watch_interval_us and not was.watch_interval_us:
+        """Load the description again on SIGHUP, possibly from another file."""
+        former, self.routes = self.routes, routes
+        if routes.watch_interval_us and not former.watch_interval_us:
             self._watch_files()
         self.loaded_signature = None
         self.load()
 
     def load(self) -> None:
-        """Read the description; where one is being read, once more behind it."""
+        """Load the description; if it is being loaded, once more afterwards."""
         if self.task is not None and not self.task.done():
             self.is_reload_requested = True
             return
@@ -284,10 +284,10 @@
                 await self._load_table()
             except DescriptionError as error:
                 self.rejected_count += 1
-                log.error("routes refused, generation %d goes on: %s", self.table.number, error)
-            except Exception:  # an error of ours must not end the door, nor the watch
+                log.error("routes rejected, keeping generation %d: %s", self.table.number, error)
+            except Exception:  # must not end the front door or the checks for changes
                 self.rejected_count += 1
-                log.exception("routes could not be read, generation %d goes on", self.table.number)
+                log.exception("error while loading routes, keeping generation %d", self.table.number)
             self.on_loaded()
             if not self.is_reload_requested:
                 return
@@ -297,28 +297,28 @@
             self.task.cancel()
 
     def _watch_files(self) -> None:
-        """Whether the files have changed and stand still again: half-written files are left to settle."""
+        """Reload if the files have changed since they were read, but not since the last check (half-written)."""
         if self.routes.watch_interval_us:
             self.loop.call_later(self.routes.watch_interval_us / 1e6, self._watch_files)
-            now = self._file_signature()
-            if now != self.loaded_signature and now == self.last_signature:
+            signature = self._file_signature()
+            if signature != self.loaded_signature and signature == self.last_signature:
                 self.load()
-            self.last_signature = now
+            self.last_signature = signature
 
     def _file_signature(self) -> object:
-        """What tells one state of the files from another; a link counts as what it leads to."""
-        made: list[tuple[object, ...]] = []
+        """A value that changes with the files; symbolic links are followed."""
+        entries: list[tuple[object, ...]] = []
         for name in dict.fromkeys((self.routes.file, *self.description_files)):
             try:
-                told = os.stat(name)
+                status = os.stat(name)
             except OSError as error:
-                made.append((name, error.errno))
+                entries.append((name, error.errno))
             else:
-                made.append((name, told.st_dev, told.st_ino, told.st_mtime_ns, told.st_size))
-        return tuple(made)
+                entries.append((name, status.st_dev, status.st_ino, status.st_mtime_ns, status.st_size))
+        return tuple(entries)
 
     async def _load_table(self) -> None:
-        """Read, build and take the next generation, or raise `Refused`."""
+        """Read, build and activate the next generation. Raises `DescriptionError`."""
         self.loaded_signature = self._file_signature()
         root = Path(__file__).resolve().parents[3]
         process = await asyncio.create_subprocess_exec(
@@ -348,13 +348,13 @@
         self._activate(table)
 
     async def _build_table(self, process: asyncio.subprocess.Process) -> Table:
-        """The table from the reader's lines. Every few routes the loop runs."""
+        """Build the table from the lines of the reader process; the event loop runs after each slice."""
         assert process.stdout is not None and process.stderr is not None
         head = await self._read_line(process.stdout)
         if head is None:
-            words = (await process.stderr.read(4_096)).decode("utf-8", "replace").strip().splitlines()
+            lines = (await process.stderr.read(4_096)).decode("utf-8", "replace").strip().splitlines()
             raise DescriptionError(
-                f"{self.routes.file}: the reader failed: {words[-1] if words else 'no word'}"
+                f"{self.routes.file}: the reader process failed: {lines[-1] if lines else 'no output'}"
             )
         if "error" in head:
             raise DescriptionError(str(head["error"]))
@@ -367,63 +367,66 @@
             while len(routes) < head["routes"]:
                 line = await self._read_line(process.stdout)
                 if line is None:
-                    raise DescriptionError(f"{self.routes.file}: the reader ended after {len(routes)} routes")
+                    raise DescriptionError(
+                        f"{self.routes.file}: the reader process ended after {len(routes)} routes"
+                    )
                 routes.append(route_from_wire(line, rules))
                 if len(routes) % SLICE == 0:
                     await asyncio.sleep(0)
             steps = building(routes, self.table.number + 1, "weaken" in allow, "remove" in allow)
-            for made in steps:
-                table = made
+            for partial_table in steps:
+                table = partial_table
                 await asyncio.sleep(0)
         except (Clash, BadTemplate, TooMany, ValueError) as error:
             raise DescriptionError(f"{self.routes.file}: {error}") from None
         return table
 
     async def _read_line(self, stream: asyncio.StreamReader) -> Any:
-        """One JSON line; None at the end."""
+        """Read one line of JSON; None at the end."""
         try:
             line = await stream.readline()
         except ValueError:
-            raise DescriptionError(f"{self.routes.file}: a route of over {MAX_LINE_BYTES} bytes") from None
+            raise DescriptionError(
+                f"{self.routes.file}: a route is longer than {MAX_LINE_BYTES} bytes"
+            ) from None
         return json.loads(line) if line.endswith(b"\n") else None
 
     def _activate(self, table: Table) -> None:
-        """The next generation comes in force, at once for all that comes from now on.
+        """Activate the next generation for all further requests.
 
-        A request that is open keeps the class and cost that it came with. Where its route has a stricter
-        rule on repeats now, that rule holds for what is not yet sent for it; where its route is gone, its
-        own stands.
+        An open request keeps its class and cost. If the new rule of its route is stricter about retries, the new
+        rule applies to its further attempts; if its route was removed, its former rule still applies.
         """
-        was = self.table
+        former = self.table
         self.class_numbers = self.classes.take_on(table.rules())
         restricted: list[Event] = []
         for number, request in self.decision_loop.requests.items():
             client = request.client
-            routed = client.route_context
-            if request.is_answered or not isinstance(routed, RouteContext):
+            context = client.route_context
+            if request.is_answered or not isinstance(context, RouteContext):
                 continue
-            route = table.find(routed.method, routed.target).route
-            if route is None or (rule := routed.rule.stricter(route.rule)) == routed.rule:
+            route = table.find(context.method, context.target).route
+            if route is None or (rule := context.rule.stricter(route.rule)) == context.rule:
                 continue
-            routed.rule, old = rule, client.request_class
+            context.rule, former_class = rule, client.request_class
             client.request_class = self.classes.number(rule)
             self.classes.use(client.request_class)
-            self.classes.release(old)
+            self.classes.release(former_class)
             restricted.append(RequestClassChanged(number, client.request_class))
         for number, known in enumerate(self.classes.rules):
-            made = request_class(known) if known is not None else self.request_classes[number]
+            updated = request_class(known) if known is not None else self.request_classes[number]
             if number == len(self.request_classes):
-                self.request_classes.append(made)
-            self.request_classes[number] = made
+                self.request_classes.append(updated)
+            self.request_classes[number] = updated
         self.table = table
         self.decision_loop.post(ClassesChanged(tuple(self.request_classes)))
         for event in restricted:
             self.decision_loop.post(event)
         log.info(
-            "routes: generation %d in place of %d, %d routes, %d classes, %d open requests restricted, "
+            "routes: generation %d replaces %d, %d routes, %d classes, %d open requests restricted, "
             "digest %s",
             table.number,
-            was.number,
+            former.number,
             len(table.routes),
             len(self.class_numbers),
             len(restricted),
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -610,11 +610,11 @@
             pass
         replace(file, PATHS + "  /new: {get: {}}\n")
         door.send_signal(signal.SIGHUP)
-        while b"generation 2 in place of 1, 5 routes" not in await door.stderr.readline():
+        while b"generation 2 replaces 1, 5 routes" not in await door.stderr.readline():
             pass
         replace(file, "openapi: 4\n")
         door.send_signal(signal.SIGHUP)
-        while b"routes refused, generation 2 goes on" not in await door.stderr.readline():
+        while b"routes rejected, keeping generation 2" not in await door.stderr.readline():
             pass
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for target, status in (("/new", b"400"), ("/gone", b"404")):
