--- a/tests/front_door/test_backends.py
+++ b/tests/front_door/test_backends.py
@@ -1,4 +1,4 @@
-"""Each attempt ends in exactly one outcome of the protocol's table."""
+"""Attempts over backend connections: each ends with exactly one result; reuse and limits of connections."""
 
 import asyncio
 import gc
@@ -38,7 +38,7 @@
     whole_list,
 )
 
-CLOSE = b""  # the connection ends
+CLOSE = b""  # the backend closes the connection
 
 
 @pytest.mark.parametrize(
@@ -73,9 +73,12 @@
 def test_outcomes(written: bytes, result: Result, status: str) -> None:
     async def run() -> None:
         script = Script(send_all)
-        async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-            client, to_door = await door.client()
-            to_door.write(ask())
+        async with (
+            Peer() as backend,
+            running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+        ):
+            client, to_front_door = await front_door.client()
+            to_front_door.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
             writer.write(written)
@@ -85,7 +88,7 @@
             [ended] = await script.wait_for(AttemptEnded)
             assert (ended.attempt_index, ended.server_id, ended.result) == (0, b"s-1", result)
             assert ended.request_ended is (result is Result.OK)
-            assert backend.accepted.empty()  # nothing is sent again behind the module's back
+            assert backend.accepted.empty()  # no retry that the decision module has not requested
 
     async def limited() -> None:
         async with asyncio.timeout(20):
@@ -95,46 +98,49 @@
 
 
 @socket_test
-async def test_a_refused_connection_never_ran() -> None:
+async def test_a_refused_connection_counts_as_not_connected() -> None:
     async with Peer() as backend:
         port = backend.port
-    script = Script(send_all)  # nobody listens any more
-    async with running(script, known=whole_list(member("s-1", port))) as door:
-        assert (await door.call(ask()))[0].split()[1] == "502"
+    script = Script(send_all)  # the port is closed by now
+    async with running(script, known=whole_list(member("s-1", port))) as front_door:
+        assert (await front_door.call(ask()))[0].split()[1] == "502"
         assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_CONNECTED]
 
 
 @socket_test
-async def test_a_connection_that_never_comes_up_never_ran() -> None:
+async def test_a_connect_timeout_counts_as_not_connected() -> None:
     with socket.socket() as listener, ExitStack() as waiting:
         listener.bind(("127.0.0.1", 0))
-        listener.listen(0)  # nobody accepts: once its line is full, the kernel lets further calls hang
+        listener.listen(0)  # never accepts: with a full backlog, further connects hang
         for _ in range(4):
             caller = waiting.enter_context(socket.socket())
             caller.setblocking(False)
             caller.connect_ex(listener.getsockname())
         script = Script(send_all)
-        async with running(script, known=whole_list(member("s-1", listener.getsockname()[1]))) as door:
-            # The client has time without end: only the connect time-out can end this.
-            assert (await door.call(ask(X_Expires_In="3000000m")))[0].split()[1] == "502"
+        async with running(script, known=whole_list(member("s-1", listener.getsockname()[1]))) as front_door:
+            # The client's deadline is far away: only the connect timeout can end the attempt.
+            assert (await front_door.call(ask(X_Expires_In="3000000m")))[0].split()[1] == "502"
             [ended] = await script.wait_for(AttemptEnded)
-            assert ended.result is Result.NOT_CONNECTED and not door.program.pool.connections
+            assert ended.result is Result.NOT_CONNECTED and not front_door.program.pool.connections
 
 
 @socket_test
-async def test_a_backend_never_named_gets_nothing() -> None:
+async def test_an_attempt_to_an_unknown_backend_is_not_sent() -> None:
     script = Script(lambda event: send_all(event, b"s-2"))
-    async with running(script, known=whole_list(member("s-1", 9))) as door:
-        assert (await door.call(ask()))[0].split()[1] == "502"
+    async with running(script, known=whole_list(member("s-1", 9))) as front_door:
+        assert (await front_door.call(ask()))[0].split()[1] == "502"
         assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
 
 
 @socket_test
-async def test_load_and_usage_reach_the_module() -> None:
+async def test_load_report_and_usage_are_passed_to_the_decision_module() -> None:
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        _, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        _, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(
@@ -151,7 +157,7 @@
 
 
 @socket_test
-async def test_the_attempts_time_out_ends_it_and_closes_its_connection() -> None:
+async def test_an_attempt_timeout_closes_the_connection() -> None:
     def short(event: Event) -> list[Action]:
         return (
             [StartAttempt(event.request_id, b"s-1", 1_000_000)]
@@ -160,9 +166,12 @@
         )
 
     script = Script(short)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        client, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, _ = await backend.connection()
         await read_message(reader)
         assert (await read_message(client))[0].split()[1] == "502"
@@ -173,16 +182,19 @@
 
 
 @socket_test
-async def test_an_attempt_never_outlives_its_clients_time() -> None:
+async def test_an_attempt_ends_at_the_clients_deadline() -> None:
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        client, to_door = await door.client()
-        to_door.write(ask(X_Expires_In="1000m"))
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask(X_Expires_In="1000m"))
         reader, _ = await backend.connection()
         assert int((await read_message(reader))[1]["x-expires-in"].removesuffix("m")) <= 1000
-        # The module stays silent: the door still owes the client one final answer.
+        # The decision module does not react: the front door must still answer the client.
         assert (await read_message(client))[0].split()[1] == "500"
         [ended] = await script.wait_for(AttemptEnded)
         assert ended.result is Result.TIMED_OUT
@@ -190,7 +202,7 @@
 
 
 @socket_test
-async def test_the_first_good_answer_is_final_and_the_loser_is_drained() -> None:
+async def test_the_first_successful_response_is_final_and_the_other_is_discarded() -> None:
     def twice(event: Event) -> list[Action]:
         return (
             [StartAttempt(event.request_id, b) for b in (b"s-1", b"s-2")]
@@ -202,10 +214,10 @@
     async with (
         Peer() as one,
         Peer() as two,
-        running(script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door,
+        running(script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as front_door,
     ):
-        client, to_door = await door.client()
-        to_door.write(ask())
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         (first, to_first), (second, to_second) = await one.connection(), await two.connection()
         await read_message(first)
         await read_message(second)
@@ -217,13 +229,13 @@
             (1, Result.OK, True),
             (0, Result.OK, True),
         ]
-        to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
-        assert (await read_message(client))[2] == b"ready\n"  # the loser's body was never written
-        assert not door.program.decision_loop.requests
+        to_front_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
+        assert (await read_message(client))[2] == b"ready\n"  # the other response was not written
+        assert not front_door.program.decision_loop.requests
 
 
 @socket_test
-async def test_an_attempt_whose_connection_still_comes_up_sends_nothing_behind_the_answer() -> None:
+async def test_an_attempt_that_is_still_connecting_sends_nothing_after_the_response() -> None:
     def twice(event: Event) -> list[Action]:
         return (
             [StartAttempt(event.request_id, b) for b in (b"s-1", b"s-2")]
@@ -233,7 +245,7 @@
 
     with socket.socket() as listener, ExitStack() as waiting:
         listener.bind(("127.0.0.1", 0))
-        listener.listen(0)  # its connection hangs, as above
+        listener.listen(0)  # connects hang, as above
         for _ in range(4):
             caller = waiting.enter_context(socket.socket())
             caller.setblocking(False)
@@ -243,31 +255,37 @@
             Peer() as one,
             running(
                 script, known=whole_list(member("s-1", one.port), member("s-2", listener.getsockname()[1]))
-            ) as door,
+            ) as front_door,
         ):
-            client, to_door = await door.client()
-            to_door.write(ask())
+            client, to_front_door = await front_door.client()
+            to_front_door.write(ask())
             first, to_first = await one.connection()
             await read_message(first)
             to_first.write(answer(200, b"first"))
             assert (await read_message(client))[2] == b"first"
             ended = await script.wait_for(AttemptEnded, 2)
             assert {(e.attempt_index, e.result) for e in ended} == {(0, Result.OK), (1, Result.NOT_SENT)}
-            assert not door.program.decision_loop.requests and len(door.program.pool.connections) == 1
+            assert (
+                not front_door.program.decision_loop.requests
+                and len(front_door.program.pool.connections) == 1
+            )
 
 
 @socket_test
-async def test_a_cancel_closes_the_attempts_connection() -> None:
+async def test_cancelling_an_attempt_closes_its_connection() -> None:
     def cancel(event: Event) -> list[Action]:
         return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
     script = Script(cancel)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        _, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        _, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, _ = await backend.connection()
         await read_message(reader)
-        to_door.transport.abort()
+        to_front_door.transport.abort()
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.result, ended.request_ended) == (Result.CANCELLED, True)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -275,25 +293,28 @@
 
 
 @socket_test
-async def test_an_idle_connection_that_the_backend_closed_is_not_used() -> None:
+async def test_an_idle_connection_closed_by_the_backend_is_not_reused() -> None:
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        client, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
         writer.close()
-        while door.program.pool.connections:
+        while front_door.program.pool.connections:
             await asyncio.sleep(0)
-        to_door.write(ask(trace="a2"))
+        to_front_door.write(ask(trace="a2"))
         reader, writer = await backend.connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "a2"
 
 
 class LateLoop:
-    """The running loop, but each connection comes up just as its time runs out."""
+    """The running event loop, but each connect times out just as it succeeds."""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(asyncio.get_running_loop(), name)
@@ -304,7 +325,7 @@
 
 
 @socket_test
-async def test_a_connection_in_its_last_moment_may_have_carried_the_request() -> None:
+async def test_a_connect_timeout_after_the_request_was_written_counts_as_connection_lost() -> None:
     ends: list[Result] = []
     async with Peer() as backend:
         pool = BackendPool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
@@ -318,43 +339,47 @@
 
 
 @socket_test
-async def test_more_attempts_than_connections_are_not_sent_and_no_backends_fault() -> None:
+async def test_attempts_beyond_the_connection_limit_are_not_sent() -> None:
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.max_connections = 1
-        _, first = await door.client()
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        front_door.program.pool.max_connections = 1
+        _, first = await front_door.client()
         first.write(ask())
         await backend.connection()
-        _, second = await door.client()
+        _, second = await front_door.client()
         second.write(ask(trace="a2"))
         assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("behind", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
-def test_bytes_behind_an_answer_never_answer_the_next_request(behind: bytes) -> None:
+def test_bytes_after_a_response_are_not_taken_for_the_next_response(behind: bytes) -> None:
     async def run() -> None:
         script = Script(send_all)
-        async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-            pool = door.program.pool
+        async with (
+            Peer() as backend,
+            running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+        ):
+            pool = front_door.program.pool
             pool.min_idle_s = 0.0
-            client, to_door = await door.client()
+            client, to_front_door = await front_door.client()
             for n, together in enumerate((True, False)):
-                to_door.write(ask(trace=f"a{n}"))
+                to_front_door.write(ask(trace=f"a{n}"))
                 reader, writer = await backend.connection()
                 await read_message(reader)
                 writer.write(answer(200, b"good") + (behind if together else b""))
                 assert (await read_message(client))[2] == b"good"
                 if not together:
-                    resting = pool.idle[b"s-1"][0]
-                    assert resting.is_idle_without_input()
+                    idle = pool.idle[b"s-1"][0]
+                    assert idle.is_idle_without_input()
                     os.write(writer.get_extra_info("socket").fileno(), behind)
-                    assert (
-                        not resting.is_idle_without_input()
-                    )  # it has come, and the loop has not read it yet
-            to_door.write(ask(trace="b1"))
-            reader, writer = await backend.connection()  # a new one, each time
+                    assert not idle.is_idle_without_input()  # received, but not yet read by the event loop
+            to_front_door.write(ask(trace="b1"))
+            reader, writer = await backend.connection()  # a new connection each time
             assert (await read_message(reader))[1]["x-trace-id"] == "b1"
             writer.write(answer(200, b"mine"))
             assert (await read_message(client))[2] == b"mine"
@@ -367,15 +392,15 @@
 
 
 @socket_test
-async def test_a_connection_rests_before_it_is_used_again() -> None:
+async def test_a_connection_is_idle_for_a_minimum_time_before_reuse() -> None:
     async with (
         Peer() as backend,
-        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as front_door,
     ):
-        door.program.pool.min_idle_s = 1e6
-        client, to_door = await door.client()
+        front_door.program.pool.min_idle_s = 1e6
+        client, to_front_door = await front_door.client()
         for trace in ("a1", "a2"):
-            to_door.write(ask(trace=trace))
+            to_front_door.write(ask(trace=trace))
             reader, writer = await backend.connection()
             assert (await read_message(reader))[1]["x-trace-id"] == trace
             writer.write(answer())
@@ -383,12 +408,15 @@
 
 
 @socket_test
-async def test_an_answer_that_stops_half_way_ends_its_attempt_long_before_the_clients_time() -> None:
+async def test_an_incomplete_response_ends_the_attempt_long_before_the_clients_deadline() -> None:
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.stall_timeout_s = 0.02
-        client, to_door = await door.client()
-        to_door.write(ask(X_Expires_In="3000000m"))  # time without end
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        front_door.program.pool.stall_timeout_s = 0.02
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask(X_Expires_In="3000000m"))  # a deadline far away
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer()[:10])
@@ -397,17 +425,17 @@
 
 
 @socket_test
-async def test_an_interim_answer_is_no_answer_that_stopped() -> None:
+async def test_an_interim_response_does_not_start_the_stall_timeout() -> None:
     async with (
         Peer() as backend,
-        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as front_door,
     ):
-        door.program.pool.stall_timeout_s = 0.0
-        client, to_door = await door.client()
-        to_door.write(ask())
+        front_door.program.pool.stall_timeout_s = 0.0
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        connection = next(iter(door.program.pool.connections))
+        connection = next(iter(front_door.program.pool.connections))
         writer.write(b"HTTP/1.1 102 X\r\n\r\n")
         while not connection.interim_count:
             await asyncio.sleep(0)
@@ -417,35 +445,41 @@
 
 
 @socket_test
-async def test_a_new_backend_at_an_old_address_gets_no_connection_of_the_old_one() -> None:
+async def test_a_new_backend_at_a_former_address_gets_new_connections() -> None:
     async with (
         Peer() as backend,
         running(
             Script(lambda event: send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")),
             known=whole_list(member("s-1", backend.port)),
-        ) as door,
+        ) as front_door,
     ):
-        door.program.pool.min_idle_s = 0.0
-        client, to_door = await door.client()
-        to_door.write(ask(trace="a1"))
+        front_door.program.pool.min_idle_s = 0.0
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
-        told, places = door.program.discovery.reader.read(whole_list(member("s-2", backend.port)))
-        door.program.decision_loop.update_server_list(told, places)  # while the old one still has a request
+        server_list, addresses = front_door.program.discovery.reader.read(
+            whole_list(member("s-2", backend.port))
+        )
+        # The former backend still has a request.
+        front_door.program.decision_loop.update_server_list(server_list, addresses)
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
-        to_door.write(ask(trace="a2"))
+        to_front_door.write(ask(trace="a2"))
         reader, writer = await backend.connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "a2"
 
 
 @socket_test
-async def test_absurd_load_is_not_believed() -> None:
+async def test_invalid_load_values_are_ignored() -> None:
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        _, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        _, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(
@@ -458,55 +492,55 @@
 
 
 @socket_test
-async def test_a_closed_connection_leaves_nothing_for_the_collector() -> None:
+async def test_a_closed_connection_leaves_no_reference_cycle() -> None:
     async with (
         Peer() as backend,
-        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as front_door,
     ):
         gc.disable()
         try:
-            client, to_door = await door.client()
-            to_door.write(ask())
+            client, to_front_door = await front_door.client()
+            to_front_door.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
-            held = weakref.ref(next(iter(door.program.pool.connections)))
+            held = weakref.ref(next(iter(front_door.program.pool.connections)))
             writer.write(answer())
             await read_message(client)
             writer.close()
-            while held() is not None:  # by counting references alone
+            while held() is not None:  # freed by reference counting alone
                 await asyncio.sleep(0)
         finally:
             gc.enable()
 
 
 @socket_test
-async def test_a_connection_found_dead_shortens_the_rest_of_the_others() -> None:
+async def test_a_connection_closed_while_idle_lowers_the_idle_limit() -> None:
     async with (
         Peer() as backend,
-        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as front_door,
     ):
-        pool = door.program.pool
+        pool = front_door.program.pool
         pool.min_idle_s = 0.0
-        client, to_door = await door.client()
-        to_door.write(ask(trace="a1"))
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
         pool.idle[b"s-1"][0].idle_since -= 5.0
-        to_door.write(ask(trace="a2"))
+        to_front_door.write(ask(trace="a2"))
         await read_message(reader)
-        writer.transport.abort()  # as a peer that had forgotten the connection
+        writer.transport.abort()  # like a backend that closed the idle connection
         await read_message(client)
         assert 3.0 < pool.idle_limit_s < 5.0 < pool.max_idle_limit_s
-        to_door.write(ask(trace="a3"))
+        to_front_door.write(ask(trace="a3"))
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
         pool.idle[b"s-1"][0].idle_since -= 5.0
-        to_door.write(ask(trace="a4"))
-        reader, _ = await backend.connection()  # five seconds are too long by now
+        to_front_door.write(ask(trace="a4"))
+        reader, _ = await backend.connection()  # 5 s now exceed the idle limit
         assert (await read_message(reader))[1]["x-trace-id"] == "a4"
         for _ in range(1000):
             pool.update_idle_limit(pool.idle_limit_s, True)
@@ -518,21 +552,21 @@
 
 
 @socket_test
-async def test_an_attempt_decided_as_its_request_ends_does_not_stay_out_for_good() -> None:
-    # A backend's break and its client's leaving heard in one turn: the module tries again, and then hears
-    # that the request has ended.
+async def test_an_attempt_decided_while_its_request_ends_is_reported_as_ended() -> None:
+    # A lost backend connection and the client's disconnect in one batch of events: the module retries
+    # before it handles the end of the request. The attempt must not stay counted as in progress.
     async with Peer() as backend:
         known = whole_list(member("s-1", backend.port), member("s-2", backend.port))
-        async with running(known=known) as door:
-            _, to_door = await door.client()
-            to_door.write(ask())
+        async with running(known=known) as front_door:
+            _, to_front_door = await front_door.client()
+            to_front_door.write(ask())
             await read_message((await backend.connection())[0])
-            gateway, loop = door.program.decision_loop.decider, door.program.decision_loop
+            gateway, loop = front_door.program.decision_loop.decider, front_door.program.decision_loop
             assert isinstance(gateway, Gateway)
             [request] = list(loop.requests.values())
             request.attempts[0].finish(Result.CONNECTION_LOST)
             loop.client_disconnected(request.client)
-            to_door.transport.abort()
+            to_front_door.transport.abort()
             await asyncio.sleep(0.05)
             while gateway.requests or gateway.in_flight:
                 await asyncio.sleep(0.001)
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -1,4 +1,4 @@
-"""Malformed input of clients ends with a plain 4xx at the front door."""
+"""HTTP/1.1 server for clients: malformed requests, forwarded headers, deadlines and pipelining."""
 
 import asyncio
 
@@ -88,7 +88,7 @@
         (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
         (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
         (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
-        # Names that a box which reads _ as - takes for the framing, and framing that HTTP/1.0 does not know.
+        # Framing headers for a backend that reads _ as -, and framing that HTTP/1.0 does not have.
         (ask().replace(b"Host: svc", b"Host: svc\r\nTransfer_Encoding: chunked"), 400),
         (ask("file").replace(b"Host: svc", b"Host: svc\r\nContent_length: 9"), 400),
         (
@@ -96,17 +96,17 @@
             + b"0\r\n\r\n",
             400,
         ),
-        # Connection may not take away what the box must have.
+        # Connection must not remove headers that the backend needs.
         (ask(Connection="x-trace-id"), 400),
         (ask("file", Connection="close, Idempotency-Key"), 400),
         (ask("file", Connection="Content-Length"), 400),
     ],
 )
-def test_malformed_input_never_reaches_the_module(request_bytes: bytes, status: int) -> None:
+def test_malformed_input_does_not_reach_the_decision_module(request_bytes: bytes, status: int) -> None:
     async def run() -> None:
         script = Script(lambda event: [])
-        async with running(script) as door:
-            line, _, _ = await door.call(request_bytes)
+        async with running(script) as front_door:
+            line, _, _ = await front_door.call(request_bytes)
             assert line.split()[1] == str(status)
             assert not [e for e in script.seen if isinstance(e, RequestArrived)]
 
@@ -118,32 +118,32 @@
 
 
 @socket_test
-async def test_a_whole_chunked_body_is_taken() -> None:
+async def test_a_complete_chunked_body_is_accepted() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
-    async with running(script) as door:
+    async with running(script) as front_door:
         request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
-        line, _, _ = await door.call(request + b"3\r\nabc\r\n0\r\n\r\n")
+        line, _, _ = await front_door.call(request + b"3\r\nabc\r\n0\r\n\r\n")
         assert line.split()[1] == "429"
 
 
 @socket_test
-async def test_what_connection_names_and_aliases_of_our_own_names_end_here() -> None:
+async def test_connection_headers_and_aliases_of_reserved_headers_are_not_forwarded() -> None:
     heads: list[bytes] = []
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
-    async with running(script) as door:
-        taken = door.program.decision_loop.handle_request
+    async with running(script) as front_door:
+        handle_request = front_door.program.decision_loop.handle_request
 
         def take(request: ClientRequest) -> None:
             heads.append(request.head)
-            taken(request)
+            handle_request(request)
 
-        door.program.decision_loop.handle_request = take  # type: ignore[method-assign, assignment]
+        front_door.program.decision_loop.handle_request = take  # type: ignore[method-assign, assignment]
         extra = b"X-Hop: 1\r\nX-Kept: 2\r\nX_Qos: file\r\nx_kept: 3\r\nConnection: keep-alive, x-hop"
-        line, _, _ = await door.call(ask().replace(b"Host: svc", b"Host: svc\r\n" + extra))
+        line, _, _ = await front_door.call(ask().replace(b"Host: svc", b"Host: svc\r\n" + extra))
         assert line.split()[1] == "429"
     lines = heads[0].lower().split(b"\r\n")
     assert {b"x-kept: 2", b"x_kept: 3", b"host: svc"} <= set(lines)
@@ -151,26 +151,26 @@
 
 
 @socket_test
-async def test_what_waited_in_the_kernel_is_gone_from_a_requests_time() -> None:
-    """Lost: on a core that is short its whole time was counted from our read, and its answer came late."""
+async def test_time_in_the_listen_backlog_is_deducted_from_the_first_request() -> None:
+    """Without it the time counted from the read, and on an overloaded core responses came too late."""
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
-    async with running(script) as door:
-        clients = door.program.clients
+    async with running(script) as front_door:
+        clients = front_door.program.clients
         clients.listener.backlog.max_wait_s = lambda now: 0.3  # type: ignore[method-assign]
-        line, _, _ = await door.call(ask(X_Expires_In="200m"))
+        line, _, _ = await front_door.call(ask(X_Expires_In="200m"))
         assert line.split()[1] == "503" and not [e for e in script.seen if isinstance(e, RequestArrived)]
-        reader, writer = await door.client()
+        reader, writer = await front_door.client()
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
-        writer.write(ask(X_Expires_In="1000m"))  # the second one did not wait there
+        writer.write(ask(X_Expires_In="1000m"))  # only the first request waited
         assert (await read_message(reader))[0].split()[1] == "429"
         first, second = (e.time_left_us for e in script.seen if isinstance(e, RequestArrived))
         assert 600_000 < first <= 690_000 and 900_000 < second <= 990_000
-        door.program.decision_loop.event_loop_lag.record(
-            0.25, door.program.decision_loop.host.now() / 1e6
-        )  # the loop was late just now
+        front_door.program.decision_loop.event_loop_lag.record(
+            0.25, front_door.program.decision_loop.host.now() / 1e6
+        )  # a recent delay of the event loop
         writer.write(ask(X_Expires_In="1000m"))
         assert (await read_message(reader))[0].split()[1] == "429"
         *_, third = (e.time_left_us for e in script.seen if isinstance(e, RequestArrived))
@@ -178,12 +178,12 @@
 
 
 @socket_test
-async def test_a_connection_outlives_a_well_framed_mistake() -> None:
+async def test_a_connection_stays_open_after_an_invalid_but_well_framed_request() -> None:
     script = Script(
         lambda event: [RejectRequest(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
     )
-    async with running(script) as door:
-        reader, writer = await door.client()
+    async with running(script) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask(Plan="unheard-of") + ask())
         assert (await read_message(reader))[0].split()[1] == "400"
         line, headers, _ = await read_message(reader)
@@ -191,7 +191,7 @@
 
 
 @socket_test
-async def test_pipelined_answers_keep_their_order_and_each_comes_once() -> None:
+async def test_pipelined_responses_keep_their_order_and_are_sent_once() -> None:
     held: list[int] = []
 
     def last_first(event: object) -> list[RejectRequest]:
@@ -199,24 +199,24 @@
             held.append(event.request_id)
         return [RejectRequest(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
 
-    async with running(Script(last_first)) as door:  # type: ignore[arg-type]
-        reader, writer = await door.client()
+    async with running(Script(last_first)) as front_door:  # type: ignore[arg-type]
+        reader, writer = await front_door.client()
         writer.write(ask(trace="1") + ask(trace="2") + ask(trace="3"))
-        told = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
-        assert told == ["0.001", "0.002", "0.003"]
-        writer.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")  # nothing stands between
+        delays = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
+        assert delays == ["0.001", "0.002", "0.003"]
+        writer.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")  # no other bytes in between
         assert (await read_message(reader))[0].split()[1] == "503"
 
 
-def test_the_peers_of_these_tests_write_what_they_mean() -> None:
+def test_the_response_helper_of_the_tests_writes_the_expected_bytes() -> None:
     assert answer(204, b"", "A: b\r\n") == b"HTTP/1.1 204 X\r\nContent-Length: 0\r\nA: b\r\n\r\n"
 
 
 @socket_test
-async def test_a_client_still_sending_can_read_why_it_was_turned_away() -> None:
-    # A close with bytes unread resets the connection and may take the answer along.
-    async with running(Script(lambda event: [])) as door:
-        reader, writer = await door.client()
+async def test_a_client_that_is_still_sending_can_read_the_rejection() -> None:
+    # Closing with unread input resets the connection and may lose the response.
+    async with running(Script(lambda event: [])) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask("file", Content_Length="4000000") + b"x" * 4_000_000)
         assert (await read_message(reader))[0].split()[1] == "413"
         assert await reader.read() == b""
--- a/tests/front_door/test_layout.py
+++ b/tests/front_door/test_layout.py
@@ -1,4 +1,4 @@
-"""What is promised of the files."""
+"""Rules for source files: line length, and what the decision modules may import."""
 
 import ast
 import tomllib
@@ -25,12 +25,12 @@
     assert len(set(POLICY)) == len(POLICY)
 
 
-def test_no_line_is_long() -> None:
+def test_lines_of_decision_modules_and_tests_have_at_most_110_characters() -> None:
     for path in [*ROOT.glob("irisdeal/front_door/decisions/*.py"), *(ROOT / "tests").rglob("*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_the_head_names_the_interface() -> None:
+def test_the_head_of_the_decision_module_names_its_interface() -> None:
     assert "interface.py" in "".join(CONTROL.read_text().splitlines(keepends=True)[:3])
 
 
@@ -60,7 +60,7 @@
         assert imported(path) <= allowed, path
 
 
-def test_no_other_module_decides() -> None:
+def test_the_wire_format_and_the_interface_do_not_import_the_decision_module() -> None:
     assert "irisdeal.front_door.decisions.gateway" not in imported(
         ROOT / "irisdeal/front_door/decisions" / "simulator_wire.py"
     )
--- a/tests/front_door/test_loop.py
+++ b/tests/front_door/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop round the module: failures in it, and the way out."""
+"""The decision loop: errors in the decision module, drain, start and exit codes of the process."""
 
 import asyncio
 import json
@@ -39,40 +39,40 @@
 
 
 @socket_test
-async def test_a_failing_decision_is_its_own_requests_failure() -> None:
+async def test_a_failed_decision_fails_only_its_own_request() -> None:
     def fail_on_odd(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived) and event.account_id == 1:
             raise RuntimeError("out of luck")
         return [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(fail_on_odd)) as door:
-        reader, writer = await door.client()
+    async with running(Script(fail_on_odd)) as front_door:
+        reader, writer = await front_door.client()
         bad, good = ask(trace="b", Account="0000000000000001"), ask(Account="0000000000000002")
-        writer.write(good + bad + ask(trace="c", Account="0000000000000002"))  # one batch for the module
+        writer.write(good + bad + ask(trace="c", Account="0000000000000002"))  # one batch of events
         statuses = [(await read_message(reader))[0].split()[1] for _ in range(3)]
         assert statuses == ["429", "500", "429"]
-        assert (await door.call(good))[0].split()[1] == "429"
+        assert (await front_door.call(good))[0].split()[1] == "429"
 
 
 @socket_test
-async def test_a_loop_that_stood_still_lets_the_module_answer_first() -> None:
-    # Its wake and the door's guard are due in the same turn then; the guard's answer promises nothing.
+async def test_after_a_stall_of_the_event_loop_the_decision_module_answers_first() -> None:
+    # The module's timer and the deadline timer are due together; only the module's answer allows a retry.
     def due(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [SetTimer(event.time_left_us - 4_000)]
         return [RejectRequest(1)] if isinstance(event, TimerFired) else []
 
     script = Script(due)
-    async with running(script) as door:
-        reader, writer = await door.client()
+    async with running(script) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask(X_Expires_In="60m"))
         await script.wait_for(RequestArrived)
-        time.sleep(0.1)  # past the request's time and the grace: nothing of this loop runs meanwhile
+        time.sleep(0.1)  # blocks the event loop past the deadline and the grace period
         assert (await read_message(reader))[0].split()[1] == "429"
 
 
 @socket_test
-async def test_an_action_that_cannot_be_done_stops_no_other() -> None:
+async def test_an_action_that_fails_does_not_affect_the_others() -> None:
     def odd(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -84,23 +84,26 @@
         ]
         return actions
 
-    async with running(Script(odd)) as door:
-        assert (await door.call(ask()))[0].split()[1] == "429"
+    async with running(Script(odd)) as front_door:
+        assert (await front_door.call(ask()))[0].split()[1] == "429"
 
 
 @socket_test
-async def test_draining_serves_what_still_comes_and_closes_after_answers() -> None:
+async def test_draining_serves_further_requests_and_closes_connections_after_responses() -> None:
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        idle, to_idle = await door.client()
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        idle, to_idle = await front_door.client()
         to_idle.write(HEALTH)
         await read_message(idle)
-        client, to_door = await door.client()
-        to_door.write(ask())
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        door.program.stop()
-        late, to_late = await door.client()  # a new connection after the signal
+        front_door.program.stop()
+        late, to_late = await front_door.client()  # a new connection during the drain
         to_late.write(ask(trace="a2"))
         reader2, writer2 = await backend.connection()
         await read_message(reader2)
@@ -110,26 +113,29 @@
         assert await late.read() == b""
         writer.write(answer())
         assert (await read_message(client))[1]["connection"] == "close"
-        assert await idle.read() == b""  # closed once nothing more can come
-        await door.program.finished.wait()
+        assert await idle.read() == b""  # closed at the end of the drain
+        await front_door.program.finished.wait()
 
 
 @socket_test
-async def test_draining_answers_what_its_backend_does_not() -> None:
+async def test_draining_answers_requests_that_a_backend_does_not_answer() -> None:
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        client, to_door = await door.client()
-        to_door.write(ask())
+    async with (
+        Peer() as backend,
+        running(script, known=whole_list(member("s-1", backend.port))) as front_door,
+    ):
+        client, to_front_door = await front_door.client()
+        to_front_door.write(ask())
         await backend.connection()
-        door.program.stop()
+        front_door.program.stop()
         assert (await read_message(client))[0].split()[1] == "500"
-        await door.program.finished.wait()
+        await front_door.program.finished.wait()
 
 
-async def start(path: Path, told: object) -> asyncio.subprocess.Process:
-    path.write_text(json.dumps(told))
+async def start(path: Path, document: object) -> asyncio.subprocess.Process:
+    path.write_text(json.dumps(document))
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -139,10 +145,10 @@
     )
 
 
-def test_sigterm_ends_the_process_with_0(tmp_path: Path) -> None:
+def test_sigterm_ends_the_process_with_exit_code_0(tmp_path: Path) -> None:
     async def run() -> None:
         async with Peer() as discovery:
-            door = await start(
+            front_door = await start(
                 tmp_path / "config.json",
                 {
                     "listen": f"127.0.0.1:{await free_port()}",
@@ -152,10 +158,10 @@
                     "known": whole_list(member("s-1", 9)),
                 },
             )
-            await discovery.connection()  # it has started, and listens
-            door.send_signal(signal.SIGTERM)
-            _, errors = await door.communicate()
-            assert door.returncode == 0, errors
+            await discovery.connection()  # started and listening
+            front_door.send_signal(signal.SIGTERM)
+            _, errors = await front_door.communicate()
+            assert front_door.returncode == 0, errors
 
     asyncio.run(run())
 
@@ -166,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "says"),
+    ("document", "message"),
     [
         ({}, "settings are missing"),
         ({"settings": {"rank": 0}}, "discovery is missing"),
@@ -179,17 +185,19 @@
         ([], "wanted an object"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line_and_exit_2(told: object, says: str, tmp_path: Path) -> None:
+def test_an_invalid_configuration_prints_one_line_and_exits_with_2(
+    document: object, message: str, tmp_path: Path
+) -> None:
     async def run() -> tuple[int | None, str]:
-        door = await start(tmp_path / "config.json", told)
-        _, errors = await door.communicate()
-        return door.returncode, errors.decode()
+        front_door = await start(tmp_path / "config.json", document)
+        _, errors = await front_door.communicate()
+        return front_door.returncode, errors.decode()
 
     code, errors = asyncio.run(run())
-    assert code == 2 and errors.count("\n") == 1 and says in errors
+    assert code == 2 and errors.count("\n") == 1 and message in errors
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_environment_variables_take_precedence_over_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
     config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
--- a/tests/front_door/test_optional_parts.py
+++ b/tests/front_door/test_optional_parts.py
@@ -1,4 +1,4 @@
-"""What a door without `operator` must not pay for: no import, no listener, no budget."""
+"""Modules for operators, handover and streaming are imported only if `operator` is configured."""
 
 import json
 import subprocess
@@ -7,7 +7,7 @@
 
 from tests.support.fake_peers import settings
 
-ASK = """
+PRINT_IMPORTED_MODULES = """
 import json, sys
 import asyncio
 from irisdeal.front_door.decisions.gateway import Gateway
@@ -19,7 +19,7 @@
 asyncio.run(made())
 print(json.dumps(sorted(name for name in sys.modules if name.startswith("irisdeal"))))
 """
-NEW = (
+OPTIONAL_MODULES = (
     "irisdeal.front_door.operator",
     "irisdeal.front_door.handover",
     "irisdeal.front_door.streaming",
@@ -29,20 +29,20 @@
 )
 
 
-def modules(**more: str) -> list[str]:
-    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings(), **more}
-    done = subprocess.run(
-        [sys.executable, "-c", ASK, json.dumps(told)],
+def imported_modules(**changes: str) -> list[str]:
+    document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings(), **changes}
+    process = subprocess.run(
+        [sys.executable, "-c", PRINT_IMPORTED_MODULES, json.dumps(document)],
         capture_output=True,
         text=True,
         check=True,
         cwd=Path(__file__).parents[2],
         env={"TMPDIR": "/nowhere"},
     )
-    found: list[str] = json.loads(done.stdout)
+    found: list[str] = json.loads(process.stdout)
     return found
 
 
-def test_a_door_without_operators_imports_none_of_what_is_theirs() -> None:
-    assert not [name for name in modules() if name.startswith(NEW)]
-    assert {name for name in modules(operator="127.0.0.1:2")} >= set(NEW)
+def test_optional_modules_are_imported_only_with_an_operator() -> None:
+    assert not [name for name in imported_modules() if name.startswith(OPTIONAL_MODULES)]
+    assert {name for name in imported_modules(operator="127.0.0.1:2")} >= set(OPTIONAL_MODULES)
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -1,4 +1,4 @@
-"""A door whose routes come from a description, on sockets: requests by route, and swaps under load."""
+"""Routing by a description, on sockets: requests by route, and replacing the route table under load."""
 
 from __future__ import annotations
 
@@ -69,16 +69,16 @@
 
 
 def request(method: str = "GET", target: str = "/check/7", body: bytes = b"", **headers: str | None) -> bytes:
-    told: dict[str, str | None] = {
+    fields: dict[str, str | None] = {
         "Host": "svc",
         "X-Trace-Id": "ab12",
         "Plan": "basic",
         "Account": "00000000b4d65521",
     }
-    told |= {key.replace("_", "-"): value for key, value in headers.items()}
+    fields |= {key.replace("_", "-"): value for key, value in headers.items()}
     if method not in ("GET", "HEAD"):
-        told["Content-Length"] = str(len(body))
-    lines = "".join(f"{key}: {value}\r\n" for key, value in told.items() if value is not None)
+        fields["Content-Length"] = str(len(body))
+    lines = "".join(f"{key}: {value}\r\n" for key, value in fields.items() if value is not None)
     return f"{method} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
@@ -96,19 +96,19 @@
     finally:
         program.discovery.stop()
         program.clients.stop_listening()
-        program.router.routes = type(program.router.routes)(str(file), 0)  # no further looks
+        program.router.routes = type(program.router.routes)(str(file), 0)  # no further checks
         for writer in run.writers:
             writer.transport.abort()
 
 
-def router_of(door: Running) -> Router:
-    assert door.program.router is not None
-    return door.program.router
+def router_of(front_door: Running) -> Router:
+    assert front_door.program.router is not None
+    return front_door.program.router
 
 
-async def swapped(door: Running, file: Path, text: str) -> bool:
-    """Put a new description in place by a rename and have it read; whether it was taken."""
-    router = router_of(door)
+async def replaced_table(front_door: Running, file: Path, text: str) -> bool:
+    """Replace the description by a rename and load it; whether it was accepted."""
+    router = router_of(front_door)
     before = router.table.number
     replace(file, text)
     settled = asyncio.Event()
@@ -145,7 +145,7 @@
     )
 
     async def run() -> None:
-        async with routed(file, script) as door:
+        async with routed(file, script) as front_door:
             for n, text in enumerate(
                 (
                     request(target="/check/7?n=3"),
@@ -155,7 +155,7 @@
                     request(target="http://svc/check/%37", X_Trace_Id=None),
                 )
             ):
-                status = (await door.call(text.replace(b"ab12", b"t%d" % n)))[0].split()[1]
+                status = (await front_door.call(text.replace(b"ab12", b"t%d" % n)))[0].split()[1]
                 assert status == "429", n
             arrivals = await script.wait_for(RequestArrived, 5)
             changed = (await script.wait_for(ClassesChanged))[0]
@@ -170,7 +170,7 @@
             assert [a.units for a in arrivals] == [3.0, 4.0, 2.0, 1.0, 1.0]
             assert [a.plan_index for a in arrivals] == [0, 0, 0, 1, 0]
             assert arrivals[0].account_id == 0xB4D65521 and arrivals[3].account_id not in (0, 0xB4D65521)
-            assert all(a.class_index >= 2 for a in arrivals)  # the settings' own classes keep their numbers
+            assert all(a.class_index >= 2 for a in arrivals)  # the classes of the settings keep their numbers
 
     on_loop(run)
 
@@ -200,12 +200,12 @@
         ),
     ],
 )
-def test_what_no_route_takes_is_answered_at_once(file: Path, text: bytes, status: str) -> None:
+def test_requests_that_match_no_route_are_rejected_at_once(file: Path, text: bytes, status: str) -> None:
     script = Script(lambda event: [])
 
     async def run() -> None:
-        async with routed(file, script) as door:
-            line, headers, _ = await door.call(text)
+        async with routed(file, script) as front_door:
+            line, headers, _ = await front_door.call(text)
             assert line.split()[1] == status
             assert status != "405" or headers["allow"] == "POST, PUT"
             assert not any(isinstance(e, RequestArrived) for e in script.seen)
@@ -213,51 +213,51 @@
     on_loop(run)
 
 
-def test_path_query_and_body_go_on_unchanged_and_head_has_no_body(file: Path) -> None:
+def test_path_query_and_body_are_forwarded_unchanged_and_head_has_no_body(file: Path) -> None:
     async def run() -> None:
         async with (
             Peer() as backend,
-            routed(file, Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+            routed(file, Script(send_all), known=whole_list(member("s-1", backend.port))) as front_door,
         ):
-            client, to_door = await door.client()
-            to_door.write(request("POST", "http://svc/claim?a=%2F&n", b'{"n":2}', X_Claim="k"))
+            client, to_front_door = await front_door.client()
+            to_front_door.write(request("POST", "http://svc/claim?a=%2F&n", b'{"n":2}', X_Claim="k"))
             reader, writer = await backend.connection()
             line, headers, body = await read_message(reader)
             assert (line, headers["x-claim"], body) == ("POST /claim?a=%2F&n HTTP/1.1", "k", b'{"n":2}')
             writer.write(answer(200, b"filed"))
             assert (await read_message(client))[2] == b"filed"
-            to_door.write(request("HEAD", "/check/7", X_Trace_Id="t2"))
+            to_front_door.write(request("HEAD", "/check/7", X_Trace_Id="t2"))
             reader, writer = await backend.connection()
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HEAD /check/7 HTTP/1.1\r\n")
-            writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n")  # no body comes
+            writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n")  # no body follows
             head = await client.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200") and b"content-length" not in head.lower()
-            to_door.write(request(X_Trace_Id="t3"))
-            await backend.connection()  # a connection that an answer to HEAD came on is not used again
+            to_front_door.write(request(X_Trace_Id="t3"))
+            await backend.connection()  # a connection is not reused after a response to HEAD
 
     on_loop(run)
 
 
-def test_an_error_to_head_has_no_body_either(file: Path) -> None:
-    """The body of a refusal would be read as the beginning of the next answer."""
+def test_an_error_response_to_head_has_no_body(file: Path) -> None:
+    """The client would parse a body as the next response."""
     script = Script(
         lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
     )
 
     async def run() -> None:
-        async with routed(file, script) as door:
-            client, to_door = await door.client()
+        async with routed(file, script) as front_door:
+            client, to_front_door = await front_door.client()
             cases = (("/check/7", b"429"), ("/none", b"404"), ("/_health", b"503"))
             for n, (target, status) in enumerate(cases):
-                to_door.write(request("HEAD", target, X_Trace_Id=f"t{n}"))
+                to_front_door.write(request("HEAD", target, X_Trace_Id=f"t{n}"))
                 assert (await client.readuntil(b"\r\n\r\n")).split()[1] == status
-            to_door.write(request(target="/none"))
+            to_front_door.write(request(target="/none"))
             assert (await read_message(client))[0].split()[1] == "404"
 
     on_loop(run)
 
 
-def test_a_start_with_a_description_that_is_wrong_is_refused(file: Path) -> None:
+def test_a_start_with_an_invalid_description_fails(file: Path) -> None:
     file.write_text(HEAD + "paths: {/a: {get: 3}}\n")
 
     async def run() -> None:
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "says"),
+    ("routes", "message"),
     [
         ("x", "wanted an object with file"),
         ({"file": ""}, "wanted an object with file"),
@@ -278,20 +278,20 @@
         ({"file": "a", "watch_ms": True}, "wanted 0, or 10"),
     ],
 )
-def test_the_configurations_key_is_checked(told: object, says: str) -> None:
-    with pytest.raises(ConfigError, match=says):
-        parse({"listen": "a:1", "discovery": "a:1", "settings": settings(), "routes": told})
+def test_the_routes_setting_is_checked(routes: object, message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
+        parse({"listen": "a:1", "discovery": "a:1", "settings": settings(), "routes": routes})
 
 
-# Swaps
+# Replacing the table
 
 
-def test_bad_swaps_are_refused_whole_and_the_old_routes_go_on(file: Path) -> None:
+def test_invalid_descriptions_are_rejected_and_the_former_routes_stay(file: Path) -> None:
     async def run() -> None:
         script = Script(
             lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
         )
-        async with routed(file, script) as door:
+        async with routed(file, script) as front_door:
             for text in (
                 PATHS.replace("get:", "get: {"),
                 PATHS.replace("/claim", "/claims"),
@@ -300,26 +300,26 @@
                 "",
                 PATHS.replace("put: {}", "put: {x-irisdeal: {repeat: safe}}"),
             ):
-                assert not await swapped(door, file, text), text
-            assert router_of(door).rejected_count == 6 and router_of(door).table.number == 1
-            assert (await door.call(request()))[0].split()[1] == "429"
-            on_purpose = PATHS.replace("paths:", "x-irisdeal: {allow: [weaken, remove]}\npaths:")
-            on_purpose = on_purpose.replace("put: {}", "put: {x-irisdeal: {repeat: safe}}")
-            assert await swapped(door, file, on_purpose.replace("/claim", "/claims"))
-            assert (await door.call(request("POST", "/claim", b"", X_Claim="k")))[0].split()[1] == "404"
+                assert not await replaced_table(front_door, file, text), text
+            assert router_of(front_door).rejected_count == 6 and router_of(front_door).table.number == 1
+            assert (await front_door.call(request()))[0].split()[1] == "429"
+            allowed_change = PATHS.replace("paths:", "x-irisdeal: {allow: [weaken, remove]}\npaths:")
+            allowed_change = allowed_change.replace("put: {}", "put: {x-irisdeal: {repeat: safe}}")
+            assert await replaced_table(front_door, file, allowed_change.replace("/claim", "/claims"))
+            assert (await front_door.call(request("POST", "/claim", b"", X_Claim="k")))[0].split()[1] == "404"
 
     on_loop(run)
 
 
-def test_a_watched_file_is_taken_after_renames_and_link_swaps(file: Path, tmp_path: Path) -> None:
+def test_a_watched_file_is_loaded_after_renames_and_changed_links(file: Path, tmp_path: Path) -> None:
     link, other = tmp_path / "link.yaml", tmp_path / "other.yaml"
     link.symlink_to(file)
     allowed = PATHS.replace("paths:", "x-irisdeal: {allow: [remove]}\npaths:")
     other.write_text(allowed.replace("/file", "/files"))
 
     async def run() -> None:
-        async with routed(link, Script(lambda event: []), watch=10) as door:
-            router = router_of(door)
+        async with routed(link, Script(lambda event: []), watch=10) as front_door:
+            router = router_of(front_door)
 
             async def generation(number: int) -> None:
                 while router.table.number < number:
@@ -331,7 +331,7 @@
             os.replace(tmp_path / "next", link)
             await generation(3)
             assert ("POST", "/files") in router.table.routes
-            file.write_text("half")  # no longer what the link leads to
+            file.write_text("half")  # no longer the target of the link
             other.write_text(other.read_text()[:200])  # half-written
             while not router.rejected_count:
                 await asyncio.sleep(0.005)
@@ -340,7 +340,7 @@
     on_loop(run)
 
 
-def test_a_reader_that_says_nothing_or_dies_is_left_and_the_old_routes_go_on(
+def test_the_former_routes_stay_if_the_reader_process_hangs_or_fails(
     file: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -348,40 +348,40 @@
         script = Script(
             lambda event: [RejectRequest(event.request_id)] if isinstance(event, RequestArrived) else []
         )
-        async with routed(file, script) as door:
-            router, settled = router_of(door), asyncio.Event()
-            router.on_loaded = settled.set
+        async with routed(file, script) as front_door:
+            router, loaded = router_of(front_door), asyncio.Event()
+            router.on_loaded = loaded.set
             monkeypatch.setattr("irisdeal.front_door.server.routed.READ_TIMEOUT_S", 0.5)
             file.unlink()
-            os.mkfifo(file)  # opening it waits for a writer that never comes
+            os.mkfifo(file)  # opening it blocks until a writer opens it, which never happens
             router.load()
-            await settled.wait()
+            await loaded.wait()
             monkeypatch.setattr("irisdeal.front_door.server.routed.READ_TIMEOUT_S", 15.0)
             monkeypatch.setattr("irisdeal.front_door.server.routed.sys.executable", "/bin/false")
-            settled.clear()
+            loaded.clear()
             router.load()
-            await settled.wait()
+            await loaded.wait()
             assert (router.rejected_count, router.table.number) == (2, 1)
-            assert (await door.call(request()))[0].split()[1] == "429"
+            assert (await front_door.call(request()))[0].split()[1] == "429"
 
     on_loop(run)
 
 
-def test_an_open_request_keeps_its_class_and_gets_the_stricter_rule(file: Path) -> None:
-    """Open on a keyed route that turns unsafe and vanishes: cost and times stay, the rule tightens."""
+def test_an_open_request_keeps_its_cost_and_gets_the_stricter_rule(file: Path) -> None:
+    """The route of an open keyed request becomes unsafe, then is removed: it keeps cost and times."""
     script = Script(send_all)
 
     async def run() -> None:
         async with (
             Peer() as backend,
-            routed(file, script, known=whole_list(member("s-1", backend.port))) as door,
+            routed(file, script, known=whole_list(member("s-1", backend.port))) as front_door,
         ):
-            _, to_door = await door.client()
-            to_door.write(request("POST", "/claim", b'{"n":2}', X_Claim="k"))
+            _, to_front_door = await front_door.client()
+            to_front_door.write(request("POST", "/claim", b'{"n":2}', X_Claim="k"))
             await backend.connection()
             arrival = (await script.wait_for(RequestArrived))[0]
             unsafe = PATHS.replace("repeat: {keyed: {header: X-Claim}}", "repeat: unsafe")
-            assert await swapped(door, file, unsafe)
+            assert await replaced_table(front_door, file, unsafe)
             restricted = (await script.wait_for(RequestClassChanged))[0]
             changed = (await script.wait_for(ClassesChanged, 2))[-1]
             old, new = (changed.classes[n] for n in (arrival.class_index, restricted.class_index))
@@ -394,13 +394,13 @@
             )
             gone = PATHS.replace("paths:", "x-irisdeal: {allow: [remove]}\npaths:")
             gone = gone.replace("/claim", "/claims")
-            assert await swapped(door, file, gone)
-            assert router_of(door).classes.rules[restricted.class_index] is not None  # still in use
+            assert await replaced_table(front_door, file, gone)
+            assert router_of(front_door).classes.rules[restricted.class_index] is not None  # still in use
 
     on_loop(run)
 
 
-def test_an_open_request_whose_routes_parameter_is_renamed_is_found_again(file: Path) -> None:
+def test_an_open_request_follows_its_route_when_a_path_parameter_is_renamed(file: Path) -> None:
     script = Script(send_all)
     keyed = PATHS + "  /claims/{shop}: {put: {x-irisdeal: {repeat: keyed}}}\n"
 
@@ -408,14 +408,16 @@
         file.write_text(keyed)
         async with (
             Peer() as backend,
-            routed(file, script, known=whole_list(member("s-1", backend.port))) as door,
+            routed(file, script, known=whole_list(member("s-1", backend.port))) as front_door,
         ):
-            _, to_door = await door.client()
-            to_door.write(request("PUT", "/claims/a%2Fb", Idempotency_Key="k"))
+            _, to_front_door = await front_door.client()
+            to_front_door.write(request("PUT", "/claims/a%2Fb", Idempotency_Key="k"))
             await backend.connection()
             arrival = (await script.wait_for(RequestArrived))[0]
-            assert await swapped(
-                door, file, keyed.replace("{shop}", "{store}").replace("repeat: keyed}", "repeat: unsafe}")
+            assert await replaced_table(
+                front_door,
+                file,
+                keyed.replace("{shop}", "{store}").replace("repeat: keyed}", "repeat: unsafe}"),
             )
             restricted = (await script.wait_for(RequestClassChanged))[0]
             changed = (await script.wait_for(ClassesChanged, 2))[-1]
@@ -425,11 +427,11 @@
     on_loop(run)
 
 
-def test_the_module_sends_no_further_attempt_once_the_rule_is_stricter() -> None:
+def test_no_further_attempt_is_sent_once_the_rule_is_stricter() -> None:
     made = desk_settings()
     gateway = Gateway(made, seed=1)
     servers = tuple(server_entry(n, zone=0) for n in range(1, 5))
-    start = 100_000_000  # long after the servers' own start
+    start = 100_000_000  # long after the start of the servers
     gateway.handle(start, [ServerList(ServerListKind.COMPLETE, 1, servers)])
 
     def sent(restrict: bool) -> list[type]:
@@ -443,7 +445,7 @@
     assert sent(False) == [StartAttempt] and sent(True) == []
 
 
-def test_the_module_learns_new_classes_and_keeps_what_it_knows_of_the_others() -> None:
+def test_new_classes_do_not_reset_the_statistics_of_the_others() -> None:
     made = desk_settings()
     gateway = Gateway(made, seed=1)
     gateway.mean_duration_us[0] = 123.0
@@ -458,7 +460,7 @@
         ClassesChanged(())
 
 
-def test_a_rule_is_never_made_milder_in_the_module() -> None:
+def test_a_weaker_rule_for_an_open_request_is_rejected() -> None:
     gateway = Gateway(desk_settings(), seed=1)
     gateway.handle(0, [RequestArrived(1, 7, 0, 2, 3_000_000, 1.0, 0, 3)])
     with pytest.raises(ValueError, match="wanted no milder"):
@@ -503,13 +505,15 @@
 
 
 def swapping(file: Path, rules: list[str], swaps: list[int]) -> Any:
-    """Swap all doors' descriptions over and over; after each swap every connection to a box is reset."""
+    """Replace the description of all front doors repeatedly; each time, reset all backend connections."""
 
     def begin(platform: Platform, programs: list[Program]) -> None:
         async def go() -> None:
             while not platform.closed:
                 for rule in rules:
-                    units = f"units: {1 + len(swaps) % 2}"  # each swap is one
+                    units = (
+                        f"units: {1 + len(swaps) % 2}"  # so that each description differs from the one before
+                    )
                     replace(file, LOADED.replace("CLAIM", rule).replace("units: 1", units))
                     waits = []
                     for program in programs:
@@ -523,7 +527,7 @@
                     assert isinstance(platform.relay, Relay)
                     for link in platform.relay.links:
                         link.reset()
-                    await asyncio.sleep(0.15)  # the readers must not take the whole machine
+                    await asyncio.sleep(0.15)  # limits the CPU time of the reader processes
 
         task = asyncio.get_running_loop().create_task(go())
         platform.tasks.add(task)
@@ -532,7 +536,7 @@
 
 
 def resent(attempts: list[Attempt], kind: str, since: int) -> list[str]:
-    """Requests of a class of which an attempt came after `since` while an earlier one may have run."""
+    """Trace ids of requests with an attempt after `since` although an earlier one may have been executed."""
     by_trace: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in attempts:
         if attempt.kind == kind:
@@ -548,8 +552,8 @@
     ]
 
 
-def test_swaps_under_load_with_resets_and_drains_resend_no_claim(file: Path) -> None:
-    """Keyed claims turn unsafe while requests are out, and their connections are reset behind the swap."""
+def test_replacing_the_table_under_load_with_resets_and_drains_resends_no_claim(file: Path) -> None:
+    """Keyed claims become unsafe while attempts are in progress, whose connections are reset afterwards."""
     file.write_text(LOADED.replace("CLAIM", KEYED_RULE))
     swaps: list[int] = []
     run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, ["unsafe"], swaps)))
@@ -563,8 +567,8 @@
     assert resent(run.request_log.attempts, "file", 0) == []
 
 
-def test_the_same_day_with_keyed_claims_does_resend_them(file: Path) -> None:
-    """What the test above would see if the rule did not change: it can fail."""
+def test_the_same_load_with_keyed_claims_does_resend_them(file: Path) -> None:
+    """Shows that the test above can fail: with unchanged rules claims are sent again."""
     file.write_text(LOADED.replace("CLAIM", KEYED_RULE))
     swaps: list[int] = []
     run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, [KEYED_RULE], swaps)))
@@ -574,11 +578,11 @@
     assert all(p.router is not None and len(p.router.classes.rules) < 16 for p in run.programs)
 
 
-def test_a_big_table_is_built_while_the_loop_runs(file: Path) -> None:
+def test_the_event_loop_runs_while_a_big_table_is_built(file: Path) -> None:
     paths = "".join(f"  /thing{n}/{{id}}: {{get: {{}}}}\n" for n in range(2_000))
 
     async def run() -> None:
-        async with routed(file, Script(lambda event: [])) as door:
+        async with routed(file, Script(lambda event: [])) as front_door:
             turns = [0]
 
             def turn() -> None:
@@ -587,34 +591,36 @@
 
             turn()
             before = turns[0]
-            assert await swapped(door, file, PATHS + paths)
-            assert turns[0] - before > 2 * 2_000 // 16  # a rest for every few lines, and for every few routes
-            assert len(router_of(door).table.routes) == 2_004
+            assert await replaced_table(front_door, file, PATHS + paths)
+            assert (
+                turns[0] - before > 2 * 2_000 // 16
+            )  # a slice for every few lines, and for every few routes
+            assert len(router_of(front_door).table.routes) == 2_004
 
     on_loop(run)
 
 
-def test_sighup_reads_the_description_again_in_a_real_door(file: Path, tmp_path: Path) -> None:
+def test_sighup_reloads_the_description_in_a_real_process(file: Path, tmp_path: Path) -> None:
     async def run() -> None:
         path, port = tmp_path / "config.json", await free_port()
-        told = {
+        document = {
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:9",
             "settings": settings(),
             "known": whole_list(member("s-1", 9)),
             "routes": {"file": str(file), "watch_ms": 0},
         }
-        door = await start(path, told)
-        assert door.stderr is not None
-        while b"generation 1 " not in await door.stderr.readline():
+        front_door = await start(path, document)
+        assert front_door.stderr is not None
+        while b"generation 1 " not in await front_door.stderr.readline():
             pass
         replace(file, PATHS + "  /new: {get: {}}\n")
-        door.send_signal(signal.SIGHUP)
-        while b"generation 2 replaces 1, 5 routes" not in await door.stderr.readline():
+        front_door.send_signal(signal.SIGHUP)
+        while b"generation 2 replaces 1, 5 routes" not in await front_door.stderr.readline():
             pass
         replace(file, "openapi: 4\n")
-        door.send_signal(signal.SIGHUP)
-        while b"routes rejected, keeping generation 2" not in await door.stderr.readline():
+        front_door.send_signal(signal.SIGHUP)
+        while b"routes rejected, keeping generation 2" not in await front_door.stderr.readline():
             pass
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for target, status in (("/new", b"400"), ("/gone", b"404")):
@@ -623,27 +629,29 @@
             await reader.readuntil(b"\n\r\n")
             await reader.readuntil(b"\n")
         writer.close()
-        door.send_signal(signal.SIGTERM)
-        await door.communicate()
-        assert door.returncode == 0
+        front_door.send_signal(signal.SIGTERM)
+        await front_door.communicate()
+        assert front_door.returncode == 0
 
     asyncio.run(run())
 
 
-def test_a_real_door_with_a_wrong_description_ends_with_2_and_one_line(file: Path, tmp_path: Path) -> None:
+def test_a_real_process_with_an_invalid_description_prints_one_line_and_exits_with_2(
+    file: Path, tmp_path: Path
+) -> None:
     file.write_text("openapi: 4\n")
 
     async def run() -> None:
         listen = f"127.0.0.1:{await free_port()}"
-        told = {
+        document = {
             "listen": listen,
             "discovery": "127.0.0.1:9",
             "settings": settings(),
             "routes": {"file": str(file)},
         }
-        door = await start(tmp_path / "config.json", told)
-        _, said = await door.communicate()
-        assert door.returncode == 2
-        assert said.decode().startswith("irisdeal: routes: ") and said.count(b"\n") == 1
+        front_door = await start(tmp_path / "config.json", document)
+        _, errors = await front_door.communicate()
+        assert front_door.returncode == 2
+        assert errors.decode().startswith("irisdeal: routes: ") and errors.count(b"\n") == 1
 
     asyncio.run(run())
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies and slow peers: the pure rules, and bodies both ways through a running door."""
+"""Streaming of long bodies and slow peers: the limits, the decision module, and a running front door."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 LONG = 1_000_000
 
-# Pure rules
+# Limits
 
 
 def test_all_streams_stay_within_the_budget_and_each_makes_progress() -> None:
@@ -64,7 +64,7 @@
                 del allowances[allowance]
                 allowance.release()
                 allowance.release()
-            else:  # it is fed one read where it may be
+            else:  # one read if allowed
                 allowances[allowance] = held = chance.choice([0, allowances[allowance]])
                 if allowance.allows(held):
                     allowances[allowance] += MAX_READ_BYTES
@@ -81,7 +81,7 @@
     budget = ByteBudget(80 << 20)
     allowance = budget.admit()
     assert allowance.allows(4 << 20) and not allowance.allows(budget.total_bytes)
-    assert budget.admit().allows(1 << 20)  # something is left for others
+    assert budget.admit().allows(1 << 20)  # the rest is left for other streams
 
 
 def test_a_head_has_a_timeout_and_a_body_may_be_slow_but_not_idle() -> None:
@@ -89,7 +89,7 @@
     assert not progress.is_too_slow(10.0 + HEAD_TIMEOUT_S) and progress.is_too_slow(10.1 + HEAD_TIMEOUT_S)
     progress.head_complete(12.0)
     now = 12.0
-    for _ in range(200):  # 64 kB a second, for long
+    for _ in range(200):  # 64 kB/s for 100 s
         now += 0.5
         progress.received(32_000, now)
         assert not progress.is_too_slow(now)
@@ -100,23 +100,23 @@
     times = [n * 0.1 for n in range(1, 200)]
     for at in times:
         slow.received(int(MIN_BODY_BYTES_PER_S / 40), at)
-    assert slow.is_too_slow(times[-1])  # it trickles
+    assert slow.is_too_slow(times[-1])  # below the minimum rate
     read = ReceiveProgress(0.0)
     read.head_complete(0.0)
     read.received(1000, 0.1)
-    read.reading_resumed(60.0)  # it was not read for a minute
+    read.reading_resumed(60.0)  # reading was paused for 60 s
     assert not read.is_too_slow(60.0 + BODY_IDLE_TIMEOUT_S - 0.2)
 
 
-# The module
+# The decision module
 
 
-def test_the_time_of_a_body_on_its_way_counts_from_its_last_byte() -> None:
+def test_the_time_of_a_request_with_a_streamed_body_starts_at_its_last_byte() -> None:
     desk = GatewayHarness()
     [send] = actions_of_type(
         StartAttempt, desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
     )
-    for _ in range(50):  # ten seconds: no time-out, no second copy, no mark against the server
+    for _ in range(50):  # 10 s: no timeout, no second attempt, no failure of the server
         desk.now += 200 * MS
         assert not any(isinstance(action, RejectRequest | StartAttempt) for action in desk.handle())
     assert not desk.gateway.servers[send.server_id].failure_rates[None]
@@ -128,10 +128,10 @@
     assert {type(a) for a in seen} >= {
         StartAttempt,
         RejectRequest,
-    }  # a second copy, and in the end its answer
+    }  # a second attempt, and finally the rejection
 
 
-def test_a_request_that_is_not_sent_with_its_body_on_the_way_is_refused_in_time() -> None:
+def test_a_request_that_cannot_be_sent_during_its_upload_is_rejected_in_time() -> None:
     desk = GatewayHarness(servers=0)
     desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
     seen = list[Action]()
@@ -142,9 +142,8 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_units_that_count_at_the_last_byte_keep_the_ceiling(seed: int) -> None:
-    """Long bodies go out for four seconds and all come to their end at once, as a store that had time to
-    fill meets a flood of short requests."""
+def test_units_counted_at_the_last_byte_stay_within_the_ceiling(seed: int) -> None:
+    """Uploads of 4 s all end at once, when the token bucket is full and short requests flood in."""
     chance, desk = random.Random(seed), GatewayHarness(seed=seed, has_counter=False)
     plan = desk.settings.plans[CEILED]
     counted: list[int] = []
@@ -179,7 +178,7 @@
             assert passed <= most + rate * length / SECOND + 1.0
 
 
-# Through a door
+# A running front door
 
 
 def body_of(size: int, seed: int = 1) -> bytes:
@@ -187,7 +186,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One answer in any framing."""
+    """Read one response in any framing."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     if "content-length" in headers:
@@ -237,27 +236,31 @@
 
 @pytest.mark.parametrize("how", ["length", "close", "old", "chunked"])
 @pytest.mark.parametrize(("size", "most"), [(100, 7), (60_000, 9_000), (LONG, 50_000), (LONG, LONG)])
-def test_answers_of_any_form_and_size_go_through_in_any_pieces(how: str, size: int, most: int) -> None:
+def test_responses_of_any_framing_and_size_are_forwarded(how: str, size: int, most: int) -> None:
     @socket_test
     async def run() -> None:
         data = body_of(size)
-        async with Peer() as backend, running(**one_backend(backend.port)) as door:
-            reader, writer = await door.client()
+        async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+            reader, writer = await front_door.client()
             for trace in ("a1", "a2"):
                 writer.write(ask(trace=trace))
-                from_door, to_door = await backend.connection()
-                await read_message(from_door)
-                sending = asyncio.create_task(in_pieces(to_door, framed(data, how), size, most))
-                sending.add_done_callback(lambda _, to_door=to_door: to_door.close())  # type: ignore[misc]
+                from_front_door, to_front_door = await backend.connection()
+                await read_message(from_front_door)
+                sending = asyncio.create_task(in_pieces(to_front_door, framed(data, how), size, most))
+                sending.add_done_callback(lambda _, peer=to_front_door: peer.close())  # type: ignore[misc]
                 line, headers, got = await read_answer(reader)
                 assert line == "HTTP/1.1 200 OK" and got == data
                 assert ("content-length" in headers) is (how == "length" or size <= 65_536)
                 await sending
-            told = await figures(door)
-            assert told['edge_completed_total{lane="look"}'] == 2 and told["edge_pending"] == 0
-            assert door.program.clients.budget is not None and door.program.clients.budget.streams == 0
+            metrics = await figures(front_door)
+            assert metrics['edge_completed_total{lane="look"}'] == 2 and metrics["edge_pending"] == 0
             assert (
-                door.program.decision_loop.unanswered_count == 0 and not door.program.decision_loop.requests
+                front_door.program.clients.budget is not None
+                and front_door.program.clients.budget.streams == 0
+            )
+            assert (
+                front_door.program.decision_loop.unanswered_count == 0
+                and not front_door.program.decision_loop.requests
             )
 
     run()
@@ -271,53 +274,58 @@
 
 
 async def read_upload(reader: asyncio.StreamReader) -> tuple[dict[str, str], bytes]:
-    _, headers, data = await read_answer(reader)  # a request is framed alike
+    _, headers, data = await read_answer(reader)  # requests have the same framing
     return headers, data
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @pytest.mark.parametrize(("size", "most"), [(100_000, 9_000), (LONG, 50_000), (2 * LONG, LONG)])
-def test_bodies_of_any_form_go_through_in_any_pieces(form: str, size: int, most: int) -> None:
+def test_request_bodies_of_any_framing_and_size_are_forwarded(form: str, size: int, most: int) -> None:
     @socket_test
     async def run() -> None:
         data = body_of(size)
-        async with Peer() as backend, running(**one_backend(backend.port)) as door:
-            reader, writer = await door.client()
+        async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+            reader, writer = await front_door.client()
             sending = asyncio.create_task(in_pieces(writer, upload(data, form), size, most))
-            from_door, to_door = await backend.connection()
-            headers, got = await read_upload(from_door)
+            from_front_door, to_front_door = await backend.connection()
+            headers, got = await read_upload(from_front_door)
             assert (headers["x-trace-id"], got) == ("u1", data)
-            assert (await figures(door))["edge_upstream_requests_total"] == 1
-            to_door.write(answer(200, b"filed"))
+            assert (await figures(front_door))["edge_upstream_requests_total"] == 1
+            to_front_door.write(answer(200, b"filed"))
             assert (await read_message(reader))[2] == b"filed"
             await sending
-            writer.write(ask(trace="a2"))  # the connection is good for more
-            from_door, to_door = await backend.connection() if to_door.is_closing() else (from_door, to_door)
+            writer.write(ask(trace="a2"))  # the connection can be reused
+            from_front_door, to_front_door = (
+                await backend.connection() if to_front_door.is_closing() else (from_front_door, to_front_door)
+            )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.3):
-                    await read_message(from_door)
-            assert door.program.clients.budget is not None and door.program.clients.budget.streams == 0
+                    await read_message(from_front_door)
+            assert (
+                front_door.program.clients.budget is not None
+                and front_door.program.clients.budget.streams == 0
+            )
 
     run()
 
 
 @socket_test
-async def test_nothing_is_read_ahead_of_a_client_that_does_not_read() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_reading_from_the_backend_stops_while_the_client_does_not_read() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(ask())
-        from_door, to_door = await backend.connection()
-        await read_message(from_door)
+        from_front_door, to_front_door = await backend.connection()
+        await read_message(from_front_door)
         data = body_of(24 * LONG)
-        sending = asyncio.create_task(in_pieces(to_door, answer(200, data), 3, LONG))
+        sending = asyncio.create_task(in_pieces(to_front_door, answer(200, data), 3, LONG))
         client = None
         while client is None or not client.write_paused:
             await asyncio.sleep(0.005)
-            client = next(iter(door.program.clients.connections))
+            client = next(iter(front_door.program.clients.connections))
         await asyncio.sleep(0.1)
         assert client.transport is not None
-        budget = door.program.clients.budget
+        budget = front_door.program.clients.budget
         assert budget is not None
         assert (
             client.transport.get_write_buffer_size()
@@ -330,81 +338,84 @@
 
 
 @socket_test
-async def test_an_answer_that_breaks_off_is_seen_not_to_be_whole() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
+async def test_the_client_sees_that_an_aborted_response_is_incomplete() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
         for how in ("length", "chunked"):
-            reader, writer = await door.client()
+            reader, writer = await front_door.client()
             writer.write(ask(trace=how))
-            from_door, to_door = await backend.connection()
-            await read_message(from_door)
-            to_door.write(framed(body_of(LONG), how)[: LONG // 2])
+            from_front_door, to_front_door = await backend.connection()
+            await read_message(from_front_door)
+            to_front_door.write(framed(body_of(LONG), how)[: LONG // 2])
             await reader.readuntil(b"\r\n\r\n")
-            to_door.transport.abort()
+            to_front_door.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await reader.readexactly(LONG)
             assert backend.accepted.empty()  # no further attempt
-        told = await figures(door)
-        assert told['edge_failed_total{lane="look"}'] == 2 and told["edge_pending"] == 0
+        metrics = await figures(front_door)
+        assert metrics['edge_failed_total{lane="look"}'] == 2 and metrics["edge_pending"] == 0
 
 
 @socket_test
-async def test_a_client_that_leaves_ends_what_flows_to_it() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_a_streamed_response_ends_when_its_client_disconnects() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask())
-        from_door, to_door = await backend.connection()
-        await read_message(from_door)
-        to_door.write(answer(200, body_of(LONG))[: LONG // 2])
+        from_front_door, to_front_door = await backend.connection()
+        await read_message(from_front_door)
+        to_front_door.write(answer(200, body_of(LONG))[: LONG // 2])
         await reader.readuntil(b"\r\n\r\n")
         writer.transport.abort()
         with contextlib.suppress(ConnectionResetError):
-            await from_door.read()
-        while door.program.decision_loop.requests:
+            await from_front_door.read()
+        while front_door.program.decision_loop.requests:
             await asyncio.sleep(0)
-        assert door.program.decision_loop.unanswered_count == 0 and (await figures(door))["edge_pending"] == 0
+        assert (
+            front_door.program.decision_loop.unanswered_count == 0
+            and (await figures(front_door))["edge_pending"] == 0
+        )
 
 
 @socket_test
-async def test_a_body_whose_client_leaves_half_way_never_ran() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        _, writer = await door.client()
+async def test_an_upload_whose_client_disconnects_is_not_completed() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        _, writer = await front_door.client()
         writer.write(upload(body_of(LONG), "length")[: LONG // 2])
-        from_door, _ = await backend.connection()
-        await from_door.readuntil(b"\r\n\r\n")
+        from_front_door, _ = await backend.connection()
+        await from_front_door.readuntil(b"\r\n\r\n")
         writer.transport.abort()
         with contextlib.suppress(ConnectionResetError):
-            await from_door.read()
-        told = await figures(door)
-        assert told["edge_upstream_requests_total"] == 0 and told["edge_pending"] == 0
+            await from_front_door.read()
+        metrics = await figures(front_door)
+        assert metrics["edge_upstream_requests_total"] == 0 and metrics["edge_pending"] == 0
 
 
 @socket_test
-async def test_a_body_that_was_passed_on_is_not_sent_again_and_its_client_hears_so() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_a_consumed_body_is_not_sent_again_and_its_client_gets_a_rejection() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.write(upload(body_of(LONG), "length")[: LONG // 2])
-        from_door, to_door = await backend.connection()
-        await from_door.readexactly(LONG // 3)
-        to_door.transport.abort()
+        from_front_door, to_front_door = await backend.connection()
+        await from_front_door.readexactly(LONG // 3)
+        to_front_door.transport.abort()
         line, headers, _ = await read_message(reader)
-        assert line.split()[1] in ("429", "503") and headers["connection"] == "close"  # it never ran
+        assert line.split()[1] in ("429", "503") and headers["connection"] == "close"  # not executed
         writer.write(b"x" * 1000)
         assert backend.accepted.empty()
 
 
 @socket_test
-async def test_a_body_that_is_refused_is_answered_at_once() -> None:
-    async with running(operator=OPERATOR, known=whole_list()) as door:
-        reader, writer = await door.client()
+async def test_a_rejected_upload_is_answered_at_once() -> None:
+    async with running(operator=OPERATOR, known=whole_list()) as front_door:
+        reader, writer = await front_door.client()
         writer.write(upload(body_of(LONG), "length")[:300_000])
         line, headers, _ = await read_message(reader)
         assert line.split()[1] in ("429", "503") and headers["connection"] == "close"
 
 
 @socket_test
-async def test_a_request_behind_a_long_answer_waits_for_its_turn() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_pipelined_streamed_responses_keep_their_order() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask(trace="a1"))
         first, to_first = await backend.connection()
         await read_message(first)
@@ -421,85 +432,90 @@
 
 
 @socket_test
-async def test_space_behind_a_field_is_no_part_of_it() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_whitespace_around_field_values_is_removed() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask().replace(b"X-Qos: look\r", b"X-Qos:look \t\r").replace(b"basic\r", b"basic \r"))
-        from_door, to_door = await backend.connection()
-        await read_message(from_door)
-        to_door.write(b"HTTP/1.1 503 X\r\nX-Never-Ran: 1 \t\r\nContent-Length:  2 \r\n\r\nno")
+        from_front_door, to_front_door = await backend.connection()
+        await read_message(from_front_door)
+        to_front_door.write(b"HTTP/1.1 503 X\r\nX-Never-Ran: 1 \t\r\nContent-Length:  2 \r\n\r\nno")
         assert (await read_message(reader))[0].split()[1] == "503"
 
 
 @socket_test
-async def test_an_old_client_gets_an_answer_of_unknown_length_to_its_end() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_an_http_1_0_client_gets_a_response_of_unknown_length() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         writer.write(ask().replace(b"HTTP/1.1", b"HTTP/1.0"))
-        from_door, to_door = await backend.connection()
-        await read_message(from_door)
+        from_front_door, to_front_door = await backend.connection()
+        await read_message(from_front_door)
         data = body_of(LONG)
-        to_door.write(framed(data, "chunked"))
+        to_front_door.write(framed(data, "chunked"))
         _, headers, got = await read_answer(reader)
         assert got == data and "transfer-encoding" not in headers and headers["connection"] == "close"
 
 
 @socket_test
-async def test_a_slow_head_and_a_slow_answer_are_waited_for() -> None:
-    async with Peer() as backend, running(**one_backend(backend.port)) as door:
-        reader, writer = await door.client()
+async def test_slow_request_headers_and_slow_responses_are_accepted() -> None:
+    async with Peer() as backend, running(**one_backend(backend.port)) as front_door:
+        reader, writer = await front_door.client()
         text = ask()
         for at in range(0, len(text), len(text) // 8 + 1):
             writer.write(text[at : at + len(text) // 8 + 1])
-            await asyncio.sleep(0.22)  # 1.8 s in all
-        from_door, to_door = await backend.connection()
-        await read_message(from_door)
+            await asyncio.sleep(0.22)  # 1.8 s in total
+        from_front_door, to_front_door = await backend.connection()
+        await read_message(from_front_door)
         made = answer(200, b"slowly")
-        to_door.write(made[:-3])
+        to_front_door.write(made[:-3])
         await asyncio.sleep(0.5)
-        to_door.write(made[-3:])
+        to_front_door.write(made[-3:])
         assert (await read_message(reader))[2] == b"slowly"
 
 
-def test_a_door_without_operators_passes_nothing_on() -> None:
+def test_without_an_operator_nothing_is_streamed() -> None:
     made = config()
     assert made.operator is None
 
     @socket_test
     async def run() -> None:
-        async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as door:
-            assert door.program.clients.budget is None
-            reader, writer = await door.client()
+        async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as front_door:
+            assert front_door.program.clients.budget is None
+            reader, writer = await front_door.client()
             writer.write(ask("file", Content_Length="100000"))
             assert (await read_message(reader))[0].split()[1] == "413"
 
     run()
 
 
-async def peak(door: Running) -> int:
-    return sum(c.transport.get_write_buffer_size() for c in door.program.clients.connections if c.transport)
+async def buffered_bytes(front_door: Running) -> int:
+    return sum(
+        c.transport.get_write_buffer_size() for c in front_door.program.clients.connections if c.transport
+    )
 
 
 @pytest.mark.parametrize("streams", [1, 20, 100])
-def test_what_is_held_stays_within_the_budget_however_many_streams(streams: int) -> None:
+def test_buffered_bytes_stay_within_the_budget_for_any_number_of_streams(streams: int) -> None:
     @socket_test
     async def run() -> None:
         limits = {"sockets": 1024, "memory_mb": 80}
-        async with Peer() as backend, running(limits=limits, **one_backend(backend.port)) as door:
-            budget = door.program.clients.budget
+        async with Peer() as backend, running(limits=limits, **one_backend(backend.port)) as front_door:
+            budget = front_door.program.clients.budget
             assert budget is not None
-            held, whole = 0, answer(200, bytes(12 * LONG), "Connection: close\r\n")  # more than kernels hold
+            held, whole = (
+                0,
+                answer(200, bytes(12 * LONG), "Connection: close\r\n"),
+            )  # more than the socket buffers hold
             for n in range(streams):
-                _, writer = await door.client()
+                _, writer = await front_door.client()
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
                 writer.write(ask(trace=f"a{n}"))
-                from_door, to_door = await backend.connection()
-                await read_message(from_door)
-                to_door.write(whole)
+                from_front_door, to_front_door = await backend.connection()
+                await read_message(from_front_door)
+                to_front_door.write(whole)
             for _ in range(20):
                 await asyncio.sleep(0.01)
-                held = max(held, await peak(door))
+                held = max(held, await buffered_bytes(front_door))
             assert budget.streams == streams and 0 < held <= budget.total_bytes
 
     run()
--- a/tests/front_door/test_upgrade.py
+++ b/tests/front_door/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade of a real process under load: clients on kept connections, none turned back unheard."""
+"""Upgrade of a real process under load: no client on a persistent connection loses a request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Service:
-    """A backend that answers at once, and what it was asked."""
+    """A backend that answers within 5 ms and records the trace ids of its requests."""
 
     def __init__(self) -> None:
         self.seen: list[str] = []
@@ -47,12 +47,12 @@
 
 
 class Load:
-    """Clients that ask one request after another, and open a new connection only when they are told to."""
+    """Clients that send one request after another, and reconnect only after `Connection: close`."""
 
     def __init__(self, port: int) -> None:
         self.port, self.stopped = port, False
-        self.served, self.unheard = 0, list[str]()
-        self.moved = set[int]()  # clients that were told to open a new connection
+        self.served, self.lost = 0, list[str]()
+        self.reconnected = set[int]()  # clients that received `Connection: close`
 
     async def client(self, number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -66,17 +66,17 @@
                 assert line == "HTTP/1.1 200 OK" and body == trace.encode(), (line, body)
                 self.served += 1
                 if headers.get("connection") == "close":
-                    self.moved.add(number)
+                    self.reconnected.add(number)
                     writer.close()
                     reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except (asyncio.IncompleteReadError, ConnectionError) as error:
-                self.unheard.append(f"{trace}: {error!r}")
+                self.lost.append(f"{trace}: {error!r}")
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             await asyncio.sleep(0.002 * (number % 3))
         writer.close()
 
 
-async def ready(port: int) -> bool:
+async def is_ready(port: int) -> bool:
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -88,9 +88,9 @@
 
 
 async def start(folder: Path, listen: int, backend: int) -> tuple[asyncio.subprocess.Process, int]:
-    """A process of the door that says yes."""
+    """Start a front door process and wait until it is ready; also returns its operator port."""
     operator = free_port()
-    told = {
+    document = {
         "name": "n0",
         "listen": f"127.0.0.1:{listen}",
         "discovery": "127.0.0.1:1",
@@ -101,7 +101,7 @@
         "settings": settings(),
     }
     path = folder / f"{operator}.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -110,14 +110,14 @@
         stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": str(folder)},
     )
-    while not await ready(operator):
+    while not await is_ready(operator):
         assert process.returncode is None
         await asyncio.sleep(0.02)
     return process, operator
 
 
 @socket_test
-async def test_two_upgrades_in_a_row_turn_no_request_back_and_send_none_twice() -> None:
+async def test_two_upgrades_in_a_row_lose_no_request_and_send_none_twice() -> None:
     service = Service()
     backend, listen = await service.start(), free_port()
     with tempfile.TemporaryDirectory() as text:
@@ -128,16 +128,16 @@
         try:
             for _ in range(2):
                 await asyncio.sleep(0.3)
-                load.moved.clear()
+                load.reconnected.clear()
                 running.append(await start(folder, listen, backend))
-                # Each kept connection ends with its next answer. One that has not spoken by the end may cross
-                # its close with a request, which a client then sends again (PROTOCOL, Clients to doors).
-                # (One that opens its connection anew just then is with the new process already.)
+                # Each persistent connection closes with its next response. One without a request by then is
+                # closed at the end; a request that crosses the close is lost, and clients may send it again.
+                # A client that reconnects on its own is connected to the new process already.
                 until = asyncio.get_running_loop().time() + 2.0
-                while len(load.moved) < CLIENTS and asyncio.get_running_loop().time() < until:
+                while len(load.reconnected) < CLIENTS and asyncio.get_running_loop().time() < until:
                     assert not [client.result() for client in clients if client.done()]
                     await asyncio.sleep(0.01)
-                assert len(load.moved) > CLIENTS // 2
+                assert len(load.reconnected) > CLIENTS // 2
                 old, _ = running[-2]
                 old.send_signal(signal.SIGTERM)
                 assert await old.wait() == 0
@@ -155,12 +155,12 @@
                 client.cancel()
             assert service.server is not None
             service.server.close()
-    assert not load.unheard
+    assert not load.lost
     assert len(service.seen) == len(set(service.seen)) == load.served
 
 
 @socket_test
-async def test_an_old_process_that_is_killed_leaves_the_new_one_serving_alone() -> None:
+async def test_a_new_process_continues_alone_after_the_old_one_is_killed() -> None:
     service = Service()
     backend, listen = await service.start(), free_port()
     with tempfile.TemporaryDirectory() as text:
@@ -176,7 +176,7 @@
                 await asyncio.sleep(0.01)
             load.stopped = True
             await client
-            assert not load.unheard and await ready(operator)
+            assert not load.lost and await is_ready(operator)
         finally:
             new.kill()
             await new.wait()
@@ -184,8 +184,8 @@
             service.server.close()
 
 
-def test_a_first_burst_has_waited_no_longer_than_the_door_listens() -> None:
+def test_a_first_burst_cannot_have_waited_longer_than_the_socket_listens() -> None:
     backlog = Backlog()
-    backlog.start_listening(5000.0)  # the loop's clock does not begin with the door
+    backlog.start_listening(5000.0)  # the clock of the event loop starts before the socket
     backlog.record_accepted(64, True, 5000.02)
     assert backlog.max_wait_s(5000.02) <= 0.021
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -1,4 +1,4 @@
-"""A day of the test services with front doors in the test's own loop, so that a test can break them."""
+"""Runs a scenario of the test services with front doors in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from irisdeal.testbed.scenario_files import parse as read
 from irisdeal.testbed.workload import draw
 
-# A day of three seconds in which every rule has something to say: short grace, short fall, a low ceiling.
+# A scenario of 3 s in which every rule takes effect: short grace periods and a low ceiling.
 SMALL = """
 seconds = 3
 doors = 2
@@ -96,25 +96,25 @@
 """
 )
 
-LATEST = 15.0  # s that an answer may take on a starved machine, and is waited for
+MAX_RESPONSE_DELAY_S = 15.0  # the load generator waits that long, for machines under load
 
 MakeDecider = Callable[[Settings, int], Decider]
 
 
 class NoFrontDoors:
-    """A day whose timeline does nothing to front doors."""
+    """For scenarios without faults of front doors."""
 
     async def kill(self, front_door: int, down: float) -> None:
-        raise AssertionError("no door is to be killed here")
+        raise AssertionError("this scenario kills no front door")
 
     async def restart(self, front_door: int) -> None:
-        raise AssertionError("no door is to be restarted here")
+        raise AssertionError("this scenario restarts no front door")
 
     async def stall(self, front_door: int, seconds: float) -> None:
-        raise AssertionError("no door is to be stopped here")
+        raise AssertionError("this scenario stalls no front door")
 
     async def reload(self, front_door: int) -> None:
-        raise AssertionError("no door is to be told anything here")
+        raise AssertionError("this scenario reloads no front door")
 
 
 @dataclass
@@ -137,9 +137,9 @@
     during: Callable[[Platform, LoadGenerator], None] = lambda *_: None,
     routes: Path | None = None,
     started: Callable[[Platform, list[Program]], None] = lambda *_: None,
-    patience: float = 10.0,
+    max_wait_s: float = 10.0,
 ) -> Played:
-    """Play a scenario with in-loop front doors; `spoil` may break each of them before it starts."""
+    """Run a scenario with front doors in this event loop; `spoil` may modify each one before its start."""
     platform = Platform(draw(read(text), seed))
     await platform.start()
     loop, programs = asyncio.get_running_loop(), list[Program]()
@@ -158,26 +158,26 @@
             platform.request_log.front_doors.append(FrontDoorIncarnation(front_door, 0, platform.now()))
         addresses = [("127.0.0.1", program.clients.port()) for program in programs]
         load_generator = LoadGenerator(platform.day, platform.request_log, platform.now, addresses)
-        load_generator.late_watch = LATEST  # a late answer is to be seen as one, however starved this loop is
+        load_generator.late_watch = MAX_RESPONSE_DELAY_S  # also detects late responses on a busy machine
         start = platform.now()
         platform.play(start, NoFrontDoors())
         during(platform, load_generator)
         started(platform, programs)
         await load_generator.run(start)
-        until = loop.time() + patience
-        while loop.time() < until and any(
+        deadline = loop.time() + max_wait_s
+        while loop.time() < deadline and any(
             t.at and not (t.answers or t.disconnected_at or t.crossed)
             for t in platform.request_log.client_attempts
         ):
             await asyncio.sleep(0.01)
-        await asyncio.sleep(0.1)  # for what a front door sends behind its last answer
+        await asyncio.sleep(0.1)  # for unexpected bytes after the last response
     finally:
         for program in programs:
             program.discovery.stop()
             program.clients.stop_listening()
         load_generator.close()
         platform.close()
-    # Front doors and test services share this loop: how late an answer is says how busy the machine is.
+    # Front doors and test services share this loop, so the delay of responses depends on the machine.
     verdict = audit(platform.request_log, platform.figures, timed=False)
     return Played(platform.request_log, verdict, programs, platform)
 
@@ -188,8 +188,8 @@
     make: MakeDecider = Gateway,
     spoil: Callable[[Program], None] = lambda _: None,
 ) -> front_door_day.Played:
-    """The same in virtual time: nothing waits, and lateness is judged."""
-    logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # broken front doors have much to say
+    """Run a scenario in virtual time, without waiting; the delay of responses is checked as well."""
+    logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # modified front doors log many errors
     try:
         return front_door_day.play(draw(read(text), seed), make, spoil)
     finally:
