--- a/irisdeal/front_door/server/backends.py
+++ b/irisdeal/front_door/server/backends.py
@@ -177,10 +177,12 @@
         self.on_end(self, result, response)
 
     def is_written(self) -> bool:
+        """Whether the request was written completely."""
         return self.connection is not None and self.connection.written
 
     def time_out(self) -> None:
         # A request that was never written cannot have been executed, however long connecting took.
+        """End the attempt at its timeout."""
         self.finish(Result.TIMED_OUT if self.is_written() else Result.NOT_CONNECTED)
 
 
@@ -221,6 +223,7 @@
     # Used by the pool
 
     def start_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt, once the connection is open."""
         self.attempt, attempt.connection = attempt, self
         if self.transport is not None:
             self._write_request()
@@ -244,6 +247,7 @@
     # Streamed request bodies
 
     def write_body(self, data: bytes) -> None:
+        """Write bytes of a streamed request body."""
         if self.transport is not None:
             self.transport.write(data)
 
@@ -277,6 +281,7 @@
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Read again, after `pause_reading`."""
         if self.read_paused and self.transport is not None:
             self.read_paused, self.last_read_at = False, self.pool.loop.time()
             self.transport.resume_reading()
@@ -323,9 +328,8 @@
             self.stream_timer = None
         body, self.request_body = self.request_body, None
         if body is not None:
-            self.is_reusable = (
-                self.is_reusable and self.written
-            )  # not after a response before the end of the body
+            # Not reusable after a response that preceded the end of the body.
+            self.is_reusable = self.is_reusable and self.written
             body.detach(self)
             if self.transport is not None and self.is_reusable:
                 self.transport.set_write_buffer_limits()
@@ -346,6 +350,7 @@
             self.connect_task.cancel()
 
     async def connect(self, timeout: float) -> None:
+        """Open the connection; `timeout` in s."""
         try:
             async with asyncio.timeout(timeout):
                 await self.pool.loop.create_connection(lambda: self, *self.address)
@@ -582,10 +587,12 @@
         return bool(idle)
 
     def release(self, connection: BackendConnection) -> None:
+        """Add a connection to the idle ones."""
         connection.idle_since = self.loop.time()
         self.idle.setdefault(connection.server, []).append(connection)
 
     def remove(self, connection: BackendConnection) -> None:
+        """Remove a closed connection."""
         self.connections.discard(connection)
         idle = self.idle.get(connection.server)
         if idle and connection in idle:
@@ -594,6 +601,7 @@
             self.idle.pop(connection.server, None)
 
     def close_idle(self, server: bytes) -> None:
+        """Close the idle connections to a backend."""
         for connection in list(self.idle.get(server, ())):
             connection.abort()
 
--- a/irisdeal/front_door/server/clients.py
+++ b/irisdeal/front_door/server/clients.py
@@ -136,9 +136,11 @@
         self._reset_message()
 
     def protocol(self) -> asyncio.Protocol:
+        """The protocol of the transport: the connection itself."""
         return self
 
     def connection_failed(self) -> None:
+        """Clean up: no transport could be created."""
         self.connection_lost(None)
 
     def _reset_message(self) -> None:
@@ -636,6 +638,7 @@
             self._close()
 
     def is_idle(self) -> bool:
+        """Whether no request is open or being read."""
         return not (self.requests or self.in_message)
 
     def is_idle_without_input(self) -> bool:
@@ -774,9 +777,11 @@
 
     @property
     def connections(self) -> Collection[HttpConnection]:
+        """All open connections."""
         return self.slots.states
 
     def listen(self, reuse_port: bool = False) -> None:
+        """Listen on the configured address; with `reuse_port` other processes may use it too. Raises OSError."""
         self.listener.listen(self.config.listen, reuse_port)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -786,6 +791,7 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def port(self) -> int:
+        """The port of the listening socket."""
         return self.listener.port()
 
     def admit(self) -> HttpConnection:
@@ -822,6 +828,7 @@
         self.listener.resume_accepting()
 
     def is_near_capacity(self) -> bool:
+        """Whether most regular slots are in use."""
         return len(self.slots) > NEAR_CAPACITY_RATIO * self.slots.regular_slots
 
     def _sweep(self) -> None:
@@ -829,6 +836,7 @@
         self.sweep()
 
     def sweep(self) -> None:
+        """Enforce the timeouts of all connections."""
         now, idle_timeout_s = self.now(), MIN_IDLE_S if self.is_near_capacity() else IDLE_TIMEOUT_S
         for connection in list(self.connections):
             connection.enforce_timeouts(now, idle_timeout_s)
--- a/irisdeal/front_door/server/counter_client.py
+++ b/irisdeal/front_door/server/counter_client.py
@@ -92,8 +92,8 @@
     def _answer(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
         if not call.is_answered:
             call.is_answered = True
-            took = int((self.loop.time() - call.started_at) * 1e6)
-            self.counter.on_answer(CounterAnswered(call.name, result, total, took))
+            took_us = int((self.loop.time() - call.started_at) * 1e6)
+            self.counter.on_answer(CounterAnswered(call.name, result, total, took_us))
 
     def retire(self) -> list[CounterCall]:
         """Close after the written calls have ended: the counter has moved. Returns the calls not yet written."""
@@ -146,7 +146,7 @@
             transport.abort()
 
     def _time_out_calls(self) -> None:
-        """End overdue calls. Their late responses are still matched, until the connection counts as dead."""
+        """End overdue calls; late responses are still matched to them. Close a connection without responses."""
         now, self.timer = self.loop.time(), None
         for call in [c for c in self.calls if not c.is_answered and c.deadline <= now + 0.0005]:
             self._answer(call, Result.TIMED_OUT if call.written else Result.NOT_CONNECTED)
@@ -203,6 +203,7 @@
         self._fail_all_calls(f"invalid line {line[:80]!r}")
 
     def ping(self) -> None:
+        """Keep an idle connection open, or close a dead one."""
         now = self.loop.time()
         if self.transport is None:
             return
--- a/irisdeal/front_door/server/discovery_client.py
+++ b/irisdeal/front_door/server/discovery_client.py
@@ -143,6 +143,7 @@
         self.retry_after_s: float | None = None
 
     def get(self, path: bytes) -> asyncio.Future[bytes]:
+        """Request a path; the result is the body of the response."""
         assert self.transport is not None
         self.parts, self.body_bytes, self.retry_after_s = [], 0, None
         self.response = asyncio.get_running_loop().create_future()
@@ -150,9 +151,11 @@
         return self.response
 
     def is_usable(self) -> bool:
+        """Whether the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -239,6 +242,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
+        """Stop polling and close the connection."""
         if self.task is not None:
             self.task.cancel()
         if self.connection is not None:
--- a/irisdeal/front_door/server/flows.py
+++ b/irisdeal/front_door/server/flows.py
@@ -49,6 +49,7 @@
         self.is_open = self.has_ended = self.is_finished = False
 
     def feed(self, data: bytes) -> None:
+        """Add bytes of the body."""
         if self.is_finished or self.has_ended or not data:
             return
         if self.chunked:
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -282,7 +282,7 @@
         program.decision_loop.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
         if duty.warms and not duty.at_once:
             delay_s = program.config.settings.collapse_window_us / 1e6
-            self.loop.call_later(delay_s, self._warm_again)
+            self.loop.call_later(delay_s, self._allow_cold_servers)
         if duty.part == 1.0:
             program.resize(program.config.max_sockets)
         if not program.is_stopping:
@@ -293,7 +293,7 @@
             program.clients.listener.suspend()
         program.decision_loop.process_events()
 
-    def _warm_again(self) -> None:
+    def _allow_cold_servers(self) -> None:
         if self.role.may_tell():  # still the only process
             self.program.decision_loop.post(CeilingShareChanged(1.0, True))
 
--- a/irisdeal/front_door/server/host.py
+++ b/irisdeal/front_door/server/host.py
@@ -22,6 +22,7 @@
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """The current time in µs."""
         return (time.monotonic_ns() + self._offset) // 1000
 
     def create_socket(self, family: int) -> socket.socket:
--- a/irisdeal/front_door/server/limits.py
+++ b/irisdeal/front_door/server/limits.py
@@ -32,6 +32,6 @@
 
     The reserve is taken from the backends' half, where connections can be reopened when needed.
     """
-    rest = max(16, sockets - OWN_DESCRIPTORS - (OPERATOR_DESCRIPTORS if has_operator else 0))
-    reserve = max(MIN_RESERVE_SLOTS, int(rest * RESERVE_RATIO))
-    return Limits(clients=rest // 2, reserve=reserve, backends=rest - rest // 2 - reserve)
+    shared = max(16, sockets - OWN_DESCRIPTORS - (OPERATOR_DESCRIPTORS if has_operator else 0))
+    reserve = max(MIN_RESERVE_SLOTS, int(shared * RESERVE_RATIO))
+    return Limits(clients=shared // 2, reserve=reserve, backends=shared - shared // 2 - reserve)
--- a/irisdeal/front_door/server/listener.py
+++ b/irisdeal/front_door/server/listener.py
@@ -94,6 +94,7 @@
             self.resume_accepting()
 
     def port(self) -> int:
+        """The port of the listening socket."""
         assert self.socket is not None
         return int(self.socket.getsockname()[1])
 
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -53,9 +53,11 @@
         self.is_answered = False
 
     def protocol(self) -> asyncio.Protocol:
+        """The protocol of the transport: the connection itself."""
         return self
 
     def connection_failed(self) -> None:
+        """Clean up: no transport could be created."""
         self.server.remove(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -107,6 +109,7 @@
         self.respond(status, text, content_type, has_body=method != b"HEAD")
 
     def reject(self, error: TurnedDown) -> None:
+        """Respond with an error."""
         extra_headers = b"Allow: %s\r\n" % error.allow.encode() if error.allow else b""
         self.respond(error.status, error.text.encode() + b"\n", TEXT_CONTENT_TYPE, extra_headers)
 
@@ -118,6 +121,7 @@
         extra_headers: bytes = b"",
         has_body: bool = True,
     ) -> None:
+        """Send the response and close the write side."""
         if self.is_answered or self.transport is None:
             return
         self.is_answered = True
@@ -136,6 +140,7 @@
         self.transport.write_eof()
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -169,6 +174,7 @@
         self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
+        """Stop listening; connections with an unsent response stay open."""
         self.listener.close()
         if self.timer is not None:
             self.timer.cancel()
@@ -177,6 +183,7 @@
                 connection.abort()
 
     def admit(self) -> OperatorConnection:
+        """Create the connection object for an accepted socket."""
         connection = OperatorConnection(self)
         self.connections[connection] = None
         return connection
@@ -190,6 +197,7 @@
         return True
 
     def remove(self, connection: OperatorConnection) -> None:
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
 
     def _sweep(self) -> None:
--- a/irisdeal/front_door/server/process_view.py
+++ b/irisdeal/front_door/server/process_view.py
@@ -1,4 +1,4 @@
-"""What the operators' listener and the handover need of the front door's process."""
+"""The interface of the front door process for the operators' listener and the handover."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OperatorView(Protocol):
-    """What a handover needs of the operators' listener."""
+    """The operators' listener as the handover uses it."""
 
     @property
     def bans(self) -> Bans:
@@ -22,7 +22,7 @@
 
 
 class ProcessView(Protocol):
-    """The parts of the process, and what may be asked of it as a whole."""
+    """The components of the process, and operations on all of it."""
 
     config: Config
     host: Host
@@ -34,7 +34,7 @@
 
     @property
     def operator(self) -> OperatorView | None:
-        """The operators' listener, where the configuration has one."""
+        """The operators' listener, if it is configured."""
 
     def resize(self, sockets: int) -> None:
         """Use at most `sockets` descriptors from now on."""
--- a/irisdeal/front_door/server/program.py
+++ b/irisdeal/front_door/server/program.py
@@ -137,8 +137,8 @@
         )
         server.new_receive_progress = progress.ReceiveProgress
         server.new_upload = lambda client, length: UploadRelay(client, length, budget)
-        server.new_stream = lambda request, head, chunked, on_over: ResponseRelay(
-            request, head, chunked, budget, on_over
+        server.new_stream = lambda request, head, chunked, on_finished: ResponseRelay(
+            request, head, chunked, budget, on_finished
         )
 
     def start(self) -> None:
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -69,6 +69,7 @@
         log.info("serving the report at %s", self.path)
 
     def stop(self) -> None:
+        """Stop listening and remove the socket."""
         if self.server is not None:
             self.server.close()
             self.server = None
--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -293,6 +293,7 @@
                 return
 
     def stop(self) -> None:
+        """Cancel a load in progress."""
         if self.task is not None:
             self.task.cancel()
 
--- a/tests/front_door/test_clients.py
+++ b/tests/front_door/test_clients.py
@@ -55,8 +55,8 @@
             400,
         ),
         *(
-            (ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
-            for odd in (
+            (ask("file", Content_Length=None, Transfer_Encoding=encoding) + b"0\r\n\r\n", 400)
+            for encoding in (
                 "gzip, chunked",
                 "chunked, identity",
                 "identity",
@@ -67,8 +67,8 @@
             )
         ),
         *(
-            (ask("file", Content_Length=odd) + b"aa", 400)
-            for odd in (
+            (ask("file", Content_Length=length) + b"aa", 400)
+            for length in (
                 "+2",
                 "-2",
                 "0x2",
--- a/tests/front_door/test_loop.py
+++ b/tests/front_door/test_loop.py
@@ -73,7 +73,7 @@
 
 @socket_test
 async def test_an_action_that_fails_does_not_affect_the_others() -> None:
-    def odd(event: Event) -> list[Action]:
+    def with_invalid_actions(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
         actions: list[Any] = [
@@ -84,7 +84,7 @@
         ]
         return actions
 
-    async with running(Script(odd)) as front_door:
+    async with running(Script(with_invalid_actions)) as front_door:
         assert (await front_door.call(ask()))[0].split()[1] == "429"
 
 
--- a/tests/front_door/test_settings.py
+++ b/tests/front_door/test_settings.py
@@ -1,4 +1,4 @@
-"""Wrong settings and impossible events are told by the name of their field."""
+"""Invalid settings and events are reported with the name of the field."""
 
 from dataclasses import replace
 from typing import Any
@@ -24,25 +24,25 @@
         (r"plans\[1\].rate_per_s", {"plans": (PLANS[0], replace(PLANS[1], rate_per_s=-2.0))}),
     ],
 )
-def test_wrong_settings_name_their_field(field: str, changes: dict[str, Any]) -> None:
+def test_errors_in_settings_name_the_field(field: str, changes: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=field):
         make_settings(**changes)
 
 
 @pytest.mark.parametrize(("field", "plan", "kind"), [("plan_index", 9, 0), ("class_index", 0, 7)])
-def test_an_unknown_class_or_plan_is_named(field: str, plan: int, kind: int) -> None:
+def test_errors_for_unknown_classes_and_plans_name_the_field(field: str, plan: int, kind: int) -> None:
     gateway = Gateway(make_settings(), seed=1)
     with pytest.raises(ValueError, match=field):
         gateway.handle(0, [RequestArrived(1, 5, plan, kind, 1_000_000, 1.0, 0, 3)])
 
 
-def test_an_outcome_of_an_unknown_request_changes_nothing() -> None:
-    desk = GatewayHarness()
-    assert desk.handle(AttemptEnded(99, 0, server_id(1), Result.OK, 1000, True)) == []
-    assert desk.gateway.in_flight == 0
+def test_the_end_of_an_attempt_of_an_unknown_request_is_ignored() -> None:
+    harness = GatewayHarness()
+    assert harness.handle(AttemptEnded(99, 0, server_id(1), Result.OK, 1000, True)) == []
+    assert harness.gateway.in_flight == 0
 
 
-def test_settings_that_cannot_be_end_the_adapter_with_one_line(
+def test_invalid_settings_end_the_simulator_adapter_with_one_line(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -112,19 +112,19 @@
 
 
 def test_the_time_of_a_request_with_a_streamed_body_starts_at_its_last_byte() -> None:
-    desk = GatewayHarness()
+    harness = GatewayHarness()
     [send] = actions_of_type(
-        StartAttempt, desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
+        StartAttempt, harness.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
     )
     for _ in range(50):  # 10 s: no timeout, no second attempt, no failure of the server
-        desk.now += 200 * MS
-        assert not any(isinstance(action, RejectRequest | StartAttempt) for action in desk.handle())
-    assert not desk.gateway.servers[send.server_id].failure_rates[None]
-    desk.handle(RequestBodyReceived(1, SECOND))
+        harness.now += 200 * MS
+        assert not any(isinstance(action, RejectRequest | StartAttempt) for action in harness.handle())
+    assert not harness.gateway.servers[send.server_id].failure_rates[None]
+    harness.handle(RequestBodyReceived(1, SECOND))
     seen = list[Action]()
     for _ in range(12):
-        desk.now += 100 * MS
-        seen += desk.handle()
+        harness.now += 100 * MS
+        seen += harness.handle()
     assert {type(a) for a in seen} >= {
         StartAttempt,
         RejectRequest,
@@ -132,44 +132,44 @@
 
 
 def test_a_request_that_cannot_be_sent_during_its_upload_is_rejected_in_time() -> None:
-    desk = GatewayHarness(servers=0)
-    desk.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
+    harness = GatewayHarness(servers=0)
+    harness.handle(RequestArrived(1, 7, 0, 0, SECOND, 1.0, 0, 1, is_uploading=True))
     seen = list[Action]()
     for _ in range(10):
-        desk.now += 100 * MS
-        seen += desk.handle()
+        harness.now += 100 * MS
+        seen += harness.handle()
     assert [a.request_id for a in actions_of_type(RejectRequest, seen)] == [1]
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_units_counted_at_the_last_byte_stay_within_the_ceiling(seed: int) -> None:
     """Uploads of 4 s all end at once, when the token bucket is full and short requests flood in."""
-    chance, desk = random.Random(seed), GatewayHarness(seed=seed, has_counter=False)
-    plan = desk.settings.plans[CEILED]
+    chance, harness = random.Random(seed), GatewayHarness(seed=seed, has_counter=False)
+    plan = harness.settings.plans[CEILED]
     counted: list[int] = []
     due: list[tuple[int, bytes]] = []
-    start = desk.now
+    start = harness.now
     quiet, burst, end = start + 4 * SECOND, start + 10 * SECOND, start + 14 * SECOND
-    while desk.now < end:
-        desk.now += 20 * MS
-        if desk.now >= burst and due:
+    while harness.now < end:
+        harness.now += 20 * MS
+        if harness.now >= burst and due:
             for late, server in due:
-                counted.append(desk.now)
-                desk.handle(RequestBodyReceived(late, SECOND))
-                desk.handle(AttemptEnded(late, 0, server, Result.OK, 3 * MS, True))
+                counted.append(harness.now)
+                harness.handle(RequestBodyReceived(late, SECOND))
+                harness.handle(AttemptEnded(late, 0, server, Result.OK, 3 * MS, True))
             due = []
-        if quiet <= desk.now < burst or chance.random() < 0.2:
-            desk.handle()
+        if quiet <= harness.now < burst or chance.random() < 0.2:
+            harness.handle()
             continue
-        number, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
-        long = desk.now < quiet
-        actions = desk.handle(RequestArrived(number, 5, CEILED, 0, SECOND, 1.0, 0, 2, is_uploading=long))
+        number, harness.next_request_id = harness.next_request_id, harness.next_request_id + 1
+        long = harness.now < quiet
+        actions = harness.handle(RequestArrived(number, 5, CEILED, 0, SECOND, 1.0, 0, 2, is_uploading=long))
         for action in actions_of_type(StartAttempt, actions):
             if long:
                 due.append((action.request_id, action.server_id))
             else:
-                counted.append(desk.now)
-                desk.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
+                counted.append(harness.now)
+                harness.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
     assert len(counted) > 15
     rate, most = plan.ceiling_rate_per_s / 2, plan.ceiling_depth / 2
     for first in counted:
