--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -28,7 +28,7 @@
     socket_test,
     whole_list,
 )
-from tests.support.front_door_rig import SMALL, play
+from tests.support.front_door_rig import SMALL, run_on_sockets
 
 DAY_OF_ALL_ENDINGS = (
     SMALL
@@ -236,7 +236,7 @@
 
         look()
 
-    day = await play(DAY_OF_ALL_ENDINGS, started=started)
+    day = await run_on_sockets(DAY_OF_ALL_ENDINGS, started=started)
     assert looks > 50
     for door, program in enumerate(day.programs):
         side = program.clients
--- a/tests/front_door/test_routed.py
+++ b/tests/front_door/test_routed.py
@@ -50,7 +50,7 @@
     settings,
     whole_list,
 )
-from tests.support.front_door_rig import SMALL, play
+from tests.support.front_door_rig import SMALL, run_on_sockets
 
 HEAD = "openapi: 3.1.0\ninfo: {title: refund, version: '1'}\n"
 PATHS = (
@@ -556,7 +556,7 @@
     """Keyed claims become unsafe while attempts are in progress, whose connections are reset afterwards."""
     file.write_text(LOADED.replace("CLAIM", KEYED_RULE))
     swaps: list[int] = []
-    run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, ["unsafe"], swaps)))
+    run = uvloop.run(run_on_sockets(TROUBLE, routes=file, started=swapping(file, ["unsafe"], swaps)))
     assert [b.text() for b in run.verdict.breaches] == []
     assert len(swaps) >= 2 and all(
         p.router is not None and p.router.rejected_count == 0 for p in run.programs
@@ -571,7 +571,7 @@
     """Shows that the test above can fail: with unchanged rules claims are sent again."""
     file.write_text(LOADED.replace("CLAIM", KEYED_RULE))
     swaps: list[int] = []
-    run = uvloop.run(play(TROUBLE, routes=file, started=swapping(file, [KEYED_RULE], swaps)))
+    run = uvloop.run(run_on_sockets(TROUBLE, routes=file, started=swapping(file, [KEYED_RULE], swaps)))
     assert [b.text() for b in run.verdict.breaches] == []
     assert resent(run.request_log.attempts, "claim", swaps[0]) != []
     assert resent(run.request_log.attempts, "file", 0) == []
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -80,7 +80,7 @@
 fall_ms = 400
 warm_up_s = 8
 """
-DAY = (
+SCENARIO_WITH_FAULTS = (
     SMALL
     + """
 [[at]]
@@ -101,7 +101,7 @@
 MakeDecider = Callable[[Settings, int], Decider]
 
 
-class NoFrontDoors:
+class NoFrontDoorFaults:
     """For scenarios without faults of front doors."""
 
     async def kill(self, front_door: int, down: float) -> None:
@@ -118,7 +118,7 @@
 
 
 @dataclass
-class Played:
+class ScenarioRun:
     request_log: RequestLog
     verdict: Verdict
     programs: list[Program]
@@ -129,17 +129,17 @@
     return Config(**{**{f: getattr(config, f) for f in Config.__slots__}, "listen": ("127.0.0.1", 0)})
 
 
-async def play(
+async def run_on_sockets(
     text: str,
     seed: int = 1,
-    make: MakeDecider = Gateway,
-    spoil: Callable[[Program], None] = lambda _: None,
+    make_decider: MakeDecider = Gateway,
+    modify: Callable[[Program], None] = lambda _: None,
     during: Callable[[Platform, LoadGenerator], None] = lambda *_: None,
     routes: Path | None = None,
     started: Callable[[Platform, list[Program]], None] = lambda *_: None,
     max_wait_s: float = 10.0,
-) -> Played:
-    """Run a scenario with front doors in this event loop; `spoil` may modify each one before its start."""
+) -> ScenarioRun:
+    """Run a scenario with front doors in this event loop; `modify` may change each one before its start."""
     platform = Platform(draw(read(text), seed))
     await platform.start()
     loop, programs = asyncio.get_running_loop(), list[Program]()
@@ -149,8 +149,8 @@
             if routes is not None:
                 configuration["routes"] = {"file": str(routes), "watch_ms": 0}
             config = _listening_anywhere(parse(configuration))
-            program = Program(config, loop, make(config.settings, config.seed))
-            spoil(program)
+            program = Program(config, loop, make_decider(config.settings, config.seed))
+            modify(program)
             if program.router is not None:
                 await program.router.load_first()
             program.start()
@@ -160,7 +160,7 @@
         load_generator = LoadGenerator(platform.day, platform.request_log, platform.now, addresses)
         load_generator.late_watch = MAX_RESPONSE_DELAY_S  # also detects late responses on a busy machine
         start = platform.now()
-        platform.play(start, NoFrontDoors())
+        platform.play(start, NoFrontDoorFaults())
         during(platform, load_generator)
         started(platform, programs)
         await load_generator.run(start)
@@ -179,18 +179,18 @@
         platform.close()
     # Front doors and test services share this loop, so the delay of responses depends on the machine.
     verdict = audit(platform.request_log, platform.figures, timed=False)
-    return Played(platform.request_log, verdict, programs, platform)
+    return ScenarioRun(platform.request_log, verdict, programs, platform)
 
 
-def played(
+def run_in_virtual_time(
     text: str,
     seed: int = 1,
-    make: MakeDecider = Gateway,
-    spoil: Callable[[Program], None] = lambda _: None,
+    make_decider: MakeDecider = Gateway,
+    modify: Callable[[Program], None] = lambda _: None,
 ) -> front_door_day.Played:
     """Run a scenario in virtual time, without waiting; the delay of responses is checked as well."""
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # modified front doors log many errors
     try:
-        return front_door_day.play(draw(read(text), seed), make, spoil)
+        return front_door_day.play(draw(read(text), seed), make_decider, modify)
     finally:
         logging.getLogger("irisdeal").setLevel(logging.NOTSET)
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -23,7 +23,7 @@
 from irisdeal.front_door.server.loop import DecisionLoop
 from irisdeal.front_door.server.program import Program
 from irisdeal.testbed.audit import Rule
-from tests.support.front_door_rig import DAY, SMALL, played
+from tests.support.front_door_rig import SCENARIO_WITH_FAULTS, SMALL, run_in_virtual_time
 
 UNSAFE = 2  # the class `file`
 
@@ -150,54 +150,54 @@
 
 
 def test_the_real_module_keeps_all_rules_on_that_day() -> None:
-    run = played(DAY)
+    run = run_in_virtual_time(SCENARIO_WITH_FAULTS)
     assert [b.text() for b in run.verdict.breaches] == []
     assert run.verdict.checked[Rule.ANSWERS] > 200
     assert all(run.verdict.checked[rule] > 0 for rule in Rule), run.verdict.checked
 
 
 def test_an_unsafe_request_sent_again_is_caught() -> None:
-    run = played(DAY, make=SendsAgain)
+    run = run_in_virtual_time(SCENARIO_WITH_FAULTS, make_decider=SendsAgain)
     assert Rule.EFFECTS in run.verdict.broken()
     breach = next(b for b in run.verdict.breaches if "unsafe" in b.what)
     assert len(breach.backends) == 2 and breach.request
 
 
 def test_a_refusal_of_what_may_have_run_is_caught() -> None:
-    run = played(SMALL, make=RefusesAfterSending)
+    run = run_in_virtual_time(SMALL, make_decider=RefusesAfterSending)
     assert any(b.rule is Rule.EFFECTS and "refused" in b.what for b in run.verdict.breaches)
 
 
 def test_sends_after_the_grace_are_caught() -> None:
-    run = played(DAY, make=KeepsDraining)
+    run = run_in_virtual_time(SCENARIO_WITH_FAULTS, make_decider=KeepsDraining)
     assert run.verdict.broken() == {Rule.DRAINS}
 
 
 def test_a_flooded_cold_backend_is_caught() -> None:
-    run = played(DAY, make=FloodsCold)
+    run = run_in_virtual_time(SCENARIO_WITH_FAULTS, make_decider=FloodsCold)
     assert Rule.COLD in run.verdict.broken()
     assert "4 times its capacity" in next(b for b in run.verdict.breaches if b.rule is Rule.COLD).figure
 
 
 def test_a_passed_ceiling_is_caught() -> None:
-    run = played(SMALL, make=without_ceiling)
+    run = run_in_virtual_time(SMALL, make_decider=without_ceiling)
     assert run.verdict.broken() == {Rule.CEILINGS}
     assert "mall" in run.verdict.breaches[0].what
 
 
 def test_two_answers_are_caught() -> None:
-    run = played(SMALL, spoil=answers_twice)
+    run = run_in_virtual_time(SMALL, modify=answers_twice)
     assert Rule.ANSWERS in run.verdict.broken()
     assert any("more than once" in b.what for b in run.verdict.breaches)
 
 
 def test_no_answer_is_caught() -> None:
-    run = played(SMALL, spoil=never_answers_some)
+    run = run_in_virtual_time(SMALL, modify=never_answers_some)
     assert run.verdict.broken() == {Rule.ANSWERS}
     assert any(b.what == "never answered" for b in run.verdict.breaches)
 
 
 def test_an_answer_that_no_backend_made_is_caught() -> None:
-    run = played(SMALL, spoil=answers_itself)
+    run = run_in_virtual_time(SMALL, modify=answers_itself)
     assert run.verdict.broken() == {Rule.ANSWERS}
     assert all("no box made" in b.what for b in run.verdict.breaches)
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -25,7 +25,7 @@
 from irisdeal.testbed.scenario_files import parse
 from irisdeal.testbed.workload import draw
 from tests.support.fake_peers import ask, read_message, socket_test
-from tests.support.front_door_rig import SMALL, play
+from tests.support.front_door_rig import SMALL, run_on_sockets
 
 ONE = range(1)
 
@@ -520,7 +520,7 @@
 
         loop.call_soon(look)
 
-    run = uvloop.run(play(text, during=silence))
+    run = uvloop.run(run_on_sockets(text, during=silence))
     assert out and out[0] >= 200
     assert [b.text() for b in run.verdict.breaches] == []
     assert all(
@@ -529,7 +529,9 @@
 
 
 def test_a_zone_cut_off_breaks_no_rule_and_no_answer_is_missing() -> None:
-    run = uvloop.run(play(SMALL + '[[at]]\nat_s = 0.8\ndo = "hall-cut"\nhall = "hall-b"\nfor_s = 1.2\n'))
+    run = uvloop.run(
+        run_on_sockets(SMALL + '[[at]]\nat_s = 0.8\ndo = "hall-cut"\nhall = "hall-b"\nfor_s = 1.2\n')
+    )
     assert [b.text() for b in run.verdict.breaches] == []
     assert run.verdict.checked[Rule.ANSWERS] > 200
     assert {"hall-b is back"} <= {text for _, text in run.request_log.faults}
