--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -467,8 +467,8 @@
         self.world = World(seed)
         self.net = Network(self.world)
         self.rng = random.Random(seed)
-        self.way = NetworkLink(700, 300)
-        self.net.set_link("caller", "10.0.0.2", self.way)
+        self.link = NetworkLink(700, 300)
+        self.net.set_link("caller", "10.0.0.2", self.link)
         self.caller = Machine(self.world, self.net, "caller", Core(), Costs())
         self.ran: Counter[int] = Counter()
         self.good = self.incarnations = 0
@@ -502,17 +502,17 @@
             case "caller pause":
                 self.caller.pause(now + self.rng.choice((100_000, 2_000_000)))
             case "reset":
-                self.net.reset_connections(self.way)
+                self.net.reset_connections(self.link)
             case "cut":
-                self.way.is_partitioned = self.way.is_stalled = True
+                self.link.is_partitioned = self.link.is_stalled = True
                 self.world.at(now + 600_000, "join", self.join)
             case "restart":
                 self.host.kill()
                 self.host = self.start()
 
     def join(self) -> None:
-        self.way.is_partitioned = self.way.is_stalled = False
-        self.net.restore(self.way)
+        self.link.is_partitioned = self.link.is_stalled = False
+        self.net.restore(self.link)
 
     async def one(self, client: RpcClient, number: int) -> None:
         await asyncio.sleep(self.rng.uniform(0.0, 10.0))
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -107,7 +107,7 @@
 
 def test_a_call_waits_for_a_connection_no_longer_than_its_own_time_out() -> None:
     rig = CallRig()
-    rig.way.is_partitioned = rig.way.is_stalled = True
+    rig.link.is_partitioned = rig.link.is_stalled = True
 
     async def scenario() -> Any:
         client, started = rig.client(), rig.caller.time()
--- a/tests/support/call_rig.py
+++ b/tests/support/call_rig.py
@@ -15,7 +15,7 @@
 from irisdeal.simulation.world import START, World
 
 HOST, PORT = "10.0.0.2", 7000
-WAITING: Any = object()
+NOT_DONE: Any = object()
 
 
 class CallRig:
@@ -24,8 +24,8 @@
     def __init__(self) -> None:
         self.world = World(3)
         self.net = Network(self.world)
-        self.way = NetworkLink(700, 100)
-        self.net.set_link("caller", HOST, self.way)
+        self.link = NetworkLink(700, 100)
+        self.net.set_link("caller", HOST, self.link)
         self.caller = Machine(self.world, self.net, "caller", Core(), Costs())
         self.host = self.start_host()
         self.late: list[tuple[str, Any]] = []
@@ -56,7 +56,7 @@
         self.host.start(run())
 
     def play(self, scenario: Awaitable[Any], seconds: float = 20.0) -> Any:
-        result = WAITING
+        result = NOT_DONE
 
         async def run() -> int:
             nonlocal result
@@ -65,7 +65,7 @@
             return 0
 
         self.caller.start(run())
-        self.world.run(lambda: result is not WAITING, START + int(seconds * 1e6))
+        self.world.run(lambda: result is not NOT_DONE, START + int(seconds * 1e6))
         assert not self.caller.errors and not self.host.errors
         return result
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -87,9 +87,11 @@
             ask, shape = encode([1, kind, body]), shape_of(body)
             answer = await call(link, kind, body, within)
             if isinstance(answer, Success):
-                told = answer.unwrap()
-                shape = f"{shape} -> {shape_of(told)}"
-                self.calls.append(Call(kind, link.name, link.peer, ask, encode([1, True, told]), shape))
+                answer_body = answer.unwrap()
+                shape = f"{shape} -> {shape_of(answer_body)}"
+                self.calls.append(
+                    Call(kind, link.name, link.peer, ask, encode([1, True, answer_body]), shape)
+                )
             return answer
 
         def recorded_notification(link: RpcClient, kind: str, body: Any) -> bool:
@@ -160,15 +162,15 @@
         self.start_proxy()
 
     def settings_for(self, ip: str, role: str) -> Settings:
-        of, is_first = self.settings(ip), (ip, role) not in self.started
+        base, is_first = self.settings(ip), (ip, role) not in self.started
         self.started.add((ip, role))
         return Settings(
             node_name=ip,
             role=role,
             ip=ip,
             zone=zone_of(ip),
-            port_range=of.port_range,
-            seed_peers=of.seed_peers,
+            port_range=base.port_range,
+            seed_peers=base.seed_peers,
             bootstrap=is_first,
             counted=True,
             config_source="compared",
@@ -251,7 +253,7 @@
     def heartbeat(
         self, seconds: float, host: str, count: int, state: str = "ready", id_: str = "i-1"
     ) -> None:
-        told = {
+        fields = {
             "service": SERVICE,
             "address": "10.9.0.1:80",
             "zone": "z0",
@@ -261,13 +263,15 @@
             "warmup_left_ms": 1500,
             "call_count": count,
         }
-        self.outside(seconds, host, b"POST", f"/backends/{id_}/heartbeat".encode(), json.dumps(told).encode())
+        self.outside(
+            seconds, host, b"POST", f"/backends/{id_}/heartbeat".encode(), json.dumps(fields).encode()
+        )
 
-    def start_again(self, host: str, role: str) -> None:
+    def restart(self, host: str, role: str) -> None:
         """Restart a process with its disk, without the bootstrap flag."""
         (self.start_store if role == "store" else self.start_registry_process)(host)
 
-    def lose(self, host: str, role: str, wipe: bool = False) -> None:
+    def stop(self, host: str, role: str, wipe: bool = False) -> None:
         self.processes[host, role].kill()
         if wipe:
             del self.disks[host, role]
@@ -289,7 +293,7 @@
 
     async def place(self, **changes: Any) -> None:
         assert self.client is not None
-        asked = {
+        fields = {
             "zone": "z0",
             "service": SERVICE,
             "typical_latency_s": 0.05,
@@ -300,15 +304,15 @@
             "connected": (5, 6),
             **changes,
         }
-        placement = await self.client.request_placement(PlacementRequest(**asked), 0.5)
+        placement = await self.client.request_placement(PlacementRequest(**fields), 0.5)
         if placement.reply.reservation > 0:
             self.reservations.append((placement.registry, placement.reply.reservation))
 
     async def end_reservations(self) -> None:
         assert self.client is not None
         for number, (registry, place) in enumerate(self.reservations):
-            how = AttemptResult.SUCCESS if number % 2 else AttemptResult.FAILED
-            self.client.end_reservation(registry, ReservationEnd(place, int(how), 1.25 + number))
+            result = AttemptResult.SUCCESS if number % 2 else AttemptResult.FAILED
+            self.client.end_reservation(registry, ReservationEnd(place, int(result), 1.25 + number))
         self.reservations.clear()
 
     async def call_as_previous_version(self) -> None:
@@ -347,10 +351,10 @@
     rig.on(STARTED_S + 5.8, PROXY, "proxy", rig.call_as_previous_version)
     rig.on(STARTED_S + 5.9, PROXY, "proxy", rig.survey)
     rig.heartbeat(STARTED_S + 6.1, two, 2, "draining", "i-2")
-    rig.at(STARTED_S + 6.5, partial(rig.lose, three, "store", True))
-    rig.at(STARTED_S + 7.0, partial(rig.start_again, three, "store"))
-    rig.at(STARTED_S + 8.0, partial(rig.lose, one, "registry"))
-    rig.at(STARTED_S + 8.3, partial(rig.start_again, one, "registry"))
+    rig.at(STARTED_S + 6.5, partial(rig.stop, three, "store", True))
+    rig.at(STARTED_S + 7.0, partial(rig.restart, three, "store"))
+    rig.at(STARTED_S + 8.0, partial(rig.stop, one, "registry"))
+    rig.at(STARTED_S + 8.3, partial(rig.restart, one, "registry"))
     rig.outside(STARTED_S + 11.0, two, b"POST", b"/config/replace", configuration(3))
     rig.outside(STARTED_S + 11.5, two, b"POST", b"/backends/i-1/deregister")
 
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -110,12 +110,12 @@
         "settings": settings(),
     }
     base.update(changes)
-    made = parse(base)
+    parsed = parse(base)
     # With port 0, the kernel chooses a free port, which the test reads from the program.
     changed: dict[str, Any] = {"listen": ("127.0.0.1", 0)}
-    if made.operator is not None:
+    if parsed.operator is not None:
         changed["operator"] = ("127.0.0.1", 0)
-    return Config(**{**{f: getattr(made, f) for f in Config.__slots__}, **changed})
+    return Config(**{**{f: getattr(parsed, f) for f in Config.__slots__}, **changed})
 
 
 def member(name: str, port: int, **changes: Any) -> dict[str, Any]:
@@ -141,12 +141,12 @@
 
     def __init__(self) -> None:
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
-        self.taken: list[asyncio.StreamWriter] = []
+        self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Peer:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.taken.append(writer)
+            self.writers.append(writer)
             await self.accepted.put((reader, writer))
 
         self.server = await asyncio.start_server(accept, "127.0.0.1", 0)
@@ -155,7 +155,7 @@
     async def __aexit__(self, *_: object) -> None:
         assert self.server is not None
         self.server.close()
-        for writer in self.taken:
+        for writer in self.writers:
             writer.transport.abort()
 
     @property
@@ -216,9 +216,9 @@
 @asynccontextmanager
 async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[Running]:
     """Run the complete program without its signal handlers; no discovery service needs to listen."""
-    made = config(**changes)
+    parsed = config(**changes)
     loop = asyncio.get_running_loop()
-    program = Program(made, loop, decider or Gateway(made.settings, made.seed))
+    program = Program(parsed, loop, decider or Gateway(parsed.settings, parsed.seed))
     program.start()
     run = Running(program)
     try:
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -85,14 +85,14 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         received.extend(await _exact(reader, [hello, first]))
-        _, good, given = forms.read_frame(bytes.fromhex(answer))
-        writer.write(encode([1, good, given]))
+        _, is_success, answer_body = forms.read_frame(bytes.fromhex(answer))
+        writer.write(encode([1, is_success, answer_body]))
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     link = RpcClient(server.sockets[0].getsockname()[:2], "proxy 10.1.0.9")
-    given = await link.call(kind_of(name), message, LIMIT)
+    answer_body = await link.call(kind_of(name), message, LIMIT)
     assert received == [hello, first] and number == 7
-    assert given.unwrap() == forms.read_frame(bytes.fromhex(answer))[2]
+    assert answer_body.unwrap() == forms.read_frame(bytes.fromhex(answer))[2]
     link.close()
     server.close()
 
@@ -102,8 +102,8 @@
     call, answer = SAMPLES["prepare: promised"]
     received: list[Any] = []
 
-    async def handle(peer: str, kind: str, asked: Any) -> Any:
-        received.append((peer, kind, asked))
+    async def handle(peer: str, kind: str, message: Any) -> Any:
+        received.append((peer, kind, message))
         return forms.read_frame(bytes.fromhex(answer))[2]
 
     server = RpcServer(handle)
