--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -1,8 +1,8 @@
 """The knowledge age that a store reports, compared with confirmed puts, in virtual time.
 
 Guards against a reported age that is too low: a member confirms a put and is partitioned before its decision
-notices arrive. The others have quorum contact, but a value that one of them accepted, and none of them learned as
-decided, may have been confirmed to the operator.
+notices arrive. The others have quorum contact, but a value that one of them accepted, and none of them
+learned as decided, may have been confirmed to the operator.
 """
 
 from __future__ import annotations
--- a/tests/config_store/test_quorum_counting.py
+++ b/tests/config_store/test_quorum_counting.py
@@ -1,8 +1,8 @@
 """Quorum intersection of member lists and ballots, checked with a solver; wrong rules must be detected.
 
-`z3` searches for a counterexample among all lists, quorums and ballots within the given bounds; `unsat` means that
-there is none. The first part covers one change between two lists of up to 9 members; the second covers histories of
-ballots with proposers that have an outdated list, with the quorums of `register.BallotAttempt`.
+`z3` searches for a counterexample among all lists, quorums and ballots within the given bounds; `unsat` means
+that there is none. The first part covers one change between two lists of up to 9 members; the second covers
+histories of ballots with proposers that have an outdated list, with the quorums of `register.BallotAttempt`.
 """
 
 from __future__ import annotations
@@ -185,11 +185,13 @@
 
 @dataclass
 class Ballots:
-    """A history of ballots: the known, adopted and proposed list of each, and the seats that promised and accepted.
+    """A history of ballots: the known, adopted and proposed list of each, and the seats that promised and
+    accepted.
 
-    Ballot 0 is the initial list, which all seats have. A ballot adopts the highest lower ballot that a seat of its
-    promises had accepted. A seat that promised a ballot accepts no lower one afterwards, so this covers every lower
-    ballot that it ever accepts. The known list of a proposer is that of any lower decided ballot, however old.
+    Ballot 0 is the initial list, which all seats have. A ballot adopts the highest lower ballot that a seat
+    of its promises had accepted. A seat that promised a ballot accepts no lower one afterwards, so this
+    covers every lower ballot that it ever accepts. The known list of a proposer is that of any lower decided
+    ballot, however old.
     """
 
     seats: int
--- a/tests/config_store/test_reconfiguration.py
+++ b/tests/config_store/test_reconfiguration.py
@@ -1,4 +1,6 @@
-"""The membership policy: unit tests, a simulated core in virtual time, and planted bugs that must be detected."""
+"""The membership policy: unit tests, a simulated core in virtual time, and planted bugs that must be
+detected.
+"""
 
 from __future__ import annotations
 
@@ -232,7 +234,9 @@
 def test_changes_under_flapping_partitions_are_bounded(
     machine_count: int, outage_s: float, pause_s: float
 ) -> None:
-    """Two machines are isolated alternately. A change needs `DEAD_AFTER_S` without a status: at most 30 per min."""
+    """Two machines are isolated alternately. A change needs `DEAD_AFTER_S` without a status: at most 30 per
+    min.
+    """
     world = started_world(machine_count)
     flapping = list(world.machines.values())[1:3]
     started_at = world.now
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -202,7 +202,9 @@
 @pytest.mark.parametrize("count", (3, 4))
 @pytest.mark.parametrize("seed", range(6))
 def test_eight_concurrent_puts_all_complete(count: int, seed: int) -> None:
-    """Ballots do not preempt each other forever: all puts complete within half of the time limit on any disks."""
+    """Ballots do not preempt each other forever: all puts complete within half of the time limit on any
+    disks.
+    """
     store = SimulatedStore(count, seed)
     durations_s: list[float] = []
     outcomes: list[PutOutcome] = []
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -1,4 +1,6 @@
-"""Exhaustive search of the register's states within bounds; with planted bugs the search must find a violation."""
+"""Exhaustive search of the register's states within bounds; with planted bugs the search must find a
+violation.
+"""
 
 from __future__ import annotations
 
--- a/tests/config_store/test_store_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -1,7 +1,8 @@
 """Five processes of the configuration store over loopback sockets, with a fault proxy between them.
 
-SIGSTOP, SIGKILL, a lost disk, and one-way and two-way partitions follow each other while two operators put versions
-under the same numbers. The history must be linearizable. All waits are bounded; processes are ended by their ids.
+SIGSTOP, SIGKILL, a lost disk, and one-way and two-way partitions follow each other while two operators put
+versions under the same numbers. The history must be linearizable. All waits are bounded; processes are ended
+by their ids.
 """
 
 from __future__ import annotations
@@ -215,7 +216,9 @@
 
 
 async def _run_faults(store: Store) -> tuple[list[Op], list[int], list[str]]:
-    """Return the history, the members that do not reply to a final read, and the losses without a confirmed put."""
+    """Return the history, the members that do not reply to a final read, and the losses without a confirmed
+    put.
+    """
     operators = Operators(random.Random(7))
     await store.open_gates()
     for member in range(COUNT):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
 """Handles tests that are known to fail because of a real fault, which are listed in KNOWN-RED.txt.
 
-A line is `test | cause | issue`, where `test` is a node id without parameters. The tests run as strict expected
-failures and are printed in the summary. A run fails if a listed test passes or does not exist, if a line is
-malformed, or if there are more than `MAX_LINE_COUNT` lines.
+A line is `test | cause | issue`, where `test` is a node id without parameters. The tests run as strict
+expected failures and are printed in the summary. A run fails if a listed test passes or does not exist, if a
+line is malformed, or if there are more than `MAX_LINE_COUNT` lines.
 """
 
 from __future__ import annotations
--- a/tests/features/steps/disk_steps.py
+++ b/tests/features/steps/disk_steps.py
@@ -56,7 +56,9 @@
     disk: MemoryDisk,
     act: Callable[[MemoryDisk, list[AcceptorState]], Any],
 ) -> Iterator[tuple[MemoryDisk, list[AcceptorState]]]:
-    """Yield the disk and the reported states, with `act` failing at each disk operation in turn, then complete."""
+    """Yield the disk and the reported states, with `act` failing at each disk operation in turn, then
+    complete.
+    """
     step = 0
     while True:
         copy, reported_states = disk.copy(), list[AcceptorState]()
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -1,7 +1,7 @@
 """Durability of acknowledged drains and ends.
 
-After a fault that stops all machines at once, no registry that counts as a source may report the backend as ready
-again, even if no proxy remembers it. Disks may lose unsynced writes; time is virtual.
+After a fault that stops all machines at once, no registry that counts as a source may report the backend as
+ready again, even if no proxy remembers it. Disks may lose unsynced writes; time is virtual.
 """
 
 from __future__ import annotations
--- a/tests/rpc/test_call_lifetime.py
+++ b/tests/rpc/test_call_lifetime.py
@@ -119,7 +119,9 @@
 
 
 def test_an_answer_received_as_its_caller_is_cancelled_counts_as_late() -> None:
-    """What it granted must be returned, such as the slot of a request whose client disconnects at that moment."""
+    """What it granted must be returned, such as the slot of a request whose client disconnects at that
+    moment.
+    """
     rig, answering = CallRig(), SlowServer()
     rig.serve(answering.make)
 
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -1,8 +1,8 @@
 """Randomized runs that check that each answer is matched to its own call under faults of peers and networks.
 
 Time is virtual, and each seed is one run. The first part runs the proxy between scripted clients and scripted
-backends; the second runs an RPC client and server through partitions, stalls, resets and restarts. The judge sees
-only what was sent, what ran and what was answered, and shares no code with the code under test.
+backends; the second runs an RPC client and server through partitions, stalls, resets and restarts. The judge
+sees only what was sent, what ran and what was answered, and shares no code with the code under test.
 """
 
 from __future__ import annotations
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -1,9 +1,10 @@
 """Test rig of a core and proxies in virtual time, with partitions per direction.
 
 The stores are fake; the registries run the real `StoreClient` and `WatchService`, the proxies the real
-`RegistryWatcher`. A fake store follows the rule of the real one: it has contact while a majority answered calls
-that it sent within the lease, and it merges the state in these answers before it counts them. A test puts a decided
-value on a majority of the stores; the others receive it only by polling, which is the slowest path.
+`RegistryWatcher`. A fake store follows the rule of the real one: it has contact while a majority answered
+calls that it sent within the lease, and it merges the state in these answers before it counts them. A test
+puts a decided value on a majority of the stores; the others receive it only by polling, which is the slowest
+path.
 """
 
 from __future__ import annotations
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -1,8 +1,9 @@
-"""Folders in all on-disk formats of the store and the registry, and what the program reads from each at a start.
+"""Folders in all on-disk formats of the store and the registry, and what the program reads from each at a
+start.
 
-`python -m tests.support.disk_formats --write` regenerates `tests/data/folders/`: one folder for each case, and
-`expected.json` with what is read from it. The committed data guard the format of existing disks: if they must be
-regenerated, the format on users' disks has changed.
+`python -m tests.support.disk_formats --write` regenerates `tests/data/folders/`: one folder for each case,
+and `expected.json` with what is read from it. The committed data guard the format of existing disks: if they
+must be regenerated, the format on users' disks has changed.
 
 Only the adapters at the top of each part use names of the program; the expected data are plain JSON.
 """
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -1,8 +1,8 @@
 """Records every call of a real exchange between stores, registries and a proxy in virtual time.
 
 Each run produces the same bytes, because random numbers, incarnations and identities come from seeds. Puts,
-heartbeats and a deregistration come from outside, and a store and a registry fail during the run, so that each
-specified call is made, most of them with several forms of bodies.
+heartbeats and a deregistration come from outside, and a store and a registry fail during the run, so that
+each specified call is made, most of them with several forms of bodies.
 """
 
 from __future__ import annotations
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -1,8 +1,8 @@
 """A TCP proxy between processes that injects faults: one for each pair of caller and callee.
 
-Members reach each other at an address and the first port of their own range. Each member of a test has its own
-range, so it calls `(the other's address, its own port)`. The proxy of that pair listens there and forwards to the
-port at which the other member really listens.
+Members reach each other at an address and the first port of their own range. Each member of a test has its
+own range, so it calls `(the other's address, its own port)`. The proxy of that pair listens there and
+forwards to the port at which the other member really listens.
 """
 
 from __future__ import annotations
--- a/tests/support/membership_world.py
+++ b/tests/support/membership_world.py
@@ -1,7 +1,9 @@
-"""A simulated core in virtual time for tests of the membership policy: machines, disks, partitions, status rounds.
+"""A simulated core in virtual time for tests of the membership policy: machines, disks, partitions, status
+rounds.
 
 The register is modelled as one value that a proposer changes if it reaches the quorums that
-`register.BallotAttempt` requires; the change stored on each machine's disk is tracked. Ballots are not simulated.
+`register.BallotAttempt` requires; the change stored on each machine's disk is tracked. Ballots are not
+simulated.
 """
 
 from __future__ import annotations
--- a/tests/support/planted_store_bugs.py
+++ b/tests/support/planted_store_bugs.py
@@ -1,6 +1,7 @@
 """Planted bugs of the configuration store, each a replacement for a method; simulated days must detect them.
 
-`planted(name)` is a context in which the program has that bug. The docstring of each replacement describes it.
+`planted(name)` is a context in which the program has that bug. The docstring of each replacement describes
+it.
 """
 
 from __future__ import annotations
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -1,11 +1,11 @@
 """Recorded frames of every call between processes, and the recorded messages of a handover.
 
-`python -m tests.support.wire_formats --write` regenerates `tests/data/frames.json`: sample bodies of each call, the
-frames of a real exchange (`exchange.py`), and a handover. The committed file dates from before the packages were
-renamed. A change that requires regenerating it makes processes of two versions incompatible.
+`python -m tests.support.wire_formats --write` regenerates `tests/data/frames.json`: sample bodies of each
+call, the frames of a real exchange (`exchange.py`), and a handover. The committed file dates from before the
+packages were renamed. A change that requires regenerating it makes processes of two versions incompatible.
 
-Only the tables in this module refer to names in the program. A reader decodes a body with the program's decoder and
-encodes it again.
+Only the tables in this module refer to names in the program. A reader decodes a body with the program's
+decoder and encodes it again.
 """
 
 from __future__ import annotations
