--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -1,4 +1,6 @@
-"""Quorum contact, compared with a reference implementation of its definition. Time is passed in, never slept."""
+"""Quorum contact, compared with a reference implementation of its definition. Time is passed in, never
+slept.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +35,9 @@
 class Reference:
     """Reference implementation of contact.
 
-    A process is in contact at time t if there is a time within the lease before t such that requests sent since
-    then, and since the last stall, were replied to by t by a majority of each list. The own seat counts as replied.
+    A process is in contact at time t if there is a time within the lease before t such that requests sent
+    since then, and since the last stall, were replied to by t by a majority of each list. The own seat counts
+    as replied.
     """
 
     requests: list[Request] = field(default_factory=list)
--- a/tests/config_store/test_quorum_counting.py
+++ b/tests/config_store/test_quorum_counting.py
@@ -201,7 +201,9 @@
     promises_by_known: bool = False  # planted bug: promises need a quorum of the known list only
 
     def violation(self) -> list[z3.BoolRef]:
-        """Return claims for a history that follows the rules, in which a ballot adopts less than was decided."""
+        """Return claims for a history that follows the rules, in which a ballot adopts less than was
+        decided.
+        """
         claims: list[z3.BoolRef] = []
         no_seats = [z3.BoolVal(False)] * self.seats
         lists: list[Lists] = [(bits("first", self.seats), no_seats)]
@@ -254,7 +256,9 @@
 
 @pytest.mark.parametrize(("seats", "count"), [(3, 6), (4, 5)])
 def test_no_ballot_adopts_less_than_what_is_decided(seats: int, count: int) -> None:
-    """Any lists and changes, with proposers that have any outdated list. Decided: by a quorum of its own list."""
+    """Any lists and changes, with proposers that have any outdated list. Decided: by a quorum of its own
+    list.
+    """
     assert not satisfiable(*Ballots(seats, count).violation())
 
 
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -231,7 +231,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_bodies_under_one_number_and_repeated_puts(seed: int) -> None:
-    """One is decided, the other conflicts. Each replica confirms a repeated put, even after a newer decision."""
+    """One is decided, the other conflicts. Each replica confirms a repeated put, even after a newer
+    decision.
+    """
     store = SimulatedStore(3, seed)
     results: list[list[Any]] = []
 
@@ -327,7 +329,9 @@
 
 @pytest.mark.parametrize("missing", (0, 2))
 def test_a_replica_that_misses_the_first_start_becomes_a_member(missing: int) -> None:
-    """One of three seeds does not start with the others; it starts later with an empty disk, `bootstrap` false."""
+    """One of three seeds does not start with the others; it starts later with an empty disk, `bootstrap`
+    false.
+    """
     store = SimulatedStore(3, 3)
     host = store.hosts[missing]
     others = [other for other in store.hosts if other != host]
--- a/tests/config_store/test_version_store.py
+++ b/tests/config_store/test_version_store.py
@@ -1,4 +1,6 @@
-"""Transfer of versions as deltas and snapshots: complete or not at all, and never blocked by faulty chunks."""
+"""Transfer of versions as deltas and snapshots: complete or not at all, and never blocked by faulty
+chunks.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +79,9 @@
     tamper: Callable[[list[Any]], list[list[Any]]] = lambda chunk: [chunk],
     max_chunks: int = 400,
 ) -> tuple[ConfigVersion, int]:
-    """Return the version and the total size of its chunks; `tamper` returns what arrives for each sent chunk."""
+    """Return the version and the total size of its chunks; `tamper` returns what arrives for each sent
+    chunk.
+    """
     size = 0
     for _ in range(max_chunks):
         chunk = next_chunk(
@@ -275,7 +279,9 @@
 def test_receivers_that_start_while_versions_change_share_one_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each change adds a receiver; each gets one chunk at a time. All complete soon, from one shared snapshot."""
+    """Each change adds a receiver; each gets one chunk at a time. All complete soon, from one shared
+    snapshot.
+    """
     monkeypatch.setattr(version_store_module, "CHUNK_BYTES", 12 << 10)
     history = versions(50, routes=400)
     chunk_count = -(-len(history[0].body) // (12 << 10))
@@ -451,7 +457,9 @@
 
 
 def test_a_wrong_version_of_the_announced_length_is_transferred_again() -> None:
-    """One source sends another body under the same id; the next request gets a snapshot from a correct source."""
+    """One source sends another body under the same id; the next request gets a snapshot from a correct
+    source.
+    """
     one, two = versions(2)
     version_store, assembler = store_with(one, two), ChunkAssembler(store_with(one))
     wrong_delta = encode_delta(one.body, one.body + b" " * (len(two.body) - len(one.body)))
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -1,4 +1,6 @@
-"""`StoreClient` in virtual time: the replica it follows, the age of its state, the routing of puts and reads."""
+"""`StoreClient` in virtual time: the replica it follows, the age of its state, the routing of puts and
+reads.
+"""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_call_specs.py
+++ b/tests/rpc/test_call_specs.py
@@ -1,4 +1,6 @@
-"""The call specification covers every call that the programs send and handle, and the design page matches it."""
+"""The call specification covers every call that the programs send and handle, and the design page
+matches it.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +26,8 @@
     for program in (*PROGRAMS, "simulation"):
         for path in sorted((ROOT / "irisdeal" / program).rglob("*.py")):
             name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
-            # The package is imported in place of its entry point, because importing that would start the program.
+            # The package is imported in place of its entry point, because importing that would start the
+            # program.
             name = name.removesuffix(".__init__").removesuffix(".__main__")
             yield program, importlib.import_module(name), ast.parse(path.read_text("utf-8"))
 
@@ -42,7 +45,9 @@
 
 
 def _kinds_in_handlers(table_of_handlers: ast.Dict, module: ModuleType) -> set[str]:
-    """Return the keys of a dictionary from constants to methods of `self`; nothing for any other dictionary."""
+    """Return the keys of a dictionary from constants to methods of `self`; nothing for any other
+    dictionary.
+    """
     are_names = all(isinstance(key, ast.Name | ast.Attribute) for key in table_of_handlers.keys)
     are_methods = all(
         isinstance(value, ast.Attribute) and isinstance(value.value, ast.Name) and value.value.id == "self"
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -60,7 +60,9 @@
 
 
 class CutNetwork(Network):
-    """A network with cuts per direction: data in transit is held until a cut ends, and no connection opens."""
+    """A network with cuts per direction: data in transit is held until a cut ends, and no connection
+    opens.
+    """
 
     def __init__(self, world: World, usual: NetworkLink) -> None:
         super().__init__(world, usual)
--- a/tests/support/disk_formats.py
+++ b/tests/support/disk_formats.py
@@ -396,7 +396,9 @@
 
 
 def read_folder(name: str, path: Path) -> dict[str, Any]:
-    """Return what a start reads of a case, and the files before and after. Changes the folder like a start."""
+    """Return what a start reads of a case, and the files before and after. Changes the folder like a
+    start.
+    """
     before = files_of(path)
     readings: dict[str, Any] = {}
     if name.startswith((STORE, MACHINE)):
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -181,7 +181,9 @@
         )
 
     def process(self, host: str, make: Callable[[], Coroutine[Any, Any, int]]) -> Machine:
-        """Start a process whose event loop iterations take time, so that waiting on the clock makes progress."""
+        """Start a process whose event loop iterations take time, so that waiting on the clock makes
+        progress.
+        """
         machine = super().process(host, make)
         machine.costs = Costs(turn=1)
         return machine
--- a/tests/support/membership_world.py
+++ b/tests/support/membership_world.py
@@ -241,7 +241,9 @@
         )
 
     def _round(self, machine: Machine) -> None:
-        """Run a status round: exchange statuses, fetch newer values, and propose a change if it is its turn."""
+        """Run a status round: exchange statuses, fetch newer values, and propose a change if it is its
+        turn.
+        """
         reachable = self.reachable_from(machine)
         for other in reachable:
             machine.monitor.record_status(self._status(other), self.now)
--- a/tests/test_disk_formats.py
+++ b/tests/test_disk_formats.py
@@ -1,4 +1,6 @@
-"""Folders written by an earlier version: the current version reads the same data and writes the same bytes."""
+"""Folders written by an earlier version: the current version reads the same data and writes the same
+bytes.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,6 @@
-"""The run of two versions side by side: what it reads from a checkout, and which results count as breaches."""
+"""The run of two versions side by side: what it reads from a checkout, and which results count as
+breaches.
+"""
 
 from __future__ import annotations
 
