--- a/irisdeal/load_balancing/__init__.py
+++ b/irisdeal/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a backend for a request: latency estimates, distance, outlier ejection. No input or output."""
+"""Choice of a backend for a request: latency estimates, distance, outlier ejection. Does no I/O."""
--- a/irisdeal/placement/__init__.py
+++ b/irisdeal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement of attempts on backends by a registry, for all proxies that ask it. No input or output here."""
+"""Placement of attempts on backends by a registry, for all proxies that send it requests. Does no I/O."""
--- a/irisdeal/placement/attempt_result.py
+++ b/irisdeal/placement/attempt_result.py
@@ -6,12 +6,12 @@
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended. The numbers are told between processes and are fixed."""
+    """How an attempt ended. The numbers are part of the wire format and must not change."""
 
     SUCCESS = 0  # a complete response
-    SERVER_ERROR = 1  # a complete response with a status of 5xx of the backend's own
-    REJECTED = 2  # by the backend: its queue is full
-    WRONG_INCARNATION = 3  # another incarnation has the backend's address now
-    FAILED = 4  # broken off, refused, or no response in the protocol
-    UNKNOWN = 5  # its time was over, or it was never sent
-    ABANDONED = 6  # given up without a response: another attempt was quicker, or the client has left
+    SERVER_ERROR = 1  # a complete response with a 5xx status that the backend itself generated
+    REJECTED = 2  # rejected by the backend because its queue is full
+    WRONG_INCARNATION = 3  # another incarnation now has the backend's address
+    FAILED = 4  # connection broken or refused, or the response violates the protocol
+    UNKNOWN = 5  # timed out, or never sent
+    ABANDONED = 6  # cancelled without a response: another attempt was faster, or the client disconnected
--- a/irisdeal/placement/waiting_queues.py
+++ b/irisdeal/placement/waiting_queues.py
@@ -1,4 +1,4 @@
-"""Queues of requests that wait for capacity at a service, the least rank first. No input or output here."""
+"""Priority queues of requests that wait for capacity at a service, the lowest rank first. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-MAX_WAITING = 4000  # requests that wait at one service; more are answered at once
+MAX_WAITING = 4000  # requests queued at one service; further ones are rejected immediately
 
 
 @dataclass(slots=True)
 class WaitingQueue:
-    """Requests for one service.
+    """The queue of one service.
 
-    `heap`: rank, order of arrival, token; `cancelled`: tokens in it that wait no more.
+    `heap`: entries of rank, arrival number and token; `cancelled`: tokens in the heap that are to be skipped.
     """
 
     heap: list[tuple[int, int, Hashable]] = field(default_factory=list)
@@ -21,27 +21,27 @@
 
 
 class WaitingQueues:
-    """The queues of all services."""
+    """The queues of all services. A token identifies a request and is opaque here."""
 
     def __init__(self) -> None:
         self.queues: dict[str, WaitingQueue] = {}
-        self.arrivals = 0
+        self.arrival_count = 0  # breaks ties between equal ranks
 
     def __len__(self) -> int:
-        """Return how many wait, at all services."""
+        """Return the number of waiting requests, over all services."""
         return sum(len(queue.heap) - len(queue.cancelled) for queue in self.queues.values())
 
     def push(self, service: str, rank: int, token: Hashable) -> bool:
-        """Queue `token` at a service. Returns False where too many wait there."""
+        """Queue `token` at a service. Returns False if its queue is full."""
         heap = self.queues.setdefault(service, WaitingQueue()).heap
         if len(heap) >= MAX_WAITING:
             return False
-        self.arrivals += 1
-        heapq.heappush(heap, (rank, self.arrivals, token))
+        self.arrival_count += 1
+        heapq.heappush(heap, (rank, self.arrival_count, token))
         return True
 
     def cancel(self, service: str, token: Hashable) -> None:
-        """Skip `token` when its turn comes; the queue is cleared of such tokens once they are half of it."""
+        """Mark `token` as cancelled; once more than half of the heap is cancelled, the heap is compacted."""
         queue = self.queues[service]
         queue.cancelled.add(token)
         if 2 * len(queue.cancelled) > len(queue.heap):
@@ -50,7 +50,7 @@
             queue.cancelled.clear()
 
     def pop(self, service: str) -> Hashable | None:
-        """Take out the token that goes next at this service; None where none waits."""
+        """Remove and return the next token of this service; None if no request waits."""
         queue = self.queues.get(service)
         while queue is not None and queue.heap:
             token = heapq.heappop(queue.heap)[2]
