--- a/irisdeal/ratelimit/demand_split.py
+++ b/irisdeal/ratelimit/demand_split.py
@@ -1,9 +1,9 @@
 """Divides a tenant's concurrency cap among the proxies by their demand.
 
-The rule is that of Padala et al., with each tenant a class. If the total demand is within the cap, a proxy
-gets its demand and an even share of the free rest; if it exceeds the cap, a share of the cap in proportion to
-its demand. Over proxies that read the same total, the shares sum to the cap in both cases. Time and totals
-are arguments.
+The rule is that of Padala et al., with each tenant as a class. If the total demand is within the cap, a proxy
+gets its demand and an even share of the unused rest; if it exceeds the cap, a share of the cap in proportion to
+its demand. In both cases the shares of proxies that use the same total sum to the cap. Time and totals are
+arguments.
 """
 
 from __future__ import annotations
@@ -11,17 +11,16 @@
 import math
 from dataclasses import dataclass
 
-# Requests: absorbs rounding errors before a share is rounded up.
+# In requests; absorbs rounding errors before a share is rounded up.
 ROUNDING_TOLERANCE = 1e-9
-# s: shortest interval that a mean is taken over, against a division by zero.
+# Shortest interval for a mean, to avoid a division by zero.
 MIN_INTERVAL_S = 1e-3
 
 
 def demand_share(demand: float, total: float, cap: float, proxies: int) -> float:
     """Return one proxy's share of `cap`, in the cap's unit.
 
-    `demand`: of this proxy; `total`: of all proxies, in the same unit, 0 where unknown: the share is then
-    even.
+    `demand`: of this proxy; `total`: of all proxies, in the same unit; 0 if unknown, which gives an even share.
     """
     proxies = max(1, proxies)
     if total <= 0:
@@ -33,16 +32,16 @@
 
 
 def concurrency_bound(demand: float, total: float, cap: float, proxies: int) -> int:
-    """Return how many requests of a tenant a proxy may have in flight: its share, rounded up, at least one."""
+    """Return the requests of a tenant that a proxy may have in flight: its share, rounded up, at least one."""
     return max(1, math.ceil(demand_share(demand, total, cap, proxies) - ROUNDING_TOLERANCE))
 
 
 @dataclass(slots=True)
 class TimeWeightedMean:
-    """The time-weighted mean of a number that changes in steps, over one interval.
+    """The time-weighted mean of a count over one interval.
 
-    `since`: start of the interval; `level`: the current number; `area`: integral of the level so far;
-    `changed_at`: when it changed last. Times are s.
+    `since`: start of the interval; `level`: the current count; `area`: integral of the level since the start;
+    `changed_at`: time of the last change. Times are in s.
     """
 
     since: float
@@ -51,7 +50,7 @@
     changed_at: float = 0.0
 
     def add(self, change: int, now: float) -> None:
-        """Change the level by `change` from now on."""
+        """Change the level by `change` as of `now`."""
         self.area += self.level * (now - max(self.changed_at, self.since))
         self.changed_at = now
         self.level += change
--- a/irisdeal/ratelimit/interval_counter.py
+++ b/irisdeal/ratelimit/interval_counter.py
@@ -1,17 +1,17 @@
-"""Totals over all proxies of one interval after the other, summed by the registries.
-
-Early in an interval each proxy reports to one registry its requests and concurrency of the interval before.
-The registry adds up its proxies' reports and sends the sum, with its proxies' identities, to the other
-registries. At the end of that interval the total is finished and never changes again; every registry that
-received all sums has the same total. Totals steer load shedding and concurrency bounds only; rate limits are
-enforced by permits (`irisdeal/permits/`). Missing and repeated messages:
-
-- a proxy that does not report counts with its last report for `PROXY_RETENTION_S`;
-- a registry that does not send counts with its last sum, for those of its proxies that have not reported to
-  another registry since; once all have moved it counts nothing;
-- a report that arrives twice counts once; one for a finished interval changes only the next total. A proxy
-  whose registry received a report without answering in time, and that reports to another, counts twice in one
-  total: the rejection probability is then too large by its share, for one interval.
+"""Usage totals over all proxies, per interval, summed by the registries.
+
+Early in an interval each proxy reports its requests and concurrency of the previous interval to one registry. The
+registry adds up its proxies' reports and sends the sum, with its proxies' identities, to the other registries. At
+the end of that interval the total is final; every registry that received all sums has the same total. Totals only
+control load shedding and concurrency bounds; rate limits are enforced by permits (`irisdeal/permits/`). Missing
+and repeated messages:
+
+- the last report of a proxy that stops reporting counts for `PROXY_RETENTION_S`;
+- the last sum of a registry that stops sending counts for those of its proxies that have not reported to another
+  registry since, and no longer once all of them have;
+- a repeated report counts once, and one for a finished interval affects only the next total. If a registry
+  received a report but did not reply in time, and the proxy then reports to another one, that proxy counts twice
+  in one total: for one interval, the rejection probability is too large by the proxy's share.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from irisdeal.ratelimit.interval_clock import INTERVAL_S
 from irisdeal.ratelimit.messages import Usage, Usages
 
-# s that a proxy which does not report still counts: a partition of some twenty seconds, a window of the
-# limits, and the time until it is noticed.
+# How long the last report of a proxy counts: a partition of about 20 s, one window of the limits, and the time to
+# detect the partition.
 PROXY_RETENTION_S = 30.0
-# s likewise for a registry.
+# Likewise for the last sum of a registry.
 REGISTRY_RETENTION_S = 30.0
-# Intervals without a report after which a proxy counts as not reporting: it has missed two.
+# Age of the last report, in intervals, from which a proxy counts as not reporting: two reports are missing.
 MISSED_REPORT_INTERVALS = 2.4
-# Proxies that a registry keeps reports of.
+# Proxies whose reports one registry stores.
 MAX_PROXIES = 8192
 
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntervalTotal:
-    """The finished total of interval `number`; `proxies`: how many it covers."""
+    """The final total of interval `number`; `proxies`: the number of proxies it covers."""
 
     number: int
     proxies: int
@@ -62,7 +62,7 @@
 
 
 class IntervalCounter:
-    """One registry's reports, sums and finished total."""
+    """One registry's reports, sums and newest final total."""
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
@@ -71,10 +71,7 @@
         self.total = IntervalTotal(-1, 1)
 
     def receive_report(self, proxy: int, number: int, usages: Usages, now: float) -> None:
-        """Take in a proxy's report of interval `number`.
-
-        An older or repeated one only shows that it is there.
-        """
+        """Store a proxy's report of interval `number`; an older or repeated one only renews its time of receipt."""
         known = self.reports.get(proxy)
         if known is not None and known.number >= number:
             known.received_at = now
@@ -84,20 +81,20 @@
     def receive_sum(
         self, registry: str, number: int, usages: Usages, proxies: Iterable[int], now: float
     ) -> None:
-        """Take in another registry's sum of interval `number`; an older or repeated one is ignored."""
+        """Store another registry's sum of interval `number`; an older or repeated one is ignored."""
         known = self.sums.get(registry)
         if known is None or known.number < number:
             self.sums[registry] = RegistrySum(number, now, usages, frozenset(proxies))
 
     def close_interval(self, number: int, now: float) -> RegistrySum:
-        """Return our own sum of interval `number`; the caller adds the permits that are ready here."""
+        """Return this registry's sum of interval `number`; the caller adds the permits that are ready here."""
         reporting_elsewhere = self._reporting_elsewhere(number)
         usages: Usages = {}
         for proxy, report in list(self.reports.items()):
             age = now - report.received_at
             is_missing = age > MISSED_REPORT_INTERVALS * INTERVAL_S
             if age > PROXY_RETENTION_S or (is_missing and proxy in reporting_elsewhere):
-                del self.reports[proxy]  # it has ended, or reports to another registry now
+                del self.reports[proxy]  # it has terminated, or reports to another registry now
             else:
                 _add(usages, report.usages)
         own = RegistrySum(number, now, usages, frozenset(self.reports))
@@ -105,7 +102,7 @@
         return own
 
     def _reporting_elsewhere(self, number: int) -> set[int]:
-        """Return the proxies that have lately reported to another registry."""
+        """Return the proxies that other registries' sums of the last two intervals include."""
         proxies: set[int] = set()
         for registry, registry_sum in self.sums.items():
             if registry != self.own_address and registry_sum.number >= number - 1:
@@ -113,7 +110,7 @@
         return proxies
 
     def finish_interval(self, number: int, now: float) -> IntervalTotal:
-        """Return the total of interval `number`, which never changes again."""
+        """Return the total of interval `number`, which is final."""
         if number <= self.total.number:
             return self.total
         current = {registry for registry, registry_sum in self.sums.items() if registry_sum.number >= number}
--- a/irisdeal/ratelimit/messages.py
+++ b/irisdeal/ratelimit/messages.py
@@ -1,6 +1,6 @@
-"""Usage of tenants in an interval, and its form on the wire between proxies and registries.
+"""Usage of tenants in an interval, and its wire format between proxies and registries.
 
-It is a list of values in a fixed order, as peers of other versions read them by position.
+The wire format is a list in a fixed order, as peers of other versions read the values by position.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 class Usage:
     """One tenant's usage in one interval, at one proxy or summed.
 
-    `requests`: requests that arrived; `in_flight`: time-weighted mean of requests in flight or waiting;
-    `ready`: permits that the registries have; `late`: those of `requests` that arrived after their latency
-    target had passed.
+    `requests`: requests received; `in_flight`: time-weighted mean of requests in flight or waiting; `ready`:
+    permits available at the registries; `late`: those of `requests` received after their latency target had
+    passed.
     """
 
     requests: float = 0.0
@@ -31,12 +31,12 @@
         self.late += share * other.late
 
     def encode(self) -> list[float]:
-        """Return the form on the wire."""
+        """Return the wire format."""
         return [round(self.requests, 3), round(self.in_flight, 3), round(self.ready, 3), round(self.late, 3)]
 
     @staticmethod
     def decode(body: Any) -> Usage:
-        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire format. Raises ValueError or TypeError if it is malformed."""
         requests, in_flight, ready, late = body
         return Usage(float(requests), float(in_flight), float(ready), float(late))
 
@@ -45,10 +45,10 @@
 
 
 def encode_usages(usages: Usages) -> dict[str, list[float]]:
-    """Return the form on the wire."""
+    """Return the wire format."""
     return {tenant: usage.encode() for tenant, usage in usages.items()}
 
 
 def decode_usages(body: Any) -> dict[str, Usage]:
-    """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+    """Parse the wire format. Raises ValueError or TypeError if it is malformed."""
     return {str(tenant): Usage.decode(usage) for tenant, usage in dict(body).items()}
--- a/irisdeal/ratelimit/retry_budget.py
+++ b/irisdeal/ratelimit/retry_budget.py
@@ -1,8 +1,8 @@
-"""Retry budget of a service, bounded in sum over all processes that spend it. Time is an argument.
+"""Retry budget of a service, bounded in sum over all processes that consume it. Time is an argument.
 
 The rule allows ratio * requests + slack retries in any window, over all proxies together. Each process that
-spends has the ratio of the requests that it counted itself in the window, and a share of the slack. The sums
-equal the rule's, as long as each request is counted once and the shares of the slack sum to it.
+consumes the budget has the ratio of the requests that it counted itself in the window, and a share of the
+slack. These sum to the rule's bound, as long as each request is counted once and the shares sum to the slack.
 """
 
 from __future__ import annotations
@@ -10,19 +10,20 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Share of the rule's slack that the registries spend.
+# Share of the rule's slack for the registries.
 REGISTRY_SLACK_SHARE = 0.7
-# Share of the rule's slack for proxies that no registry answers.
+# Share of the rule's slack for proxies that get no reply from any registry.
 PROXY_SLACK_SHARE = 0.3
-# Share of what is allowed that is spent: our windows do not start and end with those of a measurement.
-SAFE_SHARE = 0.8
-# s: requests and retries are counted together for so long.
+# Share of the allowed retries that is used, as the windows here are not aligned with those of an outside
+# observer.
+USED_SHARE = 0.8
+# Length of the steps in which requests and retries are counted.
 STEP_S = 0.5
 
 
 @dataclass(slots=True)
 class BudgetStep:
-    """What was counted from `since` (s) on, for `STEP_S`."""
+    """The requests and retries counted in the `STEP_S` that begin at `since` (s)."""
 
     since: float
     requests: int = 0
@@ -33,7 +34,7 @@
     """One service's retry budget at one process."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
-        """`ratio`: retries allowed per request; `window_s`: length of the sliding window in s."""
+        """`ratio`: retries per request; `window_s`: length of the sliding window in s."""
         self.ratio, self.window_s = ratio, window_s
         self.steps: deque[BudgetStep] = deque()
         self.requests = self.retries = 0
@@ -53,12 +54,12 @@
         self.requests += 1
 
     def remaining(self, now: float, slack: float) -> float:
-        """Return how many retries may be sent now; `slack`: this process's share of the rule's slack."""
+        """Return the retries that may be sent now; `slack`: this process's share of the rule's slack."""
         self._current_step(now)
-        return SAFE_SHARE * (self.ratio * self.requests + slack) - self.retries
+        return USED_SHARE * (self.ratio * self.requests + slack) - self.retries
 
     def consume(self, now: float, slack: float) -> bool:
-        """Count a retry and return True; False, and nothing counted, where the budget is exhausted."""
+        """Count a retry and return True; if the budget is exhausted, count nothing and return False."""
         if self.remaining(now, slack) < 1.0:
             return False
         self._current_step(now).retries += 1
@@ -67,15 +68,15 @@
 
 
 class RetryBudgets:
-    """The retry budgets of one process, one for each service, each with an even share of a slack.
+    """The retry budgets of one process, one for each service, each with an even share of the slack.
 
-    A process that starts does not know what a former one in its place has spent: it has no share of the slack
-    until a complete window has passed. Each request is counted once, by the first registry that is asked, so
-    the ratio of all that is counted is the ratio of what clients sent.
+    A process has no share of the slack until a complete window has passed since its start, as its predecessor
+    may have used that share just before. Each request is counted once, by the first registry that receives its
+    placement request, so the ratio applies to the number of clients' requests.
     """
 
     def __init__(self, ratio: float, window_s: float, slack: float, now: float) -> None:
-        """`slack`: retries that all sharers together have in any window; `now`: when this process started."""
+        """`slack`: retries in any window of all sharing processes together; `now`: start of this process, s."""
         self.ratio, self.window_s, self.slack = ratio, window_s, slack
         self.slack_from = now + window_s
         self.budgets: dict[str, RetryBudget] = {}
@@ -90,9 +91,9 @@
         self._budget(service).record_request(now)
 
     def consume(self, service: str, now: float, sharers: int) -> bool:
-        """Count a retry and return True; False, and nothing counted, where the budget is exhausted.
+        """Count a retry and return True; if the budget is exhausted, count nothing and return False.
 
-        `sharers`: processes that share the slack, 0 where this one has no part in it.
+        `sharers`: number of processes that share the slack; 0 if this one has no share.
         """
         slack = self.slack / sharers if sharers and now >= self.slack_from else 0.0
         return self._budget(service).consume(now, slack)
--- a/tests/ratelimit/test_retry_budget.py
+++ b/tests/ratelimit/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets, in sum over all processes that spend them."""
+"""Retry budgets, in sum over all processes that consume them."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 @hypothesis_settings(deadline=None, max_examples=50)
 @given(st.integers(0, 2**32), st.sampled_from((1, 8, 85)))
 def test_retries_of_all_proxies_stay_within_the_budget(seed: int, proxies: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     budgets, now = [RetryBudget(0.2, 10.0) for _ in range(proxies)], 0.0
     requests: list[float] = []
     retries: list[float] = []
     for step in range(800):
-        now += chance.expovariate(30)
-        budget = chance.choice(budgets)
+        now += rng.expovariate(30)
+        budget = rng.choice(budgets)
         budget.record_request(now)
         requests.append(now)
-        while chance.random() < 0.9 and budget.consume(now, 56.0 / proxies):
+        while rng.random() < 0.9 and budget.consume(now, 56.0 / proxies):
             retries.append(now)
         if step % 8 == 0:
             spent = len(retries) - bisect_right(retries, now - 10)
@@ -35,18 +35,18 @@
 @given(st.integers(0, 2**32))
 def test_retries_stay_within_the_budget_despite_restarts_of_registries(seed: int) -> None:
     """Each registry restarts every few seconds, without its state."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     budgets, now = [RetryBudgets(0.2, 10.0, 56.0, -99.0) for _ in range(4)], 0.0
     requests: list[float] = []
     retries: list[float] = []
     for step in range(1500):
-        now += chance.expovariate(30)
-        if chance.random() < 0.03:
-            budgets[chance.randrange(4)] = RetryBudgets(0.2, 10.0, 56.0, now)
-        if chance.random() < 0.7:
-            chance.choice(budgets).record_request("s", now)  # counted by the first registry that is asked
+        now += rng.expovariate(30)
+        if rng.random() < 0.03:
+            budgets[rng.randrange(4)] = RetryBudgets(0.2, 10.0, 56.0, now)
+        if rng.random() < 0.7:
+            rng.choice(budgets).record_request("s", now)  # counted by the first registry that receives it
             requests.append(now)
-        while chance.random() < 0.9 and chance.choice(budgets).consume("s", now, 4):
+        while rng.random() < 0.9 and rng.choice(budgets).consume("s", now, 4):
             retries.append(now)
         if step % 8 == 0:
             spent = len(retries) - bisect_right(retries, now - 10)
