--- a/irisdeal/permits/bucket.py
+++ b/irisdeal/permits/bucket.py
@@ -1,17 +1,17 @@
 """Token bucket of one tenant's permits at one registry. Time is an argument.
 
-A permit leaves the bucket exactly once: to a request that is admitted now (`claim`), to a proxy that
-prefetches it (`prefetch`) or to another registry (`lend`). The bucket starts empty, so a registry that has
-lost its state cannot issue a permit twice.
+A permit leaves the bucket exactly once: to a request that is admitted now (`claim`), to a proxy that prefetches
+it (`prefetch`) or to another registry (`lend`). The bucket starts empty, so a registry that lost its state
+cannot issue a permit twice.
 """
 
 from __future__ import annotations
 
 import math
 
-# Share of a bucket that is reserved for requests which can still be answered within their latency target.
-FRESH_SHARE = 0.35
-# Permits: absorbs rounding errors of the level before it is rounded up.
+# Share of a bucket that is reserved for requests that can still be answered within their latency target.
+ON_TIME_SHARE = 0.35
+# In permits; absorbs rounding errors of the level before it is rounded up.
 ROUNDING_TOLERANCE = 1e-9
 
 
@@ -19,15 +19,15 @@
     """The permits of one tenant that are ready at this registry."""
 
     def __init__(self, refill_per_s: float, capacity: float, since: float) -> None:
-        """`since`: s, when it started to fill from empty; this process has issued nothing before."""
+        """`since`: time in s at which the empty bucket started to fill; no permit was issued before."""
         self.refill_per_s, self.capacity = refill_per_s, capacity
         self.permits = 0.0
         self.filled_at = since
 
     def change(self, refill_per_s: float, capacity: float, now: float) -> None:
-        """Apply a changed limit, number of issuers or count of prefetched permits.
+        """Apply a changed refill rate and capacity; discard permits over the capacity.
 
-        Permits over `capacity` are lost.
+        Both follow from the tenant's limit, the number of issuers and the count of prefetched permits.
         """
         if refill_per_s == self.refill_per_s and capacity == self.capacity:
             return
@@ -46,26 +46,26 @@
         return self.permits
 
     def claim(self, now: float, is_late: bool = False, cost: float = 1.0) -> bool:
-        """Consume `cost` permits for one request; False, and nothing consumed, where too few are left.
+        """Consume `cost` permits for one request and return True; if too few are left, consume none.
 
-        `is_late`: the request was retried after its latency target had passed, and is worth a tenth to a
-        third of a fresh one. Permits are scarce in a flood, so `FRESH_SHARE` of the bucket is withheld from
-        such requests.
+        `is_late`: the request was retried after its latency target had passed, and has a tenth to a third of
+        the value of one within its target. As permits are scarce under overload, `ON_TIME_SHARE` of the bucket
+        is withheld from late requests.
         """
-        withheld = FRESH_SHARE * self.capacity if is_late else 0.0
+        withheld = ON_TIME_SHARE * self.capacity if is_late else 0.0
         if self.ready(now) < cost + withheld:
             return False
         self.permits -= cost
         return True
 
     def prefetch(self, wanted: int, now: float) -> int:
-        """Take up to `wanted` permits for a proxy to hold, of the upper half only, so that direct claims go on."""
+        """Take up to `wanted` permits for a proxy; the lower half stays for direct claims."""
         granted = max(0, min(wanted, int(self.ready(now) - self.capacity / 2)))
         self.permits -= granted
         return granted
 
     def lend(self, wanted: int, retained: float, now: float) -> int:
-        """Take up to `wanted` permits for another registry; `retained`, at most half of the level, stay."""
+        """Take up to `wanted` permits for another registry; keep `retained` permits, at most half of the level."""
         ready = self.ready(now)
         spare = ready - min(retained, ready / 2)
         granted = max(0, min(wanted, math.ceil(spare - ROUNDING_TOLERANCE), int(ready)))
@@ -73,7 +73,7 @@
         return granted
 
     def is_full(self, now: float) -> bool:
-        """Whether it holds as many permits as it may."""
+        """Whether it holds as many permits as its capacity allows."""
         return self.ready(now) >= self.capacity
 
     def free_capacity(self, now: float) -> float:
@@ -83,6 +83,6 @@
     def add_borrowed(self, count: int, now: float) -> None:
         """Add permits of another registry.
 
-        Those over the capacity are lost, so that all stocks stay within the rule.
+        Those over the capacity are discarded, so that all stocks stay within the rule.
         """
         self.permits += min(float(count), self.free_capacity(now))
--- a/irisdeal/permits/issuer.py
+++ b/irisdeal/permits/issuer.py
@@ -1,6 +1,6 @@
-"""One registry's issuing of permits: all tenants' buckets, prefetched permits and the right to issue.
+"""One registry's issuing of permits: all tenants' buckets, prefetched permits and the authority to issue.
 
-There is no input or output here; times are s of the process's steady clock.
+Does no I/O; times are in s of the process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from enum import Enum
 
-from irisdeal.permits.allowance import Allowance, Limit, QuotaRule, allowance
+from irisdeal.permits.allowance import Allowance, Limit, QuotaRule, compute_allowance
 from irisdeal.permits.authority import RESERVE_GUARD_S, IssuingAuthority
 from irisdeal.permits.bucket import PermitBucket
 from irisdeal.permits.messages import PrefetchReply, PrefetchReport
@@ -20,19 +20,19 @@
 
     GRANTED = 0
     EXHAUSTED = 1  # the tenant has no permit left at this registry
-    NOT_ISSUING = 2  # try another registry: this one may not issue, or does not know the tenant
+    NOT_ISSUING = 2  # this registry may not issue, or has no such tenant; another one may grant the claim
 
 
 class PermitIssuer:
     """The permits of one registry's process."""
 
     def __init__(self, incarnation: int, rule: QuotaRule, authority: IssuingAuthority, now: float) -> None:
-        """`incarnation`: of this process, which no other process of any registry has."""
+        """`incarnation`: of this process, unique among all processes of all registries."""
         self.incarnation, self.rule, self.authority, self.started_at = incarnation, rule, authority, now
         self.limits: Mapping[str, Limit] = {}
         self.buckets: dict[str, PermitBucket] = {}
         self.outstanding = OutstandingPermits()
-        self.reserves_from = now + LEASE_GUARD_S  # proxies may use grants of a former incarnation until then
+        self.reserves_from = now + LEASE_GUARD_S  # until then, proxies may use grants of a former incarnation
         self.epoch = authority.epochs
         self._shares: dict[tuple[str, int, int], Allowance] = {}
 
@@ -46,14 +46,14 @@
     def may_issue(self, age_s: float | None, now: float) -> bool:
         """Whether this registry may issue permits.
 
-        `age_s`: age of its knowledge of the decisions, None without any.
+        `age_s`: age of its last confirmation of the issuer list; None without any.
         """
         if self.epoch != self.authority.epochs:
-            # Permits issued under an earlier entitlement may still be in use.
+            # Permits issued under an earlier entitlement may still be in use, so the buckets start empty.
             self.epoch = self.authority.epochs
             self.buckets.clear()
             if self.authority.entitled_at > self.started_at:
-                # Not a member all along: leases granted by the former members have to expire first.
+                # Membership was not continuous: leases granted by former members have to expire first.
                 self.reserves_from = max(self.reserves_from, now + RESERVE_GUARD_S)
         return self.authority.may_issue(age_s, now)
 
@@ -67,12 +67,12 @@
         return bucket
 
     def _filled_since_start(self, tenant: str, now: float) -> PermitBucket:
-        """Return a bucket that has filled since this process may issue, with no permit claimed or prefetched."""
+        """Return a bucket with all permits refilled since this process became entitled to issue."""
         share = self._share(tenant, now)
         since = min(now, max(self.started_at, self.authority.entitled_at))
         bucket = PermitBucket(share.refill_per_s, share.ready, since)
         if now > self.reserves_from:
-            # The share that proxies may have held of a former incarnation fills only from then on.
+            # Before, proxies may have held this share from a former incarnation.
             bucket.change(share.refill_per_s, share.ready + share.reserved, self.reserves_from)
         return bucket
 
@@ -80,10 +80,7 @@
         return share.ready + self._free_reserve(tenant, share, now)
 
     def _free_reserve(self, tenant: str, share: Allowance, now: float) -> float:
-        """Permits that proxies might prefetch and have not.
-
-        None before a former incarnation's grants expired.
-        """
+        """Return the permits that proxies may still prefetch; 0 until grants of a former incarnation expired."""
         if now < self.reserves_from:
             return 0.0
         return max(0.0, share.reserved - self.outstanding.total(tenant))
@@ -93,7 +90,7 @@
         key = (tenant, issuers, reserve_issuers)
         share = self._shares.get(key)
         if share is None:
-            total = allowance(self.rule, self.limits[tenant], issuers)
+            total = compute_allowance(self.rule, self.limits[tenant], issuers)
             share = self._shares[key] = Allowance(
                 total.refill_per_s / issuers,
                 total.ready / issuers,
@@ -102,26 +99,25 @@
         return share
 
     def is_limited(self, tenant: str) -> bool:
-        """Whether this tenant has a limit, by the configuration that is known here."""
+        """Whether this tenant has a limit in the newest configuration of this process."""
         limit = self.limits.get(tenant)
         return limit is not None and limit.is_limited
 
     def claim(self, tenant: str, age_s: float | None, now: float, is_late: bool = False) -> ClaimResult:
-        """Claim a permit for one request of a tenant that has a limit by its proxy's configuration.
+        """Claim a permit for one request of a tenant that has a limit in its proxy's configuration.
 
         `age_s`: as in `may_issue`; `is_late`: the request's latency target has passed.
         """
         limit = self.limits.get(tenant)
         if limit is None or not self.may_issue(age_s, now):
             return ClaimResult.NOT_ISSUING
-        if (
-            not limit.is_limited
-        ):  # the limit was removed, and the proxy has not received that configuration yet
+        # The limit was removed, and the proxy has not received that configuration yet.
+        if not limit.is_limited:
             return ClaimResult.GRANTED
         return ClaimResult.GRANTED if self.bucket(tenant, now).claim(now, is_late) else ClaimResult.EXHAUSTED
 
     def handle_report(self, report: PrefetchReport, age_s: float | None, now: float) -> PrefetchReply:
-        """Take in a proxy's report of its prefetched permits; return what it may hold from now on."""
+        """Apply a proxy's report of its prefetched permits; return the change of the permits that it may hold."""
         unused = report.unused if report.incarnation == self.incarnation else {}
         is_newest = self.outstanding.record_report(report.proxy, report.sequence, unused, now)
         if not is_newest or not self.may_issue(age_s, now) or now < self.reserves_from:
@@ -134,10 +130,7 @@
         return PrefetchReply(self.incarnation, True, changes)
 
     def _adjust(self, proxy: int, tenant: str, wanted: int, now: float) -> int:
-        """Renew the proxy's permits and grant more, as far as the reserve allows.
-
-        Return the change of its count.
-        """
+        """Renew the proxy's permits and grant more as far as the reserve allows; return the change of its count."""
         count = self.outstanding.count(proxy, tenant)
         if not self.is_limited(tenant):
             return -count
@@ -145,7 +138,7 @@
         share = self._share(tenant, now)
         free = int(share.reserved) - self.outstanding.total(tenant)
         if free < 0:
-            # The reserve has shrunk: these permits are revoked, and expire with their lease at the latest.
+            # The reserve has shrunk: revoke these permits, which expire with their lease at the latest.
             return -count
         more = bucket.prefetch(min(wanted - count, free), now) if wanted > count else 0
         if count or more:
@@ -153,20 +146,20 @@
         return more
 
     def lend(self, tenant: str, wanted: int, retained: float, age_s: float | None, now: float) -> int:
-        """Give up to `wanted` permits to another registry; `retained`: expected claims of our own proxies."""
+        """Lend up to `wanted` permits to another registry; `retained`: expected claims of this one's proxies."""
         if not self.is_limited(tenant) or not self.may_issue(age_s, now):
             return 0
         return self.bucket(tenant, now).lend(wanted, retained, now)
 
     def ready(self, tenant: str, now: float) -> float:
-        """Return the permits that are ready here, of a tenant with a limit."""
+        """Return the permits of a tenant with a limit that are ready at this registry."""
         bucket = self.buckets.get(tenant) or self._filled_since_start(tenant, now)
         return bucket.ready(now)
 
     def partly_used(self, now: float) -> dict[str, float]:
         """Return the ready permits of buckets that are not full, by tenant.
 
-        Full buckets without prefetched permits are forgotten: a new one would be as full.
+        Full buckets without prefetched permits are deleted, as a newly created one would be full as well.
         """
         self.outstanding.expire(now)
         levels = {}
--- a/irisdeal/permits/messages.py
+++ b/irisdeal/permits/messages.py
@@ -1,6 +1,6 @@
-"""Messages on permits between proxies and registries, and their form on the wire.
+"""Messages about permits between proxies and registries, and their wire format.
 
-They are lists of values in a fixed order, as peers of other versions read them by position.
+The wire format is a list in a fixed order, as peers of other versions read the values by position.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     """A proxy's report of the permits that it holds of one registry.
 
     `proxy`: number of the proxy's process; `sequence`: increases with each report; `incarnation`: of the
-    registry's process that granted the permits; `unused`: permits still held, by tenant; `wanted`: how many
-    it wants to hold in total, by tenant, where that is more.
+    registry's process that granted the permits; `unused`: permits still held, by tenant; `wanted`: permits to
+    hold in total, by tenant, if that is more.
     """
 
     proxy: int
@@ -30,12 +30,12 @@
     wanted: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
+        """Return the wire format."""
         return [self.proxy, self.sequence, self.incarnation, dict(self.unused), dict(self.wanted)]
 
     @staticmethod
     def decode(body: Any) -> PrefetchReport:
-        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire format. Raises ValueError or TypeError if it is malformed."""
         proxy, sequence, incarnation, unused, wanted = body
         return PrefetchReport(
             int(proxy), int(sequence), int(incarnation), _decode_counts(unused), _decode_counts(wanted)
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefetchReply:
-    """A registry's answer to a `PrefetchReport`.
+    """A registry's reply to a `PrefetchReport`.
 
-    `incarnation`: of the registry's process; `is_issuing`: whether the lease of the held permits is renewed
-    (if not, they remain usable until it expires); `changes`: permits granted (positive) or revoked
-    (negative), by tenant.
+    `incarnation`: of the registry's process; `is_issuing`: whether the lease of the held permits is renewed (if
+    not, they remain usable until it expires); `changes`: permits granted (positive) or revoked (negative), by
+    tenant.
     """
 
     incarnation: int
@@ -56,12 +56,12 @@
     changes: Mapping[str, int] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
+        """Return the wire format."""
         return [self.incarnation, self.is_issuing, dict(self.changes)]
 
     @staticmethod
     def decode(body: Any) -> PrefetchReply:
-        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire format. Raises ValueError or TypeError if it is malformed."""
         incarnation, is_issuing, changes = body
         return PrefetchReply(int(incarnation), bool(is_issuing), _decode_counts(changes))
 
@@ -74,11 +74,11 @@
     wanted: int
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
+        """Return the wire format."""
         return [self.tenant, self.wanted]
 
     @staticmethod
     def decode(body: Any) -> LendRequest:
-        """Read the form on the wire. Raises ValueError or TypeError where it is malformed."""
+        """Parse the wire format. Raises ValueError or TypeError if it is malformed."""
         tenant, wanted = body
         return LendRequest(str(tenant), int(wanted))
--- a/irisdeal/permits/outstanding.py
+++ b/irisdeal/permits/outstanding.py
@@ -1,8 +1,8 @@
 """A registry's record of the permits that proxies have prefetched from it. Time is an argument.
 
-A granted permit counts as outstanding until its proxy has reported that it no longer holds it, or until the
-lease has expired on the slowest clock. The state of the proxy's connection plays no part: a partitioned proxy
-may still use what it holds.
+A granted permit is outstanding until its proxy reports that it no longer holds it, or until the lease has
+expired on the slowest clock. The state of the proxy's connection is irrelevant: a partitioned proxy may still
+use its permits.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# s after sending its last answered report that a proxy may use what it holds, on its own steady clock.
+# Validity of a proxy's permits on its own monotonic clock, from the sending of its last report that was answered.
 LEASE_S = 4.0
-# s likewise on the issuer's clock: both clocks 2% off, and messages in flight.
+# The same on the issuer's clock, with both clocks 2% off and messages in flight.
 LEASE_GUARD_S = 4.3
-# Processes; the largest deployment planned for has 1,500 proxies.
+# Proxy processes; the largest planned deployment has 1,500 proxies.
 MAX_PROXIES = 8192
 
 
 @dataclass(slots=True)
 class Grant:
-    """`count` permits of one tenant at one proxy; `expires_at`: s on our clock."""
+    """`count` permits of one tenant at one proxy; `expires_at`: s on the issuer's clock."""
 
     count: int
     expires_at: float
@@ -30,7 +30,7 @@
 class ProxyGrants:
     """The grants of one proxy's process, by tenant.
 
-    `sequence`: of the newest report that was accepted; `reported_at`: s, when that was.
+    `sequence`: of the newest accepted report; `reported_at`: time of that report in s.
     """
 
     sequence: int
@@ -46,14 +46,11 @@
         self.totals: dict[str, int] = {}  # tenant -> permits
 
     def total(self, tenant: str) -> int:
-        """Return the permits of a tenant that may still be used, over all proxies."""
+        """Return the number of permits of a tenant that may still be used, over all proxies."""
         return self.totals.get(tenant, 0)
 
     def record_report(self, proxy: int, sequence: int, unused: Mapping[str, int], now: float) -> bool:
-        """Take in a proxy's report of what it holds.
-
-        False where it is outdated, or there are too many proxies.
-        """
+        """Apply a proxy's report of its unused permits; False if it is outdated or there are too many proxies."""
         known = self.proxies.get(proxy)
         if known is None:
             if len(self.proxies) >= MAX_PROXIES:
@@ -68,11 +65,11 @@
         return True
 
     def renew(self, proxy: int, tenant: str, count: int, now: float) -> None:
-        """Grant `count` permits to the proxy, in place of what it had, for a complete lease."""
+        """Grant `count` permits to the proxy for a complete lease, replacing its previous grant."""
         self._set(self.proxies[proxy], tenant, count, now + LEASE_GUARD_S)
 
     def count(self, proxy: int, tenant: str) -> int:
-        """Return the permits that this proxy may hold."""
+        """Return the number of permits of a tenant that this proxy may hold."""
         grant = self.proxies[proxy].grants.get(tenant)
         return grant.count if grant is not None else 0
 
@@ -90,10 +87,7 @@
             self.totals.pop(tenant, None)
 
     def expire(self, now: float) -> None:
-        """Forget proxies that have not reported for a complete lease.
-
-        Until then their grants count as usable.
-        """
+        """Remove proxies that have not reported for a complete lease; until then their grants count as usable."""
         for number, proxy in list(self.proxies.items()):
             if now < proxy.reported_at + LEASE_GUARD_S:
                 continue
--- a/irisdeal/permits/prefetched.py
+++ b/irisdeal/permits/prefetched.py
@@ -1,8 +1,8 @@
-"""Permits that a proxy prefetches, for times in which no registry answers. Time is an argument.
+"""Permits that a proxy prefetches, for use while no registry replies. Time is an argument.
 
-A batch belongs to one incarnation of one registry: its next incarnation knows nothing of the batch and cannot
-renew it. Prefetched permits may be used until their lease expires, counted from the sending of the last
-report that was answered.
+A batch belongs to one incarnation of one registry; the next incarnation has no record of it and cannot renew it.
+Prefetched permits may be used until their lease expires, counted from the sending of the last report that was
+answered.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from irisdeal.permits.messages import PrefetchReply, PrefetchReport
 from irisdeal.permits.outstanding import LEASE_S
 
-# Permits of one tenant that a proxy asks to hold at most.
+# Permits of one tenant at one proxy.
 MAX_PREFETCHED = 64
-# s of a tenant's typical demand that a proxy asks to hold: about the time that a restarting registry is away.
+# Prefetched permits in seconds of a tenant's smoothed demand: about the time that a registry takes to restart.
 PREFETCH_S = 1.0
 # Weight of the newest interval in the smoothed demand (exponentially weighted moving average).
 DEMAND_WEIGHT = 0.15
-# Requests a second of a tenant below which no permits are prefetched for it.
+# Smoothed demand of a tenant below which no permits are prefetched for it.
 IDLE_DEMAND_PER_S = 0.05
 
 Issuer = tuple[str, int]  # address of a registry, and the incarnation of its process
@@ -30,7 +30,7 @@
 class PermitBatch:
     """The permits, by tenant, that one incarnation of one registry has granted.
 
-    `expires_at`: s on our clock.
+    `expires_at`: s on the proxy's clock.
     """
 
     expires_at: float
@@ -44,20 +44,20 @@
         """`proxy`: a number that identifies this process, unique among all proxies' processes."""
         self.proxy, self.sequence = proxy, 0
         self.batches: dict[Issuer, PermitBatch] = {}
-        self.incarnations: dict[str, int] = {}  # registry -> incarnation of its process, by its last reply
-        self.demand: dict[str, float] = {}  # tenant -> requests a second, smoothed
+        self.incarnations: dict[str, int] = {}  # registry -> incarnation of its process in its last reply
+        self.demand: dict[str, float] = {}  # tenant -> smoothed requests per second
 
     def record_demand(self, tenant: str, requests: int, interval_s: float) -> None:
-        """Take in the tenant's requests at this proxy in an interval of `interval_s` seconds."""
-        known = self.demand.get(tenant, 0.0)
-        demand = known + DEMAND_WEIGHT * (requests / interval_s - known)
+        """Update a tenant's smoothed demand by its requests at this proxy in `interval_s` seconds."""
+        previous = self.demand.get(tenant, 0.0)
+        demand = previous + DEMAND_WEIGHT * (requests / interval_s - previous)
         if demand < IDLE_DEMAND_PER_S and not requests:
             self.demand.pop(tenant, None)
         else:
             self.demand[tenant] = demand
 
     def consume(self, tenant: str, now: float) -> bool:
-        """Use one permit, of the batch that expires first; False where none is left."""
+        """Consume one permit of the batch that expires first; False if none is left."""
         usable = [
             batch
             for batch in self.batches.values()
@@ -69,7 +69,7 @@
         return True
 
     def count(self, tenant: str, now: float) -> int:
-        """Return the permits of a tenant that may be used now."""
+        """Return the number of permits of a tenant that may be used now."""
         return sum(batch.permits.get(tenant, 0) for batch in self.batches.values() if batch.expires_at > now)
 
     @staticmethod
@@ -81,13 +81,13 @@
             batch.permits.pop(tenant, None)
 
     def drop(self, is_dropped: Callable[[str], bool]) -> None:
-        """Give up all permits of the tenants that `is_dropped` selects: without demand, or with a lowered limit."""
+        """Discard all permits of the tenants that `is_dropped` selects: without demand, or with a lowered limit."""
         for batch in self.batches.values():
             for tenant in [tenant for tenant in batch.permits if is_dropped(tenant)]:
                 del batch.permits[tenant]
 
     def build_report(self, registry: str, now: float) -> PrefetchReport:
-        """Return the next report to this registry: the permits of it that are left, and how many are wanted."""
+        """Return the next report to this registry: its unused permits, and the counts to hold in total."""
         self.sequence += 1
         self.batches = {issuer: batch for issuer, batch in self.batches.items() if batch.expires_at > now}
         self.drop(lambda tenant: tenant not in self.demand)
@@ -102,10 +102,10 @@
         return PrefetchReport(self.proxy, self.sequence, incarnation, unused, wanted)
 
     def receive_reply(self, registry: str, reply: PrefetchReply, sent_at: float, now: float) -> None:
-        """Take in the registry's reply to the report that was sent at `sent_at`.
+        """Apply the registry's reply to the report that was sent at `sent_at`.
 
-        A reply of the incarnation that the report was addressed to renews its batch; one of another starts a
-        batch.
+        A reply from the incarnation that the report was addressed to renews its batch; one from another
+        incarnation starts a new batch.
         """
         expires_at = sent_at + LEASE_S
         self.incarnations[registry] = reply.incarnation
--- a/tests/features/quotas.feature
+++ b/tests/features/quotas.feature
@@ -1,4 +1,4 @@
-Feature: a tenant's quota holds in sum over proxies, and is used
+Feature: a tenant's quota holds in sum over all proxies, and is fully usable
 
   Scenario Outline: a flood by one tenant
     Given <proxies> proxies, <registries> registries and a tenant of <rate> a second, seed <seed>
--- a/tests/permits/test_quota_processes.py
+++ b/tests/permits/test_quota_processes.py
@@ -1,8 +1,8 @@
-"""Five processes over loopback sockets: a store, a registry and three proxies, our fault proxy in between.
+"""Five processes over loopback sockets: a store, a registry and three proxies, connected by fault proxies.
 
-A flood by one tenant goes over all proxies; what runs at the stand-in backend is counted in every window.
+One tenant overloads all proxies; the requests executed by the stand-in backend are counted in every window.
 
-Everything is bounded; processes are ended by their ids.
+Everything is bounded; processes are terminated by their ids.
 """
 
 from __future__ import annotations
@@ -22,11 +22,17 @@
 from tests.support.fault_proxy import FaultProxy
 
 ROOT = Path(__file__).parents[2]
-CORE, DOORS = "127.8.0.1", ("127.8.0.2", "127.8.0.3", "127.8.0.4")
-CORE_PORT, APART = 17_600, 20  # of the first port range, and between two
-CONTROL, FRONT, BACKEND = 17_700, 17_701, 17_702
-RATE, FLOOD = 20, 60  # requests a second: the tenant's limit, and what each proxy is asked for
-UP_BY_S, FLOOD_S = 12.0, 13.0
+CORE_IP = "127.8.0.1"
+PROXY_IPS = ("127.8.0.2", "127.8.0.3", "127.8.0.4")
+CORE_PORT = 17_600  # start of the first port range
+PORT_RANGE = 20
+CONTROL_PORT = 17_700
+FRONT_PORT = 17_701
+BACKEND_PORT = 17_702
+RATE_PER_S = 20  # the tenant's limit
+FLOOD_PER_S = 60  # requests sent to each proxy
+MAX_STARTUP_S = 12.0
+FLOOD_S = 13.0
 SETTINGS = """
 node_name = "{name}"
 role = "{role}"
@@ -50,17 +56,17 @@
 
 @dataclass
 class Processes:
-    """The processes, the gates before the registry, and what ran."""
+    """The processes, the fault proxies in front of the registry, and the executed requests."""
 
     folder: Path
     running: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     gates: dict[str, FaultProxy] = field(default_factory=dict)
-    judge: QuotaJudge = field(default_factory=lambda: QuotaJudge(RATE, RATE))
-    asked: int = 0
+    judge: QuotaJudge = field(default_factory=lambda: QuotaJudge(RATE_PER_S, RATE_PER_S))
+    sent_count: int = 0
 
     def start(self, role: str, ip: str, first: bool = False) -> None:
-        number = (CORE, *DOORS).index(ip)
-        port = CORE_PORT + APART * number
+        number = (CORE_IP, *PROXY_IPS).index(ip)
+        port = CORE_PORT + PORT_RANGE * number
         settings = self.folder / f"{role}{number}.toml"
         settings.write_text(
             SETTINGS.format(
@@ -68,13 +74,13 @@
                 role=role,
                 ip=ip,
                 port=port,
-                last=port + APART - 1,
-                core=CORE,
-                control=CONTROL,
+                last=port + PORT_RANGE - 1,
+                core=CORE_IP,
+                control=CONTROL_PORT,
                 first=str(first).lower(),
-                disk=self.folder / "disk" if ip == CORE else "",
-                front=FRONT,
-                readiness=FRONT + 10,
+                disk=self.folder / "disk" if ip == CORE_IP else "",
+                front=FRONT_PORT,
+                readiness=FRONT_PORT + 10,
             )
         )
         with (self.folder / f"{role}{number}.log").open("ab") as log:
@@ -92,12 +98,12 @@
         process.wait(5)
 
     async def open_gates(self) -> None:
-        for number, door in enumerate(DOORS, 1):
-            gate = FaultProxy((CORE, CORE_PORT + APART * number + 1), (CORE, CORE_PORT + 1))
-            self.gates[door] = gate
+        for number, proxy_ip in enumerate(PROXY_IPS, 1):
+            gate = FaultProxy((CORE_IP, CORE_PORT + PORT_RANGE * number + 1), (CORE_IP, CORE_PORT + 1))
+            self.gates[proxy_ip] = gate
             await gate.open()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for process in self.running.values():
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
@@ -107,10 +113,10 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes]]:
-    """The first line and the fields."""
+    """Return the first line and the headers."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
-    named = (line.partition(b":") for line in lines if line)
-    return first, {name.lower(): value.strip() for name, _, value in named}
+    parts = (line.partition(b":") for line in lines if line)
+    return first, {name.lower(): value.strip() for name, _, value in parts}
 
 
 async def call(
@@ -120,7 +126,7 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> int:
-    """The status of an answer on a connection of its own; 0 for none."""
+    """Send a request on its own connection; return the status of the response, or 0 if there is none."""
     try:
         async with asyncio.timeout(1.5):
             reader, writer = await asyncio.open_connection(host, port)
@@ -135,7 +141,7 @@
 
 
 async def backend(judge: QuotaJudge) -> asyncio.Server:
-    """A stand-in: it runs what comes and notes when."""
+    """Start a stand-in backend, which executes all requests and records their times."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -150,17 +156,17 @@
                 )
         writer.close()
 
-    return await asyncio.start_server(serve, CORE, BACKEND)
+    return await asyncio.start_server(serve, CORE_IP, BACKEND_PORT)
 
 
-async def beat() -> None:
-    """The backend says that it is there."""
+async def send_heartbeats() -> None:
+    """Send the backend's heartbeats."""
     count = 0
     while True:
         count += 1
-        word = {
+        heartbeat = {
             "service": "s",
-            "address": f"{CORE}:{BACKEND}",
+            "address": f"{CORE_IP}:{BACKEND_PORT}",
             "zone": "z",
             "generation": "v1",
             "capacity": 500,
@@ -168,30 +174,30 @@
             "warmup_left_ms": 0,
             "call_count": count,
         }
-        await call(CORE, CONTROL, "POST /backends/i-1/heartbeat", json.dumps(word).encode())
+        await call(CORE_IP, CONTROL_PORT, "POST /backends/i-1/heartbeat", json.dumps(heartbeat).encode())
         await asyncio.sleep(0.4)
 
 
-async def flood(processes: Processes, door: str, until: float, chance: random.Random) -> None:
-    """Ask one proxy `FLOOD` times a second, whatever it answers."""
+async def flood(processes: Processes, proxy_ip: str, until: float, rng: random.Random) -> None:
+    """Send `FLOOD_PER_S` requests a second to one proxy, regardless of the responses."""
     tasks: set[asyncio.Task[int]] = set()
     while time.monotonic() < until:
-        processes.asked += 1
+        processes.sent_count += 1
         headers = {
             "Authorization": "Bearer k",
-            "X-Irisdeal-Attempt-Id": f"{chance.getrandbits(60):x}",
+            "X-Irisdeal-Attempt-Id": f"{rng.getrandbits(60):x}",
             "X-Irisdeal-Deadline-Ms": "1000",
         }
-        task = asyncio.ensure_future(call(door, FRONT, "GET /a/x", headers=headers))
+        task = asyncio.ensure_future(call(proxy_ip, FRONT_PORT, "GET /a/x", headers=headers))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
-        await asyncio.sleep(chance.expovariate(FLOOD))
+        await asyncio.sleep(rng.expovariate(FLOOD_PER_S))
     await asyncio.gather(*tasks)
 
 
-async def faults(processes: Processes) -> None:
-    """One proxy hears and misses in turns, one is cut off, the registry and a proxy are killed."""
-    first, second, third = (processes.gates[door] for door in DOORS)
+async def play_faults(processes: Processes) -> None:
+    """Disconnect one proxy repeatedly, partition another one, and kill the registry and a proxy."""
+    first, second, third = (processes.gates[proxy_ip] for proxy_ip in PROXY_IPS)
     for _ in range(15):
         first.set_blocked(True, True)
         await asyncio.sleep(0.1)
@@ -200,25 +206,25 @@
     second.set_blocked(True, True)
     await asyncio.sleep(3.0)
     second.set_blocked(False, False)
-    processes.kill("registry", CORE)
+    processes.kill("registry", CORE_IP)
     await asyncio.sleep(0.3)
-    processes.start("registry", CORE)
+    processes.start("registry", CORE_IP)
     await asyncio.sleep(1.5)
-    processes.kill("proxy", DOORS[0])
-    processes.start("proxy", DOORS[0])
+    processes.kill("proxy", PROXY_IPS[0])
+    processes.start("proxy", PROXY_IPS[0])
     third.set_blocked(False, True)
     await asyncio.sleep(1.5)
     third.set_blocked(False, False)
 
 
-async def day(processes: Processes) -> float:
-    """When the flood began."""
-    chance = random.Random(5)
+async def play(processes: Processes) -> float:
+    """Start all processes and play the overload with faults; return when the overload began."""
+    rng = random.Random(5)
     await processes.open_gates()
     server = await backend(processes.judge)
-    processes.start("config_store", CORE, first=True)
-    processes.start("registry", CORE, first=True)
-    beating = asyncio.ensure_future(beat())
+    processes.start("config_store", CORE_IP, first=True)
+    processes.start("registry", CORE_IP, first=True)
+    heartbeats = asyncio.ensure_future(send_heartbeats())
     try:
         rule = {
             "name": "r",
@@ -232,35 +238,36 @@
                 "generation": "r1",
                 "pools": [{"name": "s"}],
                 "sockets": [{"hostname": "h", "rules": [rule]}],
-                "tenants": [{"name": "t", "api_keys": ["k"], "rate_per_s": RATE, "burst": RATE}],
+                "tenants": [{"name": "t", "api_keys": ["k"], "rate_per_s": RATE_PER_S, "burst": RATE_PER_S}],
             }
         ).encode()
-        up_by = time.monotonic() + UP_BY_S
-        while await call(CORE, CONTROL, "POST /config/replace", body) != 200:
-            assert time.monotonic() < up_by, "the store takes no order"
+        started_by = time.monotonic() + MAX_STARTUP_S
+        while await call(CORE_IP, CONTROL_PORT, "POST /config/replace", body) != 200:
+            assert time.monotonic() < started_by, "the store accepts no configuration"
             await asyncio.sleep(0.1)
-        for door in DOORS:
-            processes.start("proxy", door)
+        for proxy_ip in PROXY_IPS:
+            processes.start("proxy", proxy_ip)
         headers = {"Authorization": "Bearer k", "X-Irisdeal-Attempt-Id": "1"}
-        for door in DOORS:
-            while await call(door, FRONT, "GET /a/x", headers=headers) != 200:
-                assert time.monotonic() < up_by, "a proxy serves nothing"
+        for proxy_ip in PROXY_IPS:
+            while await call(proxy_ip, FRONT_PORT, "GET /a/x", headers=headers) != 200:
+                assert time.monotonic() < started_by, "a proxy serves no request"
                 await asyncio.sleep(0.1)
         began = time.monotonic()
         await asyncio.gather(
-            faults(processes), *(flood(processes, door, began + FLOOD_S, chance) for door in DOORS)
+            play_faults(processes),
+            *(flood(processes, proxy_ip, began + FLOOD_S, rng) for proxy_ip in PROXY_IPS),
         )
         return began
     finally:
-        beating.cancel()
+        heartbeats.cancel()
         server.close()
-        await processes.end()
+        await processes.stop()
 
 
-def test_five_processes_and_a_flood_under_cuts_and_kills(tmp_path: Path) -> None:
+def test_processes_keep_a_limit_under_overload_partitions_and_kills(tmp_path: Path) -> None:
     processes = Processes(tmp_path)
-    began = asyncio.run(day(processes))
+    began = asyncio.run(play(processes))
     judge = processes.judge
     assert judge.worst() <= 1.0
-    assert processes.asked >= 5 * RATE * FLOOD_S, "that was no flood"
-    assert judge.served(began, began + FLOOD_S) >= 0.5 * RATE * FLOOD_S
+    assert processes.sent_count >= 5 * RATE_PER_S * FLOOD_S, "not an overload"
+    assert judge.served(began, began + FLOOD_S) >= 0.5 * RATE_PER_S * FLOOD_S
--- a/tests/permits/test_quota_world.py
+++ b/tests/permits/test_quota_world.py
@@ -1,6 +1,4 @@
-"""No tenant exceeds its limit under any fault: incidents of the past, random fault schedules,
-planted bugs.
-"""
+"""No tenant exceeds its limit under any fault: known failures, random fault schedules and planted bugs."""
 
 from __future__ import annotations
 
@@ -16,15 +14,16 @@
 from irisdeal.simulation.quota.faults import QuotaDayPlayer, draw, play
 from irisdeal.simulation.quota.world import QuotaWorld
 
-FLOOD, END = 12.0, 25.0  # s: normal load until FLOOD, nine times the rate until END
+FLOOD_AT_S = 12.0  # end of the normal load, and begin of nine times the rate
+END_S = 25.0
 Fault = Callable[[QuotaWorld], None]
 
 
-def day(proxies: int, rate: float, seed: int, fault: Fault, until: float = END) -> QuotaWorld:
-    """Play normal load, then a flood at nine times the rate with a fault in it."""
+def play_flood(proxies: int, rate: float, seed: int, fault: Fault, until: float = END_S) -> QuotaWorld:
+    """Play normal load, then an overload of nine times the rate with a fault in it."""
     world = QuotaWorld(proxies, 4, rate, seed)
-    world.load(0, FLOOD, 0.62)
-    world.load(FLOOD, until, 9)
+    world.load(0, FLOOD_AT_S, 0.62)
+    world.load(FLOOD_AT_S, until, 9)
     fault(world)
     world.play(until + 2)
     return world
@@ -39,7 +38,7 @@
 
 
 def flapping(turn: float) -> Fault:
-    """Partition all proxies from the registries and reconnect them in turns of `turn` seconds."""
+    """Partition all proxies from the registries and reconnect them, alternating every `turn` seconds."""
 
     def fault(world: QuotaWorld) -> None:
         for proxy in world.proxies:
@@ -81,12 +80,12 @@
 @pytest.mark.parametrize("proxies", [8, 85])
 @pytest.mark.parametrize("rate", [5.0, 30.0, 150.0])
 @pytest.mark.parametrize("turn", [0.1, 0.5, 1.0])
-def test_proxies_partitioned_in_turns_stay_within_the_limit(
+def test_proxies_that_are_partitioned_repeatedly_stay_within_the_limit(
     proxies: int,
     rate: float,
     turn: float,
 ) -> None:
-    world = day(proxies, rate, 2, flapping(turn))
+    world = play_flood(proxies, rate, 2, flapping(turn))
     assert world.judge.worst() <= 1.0
     assert world.judge.served(13, 22) >= 0.3 * 9 * rate
 
@@ -96,9 +95,9 @@
 @pytest.mark.parametrize(
     ("fault", "until"),
     [
-        (partitioned_until(24.0), END),
+        (partitioned_until(24.0), END_S),
         (partitioned_until(80.0), 82.0),
-        (restarts, END),
+        (restarts, END_S),
         (registry_partitioned, 82.0),
     ],
 )
@@ -108,20 +107,20 @@
     fault: Fault,
     until: float,
 ) -> None:
-    assert day(proxies, rate, 1, fault, until=until).judge.worst() <= 1.0
+    assert play_flood(proxies, rate, 1, fault, until=until).judge.worst() <= 1.0
 
 
 @pytest.mark.parametrize(
     "fault",
     [lambda world: world.at(14.0, world.kill_registry, "g1"), registry_partitioned, partitioned_until(24.0)],
 )
-def test_a_flood_is_served_despite_any_single_fault(fault: Fault) -> None:
-    world = day(85, 30.0, 3, fault)
+def test_an_overload_is_served_despite_any_single_fault(fault: Fault) -> None:
+    world = play_flood(85, 30.0, 3, fault)
     assert world.judge.served(14, 24) >= 0.6 * 10 * 30 and world.judge.worst() <= 1.0
 
 
 @pytest.mark.parametrize("proxies", [8, 85, 188])
-def test_a_flood_without_faults_is_served_at_the_rate_and_normal_load_is_hardly_rejected(
+def test_an_overload_is_served_at_the_rate_and_normal_load_is_hardly_rejected(
     proxies: int,
 ) -> None:
     world = QuotaWorld(proxies, 4, 30.0, 4)
@@ -137,7 +136,7 @@
     def fault(world: QuotaWorld) -> None:
         world.at(16.0, world.set_limit, 10.0, 10.0)
 
-    world = day(85, 100.0, 5, fault, until=40.0)
+    world = play_flood(85, 100.0, 5, fault, until=40.0)
     late = [at for at in world.judge.ran if at > 24.0]
     assert world.judge.worst() <= 1.0 and late
 
@@ -177,16 +176,10 @@
     ("owner", "name", "planted"),
     [
         (PermitBucket, "claim", _claim_free),  # a permit is not deducted
-        (
-            QuotaWorld,
-            "_claim_from_next",
-            _admit,
-        ),  # a proxy admits a request where no registry answers in time
-        (
-            IssuingAuthority,
-            "may_issue",
-            _always,
-        ),  # a registry that was removed, or is new in the list, issues
+        # a proxy admits a request if no registry replies in time
+        (QuotaWorld, "_claim_from_next", _admit),
+        # a registry that was removed, or is new in the list, issues
+        (IssuingAuthority, "may_issue", _always),
         (QuotaService, "lend", _freely),  # lent permits are not deducted at the lender
     ],
     ids=["not deducted", "admit on time-out", "no authority", "lends freely"],
