--- a/irisdeal/proxy/__init__.py
+++ b/irisdeal/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's proxy: admits clients' requests by the configuration in force and forwards them to backends."""
+"""The gateway's proxy: admits clients' requests by the current configuration and forwards them to backends."""
--- a/irisdeal/proxy/__main__.py
+++ b/irisdeal/proxy/__main__.py
@@ -5,7 +5,7 @@
 from irisdeal.runtime.early_listen import listen
 
 if __name__ == "__main__":
-    listening = listen("front", "readiness")  # before the rest is imported, which takes most of the start
+    listening = listen("front", "readiness")  # before the other imports, which take most of the startup time
     from irisdeal.proxy.process import Proxy
     from irisdeal.runtime.process import main
 
--- a/irisdeal/proxy/attempt.py
+++ b/irisdeal/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one backend, and what its end teaches."""
+"""One attempt of a request at one backend, and the feedback from its result."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """A request that may be sent.
+    """A request that passed admission.
 
-    `rank`: the least goes first; `until`: its deadline, s on the loop's clock; `latency`: of its route at its
-    service; `permit`: None where the route needs no tenant.
+    `rank`: lower ranks are dequeued first; `deadline`: s on the loop's clock; `latency`: estimate for its route
+    and service; `permit`: None if the request has no tenant.
     """
 
     request: Request
@@ -37,16 +37,17 @@
     service: str
     tenant: str
     rank: int
-    until: float
+    deadline: float
     latency: LatencyEstimate
     permit: RequestPermit | None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptServices:
-    """What all requests of a proxy share.
+    """Components that all requests of a proxy share.
 
-    `on_ended`: called with an incarnation at whose address another one stands; `drain`: the process's shutdown.
+    `on_ended`: called with the id of an incarnation whose address another one has taken over; `drain`: state of
+    the process's shutdown.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -61,7 +62,7 @@
 
 
 class Attempt:
-    """One attempt at one backend, in a task of its own."""
+    """One attempt at one backend, run in its own task."""
 
     def __init__(
         self,
@@ -70,36 +71,36 @@
         placed: PlacedAttempt,
         on_ended: Callable[[Attempt], None],
     ) -> None:
-        """`on_ended`: called at its end, however that comes."""
+        """`on_ended`: called when the attempt has ended, with any result."""
         self.services, self.admitted, self.placed, self.on_ended = services, admitted, placed, on_ended
         self.started_at = services.loop.time()
         permit, request = admitted.permit, admitted.request
-        left_s = admitted.until - self.started_at
-        self.sent = BackendRequest(
-            encode_request(request, placed.backend, admitted.tenant, left_s),
+        remaining_s = admitted.deadline - self.started_at
+        self.backend_request = BackendRequest(
+            encode_request(request, placed.backend, admitted.tenant, remaining_s),
             admitted.attempt_id,
             request.is_head,
             admitted.route.is_mutating,
-            admitted.until - DEADLINE_MARGIN_S,
-            permit.use() if permit is not None else float("inf"),
+            admitted.deadline - DEADLINE_MARGIN_S,
+            permit.consume() if permit is not None else float("inf"),
         )
         services.choice.record_start(placed.backend, self.started_at)
-        self.task = services.tasks.start(services.pool.send(placed.backend, self.sent))
+        self.task = services.tasks.start(services.pool.send(placed.backend, self.backend_request))
         self.task.add_done_callback(self._on_task_done)
 
     @property
     def must_finish_once_sent(self) -> bool:
-        """Whether the backend may have begun what executes only once."""
-        return self.admitted.route.is_mutating and self.sent.is_sent and not self.task.done()
+        """Whether it is a running attempt of a mutating request that the backend may have begun to execute."""
+        return self.admitted.route.is_mutating and self.backend_request.is_sent and not self.task.done()
 
     def abandon(self, reason: str) -> None:
-        """End it, as nobody waits for it any more."""
+        """Cancel the attempt if it is still running. `reason`: label of the metric."""
         if not self.task.done():
             self.services.metrics.abandoned.add(reason)
             self.task.cancel()
 
     def _on_task_done(self, task: asyncio.Task[AttemptOutcome]) -> None:
-        """End its reservation, give back its permit, and learn from its end."""
+        """End its reservation, restore its permit if it was not executed, and record its result."""
         services, backend = self.services, self.placed.backend
         now, result, outcome = services.loop.time(), AttemptResult.ABANDONED, None
         if not task.cancelled():
@@ -111,17 +112,19 @@
             end = ReservationEnd(self.placed.reservation, int(result), round(ratio, 2))
             services.registries.end_reservation(self.placed.registry, end)
         if self.admitted.permit is not None and self._was_not_executed(outcome):
-            self.admitted.permit.give_back(self.sent.send_by)
-        self._learn(result, outcome, ratio, now)
+            self.admitted.permit.restore(self.backend_request.send_by)
+        self._record_result(result, outcome, ratio, now)
         self.on_ended(self)
 
     def _was_not_executed(self, outcome: AttemptOutcome | None) -> bool:
         if outcome is None:
-            return not self.sent.is_sent
+            return not self.backend_request.is_sent
         return outcome.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_EXECUTED)
 
-    def _learn(self, result: AttemptResult, outcome: AttemptOutcome | None, ratio: float, now: float) -> None:
-        """Update our view of the backend. `ratio`: the attempt's time over the typical latency."""
+    def _record_result(
+        self, result: AttemptResult, outcome: AttemptOutcome | None, ratio: float, now: float
+    ) -> None:
+        """Update this proxy's view of the backend. `ratio`: the attempt's duration over the typical latency."""
         choice, backend, latency = self.services.choice, self.placed.backend, self.admitted.latency
         load_factor = self.placed.load_factor
         match result:
@@ -131,7 +134,7 @@
                 choice.record_rejection(backend, now, latency.typical_latency_s)
             case AttemptResult.WRONG_INCARNATION:
                 self.services.on_ended(backend.id)
-            case AttemptResult.ABANDONED if self.sent.is_sent:
+            case AttemptResult.ABANDONED if self.backend_request.is_sent:
                 choice.record_abandoned(backend, self.started_at, ratio / load_factor, now)
             case AttemptResult.FAILED:
                 ejection_s = choice.record_failure(backend, now)
@@ -146,20 +149,21 @@
 
 
 def _outcome_of(task: asyncio.Task[AttemptOutcome]) -> AttemptOutcome:
-    """Return the outcome of an attempt's task; an error in our own code may have come after sending."""
+    """Return the outcome of an attempt's task; an internal error may have occurred after sending."""
     if task.exception() is None:
         return task.result()
     return AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "a fault of our own")
 
 
 def result_of(outcome: AttemptOutcome) -> AttemptResult:
-    """Return an attempt's end as it is reported to the registry."""
+    """Return the result of an attempt that is reported to the registry."""
     match outcome.end:
         case AttemptEnd.RESPONSE:
             return AttemptResult.SERVER_ERROR if outcome.status >= 500 else AttemptResult.SUCCESS
         case AttemptEnd.NOT_EXECUTED:
             return AttemptResult.WRONG_INCARNATION if outcome.is_misdirected else AttemptResult.REJECTED
         case AttemptEnd.MAY_HAVE_EXECUTED if outcome.is_timed_out:
-            # perhaps it was still queued there; an unreachable backend shows by answering nothing else either
+            # The request may have been queued at a healthy backend; an unreachable one answers no request and is
+            # detected by that (`BackendChoice.is_suspect`).
             return AttemptResult.UNKNOWN
     return AttemptResult.FAILED
--- a/irisdeal/proxy/attempt_outcome.py
+++ b/irisdeal/proxy/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at a backend ended. What may be retried, and what may be answered, is decided by this alone."""
+"""How an attempt at a backend ended, which alone decides what is retried and which response is returned."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 class AttemptEnd(Enum):
     """How an attempt ended.
 
-    - `NOT_SENT`: no byte of the request was written; it may go anywhere.
-    - `NOT_EXECUTED`: the backend says that it did not execute it (`X-Irisdeal-Not-Executed`, 421).
-    - `RESPONSE`: a complete response to this very request.
-    - `MAY_HAVE_EXECUTED`: all else.
+    - `NOT_SENT`: no byte of the request was written; any request may be retried.
+    - `NOT_EXECUTED`: the backend stated that it did not execute the request (`X-Irisdeal-Not-Executed` or 421).
+    - `RESPONSE`: a complete response to this request.
+    - `MAY_HAVE_EXECUTED`: everything else.
     """
 
     NOT_SENT = 1
@@ -25,10 +25,11 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """The end of an attempt, with the response where there is one.
+    """The end of an attempt, with the response if there is one.
 
-    `reason`: why there is none; `retry_after`: the backend's header of that name; `is_misdirected`: another
-    incarnation stands at the address; `is_timed_out`: its time was over before a response came.
+    `reason`: why there is no response; `retry_after`: the backend's header of that name; `is_misdirected`:
+    another incarnation has the backend's address; `is_timed_out`: the deadline passed before a response was
+    complete.
     """
 
     end: AttemptEnd
--- a/irisdeal/proxy/attempt_placer.py
+++ b/irisdeal/proxy/attempt_placer.py
@@ -1,7 +1,7 @@
 """Assigns a backend to a request's next attempt, with the permit that the attempt needs.
 
-A registry's reply is checked against what this proxy knows itself; without one the proxy chooses by its own view. A
-request of a tenant with a limit gets a backend only with a permit.
+A registry's reply is checked against this proxy's own view of the backends; without a reply the proxy chooses
+by that view alone. A request of a tenant with a limit gets a backend only with a permit.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 from irisdeal.ratelimit.retry_budget import RetryBudgets
 from irisdeal.registry.messages import PlacementRequest, PlacementResult, ReservationEnd
 
-FIRST_REGISTRY_WAIT_S = 0.3  # that a request at a proxy which has just started waits for a first registry
-MIN_QUEUE_S = 0.001  # a first attempt goes to the best backend, full or not, once its time to wait is over
-# That a request with a permit may wait for capacity: it has to be sent within the permit's time.
-MAX_QUEUE_WITH_PERMIT_S = SEND_WITHIN_S - PLACEMENT_TIMEOUT_S - 0.02
-PERMIT_RETRY_S = 0.08  # between two requests for a permit while no registry issues any
-NO_PERMITS = (PlacementResult.NOT_ISSUING, PlacementResult.NO_REGISTRY)
+FIRST_REGISTRY_WAIT_S = 0.3  # for which requests wait for a first registry after the proxy's start
+MIN_QUEUE_S = 0.001  # above 0, so that a first attempt that can no longer wait still gets a full backend
+SEND_MARGIN_S = 0.02  # for writing the request within the validity of its permit
+# Longest wait for capacity of a request with a permit, which must be sent while the permit is valid.
+MAX_QUEUE_WITH_PERMIT_S = SEND_WITHIN_S - PLACEMENT_TIMEOUT_S - SEND_MARGIN_S
+PERMIT_RETRY_S = 0.08  # interval of requests for a permit while no registry issues any
+NO_PERMIT_RESULTS = (PlacementResult.NOT_ISSUING, PlacementResult.NO_REGISTRY)
 
 
 @dataclass(slots=True)
 class PlacedAttempt:
     """A backend for one attempt.
 
-    `load_factor`: by how much the backend's other requests lengthen this one; `registry`,
-    `reservation`: who gave it, and its number, empty and 0 where the proxy chose by itself.
+    `load_factor`: factor by which the backend's other requests lengthen this one; `registry`: that placed the
+    attempt, empty if the proxy chose the backend itself; `reservation`: its number at the registry, or 0.
     """
 
     backend: Backend
@@ -42,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptNeeds:
-    """What the next attempt needs.
+    """The requirements of the next attempt.
 
-    `tried`: backends that are out of the question; `rank`: the least goes first; `max_queue_s`: that may be spent
-    on waiting for capacity, with 0 or less only a backend that would begin at once; `until`: the request's
-    deadline, s on the loop's clock; `is_retry`: the attempt needs a share of the retry budget.
+    `tried`: ids of backends that must not be used again; `rank`: lower ranks are dequeued first; `max_queue_s`:
+    longest wait for capacity, 0 or less to accept only a backend with a free slot; `deadline`: of the request,
+    s on the loop's clock; `is_retry`: whether the attempt consumes retry budget.
     """
 
     service: str
@@ -54,14 +55,14 @@
     latency: LatencyEstimate
     rank: int
     max_queue_s: float
-    until: float
+    deadline: float
     permit: RequestPermit | None
     is_mutating: bool
     is_retry: bool
 
 
 class AttemptPlacer:
-    """Backends for the attempts of one proxy."""
+    """Assigns backends to the attempts of one proxy."""
 
     def __init__(
         self,
@@ -73,24 +74,24 @@
         admission: TenantAdmission,
         retry_budgets: RetryBudgets,
     ) -> None:
-        """`services`: the backends of each by their ids, as the proxy knows them at any time."""
+        """`services`: the backends of each service by their ids; the caller keeps it up to date."""
         self.zone, self.services, self.pool, self.choice = zone, services, pool, choice
         self.registries, self.admission, self.retry_budgets = registries, admission, retry_budgets
         self.loop = asyncio.get_running_loop()
 
     async def assign(self, needs: AttemptNeeds) -> PlacedAttempt | None:
-        """Return a backend; None where there is none, or for a retry no permit.
+        """Return a backend; None if there is none, or if a retry gets no permit.
 
-        Raise RejectionError where a first attempt has no permit.
+        Raise RejectionError if a first attempt gets no permit.
         """
         now, permit = self.loop.time(), needs.permit
-        is_permit_wanted = permit is not None and permit.is_wanted(now)
-        request = self._request(needs, is_permit_wanted)
+        is_permit_needed = permit is not None and permit.is_needed(now)
+        request = self._request(needs, is_permit_needed)
         placement = await self.registries.request_placement(request, FIRST_REGISTRY_WAIT_S)
-        if permit is not None and is_permit_wanted:
+        if permit is not None and is_permit_needed:
             if self._should_await_permit(placement, needs, permit):
                 now, placement = await self._await_permit(request, placement, now + request.max_wait_s)
-            if not self._take_permit(permit, placement.reply.result, now, needs.is_retry):
+            if not self._obtain_permit(permit, placement.reply.result, now, needs.is_retry):
                 return None
             if placement.reply.result in (PlacementResult.NOT_ISSUING, PlacementResult.OVER_QUOTA):
                 without_permit = replace(request, tenant="", is_counted=placement.is_counted)
@@ -99,7 +100,7 @@
             return self._assign_locally(needs, placement.is_counted)
         return self._check(placement, needs)
 
-    def _request(self, needs: AttemptNeeds, is_permit_wanted: bool) -> PlacementRequest:
+    def _request(self, needs: AttemptNeeds, is_permit_needed: bool) -> PlacementRequest:
         now, permit = self.loop.time(), needs.permit
         known = self.services.get(needs.service, {})
         avoid = [
@@ -115,40 +116,43 @@
             avoid,
             needs.rank,
             round(queue_s, 4),
-            round(needs.until - now, 3),
-            permit.tenant if permit is not None and is_permit_wanted else "",
+            round(needs.deadline - now, 3),
+            permit.tenant if permit is not None and is_permit_needed else "",
             is_repeat=needs.is_retry,
             is_late=permit is not None and permit.is_late,
             connected=connected,
         )
 
     def _should_await_permit(self, placement: Placement, needs: AttemptNeeds, permit: RequestPermit) -> bool:
-        """Return whether to wait for a permit: none is issued, and none was prefetched."""
-        if placement.reply.result not in NO_PERMITS or needs.is_retry:
+        """Return whether to wait for a permit: no registry issues any, and none is prefetched."""
+        if placement.reply.result not in NO_PERMIT_RESULTS or needs.is_retry:
             return False
         return not self.admission.has_prefetched(permit)
 
     async def _await_permit(
         self, request: PlacementRequest, last: Placement, until: float
     ) -> tuple[float, Placement]:
-        """Ask on for a permit until `until`, as restarting registries issue some soon.
+        """Request a permit repeatedly until `until`, as restarting registries soon issue permits again.
 
-        Return when the last request was sent, and its reply.
+        Return the time at which the last request was sent, and its reply.
         """
-        asked_at = self.loop.time()
-        while last.reply.result in NO_PERMITS and (left_s := until - self.loop.time()) > 0:
+        requested_at = self.loop.time()
+        while last.reply.result in NO_PERMIT_RESULTS and (left_s := until - self.loop.time()) > 0:
             await asyncio.sleep(min(left_s, PERMIT_RETRY_S))
-            asked_at = self.loop.time()
-            queue_s = max(MIN_QUEUE_S, round(until - asked_at, 4))
+            requested_at = self.loop.time()
+            queue_s = max(MIN_QUEUE_S, round(until - requested_at, 4))
             retried = replace(request, is_counted=last.is_counted, max_wait_s=queue_s)
             last = await self.registries.request_placement(retried, 0.0)
-        return asked_at, last
+        return requested_at, last
 
-    def _take_permit(
-        self, permit: RequestPermit, result: PlacementResult, asked_at: float, is_retry: bool
+    def _obtain_permit(
+        self, permit: RequestPermit, result: PlacementResult, requested_at: float, is_retry: bool
     ) -> bool:
-        """Return whether there is a permit after this result; raise RejectionError for a first attempt without."""
-        if result in NO_PERMITS:
+        """Grant the permit by this result or from the prefetched ones; return whether it was granted.
+
+        Raise RejectionError for a first attempt without a permit.
+        """
+        if result in NO_PERMIT_RESULTS:
             if self.admission.take_prefetched(permit):
                 return True
             if is_retry:
@@ -160,7 +164,7 @@
             if not permit.is_late and self.admission.take_prefetched(permit):
                 return True
             raise self.admission.rejection(permit)
-        permit.grant(asked_at)
+        permit.grant(requested_at)
         return True
 
     def release(self, placed: PlacedAttempt) -> None:
@@ -170,7 +174,7 @@
             self.registries.end_reservation(placed.registry, end)
 
     def _check(self, placement: Placement, needs: AttemptNeeds) -> PlacedAttempt | None:
-        """Return the backend of a registry's reply where it fits what we know, or our own choice in its place."""
+        """Return the backend of a registry's reply if this proxy's view allows it, else this proxy's choice."""
         reply = placement.reply
         is_placed = reply.result is PlacementResult.PLACED
         if reply.result is PlacementResult.OVER_BUDGET or (not is_placed and needs.max_queue_s <= 0):
@@ -181,11 +185,14 @@
         if is_placed:
             end = ReservationEnd(reply.reservation, int(AttemptResult.UNKNOWN))
             self.registries.end_reservation(placement.registry, end)
-        own = self._choose(needs)
-        return PlacedAttempt(own, self.choice.load_factor(own)) if own is not None else None
+        chosen = self._choose(needs)
+        return PlacedAttempt(chosen, self.choice.load_factor(chosen)) if chosen is not None else None
 
     def _assign_locally(self, needs: AttemptNeeds, is_counted: bool) -> PlacedAttempt | None:
-        """Choose by our own view; retries come from the budget of the requests that no registry counted."""
+        """Choose a backend without a registry.
+
+        Retries use this proxy's budget, which counts only the requests that no registry counted.
+        """
         now, backend = self.loop.time(), self._choose(needs)
         if backend is None or (needs.max_queue_s <= 0 and not self.choice.has_free_slot(backend)):
             return None
--- a/irisdeal/proxy/backend_directory.py
+++ b/irisdeal/proxy/backend_directory.py
@@ -9,11 +9,14 @@
 from irisdeal.registry.incarnation import BackendIncarnation, BackendState
 from irisdeal.runtime.settings import Settings, parse_address
 
-SAME_ZONE, SAME_REGION, OTHER_REGION = 0, 1, 2  # distances
+# Values of `Backend.zone_distance`
+SAME_ZONE = 0
+SAME_REGION = 1
+OTHER_REGION = 2
 
 
 class BackendDirectory:
-    """The incarnations that are ready or draining, each with what this proxy measures of it."""
+    """The incarnations that are ready or draining, with this proxy's estimates of each."""
 
     def __init__(
         self, settings: Settings, on_retired: Callable[[str], None], on_added: Callable[[], None]
@@ -24,7 +27,7 @@
         self.services: dict[str, dict[str, Backend]] = {}
 
     def update(self, incarnation: BackendIncarnation, is_unresponsive: bool) -> None:
-        """Take in an incarnation's state. `is_unresponsive`: its heartbeats are overdue at all registries."""
+        """Apply an incarnation's state. `is_unresponsive`: its heartbeats are overdue at all watched registries."""
         if incarnation.state is BackendState.GONE:
             self._remove(incarnation)
             return
@@ -68,7 +71,7 @@
         self.on_retired(incarnation.id)
 
     def slots(self) -> int:
-        """Return how many requests all usable backends serve at once."""
+        """Return the number of requests that all usable backends serve concurrently."""
         return sum(
             backend.capacity
             for backend in self.backends.values()
--- a/irisdeal/proxy/backend_request.py
+++ b/irisdeal/proxy/backend_request.py
@@ -8,43 +8,43 @@
 from irisdeal.http1.messages import Request
 from irisdeal.load_balancing.backend_choice import Backend
 
-OWN_HEADERS = frozenset(
+GATEWAY_HEADERS = frozenset(
     (b"x-irisdeal-target-backend", b"x-irisdeal-tenant", b"x-irisdeal-deadline-ms", b"authorization")
 )
-DROPPED_HEADERS = HOP_BY_HOP_FIELDS | OWN_HEADERS
-BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE")  # a request without a body needs no length there
-DEADLINE_MARGIN_S = 0.004  # of a deadline, for the response's way back
+DROPPED_HEADERS = HOP_BY_HOP_FIELDS | GATEWAY_HEADERS
+BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE")  # need no Content-Length without a body
+DEADLINE_MARGIN_S = 0.004  # subtracted from a deadline, for returning the response to the client
 
 
 @dataclass(slots=True)
 class BackendRequest:
-    """One attempt's request. Times are s on the loop's clock.
+    """The request of one attempt. Times are in s on the loop's clock.
 
-    `until`: when a response is no longer waited for; `send_by`: after which nothing is written. `is_sent`: whether
-    a byte of it may have left this process.
+    `deadline`: after which no response is awaited; `send_by`: after which nothing is written; `is_sent`:
+    whether a byte of it may have left this process.
     """
 
     message: bytes
     attempt_id: bytes
     is_bodiless: bool
     is_mutating: bool
-    until: float
+    deadline: float
     send_by: float = float("inf")
     is_sent: bool = False
 
 
-def encode_request(request: Request, backend: Backend, tenant: str, left_s: float) -> bytes:
+def encode_request(request: Request, backend: Backend, tenant: str, remaining_s: float) -> bytes:
     """Return the request's bytes with the gateway's own headers.
 
-    `tenant`: empty where the route needs none; `left_s`: until the request's deadline.
+    `tenant`: empty if the request has none; `remaining_s`: time until the request's deadline.
     """
-    named = request.headers_by_name.get(b"connection", b"").lower()
-    hop = {name.strip() for name in named.split(b",")} if named else ()
+    connection_options = request.headers_by_name.get(b"connection", b"").lower()
+    hop_by_hop = {name.strip() for name in connection_options.split(b",")} if connection_options else ()
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
-        if normalized_field_name(name) not in DROPPED_HEADERS and name.lower() not in hop:
+        if normalized_field_name(name) not in DROPPED_HEADERS and name.lower() not in hop_by_hop:
             lines.append(b"%s: %s\r\n" % (name, value))
-    deadline_ms = max(1, int((left_s - DEADLINE_MARGIN_S) * 1000))
+    deadline_ms = max(1, int((remaining_s - DEADLINE_MARGIN_S) * 1000))
     lines.append(b"X-Irisdeal-Deadline-Ms: %d\r\n" % deadline_ms)
     lines.append(b"X-Irisdeal-Target-Backend: %s\r\n" % backend.id.encode())
     if tenant:
--- a/irisdeal/proxy/backend_view.py
+++ b/irisdeal/proxy/backend_view.py
@@ -1,4 +1,4 @@
-"""The backends as all registries in use report them: incarnations never go back. No input or output."""
+"""The backends by the reports of all watched registries; an incarnation never returns to an earlier state."""
 
 from __future__ import annotations
 
@@ -14,32 +14,33 @@
 )
 from irisdeal.registry.messages import IncarnationReport
 
-ENDED_KEPT_S = 120.0  # that an ended incarnation is remembered, to be reported to a registry that forgot it
+ENDED_RETENTION_S = 120.0  # for which ended incarnations are stored, to be sent to registries that lost them
 
 
 class BackendView:
-    """What this proxy knows of each incarnation of a backend."""
+    """This proxy's view of each incarnation of a backend."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         on_incarnation: Callable[[BackendIncarnation, bool], None],
     ) -> None:
-        """`on_incarnation`: called with each state, and whether all registries in use report it as overdue."""
+        """`on_incarnation`: called with each state, and whether all watched registries report it as overdue."""
         self.loop, self.on_incarnation = loop, on_incarnation
         self.incarnations: dict[str, BackendIncarnation] = {}
         self.ended_at: dict[str, float] = {}
-        self.overdue: dict[str, dict[str, bool]] = {}  # incarnation -> registry -> are its heartbeats overdue
+        # incarnation -> registry -> whether the heartbeats are overdue
+        self.overdue: dict[str, dict[str, bool]] = {}
 
     def receive(self, registry: str, reported: Sequence[IncarnationStatus]) -> None:
-        """Take in a registry's report."""
+        """Apply a registry's report."""
         for incarnation, is_unresponsive in reported:
             self._merge(registry, incarnation, is_unresponsive)
-        self._forget_ended(self.loop.time())
+        self._remove_expired(self.loop.time())
 
-    def _forget_ended(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for id_, ended_at in list(self.ended_at.items()):
-            if now - ended_at > ENDED_KEPT_S:
+            if now - ended_at > ENDED_RETENTION_S:
                 del self.ended_at[id_]
                 self.incarnations.pop(id_, None)
                 self.overdue.pop(id_, None)
@@ -55,8 +56,8 @@
         overdue[registry] = is_unresponsive
         self.on_incarnation(incarnation, all(overdue.values()))
 
-    def end(self, id_: str) -> None:
-        """Note that the backend itself showed that this incarnation is over."""
+    def set_gone(self, id_: str) -> None:
+        """Mark an incarnation as gone after another one answered at its address."""
         incarnation = self.incarnations.get(id_)
         if incarnation is None or incarnation.state is BackendState.GONE:
             return
@@ -65,18 +66,18 @@
         self.ended_at.setdefault(id_, self.loop.time())
         self.on_incarnation(gone, True)
 
-    def leave(self, registry: str) -> None:
-        """Forget which heartbeats this registry reported as overdue: it is no longer in use."""
+    def forget_registry(self, registry: str) -> None:
+        """Discard a registry's reports of overdue heartbeats, as it is no longer watched."""
         for overdue in self.overdue.values():
             overdue.pop(registry, None)
 
     def report(self) -> IncarnationReport:
-        """Return all incarnations, each as just received, for a registry that may have forgotten them."""
+        """Return all incarnations, as if just received, for a registry that may have lost its state."""
         known = self.incarnations.values()
         return IncarnationReport([ObservedIncarnation(incarnation, 0) for incarnation in known])
 
 
 def _is_superseded(incarnation: BackendIncarnation, known: BackendIncarnation) -> bool:
-    """Return whether what is known is newer: a later state, or more heartbeats in the same one."""
+    """Return whether the known report is newer: a later state, or more heartbeats in the same state."""
     has_fewer_heartbeats = incarnation.count < known.count and incarnation.state == known.state
     return has_fewer_heartbeats or known.state > incarnation.state
--- a/irisdeal/proxy/config_receiver.py
+++ b/irisdeal/proxy/config_receiver.py
@@ -1,4 +1,4 @@
-"""Receives configurations from several registries, in chunks from one at a time. No input or output."""
+"""Receives configurations from several registries, in chunks from one registry at a time. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from irisdeal.config_store.storage.chunks import SyncState
 from irisdeal.config_store.storage.version_store import VersionStore
 
-NEWEST_POSSIBLE = VersionId(1 << 62, b"")  # stated as our version, no registry has a newer one to send
+MAX_VERSION_ID = VersionId(1 << 62, b"")  # a proxy that states this version is sent no configuration
 
 
 class ConfigReceiver:
-    """The newest complete configuration of this process, and how far a newer one has arrived.
+    """The newest complete configuration of this process, and the received part of a newer one.
 
-    `change`: number of the newest change whose configuration is here, -1 before any; `as_of`: time on the caller's
-    clock by which all that was decided is known, minus infinity before any.
+    `change`: number of the newest change that the configuration includes, -1 before any; `as_of`: time on the
+    caller's clock up to which all decisions are known, minus infinity before any.
     """
 
     def __init__(self, on_version: Callable[[ConfigVersion], None]) -> None:
@@ -26,32 +26,32 @@
         self.version: ConfigVersion | None = None
         self.change = -1
         self.as_of = float("-inf")
-        self.sender = ""  # registry that is sending a configuration in chunks; no other one sends it too
+        self.sender = ""  # the only registry that is sending chunks of a configuration now
 
     @property
     def version_id(self) -> VersionId:
-        """Of the configuration that is here."""
+        """The id of the complete configuration."""
         return self.version.version_id if self.version is not None else NO_VERSION
 
     def sync_state(self, registry: str) -> SyncState:
-        """Return what we have, as stated to this registry: while another one is sending, it is to send nothing."""
+        """Return the state to report to this registry, such that it sends nothing while another one is sending."""
         if self.sender not in ("", registry):
-            return SyncState(NEWEST_POSSIBLE)
+            return SyncState(MAX_VERSION_ID)
         return self.assembler.sync_state(self.version_id)
 
     def receive(self, registry: str, sync_state: SyncState, chunk: object, change: int) -> None:
-        """Take in a registry's answer to a request that stated `sync_state`.
+        """Apply a registry's reply to a request that stated `sync_state`.
 
-        `change`: number of the registry's newest change; below 0 where this chunk is of an older one.
+        `change`: number of the registry's newest change; negative if this chunk belongs to an older one.
         """
         if chunk is None:
-            self.leave(registry)
+            self.forget_registry(registry)
             if sync_state.version_id == self.version_id:
                 self.change = max(self.change, change)
-        elif sync_state == self.sync_state(registry):  # else another one has sent it meanwhile
-            self._take(registry, chunk, change)
+        elif sync_state == self.sync_state(registry):  # otherwise, another registry has sent the chunk
+            self._add_chunk(registry, chunk, change)
 
-    def _take(self, registry: str, chunk: object, change: int) -> None:
+    def _add_chunk(self, registry: str, chunk: object, change: int) -> None:
         version = self.assembler.add_chunk(chunk)
         is_partial = version is None and self.assembler.sync_state(self.version_id).offset != 0
         self.sender = registry if is_partial else ""
@@ -59,12 +59,12 @@
             self.version, self.change = version, max(self.change, change)
             self.on_version(version)
 
-    def leave(self, registry: str) -> None:
-        """Expect no more chunks from this registry."""
+    def forget_registry(self, registry: str) -> None:
+        """Stop expecting chunks from this registry."""
         if self.sender == registry:
             self.sender = ""
 
     def confirm(self, change: int, as_of: float) -> None:
-        """Note that change `change` was the newest one at `as_of`; it counts where that change is here."""
+        """Update `as_of`, if the configuration includes `change`, which was the newest change at that time."""
         if 0 <= change <= self.change:
             self.as_of = max(self.as_of, as_of)
--- a/irisdeal/proxy/connection_pool.py
+++ b/irisdeal/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all backends, and one attempt over one of them."""
+"""Pool of connections to all backends, and the execution of one attempt over a connection."""
 
 from __future__ import annotations
 
@@ -11,28 +11,27 @@
 from irisdeal.proxy.backend_request import BackendRequest
 from irisdeal.runtime.socket_state import is_readable
 
-CONNECT_TIMEOUT_S = 0.25  # an accept queue that is full answers after seconds
-MUTATING_IDLE_SHARE = (
-    0.65  # of the idle time that a connection may have, for what executes once: a reset costs it
-)
+CONNECT_TIMEOUT_S = 0.25  # short, as with a full accept queue connecting takes seconds
+# Share of the maximum idle time for mutating requests, which cannot be retried after a reset.
+MUTATING_IDLE_SHARE = 0.65
 MAX_IDLE_CONNECTIONS = 32  # to one backend
-SWEEP_S = 1.0  # between two looks for connections that were idle too long
+SWEEP_INTERVAL_S = 1.0  # of closing connections that were idle too long
 
 
 class ConnectionPool:
-    """The connections to all backends, kept by incarnation: another one may stand at the same address."""
+    """The connections to all backends, by incarnation, as another one may take over the same address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, max_connections: int) -> None:
         """`max_connections`: to all backends together."""
         self.loop, self.max_connections = loop, max_connections
-        self.idle: dict[str, list[BackendConnection]] = {}  # by incarnation, the longest idle first
+        self.idle: dict[str, list[BackendConnection]] = {}  # incarnation -> connections, longest idle first
         self.all: set[BackendConnection] = set()
-        loop.call_later(SWEEP_S, self._sweep)
+        loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def send(self, backend: Backend, request: BackendRequest) -> AttemptOutcome:
-        """Make one attempt. Cancelled, it ends at once, and its connection with it."""
-        send_by = min(request.until, request.send_by)
-        # the process stood still: its place and its permit were granted for a time that is over
+        """Execute one attempt. On cancellation its connection is closed."""
+        send_by = min(request.deadline, request.send_by)
+        # After a pause of this process, its reservation and permit may have expired.
         if self.loop.time() >= send_by:
             return AttemptOutcome(AttemptEnd.NOT_SENT, "its time is over")
         connection = self._take_idle(backend, request.is_mutating, request.attempt_id)
@@ -43,7 +42,7 @@
             connection = opened
         response = connection.start(request)
         try:
-            async with asyncio.timeout_at(request.until):
+            async with asyncio.timeout_at(request.deadline):
                 return await response
         except TimeoutError:
             connection.give_up()
@@ -56,10 +55,10 @@
                 self._put_idle(connection)
 
     async def _open(self, backend: Backend, send_by: float) -> BackendConnection | AttemptOutcome:
-        """Return a new connection, or why there is none."""
+        """Return a new connection, or the outcome `NOT_SENT` with the reason."""
         if len(self.all) >= self.max_connections and not self._drop_longest_idle():
             return AttemptOutcome(AttemptEnd.NOT_SENT, "no connection to be had")
-        connection = BackendConnection(backend, self._forget)
+        connection = BackendConnection(backend, self._remove)
         self.all.add(connection)
         try:
             async with asyncio.timeout(min(CONNECT_TIMEOUT_S, send_by - self.loop.time())):
@@ -72,7 +71,7 @@
             raise
         if connection.is_dead or connection.transport is None:
             return AttemptOutcome(AttemptEnd.NOT_SENT, "closed as it came up")
-        if is_readable(connection.file):  # closed by the peer before our first byte
+        if is_readable(connection.descriptor):  # closed by the peer before the first byte was sent
             connection.drop()
             return AttemptOutcome(AttemptEnd.NOT_SENT, "closed as it came up")
         return connection
@@ -80,7 +79,7 @@
     def _take_idle(
         self, backend: Backend, is_mutating: bool, attempt_id: bytes = b""
     ) -> BackendConnection | None:
-        """Return the connection that was idle least, where it may be used for this attempt."""
+        """Return the most recently used connection that may be used for this attempt; None if there is none."""
         idle, now = self.idle.get(backend.id, []), self.loop.time()
         while idle:
             connection = idle.pop()
@@ -91,9 +90,9 @@
                 connection.drop()
                 continue
             if is_mutating and idle_s > connection.max_idle_s * MUTATING_IDLE_SHARE:
-                idle.append(connection)  # the newest is too old already
+                idle.append(connection)  # all others have been idle for longer
                 return None
-            if is_readable(connection.file) or (attempt_id and connection.attempt_id == attempt_id):
+            if is_readable(connection.descriptor) or (attempt_id and connection.attempt_id == attempt_id):
                 connection.drop()
                 continue
             backend.idle_connections = len(idle)
@@ -102,7 +101,7 @@
         return None
 
     def connected(self, now: float, is_mutating: bool) -> Iterable[str]:
-        """Yield the incarnations to which there is an idle connection that may be used now."""
+        """Return the incarnations with an idle connection that may be used now."""
         share = MUTATING_IDLE_SHARE if is_mutating else 1.0
         return (
             id_
@@ -119,15 +118,15 @@
             idle[0].drop()
 
     def _drop_longest_idle(self) -> bool:
-        """Drop the connection that was idle longest; return whether there was any."""
-        longest = (idle[0] for idle in self.idle.values() if idle)
-        oldest = min(longest, key=lambda connection: connection.idle_since, default=None)
-        if oldest is not None:
-            oldest.drop()
-        return oldest is not None
-
-    def _forget(self, connection: BackendConnection) -> None:
-        """Take out a connection that is closed."""
+        """Drop the connection that has been idle longest; return whether there was one."""
+        candidates = (idle[0] for idle in self.idle.values() if idle)
+        longest_idle = min(candidates, key=lambda connection: connection.idle_since, default=None)
+        if longest_idle is not None:
+            longest_idle.drop()
+        return longest_idle is not None
+
+    def _remove(self, connection: BackendConnection) -> None:
+        """Remove a closed connection from the pool."""
         self.all.discard(connection)
         idle = self.idle.get(connection.backend.id)
         if idle and connection in idle:
@@ -142,7 +141,7 @@
             connection.drop()
 
     def _sweep(self) -> None:
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for idle in list(self.idle.values()):
             expired = [
--- a/irisdeal/proxy/drain_plan.py
+++ b/irisdeal/proxy/drain_plan.py
@@ -1,55 +1,60 @@
-"""Graceful shutdown: which requests a draining proxy still takes, so that all are over before the process is.
+"""Graceful shutdown: which requests a draining proxy accepts, so that all end before the process terminates.
 
-A request may be forwarded where its own deadline comes first, since it has a final answer by then whatever its
-backend does. Else it is taken in the first part of the time alone, where its service's slowest responses of late
-would be over with time to spare. All else is rejected at once, so that its client goes elsewhere with its time.
+A request is accepted if its own deadline is before the end of the drain, since it has a final response by then
+whatever its backend does. Otherwise it is accepted only early in the drain, and only if a response as slow as the
+service's slowest recent one would arrive with time to spare. All others are rejected immediately, so that their
+clients can retry at another proxy in time.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-END_SHARE, MIN_END_S = 1 / 15, 0.25  # of the grace, s: kept for the last bytes and the process's own end
-# Share of the grace period, and s at most, in which the platform may still send new connections to this process.
-QUIET_SHARE, MAX_QUIET_S = 0.6, 3.5
-# Share of the grace period, and s at most, in which requests without an early deadline are accepted.
-ACCEPT_SHARE, MAX_ACCEPT_S = 0.5, 3.0
-LAST_CALL_S = 0.1  # before the end, for the rejections to go out
-LATENCY_FACTOR = 1.5  # times the slowest response of late that a request is given
+# Reserved at the end of the grace period for sending the last bytes and terminating the process.
+TERMINATION_SHARE = 1 / 15  # of the grace period
+MIN_TERMINATION_S = 0.25
+# Time in which the platform may still open new connections to this process, so that it keeps serving.
+SERVING_SHARE = 0.6  # of the grace period
+MAX_SERVING_S = 3.5
+# Time in which requests without an early deadline are accepted.
+ACCEPT_SHARE = 0.5  # of the grace period
+MAX_ACCEPT_S = 3.0
+REJECTION_MARGIN_S = 0.1  # before the end of the drain, for sending the last rejections
+LATENCY_FACTOR = 1.5  # allowed latency of a request, in times of its service's slowest recent response
 
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """The times of one shutdown, s on the loop's clock. `grace_s`: from the signal until the process is killed."""
+    """The schedule of one shutdown, s on the loop's clock. `grace_s`: from SIGTERM until the process is killed."""
 
     begun_at: float
     grace_s: float
 
     @property
     def ends_at(self) -> float:
-        """When the process ends at the latest."""
-        return self.begun_at + self.grace_s - max(MIN_END_S, END_SHARE * self.grace_s)
+        """The latest end of the drain."""
+        return self.begun_at + self.grace_s - max(MIN_TERMINATION_S, TERMINATION_SHARE * self.grace_s)
 
     @property
-    def quiet_until(self) -> float:
-        """Until when it serves on, though no request is at work."""
-        return self.begun_at + min(MAX_QUIET_S, QUIET_SHARE * self.grace_s)
+    def serving_until(self) -> float:
+        """The time until which the process keeps serving even if no request is in progress."""
+        return self.begun_at + min(MAX_SERVING_S, SERVING_SHARE * self.grace_s)
 
     @property
-    def last_call_at(self) -> float:
-        """When all that still waits is rejected."""
-        return self.ends_at - LAST_CALL_S
+    def rejection_at(self) -> float:
+        """The time at which all requests that were not executed yet are rejected."""
+        return self.ends_at - REJECTION_MARGIN_S
 
-    def may_take(self, now: float, until: float, slowest_s: float) -> bool:
-        """Return whether a new request is taken: as `may_begin`, and only while new ones are expected."""
-        return now <= self.quiet_until and self.may_begin(now, until, slowest_s)
+    def may_accept(self, now: float, deadline: float, slowest_s: float) -> bool:
+        """Return whether to accept a new request: `may_start_attempt`, and new connections are still expected."""
+        return now <= self.serving_until and self.may_start_attempt(now, deadline, slowest_s)
 
-    def may_begin(self, now: float, until: float, slowest_s: float) -> bool:
-        """Return whether an attempt that begins now is over in time.
+    def may_start_attempt(self, now: float, deadline: float, slowest_s: float) -> bool:
+        """Return whether an attempt that starts now is expected to end before the drain does.
 
-        `until`: the request's deadline; `slowest_s`: of its service's responses of late, 0 where none is known.
+        `deadline`: of the request; `slowest_s`: slowest recent latency of its service, 0 if unknown.
         """
-        if until <= self.ends_at:
+        if deadline <= self.ends_at:
             return True
         if slowest_s <= 0.0 or now > self.begun_at + min(MAX_ACCEPT_S, ACCEPT_SHARE * self.grace_s):
             return False
@@ -58,10 +63,11 @@
 
 @dataclass(slots=True)
 class DrainState:
-    """How far the process's shutdown is, as all its requests see it.
+    """The state of the process's shutdown, shared by all requests.
 
-    `plan`: None until the shutdown begins; `is_last_call`: all that still waits is being rejected.
+    `plan`: None until the shutdown begins; `is_rejecting`: requests that were not executed yet are being
+    rejected.
     """
 
     plan: DrainPlan | None = None
-    is_last_call: bool = False
+    is_rejecting: bool = False
--- a/irisdeal/proxy/metrics.py
+++ b/irisdeal/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a proxy: requests whose clients left, abandoned attempts, and the shutdown."""
+"""Metrics of a proxy: requests whose clients disconnected, abandoned attempts, and the shutdown."""
 
 from __future__ import annotations
 
--- a/irisdeal/proxy/process.py
+++ b/irisdeal/proxy/process.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts, its start, its graceful shutdown, and its reactions to updates."""
+"""The proxy's process: its components, start, graceful shutdown and handling of updates."""
 
 from __future__ import annotations
 
@@ -30,15 +30,12 @@
 from irisdeal.runtime.process import Tasks
 from irisdeal.runtime.settings import Settings, parse_address
 
-OTHER_DESCRIPTORS = 200  # file descriptors that are not for clients and backends
-MIN_DESCRIPTORS = 64  # for clients and backends, however few the limit leaves
+RESERVED_DESCRIPTORS = 200  # file descriptors for other uses than connections of clients and backends
+MIN_CONNECTION_DESCRIPTORS = 64  # for connections, even if the limit leaves fewer
 
 
 class Proxy:
-    """The proxy's process.
-
-    `listening`: sockets at which this process listens already, by their names in `bind`.
-    """
+    """The proxy's process. `listening`: sockets that this process already listens on, by their names in `bind`."""
 
     def __init__(self, settings: Settings, listening: ListeningSockets | None = None) -> None:
         self.settings, self.listening = settings, listening or {}
@@ -57,7 +54,7 @@
             PROXY_SLACK_SHARE * settings.bound("retry_slack", 50.0),
             self.loop.time(),
         )
-        descriptors = max(MIN_DESCRIPTORS, settings.limits.max_fds - OTHER_DESCRIPTORS)
+        descriptors = max(MIN_CONNECTION_DESCRIPTORS, settings.limits.max_fds - RESERVED_DESCRIPTORS)
         self.pool = ConnectionPool(self.loop, descriptors // 2)
         self.drain = DrainState()
         self.metrics = ProxyMetrics()
@@ -87,14 +84,14 @@
             placer,
             self.registries,
             self.metrics,
-            self.watcher.backends.end,
+            self.watcher.backends.set_gone,
             self.drain,
         )
 
     # Start and shutdown
 
     async def start(self) -> None:
-        """Watch the registries and serve clients."""
+        """Start watching the registries and serving clients."""
         self.watcher.start()
         self.tasks.start(self.admission.report_intervals())
         await self.http_server.listen(
@@ -106,26 +103,26 @@
         await self.metrics_server.start()
 
     async def stop(self) -> None:
-        """Shut down gracefully: finish or reject all requests, and end when the last bytes are out."""
+        """Shut down gracefully: finish or reject all requests, and return when the last bytes are sent."""
         self.drain.plan = plan = DrainPlan(self.loop.time(), self.settings.bound("grace_s", 6.0))
-        self.loop.call_at(plan.last_call_at, self._last_call)
-        unanswered = await self.http_server.drain(plan.quiet_until, plan.ends_at)
+        self.loop.call_at(plan.rejection_at, self._reject_unexecuted)
+        unanswered = await self.http_server.drain(plan.serving_until, plan.ends_at)
         self._log_drain(unanswered)
         self.watcher.stop()
         self.tasks.cancel()
         self.readiness.close()
         self.metrics_server.close()
 
-    def _last_call(self) -> None:
-        """Reject what was not executed yet, as the process is about to end."""
-        self.drain.is_last_call = True
+    def _reject_unexecuted(self) -> None:
+        """Reject all requests that were not executed yet, as the process is about to terminate."""
+        self.drain.is_rejecting = True
         for task, request in list(self.http_server.serving.items()):
             attempts = self.handler.attempts.get(request)
             if attempts is None or attempts.reject():
                 task.cancel()
 
     def _log_drain(self, unanswered: Unanswered) -> None:
-        """Log the shutdown's counts, and what has no complete response as the process ends."""
+        """Log the shutdown's counts, and the requests and bytes that were not answered or sent completely."""
         requests, unsent = unanswered.requests, unanswered.unsent_bytes
         for request in requests:
             self.metrics.unanswered.add(request.phase.value)
@@ -138,7 +135,7 @@
             log_event(Event.RESPONSES_UNFINISHED, requests=len(requests), unsent_bytes=unsent, **phases)
 
     def reload(self, settings: Settings) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = self.directory.settings = settings
         self.watcher.reload(settings)
 
@@ -152,7 +149,7 @@
         self.applier.apply(version)
 
     def _on_table(self, table: RouteTable) -> None:
-        """Take a new route table into force."""
+        """Put a new route table into force."""
         self.handler.set_table(table)
         self.admission.configure(self.handler.limit_of)
         client_limits, limits = self.http_server.limits, table.limits
@@ -169,6 +166,6 @@
         self.pool.retire(id_)
 
     def _on_backend_added(self) -> None:
-        """Raise the concurrency limit that holds until a first total: a proxy that starts must not reject."""
+        """Raise the initial concurrency limit, as a proxy without totals yet must not reject requests."""
         if not self.admission.has_reported:
             self.admission.concurrency.slots = self.directory.slots()
--- a/irisdeal/proxy/registry_selector.py
+++ b/irisdeal/proxy/registry_selector.py
@@ -1,4 +1,4 @@
-"""Which registries a proxy watches: membership of the core, nearness, and a backoff for those of no use."""
+"""Selects the registries that a proxy watches, by membership of the core, zone, age of their state, and backoff."""
 
 from __future__ import annotations
 
@@ -10,40 +10,39 @@
 from irisdeal.runtime.events import Event, log_event
 from irisdeal.runtime.settings import Settings
 
-MIN_BACKOFF_S = (
-    2.0  # at least that a registry which was left is not preferred; doubled each time that it is no use
-)
+MIN_BACKOFF_S = 2.0  # of a registry that failed or has no contact; doubled with each further failure
 MAX_BACKOFF_S = 8.0
 
 
 def stable_hash(*texts: str) -> int:
-    """Return the same number for the same texts on every machine."""
+    """Return a hash of the texts that is the same on every machine."""
     return zlib.crc32("|".join(texts).encode())
 
 
 class RegistrySelector:
-    """The registries as one proxy knows them, and its order of preference. Times are s on the loop's clock."""
+    """One proxy's view of the registries, and its order of preference. Times are in s on the loop's clock."""
 
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop, rng: random.Random) -> None:
-        """`rng`: spreads the ends of backoffs, so that proxies do not come back as one."""
+        """`rng`: randomizes the backoffs, so that proxies do not all return to a registry at once."""
         self.settings, self.loop, self.rng = settings, loop, rng
-        self.using: list[str] = []  # registries that are watched now
-        self.zones: dict[str, str] = {}  # machines of the core and their zones: all that is reported
-        self.reported_zones: dict[str, dict[str, str]] = {}  # the same by the registry that reported it
+        self.watched: list[str] = []  # registries that are watched now
+        self.zones: dict[str, str] = {}  # machine of the core -> zone, merged from all reports
+        self.reported_zones: dict[str, dict[str, str]] = {}  # the same by reporting registry
         self.avoided: dict[str, tuple[float, float]] = {}  # registry -> end and length of its backoff
-        self.known_as_of: dict[str, float] = {}  # registry -> as of when its knowledge was at its last answer
+        self.known_as_of: dict[str, float] = {}  # registry -> time as of which its last reply was current
 
     def candidates(self) -> list[str]:
-        """Return all registries that may be watched and are not, the best first.
+        """Return the registries that are not watched yet, in order of preference.
 
-        Members before seeds, then those not avoided, near, fresh, and at last in an order of our own.
+        Members before seeds, then by end of backoff, same zone, age of their state, and an order specific to
+        the proxy.
         """
         now = self.loop.time()
-        has_near = any(map(self.is_near, self.using))
+        has_near = any(map(self.is_near, self.watched))
 
         def preference(registry: str) -> tuple[bool, float, bool, float, int]:
-            """Return the sort key: the least is preferred."""
-            # bytes between zones are dear: one of those in use is in ours, where there is one
+            """Return the sort key: the lowest is preferred."""
+            # One watched registry in the same zone is preferred, as cross-zone traffic is expensive.
             is_near = self.is_near(registry) and not has_near
             avoided_until = self.avoided[registry][0] if self.is_avoided(registry, now) else 0.0
             return (
@@ -55,20 +54,20 @@
             )
 
         known = {*self.zones, *ports.seeds(self.settings)}
-        return sorted((registry for registry in known if registry not in self.using), key=preference)
+        return sorted((registry for registry in known if registry not in self.watched), key=preference)
 
     def is_near(self, registry: str) -> bool:
-        """Return whether this machine is in our zone."""
+        """Return whether this machine is in the proxy's zone."""
         return self.zones.get(registry) == self.settings.zone
 
     def is_avoided(self, registry: str, now: float) -> bool:
-        """Return whether it is in its backoff."""
+        """Return whether the registry is in its backoff."""
         return self.avoided.get(registry, (0.0, 0.0))[0] > now
 
     def avoid(self, registry: str) -> None:
-        """Do not prefer it for a while, of another length at each proxy."""
-        _, before_s = self.avoided.get(registry, (0.0, 0.0))
-        backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * before_s))
+        """Start a backoff of the registry, with exponentially increasing and randomized length."""
+        _, previous_s = self.avoided.get(registry, (0.0, 0.0))
+        backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * previous_s))
         self.avoided[registry] = self.loop.time() + backoff_s * (1 + self.rng.random()), backoff_s
 
     def _alternatives(self) -> list[str]:
@@ -76,35 +75,38 @@
         return [other for other in self.candidates() if not self.is_avoided(other, now)]
 
     def has_alternative(self) -> bool:
-        """Return whether there is another registry that is not avoided."""
+        """Return whether there is another registry that is not in its backoff."""
         return bool(self._alternatives())
 
     def is_nearer_available(self, registry: str) -> bool:
-        """Return whether to leave it for one in our zone: only the first in use does, where none in use is near."""
+        """Return whether to replace it by one in the proxy's zone.
+
+        Only the first watched registry is replaced, and only if no watched one is in the zone.
+        """
         alternatives = self._alternatives()
-        if registry != self.using[0] or any(map(self.is_near, self.using)):
+        if registry != self.watched[0] or any(map(self.is_near, self.watched)):
             return False
         return any(map(self.is_near, alternatives))
 
-    def update_zones(self, registry: str, zones: dict[str, str], is_good: bool) -> set[str]:
-        """Take in a report of the core's machines; return those that have left.
+    def update_zones(self, registry: str, zones: dict[str, str], has_contact: bool) -> set[str]:
+        """Apply a report of the core's machines; return those that have left.
 
-        Reports of registries in contact are joined; without any, what was known stays, and new ones come to it.
+        The reports of registries with contact are merged; without any, reported machines are only added.
         """
-        if is_good:
+        if has_contact:
             self.reported_zones = {
-                other: reported for other, reported in self.reported_zones.items() if other in self.using
+                other: reported for other, reported in self.reported_zones.items() if other in self.watched
             }
             self.reported_zones[registry] = dict(zones)
-        joined: dict[str, str] = {}
+        merged: dict[str, str] = {}
         for reported in self.reported_zones.values():
-            joined.update(reported)
+            merged.update(reported)
         if not self.reported_zones:
-            joined = {**self.zones, **zones}
-        departed = set(self.zones.keys() - joined.keys())
-        self.zones = joined
+            merged = {**self.zones, **zones}
+        departed = set(self.zones.keys() - merged.keys())
+        self.zones = merged
         if departed:
-            log_event(Event.SOURCES_CHANGED, left=",".join(sorted(departed)), sources=len(joined))
+            log_event(Event.SOURCES_CHANGED, left=",".join(sorted(departed)), sources=len(merged))
         for other in departed:
             self.avoided.pop(other, None)
             self.known_as_of.pop(other, None)
--- a/irisdeal/proxy/request_attempts.py
+++ b/irisdeal/proxy/request_attempts.py
@@ -1,14 +1,14 @@
 """A request's attempts at backends: retries, a hedged request beside a slow one, and the final response.
 
-One scope owns the attempts: `RequestAttempts.run` ends with the first response, with the deadline, or cancelled as
-the client disconnects, and whatever attempts are at work by then end with it. The exception is an attempt of a
-request that may be executed once only, from the moment at which a byte of it may have been sent: it is waited for
-to its end, and its response is given, if there is anybody to read it.
-
-Guarantees: a request that is not idempotent is never executed twice, and 429 and 503 promise that nothing was
-executed (the users' rules TWICE and REFUSED). So an attempt is retried only after `NOT_SENT` or `NOT_EXECUTED`, or
-`MAY_HAVE_EXECUTED` where the route is idempotent; 429 and 503 are answered only where no attempt may have been
-executed.
+One scope owns the attempts: `RequestAttempts.run` ends with the first response, at the deadline, or when it is
+cancelled as the client disconnects, and it cancels all attempts that are still running. The exception is an
+attempt of a mutating request once a byte of it may have been sent: the scope waits for its end and returns its
+response, even if the client has disconnected.
+
+Guarantees: a request that is not idempotent is never executed twice (rule TWICE), and the statuses 429 and 503
+mean that nothing was executed (rule REFUSED). So an attempt is retried only after `NOT_SENT` or `NOT_EXECUTED`,
+or after `MAY_HAVE_EXECUTED` if the route is idempotent; 429 and 503 are returned only if no attempt may have
+been executed.
 """
 
 from __future__ import annotations
@@ -24,13 +24,14 @@
 from irisdeal.proxy.rejection import RejectionError, shutting_down
 from irisdeal.runtime.events import check_invariant
 
-MIN_ATTEMPT_S = 0.010  # left to a request's deadline, under which no attempt is begun
-HEDGE_FACTOR, MIN_HEDGE_DELAY_S = 3.0, 0.1  # times the typical latency, s: then a hedged request is sent
-MAX_HEDGED = 2  # attempts at work at once, of an idempotent request
-# Largest share of the latency target that a request spends in queues: a later rejection wastes work.
-QUEUE_SHARE = 0.22
-MAX_UNREACHABLE = 4  # backends that could not be reached, then the request is given up
-RETRY_AFTER_S = 0.1  # after which a client whose request was not executed may come back
+MIN_ATTEMPT_S = 0.010  # minimum time left until the deadline for starting an attempt
+HEDGE_DELAY_FACTOR = 3.0  # a hedged request is sent after this many typical latencies
+MIN_HEDGE_DELAY_S = 0.1
+MAX_PARALLEL_ATTEMPTS = 2  # of an idempotent request
+# Largest share of the latency target that a request may spend in queues, as a later rejection wastes work.
+MAX_QUEUE_SHARE = 0.22
+MAX_UNREACHABLE_COUNT = 4  # unreachable backends after which the request is rejected
+RETRY_AFTER_S = 0.1  # for clients whose request was not executed
 
 
 class RequestAttempts:
@@ -40,24 +41,24 @@
         self.services, self.admitted = services, admitted
         self.loop = services.loop
         self.running: list[Attempt] = []
-        self.ended: list[Attempt] = []  # of these, those whose ends were not taken yet
-        self.waiter: asyncio.Future[None] | None = None  # ours, while we wait for an end
-        self.tried: set[str] = set()
-        self.unreachable_count = self.sent_count = 0  # attempts that ended
+        self.ended: list[Attempt] = []  # attempts whose outcome was not handled yet
+        self.waiter: asyncio.Future[None] | None = None  # pending while `run` waits for the end of an attempt
+        self.tried: set[str] = set()  # ids of the backends of all attempts
+        self.unreachable_count = self.sent_count = 0  # ended attempts that were not sent, and that were
         self.may_have_executed = self.is_rejected = False
-        self.last = AttemptOutcome(AttemptEnd.NOT_SENT, "no backend")
-        # a backend's own 5xx: the answer where there is no better one
+        self.last_outcome = AttemptOutcome(AttemptEnd.NOT_SENT, "no backend")
+        # A 5xx response of a backend, which is returned if no attempt gets a better one.
         self.server_error: AttemptOutcome | None = None
 
     async def run(self) -> Response:
-        """Return the final response; raise RejectionError where there is none of a backend.
+        """Return the final response; raise RejectionError if no backend returned one.
 
-        Cancelled where the client has disconnected and nothing has begun that executes once only.
+        Raises CancelledError if the client has disconnected and no attempt of a mutating request was sent.
         """
         try:
             return await self._run()
         except asyncio.CancelledError:
-            if not self._is_given_up():
+            if not self._is_cancellation_expected():
                 raise
             return await self._finish_running()
         finally:
@@ -65,8 +66,8 @@
                 attempt.abandon("client left" if self._has_disconnected() else "answered by another")
 
     def reject(self) -> bool:
-        """Give the request up as the process ends; return whether it was not executed, as nothing was sent."""
-        is_sent = any(attempt.sent.is_sent for attempt in self.running)
+        """Reject the request as the process terminates; False if an attempt was sent and may have been executed."""
+        is_sent = any(attempt.backend_request.is_sent for attempt in self.running)
         if self.may_have_executed or self.server_error is not None or is_sent:
             return False
         self.is_rejected = True
@@ -75,62 +76,64 @@
     def _has_disconnected(self) -> bool:
         return self.admitted.request.disconnected_at is not None
 
-    def _is_given_up(self) -> bool:
-        """Return whether our own task was cancelled for a reason that we know: else the process ends at once."""
+    def _is_cancellation_expected(self) -> bool:
+        """Return whether a cancellation is due to a disconnect or a rejection, not to the process's termination."""
         return self._has_disconnected() or self.is_rejected
 
     async def _run(self) -> Response:
         while True:
-            if self._may_retry_or_hedge():
-                await self._begin_another()
+            if self._may_start_attempt():
+                await self._start_attempt()
             if not self.running:
-                return self._final()
+                return self._final_response()
             if (response := await self._next_response()) is not None:
                 return response
 
     async def _finish_running(self) -> Response:
-        """Wait for what executes once only and has begun; abandon all else."""
-        going_on = [attempt for attempt in self.running if attempt.must_finish_once_sent]
+        """Wait for attempts of mutating requests that were sent; abandon all others."""
+        unfinished = [attempt for attempt in self.running if attempt.must_finish_once_sent]
         for attempt in self.running:
-            if attempt not in going_on:
-                self.may_have_executed |= attempt.sent.is_sent
+            if attempt not in unfinished:
+                self.may_have_executed |= attempt.backend_request.is_sent
                 attempt.abandon("client left" if self._has_disconnected() else "process ends")
-        self.running = going_on
+        self.running = unfinished
         while self.running:
             if (response := await self._next_response()) is not None:
                 return response
-        return self._final()
+        return self._final_response()
 
-    # Beginning an attempt
+    # Starting an attempt
 
-    def _may_retry_or_hedge(self) -> bool:
-        """Return whether a further attempt may begin now."""
-        route, now, until = self.admitted.route, self.loop.time(), self.admitted.until
-        if self._is_given_up() or (route.is_mutating and self.may_have_executed):
+    def _may_start_attempt(self) -> bool:
+        """Return whether a first attempt, a retry or a hedged request may start now."""
+        route, now, deadline = self.admitted.route, self.loop.time(), self.admitted.deadline
+        if self._is_cancellation_expected() or (route.is_mutating and self.may_have_executed):
             return False
         if self.sent_count + len(self.running) >= route.max_attempts:
             return False
-        if self.unreachable_count >= MAX_UNREACHABLE or until - now <= MIN_ATTEMPT_S:
+        if self.unreachable_count >= MAX_UNREACHABLE_COUNT or deadline - now <= MIN_ATTEMPT_S:
             return False
-        if len(self.running) >= (1 if route.is_mutating else MAX_HEDGED):
+        if len(self.running) >= (1 if route.is_mutating else MAX_PARALLEL_ATTEMPTS):
             return False
         return self._can_finish()
 
     def _can_finish(self) -> bool:
-        """Return whether an attempt that begins now is over before the process ends."""
+        """Return whether an attempt that starts now is expected to end before the process terminates."""
         plan = self.services.drain.plan
         if plan is None:
             return True
-        return plan.may_begin(self.loop.time(), self.admitted.until, self.admitted.latency.slowest_s)
+        return plan.may_start_attempt(
+            self.loop.time(), self.admitted.deadline, self.admitted.latency.slowest_s
+        )
 
-    async def _begin_another(self) -> None:
+    async def _start_attempt(self) -> None:
         admitted, request = self.admitted, self.admitted.request
         if not self.running:
             request.phase = Phase.PLACEMENT
         placed = await self.services.placer.assign(self._needs())
         if placed is None:
             return
-        if not self._can_finish():  # the shutdown began meanwhile
+        if not self._can_finish():  # the shutdown began during the call
             self.services.placer.release(placed)
             return
         self.tried.add(placed.backend.id)
@@ -145,45 +148,46 @@
             admitted.latency,
             admitted.rank,
             self._max_queue_s(),
-            admitted.until,
+            admitted.deadline,
             admitted.permit,
             admitted.route.is_mutating,
             is_retry=self.sent_count + len(self.running) > 0,
         )
 
     def _max_queue_s(self) -> float:
-        """Return how long the next attempt may wait for capacity.
+        """Return how long the next attempt may wait for capacity, in s.
 
-        A hedged request is sent only where it begins at once: else it would slow all down.
+        A hedged request must not wait: it is sent only to a backend with a free slot, so that hedging adds no
+        queueing.
         """
         if self.running:
             return 0.0
         admitted, now = self.admitted, self.loop.time()
-        queue_until = admitted.request.received_at + QUEUE_SHARE * admitted.route.latency_target_s
-        latest_start = admitted.until - admitted.latency.typical_latency_s
+        queue_until = admitted.request.received_at + MAX_QUEUE_SHARE * admitted.route.latency_target_s
+        latest_start = admitted.deadline - admitted.latency.typical_latency_s
         return max(MIN_QUEUE_S, min(queue_until, latest_start) - now)
 
     # Waiting for attempts
 
     async def _next_response(self) -> Response | None:
-        """Wait until an attempt ends, or a hedged one is due; return the response, where one counts."""
+        """Wait until an attempt ends or a hedged request is due; return the final response if there is one."""
         if not self.ended:
             await self._wait(self._hedge_delay_s())
         ended, self.ended = self.ended, []
         for attempt in ended:
-            if attempt not in self.running:  # given up before
+            if attempt not in self.running:  # abandoned before it ended
                 continue
             self.running.remove(attempt)
             if attempt.task.cancelled():
-                self.may_have_executed |= attempt.sent.is_sent
-            elif (response := self._take(attempt.task.result())) is not None:
+                self.may_have_executed |= attempt.backend_request.is_sent
+            elif (response := self._handle_outcome(attempt.task.result())) is not None:
                 return response
         return None
 
     async def _wait(self, timeout_s: float | None) -> None:
-        """Wait until an attempt ends, or for so many s."""
+        """Wait until an attempt ends, or for `timeout_s` at most."""
         self.waiter = self.loop.create_future()
-        timer = self.loop.call_later(timeout_s, self._wake) if timeout_s is not None else None
+        timer = self.loop.call_later(timeout_s, self._notify_waiter) if timeout_s is not None else None
         try:
             await self.waiter
         finally:
@@ -192,24 +196,24 @@
 
     def _on_ended(self, attempt: Attempt) -> None:
         self.ended.append(attempt)
-        self._wake()
+        self._notify_waiter()
 
-    def _wake(self) -> None:
+    def _notify_waiter(self) -> None:
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     def _hedge_delay_s(self) -> float | None:
-        """Return the s after which a hedged request is sent beside the only attempt; None where none is."""
+        """Return the delay in s after which a hedged request is sent; None if none may be sent."""
         route = self.admitted.route
         if route.is_mutating or len(self.running) != 1 or self.sent_count + 1 >= route.max_attempts:
             return None
-        return max(MIN_HEDGE_DELAY_S, HEDGE_FACTOR * self.admitted.latency.typical_latency_s)
+        return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_FACTOR * self.admitted.latency.typical_latency_s)
 
     # Ends of attempts
 
-    def _take(self, outcome: AttemptOutcome) -> Response | None:
-        """Take one attempt's end; return the response where it is the final one."""
-        self.last = outcome
+    def _handle_outcome(self, outcome: AttemptOutcome) -> Response | None:
+        """Record the outcome of an attempt; return its response if it is final."""
+        self.last_outcome = outcome
         match outcome.end:
             case AttemptEnd.RESPONSE if self.admitted.route.is_mutating or outcome.status < 500:
                 return Response(outcome.status, outcome.body, outcome.headers)
@@ -223,15 +227,17 @@
                 self.may_have_executed |= outcome.end is AttemptEnd.MAY_HAVE_EXECUTED
         return None
 
-    def _final(self) -> Response:
-        """Return the response where no attempt is at work and none follows; RejectionError where there is none."""
+    def _final_response(self) -> Response:
+        """Return the response after the last attempt; raise RejectionError if there is none."""
         if self.server_error is not None:
             return Response(self.server_error.status, self.server_error.body, self.server_error.headers)
         if self.may_have_executed:
-            is_late = self.loop.time() >= self.admitted.until - 2 * DEADLINE_MARGIN_S
-            raise RejectionError(504 if is_late else 502, self.last.reason or "given up")
-        was_not_executed = self.last.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_EXECUTED)
-        check_invariant(was_not_executed, "only what has not run is promised", route=self.admitted.route.name)
+            is_late = self.loop.time() >= self.admitted.deadline - 2 * DEADLINE_MARGIN_S
+            raise RejectionError(504 if is_late else 502, self.last_outcome.reason or "given up")
+        was_not_executed = self.last_outcome.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_EXECUTED)
+        check_invariant(
+            was_not_executed, "503 is returned only if not executed", route=self.admitted.route.name
+        )
         if self.services.drain.plan is not None:
             raise shutting_down()
-        raise RejectionError(503, self.last.reason, RETRY_AFTER_S)
+        raise RejectionError(503, self.last_outcome.reason, RETRY_AFTER_S)
--- a/irisdeal/proxy/route_table.py
+++ b/irisdeal/proxy/route_table.py
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One rule, ready for requests.
+    """One rule of the configuration, prepared for routing.
 
-    `latency_target_s`: within which clients want a response; `priority`: the least goes first; `is_public`: needs
-    no tenant; `shares`: services and the sum of weights up to each; `total_weight`: of all.
+    `latency_target_s`: time within which clients expect a response; `priority`: lower values are dequeued first;
+    `is_public`: needs no tenant; `cumulative_weights`: each service with the sum of weights up to it;
+    `total_weight`: the sum of all weights.
     """
 
     name: str
@@ -29,24 +30,27 @@
     max_attempts: int
     priority: int
     is_public: bool
-    shares: tuple[tuple[str, float], ...]
+    cumulative_weights: tuple[tuple[str, float], ...]
     total_weight: float
 
-    def service(self, draw: float) -> str:
-        """Return the service for a draw from 0 to 1, by weight."""
-        wanted = draw * self.total_weight
-        for name, cumulative in self.shares:
-            if wanted < cumulative:
+    def pick_service(self, draw: float) -> str:
+        """Return a service by weight. `draw`: a uniform random number from 0 to 1."""
+        target = draw * self.total_weight
+        for name, cumulative in self.cumulative_weights:
+            if target < cumulative:
                 return name
-        return next(name for name, cumulative in reversed(self.shares) if cumulative == self.total_weight)
+        # Rounding may put the target at the total weight.
+        return next(
+            name for name, cumulative in reversed(self.cumulative_weights) if cumulative == self.total_weight
+        )
 
 
 def _route_of(rule: Rule) -> Route:
-    shares, cumulative = [], 0.0
+    cumulative_weights, cumulative = [], 0.0
     for share in rule.shares():
         if share.weight > 0:
             cumulative += share.weight
-            shares.append((share.service, cumulative))
+            cumulative_weights.append((share.service, cumulative))
     return Route(
         rule.name,
         rule.pattern.path_prefix.encode(),
@@ -56,32 +60,32 @@
         max(1, rule.effect.max_tries),
         rule.priority,
         rule.public,
-        tuple(shares),
+        tuple(cumulative_weights),
         cumulative,
     )
 
 
 class HostRoutes:
-    """The routes of one host by prefix. Never changed."""
+    """The routes of one host by prefix. Immutable after construction."""
 
     __slots__ = ("longest_prefix", "routes", "rules")
 
-    def __init__(self, rules: dict[str, Rule], before: HostRoutes | None = None) -> None:
-        """`before`: the host as it was; routes of rules that are unchanged are taken over."""
+    def __init__(self, rules: dict[str, Rule], previous: HostRoutes | None = None) -> None:
+        """`previous`: the host's routes in the previous table, of which those of unchanged rules are reused."""
         self.rules = rules
         self.routes: dict[bytes, Route] = {}
         for prefix, rule in rules.items():
             encoded = prefix.encode()
-            if before is not None and before.rules.get(prefix) is rule:
-                self.routes[encoded] = before.routes[encoded]
+            if previous is not None and previous.rules.get(prefix) is rule:
+                self.routes[encoded] = previous.routes[encoded]
             else:
                 self.routes[encoded] = _route_of(rule)
         self.longest_prefix = max(map(len, self.routes), default=0)
 
     def find(self, path: bytes) -> Route | None:
-        """Return the route with the longest prefix of `path`.
+        """Return the route with the longest prefix of `path`; None if there is none.
 
-        Looks up the path's own prefixes, the longest first: the cost is by its depth, as far as prefixes reach.
+        Looks up the prefixes of the path from the longest to the shortest, so the cost is linear in its depth.
         """
         slash = path.rfind(b"/", 0, self.longest_prefix)
         while slash >= 0:
@@ -93,7 +97,7 @@
 
 
 class RouteTable:
-    """One version of the configuration, as requests look it up. It shares with others what did not change."""
+    """Lookup tables of one version of the configuration; parts that did not change are shared between versions."""
 
     def __init__(self, configuration: Configuration) -> None:
         self._fill(configuration, Index.of(configuration), Map())
@@ -107,16 +111,16 @@
         self.pools, self.tenants, self.keys = index.pools, index.tenants, index.keys
 
     @staticmethod
-    def build(reading: ParsedConfiguration, before: RouteTable | None) -> Generator[None, None, RouteTable]:
-        """Build the table of this reading in steps; unchanged parts of the table before are taken over."""
+    def build(parsed: ParsedConfiguration, previous: RouteTable | None) -> Generator[None, None, RouteTable]:
+        """Build the table of a configuration in steps; unchanged parts of the previous table are reused."""
         table = RouteTable.__new__(RouteTable)
-        table._fill(reading.configuration, reading.index, before.hosts if before is not None else Map())
-        yield from table._build_hosts(before)
+        table._fill(parsed.configuration, parsed.index, previous.hosts if previous is not None else Map())
+        yield from table._build_hosts(previous)
         return table
 
-    def _build_hosts(self, before: RouteTable | None) -> Generator[None, None, None]:
-        """Build the hosts whose rules are not those of the table before."""
-        old_rules = before.index.hosts if before is not None else Map()
+    def _build_hosts(self, previous: RouteTable | None) -> Generator[None, None, None]:
+        """Build the hosts whose rules differ from those in the previous table."""
+        old_rules = previous.index.hosts if previous is not None else Map()
         hosts, cost = self.hosts.mutate(), 0
         for host, rules in self.index.hosts.items():
             if old_rules.get(host) is rules:
@@ -134,6 +138,6 @@
         self.hosts = hosts.finish()
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """Return the route of this host with the longest prefix of `path`."""
+        """Return the route of this host with the longest prefix of `path`; None if there is none."""
         routes = self.hosts.get(host)
         return routes.find(path) if routes is not None else None
--- a/irisdeal/proxy/tenant_admission.py
+++ b/irisdeal/proxy/tenant_admission.py
@@ -1,8 +1,8 @@
-"""Admission of tenants' requests: probabilistic rejection, the concurrency limit, and permits.
+"""Admission of tenants' requests: probabilistic load shedding, the concurrency limit, and permits.
 
-A request of a tenant with a limit is sent on a permit and on nothing else: one that a registry issues with the
-place at a backend, or one that this proxy has prefetched. A permit is used within `SEND_WITHIN_S` of the request
-for it, or is lost.
+A request of a tenant with a limit is sent only with a permit, which a registry issues with the placement, or
+which this proxy has prefetched. A permit must be used within `SEND_WITHIN_S` of the request for it, or it
+expires.
 """
 
 from __future__ import annotations
@@ -24,25 +24,22 @@
 from irisdeal.ratelimit.probabilistic_throttle import ProbabilisticThrottle
 from irisdeal.registry.messages import IntervalReport
 
-SEND_WITHIN_S = 0.35  # `IN_FLIGHT_S` of an allowance, less what a message to a backend takes
-MIN_REPORT_DELAY, MAX_REPORT_DELAY = (
-    0.04,
-    0.28,
-)  # of an interval, into it: proxies do not report all at its edge
-REPORTS_KEPT = 8  # intervals that our own reports are kept, to be read beside their totals
-TOTAL_VALID_S = 2.0  # that a total says how much a tenant's clients ask for
-INITIAL_PROXIES = 8  # assumed number of proxies, until one is reported
-MIN_RETURNED_S = 0.02  # that an unused permit must still be valid, to be used by another request
-MAX_RETURNED = 64  # unused permits kept of one tenant
-CONCURRENCY_RETRY_S = (
-    0.2  # after which a client comes back that was rejected by its tenant's concurrency limit
-)
-FIRST_REPORT_S = 0.1  # between two reports until the first reply
+SEND_WITHIN_S = 0.35  # `IN_FLIGHT_S` of an allowance, less the delay of a message to a backend
+# Bounds of the delay of reports, in intervals from an interval's start, so that proxies do not all report at once
+MIN_REPORT_DELAY = 0.04
+MAX_REPORT_DELAY = 0.28
+KEPT_REPORT_COUNT = 8  # intervals for which own reports are stored, to be compared with their totals
+TOTAL_VALID_S = 2.0  # age up to which a total represents a tenant's demand
+INITIAL_PROXY_COUNT = 8  # assumed until a registry reports the number of proxies
+MIN_RECYCLED_VALIDITY_S = 0.02  # remaining validity of an unused permit for use by another request
+MAX_RECYCLED = 64  # unused permits stored per tenant
+CONCURRENCY_RETRY_S = 0.2  # Retry-After of rejections by a tenant's concurrency limit
+FIRST_REPORT_INTERVAL_S = 0.1  # interval of reports until the first reply
 
 
 @dataclass(slots=True)
 class RequestPermit:
-    """The permit of one request. `send_by`: s on the loop's clock, until when the present one may be used."""
+    """The permit of one request. `send_by`: end of its validity, s on the loop's clock; -inf without a permit."""
 
     throttle: ProbabilisticThrottle
     is_late: bool
@@ -50,24 +47,24 @@
 
     @property
     def tenant(self) -> str:
-        """Whose it is."""
+        """The name of its tenant."""
         return self.throttle.tenant
 
-    def is_wanted(self, now: float) -> bool:
-        """Return whether one has to be requested before the next attempt."""
+    def is_needed(self, now: float) -> bool:
+        """Return whether a permit must be requested before the next attempt."""
         return self.throttle.limit.is_limited and now >= self.send_by
 
-    def grant(self, asked_at: float) -> None:
-        """Take one that was requested at `asked_at`."""
-        self.send_by = asked_at + SEND_WITHIN_S
+    def grant(self, requested_at: float) -> None:
+        """Store a permit that was requested at `requested_at`."""
+        self.send_by = requested_at + SEND_WITHIN_S
 
-    def use(self) -> float:
-        """Use it for an attempt; return until when that may be sent."""
+    def consume(self) -> float:
+        """Consume the permit for an attempt; return the time by which the attempt must be sent."""
         send_by, self.send_by = self.send_by, float("-inf")
         return send_by if self.throttle.limit.is_limited else float("inf")
 
-    def give_back(self, send_by: float) -> None:
-        """Take back the permit of an attempt that was not executed."""
+    def restore(self, send_by: float) -> None:
+        """Restore the permit of an attempt that was not executed."""
         if self.throttle.limit.is_limited:
             self.send_by = max(self.send_by, send_by)
 
@@ -82,26 +79,26 @@
         rng: random.Random,
         slots: Callable[[], int],
     ) -> None:
-        """`slots`: requests that all backends serve at once."""
+        """`rng`: source of shedding and report delays; `slots`: returns the slots of all usable backends."""
         self.client, self.loop, self.rng, self.slots = client, loop, rng, slots
         self.throttles: dict[str, ProbabilisticThrottle] = {}
         self.prefetched = PrefetchedPermits(secrets.randbits(48))
-        # permits of requests that ended without use, by tenant: until when each is valid
-        self.returned: dict[str, list[float]] = {}
+        # tenant -> ends of validity of permits whose requests ended without using them
+        self.recycled: dict[str, list[float]] = {}
         self.concurrency = ConcurrencyLimit()
         self.clock = SharedIntervalClock(loop.time())
-        self.proxies, self.has_reported = INITIAL_PROXIES, False
+        self.proxies, self.has_reported = INITIAL_PROXY_COUNT, False
         self.max_reported_proxies = 0
-        self.newest_total = -1  # number of the newest complete interval that was taken over
-        self.total_at = float("-inf")  # when it was
+        self.newest_total = -1  # number of the newest finished interval whose total was applied
+        self.total_at = float("-inf")  # time at which it was applied
         self.report_delay_s = INTERVAL_S * rng.uniform(MIN_REPORT_DELAY, MAX_REPORT_DELAY)
         self.reports: dict[int, Usages] = {}
 
     def configure(self, limit_of: Callable[[str], Limit | None]) -> None:
-        """Take a new configuration: prefetched permits that were issued under a higher limit are given up."""
+        """Apply a new configuration: prefetched permits that were issued under a higher limit are discarded."""
 
         def is_lower(tenant: str) -> bool:
-            """Return whether the tenant's limit is lower than before, or is not known."""
+            """Return whether the tenant's limit is lower than before, or is unknown."""
             before, after = self.throttles.get(tenant), limit_of(tenant)
             if before is None or after is None:
                 return True
@@ -112,63 +109,63 @@
             throttle.limit = limit_of(tenant) or throttle.limit
 
     def admit_or_shed(self, tenant: str, limit: Limit, is_late: bool) -> RequestPermit | None:
-        """Count a request; None where it is shed (429), by chance, as far over the tenant's rate."""
+        """Count a request; None if it is shed (429), with a probability by the excess over the tenant's rate."""
         throttle = self.throttles.get(tenant)
         if throttle is None:
             throttle = self.throttles[tenant] = ProbabilisticThrottle(tenant, limit)
         if not throttle.admit(self.rng.random(), is_late):
             return None
-        return RequestPermit(throttle, is_late, self._take_returned(tenant))
-
-    def _take_returned(self, tenant: str) -> float:
-        """Take a permit that another request of this tenant did not use; return until when it is valid."""
-        returned, now = self.returned.get(tenant), self.loop.time()
-        while returned:
-            send_by = returned.pop()
-            if not returned:
-                del self.returned[tenant]
-            if send_by - now >= MIN_RETURNED_S:
+        return RequestPermit(throttle, is_late, self._take_recycled(tenant))
+
+    def _take_recycled(self, tenant: str) -> float:
+        """Take a permit that another request of this tenant did not use; return the end of its validity."""
+        recycled, now = self.recycled.get(tenant), self.loop.time()
+        while recycled:
+            send_by = recycled.pop()
+            if not recycled:
+                del self.recycled[tenant]
+            if send_by - now >= MIN_RECYCLED_VALIDITY_S:
                 return send_by
         return float("-inf")
 
-    def end(self, permit: RequestPermit) -> None:
-        """End its request: an unused permit serves the tenant's next one."""
-        if permit.throttle.limit.is_limited and permit.send_by - self.loop.time() >= MIN_RETURNED_S:
-            returned = self.returned.setdefault(permit.tenant, [])
-            if len(returned) < MAX_RETURNED:
-                returned.append(permit.use())
+    def recycle_permit(self, permit: RequestPermit) -> None:
+        """Store the unused permit of an ended request for the tenant's next request."""
+        if permit.throttle.limit.is_limited and permit.send_by - self.loop.time() >= MIN_RECYCLED_VALIDITY_S:
+            recycled = self.recycled.setdefault(permit.tenant, [])
+            if len(recycled) < MAX_RECYCLED:
+                recycled.append(permit.consume())
 
     # The concurrency limit
 
-    async def enter(self, tenant: str, rank: int, until: float) -> None:
-        """Wait for a place within the tenant's concurrency limit until `until`, s on the loop's clock.
+    async def acquire_slot(self, tenant: str, rank: int, deadline: float) -> None:
+        """Wait for a slot within the tenant's concurrency limit until `deadline`, s on the loop's clock.
 
-        Raise RejectionError where there is none by then. Cancelled, it is out of the queue.
+        Raise RejectionError if there is none by then. On cancellation the request leaves the queue.
         """
         token: asyncio.Future[None] = self.loop.create_future()
-        entered = self.concurrency.acquire(tenant, rank, token, self.loop.time())
-        if entered is AcquireResult.REJECTED:
+        result = self.concurrency.acquire(tenant, rank, token, self.loop.time())
+        if result is AcquireResult.REJECTED:
             raise RejectionError(503, "too many wait", CONCURRENCY_RETRY_S)
-        if entered is AcquireResult.ACQUIRED:
+        if result is AcquireResult.ACQUIRED:
             return
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 await token
         except TimeoutError:
             if self.concurrency.cancel_wait(tenant, token, self.loop.time()):
                 raise RejectionError(503, "no room in time", CONCURRENCY_RETRY_S) from None
         except asyncio.CancelledError:
             if not self.concurrency.cancel_wait(tenant, token, self.loop.time()):
-                self.leave(tenant)  # it had entered
+                self.release_slot(tenant)  # it had acquired the slot before the cancellation
             raise
 
-    def leave(self, tenant: str) -> None:
-        """End a request that had entered; the next one enters in its place."""
+    def release_slot(self, tenant: str) -> None:
+        """Release the slot of an ended request; waiting requests acquire it."""
         for token in self.concurrency.release(tenant, self.loop.time()):
-            self._release(token)
+            self._resume(token)
 
     @staticmethod
-    def _release(token: Hashable) -> None:
+    def _resume(token: Hashable) -> None:
         assert isinstance(token, asyncio.Future)
         if not token.done():
             token.set_result(None)
@@ -176,7 +173,7 @@
     # Prefetched permits
 
     def has_prefetched(self, permit: RequestPermit) -> bool:
-        """Return whether a permit of this tenant was prefetched."""
+        """Return whether there is a usable prefetched permit of this tenant."""
         return self.prefetched.count(permit.tenant, self.loop.time()) > 0
 
     def take_prefetched(self, permit: RequestPermit) -> bool:
@@ -188,39 +185,39 @@
         return True
 
     def rejection(self, permit: RequestPermit) -> RejectionError:
-        """Return the answer to a request that is over its tenant's limit."""
-        is_known = self.loop.time() - self.total_at < TOTAL_VALID_S
-        return over_quota(permit.throttle.is_over_rate(), is_known)
+        """Return the rejection of a request that is over its tenant's limit."""
+        has_total = self.loop.time() - self.total_at < TOTAL_VALID_S
+        return over_quota(permit.throttle.is_over_rate(), has_total)
 
     def known_proxies(self) -> int:
-        """Return the most proxies that were ever reported to share the limits; 0 before any report."""
+        """Return the largest reported number of proxies that share the limits; 0 before any report."""
         return self.max_reported_proxies
 
     # Reports of intervals
 
     async def report_intervals(self) -> None:
-        """In each interval, report the one before and take in the newest complete total."""
+        """In each interval, report the usage of the previous one and apply the newest finished total."""
         while True:
             await self._next_interval()
             now = self.loop.time()
             number = self.clock.number(now) - 1
             self.reports = {
-                other: usages for other, usages in self.reports.items() if other >= number - REPORTS_KEPT
+                other: usages for other, usages in self.reports.items() if other >= number - KEPT_REPORT_COUNT
             }
             self.reports[number] = self._close_interval(now)
-            reply = await self.client.report(partial(self._report, number))
+            reply = await self.client.report(partial(self._build_report, number))
             if reply is not None:
                 self._receive_reply(reply)
 
     async def _next_interval(self) -> None:
         if not self.has_reported:
-            await asyncio.sleep(FIRST_REPORT_S)
+            await asyncio.sleep(FIRST_REPORT_INTERVAL_S)
             return
         now = self.loop.time()
         until_next_s = self.clock.seconds_until(self.clock.number(now) + 1, now)
         await asyncio.sleep(until_next_s + self.report_delay_s)
 
-    def _report(self, number: int, registry: str) -> IntervalReport:
+    def _build_report(self, number: int, registry: str) -> IntervalReport:
         now = self.loop.time()
         return IntervalReport(
             round(self.clock.position(now), 4),
@@ -230,15 +227,15 @@
         )
 
     def _close_interval(self, now: float) -> Usages:
-        """Return each tenant's requests and concurrency in the interval that ends; idle tenants are forgotten."""
+        """Return each tenant's requests and concurrency in the ending interval; remove idle tenants."""
         concurrency = self.concurrency.close_interval(now)
         usages: dict[str, Usage] = {}
         for name, throttle in list(self.throttles.items()):
-            asked, late = throttle.close_interval()
+            requests, late = throttle.close_interval()
             if throttle.limit.is_limited:
-                self.prefetched.record_demand(name, asked, INTERVAL_S)
-            if asked or name in concurrency or throttle.rejection_late > 0:
-                usages[name] = Usage(asked, round(concurrency.get(name, 0.0), 3), 0.0, late)
+                self.prefetched.record_demand(name, requests, INTERVAL_S)
+            if requests or name in concurrency or throttle.rejection_late > 0:
+                usages[name] = Usage(requests, round(concurrency.get(name, 0.0), 3), 0.0, late)
             elif name not in self.prefetched.demand:
                 del self.throttles[name]
         return usages
@@ -249,22 +246,22 @@
         self.proxies, self.has_reported = max(1, reply.proxies), True
         self.max_reported_proxies = max(self.max_reported_proxies, self.proxies)
         self.prefetched.receive_reply(report_reply.registry, reply.reserve, report_reply.sent_at, now)
-        if reply.number > self.newest_total:  # a registry that lags, or stood still, reports an older one
+        if reply.number > self.newest_total:  # a registry that lags or was paused reports an older one
             self.newest_total, self.total_at = reply.number, now
             self._receive_totals(self.reports.get(reply.number, {}), reply.totals)
 
     def _receive_totals(self, own: Usages, totals: Usages) -> None:
-        """Update each tenant's concurrency limit and chance of rejection.
+        """Update each tenant's concurrency bound and rejection probability.
 
-        `own`: our report of that interval; `totals`: of all proxies.
+        `own`: this proxy's report of that interval; `totals`: of all proxies.
         """
-        entered = self.concurrency.update_totals(
+        released = self.concurrency.update_totals(
             {name: usage.in_flight for name, usage in own.items()},
             {name: usage.in_flight for name, usage in totals.items()},
             self.slots(),
             self.proxies,
         )
-        for token in entered:
-            self._release(token)
+        for token in released:
+            self._resume(token)
         for name, throttle in self.throttles.items():
             throttle.update_total(totals.get(name, Usage()))
--- a/tests/proxy/test_departure_processes.py
+++ b/tests/proxy/test_departure_processes.py
@@ -1,4 +1,4 @@
-"""A store, a registry and a proxy as processes on loopback: clients that leave, and a SIGTERM under load."""
+"""A store, a registry and a proxy as processes on loopback: clients that disconnect, and a SIGTERM under load."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from benchmarks.departures import GRACE_S, End, Leaving, departures, gateway, terminated
 
 
-def test_processes_end_work_for_who_left_and_cut_nothing_at_their_end(tmp_path: Path) -> None:
+def test_processes_end_work_for_disconnected_clients_and_cut_no_response_at_shutdown(tmp_path: Path) -> None:
     async def main() -> None:
         async with gateway(tmp_path) as processes:
             for how in Leaving:
--- a/tests/proxy/test_request_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -1,4 +1,4 @@
-"""A request's attempts, in virtual time: what may go on and what is promised. Backends are scripts."""
+"""A request's attempts, in virtual time: what is retried, and which response is returned. Backends are scripted."""
 
 from __future__ import annotations
 
@@ -36,18 +36,16 @@
     bind=Bind(front="10.1.0.3:80", readiness="10.1.0.3:81"),
 )
 GOOD = AttemptOutcome(AttemptEnd.RESPONSE, "", 200, [(b"X-Irisdeal-Backend-Seal", b"s")], b"body")
-OWN_500 = AttemptOutcome(AttemptEnd.RESPONSE, "", 500, [], b"")
-LOST, UNSENT = (
-    AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "cut"),
-    AttemptOutcome(AttemptEnd.NOT_SENT, "refused"),
-)
-PROMISE = AttemptOutcome(AttemptEnd.NOT_EXECUTED, "full", 503)
-LATE = AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "no answer in time", is_timed_out=True)
-Script = list[tuple[float, AttemptOutcome]]  # s, and the end of each attempt in turn
+SERVER_ERROR = AttemptOutcome(AttemptEnd.RESPONSE, "", 500, [], b"")
+LOST = AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "cut")
+UNSENT = AttemptOutcome(AttemptEnd.NOT_SENT, "refused")
+NOT_EXECUTED = AttemptOutcome(AttemptEnd.NOT_EXECUTED, "full", 503)
+TIMED_OUT = AttemptOutcome(AttemptEnd.MAY_HAVE_EXECUTED, "no answer in time", is_timed_out=True)
+Script = list[tuple[float, AttemptOutcome]]  # duration in s and outcome of each attempt
 
 
-class Play:
-    """One proxy, its table and three backends; `sent` are the attempts, by backend."""
+class ProxyRun:
+    """One proxy with a route and three backends; `sent`: the backend and time of each attempt."""
 
     def __init__(
         self,
@@ -56,22 +54,22 @@
         tries: int = 2,
         keys: bool = False,
         rate: float = 0.0,
-        held: int = 0,
+        prefetched: int = 0,
     ) -> None:
-        """`rate`: the tenant's limit; `held`: permits that the proxy holds ahead."""
+        """`rate`: the tenant's limit; `prefetched`: prefetched permits."""
         self.world = World(1)
         self.machine = Machine(self.world, Network(self.world), "proxy", Core(), Costs())
         self.kind, self.script, self.tries, self.keys = kind, list(script), tries, keys or rate > 0
-        self.rate, self.held = rate, held
+        self.rate, self.prefetched = rate, prefetched
         self.sent: list[tuple[str, float]] = []
         self.messages: list[bytes] = []
-        self.left = False
+        self.has_disconnected = False
         self.prepare: Callable[[Proxy], None] = lambda proxy: None
 
     def proxy(self) -> Proxy:
         proxy = Proxy(SETTINGS)
         proxy.watcher.has_answered.set()
-        proxy.admission.max_reported_proxies, proxy.retry_budgets.slack_from = 8, 0.0  # it runs since long
+        proxy.admission.max_reported_proxies, proxy.retry_budgets.slack_from = 8, 0.0  # not just started
         rule = {
             "name": "r",
             "kind": self.kind,
@@ -99,155 +97,160 @@
             await asyncio.sleep(seconds)
             return outcome
 
-        if self.held:
-            reply = PrefetchReply(1, True, {"t": self.held})
+        if self.prefetched:
+            reply = PrefetchReply(1, True, {"t": self.prefetched})
             proxy.admission.prefetched.receive_reply("g", reply, self.machine.time(), self.machine.time())
         proxy.pool.send = send  # type: ignore[method-assign]
         self.prepare(proxy)
         return proxy
 
-    def ask(self, **headers: str) -> Response:
-        """The answer to one request; virtual time goes on for 3 s behind it."""
-        answers: list[Response] = []
-        self.made: Proxy | None = None
+    def send_request(self, **headers: str) -> Response:
+        """Return the response to one request."""
+        responses: list[Response] = []
+        self.started_proxy: Proxy | None = None
 
         async def run() -> int:
-            self.made = proxy = self.proxy()
+            self.started_proxy = proxy = self.proxy()
             named = {"Host": "h", "X-Irisdeal-Attempt-Id": "1", "X-Irisdeal-Deadline-Ms": "1500", **headers}
             fields = [(name.encode(), value.encode()) for name, value in named.items()]
             request = Request(b"POST", b"/a/x", fields, b"text", self.machine.time())
-            request.disconnected_at = self.machine.time() if self.left else None
+            request.disconnected_at = self.machine.time() if self.has_disconnected else None
             work: Awaitable[Response] = proxy.handler.serve(request)
-            answers.append(await work)
-            self.took = self.machine.time() - request.received_at
+            responses.append(await work)
+            self.duration_s = self.machine.time() - request.received_at
             return 0
 
         self.machine.start(run())
-        self.world.run(lambda: bool(answers), START + 10_000_000)
-        return answers[0]
+        self.world.run(lambda: bool(responses), START + 10_000_000)
+        return responses[0]
 
 
 KEY = {"Authorization": "Bearer k"}
 
 
-@pytest.mark.parametrize("held", [0, 1])
-def test_a_tenant_with_a_limit_runs_on_what_is_held_alone_while_no_registry_answers(held: int) -> None:
-    play = Play("mutating", [(0.01, GOOD)], rate=5.0, held=held)
-    answer = play.ask(**KEY)
-    assert (answer.status, len(play.sent)) == ((200, 1) if held else (503, 0))
-    assert held or any(name == b"Retry-After" for name, _ in answer.headers)
-    assert held or play.took < 0.2, "a quarter of the aim is 0.1 s, and it was given up before half of it"
-    assert play.made is not None and play.made.admission.prefetched.count("t", 0.0) == 0
+@pytest.mark.parametrize("prefetched", [0, 1])
+def test_a_tenant_with_a_limit_uses_only_prefetched_permits_while_no_registry_replies(
+    prefetched: int,
+) -> None:
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)], rate=5.0, prefetched=prefetched)
+    response = proxy_run.send_request(**KEY)
+    assert (response.status, len(proxy_run.sent)) == ((200, 1) if prefetched else (503, 0))
+    assert prefetched or any(name == b"Retry-After" for name, _ in response.headers)
+    assert prefetched or proxy_run.duration_s < 0.2, "rejected within half of the latency target of 0.4 s"
+    assert (
+        proxy_run.started_proxy is not None
+        and proxy_run.started_proxy.admission.prefetched.count("t", 0.0) == 0
+    )
 
 
 def test_a_tenant_without_a_limit_needs_no_permit() -> None:
-    play = Play("mutating", [(0.01, GOOD)], keys=True)
-    assert play.ask(**KEY).status == 200
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)], keys=True)
+    assert proxy_run.send_request(**KEY).status == 200
 
 
 @pytest.mark.parametrize(
-    ("first", "held", "status", "attempts"),
+    ("first", "prefetched", "status", "attempts"),
     [
-        (LOST, 1, 502, 1),  # it may have run: a second one is a run of its own
+        (LOST, 1, 502, 1),  # it may have been executed, so a retry needs another permit
         (LOST, 2, 200, 2),
-        (PROMISE, 1, 200, 2),  # it has not run, so its permit serves once more
+        (NOT_EXECUTED, 1, 200, 2),  # its permit is used again
         (UNSENT, 1, 200, 2),
     ],
 )
-def test_each_run_takes_a_permit_of_its_own(
-    first: AttemptOutcome, held: int, status: int, attempts: int
+def test_each_execution_consumes_its_own_permit(
+    first: AttemptOutcome, prefetched: int, status: int, attempts: int
 ) -> None:
-    play = Play("idempotent", [(0.01, first), (0.01, GOOD)], rate=5.0, held=held)
-    assert play.ask(**KEY).status == status and len(play.sent) == attempts
+    proxy_run = ProxyRun("idempotent", [(0.01, first), (0.01, GOOD)], rate=5.0, prefetched=prefetched)
+    assert proxy_run.send_request(**KEY).status == status and len(proxy_run.sent) == attempts
 
 
-def test_a_permit_is_not_used_late() -> None:
-    play = Play("mutating", [(0.4, PROMISE), (0.01, GOOD)], rate=5.0, held=1)
-    assert play.ask(**KEY).status == 503 and len(play.sent) == 1
+def test_a_permit_is_not_used_after_it_expired() -> None:
+    proxy_run = ProxyRun("mutating", [(0.4, NOT_EXECUTED), (0.01, GOOD)], rate=5.0, prefetched=1)
+    assert proxy_run.send_request(**KEY).status == 503 and len(proxy_run.sent) == 1
 
 
 @pytest.mark.parametrize(
     ("first", "status", "attempts"),
     [
-        (LOST, 502, 1),  # it may have run: never again, and no promise
-        (OWN_500, 500, 1),  # it has run
-        (PROMISE, 200, 2),
+        (LOST, 502, 1),  # it may have been executed
+        (SERVER_ERROR, 500, 1),  # it was executed
+        (NOT_EXECUTED, 200, 2),
         (UNSENT, 200, 2),
     ],
 )
-def test_a_mutating_request_goes_on_only_where_it_has_not_run(
+def test_a_mutating_request_is_retried_only_if_it_was_not_executed(
     first: AttemptOutcome,
     status: int,
     attempts: int,
 ) -> None:
-    play = Play("mutating", [(0.01, first), (0.01, GOOD)])
-    assert play.ask().status == status
-    assert len(play.sent) == attempts and len({id_ for id_, _ in play.sent}) == attempts
+    proxy_run = ProxyRun("mutating", [(0.01, first), (0.01, GOOD)])
+    assert proxy_run.send_request().status == status
+    assert len(proxy_run.sent) == attempts and len({id_ for id_, _ in proxy_run.sent}) == attempts
 
 
-@pytest.mark.parametrize("first", [LOST, OWN_500, PROMISE, UNSENT])
-def test_an_idempotent_one_goes_on_after_any_failure(first: AttemptOutcome) -> None:
-    play = Play("idempotent", [(0.01, first), (0.01, GOOD)])
-    assert play.ask().status == 200 and len(play.sent) == 2
+@pytest.mark.parametrize("first", [LOST, SERVER_ERROR, NOT_EXECUTED, UNSENT])
+def test_an_idempotent_request_is_retried_after_any_failure(first: AttemptOutcome) -> None:
+    proxy_run = ProxyRun("idempotent", [(0.01, first), (0.01, GOOD)])
+    assert proxy_run.send_request().status == 200 and len(proxy_run.sent) == 2
 
 
 @pytest.mark.parametrize("kind", ["mutating", "idempotent"])
-def test_what_ran_nowhere_is_promised_at_once_with_when_to_come_back(kind: str) -> None:
-    play = Play(kind, [(0.01, PROMISE), (0.01, PROMISE), (0.0, GOOD)])
-    answer = play.ask()
-    assert answer.status == 503 and any(name == b"Retry-After" for name, _ in answer.headers)
-    assert len(play.sent) == 2 and play.took < 0.1
+def test_a_request_that_was_not_executed_is_rejected_at_once_with_retry_after(kind: str) -> None:
+    proxy_run = ProxyRun(kind, [(0.01, NOT_EXECUTED), (0.01, NOT_EXECUTED), (0.0, GOOD)])
+    response = proxy_run.send_request()
+    assert response.status == 503 and any(name == b"Retry-After" for name, _ in response.headers)
+    assert len(proxy_run.sent) == 2 and proxy_run.duration_s < 0.1
 
 
-def test_what_may_have_run_is_not_promised_after_a_later_promise() -> None:
-    assert Play("idempotent", [(0.01, LOST), (0.01, PROMISE)]).ask().status == 502
+def test_a_request_that_may_have_been_executed_gets_no_503_after_a_later_rejection() -> None:
+    assert ProxyRun("idempotent", [(0.01, LOST), (0.01, NOT_EXECUTED)]).send_request().status == 502
 
 
-def test_a_second_is_asked_beside_a_silent_one_and_the_first_answer_counts() -> None:
-    play = Play("idempotent", [(1.4, GOOD), (0.05, GOOD)])
-    assert play.ask().status == 200
-    assert len(play.sent) == 2 and play.took < 0.7
+def test_a_hedged_request_is_sent_beside_a_slow_one_and_the_first_response_counts() -> None:
+    proxy_run = ProxyRun("idempotent", [(1.4, GOOD), (0.05, GOOD)])
+    assert proxy_run.send_request().status == 200
+    assert len(proxy_run.sent) == 2 and proxy_run.duration_s < 0.7
 
 
-def test_a_mutating_one_has_no_second_beside_it() -> None:
-    play = Play("mutating", [(1.4, GOOD)])
-    assert play.ask().status == 200 and len(play.sent) == 1
+def test_a_mutating_request_is_not_hedged() -> None:
+    proxy_run = ProxyRun("mutating", [(1.4, GOOD)])
+    assert proxy_run.send_request().status == 200 and len(proxy_run.sent) == 1
 
 
-def test_no_second_where_all_are_busy() -> None:
-    play = Play("idempotent", [(1.4, GOOD)])
+def test_no_hedged_request_is_sent_if_all_backends_are_busy() -> None:
+    proxy_run = ProxyRun("idempotent", [(1.4, GOOD)])
 
     def busy(proxy: Proxy) -> None:
         for backend in proxy.directory.backends.values():
             backend.in_flight_elsewhere = 2.0
 
-    play.prepare = busy
-    assert play.ask().status == 200 and len(play.sent) == 1
+    proxy_run.prepare = busy
+    assert proxy_run.send_request().status == 200 and len(proxy_run.sent) == 1
 
 
-def test_a_backend_whose_queue_took_too_long_is_not_left_out() -> None:
-    play = Play("mutating", [(0.2, LATE)])
-    play.ask()
-    assert play.made is not None
-    assert all(backend.ejected_until < 0 for backend in play.made.directory.backends.values())
+def test_a_backend_whose_queue_took_too_long_is_not_ejected() -> None:
+    proxy_run = ProxyRun("mutating", [(0.2, TIMED_OUT)])
+    proxy_run.send_request()
+    assert proxy_run.started_proxy is not None
+    assert all(backend.ejected_until < 0 for backend in proxy_run.started_proxy.directory.backends.values())
 
 
-def test_nothing_is_sent_for_a_client_that_has_left() -> None:
-    play = Play("mutating", [(0.01, GOOD)])
-    play.left = True
-    play.ask()
-    assert not play.sent
+def test_nothing_is_sent_for_a_client_that_has_disconnected() -> None:
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)])
+    proxy_run.has_disconnected = True
+    proxy_run.send_request()
+    assert not proxy_run.sent
 
 
-def test_the_retries_of_a_proxy_end_with_its_budget() -> None:
-    play = Play("idempotent", [(0.01, LOST), (0.01, GOOD)])
-    play.prepare = lambda proxy: setattr(proxy.retry_budgets, "slack", 0.0)
-    assert play.ask().status == 502 and len(play.sent) == 1
+def test_a_proxy_does_not_retry_when_its_budget_is_exhausted() -> None:
+    proxy_run = ProxyRun("idempotent", [(0.01, LOST), (0.01, GOOD)])
+    proxy_run.prepare = lambda proxy: setattr(proxy.retry_budgets, "slack", 0.0)
+    assert proxy_run.send_request().status == 502 and len(proxy_run.sent) == 1
 
 
 def test_a_backend_receives_the_tenant_and_never_the_key() -> None:
-    play = Play("mutating", [(0.01, GOOD)], keys=True)
-    answer = play.ask(
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)], keys=True)
+    response = proxy_run.send_request(
         **{
             "Authorization": "Bearer k",
             "X-Irisdeal-Tenant": "other",
@@ -258,8 +261,8 @@
             "X-Own": "kept",
         }
     )
-    assert answer.status == 200
-    text = play.messages[0].lower()
+    assert response.status == 200
+    text = proxy_run.messages[0].lower()
     assert text.count(b"tenant") == 1 and b"x-irisdeal-tenant: t\r\n" in text
     assert b"bearer" not in text and b"i-9" not in text and b"x-hop" not in text and b"x-own: kept" in text
     assert text.count(b"x-irisdeal-target-backend: ") == 1 and text.endswith(b"\r\n\r\ntext")
@@ -274,30 +277,32 @@
         ({"Authorization": "Bearer k", "X-Irisdeal-Deadline-Ms": "soon"}, 400),
     ],
 )
-def test_what_the_configuration_does_not_allow_is_sent_nowhere(headers: dict[str, str], status: int) -> None:
-    play = Play("mutating", [(0.01, GOOD)], keys=True)
-    assert play.ask(**headers).status == status and not play.sent
+def test_a_request_that_the_configuration_does_not_allow_is_not_sent(
+    headers: dict[str, str], status: int
+) -> None:
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)], keys=True)
+    assert proxy_run.send_request(**headers).status == status and not proxy_run.sent
 
 
-def test_each_part_of_a_weighted_route_gets_its_share_of_any_hundred_requests() -> None:
-    play = Play("idempotent", [(0.01, GOOD)])
+def test_each_service_of_a_weighted_route_gets_its_share_of_any_100_requests() -> None:
+    proxy_run = ProxyRun("idempotent", [(0.01, GOOD)])
     drawn: list[str] = []
 
     def draw(proxy: Proxy) -> None:
-        shares = (("small", 10.0), ("middle", 40.0), ("large", 100.0))
-        route = Route("weighted", b"/a/", False, 0.4, 2.0, 2, 0, False, shares, 100.0)
-        drawn.extend(proxy.handler._service(route) for _ in range(2000))
+        cumulative_weights = (("small", 10.0), ("middle", 40.0), ("large", 100.0))
+        route = Route("weighted", b"/a/", False, 0.4, 2.0, 2, 0, False, cumulative_weights, 100.0)
+        drawn.extend(proxy.handler._pick_service(route) for _ in range(2000))
 
-    play.prepare = draw
-    assert play.ask().status == 200
+    proxy_run.prepare = draw
+    assert proxy_run.send_request().status == 200
     for first in range(0, 1900, 7):
         part = drawn[first : first + 100]
         for name, share in (("small", 10), ("middle", 30), ("large", 60)):
             assert abs(part.count(name) - share) <= 3, (first, name)
 
 
-def test_a_draining_incarnation_gets_nothing_and_a_late_report_does_not_bring_it_back() -> None:
-    play = Play("mutating", [(0.01, GOOD)])
+def test_a_draining_incarnation_gets_no_requests_even_after_an_outdated_report() -> None:
+    proxy_run = ProxyRun("mutating", [(0.01, GOOD)])
 
     def drain(proxy: Proxy) -> None:
         for number in range(3):
@@ -307,5 +312,5 @@
                         BackendIncarnation(f"i-{number}", "s", "10.9.0.1:80", "z", 2, state, 9, 0.0), False
                     )
 
-    play.prepare = drain
-    assert play.ask().status == 200 and [id_ for id_, _ in play.sent] == ["i-1"]
+    proxy_run.prepare = drain
+    assert proxy_run.send_request().status == 200 and [id_ for id_, _ in proxy_run.sent] == ["i-1"]
--- a/tests/proxy/test_route_table.py
+++ b/tests/proxy/test_route_table.py
@@ -1,4 +1,4 @@
-"""Tables built by changes, and how a proxy applies them."""
+"""Incrementally built route tables, and how a proxy applies them."""
 
 from __future__ import annotations
 
@@ -29,34 +29,34 @@
 from tests.support.configurations import change, configuration, route
 
 
-def read(data: dict[str, Any], before: ParsedConfiguration | None = None) -> ParsedConfiguration:
-    found: ParsedConfiguration = run_to_completion(
-        read_incrementally(json.dumps(data).encode(), before)
+def read(data: dict[str, Any], previous: ParsedConfiguration | None = None) -> ParsedConfiguration:
+    parsed: ParsedConfiguration = run_to_completion(
+        read_incrementally(json.dumps(data).encode(), previous)
     ).unwrap()
-    return found
+    return parsed
 
 
 def scan(table: RouteTable, host: bytes, path: bytes) -> Route | None:
-    """All routes of the host, one by one."""
-    found = (
-        [made for made in table.hosts[host].routes.values() if path.startswith(made.prefix)]
+    """Find the route by a linear scan of the host's routes."""
+    matching = (
+        [route for route in table.hosts[host].routes.values() if path.startswith(route.prefix)]
         if (host in table.hosts)
         else []
     )
-    return max(found, key=lambda made: len(made.prefix), default=None)
+    return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
-def nested(chance: Random, count: int) -> dict[str, Any]:
-    """Routes within routes, the root among them at times."""
+def nested(rng: Random, count: int) -> dict[str, Any]:
+    """Return a configuration with nested prefixes, sometimes including the root."""
     data = configuration(10)
     service = data["pools"][0]["name"]
     prefixes = {
-        "/" + "".join(f"{chance.choice(['a', 'b', 'long', ''])}/" for _ in range(chance.randrange(5)))
+        "/" + "".join(f"{rng.choice(['a', 'b', 'long', ''])}/" for _ in range(rng.randrange(5)))
         for _ in range(count)
     }
     rules = []
     for prefix in sorted(prefixes):
-        rules.append({**route(chance, service), "pattern": {"path_prefix": prefix}})
+        rules.append({**route(rng, service), "pattern": {"path_prefix": prefix}})
     data["sockets"] = [
         {"hostname": "One.example", "rules": rules[::2]},
         {"hostname": "one.example", "rules": rules[1::2]},
@@ -66,56 +66,56 @@
 
 @settings(max_examples=100, deadline=None)
 @given(strategies.integers(0, 2**32))
-def test_find_is_the_plain_scan(seed: int) -> None:
-    chance = Random(seed)
-    table = RouteTable(read(nested(chance, chance.randrange(1, 30))).configuration)
+def test_find_equals_a_linear_scan(seed: int) -> None:
+    rng = Random(seed)
+    table = RouteTable(read(nested(rng, rng.randrange(1, 30))).configuration)
     for _ in range(60):
         parts = [b"/", b"a", b"b", b"long", b"/a/", b"//"]
-        path = b"".join(chance.choice(parts) for _ in range(chance.randrange(9)))
+        path = b"".join(rng.choice(parts) for _ in range(rng.randrange(9)))
         assert table.find(b"one.example", path) is scan(table, b"one.example", path)
     assert table.find(b"other", b"/a/") is None
 
 
-def test_a_path_of_many_slashes_costs_as_far_as_prefixes_reach() -> None:
+def test_the_cost_of_a_path_with_many_slashes_is_bounded_by_the_longest_prefix() -> None:
     table = RouteTable(read(nested(Random(1), 20)).configuration)
     host = table.hosts[b"one.example"]
-    looked = []
+    lookups = []
 
     class Counting(dict[bytes, Route]):
         def get(self, key: bytes, default: Any = None) -> Any:
-            looked.append(key)
+            lookups.append(key)
             return None
 
     host.routes = Counting(host.routes)
     host.find(b"/" * 16000)
-    assert len(looked) <= host.longest_prefix
+    assert len(lookups) <= host.longest_prefix
 
 
 @settings(max_examples=12, deadline=None)
 @given(strategies.integers(0, 2**32))
-@example(3447)  # whose hosts were all taken away: there was none left to change, and the test failed
-def test_a_table_by_changes_is_the_whole_one(seed: int) -> None:
-    """Also where hosts come and go; the tables before stay as they were."""
-    chance = Random(f"changes {seed}")  # with 1 it would draw the names that are there
+@example(3447)  # removes all hosts, so that no host is left to change
+def test_an_incrementally_built_table_equals_a_complete_one(seed: int) -> None:
+    """This includes added and removed hosts; previous tables do not change."""
+    rng = Random(f"changes {seed}")  # another sequence than that of `configuration`, to draw other names
     data = configuration(60)
-    made = read(data)
-    table, kept = RouteTable(made.configuration), []
+    parsed = read(data)
+    table, previous = RouteTable(parsed.configuration), []
     for number in range(2, 9):
         for _ in range(3):
-            data = change(data, chance, f"r{number}")
-        if len(data["sockets"]) > 1 and chance.random() < 0.4:
-            moved = data["sockets"].pop(chance.randrange(len(data["sockets"])))
-            if chance.random() < 0.5:
+            data = change(data, rng, f"r{number}")
+        if len(data["sockets"]) > 1 and rng.random() < 0.4:
+            moved = data["sockets"].pop(rng.randrange(len(data["sockets"])))
+            if rng.random() < 0.5:
                 data["sockets"].append({**moved, "hostname": f"new{number}.example"})
-        kept.append((table, made.configuration))
-        made = read(data, made)
-        table = run_to_completion(RouteTable.build(made, table))
-        equal(table, RouteTable(made.configuration))
-    for old, was in kept:
-        equal(old, RouteTable(was))
+        previous.append((table, parsed.configuration))
+        parsed = read(data, parsed)
+        table = run_to_completion(RouteTable.build(parsed, table))
+        assert_equal(table, RouteTable(parsed.configuration))
+    for old_table, old_configuration in previous:
+        assert_equal(old_table, RouteTable(old_configuration))
 
 
-def equal(one: RouteTable, other: RouteTable) -> None:
+def assert_equal(one: RouteTable, other: RouteTable) -> None:
     assert (one.generation, one.limits) == (other.generation, other.limits)
     assert one.index == other.index and one.has_tenants == other.has_tenants
     assert dict(one.keys) == dict(other.keys) and dict(one.pools) == dict(other.pools)
@@ -127,35 +127,35 @@
         )
 
 
-def test_one_change_makes_one_route_anew() -> None:
+def test_one_change_rebuilds_one_route() -> None:
     data = configuration(100)
-    made = read(data)
-    table = run_to_completion(RouteTable.build(made, None))
+    parsed = read(data)
+    table = run_to_completion(RouteTable.build(parsed, None))
     data["sockets"][2]["rules"][3]["effect"]["timeout_ms"] = 7000
-    after = run_to_completion(RouteTable.build(read(data, made), table))
+    after = run_to_completion(RouteTable.build(read(data, parsed), table))
     same = [routes is table.hosts[host] for host, routes in after.hosts.items()]
     assert same.count(False) == 1
-    changed = [
-        made is table.hosts[host].routes[prefix]
+    is_reused = [
+        route_ is table.hosts[host].routes[prefix]
         for host, routes in after.hosts.items()
-        for prefix, made in routes.routes.items()
+        for prefix, route_ in routes.routes.items()
     ]
-    assert changed.count(False) == 1
+    assert is_reused.count(False) == 1
 
 
-# Taking into force
+# Applying configurations
 
 
 def versions(count: int) -> list[ConfigVersion]:
-    chance, data, made = Random(3), configuration(10), []
+    rng, data, made_versions = Random(3), configuration(10), []
     for number in range(1, count + 1):
-        data = change(data, chance, f"r{number}")
-        made.append(ConfigVersion.of(f"r{number}", json.dumps(data).encode()))
-    return made
+        data = change(data, rng, f"r{number}")
+        made_versions.append(ConfigVersion.of(f"r{number}", json.dumps(data).encode()))
+    return made_versions
 
 
-class Clock:
-    """A loop on which work takes time: what was spent passes at the next sleep."""
+class WorkClock:
+    """An event loop in which work takes time: the time spent elapses at the next sleep."""
 
     def __init__(self) -> None:
         self.loop, self.spent = asyncio.get_running_loop(), 0.0
@@ -163,7 +163,7 @@
     def time(self) -> float:
         return self.loop.time() + self.spent
 
-    def get_running_loop(self) -> Clock:
+    def get_running_loop(self) -> WorkClock:
         return self
 
     async def sleep(self, seconds: float) -> None:
@@ -171,24 +171,24 @@
         await asyncio.sleep(max(0.0, seconds) + spent)
 
 
-class Play:
-    """One applier in virtual time; `in_force` are the tables it gave, with when."""
+class ApplierRun:
+    """One applier in virtual time; `in_force`: time and generation of each applied table."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, steps: int = 0, cost: float = 0.0) -> None:
-        """Each reading takes `steps` more, of `cost` s each."""
+        """Parsing takes `steps` more steps, of `cost` s each."""
         self.in_force: list[tuple[float, str]] = []
-        self.begun, self.monkeypatch = 0, monkeypatch
-        self.clock: Clock | None = None
+        self.started_count, self.monkeypatch = 0, monkeypatch
+        self.clock: WorkClock | None = None
 
         def slow(
-            body: bytes, before: ParsedConfiguration | None
+            body: bytes, previous: ParsedConfiguration | None
         ) -> Generator[None, None, Result[ParsedConfiguration, OperationError]]:
-            self.begun += 1
+            self.started_count += 1
             for _ in range(steps):
                 assert self.clock is not None
                 self.clock.spent += cost
                 yield
-            return (yield from read_incrementally(body, before))
+            return (yield from read_incrementally(body, previous))
 
         monkeypatch.setattr(config_applier, "read_incrementally", slow)
 
@@ -198,14 +198,14 @@
         done: list[int] = []
 
         async def main() -> int:
-            self.clock = Clock()
+            self.clock = WorkClock()
             self.monkeypatch.setattr(config_applier, "asyncio", self.clock)
 
             def note(table: RouteTable) -> None:
                 self.in_force.append((machine.time(), table.generation))
 
-            made = ConfigApplier(note, Tasks())
-            await act(made)
+            applier = ConfigApplier(note, Tasks())
+            await act(applier)
             done.append(1)
             return 0
 
@@ -214,90 +214,90 @@
         assert done
 
 
-def test_a_short_version_is_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = Play(monkeypatch)
+def test_a_small_version_is_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    applier_run = ApplierRun(monkeypatch)
 
-    async def act(made: ConfigApplier) -> None:
-        made.apply(versions(1)[0])
-        assert [generation for _, generation in play.in_force] == ["r1"]
+    async def act(applier: ConfigApplier) -> None:
+        applier.apply(versions(1)[0])
+        assert [generation for _, generation in applier_run.in_force] == ["r1"]
 
-    play.run(act)
+    applier_run.run(act)
 
 
-def test_hundreds_of_changes_cost_an_application_each_pace_and_the_last_is_in_force(
+def test_frequent_changes_are_applied_at_a_limited_rate_and_the_last_is_in_force(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    play = Play(monkeypatch)
+    applier_run = ApplierRun(monkeypatch)
 
-    async def act(made: ConfigApplier) -> None:
+    async def act(applier: ConfigApplier) -> None:
         for version in versions(160):
-            made.apply(version)
+            applier.apply(version)
             await asyncio.sleep(22 / 160)
         await asyncio.sleep(MIN_INTERVAL_S)
 
-    play.run(act)
-    numbers = [int(generation[1:]) for _, generation in play.in_force]
+    applier_run.run(act)
+    numbers = [int(generation[1:]) for _, generation in applier_run.in_force]
     assert numbers == sorted(set(numbers)) and numbers[-1] == 160 and len(numbers) <= 75
     assert (
-        max(later - earlier for (earlier, _), (later, _) in pairwise(play.in_force))
+        max(later - earlier for (earlier, _), (later, _) in pairwise(applier_run.in_force))
         < MIN_INTERVAL_S + 22 / 160
     )
 
 
 def test_an_older_version_is_never_in_force_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = Play(monkeypatch)
+    applier_run = ApplierRun(monkeypatch)
 
-    async def act(made: ConfigApplier) -> None:
+    async def act(applier: ConfigApplier) -> None:
         one, two, three = versions(3)
         for version in (two, one, three, two, one):
-            made.apply(version)
+            applier.apply(version)
         await asyncio.sleep(1)
 
-    play.run(act)
-    assert [generation for _, generation in play.in_force] == ["r2", "r3"]
+    applier_run.run(act)
+    assert [generation for _, generation in applier_run.in_force] == ["r2", "r3"]
 
 
-def test_others_go_on_while_a_long_version_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
-    """50 steps of 5 ms: who waits for the loop has it after each."""
-    play = Play(monkeypatch, steps=50, cost=0.005)
+def test_other_tasks_run_while_a_large_version_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A build of 50 steps of 5 ms yields to the event loop after each step."""
+    applier_run = ApplierRun(monkeypatch, steps=50, cost=0.005)
     turns: list[int] = []
 
-    async def act(made: ConfigApplier) -> None:
-        made.apply(versions(1)[0])
-        while not play.in_force:
+    async def act(applier: ConfigApplier) -> None:
+        applier.apply(versions(1)[0])
+        while not applier_run.in_force:
             turns.append(1)
             await asyncio.sleep(0.005)
 
-    play.run(act)
+    applier_run.run(act)
     assert len(turns) >= 45
 
 
-def test_an_overtaken_one_is_dropped_midway_and_yet_something_gets_done(
+def test_a_build_is_abandoned_for_a_newer_version_but_some_builds_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Words come faster than they can be taken in: nothing would be done if each dropped the one before."""
-    play = Play(monkeypatch, steps=100, cost=0.005)
+    """Versions arrive faster than they are built; if each one abandoned the last build, none would complete."""
+    applier_run = ApplierRun(monkeypatch, steps=100, cost=0.005)
 
-    async def act(made: ConfigApplier) -> None:
+    async def act(applier: ConfigApplier) -> None:
         for version in versions(40):
-            made.apply(version)
+            applier.apply(version)
             await asyncio.sleep(0.3)
         await asyncio.sleep(2)
 
-    play.run(act)
-    done = [generation for _, generation in play.in_force]
-    assert done[-1] == "r40" and len(done) >= 4 and play.begun > len(done)
+    applier_run.run(act)
+    applied = [generation for _, generation in applier_run.in_force]
+    assert applied[-1] == "r40" and len(applied) >= 4 and applier_run.started_count > len(applied)
 
 
-def test_what_cannot_be_read_leaves_what_is_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = Play(monkeypatch)
+def test_an_unreadable_version_does_not_replace_the_one_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
+    applier_run = ApplierRun(monkeypatch)
 
-    async def act(made: ConfigApplier) -> None:
-        made.apply(versions(1)[0])
-        made.apply(ConfigVersion.of("r2", b"{"))
+    async def act(applier: ConfigApplier) -> None:
+        applier.apply(versions(1)[0])
+        applier.apply(ConfigVersion.of("r2", b"{"))
         await asyncio.sleep(1)
-        assert made.table is not None and made.table.generation == "r1" and not made.is_working
-        made.apply(versions(3)[2])
+        assert applier.table is not None and applier.table.generation == "r1" and not applier.is_building
+        applier.apply(versions(3)[2])
 
-    play.run(act)
-    assert [generation for _, generation in play.in_force] == ["r1", "r3"]
+    applier_run.run(act)
+    assert [generation for _, generation in applier_run.in_force] == ["r1", "r3"]
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -1,7 +1,7 @@
-"""A proxy, a backend and clients in virtual time, and a judge that has only what clients and the backend saw.
+"""A proxy, a backend and clients in virtual time, and checks based only on what clients and the backend observe.
 
-The proxy is the program as it is, on the simulated network. The backend works on a request for as long as its
-`X-Work-Ms` says and drops it when its connection ends, as most do. Times are s since the world's start.
+The proxy is the real program on the simulated network. The backend executes a request for the time in its
+`X-Work-Ms` header, and cancels it when the connection closes. Times are in s since the start of the world.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
 PROXY, BACKEND, REGISTRY = "10.1.0.3", "10.9.0.1", "10.1.0.4"
 FRONT = (PROXY, 80)
 GRACE_S = 6.0
-SLOTS = 1000  # at all backends: no tenant waits for its bound unless a test says so
-DEADLINE_MS = 5000  # of the clients' requests, where a test does not say otherwise
-MOST_WORK_S = DEADLINE_MS / 1000 - 0.2  # after a request, until when no run ends by its deadline
-LOSS_SLACK_S = 0.2  # after a request's last byte, until when a connection may end without an answer to it
-STILL_S = 0.5  # after a client has left, until when work for it may go on
+SLOTS = 1000  # of all backends; enough that no request waits for its tenant's bound by default
+DEADLINE_MS = 5000  # default of the clients' requests
+MAX_WORK_S = DEADLINE_MS / 1000 - 0.2  # after sending, up to which no execution ends because of the deadline
+LOSS_SLACK_S = 0.2  # after the last byte of a request, in which its connection may close without a response
+DISCONNECT_GRACE_S = 0.5  # after a client's disconnect, in which work for it may continue
 BOUNDS = ("retry_slack=56", f"grace_s={GRACE_S}")
 
 
 FULL = b"HTTP/1.1 503 Full\r\nX-Irisdeal-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Leaving(Enum):
+class Disconnect(Enum):
     """How a client ends its connection."""
 
     RESET = "reset"
@@ -52,53 +52,53 @@
 
 
 @dataclass
-class Run:
-    """One request at the backend."""
+class Execution:
+    """One execution of a request at the backend."""
 
     attempt_id: str
-    began: float
-    ended: float | None = None
-    is_whole: bool = False  # its answer was written
+    started_at: float
+    ended_at: float | None = None
+    is_complete: bool = False  # its response was written
 
 
 @dataclass
-class Sent:
-    """One request of a client, and what came of it."""
+class SentRequest:
+    """One request of a client, and its outcome."""
 
     attempt_id: str
     is_mutating: bool
     work_ms: int
-    at: float = 0.0  # when its last byte was written
-    is_whole: bool = False
+    sent_at: float = 0.0  # when it was written last
+    is_complete: bool = False
     status: int = 0
-    answered_at: float | None = None
-    left_at: float | None = None
+    responded_at: float | None = None
+    disconnected_at: float | None = None
     closed_at: float | None = None
 
 
-class WorkingBackend(asyncio.Protocol):
+class StandInBackend(asyncio.Protocol):
     """One connection of the stand-in backend: one request at a time."""
 
     def __init__(self, world: RequestWorld) -> None:
         self.world, self.buffer = world, b""
         self.transport: asyncio.Transport | None = None
-        self.run: Run | None = None
+        self.execution: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.run is not None:
-            self.run.ended, self.run = self.world.now(), None
+        if self.execution is not None:
+            self.execution.ended_at, self.execution = self.world.now(), None
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
         head, end, rest = self.buffer.partition(b"\r\n\r\n")
         if not end:
             return
-        named = fields(head)
-        length = int(named.get("content-length", "0"))
+        headers = parse_head(head)
+        length = int(headers.get("content-length", "0"))
         if len(rest) < length:
             return
         self.buffer = rest[length:]
@@ -106,41 +106,43 @@
             if self.transport is not None:
                 self.transport.write(FULL)
             return
-        self.run = run = Run(named["x-irisdeal-attempt-id"], self.world.now())
-        self.world.runs.append(run)
-        asyncio.get_running_loop().call_later(int(named["x-work-ms"]) / 1000, self._answer, run, named)
+        self.execution = execution = Execution(headers["x-irisdeal-attempt-id"], self.world.now())
+        self.world.executions.append(execution)
+        asyncio.get_running_loop().call_later(
+            int(headers["x-work-ms"]) / 1000, self._respond, execution, headers
+        )
 
-    def _answer(self, run: Run, named: dict[str, str]) -> None:
-        if self.transport is None or run.ended is not None:
+    def _respond(self, execution: Execution, headers: dict[str, str]) -> None:
+        if self.transport is None or execution.ended_at is not None:
             return
-        body = b"x" * int(named.get("x-answer-bytes", "2"))
-        run.ended, run.is_whole, self.run = self.world.now(), True, None
-        if self.world.answers_are_lost:
+        body = b"x" * int(headers.get("x-answer-bytes", "2"))
+        execution.ended_at, execution.is_complete, self.execution = self.world.now(), True, None
+        if self.world.drops_responses:
             self.transport.abort()
             return
         head = (
-            f"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: {run.attempt_id}\r\nX-Irisdeal-Backend-Seal: s\r\n"
+            f"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: {execution.attempt_id}\r\nX-Irisdeal-Backend-Seal: s\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         self.transport.write(head.encode() + body)
 
 
-def fields(head: bytes) -> dict[str, str]:
-    """The fields of a head by their names in lower case; the first line under ``."""
+def parse_head(head: bytes) -> dict[str, str]:
+    """Return the headers of a head by their lower-case names, and its first line by the empty name."""
     first, *lines = head.decode().split("\r\n")
     parted = (line.partition(":") for line in lines)
     return {"": first, **{name.strip().lower(): value.strip() for name, _, value in parted}}
 
 
 class Client(asyncio.Protocol):
-    """One connection of a client; answers belong to its requests in their order."""
+    """One connection of a client; responses are matched to its requests in order."""
 
     def __init__(self, world: RequestWorld) -> None:
         self.world, self.buffer = world, b""
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.transport: asyncio.Transport | None = None
-        self.is_told_to_close = self.has_left = False
-        self.keeps_open = False  # our end, once the proxy has closed its own
+        self.must_close = self.has_disconnected = False
+        self.keeps_open = False  # stays half-open after the proxy has closed its end
 
     def eof_received(self) -> bool:
         return self.keeps_open
@@ -158,72 +160,78 @@
         self.buffer += data
         while b"\r\n\r\n" in self.buffer:
             head, _, rest = self.buffer.partition(b"\r\n\r\n")
-            named = fields(head)
-            length = int(named.get("content-length", "0"))
+            headers = parse_head(head)
+            length = int(headers.get("content-length", "0"))
             if len(rest) < length:
                 return
             self.buffer = rest[length:]
-            owed = next(sent for sent in self.sent if sent.answered_at is None)
-            owed.status, owed.answered_at = int(named[""].split()[1]), self.world.now()
-            self.is_told_to_close |= named.get("connection") == "close"
+            oldest = next(sent for sent in self.sent if sent.responded_at is None)
+            oldest.status, oldest.responded_at = int(headers[""].split()[1]), self.world.now()
+            self.must_close |= headers.get("connection") == "close"
 
     def send(
-        self, sent: Sent, only: slice = slice(None), deadline_ms: int = DEADLINE_MS, answer_bytes: int = 2
+        self,
+        sent: SentRequest,
+        only: slice = slice(None),
+        deadline_ms: int = DEADLINE_MS,
+        response_bytes: int = 2,
     ) -> None:
-        """Write this request, or a part of its bytes."""
+        """Write this request, or the slice `only` of its bytes."""
         if sent not in self.sent:
             self.sent.append(sent)
-        sent.at, sent.is_whole = self.world.now(), only.stop is None
+        sent.sent_at, sent.is_complete = self.world.now(), only.stop is None
         path = "/b/x" if sent.is_mutating else "/a/x"
         text = (
             f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Irisdeal-Attempt-Id: {sent.attempt_id}\r\n"
             f"X-Irisdeal-Deadline-Ms: {deadline_ms}\r\nX-Work-Ms: {sent.work_ms}\r\n"
             f"Authorization: Bearer k\r\n"
-            f"X-Answer-Bytes: {answer_bytes}\r\nContent-Length: 4\r\n\r\nbody"
+            f"X-Answer-Bytes: {response_bytes}\r\nContent-Length: 4\r\n\r\nbody"
         )
         if self.transport is not None:
             self.transport.write(text.encode()[only])
 
-    def leave(self, how: Leaving) -> None:
-        """End this connection."""
-        self.has_left = True
+    def disconnect(self, how: Disconnect) -> None:
+        """Close this connection in the given way."""
+        self.has_disconnected = True
         for sent in self.sent:
-            if sent.answered_at is None and sent.left_at is None:
-                sent.left_at = self.world.now()
+            if sent.responded_at is None and sent.disconnected_at is None:
+                sent.disconnected_at = self.world.now()
         if self.transport is None:
             return
         match how:
-            case Leaving.RESET:
+            case Disconnect.RESET:
                 reset(self.transport)
-            case Leaving.CLOSE:
+            case Disconnect.CLOSE:
                 self.transport.close()
-            case Leaving.HALF_CLOSE:
+            case Disconnect.HALF_CLOSE:
                 self.transport.write_eof()
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """An RST, as SO_LINGER of 0 makes it."""
+    """Close the connection with an RST, as with an SO_LINGER time of 0."""
     sock = transport.get_extra_info("socket")
     sock.net.close_with_reset(sock)
     transport.abort()
 
 
-class Registry:
-    """A stand-in registry that gives places, at once or as `hold_s` says; its asks at work are counted."""
+class StandInRegistry:
+    """A stand-in registry that places attempts immediately, or after `hold_s`; it counts the waiting calls."""
 
     def __init__(self, world: RequestWorld) -> None:
         self.world, self.hold_s, self.number = world, 0.0, 0
         self.waiting = 0
-        self.open: dict[int, str] = {}  # places that were given and whose end was not told, and over what
-        self.server = RpcServer(self.handle, self.quick, self.lost)
+        self.reservations: dict[int, str] = {}  # number of each reservation not ended yet -> its connection
+        self.server = RpcServer(self.handle, self.handle_at_once, self.disconnect)
 
-    def lost(self, peer: str) -> None:
-        """A connection ended, and what was given over it is free."""
-        self.open = {number: over for number, over in self.open.items() if over != peer}
+    def disconnect(self, peer: str) -> None:
+        """Free the reservations of a lost connection."""
+        self.reservations = {
+            number: connection for number, connection in self.reservations.items() if connection != peer
+        }
 
-    def quick(self, peer: str, kind: str, body: Any) -> Any:
+    def handle_at_once(self, peer: str, kind: str, body: Any) -> Any:
         if kind == "ended":
-            self.open.pop(int(body[0]), None)
+            self.reservations.pop(int(body[0]), None)
             return None
         return DEFERRED
 
@@ -240,31 +248,31 @@
                 finally:
                     self.waiting -= 1
                 return self._place(peer)
-            case "count":  # no total is told here
+            case "count":  # its reply contains no total
                 return IntervalReply(0.0, 8, -1, PrefetchReply(1)).encode()
         raise ValueError(kind)
 
     def _place(self, peer: str) -> Any:
         self.number += 1
-        self.open[self.number] = peer
+        self.reservations[self.number] = peer
         return PlacementReply(PlacementResult.PLACED, self.number, "i-0", 1.0).encode()
 
 
 class RequestWorld:
-    """All of it by one seed."""
+    """The proxy, backend, clients and network of one seed."""
 
     def __init__(self, seed: int = 1, has_registry: bool = False, max_tries: int = 2) -> None:
-        """`has_registry`: a stand-in registry gives places; else the proxy goes by its own view."""
+        """`has_registry`: a stand-in registry places attempts; otherwise the proxy chooses backends itself."""
         self.world = World(seed)
         self.net = Network(self.world)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.max_tries = max_tries
-        self.still_s = STILL_S
-        self.answers_are_lost = self.backend_is_full = False
-        self.runs: list[Run] = []
-        self.requests: list[Sent] = []
+        self.disconnect_grace_s = DISCONNECT_GRACE_S
+        self.drops_responses = self.backend_is_full = False
+        self.executions: list[Execution] = []
+        self.requests: list[SentRequest] = []
         self.clients: list[Client] = []
-        self.over = False
+        self.is_over = False
         self.prepare: Callable[[Proxy], None] = lambda proxy: None
         self.proxy: Proxy | None = None
         self.ending: asyncio.Event | None = None
@@ -274,7 +282,7 @@
         self.to_backend, self.to_proxy = NetworkLink(), NetworkLink()
         self.net.set_link("proxy", BACKEND, self.to_backend)
         self.net.set_link("client", PROXY, self.to_proxy)
-        self.registry: Registry | None = None
+        self.registry: StandInRegistry | None = None
         if has_registry:
             self.registry_machine = self._machine("registry")
             self.registry_machine.start(self._serve_registry())
@@ -290,7 +298,7 @@
     # Processes
 
     async def _serve_registry(self) -> int:
-        self.registry = Registry(self)
+        self.registry = StandInRegistry(self)
         await self.registry.server.listen((REGISTRY, 7001))
         await asyncio.get_running_loop().create_future()
         return 0
@@ -333,14 +341,14 @@
         return 0
 
     def reconfigure(self, number: int, idle_ms: int) -> None:
-        """Another configuration comes into force, and SIGHUP says that the settings have changed."""
+        """Apply another configuration, and reload the settings as after SIGHUP."""
         proxy = self.proxy
         if proxy is not None and not self.proxy_machine.dead:
             self.proxy_machine.call_soon(proxy._on_version, self.configuration(number, idle_ms))
             self.proxy_machine.call_soon(proxy.reload, proxy.settings)
 
     def configuration(self, number: int, idle_ms: int = 15_000) -> ConfigVersion:
-        """Two routes, one of which may be repeated."""
+        """Return a configuration with an idempotent and a mutating route."""
 
         def rule(name: str, kind: str, prefix: str) -> dict[str, Any]:
             return {
@@ -374,19 +382,19 @@
     async def _serve_backend(self) -> int:
         loop = asyncio.get_running_loop()
         for port in (80, 81):
-            await loop.create_server(lambda: WorkingBackend(self), BACKEND, port)
+            await loop.create_server(lambda: StandInBackend(self), BACKEND, port)
         await loop.create_future()
         return 0
 
-    # A play
+    # Running clients
 
-    def play(self, act: Callable[[], Awaitable[None]], most_s: float = 60.0) -> None:
-        """Run what the clients do, to its end."""
+    def play(self, act: Callable[[], Awaitable[None]], max_s: float = 60.0) -> None:
+        """Run the clients' actions to their end, at most `max_s` of virtual time."""
 
         async def run() -> int:
             await asyncio.sleep(0.05)
             await act()
-            self.over = True
+            self.is_over = True
             return 0
 
         self.client.start(run())
@@ -395,18 +403,18 @@
             return self.net.has_bytes(self.proxy_machine, number)
 
         with mock.patch.object(connection_pool, "is_readable", has_bytes):
-            self.world.run(lambda: self.over, START + int(most_s * 1e6))
+            self.world.run(lambda: self.is_over, START + int(max_s * 1e6))
         errors = [*self.proxy_machine.errors, *self.backend.errors, *self.client.errors]
         assert not errors, errors
 
-    def request(self, work_ms: int, is_mutating: bool = False) -> Sent:
-        """A new request, not sent yet."""
-        sent = Sent(f"q{len(self.requests)}", is_mutating, work_ms)
+    def request(self, work_ms: int, is_mutating: bool = False) -> SentRequest:
+        """Return a new request, which is not sent yet."""
+        sent = SentRequest(f"q{len(self.requests)}", is_mutating, work_ms)
         self.requests.append(sent)
         return sent
 
     async def connect(self) -> Client | None:
-        """A new connection to the proxy; None where it is not to be had."""
+        """Open a connection to the proxy; None if that fails."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(1.0):
@@ -416,81 +424,92 @@
         self.clients.append(client)
         return client
 
-    async def ask(
-        self, work_ms: int, is_mutating: bool = False, deadline_ms: int = DEADLINE_MS, answer_bytes: int = 2
-    ) -> tuple[Client, Sent] | None:
-        """A request on a connection of its own."""
+    async def send_request(
+        self, work_ms: int, is_mutating: bool = False, deadline_ms: int = DEADLINE_MS, response_bytes: int = 2
+    ) -> tuple[Client, SentRequest] | None:
+        """Send a request on its own connection; None if the connection fails."""
         client = await self.connect()
         if client is None:
             return None
         sent = self.request(work_ms, is_mutating)
-        client.send(sent, deadline_ms=deadline_ms, answer_bytes=answer_bytes)
+        client.send(sent, deadline_ms=deadline_ms, response_bytes=response_bytes)
         return client, sent
 
     def terminate(self) -> None:
-        """SIGTERM to the proxy."""
+        """Shut the proxy down as after SIGTERM."""
         assert self.ending is not None
         self.proxy_machine.call_soon(self.ending.set)
 
-    # What the judge sees
+    # Checks
+
+    def executions_of(self, sent: SentRequest) -> list[Execution]:
+        return [execution for execution in self.executions if execution.attempt_id == sent.attempt_id]
 
-    def runs_of(self, sent: Sent) -> list[Run]:
-        return [run for run in self.runs if run.attempt_id == sent.attempt_id]
+    def work_after_disconnect(self) -> list[str]:
+        """Return the work that continued or began too long after a client's disconnect.
 
-    def work_for_departed(self) -> list[str]:
-        """Each run of a request that may be repeated, at work later than `STILL_S` after its client left, and
-        each request that reached the backend later than that."""
+        Executions of idempotent requests must end within the grace, and none may start after it.
+        """
         found = []
         for sent in self.requests:
-            if sent.left_at is None:
+            if sent.disconnected_at is None:
                 continue
-            until = sent.left_at + self.still_s
-            for run in self.runs_of(sent):
-                if run.began > until:
-                    after = run.began - sent.left_at
+            until = sent.disconnected_at + self.disconnect_grace_s
+            for execution in self.executions_of(sent):
+                if execution.started_at > until:
+                    after = execution.started_at - sent.disconnected_at
                     found.append(f"{sent.attempt_id} reached a backend {after:.3f} s later")
-                elif not sent.is_mutating and (ended := run.ended or self.now()) > until:
-                    found.append(f"{sent.attempt_id} was at work {ended - sent.left_at:.3f} s later")
+                elif not sent.is_mutating and (ended := execution.ended_at or self.now()) > until:
+                    found.append(
+                        f"{sent.attempt_id} was being executed {ended - sent.disconnected_at:.3f} s later"
+                    )
         return found
 
-    def without_end(self) -> list[str]:
-        """Each whole request whose client stayed and that had no answer: passed on, or cut late."""
+    def unanswered_requests(self) -> list[str]:
+        """Return the completely sent requests without a response whose client stayed connected.
+
+        Allowed are those that were not executed and whose connection closed within `LOSS_SLACK_S`.
+        """
         found = []
         for sent in self.requests:
-            if sent.answered_at is not None or sent.left_at is not None or not sent.is_whole:
+            if sent.responded_at is not None or sent.disconnected_at is not None or not sent.is_complete:
                 continue
-            if self.runs_of(sent):
-                found.append(f"{sent.attempt_id} of {sent.work_ms} ms, sent at {sent.at:.3f}, was cut")
-            elif sent.closed_at is None or sent.closed_at - sent.at > LOSS_SLACK_S:
-                found.append(f"{sent.attempt_id} sent at {sent.at:.3f} was cut at {sent.closed_at}")
+            if self.executions_of(sent):
+                found.append(f"{sent.attempt_id} of {sent.work_ms} ms, sent at {sent.sent_at:.3f}, was cut")
+            elif sent.closed_at is None or sent.closed_at - sent.sent_at > LOSS_SLACK_S:
+                found.append(f"{sent.attempt_id} sent at {sent.sent_at:.3f} was cut at {sent.closed_at}")
         return found
 
-    def given_up(self) -> list[str]:
-        """Each run of what may run once that was broken off before its deadline, with nothing in trouble."""
+    def interrupted_executions(self) -> list[str]:
+        """Return the executions of mutating requests that were interrupted before the deadline."""
         return [
-            f"{sent.attempt_id} was broken off after {run.ended - run.began:.3f} s"
+            f"{sent.attempt_id} was interrupted after {execution.ended_at - execution.started_at:.3f} s"
             for sent in self.requests
             if sent.is_mutating
-            for run in self.runs_of(sent)
-            if run.ended is not None and not run.is_whole and run.ended < sent.at + MOST_WORK_S
+            for execution in self.executions_of(sent)
+            if execution.ended_at is not None
+            and not execution.is_complete
+            and execution.ended_at < sent.sent_at + MAX_WORK_S
         ]
 
-    def wrong_answers(self) -> list[str]:
-        """Each request that was answered though its run had not come to its end."""
+    def responses_without_execution(self) -> list[str]:
+        """Return the requests with a 200 response but no complete execution."""
         return [
             sent.attempt_id
             for sent in self.requests
-            if sent.status == 200 and not any(run.is_whole for run in self.runs_of(sent))
+            if sent.status == 200 and not any(execution.is_complete for execution in self.executions_of(sent))
         ]
 
-    def broken_promises(self) -> list[str]:
-        """Each request that was promised not to run and ran, and each mutating one that ran twice."""
-        ran_after_promise = [
+    def violated_guarantees(self) -> list[str]:
+        """Return the mutating requests that were executed despite a 429 or 503, or executed twice."""
+        executed_despite_rejection = [
             sent.attempt_id
             for sent in self.requests
-            if sent.is_mutating and sent.status in (429, 503) and self.runs_of(sent)
+            if sent.is_mutating and sent.status in (429, 503) and self.executions_of(sent)
         ]
         twice = [
-            sent.attempt_id for sent in self.requests if sent.is_mutating and len(self.runs_of(sent)) > 1
+            sent.attempt_id
+            for sent in self.requests
+            if sent.is_mutating and len(self.executions_of(sent)) > 1
         ]
-        return ran_after_promise + twice
+        return executed_despite_rejection + twice
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -402,11 +402,15 @@
     run = RandomRun(seed)
     result = run.play()
     for sent in run.world.requests:
-        recorder.note(sent.attempt_id, sent.is_mutating, sent.work_ms, sent.at, sent.is_whole, sent.status)
-        recorder.note(sent.answered_at, sent.left_at, sent.closed_at)
-    for ran in run.world.runs:
-        recorder.note(ran.attempt_id, ran.began, ran.ended, ran.is_whole)
-    recorder.note(result.requests, result.answered, result.promised, result.left, len(result.breaches))
+        recorder.note(
+            sent.attempt_id, sent.is_mutating, sent.work_ms, sent.sent_at, sent.is_complete, sent.status
+        )
+        recorder.note(sent.responded_at, sent.disconnected_at, sent.closed_at)
+    for execution in run.world.executions:
+        recorder.note(execution.attempt_id, execution.started_at, execution.ended_at, execution.is_complete)
+    recorder.note(
+        result.requests, result.answered, result.rejected, result.disconnected, len(result.violations)
+    )
 
 
 # The earlier front door
