--- a/tests/features/steps/quota_steps.py
+++ b/tests/features/steps/quota_steps.py
@@ -11,12 +11,15 @@
 from irisdeal.simulation.quota.world import QuotaWorld
 
 
-@given("{proxies:d} proxies, {registries:d} registries and a tenant of {rate:g} a second, seed {seed:d}")
+@given(
+    "{proxies:d} proxies, {registries:d} registries and a tenant limited to {rate:g} requests a second, "
+    "seed {seed:d}"
+)
 def _(context: Any, proxies: int, registries: int, rate: float, seed: int) -> None:
     context.world = QuotaWorld(proxies, registries, rate, seed)
 
 
-@when("it asks for {times:g} times that from second {since:g} to {until:g}")
+@when("it sends {times:g} times that rate from second {since:g} to {until:g}")
 def _(context: Any, times: float, since: float, until: float) -> None:
     context.world.load(since, until, times)
 
@@ -29,7 +32,7 @@
             world.at(at, world.restart_proxy, number)
 
 
-@when("{count:d} registries are killed at second {at:g} and back at {until:g}")
+@when("{count:d} registries are killed at second {at:g} and restarted at {until:g}")
 def _(context: Any, count: int, at: float, until: float) -> None:
     world = context.world
     for ip in world.chance.sample(sorted(world.registries), count):
@@ -98,13 +101,13 @@
     assert context.world.judge.worst() <= 1.0, context.world.judge.worst()
 
 
-@then("under {percent:g} percent were refused")
+@then("under {percent:g} percent of the requests are rejected")
 def _(context: Any, percent: float) -> None:
     world = context.world
     assert world.refused <= world.asked * percent / 100, (world.refused, world.asked)
 
 
-@then("at least {percent:g} percent of the rate ran from second {since:g} to {until:g}")
+@then("at least {percent:g} percent of the rate are executed from second {since:g} to {until:g}")
 def _(context: Any, percent: float, since: float, until: float) -> None:
     world = context.world
     ran, rate = world.judge.served(since, until), world.limit.rate_per_s
@@ -120,7 +123,7 @@
         PermitIssuer.bucket,
     )
     match bug:
-        case "a lender keeps what it lent":
+        case "lent permits are not deducted":
 
             def lend_and_keep(self: PermitBucket, wanted: int, retained: float, now: float) -> int:
                 given = lend(self, wanted, retained, now)
@@ -158,7 +161,7 @@
     raise ValueError(bug)
 
 
-@given("in the registries is planted: {bug}")
+@given("the registries have the planted bug: {bug}")
 def _(context: Any, bug: str) -> None:
     owner, name, replacement = _planted(bug)
     original = getattr(owner, name)
@@ -166,7 +169,7 @@
     context.add_cleanup(setattr, owner, name, original)
 
 
-@then("the judge finds a window with more than the rule allows by second {until:g}")
+@then("a window with more than the rule allows is found by second {until:g}")
 def _(context: Any, until: float) -> None:
     context.world.play(until)
     assert context.world.judge.worst() > 1.0, context.world.judge.worst()
