--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -20,7 +20,7 @@
 import time
 from collections.abc import Iterator
 
-from irisdeal.simulation.cluster.store_day import Verdict, day_of
+from irisdeal.simulation.cluster.store_day import Verdict, simulation_for_seed
 
 SLICE = 5  # days of one task: short enough that a breach is told at once
 
@@ -30,7 +30,7 @@
     logging.disable(logging.WARNING)
     gc.disable()
     try:
-        verdict = day_of(seed).play()
+        verdict = simulation_for_seed(seed).play()
     except Exception as error:  # whatever it is, the other days go on, and it is told
         verdict = Verdict(seed, breaches=[f"the day failed: {error!r}"])
     gc.collect()
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -63,18 +63,18 @@
             cpu = sum(use.cpu or 0 for use in real.uses) / max(1, len(real.request_log.client_attempts))
             gaps["served"].append(other.total.share - one.total.share)
             gaps["worst"].append(other.worst - one.worst)
-            gaps["calls"].append(virtual.keeper_calls / max(1, real.counter_calls) - 1)
+            gaps["calls"].append(virtual.counter_calls / max(1, real.counter_calls) - 1)
             gaps["attempts"].append(other.attempts / max(1, one.attempts) - 1)
             grid.add_row(
                 f"{name} {seed}",
                 f"{one.total.share:.3f} / {other.total.share:.3f}",
                 f"{one.worst:.3f} / {other.worst:.3f}",
-                f"{real.counter_calls} / {virtual.keeper_calls}",
+                f"{real.counter_calls} / {virtual.counter_calls}",
                 f"{one.attempts} / {other.attempts}",
-                f"{cpu:.0f} / {virtual.cpu / len(virtual.books.client_attempts):.0f}",
+                f"{cpu:.0f} / {virtual.cpu / len(virtual.request_log.client_attempts):.0f}",
                 f"{one.percentile(0.5):.0f} / {other.percentile(0.5):.0f}",
                 f"{one.percentile(0.99):.0f} / {other.percentile(0.99):.0f}",
-                f"{real.kept} / {virtual.kept}",
+                f"{real.kept} / {virtual.passed}",
                 f"{speeds[-1]:.1f}",
             )
     console = Console(width=150)
--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -16,9 +16,9 @@
 from rich.table import Table as Grid
 
 if TYPE_CHECKING:
-    from irisdeal.simulation.search.front_door_day import Played
-    from irisdeal.simulation.search.judge import Judged
-    from irisdeal.simulation.search.search import Found, Search
+    from irisdeal.simulation.search.front_door_day import DayResult
+    from irisdeal.simulation.search.judge import Judgement
+    from irisdeal.simulation.search.search import Finding, Search
 
 
 class Unusable(click.ClickException):
@@ -197,8 +197,8 @@
                     task,
                     completed=played,
                     description=(
-                        f"{rate:.1f} days a second, {len(now.states)} states, {now.covered()}, "
-                        f"{now.breaking} broke"
+                        f"{rate:.1f} days a second, {len(now.states)} states, {now.coverage_summary()}, "
+                        f"{now.failing_days} broke"
                     ),
                 )
 
@@ -216,7 +216,7 @@
     files = _least(search, folder, jobs, shrink and not stop, quiet) if folder is not None else []
     if not _write(out, _figures(search, start, seconds, files)):
         _show(search, start, seconds, files, stop)
-    sys.exit(1 if search.found else 0)
+    sys.exit(1 if search.findings else 0)
 
 
 def _progress(quiet: bool) -> Progress:
@@ -231,7 +231,7 @@
     )
 
 
-def _told(found: Found) -> str:
+def _told(found: Finding) -> str:
     first = found.texts[0] if found.texts else ""
     return f"[bold]day {found.day}[/] breaks {', '.join(found.broken)}: {first}"
 
@@ -242,7 +242,7 @@
     from irisdeal.simulation.search.schedule_files import write
 
     written, names = [], set[str]()
-    for found in search.found:
+    for found in search.findings:
         table, broken, texts = found.table, found.broken, found.texts
         first = broken[0] not in names
         names.add(broken[0])
@@ -262,7 +262,9 @@
     with _progress(quiet) as bar:
         task = bar.add_task(f"making {name} least", total=most)
         shrinker = Shrinker(lambda candidate: name in judge(candidate, bug, look=False).broken, most)
-        shrinker.told = lambda text: bar.update(task, completed=shrinker.plays, description=f"{name}: {text}")
+        shrinker.on_progress = lambda text: bar.update(
+            task, completed=shrinker.plays, description=f"{name}: {text}"
+        )
         return shrinker.shrink(table), shrinker.plays
 
 
@@ -274,14 +276,14 @@
         "days_now": search.days - start,
         "seconds": round(seconds, 1),
         "days_a_second": round((search.days - start) / max(0.01, seconds), 2),
-        "virtual_seconds": round(search.virtual, 1),
+        "virtual_seconds": round(search.virtual_s, 1),
         "states": len(search.states),
-        "pairs_of_values": len(search.seen),
-        "pairs_of_faults": len(search.pairs),
+        "pairs_of_values": len(search.seen_pairs),
+        "pairs_of_faults": len(search.fault_pairs),
         "kept": len(search.corpus),
-        "broke": search.breaking,
+        "broke": search.failing_days,
         "found": [
-            {"day": f.day, "broken": f.broken, "texts": f.texts, "schedule": f.table} for f in search.found
+            {"day": f.day, "broken": f.broken, "texts": f.texts, "schedule": f.table} for f in search.findings
         ],
         "files": files,
     }
@@ -299,17 +301,18 @@
         (
             "a second",
             f"{(search.days - start) / max(0.01, seconds):.1f} days; a judge plays "
-            f"{search.virtual / max(0.01, search.real):.1f} s in one",
+            f"{search.virtual_s / max(0.01, search.real_s):.1f} s in one",
         ),
         (
             "ground",
-            f"{len(search.states)} states of a door, {len(search.seen)} pairs of values, {search.covered()}",
+            f"{len(search.states)} states of a door, {len(search.seen_pairs)} pairs of values, "
+            f"{search.coverage_summary()}",
         ),
         ("kept", f"{len(search.corpus)} schedules that reached new ground"),
         (
             "broke",
-            f"{search.breaking} days: "
-            + (", ".join(dict.fromkeys(name for f in search.found for name in f.broken)) or "nothing"),
+            f"{search.failing_days} days: "
+            + (", ".join(dict.fromkeys(name for f in search.findings for name in f.broken)) or "nothing"),
         ),
     ):
         grid.add_row(f"[bold]{name}[/]", value)
@@ -317,19 +320,19 @@
     console.print(grid, highlight=False)
     for file in files:
         console.print(f"written: {file}", highlight=False, soft_wrap=True)
-    if search.found and not files:
+    if search.findings and not files:
         console.print("nothing written: name a folder with --out", highlight=False)
 
 
-def _told_one(judged: Judged, out: Path | None) -> None:
+def _told_one(judged: Judgement, out: Path | None) -> None:
     figures = {
         "broken": judged.broken,
         "texts": judged.texts,
         "digest": judged.digest,
         "asks": judged.asks,
         "share": round(judged.share, 4),
-        "virtual_seconds": round(judged.virtual, 3),
-        "seconds": round(judged.real, 3),
+        "virtual_seconds": round(judged.virtual_s, 3),
+        "seconds": round(judged.real_s, 3),
     }
     if _write(out, figures):
         return
@@ -341,7 +344,7 @@
         console.print(f"  {text}", highlight=False, soft_wrap=True, markup=False)
     console.print(
         f"{judged.asks} asks, {judged.share:.3f} of the worth inside the quotas served; "
-        f"{judged.virtual:.1f} s in {judged.real:.2f} s; digest {judged.digest}",
+        f"{judged.virtual_s:.1f} s in {judged.real_s:.2f} s; digest {judged.digest}",
         highlight=False,
         soft_wrap=True,
     )
@@ -396,7 +399,7 @@
     return f"two plays differ among the steps from {block * BLOCK_EVENTS} on"
 
 
-def _play(table: dict[str, Any], bug: str = "", keep: int | None = None) -> Played:
+def _play(table: dict[str, Any], bug: str = "", recorded_block: int | None = None) -> DayResult:
     import logging
 
     from irisdeal.simulation.search.front_door_day import play
@@ -407,7 +410,7 @@
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)
     made = scenario(table)
     with planted(bug):
-        return play(draw(made, made.seed), keep=keep)
+        return play(draw(made, made.seed), recorded_block=recorded_block)
 
 
 @chaos.command("shrink")
@@ -431,7 +434,7 @@
     """
     from irisdeal.simulation.search.judge import judge
     from irisdeal.simulation.search.schedule import scenario
-    from irisdeal.simulation.search.schedule_files import as_toml
+    from irisdeal.simulation.search.schedule_files import to_toml
 
     _known(bug)
     _writable(to)
@@ -441,7 +444,7 @@
         raise click.ClickException(f"{file}: breaks nothing")
     table, plays = _shrunk(table, first.broken[0], bug, most, False)
     least = judge(table, bug, look=False)
-    text = as_toml(table, least.broken, least.texts)
+    text = to_toml(table, least.broken, least.texts)
     if to is None:
         click.echo(text, nl=False)
         return
@@ -525,12 +528,12 @@
             search_on(
                 search,
                 jobs,
-                lambda s: not s.found and s.days < days,
+                lambda s: not s.findings and s.days < days,
                 bug.name,
                 told=lambda s, done: bar.update(task, completed=s.days + done),
             )
             seconds = time.monotonic() - begun
-            first = search.found[0] if search.found else None
+            first = search.findings[0] if search.findings else None
             told.append(
                 {
                     "bug": bug.name,
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -19,8 +19,8 @@
 from irisdeal.config_store.storage.version_store import VersionStore
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
-from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, Op
+from irisdeal.simulation.cluster.cluster import FIRST_PORT, SimulatedCluster, pause
+from irisdeal.simulation.cluster.linearizability import INFINITY, NO_NUMBER, Kind, Operation
 from irisdeal.simulation.machine import Machine
 
 PATIENCE = 1.0  # s of silence after which an operator goes to another member
@@ -49,10 +49,10 @@
 
 
 @dataclass
-class Record:
+class CallHistory:
     """What callers saw."""
 
-    ops: list[Op] = field(default_factory=list)
+    ops: list[Operation] = field(default_factory=list)
     seen: list[Seen] = field(default_factory=list)
     orders: int = 0
     sends: int = 0
@@ -63,7 +63,7 @@
     answers: list[tuple[float, str]] = field(default_factory=list)  # acknowledgements: s, who gave it
 
     def newest(self) -> int:
-        return max((op.number for op in self.ops if op.kind is Kind.CONFIRMED), default=NONE)
+        return max((op.number for op in self.ops if op.kind is Kind.CONFIRMED), default=NO_NUMBER)
 
 
 def digest(body: bytes) -> str:
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        cluster: SimulatedCluster,
         operators: int,
         watchers: int,
         readers: int = 0,
@@ -91,8 +91,8 @@
         size: int = 0,
     ) -> None:
         """`readers`: callers that do nothing but read. `size`: bytes of padding in each body."""
-        self.stage, self.size = stage, size
-        self.record = Record()
+        self.cluster, self.size = cluster, size
+        self.record = CallHistory()
         self.links: dict[tuple[str, str], RpcClient] = {}
         self.number = 0
         self.pace = pace * operators
@@ -104,17 +104,17 @@
         self.awaiting: list[asyncio.Future[str]] = []  # for the next order that is sent; whom to
         self.operators = operators
         for name in (f"operator-{index}" for index in range(operators)):
-            machine = stage.new_caller(name)
+            machine = cluster.new_caller(name)
             machine.start(self._operate(machine))
         for name in (f"watcher-{index}" for index in range(watchers)):
-            machine = stage.new_caller(name)
+            machine = cluster.new_caller(name)
             machine.start(self._watch(machine))
         for name in (f"reader-{index}" for index in range(readers)):
-            machine = stage.new_caller(name)
+            machine = cluster.new_caller(name)
             machine.start(self._read(machine))
 
     def now(self) -> float:
-        return self.stage.world.seconds()
+        return self.cluster.world.seconds()
 
     def _link(self, machine: Machine, host: str) -> RpcClient:
         if (machine.name, host) not in self.links:
@@ -124,11 +124,11 @@
     # Orders
 
     def _body(self, number: int, name: str) -> bytes:
-        head = b"r%d %s %d " % (number, name.encode(), self.stage.chance.getrandbits(60))
+        head = b"r%d %s %d " % (number, name.encode(), self.cluster.chance.getrandbits(60))
         return head.ljust(HEAD, b".") + bytes(self.size)
 
     def _next(self, name: str) -> ConfigVersion:
-        chance = self.stage.chance
+        chance = self.cluster.chance
         if self.sent and chance.random() < OLD:
             return chance.choice(self.sent[-20:])
         if not (self.number and chance.random() < TWICE):
@@ -148,7 +148,7 @@
         told = int(answer.unwrap()) if isinstance(answer, Success) else 0
         kind = {0: Kind.UNCLEAR, 1: Kind.CONFIRMED, 2: Kind.CONFLICT}[told]
         self.record.ops.append(
-            Op(
+            Operation(
                 kind,
                 version.version_id.number,
                 digest(version.body),
@@ -164,11 +164,11 @@
 
     async def order(self, machine: Machine, version: ConfigVersion) -> bool:
         """Sent again until it has a clear answer; whether it has."""
-        chance, begun = self.stage.chance, self.now()
+        chance, begun = self.cluster.chance, self.now()
         self.record.orders += 1
         last = ""
         for _ in range(MOST_SENDS):
-            host = chance.choice([host for host in self.stage.hosts if host != last] or self.stage.hosts)
+            host = chance.choice([host for host in self.cluster.hosts if host != last] or self.cluster.hosts)
             last = host
             lost = chance.random() < GONE_QUICK
             kind = await self.send(machine, host, version, chance.choice(LOSE_AFTER) if lost else PATIENCE)
@@ -177,7 +177,7 @@
                 self.record.acknowledged += 1
                 return True
             await pause(machine, chance.uniform(0.0, 0.05))
-        self.record.times.append((begun, EVER))
+        self.record.times.append((begun, INFINITY))
         return False
 
     # Reads
@@ -189,9 +189,9 @@
         if not isinstance(answer, Success) or not answer.unwrap()[0]:
             return False
         body = answer.unwrap()[1]
-        number = int(body.split(b" ")[0][1:]) if body else NONE
+        number = int(body.split(b" ")[0][1:]) if body else NO_NUMBER
         self.record.ops.append(
-            Op(
+            Operation(
                 Kind.READ,
                 number,
                 digest(body) if body else "",
@@ -205,7 +205,7 @@
     # What they do all day
 
     async def _operate(self, machine: Machine) -> int:
-        chance = self.stage.chance
+        chance = self.cluster.chance
         while True:
             if self.quiet:
                 self.resting += 1
@@ -216,14 +216,14 @@
             self.sent.append(version)
             await self.order(machine, version)
             if chance.random() < READS:
-                await self.read(machine, chance.choice(self.stage.hosts))
+                await self.read(machine, chance.choice(self.cluster.hosts))
             await pause(machine, chance.uniform(0.0, self.pace))
 
     async def _read(self, machine: Machine) -> int:
         while True:
             if self.reading:
-                await self.read(machine, self.stage.chance.choice(self.stage.hosts))
-            await pause(machine, self.stage.chance.uniform(0.0, 0.02) if self.reading else 0.05)
+                await self.read(machine, self.cluster.chance.choice(self.cluster.hosts))
+            await pause(machine, self.cluster.chance.uniform(0.0, 0.02) if self.reading else 0.05)
 
     async def next(self, machine: Machine, waiting: list[asyncio.Future[str]], most: float) -> str | None:
         """The member of the next acknowledgement, or order sent; None after so many s without one."""
@@ -263,11 +263,11 @@
 
     async def _watch(self, machine: Machine) -> int:
         """As a door: a source, left when it says nothing, and now and then for no reason."""
-        chance = self.stage.chance
+        chance = self.cluster.chance
         version_store, sync_state, change = VersionStore(), NO_VERSION, -1
         assembler = ChunkAssembler(version_store)
         while True:
-            host = chance.choice(self.stage.hosts)
+            host = chance.choice(self.cluster.hosts)
             link = self._link(machine, host)
             while chance.random() < 0.95:
                 told = await self.ask(machine, link, host, assembler, sync_state, change)
@@ -281,4 +281,6 @@
 
     def _in_force(self, machine: Machine, host: str, number: int, body: str) -> None:
         """A door acts on it: it must have been decided."""
-        self.record.ops.append(Op(Kind.READ, number, body, -EVER, self.now(), f"{machine.name} by {host}"))
+        self.record.ops.append(
+            Operation(Kind.READ, number, body, -INFINITY, self.now(), f"{machine.name} by {host}")
+        )
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -22,7 +22,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import NetworkLink
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 SYNC = 4.0  # s that a member counts as lost after its return
 GRACE = 6.0  # s from SIGTERM to SIGKILL
@@ -36,11 +36,11 @@
 MAKE = Callable[[Settings, MemoryDisk], StoreReplica]
 
 
-class Host(Machine):
+class ClusterMachine(Machine):
     """A machine with a disk. What was under way on it when power went is done in part."""
 
-    def __init__(self, stage: Stage, name: str) -> None:
-        super().__init__(stage.world, stage.net, name, Core(), Costs())
+    def __init__(self, cluster: SimulatedCluster, name: str) -> None:
+        super().__init__(cluster.world, cluster.net, name, Core(), Costs())
         self.under_way: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
 
     def run_in_executor(self, executor: Any, func: Callable[..., Any], *args: Any) -> asyncio.Future[Any]:
@@ -49,7 +49,7 @@
         done.add_done_callback(lambda over: self.under_way.pop(id(over), None))
         return done
 
-    def die(self, disk: MemoryDisk, chance: random.Random) -> None:
+    def crash(self, disk: MemoryDisk, chance: random.Random) -> None:
         """SIGKILL, or power goes: at this µs. Of the act that its disk has at work, some steps are done."""
         under_way = list(self.under_way.values())[:1]
         self.kill()
@@ -60,7 +60,7 @@
             disk.fail_at = -1
 
 
-class Stage:
+class SimulatedCluster:
     """Machines, disks and ways by one seed."""
 
     def __init__(
@@ -81,7 +81,7 @@
         self.stepped = 0.0  # s that the time of day is off
         self.ways: dict[tuple[str, str], NetworkLink] = {}
         self.disks: dict[str, MemoryDisk] = {}
-        self.machines: dict[str, Host] = {}
+        self.machines: dict[str, ClusterMachine] = {}
         self.members: dict[str, StoreReplica] = {}
         self.ends: dict[str, asyncio.Event] = {}
         self.first = [self.new_host() for _ in range(count)][:SEEDS]  # what all are told at the first start
@@ -135,8 +135,8 @@
         """
         if host not in self.hosts:
             return
-        machine = self.machines[host] = Host(self, host)
-        machine.disk_time = self.chance.choice(self.disk_times)
+        machine = self.machines[host] = ClusterMachine(self, host)
+        machine.disk_time_us = self.chance.choice(self.disk_times)
         settings = self.settings(host, first)
 
         async def run() -> int:
@@ -157,7 +157,7 @@
 
     def kill(self, host: str, how: str = "kill") -> None:
         """`kill`: the process; `power`: and what was not synced; `wipe`: and the disk."""
-        self.machines[host].die(self.disks[host], self.chance)
+        self.machines[host].crash(self.disks[host], self.chance)
         if how == "power":
             self.disks[host] = self.disks[host].lose_power(self.chance)
         elif how == "wipe":
@@ -177,7 +177,7 @@
         if host in self.hosts:
             self.hosts.remove(host)
 
-    def cut(self, host: str, is_cut: bool, out: bool = True, into: bool = True) -> None:
+    def partition(self, host: str, is_cut: bool, out: bool = True, into: bool = True) -> None:
         """What this member sends to the others, and what they send to it, is held up, or goes on."""
         for (caller, called), way in self.ways.items():
             if caller in self.callers or host not in (caller, called):
@@ -207,7 +207,7 @@
             mock.patch.object(secrets, "token_hex", self._token),
             mock.patch.object(time, "time", self._time_of_day),
         ):
-            self.world.run(over, START + int(most * 1e6))
+            self.world.run(over, START_US + int(most * 1e6))
 
     def _token(self, size: int) -> str:
         """Identities of disks by the seed."""
--- a/irisdeal/simulation/cluster/linearizability.py
+++ b/irisdeal/simulation/cluster/linearizability.py
@@ -21,8 +21,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EVER = float("inf")  # the end of a call without an answer; less: the start of what a watcher saw
-NONE = -1  # the number of nothing
+INFINITY = float("inf")  # the end of a call without an answer; less: the start of what a watcher saw
+NO_NUMBER = -1  # the number of nothing
 
 
 class Kind(Enum):
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class Operation:
     """One call; times in s, or any other unit. Nothing was read: number -1, body ""."""
 
     kind: Kind
@@ -58,18 +58,18 @@
     number: int
     body: str | None = None  # None: free so far
     barred: set[str] = field(default_factory=set)  # bodies that were told to be others
-    before: float = EVER  # it came no later than this
-    before_op: Op | None = None
-    until: float = -EVER  # what is above it came no earlier than this
-    until_op: Op | None = None
-    came: float = -EVER  # the earliest moment
-    cause: Op | None = None  # of that
-
-    def by(self, moment: float, op: Op) -> None:
+    before: float = INFINITY  # it came no later than this
+    before_op: Operation | None = None
+    until: float = -INFINITY  # what is above it came no earlier than this
+    until_op: Operation | None = None
+    came: float = -INFINITY  # the earliest moment
+    cause: Operation | None = None  # of that
+
+    def by(self, moment: float, op: Operation) -> None:
         if moment < self.before:
             self.before, self.before_op = moment, op
 
-    def still(self, moment: float, op: Op) -> None:
+    def still(self, moment: float, op: Operation) -> None:
         if moment > self.until:
             self.until, self.until_op = moment, op
 
@@ -77,11 +77,13 @@
 class _Search:
     """The bounds of one history."""
 
-    def __init__(self, ops: Iterable[Op]) -> None:
+    def __init__(self, ops: Iterable[Operation]) -> None:
         self.breaches: list[str] = []
-        self.puts: dict[int, dict[str, Op]] = {}  # number -> body -> its earliest put that may have acted
-        self.held: dict[int, _Held] = {NONE: _Held(NONE, "")}
-        self.confirmed: list[Op] = []
+        self.puts: dict[
+            int, dict[str, Operation]
+        ] = {}  # number -> body -> its earliest put that may have acted
+        self.held: dict[int, _Held] = {NO_NUMBER: _Held(NO_NUMBER, "")}
+        self.confirmed: list[Operation] = []
         for op in ops:
             match op.kind:
                 case Kind.READ:
@@ -100,7 +102,7 @@
     def _hold(self, number: int) -> _Held:
         return self.held.setdefault(number, _Held(number))
 
-    def _read(self, op: Op) -> None:
+    def _read(self, op: Operation) -> None:
         held = self._hold(op.number)
         if held.body not in (None, op.body):
             self.breaches.append(f"two bodies under one number: {op}; and {held.before_op}")
@@ -113,7 +115,7 @@
             pass
         return self.breaches
 
-    def _body(self, held: _Held) -> Op | None:
+    def _body(self, held: _Held) -> Operation | None:
         """The put by which it holds; None where there is none."""
         puts = self.puts.get(held.number, {})
         if held.body is not None:
@@ -126,11 +128,11 @@
 
     def _bound(self) -> bool:
         """The earliest moments of all that must have held; whether they keep the upper bounds."""
-        moment, cause = -EVER, None
+        moment, cause = -INFINITY, None
         self.order = sorted(self.held)
         for number in self.order:
             held = self.held[number]
-            if number != NONE:
+            if number != NO_NUMBER:
                 put = self._body(held)
                 if put is None:
                     self.breaches.append(f"nobody put what was told: {held.before_op}")
@@ -169,7 +171,7 @@
             new = True
         return new
 
-    def _overtaken(self, op: Op, at: int, above: _Held | None) -> bool:
+    def _overtaken(self, op: Operation, at: int, above: _Held | None) -> bool:
         """Whether a number that nobody read can have come above it before its end."""
         below = self.held[self.order[at - 1]]
         if max(below.came, below.until) > op.end:
@@ -181,6 +183,6 @@
         )
 
 
-def check(ops: Iterable[Op]) -> list[str]:
+def check(ops: Iterable[Operation]) -> list[str]:
     """What cannot be put into one order, in words; empty where all can. The first cause found is told."""
     return _Search(ops).judge()
--- a/irisdeal/simulation/cluster/store_day.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -13,10 +13,10 @@
 
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.runtime.events import log
-from irisdeal.simulation.cluster.callers import PACE, Callers, Record
-from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, Stage, pause
+from irisdeal.simulation.cluster.callers import PACE, Callers, CallHistory
+from irisdeal.simulation.cluster.cluster import DISK_TIMES, MAKE, SimulatedCluster, pause
 from irisdeal.simulation.cluster.faults import Director
-from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, check
+from irisdeal.simulation.cluster.linearizability import INFINITY, NO_NUMBER, Kind, check
 from irisdeal.simulation.errors import SimulationLivelockError, SimulationStalledError
 from irisdeal.simulation.machine import Machine
 
@@ -52,7 +52,7 @@
     trace: str = ""  # of all that happened, to the last byte
 
 
-class CoreDay:
+class ClusterSimulation:
     """One day of `count` members by one seed."""
 
     def __init__(
@@ -72,22 +72,22 @@
         that do nothing but read. `disk_times`: µs of an act on a disk, of which each start draws one. `pace`: see
         `operators.PACE`."""
         self.seed, self.length, self.burst = seed, length, burst
-        self.stage = Stage(count, seed, make, disk_times)
-        self.callers = Callers(self.stage, operators, 1, readers, pace)
-        self.machine = self.stage.new_caller("director")
-        self.director = Director(self.stage, self.callers, self.machine, only)
+        self.cluster = SimulatedCluster(count, seed, make, disk_times)
+        self.callers = Callers(self.cluster, operators, 1, readers, pace)
+        self.machine = self.cluster.new_caller("director")
+        self.director = Director(self.cluster, self.callers, self.machine, only)
         self.verdict = Verdict(seed)
         self.over = False
 
     def breach(self, what: str) -> None:
-        self.verdict.breaches.append(f"{self.stage.world.seconds():.3f} s: {what}")
+        self.verdict.breaches.append(f"{self.cluster.world.seconds():.3f} s: {what}")
 
     async def _direct(self, machine: Machine) -> int:
         await pause(machine, START_BY)
         if self.burst:
             await self._hundreds(machine)
         await self.director.play(self.length)
-        begun = self.stage.world.seconds()
+        begun = self.cluster.world.seconds()
         if await self.callers.next(machine, self.callers.waiting, MOST_CALM) is None and not any(
             op.kind is Kind.CONFLICT and op.start > begun for op in self.callers.record.ops
         ):
@@ -100,44 +100,44 @@
     async def _hundreds(self, machine: Machine) -> None:
         """Many changes in a row with a member down."""
         changes, seconds, down = BURST
-        host = self.stage.chance.choice(self.stage.hosts)
+        host = self.cluster.chance.choice(self.cluster.hosts)
         self.director.note(f"hundreds of changes, {host} down")
         usual, self.callers.pace = self.callers.pace, 2 * self.callers.operators * seconds / changes
         await pause(machine, 1.0)
-        await self.director.down(host, self.stage.chance.choice(("kill", "power", "wipe")), down)
+        await self.director.down(host, self.cluster.chance.choice(("kill", "power", "wipe")), down)
         await pause(machine, seconds - down)
         self.callers.pace = usual
 
     async def _end(self, machine: Machine) -> None:
         """What was acknowledged can be read, and every member catches up."""
-        begun = self.stage.world.seconds()
+        begun = self.cluster.world.seconds()
         await self.callers.rest(machine)
-        while not await self.callers.read(machine, self.stage.chance.choice(self.stage.hosts)):
-            if self.stage.world.seconds() - begun > MOST_READ:
+        while not await self.callers.read(machine, self.cluster.chance.choice(self.cluster.hosts)):
+            if self.cluster.world.seconds() - begun > MOST_READ:
                 return self.breach("what was acknowledged could not be read at the end")
             await pause(machine, 0.1)
-        waiting = list(self.stage.hosts)
+        waiting = list(self.cluster.hosts)
         while waiting:
             waiting = [
                 host
                 for host in waiting
-                if host in self.stage.hosts and not await self.callers.read(machine, host)
+                if host in self.cluster.hosts and not await self.callers.read(machine, host)
             ]
-            if waiting and self.stage.world.seconds() - begun > MOST_READ + CAUGHT_UP:
+            if waiting and self.cluster.world.seconds() - begun > MOST_READ + CAUGHT_UP:
                 return self.breach(f"not caught up: {', '.join(waiting)}")
             await pause(machine, 0.05 if waiting else 0.0)
-        self.verdict.caught_up = self.stage.world.seconds() - begun
+        self.verdict.caught_up = self.cluster.world.seconds() - begun
 
     # The verdict
 
     def play(self) -> Verdict:
         """The whole day."""
-        for host in list(self.stage.hosts):
-            self.stage.later(self.stage.chance.uniform(0.0, 0.3), self.stage.start, host, True)
+        for host in list(self.cluster.hosts):
+            self.cluster.later(self.cluster.chance.uniform(0.0, 0.3), self.cluster.start, host, True)
         self.machine.start(self._direct(self.machine))
         with heard() as events:
             try:
-                self.stage.run(lambda: self.over, OVER + self.length)
+                self.cluster.run(lambda: self.over, OVER + self.length)
             except (SimulationStalledError, SimulationLivelockError) as error:
                 self.breach(f"{type(error).__name__}: {error}"[:400])
         verdict, record = self.verdict, self.callers.record
@@ -145,7 +145,7 @@
         verdict.reads = sum(op.kind is Kind.READ for op in record.ops)
         confirmed = {(op.number, op.body): op.end for op in reversed(record.ops) if op.kind is Kind.CONFIRMED}
         verdict.refused = sum(
-            op.kind is Kind.CONFLICT and confirmed.get((op.number, op.body), EVER) < op.start
+            op.kind is Kind.CONFLICT and confirmed.get((op.number, op.body), INFINITY) < op.start
             for op in record.ops
         )
         verdict.lists = max((seen.members for seen in record.seen), default=0)
@@ -163,10 +163,10 @@
             *self._lags(record),
             *events[:3],
         ]
-        verdict.trace = self.stage.world.trace.digest()
+        verdict.trace = self.cluster.world.trace.digest()
         return verdict
 
-    def _changes(self, record: Record) -> list[str]:
+    def _changes(self, record: CallHistory) -> list[str]:
         """One change, one value, whoever tells it."""
         values: dict[int, tuple[int, str]] = {}
         for seen in record.seen:
@@ -174,7 +174,7 @@
                 return [f"change {seen.change} told as r{values[seen.change][0]} and as r{seen.number}"]
         return []
 
-    def _ages(self, record: Record) -> list[str]:
+    def _ages(self, record: CallHistory) -> list[str]:
         """A member cannot have asked the others while it stood still or while nothing of it came out."""
         log = self.director.log
         for seen in record.seen:
@@ -189,10 +189,10 @@
                     return [f"{seen.at:.3f} s: {host} says it asked at {asked:.3f}, and was cut off then"]
         return []
 
-    def _lags(self, record: Record) -> list[str]:
+    def _lags(self, record: CallHistory) -> list[str]:
         """Who says that it asked a majority then knows what was confirmed well before."""
         confirmed = sorted((op.end, op.number) for op in record.ops if op.kind is Kind.CONFIRMED)
-        newest, at = NONE, 0
+        newest, at = NO_NUMBER, 0
         for asked, seen in sorted(
             ((seen.at - seen.age / 1e3 - LAG, seen) for seen in record.seen if seen.age >= 0),
             key=lambda pair: pair[0],
@@ -232,6 +232,8 @@
         log.propagate = usual
 
 
-def day_of(seed: int, make: MAKE = StoreReplica) -> CoreDay:
+def simulation_for_seed(seed: int, make: MAKE = StoreReplica) -> ClusterSimulation:
     """The day of a seed: 3, 4 or 5 members, two or eight operators, in one of twenty hundreds of changes."""
-    return CoreDay(3 + seed % 3, seed, make, operators=8 if seed % 4 == 0 else 2, burst=seed % 20 == 7)
+    return ClusterSimulation(
+        3 + seed % 3, seed, make, operators=8 if seed % 4 == 0 else 2, burst=seed % 20 == 7
+    )
--- a/irisdeal/simulation/machine.py
+++ b/irisdeal/simulation/machine.py
@@ -21,7 +21,7 @@
 ProtocolFactory = Callable[[], Any]
 
 # µs that an operation on the disk takes, unless a simulation sets another time.
-DISK_TIME = 2_000
+DISK_TIME_US = 2_000
 # Descriptors of a process, unless a simulation sets a lower limit.
 MAX_FILES = 1_000_000
 # The last of the standard streams.
@@ -83,7 +83,7 @@
         self.net, self.max_files = net, files
         self.files: dict[int, object] = {}  # descriptors
         self._last_file = STDERR
-        self.disk_time = DISK_TIME
+        self.disk_time_us = DISK_TIME_US
         self.died_at: int | None = None  # µs
         self.exit_code: int | None = None  # 0 and above: its own; below 0: of the signal that ended it
         self.on_exit: Callable[[], None] = lambda: None
@@ -179,7 +179,7 @@
             except Exception as error:  # for whoever awaits the future, whatever it is
                 done.set_exception(error)
 
-        self.world.at(self.world.now + self.disk_time, f"disk of {self.name}", _act)
+        self.world.at(self.world.now + self.disk_time_us, f"disk of {self.name}", _act)
         return done
 
     def add_reader(self, fd: WatchedSocket, callback: Callable[..., object], *args: object) -> None:
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -14,7 +14,7 @@
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import ServerState
 from irisdeal.front_door.server.program import Program
-from irisdeal.simulation.search.front_door_day import VirtualDoors
+from irisdeal.simulation.search.front_door_day import SimulatedFrontDoors
 
 if TYPE_CHECKING:
     from irisdeal.simulation.world import World
@@ -76,10 +76,10 @@
     def __init__(self) -> None:
         self.states: set[State] = set()
 
-    def watch(self, world: World, doors: VirtualDoors) -> None:
+    def watch(self, world: World, doors: SimulatedFrontDoors) -> None:
         world.at(world.now + EVERY, "a look", self._look, world, doors)
 
-    def _look(self, world: World, doors: VirtualDoors) -> None:
+    def _look(self, world: World, doors: SimulatedFrontDoors) -> None:
         self.states.update(state_of(program) for program in doors.programs)
         self.watch(world, doors)
 
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -24,7 +24,7 @@
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import ListeningSocket, NetworkLink, Socket
 from irisdeal.simulation.trace import EventTrace
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 from irisdeal.testbed.audit import Verdict, audit
 from irisdeal.testbed.digest_text import digest_text
 from irisdeal.testbed.fault_proxy import Condition
@@ -46,7 +46,7 @@
 MakeDecider = Callable[[Settings, int], Decider]
 
 
-class VirtualHost(Host):
+class SimulatedHost(Host):
     """What a door asks of its machine, in memory."""
 
     def __init__(self, machine: Machine, net: Network, config: Callable[[], Config]) -> None:
@@ -68,7 +68,7 @@
         """No real memory is to be settled."""
 
 
-class VirtualLinks:
+class SimulatedLinks:
     """Named ways with faults, as `irisdeal.testbed.fault_proxy.Relay` on sockets."""
 
     def __init__(self, net: Network, now: Callable[[], int], holds: list[LinkFault]) -> None:
@@ -128,7 +128,7 @@
     turn: int = 0  # of kills and restarts: the last one alone brings it back
 
 
-class VirtualDoors:
+class SimulatedFrontDoors:
     """The doors' processes, and what the timeline does to them."""
 
     def __init__(
@@ -139,11 +139,11 @@
         costs: Costs,
         cores: int,
         make: MakeDecider,
-        spoil: Callable[[Program], None],
+        modify_program: Callable[[Program], None],
     ) -> None:
         """`cores` that the doors share; 0: one each."""
         self.platform, self.world, self.net, self.costs = platform, world, net, costs
-        self.make, self.spoil = make, spoil
+        self.make, self.modify_program = make, modify_program
         self.random = stream(platform.day.seed, "doors")
         shared = [Core() for _ in range(cores)]
         self.doors = [
@@ -201,9 +201,9 @@
         door.life.ready = self.platform.now()
 
     async def _run(self, door: _Door, machine: Machine, config: Config) -> int:
-        host = VirtualHost(machine, self.net, lambda: parse(door.config))
+        host = SimulatedHost(machine, self.net, lambda: parse(door.config))
         program = door.program = Program(config, machine, self.make(config.settings, config.seed), host)
-        self.spoil(program)
+        self.modify_program(program)
         self.started(program)
         await program.run()
         return 0
@@ -317,11 +317,11 @@
 
 
 @dataclass
-class Played:
+class DayResult:
     """What one day in virtual time showed."""
 
     day: Day
-    books: RequestLog
+    request_log: RequestLog
     verdict: Verdict
     service: Service
     start: int  # µs, as the books count
@@ -329,37 +329,37 @@
     seconds: float  # that the world lasted
     crashes: list[str]
     errors: list[str]  # of machines: what nobody caught
-    left: list[str]  # what was still there once all had been answered
-    keeper_calls: int
+    leftovers: list[str]  # what was still there once all had been answered
+    counter_calls: int
     cpu: int  # µs of all doors
-    latest: int = 0  # µs, the most that a door's timer was late
+    max_timer_delay_us: int = 0  # µs, the most that a door's timer was late
 
     @property
-    def kept(self) -> bool:
-        return self.verdict.kept and not (self.crashes or self.errors or self.left)
+    def passed(self) -> bool:
+        return self.verdict.kept and not (self.crashes or self.errors or self.leftovers)
 
     def broken(self) -> list[str]:
         """The names of all that went wrong: rules first."""
         names = dict.fromkeys(breach.rule.name.lower() for breach in self.verdict.breaches)
-        for name, found in (("crash", self.crashes), ("error", self.errors), ("left", self.left)):
+        for name, found in (("crash", self.crashes), ("error", self.errors), ("left", self.leftovers)):
             if found:
                 names[name] = None
         return list(names)
 
     def digest(self) -> str:
         """Of all books, by the byte, and of every step of the world."""
-        books = self.books
+        request_log = self.request_log
         text = digest_text(
             (
-                books.attempts,
-                books.client_attempts,
-                books.endpoint_notices,
-                books.incarnations,
-                books.fallen,
-                books.front_doors,
-                books.link_faults,
-                books.faults,
-                books.misbehaving_clients,
+                request_log.attempts,
+                request_log.client_attempts,
+                request_log.endpoint_notices,
+                request_log.incarnations,
+                request_log.fallen,
+                request_log.front_doors,
+                request_log.link_faults,
+                request_log.faults,
+                request_log.misbehaving_clients,
             )
         )
         return f"{hashlib.blake2b(text.encode(), digest_size=8).hexdigest()}-{self.trace.digest()}"
@@ -368,20 +368,20 @@
 def play(
     day: Day,
     make: MakeDecider = Gateway,
-    spoil: Callable[[Program], None] = lambda _: None,
+    modify_program: Callable[[Program], None] = lambda _: None,
     costs: Costs = DOOR_COSTS,
     cores: int = 0,
-    keep: int | None = None,
-    during: Callable[[Platform, VirtualDoors, LoadGenerator], None] = lambda *_: None,
+    recorded_block: int | None = None,
+    during: Callable[[Platform, SimulatedFrontDoors, LoadGenerator], None] = lambda *_: None,
     way: NetworkLink | None = None,
-) -> Played:
+) -> DayResult:
     """Play a day to its end.
 
     `spoil` may break each door before it starts; `cores` that the doors share (0: one each); `keep` a block
     of the trace as text; `way` what lies between any two. Raises `SimulationError` where the world does
     not come to its end.
     """
-    world = World(day.seed, keep)
+    world = World(day.seed, recorded_block)
     net = Network(world, way)
     machine = Machine(world, net, "stand-ins", Core(), Costs())
 
@@ -389,10 +389,10 @@
         return EPOCH + machine.instant()
 
     holds: list[LinkFault] = []
-    platform = Platform(day, now, links=VirtualLinks(net, now, holds))
+    platform = Platform(day, now, links=SimulatedLinks(net, now, holds))
     platform.request_log.link_faults = holds
     platform.monitors_lag = False
-    doors = VirtualDoors(platform, world, net, costs, cores, make, spoil)
+    doors = SimulatedFrontDoors(platform, world, net, costs, cores, make, modify_program)
     found: dict[str, Any] = {}
     over: list[int] = []
 
@@ -409,7 +409,7 @@
             await asyncio.wait(platform.tasks)
         # What is still out where the client has its answer, or has left, ends by its deadline at the latest.
         await asyncio.sleep(max(c.deadline_ms for c in day.scenario.classes) / 1000 + SETTLE)
-        found["left"] = leftovers(doors)
+        found["left"] = find_leftovers(doors)
         found["latest"] = max(
             (d.machine.max_timer_delay for d in doors.doors if d.machine is not None), default=0
         )
@@ -422,15 +422,15 @@
     machine.start(run())
     machine.on_exit = lambda: over.append(1)
     try:
-        world.run(lambda: bool(over), START + round((day.scenario.seconds + LONGEST) * 1e6))
+        world.run(lambda: bool(over), START_US + round((day.scenario.seconds + LONGEST) * 1e6))
     finally:
         doors.kill_all()
-    books = platform.request_log
-    return Played(
+    request_log = platform.request_log
+    return DayResult(
         day,
-        books,
-        audit(books, platform.figures),
-        reckon(books, day.scenario, found.get("start", EPOCH)),
+        request_log,
+        audit(request_log, platform.figures),
+        reckon(request_log, day.scenario, found.get("start", EPOCH)),
         found.get("start", EPOCH),
         world.trace,
         world.seconds(),
@@ -448,7 +448,7 @@
     return sock.is_readable()
 
 
-def leftovers(doors: VirtualDoors) -> list[str]:
+def find_leftovers(doors: SimulatedFrontDoors) -> list[str]:
     """What doors still hold, with every client answered: each line is something that would pile up."""
     found = []
     for door in doors.doors:
--- a/irisdeal/simulation/search/judge.py
+++ b/irisdeal/simulation/search/judge.py
@@ -15,7 +15,7 @@
 
 from irisdeal.simulation.errors import SimulationLivelockError, SimulationStalledError
 from irisdeal.simulation.search.coverage import Probe
-from irisdeal.simulation.search.front_door_day import Played, VirtualDoors, play
+from irisdeal.simulation.search.front_door_day import DayResult, SimulatedFrontDoors, play
 from irisdeal.simulation.search.planted_bugs import planted
 from irisdeal.simulation.search.schedule import QUIET, Moment, Table, scenario, without_faults
 from irisdeal.testbed.workload import draw
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Judged:
+class Judgement:
     """What came of one schedule. Plain values, since it crosses processes."""
 
     table: Table
@@ -42,19 +42,19 @@
     moments: list[Moment] = field(default_factory=list)
     asks: int = 0
     share: float = 1.0  # of the worth inside the quotas
-    virtual: float = 0.0  # s
-    real: float = 0.0  # s
+    virtual_s: float = 0.0  # s
+    real_s: float = 0.0  # s
 
 
-def judge(table: Table, bug: str = "", look: bool = True) -> Judged:
+def judge(table: Table, bug: str = "", look: bool = True) -> Judgement:
     """Play a schedule and say what broke. `bug` is planted for it; `look` for states.
 
     Raises `ScenarioError` where the schedule is none.
     """
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # doors in trouble have much to say
-    made, begun, probe = Judged(table), time.perf_counter(), Probe()
+    made, begun, probe = Judgement(table), time.perf_counter(), Probe()
 
-    def during(_: object, doors: VirtualDoors, __: object) -> None:
+    def during(_: object, doors: SimulatedFrontDoors, __: object) -> None:
         if look:
             probe.watch(doors.world, doors)
 
@@ -64,7 +64,7 @@
             played = play(day, during=during)
         except (SimulationStalledError, SimulationLivelockError) as error:
             made.broken, made.texts = [type(error).__name__.lower()], [str(error)]
-            made.real = time.perf_counter() - begun
+            made.real_s = time.perf_counter() - begun
             return made
         made.broken, made.texts = played.broken(), _texts(played)
         if not made.broken and table.get("at") and (missed := _not_back(table, played)):
@@ -72,35 +72,35 @@
     made.digest, made.asks, made.share = played.digest(), len(day.arrivals), played.service.total.share
     made.states, made.pairs = probe.numbers(), probe.pairs()
     made.moments = moments(played)
-    made.virtual, made.real = played.seconds, time.perf_counter() - begun
+    made.virtual_s, made.real_s = played.seconds, time.perf_counter() - begun
     return made
 
 
-def _texts(played: Played) -> list[str]:
+def _texts(played: DayResult) -> list[str]:
     found = [breach.text(played.start) for breach in played.verdict.breaches[:MOST_TEXTS]]
-    return found + (played.crashes + played.errors + played.left)[:MOST_TEXTS]
+    return found + (played.crashes + played.errors + played.leftovers)[:MOST_TEXTS]
 
 
-def _inside(played: Played, since: float) -> tuple[float, float]:
+def _inside(played: DayResult, since: float) -> tuple[float, float]:
     """Worth inside the quotas asked in whole seconds from `since` (s) on, and what was served of it."""
     seconds = [share for n, share in played.service.seconds.items() if n >= since]
     return sum(s.offered for s in seconds), sum(s.served for s in seconds)
 
 
-def _not_back(table: Table, played: Played) -> str:
+def _not_back(table: Table, played: DayResult) -> str:
     """Where the service is not back in time, in words.
 
     Told only where the fleet is whole again: a box that started in the day is cold to its end, one that
     drained is gone, and a door that was away takes its stores with it until the front notices.
     """
-    books, faults = played.books, played.day.scenario.faults
+    request_log, faults = played.request_log, played.day.scenario.faults
     ended = max(f.at_s + f.for_s for f in faults)
     last = played.start + round(ended * 1e6)
-    if any(life.at > played.start for life in books.incarnations) or any(
-        t.phase != "Ready" for t in books.endpoint_notices
+    if any(life.at > played.start for life in request_log.incarnations) or any(
+        t.phase != "Ready" for t in request_log.endpoint_notices
     ):
         return ""
-    if any(life.ready > last or not life.ready for life in books.front_doors):
+    if any(life.ready > last or not life.ready for life in request_log.front_doors):
         return ""
     since = math.ceil(max(ended, played.day.scenario.seconds - QUIET) + BACK_WITHIN)
     offered, served = _inside(played, since)
@@ -117,16 +117,16 @@
     )
 
 
-def moments(played: Played) -> list[Moment]:
+def moments(played: DayResult) -> list[Moment]:
     """Moments of this day at which a fault would matter, spread over it; times in s from its start."""
-    start, books = played.start, played.books
-    answers = {taken.trace: taken.answers[0].at for taken in books.client_attempts if taken.answers}
+    start, request_log = played.start, played.request_log
+    answers = {taken.trace: taken.answers[0].at for taken in request_log.client_attempts if taken.answers}
     found: list[Moment] = []
 
     def add(what: str, at: int, door: int = 0, hall: str = "") -> None:
         found.append(Moment(what, round((at - start) / 1e6, 6), door, hall))
 
-    for attempt in books.attempts[::7]:
+    for attempt in request_log.attempts[::7]:
         if (answered := answers.get(attempt.trace)) and attempt.ended < answered:
             add(
                 "between a box's answer and the client's",
@@ -135,13 +135,13 @@
                 attempt.zone,
             )
         add("as a box takes a request", attempt.last_byte + 1, attempt.front_door, attempt.zone)
-    for taken in books.client_attempts[::11]:
+    for taken in request_log.client_attempts[::11]:
         if taken.at:
             add("between a call to the keeper and its answer", taken.at + 900, taken.front_door)
-    for told in books.endpoint_notices:
+    for told in request_log.endpoint_notices:
         if told.at > start and told.phase != "Ready":
             add("at a drain's notice", told.at + 300, told.front_door)
-    for life in books.front_doors:
+    for life in request_log.front_doors:
         if life.terminated:
             add("at SIGTERM", life.terminated + 200, life.front_door)
             add("as a door stops to accept", life.terminated + 500_000, life.front_door)
@@ -151,4 +151,4 @@
     return found[::step][:MOST_MOMENTS]
 
 
-Play = Callable[[Table], Judged]
+Play = Callable[[Table], Judgement]
--- a/irisdeal/simulation/search/schedule.py
+++ b/irisdeal/simulation/search/schedule.py
@@ -19,9 +19,12 @@
 Table = dict[str, Any]
 
 BASE = "small"
-SECONDS = 7.0  # of a day that is drawn
-FIRST, LAST = 0.5, 3.6  # s: when faults begin at the earliest, and have ended at the latest
-QUIET = SECONDS - LAST  # s at the end in which the day is to be itself again
+DURATION_S = 7.0  # of a day that is drawn
+FIRST_FAULT_S, LAST_FAULT_END_S = (
+    0.5,
+    3.6,
+)  # s: when faults begin at the earliest, and have ended at the latest
+QUIET = DURATION_S - LAST_FAULT_END_S  # s at the end in which the day is to be itself again
 MOST_FAULTS = 6
 PAIR_NEAR = 0.5  # s within which the second fault of a pair begins after the first
 # Faults that a small day plays; the rest want more doors or machines than it has, or cost too much.
@@ -47,12 +50,14 @@
 def fault(kind: str, rng: random.Random, at: float | None = None, doors: int = 3, boxes: int = 6) -> Table:
     """One fault with all that its kind needs. `at` in s."""
     needs = FAULTS[kind]
-    at = rng.uniform(FIRST, LAST - 0.3) if at is None else min(at, LAST - 0.05)
+    at = (
+        rng.uniform(FIRST_FAULT_S, LAST_FAULT_END_S - 0.3) if at is None else min(at, LAST_FAULT_END_S - 0.05)
+    )
     made: Table = {"at_s": round(at, 6), "do": kind}
     for need in needs:
         if need == "for_s":
             # Half are over soon, so that what is set off by the end of a fault is met as well.
-            longest = max(0.05, LAST - at)
+            longest = max(0.05, LAST_FAULT_END_S - at)
             made[need] = round(min(longest, rng.choice((rng.uniform(0.05, 0.5), rng.uniform(0.3, 3.0)))), 3)
         elif need == "boxes":
             made[need] = rng.randint(1, max(1, boxes // 2))
@@ -69,7 +74,7 @@
     return made
 
 
-def drawn(number: int, rng: random.Random, pairs: bool = True, only: Sequence[str] = ()) -> Table:
+def draw_schedule(number: int, rng: random.Random, pairs: bool = True, only: Sequence[str] = ()) -> Table:
     """A day of the search. With `pairs` day n has the n-th pair of faults, one begun amid the other.
 
     `only` names the faults to draw from, all of `KINDS` where it is empty.
@@ -89,7 +94,7 @@
     return {
         "base": BASE,
         "seed": rng.getrandbits(31),
-        "seconds": SECONDS,
+        "seconds": DURATION_S,
         "doors": doors,
         "fleet": {"boxes": boxes, "cross_ms": rng.choice((0.2, 0.6, 5.0))},
         "load": {
@@ -113,13 +118,13 @@
     hall: str = ""
 
 
-def aimed(table: Table, moments: Sequence[Moment], rng: random.Random) -> Table | None:
+def add_aimed_fault(table: Table, moments: Sequence[Moment], rng: random.Random) -> Table | None:
     """The same day with a fault more, at one of these moments to the µs; None where there is none.
 
     A world in virtual time comes to that moment as it did before, since nothing before it has changed: no
     draw of it is moved by a fault that has yet to come (`Platform.random` is drawn from when one begins).
     """
-    able = [m for m in moments if FIRST <= m.at <= LAST - 0.1]
+    able = [m for m in moments if FIRST_FAULT_S <= m.at <= LAST_FAULT_END_S - 0.1]
     if not able:
         return None
     moment = rng.choice(able)
@@ -150,7 +155,7 @@
     return {**table, "at": sorted((dict(f) for f in faults), key=lambda f: f["at_s"])}
 
 
-def mutated(table: Table, rng: random.Random) -> Table:
+def mutate(table: Table, rng: random.Random) -> Table:
     """A day a little different from one that is worth it."""
     faults = [dict(f) for f in table.get("at", [])]
     doors = int(table.get("doors", 3))
@@ -159,7 +164,9 @@
     def move() -> None:
         if faults:
             f = rng.choice(faults)
-            f["at_s"] = round(min(LAST - 0.05, max(FIRST, f["at_s"] + rng.gauss(0.0, 0.15))), 6)
+            f["at_s"] = round(
+                min(LAST_FAULT_END_S - 0.05, max(FIRST_FAULT_S, f["at_s"] + rng.gauss(0.0, 0.15))), 6
+            )
 
     def add() -> None:
         if len(faults) < MOST_FAULTS:
@@ -173,13 +180,17 @@
     def again() -> None:
         if faults and len(faults) < MOST_FAULTS:
             f = dict(rng.choice(faults))
-            f["at_s"] = round(min(LAST - 0.05, f["at_s"] + f.get("for_s", 0.2) + rng.uniform(0.0, 0.4)), 6)
+            f["at_s"] = round(
+                min(LAST_FAULT_END_S - 0.05, f["at_s"] + f.get("for_s", 0.2) + rng.uniform(0.0, 0.4)), 6
+            )
             faults.append(f)
 
     def stretch() -> None:
         for f in faults:
             if "for_s" in f and rng.random() < 0.5:
-                f["for_s"] = round(max(0.02, min(LAST - f["at_s"], f["for_s"] * rng.uniform(0.3, 2.5))), 3)
+                f["for_s"] = round(
+                    max(0.02, min(LAST_FAULT_END_S - f["at_s"], f["for_s"] * rng.uniform(0.3, 2.5))), 3
+                )
 
     changes: list[Callable[[], None]] = [move, move, add, add, drop, again, stretch]
     for _ in range(rng.randint(1, 3)):
@@ -189,7 +200,7 @@
         made["seed"] = rng.getrandbits(31)
     for f in made["at"]:  # whatever was moved still ends in time
         if "for_s" in f:
-            f["for_s"] = round(max(0.02, min(f["for_s"], LAST - f["at_s"])), 3)
+            f["for_s"] = round(max(0.02, min(f["for_s"], LAST_FAULT_END_S - f["at_s"])), 3)
     return made
 
 
--- a/irisdeal/simulation/search/schedule_files.py
+++ b/irisdeal/simulation/search/schedule_files.py
@@ -10,7 +10,7 @@
 from irisdeal.simulation.search.schedule import Table
 
 
-def as_toml(table: Table, broken: Sequence[str], texts: Sequence[str]) -> str:
+def to_toml(table: Table, broken: Sequence[str], texts: Sequence[str]) -> str:
     """The file's text: what broke as a comment, then the schedule."""
     lines = [f"# Breaks: {', '.join(broken)}" if broken else "# Breaks nothing."]
     lines += [f"#   {' '.join(text.split())[:200]}" for text in texts[:3]]
@@ -23,5 +23,5 @@
     number = 1
     while (path := folder / f"{name}-{number}.toml").exists():
         number += 1
-    path.write_text(as_toml(table, broken, texts), "utf-8")
+    path.write_text(to_toml(table, broken, texts), "utf-8")
     return path
--- a/irisdeal/simulation/search/search.py
+++ b/irisdeal/simulation/search/search.py
@@ -18,15 +18,25 @@
 from pathlib import Path
 from typing import Any
 
-from irisdeal.simulation.search.judge import Judged, judge
-from irisdeal.simulation.search.schedule import PAIRS, Moment, Table, aimed, drawn, mutated, pairs_of
-
-GENERATION = 64  # schedules made at once: enough for each core, few enough that what is learnt is used soon
-MOST_KEPT = 400  # schedules in the corpus; past it the ones that brought least go
-MOST_FOUND = 40  # schedules kept of those that break something; more of the same tell nothing new
-SAME = 3  # of them for one name
+from irisdeal.simulation.search.judge import Judgement, judge
+from irisdeal.simulation.search.schedule import (
+    PAIRS,
+    Moment,
+    Table,
+    add_aimed_fault,
+    draw_schedule,
+    mutate,
+    pairs_of,
+)
+
+GENERATION_SIZE = (
+    64  # schedules made at once: enough for each core, few enough that what is learnt is used soon
+)
+MAX_CORPUS_SIZE = 400  # schedules in the corpus; past it the ones that brought least go
+MAX_FINDINGS = 40  # schedules kept of those that break something; more of the same tell nothing new
+MAX_FINDINGS_PER_FAILURE = 3  # of them for one name
 DRAWN, AIMED = 0.45, 0.25  # shares of a generation; the rest is changed from the corpus
-STATE = "search.json"
+STATE_FILE = "search.json"
 
 
 class SearchError(Exception):
@@ -34,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class CorpusEntry:
     """A schedule of the corpus: what it brought, and its moments."""
 
     table: Table
@@ -43,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class Finding:
     """A schedule that breaks something."""
 
     broken: list[str]
@@ -61,53 +71,53 @@
     only: tuple[str, ...] = ()
     generation: int = 0
     days: int = 0
-    breaking: int = 0  # days that broke something
-    virtual: float = 0.0  # s
-    real: float = 0.0  # s of CPU of the judges
-    corpus: list[Kept] = field(default_factory=list)
-    seen: set[int] = field(default_factory=set)  # pairs of values
+    failing_days: int = 0  # days that broke something
+    virtual_s: float = 0.0  # s
+    real_s: float = 0.0  # s of CPU of the judges
+    corpus: list[CorpusEntry] = field(default_factory=list)
+    seen_pairs: set[int] = field(default_factory=set)  # pairs of values
     states: set[int] = field(default_factory=set)
-    pairs: set[tuple[str, str]] = field(default_factory=set)  # of faults
-    found: list[Found] = field(default_factory=list)
+    fault_pairs: set[tuple[str, str]] = field(default_factory=set)  # of faults
+    findings: list[Finding] = field(default_factory=list)
 
     def schedules(self) -> list[Table]:
         """The next generation."""
         rng = random.Random(f"{self.seed}:{self.generation}")
         made = []
-        for n in range(GENERATION):
-            number = self.generation * GENERATION + n
+        for n in range(GENERATION_SIZE):
+            number = self.generation * GENERATION_SIZE + n
             table, chance = None, rng.random()
             if self.guided and self.corpus and chance >= DRAWN:
                 kept = rng.choices(self.corpus, [1 + k.brought for k in self.corpus])[0]
                 if chance < DRAWN + AIMED:
-                    table = aimed(kept.table, kept.moments, rng)
-                table = table or mutated(kept.table, rng)
+                    table = add_aimed_fault(kept.table, kept.moments, rng)
+                table = table or mutate(kept.table, rng)
                 if self.only:
                     table["at"] = [f for f in table["at"] if f["do"] in self.only]
-            made.append(table or drawn(number, rng, pairs=self.guided, only=self.only))
+            made.append(table or draw_schedule(number, rng, pairs=self.guided, only=self.only))
         return made
 
-    def learn(self, judged: Iterable[Judged]) -> list[Found]:
+    def record_results(self, judged: Iterable[Judgement]) -> list[Finding]:
         """Take in a whole generation, in the order of its schedules; what was found anew."""
         new = []
         for one in judged:
             self.days += 1
-            self.virtual += one.virtual
-            self.real += one.real
+            self.virtual_s += one.virtual_s
+            self.real_s += one.real_s
             self.states |= one.states
-            self.pairs |= pairs_of(one.table)
-            fresh = one.pairs - self.seen
-            self.seen |= one.pairs
+            self.fault_pairs |= pairs_of(one.table)
+            fresh = one.pairs - self.seen_pairs
+            self.seen_pairs |= one.pairs
             if one.broken:
-                self.breaking += 1
-                alike = sum(f.broken[0] == one.broken[0] for f in self.found)
-                if alike < SAME and len(self.found) < MOST_FOUND:
-                    self.found.append(found := Found(one.broken, one.texts, one.table, self.days))
+                self.failing_days += 1
+                alike = sum(f.broken[0] == one.broken[0] for f in self.findings)
+                if alike < MAX_FINDINGS_PER_FAILURE and len(self.findings) < MAX_FINDINGS:
+                    self.findings.append(found := Finding(one.broken, one.texts, one.table, self.days))
                     new.append(found)
             elif fresh and self.guided:
-                self.corpus.append(Kept(one.table, len(fresh), one.moments))
-        if len(self.corpus) > MOST_KEPT:
-            self.corpus = sorted(self.corpus, key=lambda k: -k.brought)[:MOST_KEPT]
+                self.corpus.append(CorpusEntry(one.table, len(fresh), one.moments))
+        if len(self.corpus) > MAX_CORPUS_SIZE:
+            self.corpus = sorted(self.corpus, key=lambda k: -k.brought)[:MAX_CORPUS_SIZE]
         self.generation += 1
         return new
 
@@ -121,9 +131,9 @@
             "only": list(self.only),
             "generation": self.generation,
             "days": self.days,
-            "breaking": self.breaking,
-            "virtual": self.virtual,
-            "real": self.real,
+            "breaking": self.failing_days,
+            "virtual": self.virtual_s,
+            "real": self.real_s,
             "corpus": [
                 {
                     "table": k.table,
@@ -132,26 +142,26 @@
                 }
                 for k in self.corpus
             ],
-            "seen": sorted(self.seen),
+            "seen": sorted(self.seen_pairs),
             "states": sorted(self.states),
-            "pairs": sorted(self.pairs),
+            "pairs": sorted(self.fault_pairs),
             "found": [
-                {"broken": f.broken, "texts": f.texts, "table": f.table, "day": f.day} for f in self.found
+                {"broken": f.broken, "texts": f.texts, "table": f.table, "day": f.day} for f in self.findings
             ],
         }
-        new = folder / f"{STATE}.new"
+        new = folder / f"{STATE_FILE}.new"
         new.write_text(json.dumps(told), "utf-8")
-        new.replace(folder / STATE)
+        new.replace(folder / STATE_FILE)
 
     @classmethod
     def load(cls, folder: Path) -> Search | None:
         """The search that was cut off here; None where there is none. Raises `SearchError`."""
         try:
-            told = json.loads((folder / STATE).read_text("utf-8"))
+            told = json.loads((folder / STATE_FILE).read_text("utf-8"))
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            raise SearchError(f"{folder / STATE}: {error}") from None
+            raise SearchError(f"{folder / STATE_FILE}: {error}") from None
         try:
             return cls(
                 told["seed"],
@@ -162,24 +172,29 @@
                 told["breaking"],
                 told["virtual"],
                 told["real"],
-                [Kept(k["table"], k["brought"], [Moment(*m) for m in k["moments"]]) for k in told["corpus"]],
+                [
+                    CorpusEntry(k["table"], k["brought"], [Moment(*m) for m in k["moments"]])
+                    for k in told["corpus"]
+                ],
                 set(told["seen"]),
                 set(told["states"]),
                 {(one, other) for one, other in told["pairs"]},
-                [Found(f["broken"], f["texts"], f["table"], f["day"]) for f in told["found"]],
+                [Finding(f["broken"], f["texts"], f["table"], f["day"]) for f in told["found"]],
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise SearchError(f"{folder / STATE}: not a search of ours: {error!r}") from None
+            raise SearchError(f"{folder / STATE_FILE}: not a search of ours: {error!r}") from None
 
-    def covered(self) -> str:
-        return f"{len(self.pairs & set(PAIRS))} of {len(PAIRS)} pairs of faults"
+    def coverage_summary(self) -> str:
+        return f"{len(self.fault_pairs & set(PAIRS))} of {len(PAIRS)} pairs of faults"
 
 
-Judge = Callable[[Table], Judged]
+Judge = Callable[[Table], Judgement]
 
 
 @contextmanager
-def judges(jobs: int, bug: str = "") -> Iterator[Callable[[Sequence[Table]], Iterator[tuple[int, Judged]]]]:
+def judge_pool(
+    jobs: int, bug: str = ""
+) -> Iterator[Callable[[Sequence[Table]], Iterator[tuple[int, Judgement]]]]:
     """A way to judge many schedules in so many processes: yields each with its number, as it is done."""
     one = partial(judge, bug=bug)
     if jobs == 1:
@@ -187,7 +202,7 @@
         return
     with ProcessPoolExecutor(jobs, mp_context=get_context("forkserver"), initializer=_quiet) as pool:
 
-        def all_of(tables: Sequence[Table]) -> Iterator[tuple[int, Judged]]:
+        def all_of(tables: Sequence[Table]) -> Iterator[tuple[int, Judgement]]:
             waiting = {pool.submit(one, table): n for n, table in enumerate(tables)}
             for future in as_completed(waiting):
                 yield waiting[future], future.result()
@@ -212,18 +227,18 @@
     more: Callable[[Search], bool],
     bug: str = "",
     told: Callable[[Search, int], None] = lambda *_: None,
-    found: Callable[[Found], Any] = lambda _: None,
+    found: Callable[[Finding], Any] = lambda _: None,
     folder: Path | None = None,
 ) -> None:
     """Search on while `more` says so, asked after each generation; `told` hears how far each has come."""
-    with judges(jobs, bug) as judge_all:
+    with judge_pool(jobs, bug) as judge_all:
         while more(search):
             tables = search.schedules()
-            done: dict[int, Judged] = {}
+            done: dict[int, Judgement] = {}
             for number, judged in judge_all(tables):
                 done[number] = judged
                 told(search, len(done))
-            for new in search.learn(done[n] for n in range(len(tables))):
+            for new in search.record_results(done[n] for n in range(len(tables))):
                 found(new)
             if folder is not None:
                 search.save(folder)
--- a/irisdeal/simulation/search/shrink.py
+++ b/irisdeal/simulation/search/shrink.py
@@ -22,9 +22,9 @@
     """`breaks` says whether a schedule still breaks the same thing."""
 
     breaks: Breaks
-    most: int = MOST_PLAYS
+    max_plays: int = MOST_PLAYS
     plays: int = 0
-    told: Callable[[str], None] = lambda _: None
+    on_progress: Callable[[str], None] = lambda _: None
     _seen: dict[str, bool] = field(default_factory=dict)
 
     def shrink(self, table: Table) -> Table:
@@ -42,12 +42,12 @@
     def _try(self, table: Table) -> bool:
         key = repr(table)
         if key not in self._seen:
-            if self.plays >= self.most:
+            if self.plays >= self.max_plays:
                 return False
             self.plays += 1
             self._seen[key] = self.breaks(table)
             if self._seen[key]:
-                self.told(
+                self.on_progress(
                     f"{len(table.get('at', []))} faults, {table.get('seconds')} s, {table.get('doors')} doors"
                 )
         return self._seen[key]
@@ -116,10 +116,10 @@
     if use > 0.02:
         yield {**table, "load": {**load, "use": round(use / 2, 4)}}
     for section in ("keeper", "load", "fleet"):
-        told = table.get(section, {})
-        for key in list(told):
+        values = table.get(section, {})
+        for key in list(values):
             if key not in ("use", "boxes"):
-                yield {**table, section: {k: v for k, v in told.items() if k != key}}
+                yield {**table, section: {k: v for k, v in values.items() if k != key}}
 
 
 def _times(table: Table) -> Iterator[Table]:
--- a/irisdeal/simulation/search/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -2,47 +2,47 @@
 
 from __future__ import annotations
 
-from irisdeal.simulation.search.front_door_day import Played
+from irisdeal.simulation.search.front_door_day import DayResult
 from irisdeal.testbed.request_log import Attempt, ClientAttempt, FrontDoorIncarnation
 
 Line = tuple[int, str]
 
 
-def timeline(played: Played, trace: str = "", box: str = "", door: int | None = None) -> list[str]:
+def timeline(played: DayResult, trace: str = "", box: str = "", door: int | None = None) -> list[str]:
     """Lines with their time in s; empty where what was asked for never came up."""
-    books = played.books
-    lines: list[Line] = [(at, f"fault: {text}") for at, text in books.faults]
-    for life in books.front_doors:
+    request_log = played.request_log
+    lines: list[Line] = [(at, f"fault: {text}") for at, text in request_log.faults]
+    for life in request_log.front_doors:
         if door is None or life.front_door == door:
             lines += _life(life)
     found = False
     if trace:
-        ask = next((t.ask for t in books.client_attempts if t.trace == trace), None)
-        tries = [t for t in books.client_attempts if t.ask == ask and ask is not None]
+        ask = next((t.ask for t in request_log.client_attempts if t.trace == trace), None)
+        tries = [t for t in request_log.client_attempts if t.ask == ask and ask is not None]
         names = {t.trace for t in tries}
         found = bool(tries)
         for taken in tries:
             lines += _taken(taken)
-        lines += [line for a in books.attempts if a.trace in names for line in _attempt(a)]
+        lines += [line for a in request_log.attempts if a.trace in names for line in _attempt(a)]
     if box:
-        mine = [a for a in books.attempts if a.backend == box]
-        told = [t for t in books.endpoint_notices if t.backend == box]
-        found = found or bool(mine or told or any(life.backend == box for life in books.incarnations))
+        mine = [a for a in request_log.attempts if a.backend == box]
+        told = [t for t in request_log.endpoint_notices if t.backend == box]
+        found = found or bool(mine or told or any(life.backend == box for life in request_log.incarnations))
         lines += [line for a in mine for line in _attempt(a)]
         lines += [(t.at, f"door {t.front_door} is told: {box} {t.phase}") for t in told]
         lines += [
             (life.at, f"{box} starts, life {life.incarnation}")
-            for life in books.incarnations
+            for life in request_log.incarnations
             if life.backend == box and life.at
         ]
-        lines += [(at, f"{box} falls over, life {n}") for name, n, at in books.fallen if name == box]
+        lines += [(at, f"{box} falls over, life {n}") for name, n, at in request_log.fallen if name == box]
     if door is not None:
-        found = found or any(life.front_door == door for life in books.front_doors)
-        for taken in (t for t in books.client_attempts if t.front_door == door):
+        found = found or any(life.front_door == door for life in request_log.front_doors)
+        for taken in (t for t in request_log.client_attempts if t.front_door == door):
             lines += _taken(taken)
         lines += [
             (t.at, f"door {door} is told: {t.backend} {t.phase}")
-            for t in books.endpoint_notices
+            for t in request_log.endpoint_notices
             if t.front_door == door
         ]
     if not (trace or box or door is not None):
@@ -55,7 +55,7 @@
         return []
     lines.sort(key=lambda line: line[0])
     return [f"{(at - played.start) / 1e6:>11.6f}  {text}" for at, text in lines] + [
-        f"            {text}" for text in played.crashes + played.errors + played.left
+        f"            {text}" for text in played.crashes + played.errors + played.leftovers
     ]
 
 
--- a/irisdeal/simulation/world.py
+++ b/irisdeal/simulation/world.py
@@ -30,7 +30,7 @@
 # Of these, how many of the last ones an error names.
 NAMED_EVENTS = 16
 # µs of the clock when a world starts: a time of 0 means "never" to many programs.
-START = 1_000_000_000
+START_US = 1_000_000_000
 
 
 class ScheduledEvent:
@@ -52,7 +52,7 @@
 
     def __init__(self, seed: int, recorded_block: int | None = None) -> None:
         """`recorded_block`: the block of the trace whose events are kept as text."""
-        self.now = START
+        self.now = START_US
         self.random = random.Random(seed)
         self.trace = EventTrace(recorded_block)
         self.wait_reporters: list[Callable[[], Iterator[str]]] = []  # each lists the tasks that wait in it
@@ -83,7 +83,7 @@
             if when > until:
                 heapq.heappush(schedule, (when, 0, event))
                 raise SimulationStalledError(
-                    self._waiting_tasks(f"not over after {(until - START) / 1e6:g} s")
+                    self._waiting_tasks(f"not over after {(until - START_US) / 1e6:g} s")
                 )
             self._advance(when, event.what)
             self.trace.record(when, event.what)
@@ -106,7 +106,7 @@
 
     def seconds(self) -> float:
         """Return the virtual s since the start."""
-        return (self.now - START) / 1e6
+        return (self.now - START_US) / 1e6
 
     def _waiting_tasks(self, why: str) -> str:
         lines = [line for report in self.wait_reporters for line in report()]
--- a/tests/config_store/test_knowledge_age.py
+++ b/tests/config_store/test_knowledge_age.py
@@ -23,7 +23,7 @@
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.sockets import NetworkLink
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 from tests.support.core_rig import CutNetwork, zone_of
 
 # Two status rounds that see the value, the wait between them, and a ballot.
@@ -64,7 +64,7 @@
         machine.start(run())
 
     def at(self, seconds: float, action: Callable[[], None]) -> None:
-        self.world.at(START + round(seconds * 1e6), "test", action)
+        self.world.at(START_US + round(seconds * 1e6), "test", action)
 
     def call(self, host: str, method: Callable[[StoreReplica], Any], on_reply: Callable[[Any], None]) -> None:
         async def run() -> None:
@@ -79,7 +79,7 @@
     def play(self, until: float) -> None:
         is_over: list[bool] = []
         self.at(until, lambda: is_over.append(True))
-        self.world.run(lambda: bool(is_over), START + round((until + 1) * 1e6))
+        self.world.run(lambda: bool(is_over), START_US + round((until + 1) * 1e6))
 
 
 VERSION = ConfigVersion.of("r7", b"seven")
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -33,7 +33,7 @@
 from irisdeal.config_store.replica import StoreReplica
 from irisdeal.rpc.client import RpcClient
 from irisdeal.runtime import ports
-from irisdeal.simulation.cluster.cluster import FIRST_PORT, Stage, pause
+from irisdeal.simulation.cluster.cluster import FIRST_PORT, SimulatedCluster, pause
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 
@@ -144,7 +144,7 @@
     """A configuration store and its callers in virtual time."""
 
     def __init__(self, count: int, seed: int, make: Callable[..., StoreReplica] = StoreReplica) -> None:
-        self.cluster, self.running_callers = Stage(count, seed, make), 0
+        self.cluster, self.running_callers = SimulatedCluster(count, seed, make), 0
         self.hosts = list(self.cluster.hosts)
         self.failures: list[AssertionError] = []
         self.links: dict[tuple[str, str], RpcClient] = {}
@@ -283,7 +283,7 @@
     async def script(machine: Machine) -> None:
         host = store.hosts[0]
         assert await store.put_until_answered(machine, store.hosts, version(1)) is PutOutcome.DECIDED
-        store.cluster.cut(host, True)
+        store.cluster.partition(host, True)
         await pause(machine, 3.0)
         started_at = machine.time()
         assert await store.put(machine, host, version(2)) is PutOutcome.UNDECIDED
@@ -293,7 +293,7 @@
         assert (await store.call(machine, host, "watch", [[-1, b"", -1, b"", 0], -1]))[3] == -1
         assert machine.time() - started_at < 0.1
         assert await store.put_until_answered(machine, store.hosts[1:], version(2)) is PutOutcome.DECIDED
-        store.cluster.cut(host, False)
+        store.cluster.partition(host, False)
         started_at = machine.time()
         while await store.call(machine, host, "read", None) != [True, version(2).body]:
             await pause(machine, 0.05)
@@ -309,7 +309,7 @@
     longest_s = [0.0]
 
     async def poll_status(machine: Machine) -> None:
-        store.cluster.machines[store.hosts[0]].disk_time = 1_500_000
+        store.cluster.machines[store.hosts[0]].disk_time_us = 1_500_000
         store.start_caller(put_versions, 0.0)
         for _ in range(60):
             started_at = machine.time()
--- a/tests/config_store/test_store_processes.py
+++ b/tests/config_store/test_store_processes.py
@@ -26,7 +26,7 @@
 
 from irisdeal.config_store.configuration.version import ConfigVersion
 from irisdeal.rpc.client import RpcClient
-from irisdeal.simulation.cluster.linearizability import NONE, Kind, Op, check
+from irisdeal.simulation.cluster.linearizability import NO_NUMBER, Kind, Operation, check
 from tests.support.fault_proxy import FaultProxy
 
 ROOT = Path(__file__).parents[2]
@@ -115,7 +115,7 @@
     """Two operators that put versions under the same numbers, and the history of their operations."""
 
     rng: random.Random
-    ops: list[Op] = field(default_factory=list)
+    ops: list[Operation] = field(default_factory=list)
     number: int = 0
     is_over: bool = False
 
@@ -128,7 +128,7 @@
         outcome = int(result.unwrap()) if isinstance(result, Success) else 0
         kind = (Kind.UNCLEAR, Kind.CONFIRMED, Kind.CONFLICT)[outcome]
         self.ops.append(
-            Op(
+            Operation(
                 kind,
                 version.version_id.number,
                 version.version_id.digest.hex(),
@@ -146,9 +146,11 @@
         if not isinstance(result, Success) or not result.unwrap()[0]:
             return False
         body = result.unwrap()[1]
-        number, digest = (int(body.split()[0][1:]), hashlib.sha256(body).hexdigest()) if body else (NONE, "")
+        number, digest = (
+            (int(body.split()[0][1:]), hashlib.sha256(body).hexdigest()) if body else (NO_NUMBER, "")
+        )
         self.ops.append(
-            Op(Kind.READ, number, digest, started_at, time.monotonic(), f"{operator} at {member}")
+            Operation(Kind.READ, number, digest, started_at, time.monotonic(), f"{operator} at {member}")
         )
         return True
 
@@ -215,7 +217,7 @@
     return spans
 
 
-async def _run_faults(store: Store) -> tuple[list[Op], list[int], list[str]]:
+async def _run_faults(store: Store) -> tuple[list[Operation], list[int], list[str]]:
     """Return the history, the members that do not reply to a final read, and the losses without a confirmed
     put.
     """
--- a/tests/features/steps/core_steps.py
+++ b/tests/features/steps/core_steps.py
@@ -6,8 +6,8 @@
 
 from behave import given, then, when
 
-from irisdeal.simulation.cluster.probes import duels, race, replace_body, replace_members
-from irisdeal.simulation.cluster.store_day import CoreDay, day_of
+from irisdeal.simulation.cluster.probes import dueling_proposers, race, replace_body, replace_members
+from irisdeal.simulation.cluster.store_day import ClusterSimulation, simulation_for_seed
 from tests.support.planted_store_bugs import planted
 
 SHORT_DAY_S = 4.0  # duration of the faults in a day with a planted bug
@@ -20,7 +20,7 @@
 
 @when("the simulated days of seeds {first:d} to {last:d} run")
 def _(context: Any, first: int, last: int) -> None:
-    context.verdicts = [day_of(seed).play() for seed in range(first, last + 1)]
+    context.verdicts = [simulation_for_seed(seed).play() for seed in range(first, last + 1)]
 
 
 @then("no violation is found, and {percent:d} percent of the puts were acknowledged")
@@ -76,9 +76,9 @@
     kind, _, fault = scenario.partition(": ")
     with planted(bug):
         if kind == "duels":
-            return duels(seed, fault).breaches
+            return dueling_proposers(seed, fault).breaches
         only = () if fault == "any" else (fault,)
-        return CoreDay(3, seed, length=SHORT_DAY_S, operators=4, only=only).play().breaches
+        return ClusterSimulation(3, seed, length=SHORT_DAY_S, operators=4, only=only).play().breaches
 
 
 @when("{scenario} of seed {seed:d} runs")
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -12,7 +12,7 @@
 from irisdeal.simulation.cpu import Core, Costs
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 from tests.support.request_world import reset
 
 ADDRESS = ("10.0.0.2", 80)
@@ -58,7 +58,7 @@
                 play.received += data
 
             def connection_lost(self, exc: Exception | None) -> None:
-                play.ended_at = loop.time() - START / 1e6
+                play.ended_at = loop.time() - START_US / 1e6
 
         await asyncio.sleep(0.1)
         transport, _ = await loop.create_connection(Client, *ADDRESS)
@@ -84,7 +84,7 @@
         client = Machine(self.world, self.net, "client", Core(), Costs())
         server.start(self.serve())
         client.start(self.ask())
-        self.world.run(lambda: self.is_over, START + 60_000_000)
+        self.world.run(lambda: self.is_over, START_US + 60_000_000)
         assert not server.errors and not client.errors
         return [line for line in self.received.split(b"\r\n") if line.startswith((b"HTTP/1.1 ", b"did "))]
 
@@ -185,7 +185,7 @@
             try:
                 await asyncio.sleep(2.0)
             except asyncio.CancelledError:
-                ended.append(server.loop.time() - START / 1e6)
+                ended.append(server.loop.time() - START_US / 1e6)
                 raise
             return Response(200)
 
--- a/tests/proxy/test_request_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -21,7 +21,7 @@
 from irisdeal.simulation.cpu import Core, Costs
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 SETTINGS = Settings(
     node_name="d",
@@ -121,7 +121,7 @@
             return 0
 
         self.machine.start(run())
-        self.world.run(lambda: bool(responses), START + 10_000_000)
+        self.world.run(lambda: bool(responses), START_US + 10_000_000)
         return responses[0]
 
 
--- a/tests/proxy/test_route_table.py
+++ b/tests/proxy/test_route_table.py
@@ -25,7 +25,7 @@
 from irisdeal.simulation.cpu import Core, Costs
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 from tests.support.configurations import change, configuration, route
 
 
@@ -210,7 +210,7 @@
             return 0
 
         machine.start(main())
-        world.run(lambda: bool(done), START + 100_000_000)
+        world.run(lambda: bool(done), START_US + 100_000_000)
         assert done
 
 
--- a/tests/registry/test_acknowledged_drains.py
+++ b/tests/registry/test_acknowledged_drains.py
@@ -20,7 +20,7 @@
 from irisdeal.registry.peers import CALL_TIMEOUT_S, RegistryPeers
 from irisdeal.registry.server import RegistryServer
 from irisdeal.registry.tombstone_record import TombstoneRecord
-from irisdeal.simulation.cluster.cluster import Host, Stage
+from irisdeal.simulation.cluster.cluster import ClusterMachine, SimulatedCluster
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Machine
 from tests.registry.test_drain import Caller, DrainRig
@@ -44,8 +44,8 @@
         super().__init__(count, seed)
 
     def start_registry_process(self, host: str) -> Machine:
-        machine = Host(cast(Stage, self), host)
-        machine.disk_time = self.rng.choice((500, 2_000, 5_000, 60_000))
+        machine = ClusterMachine(cast(SimulatedCluster, self), host)
+        machine.disk_time_us = self.rng.choice((500, 2_000, 5_000, 60_000))
         self.machines.setdefault(host, []).append(machine)
 
         async def run() -> int:
@@ -81,8 +81,8 @@
         lost = last if self.rng.random() < 0.6 else self.rng.choice(self.hosts)
         for host in self.hosts:
             machine = self.machines[host][-1]
-            assert isinstance(machine, Host)
-            machine.die(self.disks[host], self.rng)
+            assert isinstance(machine, ClusterMachine)
+            machine.crash(self.disks[host], self.rng)
             if fault != "kill":
                 self.disks[host] = self.disks[host].lose_power(self.rng)
             if fault == "wipe" and host == lost:
--- a/tests/rpc/test_call_matching.py
+++ b/tests/rpc/test_call_matching.py
@@ -32,7 +32,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import NetworkLink
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 PROXY_ADDRESS = ("10.1.0.3", 80)
 RUN_S = 6.0  # s during which clients send requests
@@ -291,7 +291,7 @@
         monkeypatch.setattr(connection_pool, "is_readable", lambda file: self.net.has_bytes(self.proxy, file))
 
     def now(self) -> float:
-        return (self.world.now - START) / 1e6
+        return (self.world.now - START_US) / 1e6
 
     @staticmethod
     def loop() -> asyncio.AbstractEventLoop:
@@ -363,12 +363,12 @@
             machines[0].kill()
             self.backend(0, "i-9")
 
-        self.world.at(START + 3_000_000, "reuse", reuse)
-        self.world.at(START + 4_000_000, "still", lambda: self.proxy.pause(START + 6_000_000))
+        self.world.at(START_US + 3_000_000, "reuse", reuse)
+        self.world.at(START_US + 4_000_000, "still", lambda: self.proxy.pause(START_US + 6_000_000))
         self.proxy.start(self._proxy())
         clients = Machine(self.world, self.net, "clients", Core(), Costs())
         clients.start(self._clients())
-        self.world.run(lambda: self.over, START + 60_000_000)
+        self.world.run(lambda: self.over, START_US + 60_000_000)
         errors = [error for machine in (self.proxy, clients, *machines) for error in machine.errors]
         assert not errors, errors
         return self.judge.close()
@@ -535,10 +535,10 @@
 
     def play(self) -> list[str]:
         for at in range(800, 9_000, 700):
-            self.world.at(START + at * 1_000, "fault", self.fault)
+            self.world.at(START_US + at * 1_000, "fault", self.fault)
         self.caller.start(self.make_calls())
         try:
-            self.world.run(lambda: self.over, START + 60_000_000)
+            self.world.run(lambda: self.over, START_US + 60_000_000)
         except SimulationStalledError:
             self.breaches.append("a call never completed")
         assert not self.caller.errors
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -5,10 +5,10 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from irisdeal.simulation.cluster.linearizability import EVER, NONE, Kind, Op, check
+from irisdeal.simulation.cluster.linearizability import INFINITY, NO_NUMBER, Kind, Operation, check
 
 
-def any_order(ops: tuple[Op, ...], decided: tuple[tuple[int, str], ...] = ((NONE, ""),)) -> bool:
+def any_order(ops: tuple[Operation, ...], decided: tuple[tuple[int, str], ...] = ((NO_NUMBER, ""),)) -> bool:
     """Whether some order of these, each acting within its times, gives these outcomes. `decided`: so far."""
     if all(op.kind is Kind.UNCLEAR for op in ops):
         return True
@@ -34,21 +34,21 @@
 
 
 @st.composite
-def histories(draw: st.DrawFn) -> list[Op]:
+def histories(draw: st.DrawFn) -> list[Operation]:
     """A few calls on few numbers, bodies and moments, so that many of them meet."""
     ops = []
     for _ in range(draw(st.integers(1, 7))):
         kind = draw(st.sampled_from([*Kind, Kind.CONFIRMED, Kind.READ]))
         start, length = draw(st.integers(0, 9)), draw(st.integers(0, 5))
-        number = draw(st.integers(NONE if kind is Kind.READ else 0, 3))
-        body = draw(st.sampled_from("xy")) if number != NONE else ""
+        number = draw(st.integers(NO_NUMBER if kind is Kind.READ else 0, 3))
+        body = draw(st.sampled_from("xy")) if number != NO_NUMBER else ""
         seen = kind is Kind.READ and draw(st.integers(0, 3)) == 0
-        ops.append(Op(kind, number, body, -EVER if seen else start, start + length))
+        ops.append(Operation(kind, number, body, -INFINITY if seen else start, start + length))
     return ops
 
 
-def put(kind: Kind, number: int, body: str, start: float, end: float) -> Op:
-    return Op(kind, number, body, start, end)
+def put(kind: Kind, number: int, body: str, start: float, end: float) -> Operation:
+    return Operation(kind, number, body, start, end)
 
 
 @settings(max_examples=700, deadline=None, derandomize=True)
@@ -60,7 +60,7 @@
 @example(
     [put(Kind.CONFLICT, 1, "x", 0, 1), put(Kind.CONFIRMED, 1, "y", 0, 1), put(Kind.CONFIRMED, 1, "x", 2, 3)]
 )
-def test_the_judge_says_what_the_general_search_says(ops: list[Op]) -> None:
+def test_the_judge_says_what_the_general_search_says(ops: list[Operation]) -> None:
     assert (check(ops) == []) == any_order(tuple(ops)), (check(ops), ops)
 
 
@@ -69,14 +69,18 @@
     for number in range(2_000):
         ops.append(put(Kind.CONFIRMED, number, "x", number, number + 0.5))
         ops.append(put(Kind.UNCLEAR, number, "y", number + 0.7, number + 0.8))
-        ops.append(Op(Kind.READ, number, "x", number + 0.6, number + 0.7))
+        ops.append(Operation(Kind.READ, number, "x", number + 0.6, number + 0.7))
     assert check(ops) == []
-    stale = Op(Kind.READ, 700, "x", 1_500.1, 1_500.2, "the stale one")
+    stale = Operation(Kind.READ, 700, "x", 1_500.1, 1_500.2, "the stale one")
     assert "the stale one" in check([*ops, stale])[0]
 
 
 def test_a_confirmed_body_that_another_replaced_is_a_breach() -> None:
-    ops = [put(Kind.CONFIRMED, 5, "x", 0, 1), put(Kind.UNCLEAR, 5, "y", 2, 3), Op(Kind.READ, 5, "y", 4, 5)]
+    ops = [
+        put(Kind.CONFIRMED, 5, "x", 0, 1),
+        put(Kind.UNCLEAR, 5, "y", 2, 3),
+        Operation(Kind.READ, 5, "y", 4, 5),
+    ]
     assert check(ops) and not check(ops[1:])
 
 
@@ -84,13 +88,13 @@
     old = [
         put(Kind.CONFIRMED, 5, "x", 0, 1),
         put(Kind.CONFIRMED, 6, "x", 2, 3),
-        Op(Kind.READ, 5, "x", -EVER, 9),
+        Operation(Kind.READ, 5, "x", -INFINITY, 9),
     ]
     assert not check(old)
     undecided = [
         put(Kind.UNCLEAR, 5, "x", 0, 1),
-        Op(Kind.READ, 5, "x", -EVER, 2),
-        Op(Kind.READ, NONE, "", 3, 4),
+        Operation(Kind.READ, 5, "x", -INFINITY, 2),
+        Operation(Kind.READ, NO_NUMBER, "", 3, 4),
     ]
     assert check(undecided)
 
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -17,25 +17,25 @@
 from irisdeal.cli.main import main
 from irisdeal.front_door.server.program import Program
 from irisdeal.simulation.search import search as searching
-from irisdeal.simulation.search.front_door_day import Played, play
-from irisdeal.simulation.search.judge import Judged, judge
+from irisdeal.simulation.search.front_door_day import DayResult, play
+from irisdeal.simulation.search.judge import Judgement, judge
 from irisdeal.simulation.search.planted_bugs import BUGS, NAMES, planted
 from irisdeal.simulation.search.schedule import (
-    FIRST,
-    LAST,
+    DURATION_S,
+    FIRST_FAULT_S,
+    LAST_FAULT_END_S,
     PAIRS,
-    SECONDS,
     Moment,
     Table,
-    aimed,
-    drawn,
-    mutated,
+    add_aimed_fault,
+    draw_schedule,
+    mutate,
     pairs_of,
     scenario,
     with_faults,
 )
-from irisdeal.simulation.search.schedule_files import as_toml
-from irisdeal.simulation.search.search import Search, SearchError, judges
+from irisdeal.simulation.search.schedule_files import to_toml
+from irisdeal.simulation.search.search import Search, SearchError, judge_pool
 from irisdeal.simulation.search.shrink import Shrinker
 from irisdeal.simulation.search.timeline import timeline
 from irisdeal.testbed.scenario_files import parse
@@ -50,10 +50,10 @@
 
 def days(count: int, seed: int) -> list[Table]:
     rng = random.Random(seed)
-    return [drawn(n, rng) for n in range(count)]
+    return [draw_schedule(n, rng) for n in range(count)]
 
 
-def day(table: Table, **how: Any) -> Played:
+def day(table: Table, **how: Any) -> DayResult:
     made = scenario(table)
     return play(draw(made, made.seed), **how)
 
@@ -63,7 +63,7 @@
 
 def test_fixed_days_keep_all_rules() -> None:
     broken = []
-    with judges(min(8, os.cpu_count() or 1)) as judge_all:
+    with judge_pool(min(8, os.cpu_count() or 1)) as judge_all:
         for number, judged in judge_all(days(FIXED, 20261201)):
             if judged.broken:
                 broken.append((number, judged.broken, judged.texts))
@@ -101,8 +101,8 @@
 def test_a_day_is_the_same_to_the_byte_in_other_processes() -> None:
     code = (
         "import random\nfrom irisdeal.simulation.search.judge import judge\n"
-        "from irisdeal.simulation.search.schedule import drawn\nrng = random.Random(5)\n"
-        "print([judge(drawn(n, rng)).digest for n in range(4)])"
+        "from irisdeal.simulation.search.schedule import draw_schedule\nrng = random.Random(5)\n"
+        "print([judge(draw_schedule(n, rng)).digest for n in range(4)])"
     )
     told = {
         subprocess.run(
@@ -116,7 +116,7 @@
         for seed in ("1", "999")
     }
     rng = random.Random(5)
-    assert told == {f"{[judge(drawn(n, rng)).digest for n in range(4)]}\n"}
+    assert told == {f"{[judge(draw_schedule(n, rng)).digest for n in range(4)]}\n"}
 
 
 def test_another_seed_is_another_day() -> None:
@@ -129,10 +129,10 @@
     calm, struck = day(QUIET), day(with_faults(QUIET, [kill]))
     at = calm.start + 1_500_000
 
-    def before(played: Played) -> list[Any]:
+    def before(played: DayResult) -> list[Any]:
         return [
             (t.trace, t.at, [a for a in t.answers if a.at < at])
-            for t in played.books.client_attempts
+            for t in played.request_log.client_attempts
             if t.due < at
         ]
 
@@ -146,9 +146,9 @@
 
 def test_a_quiet_day_serves_all_and_leaves_nothing() -> None:
     played = day(QUIET)
-    assert played.kept and not played.broken()
+    assert played.passed and not played.broken()
     assert played.service.total.share > 0.95
-    assert all(life.code == 0 for life in played.books.front_doors)
+    assert all(life.code == 0 for life in played.request_log.front_doors)
     assert played.seconds < 8
 
 
@@ -162,9 +162,9 @@
 
         program.decision_loop.handle_request = take  # type: ignore[method-assign]
 
-    played = day(QUIET, spoil=leaky)
+    played = day(QUIET, modify_program=leaky)
     assert played.broken() == ["left"]
-    assert "open traces" in played.left[0]
+    assert "open traces" in played.leftovers[0]
 
 
 def test_an_error_that_nobody_caught_and_an_end_by_itself_are_told() -> None:
@@ -175,13 +175,13 @@
         program.reload = reload  # type: ignore[method-assign]
 
     table = with_faults(QUIET, [{"at_s": 1.0, "do": "door-reload", "door": 1}])
-    played = day(table, spoil=broken)
+    played = day(table, modify_program=broken)
     assert played.broken() == ["error"] and "planted" in played.errors[0]
 
     def ends(program: Program) -> None:
         program.loop.call_later(0.8, program.finished.set)
 
-    assert "crash" in day(QUIET, spoil=ends).broken()
+    assert "crash" in day(QUIET, modify_program=ends).broken()
 
 
 def test_a_kill_amid_a_restart_is_one_start_and_not_two() -> None:
@@ -195,14 +195,14 @@
             ],
         )
     )
-    assert played.kept, played.crashes
-    lives = [life for life in played.books.front_doors if life.front_door == 1]
+    assert played.passed, played.crashes
+    lives = [life for life in played.request_log.front_doors if life.front_door == 1]
     assert len(lives) == 2 and lives[1].started - lives[0].killed >= 2_000_000
 
 
 def test_doors_on_one_core_wait_for_each_other() -> None:
     busy = {**QUIET, "load": {"use": 0.4}}
-    assert day(busy, cores=1).latest > day(busy).latest
+    assert day(busy, cores=1).max_timer_delay_us > day(busy).max_timer_delay_us
 
 
 # Schedules
@@ -212,21 +212,29 @@
 @given(seed=st.integers(0, 10**9), number=st.integers(0, 10**6), pairs=st.booleans())
 def test_every_schedule_drawn_changed_or_aimed_is_a_scenario(seed: int, number: int, pairs: bool) -> None:
     rng = random.Random(seed)
-    table = drawn(number, rng, pairs)
-    moment = Moment("here", rng.uniform(FIRST, LAST - 0.1), rng.randrange(3), "hall-b")
-    for made in (table, mutated(table, rng), mutated(mutated(table, rng), rng), aimed(table, [moment], rng)):
+    table = draw_schedule(number, rng, pairs)
+    moment = Moment("here", rng.uniform(FIRST_FAULT_S, LAST_FAULT_END_S - 0.1), rng.randrange(3), "hall-b")
+    for made in (
+        table,
+        mutate(table, rng),
+        mutate(mutate(table, rng), rng),
+        add_aimed_fault(table, [moment], rng),
+    ):
         assert made is not None
         checked = scenario(made)
-        assert parse(as_toml(made, ["x"], ["y"]), "schedule") == checked
-        assert all(f.at_s >= FIRST and f.at_s + f.for_s <= max(LAST + 0.05, SECONDS) for f in checked.faults)
+        assert parse(to_toml(made, ["x"], ["y"]), "schedule") == checked
+        assert all(
+            f.at_s >= FIRST_FAULT_S and f.at_s + f.for_s <= max(LAST_FAULT_END_S + 0.05, DURATION_S)
+            for f in checked.faults
+        )
     if pairs:
         assert PAIRS[number % len(PAIRS)] in pairs_of(table)
 
 
 def test_a_fault_is_aimed_at_a_moment_to_the_microsecond() -> None:
-    made = aimed(QUIET, [Moment("now", 1.234567, 2, "hall-a")], random.Random(1))
+    made = add_aimed_fault(QUIET, [Moment("now", 1.234567, 2, "hall-a")], random.Random(1))
     assert made is not None and made["at"][0]["at_s"] == 1.234567
-    assert aimed(QUIET, [Moment("too early", 0.1)], random.Random(1)) is None
+    assert add_aimed_fault(QUIET, [Moment("too early", 0.1)], random.Random(1)) is None
 
 
 # Shrinking
@@ -236,7 +244,7 @@
     rng = random.Random(3)
     table = next(
         t
-        for t in (drawn(n, rng, pairs=False) for n in range(5_000))
+        for t in (draw_schedule(n, rng, pairs=False) for n in range(5_000))
         if {"box-hang", "door-kill"} <= {f["do"] for f in t["at"]} and len(t["at"]) >= 5
     )
 
@@ -250,29 +258,29 @@
     assert least["doors"] == 2 and least["fleet"]["boxes"] == 1 and least["seconds"] < table["seconds"]
     assert shrinker.plays <= 200
 
-    few = Shrinker(breaks, most=5)
+    few = Shrinker(breaks, max_plays=5)
     few.shrink(table)
     assert few.plays == 5
 
 
 def test_a_breach_that_vanishes_when_shrunk_keeps_the_schedule_as_it_was() -> None:
-    table = drawn(1, random.Random(2))
+    table = draw_schedule(1, random.Random(2))
     assert Shrinker(lambda candidate: False).shrink(table) == table
 
 
 def test_one_that_breaks_without_any_fault_is_shrunk_to_none() -> None:
-    assert Shrinker(lambda candidate: True).shrink(drawn(1, random.Random(2)))["at"] == []
+    assert Shrinker(lambda candidate: True).shrink(draw_schedule(1, random.Random(2)))["at"] == []
 
 
 # The search
 
 
-def fake(table: Table) -> Judged:
+def fake(table: Table) -> Judgement:
     """A judge whose states follow from the schedule, and that breaks where two kinds meet."""
     kinds = sorted({f["do"] for f in table["at"]})
     pairs = {hash_of(one + other) for one in kinds for other in kinds}
     broken = ["answers"] if {"box-hang", "door-kill"} & set(kinds) and len(kinds) > 2 else []
-    return Judged(
+    return Judgement(
         table,
         broken,
         ["it broke"] if broken else [],
@@ -280,8 +288,8 @@
         states=pairs,
         moments=[Moment("here", 2.0, 1, "hall-a")],
         asks=100,
-        virtual=7.0,
-        real=0.1,
+        virtual_s=7.0,
+        real_s=0.1,
     )
 
 
@@ -292,7 +300,7 @@
 def searched(generations: int, search: Search | None = None) -> Search:
     search = search or Search(9)
     for _ in range(generations):
-        search.learn([fake(table) for table in search.schedules()])
+        search.record_results([fake(table) for table in search.schedules()])
     return search
 
 
@@ -304,16 +312,16 @@
     assert again is not None
     rest = searched(3, again)
     assert rest.schedules() == whole.schedules()
-    assert (rest.days, rest.seen, rest.pairs) == (whole.days, whole.seen, whole.pairs)
-    assert rest.found == whole.found
-    assert whole.days == 6 * searching.GENERATION and whole.found
+    assert (rest.days, rest.seen_pairs, rest.fault_pairs) == (whole.days, whole.seen_pairs, whole.fault_pairs)
+    assert rest.findings == whole.findings
+    assert whole.days == 6 * searching.GENERATION_SIZE and whole.findings
 
 
 def test_a_search_is_bounded_in_what_it_keeps(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(searching, "MOST_KEPT", 20)
+    monkeypatch.setattr(searching, "MAX_CORPUS_SIZE", 20)
     search = searched(12)
     assert len(search.corpus) <= 20
-    assert len(search.found) <= searching.SAME < search.breaking
+    assert len(search.findings) <= searching.MAX_FINDINGS_PER_FAILURE < search.failing_days
 
 
 def test_a_guided_search_learns_and_a_plain_one_does_not() -> None:
@@ -322,10 +330,10 @@
 
 
 def test_the_file_of_a_search_that_is_none_is_refused(tmp_path: Path) -> None:
-    (tmp_path / searching.STATE).write_text("{}")
+    (tmp_path / searching.STATE_FILE).write_text("{}")
     with pytest.raises(SearchError, match="not a search of ours"):
         Search.load(tmp_path)
-    (tmp_path / searching.STATE).write_text("{")
+    (tmp_path / searching.STATE_FILE).write_text("{")
     with pytest.raises(SearchError):
         Search.load(tmp_path)
     assert Search.load(tmp_path / "none") is None
@@ -357,7 +365,7 @@
     assert code in (0, 1) and '"days": 64' in out
     file = tmp_path / "one.toml"
     file.write_text(
-        as_toml(with_faults(QUIET, [{"at_s": 1.0, "do": "box-drain", "boxes": 2, "for_s": 1.0}]), [], [])
+        to_toml(with_faults(QUIET, [{"at_s": 1.0, "do": "box-drain", "boxes": 2, "for_s": 1.0}]), [], [])
     )
     code, out = ask("replay", str(file), "--twice")
     assert code == 0 and "kept" in out
@@ -400,7 +408,7 @@
 
 def test_a_request_of_a_day_is_told_from_its_begin_to_its_end() -> None:
     played = day(QUIET)
-    served = next(t for t in played.books.client_attempts if t.answers and t.answers[0].status == 200)
+    served = next(t for t in played.request_log.client_attempts if t.answers and t.answers[0].status == 200)
     lines = timeline(played, trace=served.trace)
     order = [
         n
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -19,7 +19,7 @@
 from irisdeal.simulation.sockets import ListeningSocket, NetworkLink
 from irisdeal.simulation.trace import BLOCK_EVENTS, EventTrace, first_difference
 from irisdeal.simulation.transport import SOCKET_BUFFER_BYTES, SimulatedTransport
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 ADDRESS = ("127.0.0.1", 700)
 
@@ -88,7 +88,7 @@
             return 0
 
         self.client.start(main())
-        self.world.run(lambda: self.client.dead, START + round(seconds * 1e6))
+        self.world.run(lambda: self.client.dead, START_US + round(seconds * 1e6))
         assert not self.client.errors, self.client.errors
         return done[0]
 
@@ -112,7 +112,7 @@
 
     rig.run(work())
     assert order == [-1, *range(20)]
-    assert rig.world.now == START + 1_000_000  # and no time was spent waiting
+    assert rig.world.now == START_US + 1_000_000  # and no time was spent waiting
 
 
 def test_asyncio_works_as_on_a_real_loop() -> None:
@@ -149,12 +149,12 @@
     ran_at = []
     one.call_soon(lambda: ran_at.append(("one", one.instant())))
     two.call_later(0.001, lambda: ran_at.append(("two", two.instant())))
-    world.at(START + 100_000, "end", lambda: None)
+    world.at(START_US + 100_000, "end", lambda: None)
     with pytest.raises(SimulationStalledError, match="nothing is due"):
-        world.run(lambda: False, START + 10**9)
-    assert ran_at == [("one", START + 5_000), ("two", START + 6_000)]
+        world.run(lambda: False, START_US + 10**9)
+    assert ran_at == [("one", START_US + 5_000), ("two", START_US + 6_000)]
     assert two.max_timer_delay == 4_000
-    assert core.free_at == START + 6_000
+    assert core.free_at == START_US + 6_000
 
 
 def test_three_busy_machines_share_a_core_evenly() -> None:
@@ -171,8 +171,8 @@
 
     for n in range(3):
         machines[n].call_soon(work, n)
-    world.at(START + 300_000, "end", lambda: None)
-    world.run(lambda: world.now >= START + 300_000, START + 10**9)
+    world.at(START_US + 300_000, "end", lambda: None)
+    world.run(lambda: world.now >= START_US + 300_000, START_US + 10**9)
     assert sum(counts) >= 299 and max(counts) - min(counts) <= 1
 
 
@@ -180,11 +180,11 @@
     world = World(1)
     machine = Machine(world, Network(world), "door", Core(), Costs(turn=300), timer_resolution=1_000)
     seen = []
-    machine.call_later(0.0014, lambda: seen.append((world.now - START, machine.time())))
-    world.at(START + 10_000, "end", lambda: None)
+    machine.call_later(0.0014, lambda: seen.append((world.now - START_US, machine.time())))
+    world.at(START_US + 10_000, "end", lambda: None)
     with pytest.raises(SimulationStalledError):
-        world.run(lambda: False, START + 10**9)
-    assert seen == [(1_000, (START + 1_000) / 1e6)]
+        world.run(lambda: False, START_US + 10**9)
+    assert seen == [(1_000, (START_US + 1_000) / 1e6)]
 
 
 def test_a_stalled_simulation_names_the_waiting_tasks() -> None:
@@ -426,8 +426,8 @@
     handles.add_signal_handler(signal.SIGHUP, received.append, 1)
     for machine in (plain, ignoring, handles):
         machine.signal(signal.SIGHUP)
-    world.at(START + 1, "end", lambda: None)
-    world.run(lambda: world.now > START, START + 10)
+    world.at(START_US + 1, "end", lambda: None)
+    world.run(lambda: world.now > START_US, START_US + 10)
     assert (plain.exit_code, ignoring.dead, handles.dead, received) == (-signal.SIGHUP, False, False, [1])
 
 
--- a/tests/support/call_rig.py
+++ b/tests/support/call_rig.py
@@ -12,7 +12,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import NetworkLink
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 HOST, PORT = "10.0.0.2", 7000
 NOT_DONE: Any = object()
@@ -65,7 +65,7 @@
             return 0
 
         self.caller.start(run())
-        self.world.run(lambda: result is not NOT_DONE, START + int(seconds * 1e6))
+        self.world.run(lambda: result is not NOT_DONE, START_US + int(seconds * 1e6))
         assert not self.caller.errors and not self.host.errors
         return result
 
--- a/tests/support/core_rig.py
+++ b/tests/support/core_rig.py
@@ -39,7 +39,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import NetworkLink, Socket
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 MAX_POLL_S = 1.0  # as in the real store
 
@@ -293,7 +293,7 @@
     # Actions
 
     def at(self, seconds: float, act: Callable[..., None], *given: Any) -> None:
-        self.world.at(START + round(seconds * 1e6), "test", act, *given)
+        self.world.at(START_US + round(seconds * 1e6), "test", act, *given)
 
     def every(self, seconds: float, until: float, act: Callable[[], None]) -> None:
         at = seconds
@@ -335,7 +335,7 @@
             over = True
 
         self.at(until, end)
-        self.world.run(lambda: over, START + round((until + 1) * 1e6))
+        self.world.run(lambda: over, START_US + round((until + 1) * 1e6))
 
     # Results
 
--- a/tests/support/front_door_rig.py
+++ b/tests/support/front_door_rig.py
@@ -187,7 +187,7 @@
     seed: int = 1,
     make_decider: MakeDecider = Gateway,
     modify: Callable[[Program], None] = lambda _: None,
-) -> front_door_day.Played:
+) -> front_door_day.DayResult:
     """Run a scenario in virtual time, without waiting; the delay of responses is checked as well."""
     logging.getLogger("irisdeal").setLevel(logging.CRITICAL)  # modified front doors log many errors
     try:
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -27,7 +27,7 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.network import Network
 from irisdeal.simulation.sockets import NetworkLink
-from irisdeal.simulation.world import START, World
+from irisdeal.simulation.world import START_US, World
 
 PROXY, BACKEND, REGISTRY = "10.1.0.3", "10.9.0.1", "10.1.0.4"
 FRONT = (PROXY, 80)
@@ -403,7 +403,7 @@
             return self.net.has_bytes(self.proxy_machine, number)
 
         with mock.patch.object(connection_pool, "is_readable", has_bytes):
-            self.world.run(lambda: self.is_over, START + int(max_s * 1e6))
+            self.world.run(lambda: self.is_over, START_US + int(max_s * 1e6))
         errors = [*self.proxy_machine.errors, *self.backend.errors, *self.client.errors]
         assert not errors, errors
 
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -41,7 +41,7 @@
 from irisdeal.registry.quota_service import QuotaService
 from irisdeal.rpc import server as rpc_server
 from irisdeal.simulation.cluster import probes, store_day
-from irisdeal.simulation.cluster.callers import Callers, Record
+from irisdeal.simulation.cluster.callers import Callers, CallHistory
 from irisdeal.simulation.disk import MemoryDisk
 from irisdeal.simulation.machine import Address, Machine
 from irisdeal.simulation.network import Network
@@ -280,7 +280,7 @@
 # The store
 
 
-def note_record(recorder: Recorder, record: Record) -> None:
+def note_record(recorder: Recorder, record: CallHistory) -> None:
     """What the store's callers were answered, and when."""
     for op in record.ops:
         recorder.note(op.kind, op.number, op.body, op.start, op.end)
@@ -293,7 +293,9 @@
 def play_store_day(seed: int, recorder: Recorder) -> None:
     """A short day of the replicated store, with faults; one seed has a burst of changes."""
     operators = 8 if seed % 4 == 0 else 2
-    day = store_day.CoreDay(3 + seed % 3, seed, length=STORE_SECONDS, operators=operators, burst=seed == 7)
+    day = store_day.ClusterSimulation(
+        3 + seed % 3, seed, length=STORE_SECONDS, operators=operators, burst=seed == 7
+    )
     verdict = day.play()
     note_record(recorder, day.callers.record)
     recorder.note(verdict.orders, verdict.acknowledged, verdict.sends, verdict.reads, verdict.refused)
@@ -310,7 +312,7 @@
         probes.replace_body(seed),
         probes.replace_members(seed, 1),
         probes.second_loss(seed, count=3 + seed % 3),
-        probes.duels(seed, fault),
+        probes.dueling_proposers(seed, fault),
     )
     for probe in played:
         recorder.note(probe.confirmed, probe.read, probe.puts, probe.reads, len(probe.breaches))
@@ -418,9 +420,9 @@
 
 def play_door_day(seed: int, recorder: Recorder) -> None:
     """A day of the earlier front door with drawn faults."""
-    scenario = door_schedule.scenario(door_schedule.drawn(seed, random.Random(seed)))
+    scenario = door_schedule.scenario(door_schedule.draw_schedule(seed, random.Random(seed)))
     played = door_day.play(draw_day(scenario, scenario.seed))
-    books = played.books
+    books = played.request_log
     recorder.note(books.attempts)
     recorder.note(books.client_attempts)
     recorder.note(
@@ -444,8 +446,8 @@
     recorder.note([at for at, _ in books.faults])
     recorder.note([(breach.rule, breach.times) for breach in played.verdict.breaches])
     recorder.note(played.service.total.offered, played.service.total.served, played.start, played.seconds)
-    recorder.note(played.keeper_calls, played.cpu, played.latest)
-    recorder.note(len(played.crashes), len(played.errors), len(played.left))
+    recorder.note(played.counter_calls, played.cpu, played.max_timer_delay_us)
+    recorder.note(len(played.crashes), len(played.errors), len(played.leftovers))
 
 
 # Decisions of the earlier front door, over the simulator's wire
