--- a/irisdeal/simulation/cpu.py
+++ b/irisdeal/simulation/cpu.py
@@ -1,4 +1,4 @@
-"""CPU time of simulated machines: a stated cost model, and cores that machines share."""
+"""CPU time of simulated machines: a cost model, and cores that machines share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """µs of CPU at the machine's core. All 0, as stand-ins want it: a machine that is never late."""
+    """CPU time of each operation in µs. With the default of 0 a machine is never late, as test services need it."""
 
     turn: int = 0  # each iteration of the event loop
     call: int = 0  # each callback and each timer
@@ -21,7 +21,7 @@
 
 
 class Runnable(Protocol):
-    """What runs on a core: a machine."""
+    """A machine, as its core uses it."""
 
     world: World
 
--- a/irisdeal/simulation/disk.py
+++ b/irisdeal/simulation/disk.py
@@ -1,8 +1,8 @@
 """A folder in memory that loses unsynced writes when power is lost, as a real disk may.
 
-It guarantees what the users' page on machines states: a file holds what its last sync covered, and each later
-write is present, missing or torn; a new file is durable once it has been synced itself; a renamed or removed
-name is durable once its folder has been synced.
+Its guarantees are those that the documentation requires of machines: a file contains what its last sync
+covered, and each later write is present, missing or torn; a new file is durable once it has been synced
+itself; a renamed or removed name is durable once its folder has been synced.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False)
 class _File:
-    """The bytes as processes see them, and those that are durable (None: none yet)."""
+    """A file's bytes as processes read them, and those that survive a loss of power (None: none yet)."""
 
     visible: bytes
     durable: bytes | None = None
@@ -38,10 +38,10 @@
 class MemoryDisk:
     """One folder.
 
-    `files`: as processes see them; `durable`: names that survive a loss of power; `changes`: of names, since
-    the last sync of the folder (None: removed); `full`: operations that write are refused; `operations`:
-    count of those; `fail_at`: number of the operation from which on all are refused, as power is about to
-    fail; -1 for none.
+    `files`: as processes see them; `durable`: names that survive a loss of power; `changes`: changes of names
+    since the last sync of the folder (None: removed); `full`: operations that write are refused;
+    `operations`: how many operations wrote; `fail_at`: number of writing operations after which all further
+    ones are refused, to simulate a crash between two of them; -1 for no limit.
     """
 
     files: dict[str, _File] = field(default_factory=dict)
--- a/irisdeal/simulation/errors.py
+++ b/irisdeal/simulation/errors.py
@@ -1,16 +1,16 @@
-"""Errors of a simulation that cannot go on."""
+"""Errors of a simulation that cannot continue."""
 
 
 class SimulationError(RuntimeError):
-    """A simulation cannot go on."""
+    """A simulation cannot continue."""
 
 
 class SimulationStalledError(SimulationError):
-    """Nothing is scheduled any more, or the time limit has passed, while tasks still wait.
+    """Tasks still wait, but no event is scheduled or the time limit has passed.
 
-    The text names them.
+    The message lists the waiting tasks.
     """
 
 
 class SimulationLivelockError(SimulationError):
-    """The simulation goes on without virtual time advancing; the text names what keeps it busy."""
+    """Events are executed without virtual time advancing; the message lists the most recent ones."""
--- a/irisdeal/simulation/event_loop.py
+++ b/irisdeal/simulation/event_loop.py
@@ -1,9 +1,9 @@
 """An asyncio event loop in virtual time, on a core whose CPU time is counted.
 
-It has the calls of `asyncio.AbstractEventLoop` that the programs use, so they run on it unchanged. Its clock
-is the world's; each iteration (turn) takes CPU time by a stated model (`Costs`), during which nothing else
-runs on its core. Within a turn, time advances by the work done so far, so that what is written late in a long
-turn leaves late. The order within a turn is that of libuv: timers, then callbacks that are ready, then
+It implements the calls of `asyncio.AbstractEventLoop` that the programs use, so they run on it unchanged. Its
+clock is the world's; each iteration (turn) takes CPU time by the model `Costs`, during which nothing else runs
+on its core. Within a turn, time advances by the work done so far, so that data written late in a long turn is
+sent late. The order within a turn is that of libuv: timers, then callbacks that are ready, then
 readable descriptors.
 """
 
@@ -24,22 +24,24 @@
 T = TypeVar("T")
 ExceptionHandler = Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object]
 
-# `Any`, as a type checker wants all of its 40 calls; those that are not here raise NotImplementedError.
+# `Any`, since a type checker requires all 40 calls; those not implemented here raise NotImplementedError.
 BaseLoop: Any = asyncio.AbstractEventLoop
 
-# µs: a timer later than this never fires.
-FOREVER = 10 * 365 * 86_400 * 1_000_000
-# s: the longest delay of a timer that is computed with.
+# Timers due later than this never fire.
+MAX_TIMER_DELAY_US = 10 * 365 * 86_400 * 1_000_000
+# Longer delays are reduced to this one before they are rounded.
 MAX_DELAY_S = 1e9
-# Cancelled timers are removed where there are more timers than this, every so many timers.
-TIMERS_KEPT, TIMERS_BETWEEN_CLEANUPS = 1_000, 512
+# Cancelled timers are removed only where there are more timers than this.
+MIN_TIMERS_FOR_CLEANUP = 1_000
+# Timers set between two removals of cancelled ones.
+TIMERS_BETWEEN_CLEANUPS = 512
 
 
 class Readable(Protocol):
     """A descriptor that an event loop reads."""
 
     def deliver(self) -> None:
-        """Pass on what there is to read."""
+        """Read once and pass the data to the protocol."""
 
 
 class SimulatedEventLoop(BaseLoop):  # type: ignore[misc]
@@ -49,11 +51,11 @@
         """`timer_resolution`: µs that its timers count in (uvloop's: 1000)."""
         self.world, self.name, self.core, self.costs = world, name, core, costs
         self.timer_resolution = timer_resolution
-        self.dead = False
+        self.dead = False  # the process has ended
         self.turn_cost = 0  # µs of the current turn
         self.cpu_used = 0  # µs in total
         self.turns = 0
-        self.max_timer_delay = 0  # µs, the most that a timer was late
+        self.max_timer_delay = 0  # µs by which the latest timer was late
         self.errors: list[str] = []
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._ready: deque[asyncio.Handle] = deque()
@@ -98,7 +100,7 @@
 
     def _scheduled_turn(self, at: int) -> None:
         if self.dead or at != self._next_turn_at:
-            return  # superseded by an earlier one
+            return  # replaced by an earlier turn
         self._next_turn_at = None
         if self.core.free_at > self.world.now or self.core.waiting:
             self.core.wait(self)
@@ -161,10 +163,10 @@
     def _next_timer(self) -> int:
         while self._timers and self._timers[0][2].cancelled():
             heapq.heappop(self._timers)
-        return self._timers[0][0] if self._timers else self.world.now + FOREVER
+        return self._timers[0][0] if self._timers else self.world.now + MAX_TIMER_DELAY_US
 
     def set_readable(self, descriptor: Readable, is_readable: bool) -> None:
-        """Record whether this descriptor has something for this loop to read."""
+        """Record whether this descriptor is readable."""
         if is_readable:
             self._readable[descriptor] = None
             self.request_turn()
@@ -176,7 +178,7 @@
         self._paused_until = max(self._paused_until, until)
 
     def waiting_tasks(self) -> Iterator[str]:
-        """Describe the tasks that wait, for errors of a simulation that cannot go on."""
+        """Describe the tasks that wait, for errors of a simulation that cannot continue."""
         for task in self._tasks:
             if not task.done():
                 yield f"{self.name}: {task.get_name()} in {_location(task)}"
@@ -208,7 +210,7 @@
             raise ValueError("delay is not a number")
         resolution = self.timer_resolution
         rounded = round(max(0.0, min(delay, MAX_DELAY_S)) * 1e6 / resolution) * resolution
-        wait = min(FOREVER, rounded)
+        wait = min(MAX_TIMER_DELAY_US, rounded)
         due = self.instant() + wait if resolution == 1 else self._rounded_now() + wait
         timer = asyncio.TimerHandle(due / 1e6, callback, args, self, context)
         if self.dead:
@@ -233,8 +235,8 @@
         return self.call_later(when - self.time(), callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Skip cancelled timers when they are due; remove them now and then where there are many."""
-        if len(self._timers) > TIMERS_KEPT and self._timer_sequence % TIMERS_BETWEEN_CLEANUPS == 0:
+        """Remove cancelled timers periodically where there are many; otherwise they are skipped when due."""
+        if len(self._timers) > MIN_TIMERS_FOR_CLEANUP and self._timer_sequence % TIMERS_BETWEEN_CLEANUPS == 0:
             self._timers = [timer for timer in self._timers if not timer[2].cancelled()]
             heapq.heapify(self._timers)
 
@@ -278,7 +280,7 @@
         self._exception_handler = handler
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """As in asyncio; the error is also kept in `errors`, as on a real loop it would only be logged."""
+        """As in asyncio; the error is also added to `errors`, since a real loop would only log it."""
         if self._exception_handler is not None:
             self._exception_handler(self, context)
         self.errors.append(f"{context.get('message', 'error')}: {context.get('exception')!r}")
--- a/irisdeal/simulation/machine.py
+++ b/irisdeal/simulation/machine.py
@@ -1,7 +1,7 @@
-"""A simulated process: its event loop, its descriptors, signals and its end.
+"""A simulated process: its event loop, its descriptors, signals and termination.
 
-Programs run on it unchanged, as it has the calls of an asyncio event loop. It can be killed at any moment,
-receive signals, and be paused. Sockets are those of a `NetworkStack`.
+Programs run on it unchanged, since it implements the calls of an asyncio event loop. It can be killed at any
+moment, receive signals, and be paused. Its sockets are those of a `NetworkStack`.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 Address = tuple[str, int]  # host and port
 ProtocolFactory = Callable[[], Any]
 
-# µs that an operation on the disk takes, unless a simulation sets another time.
+# Duration of an operation on the disk, unless a simulation sets another one.
 DISK_TIME_US = 2_000
-# Descriptors of a process, unless a simulation sets a lower limit.
-MAX_FILES = 1_000_000
-# The last of the standard streams.
-STDERR = 2
+# Open descriptors of a process, unless a simulation sets a lower limit.
+MAX_DESCRIPTORS = 1_000_000
+# The highest descriptor of the standard streams; others are numbered from the next one on.
+STDERR_FILENO = 2
 
 
 class WatchedSocket(Protocol):
-    """A listening socket that a loop can watch."""
+    """A listening socket whose readability a loop can watch."""
 
     def watch(self, callback: Callable[[], object]) -> None:
         """Call back whenever there is something to read."""
@@ -39,14 +39,14 @@
 
 
 class ServerHandle(Protocol):
-    """What listens on an address."""
+    """A server that listens on an address."""
 
     def close(self) -> None:
         """Stop listening."""
 
 
 class NetworkStack(Protocol):
-    """What a machine needs of its network."""
+    """The calls of the network that a machine uses."""
 
     async def connect(
         self, machine: Machine, factory: ProtocolFactory, address: Address
@@ -56,7 +56,7 @@
     async def adopt(
         self, machine: Machine, factory: ProtocolFactory, sock: object
     ) -> tuple[asyncio.Transport, Any]:
-        """Give an accepted connection a transport; return it and its protocol."""
+        """Create the transport of an accepted connection; return it and its protocol."""
 
     def serve(self, machine: Machine, factory: ProtocolFactory, address: Address) -> ServerHandle:
         """Listen on an address; return the server."""
@@ -76,16 +76,16 @@
         core: Core,
         costs: Costs,
         timer_resolution: int = 1,
-        files: int = MAX_FILES,
+        files: int = MAX_DESCRIPTORS,
     ) -> None:
         """`timer_resolution`: µs that its timers count in; `files`: the most descriptors that it may have."""
         super().__init__(world, name, core, costs, timer_resolution)
         self.net, self.max_files = net, files
         self.files: dict[int, object] = {}  # descriptors
-        self._last_file = STDERR
+        self._last_descriptor = STDERR_FILENO
         self.disk_time_us = DISK_TIME_US
         self.died_at: int | None = None  # µs
-        self.exit_code: int | None = None  # 0 and above: its own; below 0: of the signal that ended it
+        self.exit_code: int | None = None  # as in subprocess: -N after signal N
         self.on_exit: Callable[[], None] = lambda: None
         self._signals: dict[int, Callable[[], None]] = {}
         self._ignored_signals: set[int] = set()
@@ -121,11 +121,11 @@
         self._ignored_signals.add(number)
 
     def kill(self) -> None:
-        """SIGKILL: end it at this very µs, at whatever point of its execution."""
+        """SIGKILL: end the process at the current µs, whatever it executes."""
         self.end(-int(signal.SIGKILL))
 
     def end(self, code: int) -> None:
-        """End the process. The operating system closes its descriptors; what it had not written is lost."""
+        """End the process. The operating system closes its descriptors; data that it has not written is lost."""
         if self.dead:
             return
         self.dead, self.exit_code, self.died_at = True, code, self.instant()
@@ -135,21 +135,21 @@
         self._ready.clear()
         self._timers.clear()
         self._readable.clear()
-        for task in self._tasks:  # they ended with their process
+        for task in self._tasks:  # no warning for tasks that end with their process
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             coro: Any = task.get_coro()
             if inspect.getcoroutinestate(coro) == inspect.CORO_CREATED:
-                coro.close()  # else Python would warn that it was never awaited
+                coro.close()  # otherwise Python would warn that it was never awaited
         self.world.wait_reporters.remove(self.waiting_tasks)
         self.on_exit()
 
     def open_file(self, descriptor: object) -> int:
-        """Return a new number for a descriptor, never used before. Raises OSError (EMFILE) at the limit."""
+        """Return a number for a descriptor that was not used before. Raises OSError (EMFILE) at the limit."""
         if len(self.files) >= self.max_files:
             raise OSError(24, "Too many open files")
-        self._last_file += 1
-        self.files[self._last_file] = descriptor
-        return self._last_file
+        self._last_descriptor += 1
+        self.files[self._last_descriptor] = descriptor
+        return self._last_descriptor
 
     # Calls of asyncio.AbstractEventLoop
 
@@ -168,7 +168,7 @@
     def run_in_executor(
         self, executor: object, func: Callable[..., object], *args: object
     ) -> asyncio.Future[Any]:
-        """Call `func` at once `disk_time` µs from now; not at all where the process ends before."""
+        """Call `func` after `disk_time_us`, unless the process ends before."""
         done: asyncio.Future[Any] = self.create_future()
 
         def _act() -> None:
@@ -176,7 +176,7 @@
                 return
             try:
                 done.set_result(func(*args))
-            except Exception as error:  # for whoever awaits the future, whatever it is
+            except Exception as error:  # any error is raised where the future is awaited
                 done.set_exception(error)
 
         self.world.at(self.world.now + self.disk_time_us, f"disk of {self.name}", _act)
--- a/irisdeal/simulation/network.py
+++ b/irisdeal/simulation/network.py
@@ -1,10 +1,11 @@
 """A TCP network in memory: addresses, links between machines, and connections over them.
 
 It guarantees what TCP guarantees (RFC 9293): the bytes of a connection arrive in order and once, or the
-connection ends. Nothing else is. Segment boundaries are random; links have delay, jitter, a rate, and losses
-that cost a retransmission; whether a segment of a process that dies arrives depends on when it was sent.
+connection ends. Nothing else is guaranteed. Segment boundaries are random; links have delay, jitter, a rate,
+and losses that cost a retransmission; whether a segment of a killed process arrives depends on when it was
+sent.
 
-The end of connections is as on Linux:
+Connections are closed as on Linux:
 
 - A process that closes a socket with nothing unread sends FIN; with bytes unread, or when bytes arrive later,
   RST (RFC 9293, 3.6; RFC 2525, 2.17). So a response can be lost to a close that crossed a request.
@@ -26,22 +27,22 @@
 from irisdeal.simulation.transport import SimulatedTransport
 from irisdeal.simulation.world import World
 
-# Share of writes that are sent as two segments.
-SPLIT_SHARE = 0.05
-# Probability that bytes unread at a reset are still read.
+# Writes that are sent as two segments.
+SPLIT_WRITE_RATIO = 0.05
+# Probability that bytes unread at a reset can still be read.
 UNREAD_KEPT_PROBABILITY = 0.5
-# µs: Linux's minimum time before a lost segment is retransmitted.
-RETRANSMISSION_TIME = 200_000
-# µs between transmissions of the SYN of a connection that does not come up.
-SYN_RETRANSMISSION_TIMES = (1_000_000, 2_000_000, 4_000_000)
-# Free ports are counted up from here.
-FIRST_PORT = 20_000
-# As asyncio's default of `create_server`.
+# Linux's minimum time-out before a lost segment is retransmitted.
+RETRANSMISSION_TIMEOUT_US = 200_000
+# Time-outs of each transmission of a SYN; after the last one the connection attempt fails.
+SYN_RETRANSMISSION_TIMEOUTS_US = (1_000_000, 2_000_000, 4_000_000)
+# Ports that a process leaves to the system are assigned in ascending order after this one.
+LAST_RESERVED_PORT = 20_000
+# The default of asyncio's `create_server`.
 SERVER_BACKLOG = 100
 
 
 class SimulatedServer:
-    """What `create_server` returns."""
+    """The server that `create_server` returns."""
 
     def __init__(self, listener: ListeningSocket) -> None:
         self.sockets = [listener]
@@ -59,10 +60,12 @@
         self.world = world
         self.default_link = default_link or NetworkLink()
         self.listeners: dict[Address, ListeningSocket] = {}
-        # address -> real one, and the link to it
+        # address -> target address, and the link to it
         self.redirects: dict[Address, tuple[Address, NetworkLink]] = {}
-        self.links: dict[tuple[str, str], NetworkLink] = {}  # by the caller's name and the called host
-        self._last_port = FIRST_PORT
+        self.links: dict[
+            tuple[str, str], NetworkLink
+        ] = {}  # by the client machine's name and the server's host
+        self._last_port = LAST_RESERVED_PORT
         self.connections = 0
 
     # Set-up and faults
@@ -72,7 +75,7 @@
         self.links[caller, host] = link
 
     def redirect(self, to: Address, link: NetworkLink) -> Address:
-        """Return a new address whose connections go to `to` by this link."""
+        """Return a new address whose connections are forwarded to `to` over this link."""
         address = ("127.0.0.1", self.free_port())
         self.redirects[address] = to, link
         return address
@@ -83,20 +86,20 @@
         return self._last_port
 
     def restore(self, link: NetworkLink) -> None:
-        """End a stall or partition of this link: what was queued goes on, in order."""
+        """End a stall or partition of this link, and transmit the queued segments in order."""
         link.is_stalled = link.is_partitioned = False
         queued, link.queued = link.queued, []
         for segment in queued:
             self._transmit(segment.sender, segment.size, segment.what, segment.call, *segment.args)
 
     def reset_connections(self, link: NetworkLink) -> None:
-        """Reset every connection on this link, at both ends (with a `reverse`: those that send by this link)."""
+        """Reset the endpoints of this link: both ends, or with a `reverse` link those that send over this one."""
         for sock in list(link.endpoints):
             if not sock.closed:
                 self._on_reset(sock)
 
     def has_bytes(self, machine: Machine, number: int) -> bool:
-        """Whether the descriptor of this number has something to read."""
+        """Whether the descriptor of this number is readable."""
         descriptor = machine.files.get(number)
         return isinstance(descriptor, Socket | ListeningSocket) and descriptor.is_readable()
 
@@ -122,7 +125,7 @@
             descriptor.unwatch()
             if self.listeners.get(descriptor.address) is descriptor:
                 del self.listeners[descriptor.address]
-            for sock in descriptor.queue:  # no process will ever read them
+            for sock in descriptor.queue:  # they were never accepted
                 self._close(sock, sends_reset=True)
             descriptor.queue.clear()
         elif isinstance(descriptor, Socket):
@@ -149,7 +152,7 @@
         sock.inbox_size = 0
 
     def finish(self, sock: Socket) -> None:
-        """Transmit FIN, after what was sent."""
+        """Transmit FIN after the data sent so far."""
         if not (sock.fin_sent or sock.reset) and sock.peer is not None:
             sock.fin_sent = True
             self._transmit(sock, 0, "fin", self._on_fin, sock.peer)
@@ -157,14 +160,14 @@
     def send(self, sock: Socket, data: bytes) -> None:
         """Transmit bytes, in one or two segments."""
         sock.in_flight += len(data)
-        if len(data) > 1 and self.world.random.random() < SPLIT_SHARE:
+        if len(data) > 1 and self.world.random.random() < SPLIT_WRITE_RATIO:
             at = self.world.random.randrange(1, len(data))
             self._transmit(sock, at, "data", self._on_data, sock, data[:at])
             data = data[at:]
         self._transmit(sock, len(data), "data", self._on_data, sock, data)
 
     def acknowledge(self, sock: Socket) -> None:
-        """Let the peer go on sending: a process has read from this socket."""
+        """Let the peer continue sending, since the process has read from this socket."""
         peer = sock.peer
         if peer is not None and peer.transport is not None and peer.transport.has_buffered():
             self.world.at(sock.machine.instant() + sock.link.delay, "ack", peer.transport.pump)
@@ -176,7 +179,8 @@
         if link.is_stalled or link.is_partitioned:
             link.queued.append(QueuedSegment(sock, size, what, call, args))
             return
-        # What a process writes in a turn is lost where it is killed before; what its system sends is not.
+        # A write that would happen after the process was killed in the same turn is lost; segments that the
+        # operating system sends for a dead process are not.
         written_at = None if sock.machine.dead else sock.machine.instant()
         leaves_at = max(sock.machine.instant(), sock.free_at)
         if link.rate:
@@ -184,7 +188,7 @@
             sock.free_at = leaves_at
         arrives_at = leaves_at + link.delay + int(random() * link.jitter)
         if link.loss and random() < link.loss:
-            arrives_at += RETRANSMISSION_TIME
+            arrives_at += RETRANSMISSION_TIMEOUT_US
         sock.last_arrival = arrives_at = max(sock.last_arrival, arrives_at)
         name = f"{what} {size} of {sock.machine.name}"
         self.world.at(arrives_at, name, self._arrive, sock, written_at, call, args)
@@ -201,7 +205,7 @@
         sender.in_flight -= len(data)
         sock = sender.peer
         assert sock is not None
-        if sock.closed:  # no process will ever read this
+        if sock.closed:  # the process has closed the socket
             return self._transmit(sock, 0, "rst", self._on_reset, sender)
         if not sock.reset:
             sock.inbox.append(data)
@@ -227,7 +231,7 @@
     async def connect(
         self, machine: Machine, factory: ProtocolFactory, address: Address
     ) -> tuple[SimulatedTransport, Any]:
-        """Open a connection; return its transport and protocol. Raises OSError where it does not come up."""
+        """Open a connection; return its transport and protocol. Raises OSError where it is refused or times out."""
         real, link = self.redirects.get(address, (address, self.default_link))
         link = self.links.get((machine.name, real[0]), link)
         sock = Socket(self, machine, link)
@@ -247,10 +251,10 @@
     ) -> None:
         if sock.closed or established.done():
             return
-        if transmissions >= len(SYN_RETRANSMISSION_TIMES):
+        if transmissions >= len(SYN_RETRANSMISSION_TIMEOUTS_US):
             established.set_exception(TimeoutError(110, "Connection timed out"))
             return
-        next_at = sock.machine.instant() + SYN_RETRANSMISSION_TIMES[transmissions]
+        next_at = sock.machine.instant() + SYN_RETRANSMISSION_TIMEOUTS_US[transmissions]
         name = f"syn again of {sock.machine.name}"
         self.world.at(next_at, name, self._send_syn, sock, real, established, transmissions + 1)
         if not sock.link.is_partitioned:
@@ -290,7 +294,7 @@
     async def adopt(
         self, machine: Machine, factory: ProtocolFactory, sock: object
     ) -> tuple[SimulatedTransport, Any]:
-        """Give an accepted connection a transport; return it and its protocol."""
+        """Create the transport of an accepted connection; return it and its protocol."""
         assert isinstance(sock, Socket)
         return await self._begin(machine, sock, factory)
 
--- a/irisdeal/simulation/quota/__init__.py
+++ b/irisdeal/simulation/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Registries and proxies on one virtual clock: a tenant's quota under load and faults."""
+"""Simulation of registries and proxies in virtual time: a tenant's quota under load and faults."""
--- a/irisdeal/simulation/quota/faults.py
+++ b/irisdeal/simulation/quota/faults.py
@@ -1,4 +1,4 @@
-"""Random fault schedules of the quota simulation: one seed gives floods, faults and changes at any moment."""
+"""Random schedules of the quota simulation: one seed determines all floods, faults and changes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from irisdeal.simulation.quota.world import QuotaWorld
 
-END_S = 30.0  # of most schedules
-LONG_END_S = 150.0  # of a schedule with a fault of over a minute
-MAX_REQUESTS = 12_000  # of a schedule: larger floods are shorter
-RESTART_S = (0.3, 3.0)  # that a process is away
+END_S = 30.0
+LONG_END_S = 150.0  # of schedules whose faults may last over a minute
+MAX_REQUESTS = 12_000  # in a schedule; larger floods are shorter
+DOWNTIME_RANGE_S = (0.3, 3.0)  # of a restarted process
 
 
 @dataclass
 class QuotaDay:
-    """The parameters of one schedule; `events`: what happens in it, as text. Times are s."""
+    """The parameters of one schedule; `events`: descriptions of its faults. Times are s."""
 
     seed: int
     proxies: int
@@ -65,7 +65,7 @@
         return self.world.judge.worst()
 
     def _loads(self) -> None:
-        """Schedule normal load, and floods that come and go, each at all proxies or at some of them."""
+        """Schedule normal load and floods, each with its own distribution over the proxies."""
         world, budget = self.world, float(MAX_REQUESTS)
         since = 0.0
         while since < self.day.end_s and budget > 0:
@@ -113,7 +113,7 @@
         ]
 
     def _draw_duration(self) -> float:
-        """Return the s that a fault lasts: mostly short, at times over a minute."""
+        """Return a random duration of a fault in s: mostly short, sometimes over a minute."""
         longest = 120.0 if self.day.end_s > END_S else 20.0
         return float(longest ** self.chance.random())
 
@@ -192,7 +192,7 @@
 
     def _restarts(self, ip: str, at: float, is_wiped: bool) -> None:
         for _ in range(self.chance.randint(1, 5)):
-            away = self.chance.uniform(*RESTART_S)
+            away = self.chance.uniform(*DOWNTIME_RANGE_S)
             self.world.at(at, self.world.kill_registry, ip, is_wiped)
             self.world.at(at + away, self.world.start_registry, ip)
             at += away + self.chance.uniform(0.2, 3.0)
@@ -228,7 +228,7 @@
         self.world.at(at, self.world.add_registry, self._new_ip())
 
     def _removed_registry(self, at: float) -> None:
-        """Remove a registry from the list; its process goes on, and may be partitioned from the others."""
+        """Remove a registry from the list; its process keeps running, and may be partitioned from the others."""
         ip = self.chance.choice(self._ips())
         if self.chance.random() < 0.7:
             others = [other for other in self._ips() if other != ip]
@@ -240,7 +240,7 @@
         self.world.at(at + self.chance.random(), self.world.remove_registry, ip)
 
     def _replaced_registry(self, at: float) -> None:
-        """Remove a registry that may be partitioned, and add another one while its process goes on."""
+        """Remove a registry that may be partitioned, and add another one while the removed process still runs."""
         self._removed_registry(at)
         self._added_registry(at + 1.0 + self.chance.random())
 
--- a/irisdeal/simulation/quota/judge.py
+++ b/irisdeal/simulation/quota/judge.py
@@ -1,14 +1,18 @@
 """Checks rate limits from the times at which requests ran and limits were set.
 
-It shares no code with the program: the rule is written here from the users' page.
+It shares no code with the program: the rule is implemented from the user documentation.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BINDS_AFTER_S = 8.0  # from the decision of a lower limit: an apply_ms of 3 s, and one window
-WINDOW_S, EXCESS, SLACK = 5.0, 0.1, 20.0
+# From the decision of a lower limit until it is enforced: an apply_ms of 3 s, and one window.
+ENFORCED_AFTER_S = 8.0
+WINDOW_S = 5.0
+# Requests over the limit that are allowed in a window: a share of the limit, and a fixed number.
+MAX_EXCESS_RATIO = 0.1
+MAX_EXCESS_COUNT = 20.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +25,7 @@
 
     def allowed(self) -> float:
         """Return the requests that may run in any window."""
-        return (self.rate * WINDOW_S + self.burst) * (1 + EXCESS) + SLACK
+        return (self.rate * WINDOW_S + self.burst) * (1 + MAX_EXCESS_RATIO) + MAX_EXCESS_COUNT
 
 
 class QuotaJudge:
@@ -40,23 +44,23 @@
         self.settings.append(Setting(at, rate, burst))
 
     def allowed(self, since: float, until: float) -> float:
-        """Return the requests that may run between two times: by the largest limit that may still be in force."""
+        """Return the requests that may run between two times, by the largest limit that may be enforced then."""
         most = 0.0
         for number, setting in enumerate(self.settings):
             next_at = self.settings[number + 1].at if number + 1 < len(self.settings) else float("inf")
-            if setting.at <= until and since < next_at + BINDS_AFTER_S:
+            if setting.at <= until and since < next_at + ENFORCED_AFTER_S:
                 most = max(most, setting.allowed())
         return most
 
     def worst(self) -> float:
-        """Return the largest share of the allowed requests that ran in any window; over 1 breaks the rule."""
+        """Return the largest share of the allowed requests that ran in any window; over 1 is a breach."""
         ran, first, worst = sorted(self.ran), 0, 0.0
-        is_one = len(self.settings) == 1
+        has_one_limit = len(self.settings) == 1
         allowed = self.settings[0].allowed()
         for last, at in enumerate(ran):
             while ran[first] <= at - WINDOW_S:
                 first += 1
-            if not is_one:
+            if not has_one_limit:
                 allowed = self.allowed(ran[first], at)
             worst = max(worst, (last - first + 1) / allowed)
         return worst
--- a/irisdeal/simulation/quota/nodes.py
+++ b/irisdeal/simulation/quota/nodes.py
@@ -1,4 +1,4 @@
-"""Registries and proxies of the quota simulation: the program's own code, on clocks of their own."""
+"""Registries and proxies of the quota simulation: the production code, each node on its own clock."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from irisdeal.runtime.settings import Settings
 
 TENANT = "t"
-CONTACT_KEPT_S = 1.8  # that a registry counts itself in contact after it last was
+MAX_CONTACT_AGE_S = 1.8  # up to which a registry counts as in contact with the store
 
 
 class Clock:
-    """A machine's steady clock: `speed` times as fast as virtual time, with any start."""
+    """A machine's monotonic clock: `speed` times as fast as virtual time, with an arbitrary offset."""
 
     def __init__(self, world: Callable[[], float], speed: float, offset: float) -> None:
         self.world, self.speed, self.offset = world, speed, offset
@@ -35,7 +35,7 @@
 
 
 def _loop(clock: Clock) -> asyncio.AbstractEventLoop:
-    """Return as much of an event loop as the quota service uses: loans are answered at once here."""
+    """Return the part of an event loop that the quota service uses; here loans are answered immediately."""
 
     def _create_future() -> SimpleNamespace:
         return SimpleNamespace(set_result=lambda value: None)
@@ -54,7 +54,7 @@
         recorded: IssuerList | None,
         lend_from: Callable[[str, str, LendRequest], int],
     ) -> None:
-        """Start it; `recorded`: the list on its disk; `lend_from`: asks another registry on its behalf."""
+        """Start it; `recorded`: the list on its disk; `lend_from`: sends a loan request to another registry."""
         self.ip, self.clock = ip, clock
         self.contact_at: float | None = None
 
@@ -68,15 +68,12 @@
         self.service = QuotaService(settings, _loop(clock), incarnation, self.authority, self.age, _lend)
 
     def age(self) -> float | None:
-        """Return the age in s of its knowledge of the decisions, as the program counts it.
-
-        None without any.
-        """
+        """Return the s since its last contact with the store; None if it has none that is recent enough."""
         age = self.clock.now() - self.contact_at if self.contact_at is not None else float("inf")
-        return age if age <= CONTACT_KEPT_S else None
+        return age if age <= MAX_CONTACT_AGE_S else None
 
     def have_contact(self, machines: IssuerList, limits: dict[str, Limit]) -> None:
-        """Give it all decisions up to now."""
+        """Apply all decisions of the store up to now."""
         now = self.clock.now()
         self.authority.observe_list(machines, now)
         if limits != self.service.issuer.limits:
@@ -84,7 +81,7 @@
         self.contact_at = now
 
     def claim(self) -> ClaimResult:
-        """Claim a permit for one request; borrow where there is none here."""
+        """Claim a permit for one request; borrow from other registries if this one has none."""
         result = self.service.claim(TENANT, False)
         if result is not ClaimResult.EXHAUSTED or not self.service.can_borrow(TENANT):
             return result
@@ -92,7 +89,7 @@
             self.service.borrow(TENANT).send(None)
         except StopIteration:
             return self.service.claim(TENANT, False)
-        raise AssertionError("a loan waited")
+        raise AssertionError("a loan was not answered immediately")
 
 
 class ProxyNode:
@@ -102,19 +99,19 @@
         self.name, self.home, self.clock = name, home, clock
         self.prefetched = PrefetchedPermits(incarnation)
         self.throttle = ProbabilisticThrottle(TENANT, limit)
-        self.unresponsive_until: dict[str, float] = {}  # registries that did not answer, in virtual time
+        self.unresponsive_until: dict[str, float] = {}  # registry -> virtual time until which it is skipped
         self.without_permits_until: dict[str, float] = {}
         self.newest_total = -1
 
     def configure(self, limit: Limit) -> None:
-        """Apply another limit: permits granted under a higher one are given up."""
+        """Apply another limit: permits granted under a higher one are dropped."""
         before = self.throttle.limit
         if limit.rate_per_s < before.rate_per_s or limit.burst < before.burst:
             self.prefetched.drop(lambda tenant: True)
         self.throttle.limit = limit
 
     def close(self) -> Usage:
-        """Return the requests at this proxy in the interval that ends."""
+        """End the interval; return this proxy's requests in it."""
         asked, late = self.throttle.close_interval()
         self.prefetched.record_demand(TENANT, asked, INTERVAL_S)
         return Usage(asked, 0.0, 0.0, late)
--- a/irisdeal/simulation/quota/world.py
+++ b/irisdeal/simulation/quota/world.py
@@ -1,8 +1,9 @@
-"""Simulation of rate limits: what a tenant's requests get under floods and faults.
+"""Simulation of rate limits: how many of a tenant's requests run under floods and faults.
 
-Issuing, authority and prefetched permits are the program's own code (`irisdeal/permits/`,
+Issuing, authority and prefetched permits are the production code (`irisdeal/permits/`,
 `registry/quota_service.py`); the network, the configuration store's decisions and the path of a request are
-simulated here. The judge (`judge.py`) knows only which request ran when.
+simulated here. The judge (`judge.py`) gets only the times at which
+requests ran and limits were set.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from irisdeal.simulation.quota.judge import QuotaJudge
 from irisdeal.simulation.quota.nodes import TENANT, Clock, ProxyNode, RegistryNode
 
-NETWORK_DELAY_S = 0.0014  # s between two machines
-CLAIM_TIMEOUT_S = 0.06  # s that a proxy waits for the reply to a claim
-REPORT_TIMEOUT_S = 0.4  # s likewise to a report
-AVOIDANCE_S = 0.5  # s for which a registry that did not answer, or issues no permits, is avoided
-CONTACT_INTERVAL_S = 0.2  # s between two contacts of a registry with the configuration store
-SEND_WITHIN_S = 0.35  # s after the claim of its permit that a request is sent, or not at all
-MAX_APPLY_S = 2.0  # s within which a proxy applies a configuration
+NETWORK_DELAY_S = 0.0014  # one way between two machines
+CLAIM_TIMEOUT_S = 0.06  # for the reply to a proxy's claim
+REPORT_TIMEOUT_S = 0.4  # for the reply to a proxy's report
+AVOIDANCE_S = 0.5  # a registry that did not answer, or issues no permits, is skipped this long
+CONTACT_INTERVAL_S = 0.2  # between a registry's contacts with the configuration store
+MAX_SEND_DELAY_S = 0.35  # from the claim of its permit; later a request is refused
+MAX_APPLY_S = 2.0  # within which a proxy applies a configuration
 
 
 class QuotaWorld:
@@ -45,8 +46,8 @@
     ) -> None:
         """Set it up with one tenant of `rate` requests a second and `burst`.
 
-        `drift`: clocks run up to this share too fast or too slow; `started`: the registries have been members
-        for long.
+        `drift`: clocks run up to this share too fast or too slow; `started`: the registries have long been members
+        and have recorded the list of issuers.
         """
         self.chance = random.Random(seed)
         self.time, self.drift = 0.0, drift
@@ -56,11 +57,11 @@
         self.number = self.incarnations = 0
         self.asked = self.refused = 0
         self.lend_lost = self.lend_doubled = self.loss = 0.0
-        self.run_delay_s = 0.002  # the mean, from a permit to the run
+        self.run_delay_s = 0.002  # mean time from a permit to the run
         self.down: set[str] = set()
         self.frozen: dict[str, list[tuple[Callable[..., None], tuple[object, ...]]]] = {}
         self.partitioned: set[tuple[str, str]] = set()  # ordered pairs: from, to
-        self.slow: dict[str, float] = {}  # registry -> s that it takes for a reply
+        self.slow: dict[str, float] = {}  # registry -> maximum s that it takes for a reply
         ips = [f"g{number}" for number in range(registries)]
         self.list = IssuerList(0, frozenset(ips))
         self.disks: dict[str, IssuerList] = {ip: self.list for ip in ips} if started else {}
@@ -81,7 +82,7 @@
         return Clock(lambda: self.time, speed, self.chance.uniform(100, 1000))
 
     def new_registry(self, ip: str) -> RegistryNode:
-        """Return a new incarnation of a registry, with what is on its disk."""
+        """Return a new incarnation of a registry, with the list recorded on its disk."""
         return RegistryNode(ip, self._next_incarnation(), self._clock(), self.disks.get(ip), self._lend)
 
     def _proxy(self, number: int, home: int) -> ProxyNode:
@@ -127,7 +128,7 @@
     # The configuration store
 
     def decide(self, machines: frozenset[str]) -> None:
-        """Decide another list of issuers: jointly with the one before it, then alone."""
+        """Decide another list of issuers: first the union with the previous list, then the new list alone."""
         number = self.list.number + 1
         self.list = IssuerList(number, self.list.machines | machines)
         self.at(
@@ -139,7 +140,7 @@
             self.list = decided
 
     def _contact(self, ip: str) -> None:
-        """Let a registry contact the store: it succeeds where it and a majority of the list reach each other."""
+        """Contact the store from a registry: succeeds if it and a majority of the list reach each other."""
         self.at(self.time + CONTACT_INTERVAL_S, self._contact, ip)
         if ip in self.down or ip in self.frozen:
             return
@@ -162,7 +163,7 @@
                 self.disks[ip] = node.authority.recorded_list = record
 
     def set_limit(self, rate: float, burst: float) -> None:
-        """Decide another limit; proxies that it reaches apply it within `MAX_APPLY_S`."""
+        """Decide another limit; reachable proxies apply it within `MAX_APPLY_S`."""
         self.limit = Limit(rate, burst)
         self.judge.record_limit(self.time, rate, burst)
         for number in range(len(self.proxies)):
@@ -230,7 +231,7 @@
     def _claim_from_next(
         self, number: int, proxy: ProxyNode, remaining: list[str], started_at: float
     ) -> None:
-        """Claim a permit at the next registry; without any, use a prefetched one."""
+        """Claim a permit at the next registry; if none is left, use a prefetched permit."""
         while remaining:
             ip, remaining = remaining[0], remaining[1:]
             is_avoided = (
@@ -272,7 +273,7 @@
                 self.refused += 1
 
     def _claim(self, ip: str) -> ClaimResult:
-        """Let a registry handle a claim, whether its reply arrives or not."""
+        """Handle a claim at a registry, even if its reply will be lost."""
         if ip in self.frozen:
             self.frozen[ip].append((self._claim_late, (ip,)))
             return ClaimResult.NOT_ISSUING
@@ -282,9 +283,9 @@
         self.registries[ip].claim()
 
     def _run(self, asked_at: float) -> None:
-        """Send a request with a permit to a backend, in time or not at all."""
+        """Send a request with a permit to a backend, or refuse it if `MAX_SEND_DELAY_S` has passed."""
         sent_at = self.time + self.chance.expovariate(1 / self.run_delay_s)
-        if sent_at < asked_at + SEND_WITHIN_S:
+        if sent_at < asked_at + MAX_SEND_DELAY_S:
             self.judge.record_run(sent_at + NETWORK_DELAY_S)
         else:
             self.refused += 1
@@ -328,14 +329,14 @@
     # Faults
 
     def kill_registry(self, ip: str, is_wiped: bool = False) -> None:
-        """End its process; `is_wiped`: its disk is lost too."""
+        """End a registry's process; `is_wiped`: its disk is lost too."""
         self.down.add(ip)
         self.frozen.pop(ip, None)
         if is_wiped:
             self.disks.pop(ip, None)
 
     def start_registry(self, ip: str) -> None:
-        """Start a new incarnation."""
+        """Start a new incarnation of a registry that is down."""
         if ip in self.down:
             self.down.discard(ip)
             self.registries[ip] = self.new_registry(ip)
@@ -350,21 +351,21 @@
         self.decide(self.list.machines | {ip})
 
     def remove_registry(self, ip: str) -> None:
-        """Remove it from the list; its process goes on."""
+        """Remove a registry from the list; its process keeps running."""
         if len(self.list.machines) > 1:
             self.decide(self.list.machines - {ip})
 
     def restart_proxy(self, number: int) -> None:
-        """Start a new incarnation, which has no permits."""
+        """Start a new incarnation of a proxy, without permits."""
         self.frozen.pop(self.proxies[number].name, None)
         self.proxies[number] = self._proxy(number, self.proxies[number].home)
 
     def slow_down(self, ip: str, seconds: float) -> None:
-        """Let a registry take up to so many s for a reply."""
+        """Let a registry take up to `seconds` for a reply."""
         self.slow[ip] = seconds
 
     def freeze(self, name: str) -> None:
-        """Pause a process: messages to it wait, and are handled once it resumes."""
+        """Pause a process; messages to it are queued until it resumes."""
         if name not in self.down:
             self.frozen.setdefault(name, [])
 
--- a/irisdeal/simulation/sockets.py
+++ b/irisdeal/simulation/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of simulated machines, as their operating system has them, and the links between them."""
+"""Sockets of simulated machines, and the links between machines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SocketNetwork(Protocol):
-    """What a socket needs of its network."""
+    """The calls of the network that a socket uses."""
 
     def bind(self, listener: ListeningSocket, address: Address) -> Address:
         """Reserve an address, with a free port for port 0. Raises OSError (EADDRINUSE)."""
@@ -29,23 +29,23 @@
         """Transmit FIN."""
 
     def acknowledge(self, sock: Socket) -> None:
-        """Let the peer know that bytes were read."""
+        """Notify the peer that bytes were read."""
 
 
 class SocketReader(Protocol):
-    """What a process has of a connection: its transport."""
+    """The transport of a connection, as its socket uses it."""
 
     def update_readable(self) -> None:
-        """Check again whether there is something to read."""
+        """Check again whether the socket is readable."""
 
     def deliver(self) -> None:
-        """Pass on what there is to read."""
+        """Read once and pass the data to the protocol."""
 
     def pump(self) -> None:
         """Pass buffered bytes to the socket."""
 
     def has_buffered(self) -> bool:
-        """Whether bytes are buffered that the socket did not take."""
+        """Whether bytes are buffered that the socket has not accepted yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,10 +63,10 @@
 class NetworkLink:
     """A network path between two ends, or one direction of it where `reverse` is set.
 
-    `delay` and `jitter`: µs; `rate`: bytes a second, 0 for no limit; `loss`: share of segments sent twice;
-    `is_stalled`: nothing passes, and what is sent arrives once it ends; `is_partitioned`: likewise, and
-    connections do not come up; `endpoints`: both sockets of each connection; `reverse`: the link by which the
-    called end sends, None for this one.
+    `delay` and `jitter`: µs; `rate`: bytes a second, 0 for no limit; `loss`: share of segments that are
+    retransmitted; `is_stalled`: segments are queued until the stall ends; `is_partitioned`: likewise, and no
+    connection is established; `endpoints`: both sockets of each connection; `reverse`: the link over which the
+    server's end sends, None for this one.
     """
 
     delay: int = 50
@@ -112,7 +112,7 @@
         self.inbox_size = 0  # bytes
         self.in_flight = 0  # bytes sent that have not arrived
         self.fin = self.fin_sent = self.reset = self.closed = False
-        self.last_arrival = 0  # µs, when the last segment sent arrives
+        self.last_arrival = 0  # µs, arrival time of the last segment sent
         self.free_at = 0  # µs, when the link is free again
 
     def fileno(self) -> int:
@@ -138,7 +138,7 @@
         return bool(self.inbox) or self.fin or self.reset
 
     def notify_transport(self) -> None:
-        """Let the transport check whether there is something to read."""
+        """Let the transport check whether this socket is readable."""
         if self.transport is not None:
             self.transport.update_readable()
 
@@ -207,7 +207,7 @@
         return was_watched
 
     def update_readable(self) -> None:
-        """Let the loop know whether connections wait to be accepted."""
+        """Update whether the loop reads this socket: while connections wait to be accepted."""
         self.machine.set_readable(self, self._callback is not None and bool(self.queue))
 
     def deliver(self) -> None:
@@ -215,7 +215,7 @@
         try:
             if self._callback is not None:
                 self._callback()
-        except Exception as error:  # as asyncio does: it is reported, and the loop goes on
+        except Exception as error:  # as in asyncio: it is reported, and the loop continues
             context: dict[str, Any] = {"message": "a reader failed", "exception": error}
             self.machine.call_exception_handler(context)
         self.update_readable()
--- a/irisdeal/simulation/trace.py
+++ b/irisdeal/simulation/trace.py
@@ -1,10 +1,10 @@
-"""A running checksum of all events of a simulation, to compare two runs and to find where they differ."""
+"""A running checksum of all events of a simulation, to compare two runs and find the first difference."""
 
 from __future__ import annotations
 
 import zlib
 
-# Events that one stored checksum covers: a run keeps 4 bytes for so many.
+# Events per stored checksum of 4 bytes.
 BLOCK_EVENTS = 256
 
 
--- a/irisdeal/simulation/transport.py
+++ b/irisdeal/simulation/transport.py
@@ -9,13 +9,14 @@
 from irisdeal.simulation.machine import Machine
 from irisdeal.simulation.sockets import Socket
 
-# Bytes in flight or unread on a connection above which the sender's system takes no more.
+# In flight or unread on a connection; above it the sender's operating system accepts no more.
 SOCKET_BUFFER_BYTES = 262_144
-# Bytes of one read, as asyncio's.
+# Size limit of one read, as in asyncio.
 MAX_READ_BYTES = 262_144
-# Bytes buffered in a transport above which its protocol pauses writing, and below which it resumes; as
-# asyncio's.
-HIGH_WATERMARK, LOW_WATERMARK = 65_536, 16_384
+# Buffered in a transport; above it the protocol pauses writing, as in asyncio.
+HIGH_WATERMARK_BYTES = 65_536
+# Buffered in a transport; at or below it the protocol resumes writing, as in asyncio.
+LOW_WATERMARK_BYTES = 16_384
 
 
 class SimulatedTransport(asyncio.Transport):
@@ -28,7 +29,7 @@
         self._size = 0
         self._reading = False  # until the protocol has been notified of the connection
         self._paused = self._closing = self._lost = self._full = self._eof = False
-        self._high, self._low = HIGH_WATERMARK, LOW_WATERMARK
+        self._high, self._low = HIGH_WATERMARK_BYTES, LOW_WATERMARK_BYTES
 
     def begin(self, waiter: asyncio.Future[None] | None = None) -> None:
         """Notify the protocol of the connection, then start reading and resolve `waiter`."""
@@ -86,7 +87,7 @@
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """As in asyncio."""
-        self._high = HIGH_WATERMARK if high is None else high
+        self._high = HIGH_WATERMARK_BYTES if high is None else high
         self._low = self._high // 4 if low is None else low
 
     def can_write_eof(self) -> bool:
@@ -100,7 +101,7 @@
         if self._eof:
             raise RuntimeError("write after write_eof")
         self._machine.spend(self._machine.costs.write)
-        if self._socket.reset:  # as EPIPE: what was written is lost
+        if self._socket.reset:  # as EPIPE: the written data is lost
             self._buffer.clear()
             return self._end_with(ConnectionResetError(104, "Connection reset by peer"))
         self._buffer.append(bytes(data))
@@ -150,11 +151,11 @@
     # Calls of the socket and the network
 
     def has_buffered(self) -> bool:
-        """Whether bytes are buffered that the socket did not take."""
+        """Whether bytes are buffered that the socket has not accepted yet."""
         return bool(self._buffer)
 
     def pump(self) -> None:
-        """Pass buffered bytes to the socket, as many as it takes."""
+        """Pass buffered bytes to the socket, as many as it accepts."""
         sock, peer = self._socket, self._socket.peer
         assert peer is not None
         while self._buffer and not sock.closed:
@@ -177,9 +178,9 @@
                 self._end_with(None)
 
     def update_readable(self) -> None:
-        """Let the loop know whether there is something to read that the protocol wants."""
-        wants_to_read = self._reading and not (self._paused or self._closing)
-        self._machine.set_readable(self, wants_to_read and self._socket.is_readable())
+        """Update whether the loop reads this transport: while the socket is readable and reading is not paused."""
+        is_reading = self._reading and not (self._paused or self._closing)
+        self._machine.set_readable(self, is_reading and self._socket.is_readable())
 
     def deliver(self) -> None:
         """Make one read, in a turn of the loop."""
@@ -193,7 +194,7 @@
                 sock.fin = False
                 if not self._protocol.eof_received():
                     self.close()
-        except Exception as error:  # as asyncio does: the connection ends, and the error is reported
+        except Exception as error:  # as in asyncio: the connection is closed, and the error is reported
             self._machine.call_exception_handler({"message": "a protocol failed", "exception": error})
             self.abort()
         self.update_readable()
--- a/irisdeal/simulation/world.py
+++ b/irisdeal/simulation/world.py
@@ -1,17 +1,17 @@
 """Virtual time and a schedule of events, executed in an exact order.
 
-Rules that everything in this package obeys:
+Rules that hold for the whole package:
 
 1. There is one clock, `World.now`, in whole µs. It advances only from one scheduled event to the next, so an
-   hour in which nothing happens costs nothing.
-2. Events are ordered by time and then by the order in which they were scheduled. Nothing else has an
-   influence on the order: no address of an object, no hash, no real clock, no thread.
-3. All random numbers are drawn from `World.random`, which has one seed. So one seed gives one run, to the
-   last byte.
-4. Each event is recorded in the `EventTrace`, so that two runs that should be equal can be compared, and the
-   first event in which they differ can be named.
-5. A world in which nothing can happen any more while tasks wait is an error (`SimulationStalledError`); so is
-   one that goes on without time advancing (`SimulationLivelockError`).
+   hour without events takes no real time.
+2. Events are ordered by time and then by the order in which they were scheduled. Nothing else
+   influences the order: no object address, hash, real clock or thread.
+3. All random numbers are drawn from `World.random`, which has one seed, so one seed always gives the same
+   run, byte for byte.
+4. Each event is recorded in the `EventTrace`, so that two runs can be compared and the first event in which
+   they differ can be found.
+5. A world with waiting tasks and no scheduled event is an error (`SimulationStalledError`); so are too many
+   events without time advancing (`SimulationLivelockError`).
 
 The same rules hold in FoundationDB's simulator (Zhou et al., SIGMOD 2021, section 4) and TigerBeetle's VOPR.
 """
@@ -25,11 +25,11 @@
 from irisdeal.simulation.errors import SimulationLivelockError, SimulationStalledError
 from irisdeal.simulation.trace import EventTrace
 
-# Events at the same µs; a peak of a full simulated day is under a tenth of it.
+# Events at the same µs before a livelock is reported; the peak of a full simulated day is under a tenth of it.
 MAX_SIMULTANEOUS_EVENTS = 200_000
-# Of these, how many of the last ones an error names.
-NAMED_EVENTS = 16
-# µs of the clock when a world starts: a time of 0 means "never" to many programs.
+# Most recent events that the error lists.
+REPORTED_EVENT_COUNT = 16
+# Clock when a world starts; not 0, since many programs use 0 for "never".
 START_US = 1_000_000_000
 
 
@@ -43,7 +43,7 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Do not make this call."""
+        """Skip this call when it is due."""
         self.cancelled = True
 
 
@@ -55,14 +55,14 @@
         self.now = START_US
         self.random = random.Random(seed)
         self.trace = EventTrace(recorded_block)
-        self.wait_reporters: list[Callable[[], Iterator[str]]] = []  # each lists the tasks that wait in it
+        self.wait_reporters: list[Callable[[], Iterator[str]]] = []  # each lists its waiting tasks
         self._schedule: list[tuple[int, int, ScheduledEvent]] = []
         self._sequence = 0
         self._simultaneous = 0
         self._last_events: list[str] = []
 
     def at(self, when: int, what: str, call: Callable[..., None], *args: object) -> ScheduledEvent:
-        """Schedule a call at `when` (µs), or now where that has passed; `what` describes it in the trace."""
+        """Schedule a call at `when` (µs), or now if that has passed; `what` describes it in the trace."""
         event = ScheduledEvent(max(when, self.now), what, call, args)
         self._sequence += 1
         heapq.heappush(self._schedule, (event.when, self._sequence, event))
@@ -71,7 +71,8 @@
     def run(self, over: Callable[[], bool], until: int) -> None:
         """Execute events until `over` returns True.
 
-        Raises SimulationStalledError at `until` (µs) or with nothing scheduled, and SimulationLivelockError.
+        Raises SimulationStalledError at `until` (µs) or with nothing scheduled, and SimulationLivelockError after
+        too many events without time advancing.
         """
         schedule = self._schedule
         while not over():
@@ -95,7 +96,7 @@
             self.now, self._simultaneous = when, 0
             self._last_events.clear()
         self._simultaneous += 1
-        if self._simultaneous <= MAX_SIMULTANEOUS_EVENTS - NAMED_EVENTS:
+        if self._simultaneous <= MAX_SIMULTANEOUS_EVENTS - REPORTED_EVENT_COUNT:
             return
         self._last_events.append(what)
         if self._simultaneous > MAX_SIMULTANEOUS_EVENTS:
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -158,9 +158,7 @@
 
 
 def test_three_busy_machines_share_a_core_evenly() -> None:
-    """Once the first busy machine kept the core, and the others' timers were a second late, as under no
-    kernel.
-    """
+    """Guards against a busy machine that keeps the core, so that the others' timers are a second late."""
     world = World(1)
     net, core, counts = Network(world), Core(), [0, 0, 0]
     machines = [Machine(world, net, str(n), core, Costs(call=1_000)) for n in range(3)]
