--- a/irisdeal/simulation/cluster/__init__.py
+++ b/irisdeal/simulation/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's programs in virtual time: disks that tear, machines that die, and judges of what must hold."""
+"""Simulation of the configuration store in virtual time, with faults of machines, disks and links, and checks."""
--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -1,8 +1,7 @@
-"""Those who call the store in a day: operators that put and read, and watchers, as doors are. All they know of it
-is what they were answered, and it goes into a history.
+"""Clients of a simulated store: operators that put and read, and watchers. They record all replies in a history.
 
-An order that had no clear answer is sent again unchanged, to any member; at times its answer is given up at once,
-as one that is lost. Operators send two bodies under one number at the same moment, and old orders again.
+A put without a clear reply is sent again unchanged, to any member; sometimes the client times out early, as if the
+reply were lost. Operators also put two bodies under one number at the same time, and repeat old puts.
 """
 
 from __future__ import annotations
@@ -23,21 +22,21 @@
 from irisdeal.simulation.cluster.linearizability import INFINITY, NO_NUMBER, Kind, Operation
 from irisdeal.simulation.machine import Machine
 
-PATIENCE = 1.0  # s of silence after which an operator goes to another member
-LOSE_AFTER = (0.0005, 0.004, 0.02, 0.08)  # s after which an answer counts as lost on its way
-PACE = 0.7  # s at most, times the operators, between two orders of one of them
-MOST_SENDS = 12  # times that one order is sent
-READS = 0.4  # share of orders that a read follows
-OLD = 0.08  # share of orders that are old ones, sent again
-TWICE = 0.25  # share that have the number of another order
-GONE_QUICK = 0.15  # share of sends whose answer is lost
-HEAD = 48  # bytes of a body before its padding
-HOLD = 1.6  # s that a watcher waits for an answer: the store holds an ask for 1 s
+CALL_TIMEOUT_S = 1.0  # after which an operator tries another member
+LOST_REPLY_TIMEOUTS_S = (0.0005, 0.004, 0.02, 0.08)  # of calls whose reply counts as lost
+ORDER_INTERVAL_S = 0.7  # maximum between two puts of all operators
+MAX_SENDS = 12  # of one put
+READ_RATIO = 0.4  # puts followed by a read
+REPEATED_ORDER_RATIO = 0.08  # puts that repeat an old one
+SHARED_NUMBER_RATIO = 0.25  # puts with the number of another put
+LOST_REPLY_RATIO = 0.15  # sends whose reply counts as lost
+BODY_HEADER_BYTES = 48  # before the padding of a body
+WATCH_TIMEOUT_S = 1.6  # longer than the 1 s for which the store holds a watch
 
 
 @dataclass
-class Seen:
-    """What a watcher was told: s, the member, the change, the stamp, the age in ms of the member's contact."""
+class WatchReply:
+    """A reply to a watch: time in s, member, change, version, and age in ms of the member's quorum contact."""
 
     at: float
     host: str
@@ -50,17 +49,17 @@
 
 @dataclass
 class CallHistory:
-    """What callers saw."""
+    """All operations and replies of the clients."""
 
     ops: list[Operation] = field(default_factory=list)
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[WatchReply] = field(default_factory=list)
     orders: int = 0
     sends: int = 0
     acknowledged: int = 0
     times: list[tuple[float, float]] = field(
         default_factory=list
-    )  # of each order: its begin, s until its ack
-    answers: list[tuple[float, str]] = field(default_factory=list)  # acknowledgements: s, who gave it
+    )  # of each put: start, s until its acknowledgement
+    answers: list[tuple[float, str]] = field(default_factory=list)  # acknowledgements: time, member
 
     def newest(self) -> int:
         return max((op.number for op in self.ops if op.kind is Kind.CONFIRMED), default=NO_NUMBER)
@@ -70,8 +69,8 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def wake(waiting: list[asyncio.Future[str]], host: str) -> None:
-    """Whoever waits hears of it."""
+def resolve_waiters(waiting: list[asyncio.Future[str]], host: str) -> None:
+    """Resolve all waiting futures with the name of a member."""
     for future in waiting:
         if not future.done():
             future.set_result(host)
@@ -79,7 +78,7 @@
 
 
 class Callers:
-    """The operators and watchers of one day."""
+    """The operators, watchers and readers of one simulated day."""
 
     def __init__(
         self,
@@ -87,21 +86,21 @@
         operators: int,
         watchers: int,
         readers: int = 0,
-        pace: float = PACE,
+        pace: float = ORDER_INTERVAL_S,
         size: int = 0,
     ) -> None:
-        """`readers`: callers that do nothing but read. `size`: bytes of padding in each body."""
+        """`readers`: number of clients that only read. `size`: bytes of padding in each body."""
         self.cluster, self.size = cluster, size
         self.record = CallHistory()
-        self.links: dict[tuple[str, str], RpcClient] = {}
+        self.clients: dict[tuple[str, str], RpcClient] = {}
         self.number = 0
         self.pace = pace * operators
-        self.quiet = False  # no new orders
-        self.reading = True  # those that do nothing but read do so
-        self.resting = 0  # operators that have stopped
+        self.is_paused = False  # operators send no new puts
+        self.is_reading = True  # readers send reads
+        self.paused_operators = 0  # operators that send no puts
         self.sent: list[ConfigVersion] = []
-        self.waiting: list[asyncio.Future[str]] = []  # for the next acknowledgement; the member that gave it
-        self.awaiting: list[asyncio.Future[str]] = []  # for the next order that is sent; whom to
+        self.ack_waiters: list[asyncio.Future[str]] = []  # for the member of the next acknowledgement
+        self.put_waiters: list[asyncio.Future[str]] = []  # for the member that the next put is sent to
         self.operators = operators
         for name in (f"operator-{index}" for index in range(operators)):
             machine = cluster.new_caller(name)
@@ -116,76 +115,80 @@
     def now(self) -> float:
         return self.cluster.world.seconds()
 
-    def _link(self, machine: Machine, host: str) -> RpcClient:
-        if (machine.name, host) not in self.links:
-            self.links[machine.name, host] = RpcClient((host, FIRST_PORT + ports.CONFIG_STORE), machine.name)
-        return self.links[machine.name, host]
+    def _client(self, machine: Machine, host: str) -> RpcClient:
+        if (machine.name, host) not in self.clients:
+            self.clients[machine.name, host] = RpcClient(
+                (host, FIRST_PORT + ports.CONFIG_STORE), machine.name
+            )
+        return self.clients[machine.name, host]
 
-    # Orders
+    # Puts
 
     def _body(self, number: int, name: str) -> bytes:
         head = b"r%d %s %d " % (number, name.encode(), self.cluster.chance.getrandbits(60))
-        return head.ljust(HEAD, b".") + bytes(self.size)
+        return head.ljust(BODY_HEADER_BYTES, b".") + bytes(self.size)
 
-    def _next(self, name: str) -> ConfigVersion:
+    def _next_version(self, name: str) -> ConfigVersion:
         chance = self.cluster.chance
-        if self.sent and chance.random() < OLD:
+        if self.sent and chance.random() < REPEATED_ORDER_RATIO:
             return chance.choice(self.sent[-20:])
-        if not (self.number and chance.random() < TWICE):
+        if not (self.number and chance.random() < SHARED_NUMBER_RATIO):
             self.number += chance.randint(1, 3)
         return ConfigVersion.of(f"r{self.number}", self._body(self.number, name))
 
     async def send(
-        self, machine: Machine, host: str, version: ConfigVersion, patience: float = PATIENCE
+        self, machine: Machine, host: str, version: ConfigVersion, timeout_s: float = CALL_TIMEOUT_S
     ) -> Kind:
-        """One call, and its place in the history."""
-        link, begun = self._link(machine, host), self.now()
-        wake(self.awaiting, host)
-        answer = await link.call(
-            "put", [version.version_id.number, version.version_id.digest, version.body], patience
+        """Send a put once and record it in the history."""
+        client, started_at = self._client(machine, host), self.now()
+        resolve_waiters(self.put_waiters, host)
+        answer = await client.call(
+            "put", [version.version_id.number, version.version_id.digest, version.body], timeout_s
         )
         self.record.sends += 1
-        told = int(answer.unwrap()) if isinstance(answer, Success) else 0
-        kind = {0: Kind.UNCLEAR, 1: Kind.CONFIRMED, 2: Kind.CONFLICT}[told]
+        outcome = int(answer.unwrap()) if isinstance(answer, Success) else 0
+        kind = {0: Kind.UNCLEAR, 1: Kind.CONFIRMED, 2: Kind.CONFLICT}[outcome]
         self.record.ops.append(
             Operation(
                 kind,
                 version.version_id.number,
                 digest(version.body),
-                begun,
+                started_at,
                 self.now(),
                 f"{machine.name} at {host}",
             )
         )
         if kind is Kind.CONFIRMED:
             self.record.answers.append((self.now(), host))
-            wake(self.waiting, host)
+            resolve_waiters(self.ack_waiters, host)
         return kind
 
-    async def order(self, machine: Machine, version: ConfigVersion) -> bool:
-        """Sent again until it has a clear answer; whether it has."""
-        chance, begun = self.cluster.chance, self.now()
+    async def put_until_answered(self, machine: Machine, version: ConfigVersion) -> bool:
+        """Send a put until it has a clear reply; return whether it got one in `MAX_SENDS` sends."""
+        chance, started_at = self.cluster.chance, self.now()
         self.record.orders += 1
         last = ""
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             host = chance.choice([host for host in self.cluster.hosts if host != last] or self.cluster.hosts)
             last = host
-            lost = chance.random() < GONE_QUICK
-            kind = await self.send(machine, host, version, chance.choice(LOSE_AFTER) if lost else PATIENCE)
+            lost = chance.random() < LOST_REPLY_RATIO
+            kind = await self.send(
+                machine, host, version, chance.choice(LOST_REPLY_TIMEOUTS_S) if lost else CALL_TIMEOUT_S
+            )
             if kind is not Kind.UNCLEAR:
-                self.record.times.append((begun, self.now() - begun))
+                self.record.times.append((started_at, self.now() - started_at))
                 self.record.acknowledged += 1
                 return True
             await pause(machine, chance.uniform(0.0, 0.05))
-        self.record.times.append((begun, INFINITY))
+        self.record.times.append((started_at, INFINITY))
         return False
 
     # Reads
 
     async def read(self, machine: Machine, host: str) -> bool:
-        """Whether it was answered; what, goes into the history."""
-        link, begun = self._link(machine, host), self.now()
-        answer = await link.call("read", None, PATIENCE)
+        """Read and record the result in the history; return whether it was answered."""
+        client, started_at = self._client(machine, host), self.now()
+        answer = await client.call("read", None, CALL_TIMEOUT_S)
         if not isinstance(answer, Success) or not answer.unwrap()[0]:
             return False
         body = answer.unwrap()[1]
@@ -195,92 +198,96 @@
                 Kind.READ,
                 number,
                 digest(body) if body else "",
-                begun,
+                started_at,
                 self.now(),
                 f"{machine.name} at {host}",
             )
         )
         return True
 
-    # What they do all day
+    # Client loops
 
     async def _operate(self, machine: Machine) -> int:
         chance = self.cluster.chance
         while True:
-            if self.quiet:
-                self.resting += 1
-                while self.quiet:
+            if self.is_paused:
+                self.paused_operators += 1
+                while self.is_paused:
                     await pause(machine, 0.05)
-                self.resting -= 1
-            version = self._next(machine.name)
+                self.paused_operators -= 1
+            version = self._next_version(machine.name)
             self.sent.append(version)
-            await self.order(machine, version)
-            if chance.random() < READS:
+            await self.put_until_answered(machine, version)
+            if chance.random() < READ_RATIO:
                 await self.read(machine, chance.choice(self.cluster.hosts))
             await pause(machine, chance.uniform(0.0, self.pace))
 
     async def _read(self, machine: Machine) -> int:
         while True:
-            if self.reading:
+            if self.is_reading:
                 await self.read(machine, self.cluster.chance.choice(self.cluster.hosts))
-            await pause(machine, self.cluster.chance.uniform(0.0, 0.02) if self.reading else 0.05)
+            await pause(machine, self.cluster.chance.uniform(0.0, 0.02) if self.is_reading else 0.05)
 
-    async def next(self, machine: Machine, waiting: list[asyncio.Future[str]], most: float) -> str | None:
-        """The member of the next acknowledgement, or order sent; None after so many s without one."""
+    async def wait_for_next(
+        self, machine: Machine, waiting: list[asyncio.Future[str]], timeout_s: float
+    ) -> str | None:
+        """Return the member of the next event in `waiting` (acknowledgement or put); None after `timeout_s`."""
         future: asyncio.Future[str] = machine.create_future()
         waiting.append(future)
-        timer = machine.call_later(most, wake, [future], "")
+        timer = machine.call_later(timeout_s, resolve_waiters, [future], "")
         host = await future
         timer.cancel()
         return host or None
 
-    async def rest(self, machine: Machine) -> None:
-        """Until no operator has an order under way."""
-        self.quiet = True
-        while self.resting < self.operators:
+    async def pause_operators(self, machine: Machine) -> None:
+        """Stop new puts and wait until none is in progress."""
+        self.is_paused = True
+        while self.paused_operators < self.operators:
             await pause(machine, 0.05)
 
     # Watchers
 
-    async def ask(
+    async def watch_once(
         self,
         machine: Machine,
-        link: RpcClient,
+        client: RpcClient,
         host: str,
         assembler: ChunkAssembler,
         sync_state: Any,
         change: int,
     ) -> Any:
-        """One watch: the value told, and the word of it where it is whole now; None where there was no answer."""
-        answer = await link.call("watch", [assembler.sync_state(sync_state).encode(), change], HOLD)
+        """Send one watch; return the change and the version if now complete; None without a reply."""
+        answer = await client.call(
+            "watch", [assembler.sync_state(sync_state).encode(), change], WATCH_TIMEOUT_S
+        )
         if not isinstance(answer, Success):
             return None
         chunk, (change, number, version_id, members), _, age = answer.unwrap()
         self.record.seen.append(
-            Seen(self.now(), host, change, number, bytes(version_id).hex(), age, members[0])
+            WatchReply(self.now(), host, change, number, bytes(version_id).hex(), age, members[0])
         )
         return change, assembler.add_chunk(chunk) if chunk is not None else None
 
     async def _watch(self, machine: Machine) -> int:
-        """As a door: a source, left when it says nothing, and now and then for no reason."""
+        """Watch one member after the other: change on a missing reply, and sometimes at random."""
         chance = self.cluster.chance
         version_store, sync_state, change = VersionStore(), NO_VERSION, -1
         assembler = ChunkAssembler(version_store)
         while True:
             host = chance.choice(self.cluster.hosts)
-            link = self._link(machine, host)
+            client = self._client(machine, host)
             while chance.random() < 0.95:
-                told = await self.ask(machine, link, host, assembler, sync_state, change)
-                if told is None:
+                reply = await self.watch_once(machine, client, host, assembler, sync_state, change)
+                if reply is None:
                     break
-                change = max(change, told[0])
-                if told[1] is not None and told[1].version_id > sync_state:
-                    sync_state = told[1].version_id
-                    self._in_force(machine, host, sync_state.number, sync_state.digest.hex())
+                change = max(change, reply[0])
+                if reply[1] is not None and reply[1].version_id > sync_state:
+                    sync_state = reply[1].version_id
+                    self._record_applied(machine, host, sync_state.number, sync_state.digest.hex())
             await pause(machine, 0.1)
 
-    def _in_force(self, machine: Machine, host: str, number: int, body: str) -> None:
-        """A door acts on it: it must have been decided."""
+    def _record_applied(self, machine: Machine, host: str, number: int, body: str) -> None:
+        """Record that a watcher applied a version, which must have been decided."""
         self.record.ops.append(
             Operation(Kind.READ, number, body, -INFINITY, self.now(), f"{machine.name} by {host}")
         )
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -1,7 +1,7 @@
-"""Where days of the store are played: machines with disks that tear, on ways that can be cut in one direction.
+"""A simulated cluster of the configuration store: machines, disks that lose unsynced writes, and links.
 
-An address is a machine's for good; one that replaces another has a new address and an empty disk. A machine that
-dies in the midst of an act on its disk has done some of the act's steps.
+Links can be partitioned in one direction. An address belongs to one machine for ever: a replacement has a new
+address and an empty disk. A machine that crashes during a disk call has done only some of its operations.
 """
 
 from __future__ import annotations
@@ -24,74 +24,77 @@
 from irisdeal.simulation.sockets import NetworkLink
 from irisdeal.simulation.world import START_US, World
 
-SYNC = 4.0  # s that a member counts as lost after its return
-GRACE = 6.0  # s from SIGTERM to SIGKILL
-DELAY, JITTER = 700, 300  # µs of a way
-DISK_TIMES = (500, 2_000, 2_000, 5_000, 60_000)  # µs an act: disks as they are, and one that is worn
+RECOVERY_S = 4.0  # a member counts as lost this long after its return
+TERMINATION_GRACE_S = 6.0  # from SIGTERM to SIGKILL
+LINK_DELAY_US = 700
+LINK_JITTER_US = 300
+DISK_TIMES_US = (500, 2_000, 2_000, 5_000, 60_000)  # of one call: usual disks, and a worn one
 FIRST_PORT = 7000
-MIDNIGHT = 1_700_000_000.0  # s, the time of day at the start
-SEEDS = 3  # addresses in a settings file
-MOST_STEPS = 8  # steps of an act on the disk that may be done before power is gone
+START_UNIX_TIME_S = 1_700_000_000.0
+SEED_PEER_COUNT = 3  # addresses in the settings
+MAX_PARTIAL_DISK_OPERATIONS = 8  # of a disk call that are done before a crash
 BOUNDS = ("contact_ms=3000", "sync_s=4", "grace_s=6", "ack_ms=5000", "apply_ms=2500", "revert_slack_ms=250")
-MAKE = Callable[[Settings, MemoryDisk], StoreReplica]
+ReplicaFactory = Callable[[Settings, MemoryDisk], StoreReplica]
 
 
 class ClusterMachine(Machine):
-    """A machine with a disk. What was under way on it when power went is done in part."""
+    """A machine with a disk. A disk call that a crash interrupts is done in part."""
 
     def __init__(self, cluster: SimulatedCluster, name: str) -> None:
         super().__init__(cluster.world, cluster.net, name, Core(), Costs())
-        self.under_way: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
+        self.pending_disk_calls: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
 
     def run_in_executor(self, executor: Any, func: Callable[..., Any], *args: Any) -> asyncio.Future[Any]:
         done = super().run_in_executor(executor, func, *args)
-        self.under_way[id(done)] = func, args
-        done.add_done_callback(lambda over: self.under_way.pop(id(over), None))
+        self.pending_disk_calls[id(done)] = func, args
+        done.add_done_callback(lambda call: self.pending_disk_calls.pop(id(call), None))
         return done
 
     def crash(self, disk: MemoryDisk, chance: random.Random) -> None:
-        """SIGKILL, or power goes: at this µs. Of the act that its disk has at work, some steps are done."""
-        under_way = list(self.under_way.values())[:1]
+        """Kill the process now. Of the disk call in progress, only the first operations are done."""
+        pending_disk_calls = list(self.pending_disk_calls.values())[:1]
         self.kill()
-        for func, args in under_way:
-            disk.fail_at = disk.operations + chance.randint(0, MOST_STEPS)
-            with contextlib.suppress(Exception):  # whatever it is, nobody lives to see it
+        for func, args in pending_disk_calls:
+            disk.fail_at = disk.operations + chance.randint(0, MAX_PARTIAL_DISK_OPERATIONS)
+            with contextlib.suppress(Exception):  # the caller has been killed
                 func(*args)
             disk.fail_at = -1
 
 
 class SimulatedCluster:
-    """Machines, disks and ways by one seed."""
+    """Machines, disks and links; one seed determines all random choices."""
 
     def __init__(
         self,
         count: int,
         seed: int,
-        make: MAKE = StoreReplica,
-        disk_times: tuple[int, ...] = DISK_TIMES,
+        make: ReplicaFactory = StoreReplica,
+        disk_times: tuple[int, ...] = DISK_TIMES_US,
     ) -> None:
         self.disk_times = disk_times
         self.world = World(seed)
         self.net = Network(self.world)
         self.chance = random.Random(seed + 1)
         self.make = make
-        self.callers: list[str] = []  # machines that are no members
-        self.hosts: list[str] = []  # the members that there are
-        self.made = 0
-        self.stepped = 0.0  # s that the time of day is off
-        self.ways: dict[tuple[str, str], NetworkLink] = {}
+        self.callers: list[str] = []  # machines that are not members
+        self.hosts: list[str] = []  # addresses of the current members
+        self.host_count = 0
+        self.clock_offset_s = 0.0  # added to the time of day
+        self.links: dict[tuple[str, str], NetworkLink] = {}
         self.disks: dict[str, MemoryDisk] = {}
         self.machines: dict[str, ClusterMachine] = {}
         self.members: dict[str, StoreReplica] = {}
-        self.ends: dict[str, asyncio.Event] = {}
-        self.first = [self.new_host() for _ in range(count)][:SEEDS]  # what all are told at the first start
+        self.stop_events: dict[str, asyncio.Event] = {}
+        self.bootstrap_seeds = [self.new_host() for _ in range(count)][
+            :SEED_PEER_COUNT
+        ]  # in all settings at the first start
 
     # Machines
 
     def new_host(self) -> str:
-        """A new address, with an empty disk."""
-        host = f"10.{self.made}.0.1"
-        self.made += 1
+        """Add a machine with an empty disk; return its address."""
+        host = f"10.{self.host_count}.0.1"
+        self.host_count += 1
         self.hosts.append(host)
         self.disks[host] = MemoryDisk()
         for caller in (*self.hosts, *self.callers):
@@ -101,7 +104,7 @@
         return host
 
     def new_caller(self, name: str) -> Machine:
-        """A machine of an operator or a door."""
+        """Return a new machine of an operator or of a watching client."""
         self.callers.append(name)
         for host in self.hosts:
             self._pair(name, host)
@@ -109,11 +112,17 @@
 
     def _pair(self, caller: str, host: str) -> None:
         if caller != host:
-            way = self.ways[caller, host] = NetworkLink(DELAY, JITTER, reverse=NetworkLink(DELAY, JITTER))
-            self.net.set_link(caller, host, way)
-
-    def settings(self, host: str, first: bool) -> Settings:
-        seeds = self.first if first else self.chance.sample(self.hosts, min(SEEDS, len(self.hosts)))
+            link = self.links[caller, host] = NetworkLink(
+                LINK_DELAY_US, LINK_JITTER_US, reverse=NetworkLink(LINK_DELAY_US, LINK_JITTER_US)
+            )
+            self.net.set_link(caller, host, link)
+
+    def settings(self, host: str, is_bootstrap: bool) -> Settings:
+        seeds = (
+            self.bootstrap_seeds
+            if is_bootstrap
+            else self.chance.sample(self.hosts, min(SEED_PEER_COUNT, len(self.hosts)))
+        )
         return Settings(
             node_name=host,
             role="config_store",
@@ -121,30 +130,27 @@
             zone=f"z{host}",
             port_range=(FIRST_PORT, FIRST_PORT + 15),
             config_source="compared",
-            bootstrap=first,
+            bootstrap=is_bootstrap,
             counted=True,
             seed_peers=tuple(f"{seed}:8000" for seed in seeds),
             tolerance=Tolerance(1),
             bounds=BOUNDS,
         )
 
-    def start(self, host: str, first: bool = False) -> None:
-        """The process of this machine starts, with the settings of this moment and the disk as it is.
-
-        Not where the machine has gone meanwhile.
-        """
+    def start(self, host: str, is_bootstrap: bool = False) -> None:
+        """Start the process of a machine with new settings and its current disk; no effect if it was removed."""
         if host not in self.hosts:
             return
         machine = self.machines[host] = ClusterMachine(self, host)
         machine.disk_time_us = self.chance.choice(self.disk_times)
-        settings = self.settings(host, first)
+        settings = self.settings(host, is_bootstrap)
 
         async def run() -> int:
-            self.ends[host] = ending = asyncio.Event()
+            self.stop_events[host] = stop_event = asyncio.Event()
             member = self.members[host] = self.make(settings, self.disks[host])
-            member.proposer.random.seed(self.chance.getrandbits(32))  # one seed is one day
+            member.proposer.random.seed(self.chance.getrandbits(32))  # so that one seed gives one run
             await member.start()
-            await ending.wait()
+            await stop_event.wait()
             await member.stop()
             return 0
 
@@ -153,72 +159,72 @@
     def is_up(self, host: str) -> bool:
         return host in self.machines and not self.machines[host].dead
 
-    # What befalls them
+    # Faults
 
     def kill(self, host: str, how: str = "kill") -> None:
-        """`kill`: the process; `power`: and what was not synced; `wipe`: and the disk."""
+        """End a process; with `how` "power", unsynced writes may be lost; with "wipe", the disk is."""
         self.machines[host].crash(self.disks[host], self.chance)
         if how == "power":
             self.disks[host] = self.disks[host].lose_power(self.chance)
         elif how == "wipe":
             self.disks[host] = MemoryDisk()
 
-    def term(self, host: str) -> None:
-        """SIGTERM; SIGKILL after the grace. The machine goes with its process."""
-        if self.is_up(host) and host in self.ends:
-            self.machines[host].on_exit = lambda: self.later(0.0, self.remove, host)
-            self.machines[host].call_soon(self.ends[host].set)
-        self.later(GRACE, self.remove, host)
+    def terminate(self, host: str) -> None:
+        """Send SIGTERM, and SIGKILL after `TERMINATION_GRACE_S`. The machine is removed with its process."""
+        if self.is_up(host) and host in self.stop_events:
+            self.machines[host].on_exit = lambda: self.schedule(0.0, self.remove, host)
+            self.machines[host].call_soon(self.stop_events[host].set)
+        self.schedule(TERMINATION_GRACE_S, self.remove, host)
 
     def remove(self, host: str) -> None:
-        """The machine is gone for good."""
+        """Remove a machine permanently."""
         if self.is_up(host):
             self.kill(host)
         if host in self.hosts:
             self.hosts.remove(host)
 
-    def partition(self, host: str, is_cut: bool, out: bool = True, into: bool = True) -> None:
-        """What this member sends to the others, and what they send to it, is held up, or goes on."""
-        for (caller, called), way in self.ways.items():
+    def partition(self, host: str, partitioned: bool, outgoing: bool = True, incoming: bool = True) -> None:
+        """Start or end a partition of a member from the others, in one or both directions."""
+        for (caller, called), link in self.links.items():
             if caller in self.callers or host not in (caller, called):
                 continue
-            assert way.reverse is not None
-            mine, others = (way, way.reverse) if caller == host else (way.reverse, way)
-            for one, wanted in ((mine, out), (others, into)):
-                if wanted:
-                    one.is_partitioned = one.is_stalled = is_cut
-                    if not is_cut:
-                        self.net.restore(one)
+            assert link.reverse is not None
+            outgoing_link, incoming_link = (link, link.reverse) if caller == host else (link.reverse, link)
+            for affected_link, is_affected in ((outgoing_link, outgoing), (incoming_link, incoming)):
+                if is_affected:
+                    affected_link.is_partitioned = affected_link.is_stalled = partitioned
+                    if not partitioned:
+                        self.net.restore(affected_link)
 
     def reset(self, host: str) -> None:
-        """Every connection with this member is reset."""
-        for (caller, called), way in self.ways.items():
+        """Reset every connection of a member."""
+        for (caller, called), link in self.links.items():
             if host in (caller, called):
-                self.net.reset_connections(way)
-                if way.reverse is not None:
-                    self.net.reset_connections(way.reverse)
+                self.net.reset_connections(link)
+                if link.reverse is not None:
+                    self.net.reset_connections(link.reverse)
 
-    def later(self, seconds: float, call: Callable[..., None], *given: Any) -> None:
-        self.world.at(self.world.now + int(seconds * 1e6), call.__name__, call, *given)
+    def schedule(self, seconds: float, call: Callable[..., None], *args: Any) -> None:
+        self.world.at(self.world.now + int(seconds * 1e6), call.__name__, call, *args)
 
-    def run(self, over: Callable[[], bool], most: float) -> None:
-        """Raises `SimulationStalledError` where it is not over after so many s."""
+    def run(self, is_finished: Callable[[], bool], timeout_s: float) -> None:
+        """Run until `is_finished`. Raises `SimulationStalledError` if it is not after `timeout_s`."""
         with (
             mock.patch.object(secrets, "token_hex", self._token),
             mock.patch.object(time, "time", self._time_of_day),
         ):
-            self.world.run(over, START_US + int(most * 1e6))
+            self.world.run(is_finished, START_US + int(timeout_s * 1e6))
 
     def _token(self, size: int) -> str:
-        """Identities of disks by the seed."""
+        """Return a disk identity that the seed determines."""
         return self.chance.randbytes(size).hex()
 
     def _time_of_day(self) -> float:
-        return MIDNIGHT + self.world.seconds() + self.stepped
+        return START_UNIX_TIME_S + self.world.seconds() + self.clock_offset_s
 
 
 async def pause(machine: Machine, seconds: float) -> None:
-    """Virtual seconds."""
+    """Wait for so many virtual seconds."""
     done = machine.create_future()
     machine.call_later(seconds, _finish, done)
     await done
