--- a/irisdeal/simulation/cluster/faults.py
+++ b/irisdeal/simulation/cluster/faults.py
@@ -202,7 +202,7 @@
             self.log_line(f"new {new} in place of {host}")
             self.cluster.start(new)
             await self.wait(RECOVERY_S + self.chance.uniform(0.0, 1.0))
-        self.log_line(f"{'gone' if hard else 'told to end'} {host}")
+        self.log_line(f"{'removed' if hard else 'SIGTERM'} {host}")
         if hard:
             self.cluster.remove(host)
         else:
--- a/irisdeal/simulation/cluster/store_day.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -31,7 +31,7 @@
 BURST_S = 22.0
 BURST_DOWNTIME_S = 14.0  # of one member during a burst
 TIMEOUT_S = 400.0  # beyond the faults' duration, after which a run counts as stuck
-MAX_KNOWLEDGE_LAG_S = 1.5  # three rounds; a member knows what was confirmed longer before its contact
+MAX_KNOWLEDGE_LAG_S = 1.5  # three rounds; a member has all that was confirmed longer before its contact
 TIMING_TOLERANCE_S = 0.05  # a message in transit, and one loop iteration
 
 
@@ -199,7 +199,7 @@
         return []
 
     def _check_knowledge_lags(self, record: CallHistory) -> list[str]:
-        """Check that a member in contact with a majority knows the puts confirmed `MAX_KNOWLEDGE_LAG_S` earlier."""
+        """Check that a member in contact with a majority has the puts confirmed `MAX_KNOWLEDGE_LAG_S` earlier."""
         confirmed = sorted((op.end, op.number) for op in record.ops if op.kind is Kind.CONFIRMED)
         newest, at = NO_NUMBER, 0
         for asked_at, seen in sorted(
--- a/irisdeal/simulation/search/__init__.py
+++ b/irisdeal/simulation/search/__init__.py
@@ -1,1 +1,1 @@
-"""Whole days in virtual time, and the search for the schedule of faults that breaks a rule."""
+"""Simulated days of the front door, and the search for schedules of faults that break a rule."""
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -1,7 +1,7 @@
-"""One day in virtual time: the doors' own program and the stand-ins, on machines and a network in memory.
+"""Simulates a day of front doors and test services in virtual time, on machines and a network in memory.
 
-The door is the one that runs on sockets: `Program`, whole, with its signals, its drain and its configuration
-read as JSON. The stand-ins are those of `irisdeal demo`. What differs is told in docs/design/simulation.md.
+The front doors run the production code: all of `Program`, with its signals, its drain and its configuration read
+as JSON. The test services are those of `irisdeal demo`. docs/design/simulation.md lists the differences.
 """
 
 from __future__ import annotations
@@ -34,26 +34,28 @@
 from irisdeal.testbed.service_report import Service, reckon
 from irisdeal.testbed.workload import Day, stream
 
-EPOCH = 1_700_000_000_000_000  # µs: what the world's clock says at its own 0, as Unix time
-# µs of a door's CPU; docs/design/simulation.md holds them against what real doors take.
-DOOR_COSTS = Costs(turn=25, call=22, read=45, write=35, connection=110)
-BOOT = 150_000  # µs until a process that was started runs its first line of ours: reading the program
-READY_WITHIN, POLL = 30.0, 0.02  # s: as `demo/processes.py` has them, from DEPLOY
-ENDS_WITHIN, LEAVES = 4.2, 0.3  # s, likewise
-SETTLE = 0.3  # s after the last answer: what a door still sends shows
-LONGEST = 90.0  # s beyond the day's own length before it counts as stuck
+START_UNIX_TIME_US = 1_700_000_000_000_000  # Unix time when the world's clock is 0
+# CPU costs of a front door; docs/design/simulation.md compares them with measured ones.
+FRONT_DOOR_COSTS = Costs(turn=25, call=22, read=45, write=35, connection=110)
+STARTUP_US = 150_000  # from the start of a process to its first statement: loading the program
+READY_TIMEOUT_S = 30.0  # as in `demo/processes.py`, from DEPLOY
+READY_POLL_INTERVAL_S = 0.02  # as in `demo/processes.py`
+TERMINATION_TIMEOUT_S = 4.2  # from SIGTERM to SIGKILL, as in `demo/processes.py`
+DRAIN_NOTICE_DELAY_S = 0.3  # until clients avoid a draining front door, as in `demo/processes.py`
+SETTLE_S = 0.3  # after the last response, so that anything still sent is recorded
+MAX_OVERTIME_S = 90.0  # beyond the day's length, after which it counts as stuck
 
 MakeDecider = Callable[[Settings, int], Decider]
 
 
 class SimulatedHost(Host):
-    """What a door asks of its machine, in memory."""
+    """The host interface of a front door on a simulated machine."""
 
     def __init__(self, machine: Machine, net: Network, config: Callable[[], Config]) -> None:
         self.machine, self.net, self._config = machine, net, config
 
     def now(self) -> int:
-        return EPOCH + self.machine.instant()
+        return START_UNIX_TIME_US + self.machine.instant()
 
     def create_socket(self, family: int) -> Any:
         return self.net.listening(self.machine)
@@ -65,71 +67,77 @@
         return self._config()
 
     def startup_complete(self) -> None:
-        """No real memory is to be settled."""
+        """No effect: memory is not simulated."""
 
 
 class SimulatedLinks:
-    """Named ways with faults, as `irisdeal.testbed.fault_proxy.Relay` on sockets."""
+    """Named links with faults, as the fault proxy (`irisdeal.testbed.fault_proxy`) has on sockets."""
 
-    def __init__(self, net: Network, now: Callable[[], int], holds: list[LinkFault]) -> None:
-        self.net, self.now, self.holds = net, now, holds
+    def __init__(self, net: Network, now: Callable[[], int], link_faults: list[LinkFault]) -> None:
+        self.net, self.now, self.link_faults = net, now, link_faults
         self.links: list[tuple[str, str, NetworkLink]] = []
-        self.open: dict[NetworkLink, LinkFault] = {}
+        self.active_faults: dict[NetworkLink, LinkFault] = {}
 
     async def add(self, source: str, target: str, to: tuple[str, int]) -> tuple[str, int]:
-        way = NetworkLink(self.net.default_link.delay, self.net.default_link.jitter)
-        self.links.append((source, target, way))
-        return self.net.redirect(to, way)
+        link = NetworkLink(self.net.default_link.delay, self.net.default_link.jitter)
+        self.links.append((source, target, link))
+        return self.net.redirect(to, link)
 
     def set(self, names: Any, condition: Condition, target: str = "") -> None:
         if condition.direction != "both":
-            raise ValueError(f"silence {condition.direction}: wanted both ways, in virtual time")
-        wanted, to = set(names), target
-        for source, target, way in self.links:
+            raise ValueError(
+                f"link fault in direction {condition.direction}: only both directions are simulated"
+            )
+        selected_names, to = set(names), target
+        for source, target, link in self.links:
             if (
-                (source not in wanted or target != to)
+                (source not in selected_names or target != to)
                 if to
-                else (source not in wanted and target not in wanted)
+                else (source not in selected_names and target not in selected_names)
             ):
                 continue
-            if (hold := self.open.pop(way, None)) is not None:
-                hold.end = self.now()
+            if (fault := self.active_faults.pop(link, None)) is not None:
+                fault.end = self.now()
             if condition.withholds or condition.delay:
                 late = 0 if condition.withholds else round(condition.delay * 1e6)
-                self.open[way] = hold = LinkFault(source, target, self.now(), late=late)
-                self.holds.append(hold)
-            way.delay = self.net.default_link.delay + round(condition.delay * 1e6)
-            way.rate = condition.rate
+                self.active_faults[link] = fault = LinkFault(source, target, self.now(), late=late)
+                self.link_faults.append(fault)
+            link.delay = self.net.default_link.delay + round(condition.delay * 1e6)
+            link.rate = condition.rate
             if condition.withholds:
-                way.is_stalled, way.is_partitioned = condition.stalled, condition.partitioned
+                link.is_stalled, link.is_partitioned = condition.stalled, condition.partitioned
             else:
-                self.net.restore(way)
+                self.net.restore(link)
 
     def reset(self, names: Any, target: str = "") -> None:
-        wanted, to = set(names), target
-        for source, target, way in self.links:
-            if (source in wanted and target == to) if to else (source in wanted or target in wanted):
-                self.net.reset_connections(way)
+        selected_names, to = set(names), target
+        for source, target, link in self.links:
+            if (
+                (source in selected_names and target == to)
+                if to
+                else (source in selected_names or target in selected_names)
+            ):
+                self.net.reset_connections(link)
 
     def close(self) -> None:
-        """Nothing of it is outside the world."""
+        """No effect: nothing outside the world is open."""
 
 
 @dataclass(eq=False)
-class _Door:
+class _FrontDoor:
     number: int
     address: tuple[str, int]
     core: Core
     config: dict[str, Any] = field(default_factory=dict)
     machine: Machine | None = None
     program: Program | None = None
-    life: FrontDoorIncarnation | None = None
-    wanted: bool = True  # an end that nobody asked for is a crash
-    turn: int = 0  # of kills and restarts: the last one alone brings it back
+    incarnation: FrontDoorIncarnation | None = None
+    should_run: bool = True  # if it exits while True, that is a crash
+    restart_number: int = 0  # number of the latest kill or restart; only that one starts it again
 
 
 class SimulatedFrontDoors:
-    """The doors' processes, and what the timeline does to them."""
+    """The processes of the front doors, and the faults that the timeline injects into them."""
 
     def __init__(
         self,
@@ -141,20 +149,20 @@
         make: MakeDecider,
         modify_program: Callable[[Program], None],
     ) -> None:
-        """`cores` that the doors share; 0: one each."""
+        """`cores`: number of cores that the front doors share; 0 for one each."""
         self.platform, self.world, self.net, self.costs = platform, world, net, costs
         self.make, self.modify_program = make, modify_program
         self.random = stream(platform.day.seed, "doors")
         shared = [Core() for _ in range(cores)]
         self.doors = [
-            _Door(n, ("127.0.0.1", net.free_port()), shared[n % cores] if cores else Core())
+            _FrontDoor(n, ("127.0.0.1", net.free_port()), shared[n % cores] if cores else Core())
             for n in platform.front_doors
         ]
-        self.terminals: LoadGenerator | None = None
+        self.load_generator: LoadGenerator | None = None
         self.crashes: list[str] = []
         self.errors: list[str] = []
-        self.used = 0  # µs of CPU of all doors that have ended
-        self.started: Callable[[Program], None] = lambda _: None
+        self.cpu_used_us = 0  # by all front doors that have exited
+        self.on_start: Callable[[Program], None] = lambda _: None
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
@@ -162,19 +170,19 @@
 
     @property
     def programs(self) -> list[Program]:
-        """Those that run."""
+        """The programs that are running."""
         return [d.program for d in self.doors if d.program is not None and d.machine and not d.machine.dead]
 
     async def start(self) -> None:
         await asyncio.gather(*(self._start(door) for door in self.doors))
 
-    def _write_config(self, door: _Door) -> None:
-        told = self.platform.config(
+    def _write_config(self, door: _FrontDoor) -> None:
+        config = self.platform.config(
             door.number, f"{door.address[0]}:{door.address[1]}", self.random.getrandbits(63)
         )
-        door.config = json.loads(json.dumps(told))
+        door.config = json.loads(json.dumps(config))
 
-    async def _start(self, door: _Door) -> None:
+    async def _start(self, door: _FrontDoor) -> None:
         self._write_config(door)
         config = parse(door.config)
         machine = door.machine = Machine(
@@ -186,29 +194,29 @@
             timer_resolution=1000,
             files=config.max_sockets,
         )
-        machine.ignore(signal.SIGHUP)  # until the program has a handler, as `main` has it
-        door.life = FrontDoorIncarnation(door.number, 0, self.platform.now())
-        self.platform.request_log.front_doors.append(door.life)
-        door.wanted = True
-        machine.on_exit = lambda: self._ended(door, machine)
-        machine.pause(self.world.now + BOOT)
+        machine.ignore(signal.SIGHUP)  # as `main` does, until the program has a handler
+        door.incarnation = FrontDoorIncarnation(door.number, 0, self.platform.now())
+        self.platform.request_log.front_doors.append(door.incarnation)
+        door.should_run = True
+        machine.on_exit = lambda: self._record_exit(door, machine)
+        machine.pause(self.world.now + STARTUP_US)
         machine.start(self._run(door, machine, config))
-        async with asyncio.timeout(READY_WITHIN):
-            while not await self._healthy(door):
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._is_healthy(door):
                 if machine.dead:
                     return
-                await asyncio.sleep(POLL)
-        door.life.ready = self.platform.now()
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
+        door.incarnation.ready = self.platform.now()
 
-    async def _run(self, door: _Door, machine: Machine, config: Config) -> int:
+    async def _run(self, door: _FrontDoor, machine: Machine, config: Config) -> int:
         host = SimulatedHost(machine, self.net, lambda: parse(door.config))
         program = door.program = Program(config, machine, self.make(config.settings, config.seed), host)
         self.modify_program(program)
-        self.started(program)
+        self.on_start(program)
         await program.run()
         return 0
 
-    async def _healthy(self, door: _Door) -> bool:
+    async def _is_healthy(self, door: _FrontDoor) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*door.address)
         except OSError:
@@ -221,125 +229,127 @@
         finally:
             writer.transport.abort()
 
-    def _ended(self, door: _Door, machine: Machine) -> None:
-        assert door.life is not None
-        door.life.ended, door.life.code = self.platform.now(), machine.exit_code
-        self.used += machine.cpu_used
+    def _record_exit(self, door: _FrontDoor, machine: Machine) -> None:
+        assert door.incarnation is not None
+        door.incarnation.ended, door.incarnation.code = self.platform.now(), machine.exit_code
+        self.cpu_used_us += machine.cpu_used
         self.errors += [f"door {door.number}: {error}" for error in machine.errors]
-        if door.wanted:
+        if door.should_run:
             self.crashes.append(f"door {door.number} ended by itself with exit code {machine.exit_code}")
-        if self.terminals is not None:
+        if self.load_generator is not None:
             wait = self.world.now + round(self.platform.scenario.load.notice_s * 1e6)
-            self.world.at(wait, "the front notices", self._noticed, door, machine)
+            self.world.at(wait, "the front notices", self._report_down, door, machine)
 
-    def _noticed(self, door: _Door, machine: Machine) -> None:
-        """The front leaves a dead door out, unless another process stands there by now."""
-        if door.machine is machine and self.terminals is not None:
-            self.terminals.front_door_down(door.number)
+    def _report_down(self, door: _FrontDoor, machine: Machine) -> None:
+        """Stop clients from using a front door that has exited, unless it was started again."""
+        if door.machine is machine and self.load_generator is not None:
+            self.load_generator.front_door_down(door.number)
 
-    # What the timeline does
+    # Faults of the timeline
 
     async def kill(self, door: int, down: float) -> None:
-        told = self.doors[door]
-        if told.machine is None or told.life is None or told.machine.dead:
+        front_door = self.doors[door]
+        if front_door.machine is None or front_door.incarnation is None or front_door.machine.dead:
             return
-        told.wanted = False
-        told.turn = turn = told.turn + 1
-        told.life.killed = self.platform.now()
-        told.machine.kill()
+        front_door.should_run = False
+        front_door.restart_number = restart_number = front_door.restart_number + 1
+        front_door.incarnation.killed = self.platform.now()
+        front_door.machine.kill()
         await asyncio.sleep(down)
-        await self._again(told, turn)
+        await self._start_again(front_door, restart_number)
 
     async def restart(self, door: int) -> None:
-        told = self.doors[door]
-        if told.machine is None or told.machine.dead or not told.wanted:
+        front_door = self.doors[door]
+        if front_door.machine is None or front_door.machine.dead or not front_door.should_run:
             return
-        told.turn = turn = told.turn + 1
-        self._end(told)
-        await self._wait(told)
-        await self._again(told, turn)
+        front_door.restart_number = restart_number = front_door.restart_number + 1
+        self._terminate(front_door)
+        await self._wait_for_exit(front_door)
+        await self._start_again(front_door, restart_number)
 
     async def stall(self, door: int, seconds: float) -> None:
-        told = self.doors[door]
-        if told.machine is None or told.machine.dead:
+        front_door = self.doors[door]
+        if front_door.machine is None or front_door.machine.dead:
             return
         until = self.world.now + round(seconds * 1e6)
-        told.machine.pause(until)
-        self.platform.request_log.pauses.append((door, self.platform.now(), EPOCH + until))
+        front_door.machine.pause(until)
+        self.platform.request_log.pauses.append((door, self.platform.now(), START_UNIX_TIME_US + until))
         await asyncio.sleep(seconds)
 
     async def reload(self, door: int) -> None:
-        told = self.doors[door]
-        self._write_config(told)
-        if told.machine is not None:
-            told.machine.signal(signal.SIGHUP)
+        front_door = self.doors[door]
+        self._write_config(front_door)
+        if front_door.machine is not None:
+            front_door.machine.signal(signal.SIGHUP)
 
-    async def _again(self, door: _Door, turn: int) -> None:
-        if self.platform.closed or door.turn != turn:
+    async def _start_again(self, door: _FrontDoor, restart_number: int) -> None:
+        if self.platform.closed or door.restart_number != restart_number:
             return
         await self._start(door)
-        if self.terminals is not None:
-            self.terminals.front_door_up(door.number)
+        if self.load_generator is not None:
+            self.load_generator.front_door_up(door.number)
         self.platform.record_fault(f"door {door.number} is back")
 
-    def _end(self, door: _Door) -> None:
-        assert door.life is not None and door.machine is not None
-        door.wanted = False
-        door.life.terminated = self.platform.now()
+    def _terminate(self, door: _FrontDoor) -> None:
+        assert door.incarnation is not None and door.machine is not None
+        door.should_run = False
+        door.incarnation.terminated = self.platform.now()
         door.machine.signal(signal.SIGTERM)
-        if self.terminals is not None:
-            asyncio.get_running_loop().call_later(LEAVES, self.terminals.front_door_draining, door.number)
+        if self.load_generator is not None:
+            asyncio.get_running_loop().call_later(
+                DRAIN_NOTICE_DELAY_S, self.load_generator.front_door_draining, door.number
+            )
 
-    async def _wait(self, door: _Door) -> None:
-        """Until it has ended; SIGKILL where it does not in time."""
-        assert door.machine is not None and door.life is not None
-        until = self.world.now + round(ENDS_WITHIN * 1e6)
+    async def _wait_for_exit(self, door: _FrontDoor) -> None:
+        """Wait until a front door has exited; kill it after `TERMINATION_TIMEOUT_S`."""
+        assert door.machine is not None and door.incarnation is not None
+        until = self.world.now + round(TERMINATION_TIMEOUT_S * 1e6)
         while not door.machine.dead:
             if self.world.now >= until:
-                door.life.killed = self.platform.now()
+                door.incarnation.killed = self.platform.now()
                 door.machine.kill()
                 return
             await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
-        """End all doors in good order."""
+        """Terminate all front doors and wait for them."""
         running = [d for d in self.doors if d.machine is not None and not d.machine.dead]
         for door in running:
-            if door.wanted:
-                self._end(door)
-        await asyncio.gather(*(self._wait(door) for door in running))
+            if door.should_run:
+                self._terminate(door)
+        await asyncio.gather(*(self._wait_for_exit(door) for door in running))
 
     def kill_all(self) -> None:
         for door in self.doors:
-            door.wanted = False
+            door.should_run = False
             if door.machine is not None:
                 door.machine.kill()
 
 
 @dataclass
 class DayResult:
-    """What one day in virtual time showed."""
+    """The results of one simulated day."""
 
     day: Day
     request_log: RequestLog
     verdict: Verdict
     service: Service
-    start: int  # µs, as the books count
+    start: int  # µs, Unix time
     trace: EventTrace
-    seconds: float  # that the world lasted
+    seconds: float  # virtual s from start to end
     crashes: list[str]
-    errors: list[str]  # of machines: what nobody caught
-    leftovers: list[str]  # what was still there once all had been answered
+    errors: list[str]  # uncaught errors of machines
+    leftovers: list[str]  # what front doors still held after all requests were answered
     counter_calls: int
-    cpu: int  # µs of all doors
-    max_timer_delay_us: int = 0  # µs, the most that a door's timer was late
+    cpu: int  # µs of all front doors
+    max_timer_delay_us: int = 0  # by which a front door's latest timer was late
 
     @property
     def passed(self) -> bool:
         return self.verdict.kept and not (self.crashes or self.errors or self.leftovers)
 
     def broken(self) -> list[str]:
-        """The names of all that went wrong: rules first."""
+        """Return the names of all failures, broken rules first."""
         names = dict.fromkeys(breach.rule.name.lower() for breach in self.verdict.breaches)
         for name, found in (("crash", self.crashes), ("error", self.errors), ("left", self.leftovers)):
             if found:
@@ -347,7 +357,7 @@
         return list(names)
 
     def digest(self) -> str:
-        """Of all books, by the byte, and of every step of the world."""
+        """Return a digest of the request log and of all events of the world."""
         request_log = self.request_log
         text = digest_text(
             (
@@ -369,28 +379,28 @@
     day: Day,
     make: MakeDecider = Gateway,
     modify_program: Callable[[Program], None] = lambda _: None,
-    costs: Costs = DOOR_COSTS,
+    costs: Costs = FRONT_DOOR_COSTS,
     cores: int = 0,
     recorded_block: int | None = None,
     during: Callable[[Platform, SimulatedFrontDoors, LoadGenerator], None] = lambda *_: None,
-    way: NetworkLink | None = None,
+    link: NetworkLink | None = None,
 ) -> DayResult:
-    """Play a day to its end.
+    """Simulate a day to its end.
 
-    `spoil` may break each door before it starts; `cores` that the doors share (0: one each); `keep` a block
-    of the trace as text; `way` what lies between any two. Raises `SimulationError` where the world does
-    not come to its end.
+    `modify_program` may change each front door's program before it starts; `cores`: number of cores that the front
+    doors share (0: one each); `recorded_block`: block of the trace whose events are kept as text; `link`: default
+    link between machines. Raises `SimulationError` if the day does not end.
     """
     world = World(day.seed, recorded_block)
-    net = Network(world, way)
+    net = Network(world, link)
     machine = Machine(world, net, "stand-ins", Core(), Costs())
 
     def now() -> int:
-        return EPOCH + machine.instant()
+        return START_UNIX_TIME_US + machine.instant()
 
-    holds: list[LinkFault] = []
-    platform = Platform(day, now, links=SimulatedLinks(net, now, holds))
-    platform.request_log.link_faults = holds
+    link_faults: list[LinkFault] = []
+    platform = Platform(day, now, links=SimulatedLinks(net, now, link_faults))
+    platform.request_log.link_faults = link_faults
     platform.monitors_lag = False
     doors = SimulatedFrontDoors(platform, world, net, costs, cores, make, modify_program)
     found: dict[str, Any] = {}
@@ -399,22 +409,22 @@
     async def run() -> int:
         await platform.start()
         await doors.start()
-        terminals = doors.terminals = LoadGenerator(day, platform.request_log, now, doors.addresses)
-        terminals.readable = _can_read
+        load_generator = doors.load_generator = LoadGenerator(day, platform.request_log, now, doors.addresses)
+        load_generator.readable = _can_read
         found["start"] = start = now() + 50_000
         platform.play(start, doors)
-        during(platform, doors, terminals)
-        await terminals.run(start)
-        while platform.tasks:  # a door that is to come back does
+        during(platform, doors, load_generator)
+        await load_generator.run(start)
+        while platform.tasks:  # wait for front doors that are to start again
             await asyncio.wait(platform.tasks)
-        # What is still out where the client has its answer, or has left, ends by its deadline at the latest.
-        await asyncio.sleep(max(c.deadline_ms for c in day.scenario.classes) / 1000 + SETTLE)
+        # Attempts whose client has its response, or has left, end by the deadline of their request.
+        await asyncio.sleep(max(c.deadline_ms for c in day.scenario.classes) / 1000 + SETTLE_S)
         found["left"] = find_leftovers(doors)
         found["latest"] = max(
             (d.machine.max_timer_delay for d in doors.doors if d.machine is not None), default=0
         )
         await doors.stop()
-        terminals.close()
+        load_generator.close()
         platform.close()
         over.append(1)
         return 0
@@ -422,7 +432,7 @@
     machine.start(run())
     machine.on_exit = lambda: over.append(1)
     try:
-        world.run(lambda: bool(over), START_US + round((day.scenario.seconds + LONGEST) * 1e6))
+        world.run(lambda: bool(over), START_US + round((day.scenario.seconds + MAX_OVERTIME_S) * 1e6))
     finally:
         doors.kill_all()
     request_log = platform.request_log
@@ -430,15 +440,15 @@
         day,
         request_log,
         audit(request_log, platform.figures),
-        reckon(request_log, day.scenario, found.get("start", EPOCH)),
-        found.get("start", EPOCH),
+        reckon(request_log, day.scenario, found.get("start", START_UNIX_TIME_US)),
+        found.get("start", START_UNIX_TIME_US),
         world.trace,
         world.seconds(),
         doors.crashes,
         doors.errors + machine.errors,
         found.get("left", []),
         platform.counter.calls,
-        doors.used,
+        doors.cpu_used_us,
         found.get("latest", 0),
     )
 
@@ -449,7 +459,7 @@
 
 
 def find_leftovers(doors: SimulatedFrontDoors) -> list[str]:
-    """What doors still hold, with every client answered: each line is something that would pile up."""
+    """Describe what front doors still hold after all clients are answered: each line is a leak."""
     found = []
     for door in doors.doors:
         program, machine = door.program, door.machine
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -1,7 +1,7 @@
-"""Bugs planted on purpose, each worth one line of the door: a search that does not find them finds nothing.
+"""Planted bugs of the front door, each about one line, to measure whether the search detects them.
 
-Each has a name, what it does in a sentence, and a function that puts it into the classes of the door for as
-long as a `with planted(name)` lasts. They are mistakes of the kind that has been made, here or elsewhere.
+Each has a name, a description, and a function that returns the patches; `planted(name)` is a context in which they
+are applied. They resemble real mistakes.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bug:
-    """`make` gives the attributes to set: owner, name, and value from the old one."""
+    """`make` returns the attributes to set: owner, name, and new value, which may wrap the old one."""
 
     name: str
     where: str
@@ -55,7 +55,7 @@
 
 
 def _with_classes(change: Callable[[Any], Any]) -> list[Patch]:
-    """The module is told other classes than the configuration has."""
+    """Give the decision module changed request classes."""
 
     def made(old: Any) -> Any:
         def init(self: Gateway, settings: Any, seed: int) -> None:
@@ -265,76 +265,106 @@
 
 
 BUGS = tuple(
-    Bug(*told)
-    for told in (
+    Bug(*fields)
+    for fields in (
         (
             "late-503",
             "pool",
-            "every answer of 500 and up counts as one to a request that never ran",
+            "every response of 500 and above counts as a request that was not executed",
             _late_503,
         ),
-        ("window-off", "module", "a keyed request is repeated 0.6 s past its key's window", _window_off),
-        ("group-lost", "module", "a keyed request is repeated anywhere, not only in its hall", _group_lost),
-        ("unsafe-again", "module", "an unsafe request is repeated like a keyed one", _unsafe_as_keyed),
+        (
+            "window-off",
+            "module",
+            "a keyed request is retried up to 0.6 s after its deduplication window",
+            _window_off,
+        ),
+        ("group-lost", "module", "a keyed request is retried in any zone, not only in its own", _group_lost),
+        ("unsafe-again", "module", "an unsafe request is retried like a keyed one", _unsafe_as_keyed),
         (
             "lost-is-unsent",
             "pool",
-            "a connection lost before the answer counts as nothing sent",
+            "a connection lost before the response counts as a request not sent",
             _lost_is_unsent,
         ),
-        ("silent-never-ran", "module", "a time-out counts as proof that nothing ran", _timed_out_never_ran),
-        ("drain-unheard", "discovery", "a box that drains is read as ready", _drain_unheard),
+        (
+            "silent-never-ran",
+            "module",
+            "a time-out counts as a request that was not executed",
+            _timed_out_never_ran,
+        ),
+        ("drain-unheard", "discovery", "a draining backend counts as ready", _drain_unheard),
         (
             "lost-on-reconnect",
             "discovery",
-            "what changed while the watch was down is skipped",
+            "changes during an interruption of the watch are skipped",
             _lost_on_reconnect,
         ),
-        ("whole-as-changes", "discovery", "boxes missing from a whole list stay", _whole_list_as_changes),
-        ("cold-unseen", "module", "a cold box gets whatever comes", _cold_unseen),
-        ("warm-at-once", "module", "a box that has just started counts as warm", _warm_at_once),
+        (
+            "whole-as-changes",
+            "discovery",
+            "backends missing from a complete list are kept",
+            _whole_list_as_changes,
+        ),
+        ("cold-unseen", "module", "a cold backend gets unlimited requests", _cold_unseen),
+        ("warm-at-once", "module", "a backend that has just started counts as warm", _warm_at_once),
         (
             "refilled",
             "module",
-            "a door that starts has a full store of each ceiling",
+            "a starting front door has full token buckets for all ceilings",
             _refilled_after_restart,
         ),
-        ("ceiling-not-taken", "module", "what goes out takes 0.2 units off its ceiling", _ceiling_not_taken),
-        ("out-twice", "module", "an attempt turned away is counted out once more", _out_twice),
-        ("end-unheard", "module", "an attempt's end by a lost connection is not booked", _cancelled_kept),
+        (
+            "ceiling-not-taken",
+            "module",
+            "an attempt takes at most 0.2 units from its ceiling",
+            _ceiling_not_taken,
+        ),
+        ("out-twice", "module", "a rejected attempt is counted as in flight again", _out_twice),
+        (
+            "end-unheard",
+            "module",
+            "the end of an attempt by a lost connection is not recorded",
+            _cancelled_kept,
+        ),
         (
             "closes-over-queue",
             "drain",
-            "the listener closes over what is still to be accepted",
+            "the listener closes with connections waiting to be accepted",
             _closes_over_the_queue,
         ),
-        ("ends-early", "drain", "the process ends before all are answered", _ends_before_answers),
+        ("ends-early", "drain", "the process exits before all requests are answered", _ends_before_answers),
         (
             "retired-busy",
             "clients",
-            "at a drain connections close over requests that are open",
+            "at a drain connections with open requests are closed",
             _retired_busy,
         ),
-        ("time-forgotten", "module", "a request whose time is up is not answered", _guard_and_time_up_gone),
+        ("time-forgotten", "module", "a request past its deadline is not answered", _guard_and_time_up_gone),
         (
             "stalled-waits",
             "pool",
-            "half an answer, and no answer, are waited for without end",
+            "partial and missing responses have no time-out",
             _stalled_waits,
         ),
         (
             "pool-leaks",
             "pool",
-            "a connection that broke amid an answer stays in the pool's books",
+            "a connection lost during a response stays in the pool",
             _pool_leaks,
         ),
         (
             "late-total",
             "counter",
-            "a total that comes late is given to the next call",
+            "a late total is assigned to the next call",
             _late_total_to_the_next,
         ),
-        ("counter-lost", "counter", "a counter that was lost once is not asked again", _dead_for_good),
+        (
+            "counter-lost",
+            "counter",
+            "a counter whose connection was lost once is not used again",
+            _dead_for_good,
+        ),
     )
 )
 NAMES = {bug.name: bug for bug in BUGS}
@@ -342,7 +372,7 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """The bug of that name is in the door while this lasts; none where the name is empty."""
+    """Apply the patches of a bug within this context; none if the name is empty."""
     if not name:
         yield
         return
--- a/irisdeal/simulation/search/schedule.py
+++ b/irisdeal/simulation/search/schedule.py
@@ -1,8 +1,7 @@
-"""Schedules of faults: drawn at random, by pairs, aimed at a moment, and changed a little. Pure.
+"""Schedules of faults: drawn at random or by pairs, with an aimed fault, or mutated. Without side effects.
 
-A schedule is a table as a scenario's TOML file has it, laid over the built-in `small` day: so whatever is
-found here is a file that `irisdeal demo --scenario` plays on sockets as well. All chance comes from the
-`random.Random` that is handed in.
+A schedule is a table of a scenario's TOML file, based on the built-in scenario `small`, so `irisdeal demo
+--scenario` runs it on sockets as well. All randomness comes from the `random.Random` argument.
 """
 
 from __future__ import annotations
@@ -18,21 +17,27 @@
 
 Table = dict[str, Any]
 
-BASE = "small"
-DURATION_S = 7.0  # of a day that is drawn
-FIRST_FAULT_S, LAST_FAULT_END_S = (
-    0.5,
-    3.6,
-)  # s: when faults begin at the earliest, and have ended at the latest
-QUIET = DURATION_S - LAST_FAULT_END_S  # s at the end in which the day is to be itself again
-MOST_FAULTS = 6
-PAIR_NEAR = 0.5  # s within which the second fault of a pair begins after the first
-# Faults that a small day plays; the rest want more doors or machines than it has, or cost too much.
-LEFT_OUT = ("flood", "connect-storm", "slow-readers", "link-cut", "link-silent", "link-slow", "link-reset")
-KINDS = tuple(kind for kind in FAULTS if kind not in LEFT_OUT)
+BASE_SCENARIO = "small"
+DURATION_S = 7.0  # of a drawn day
+FIRST_FAULT_S = 0.5  # earliest start of a fault
+LAST_FAULT_END_S = 3.6  # latest end of a fault
+QUIET_S = DURATION_S - LAST_FAULT_END_S  # without faults at the end, for the recovery
+MAX_FAULTS = 6
+PAIR_WINDOW_S = 0.5  # the second fault of a pair starts this soon after the first
+# Not drawn: they need more front doors or machines than a small day has, or take too much CPU.
+EXCLUDED_KINDS = (
+    "flood",
+    "connect-storm",
+    "slow-readers",
+    "link-cut",
+    "link-silent",
+    "link-slow",
+    "link-reset",
+)
+KINDS = tuple(kind for kind in FAULTS if kind not in EXCLUDED_KINDS)
 PAIRS = tuple(itertools.combinations_with_replacement(KINDS, 2))
-# What each size means differs; the least and the most that a small day is given.
-SIZES: dict[str, tuple[float, float]] = {
+# Minimum and maximum of each fault's size; its meaning depends on the fault.
+SIZE_RANGES: dict[str, tuple[float, float]] = {
     "box-slow": (2.0, 12.0),
     "box-spoil": (0.1, 1.0),
     "keeper-slow": (2.0, 40.0),
@@ -44,11 +49,13 @@
     "rush": (1.5, 4.0),
     "greedy": (2.0, 6.0),
 }
-NO_SECONDS = tuple(kind for kind in KINDS if "for_s" not in FAULTS[kind])
+KINDS_WITHOUT_DURATION = tuple(kind for kind in KINDS if "for_s" not in FAULTS[kind])
 
 
-def fault(kind: str, rng: random.Random, at: float | None = None, doors: int = 3, boxes: int = 6) -> Table:
-    """One fault with all that its kind needs. `at` in s."""
+def draw_fault(
+    kind: str, rng: random.Random, at: float | None = None, doors: int = 3, boxes: int = 6
+) -> Table:
+    """Draw a fault with all settings of its kind. `at` in s."""
     needs = FAULTS[kind]
     at = (
         rng.uniform(FIRST_FAULT_S, LAST_FAULT_END_S - 0.3) if at is None else min(at, LAST_FAULT_END_S - 0.05)
@@ -56,7 +63,7 @@
     made: Table = {"at_s": round(at, 6), "do": kind}
     for need in needs:
         if need == "for_s":
-            # Half are over soon, so that what is set off by the end of a fault is met as well.
+            # Half are short, so that effects of a fault's end occur as well.
             longest = max(0.05, LAST_FAULT_END_S - at)
             made[need] = round(min(longest, rng.choice((rng.uniform(0.05, 0.5), rng.uniform(0.3, 3.0)))), 3)
         elif need == "boxes":
@@ -66,7 +73,7 @@
         elif need == "door":
             made[need] = rng.randrange(1 if kind == "keeper-split" and doors > 1 else 0, doors)
         elif need == "size":
-            made[need] = round(rng.uniform(*SIZES[kind]), 3)
+            made[need] = round(rng.uniform(*SIZE_RANGES[kind]), 3)
         elif need == "ms":
             made[need] = rng.choice((5, 40, 150))
     if kind == "keeper-refuse" and rng.random() < 0.5:
@@ -75,9 +82,9 @@
 
 
 def draw_schedule(number: int, rng: random.Random, pairs: bool = True, only: Sequence[str] = ()) -> Table:
-    """A day of the search. With `pairs` day n has the n-th pair of faults, one begun amid the other.
+    """Draw a schedule. With `pairs`, schedule n has the n-th pair of faults, the second starting during the first.
 
-    `only` names the faults to draw from, all of `KINDS` where it is empty.
+    `only`: kinds of faults to draw from; empty for all of `KINDS`.
     """
     kinds = tuple(only) or KINDS
     doors, boxes = rng.choice((2, 3, 3, 4)), rng.choice((4, 6, 6, 9))
@@ -85,14 +92,14 @@
     if pairs:
         choices = PAIRS if not only else tuple(itertools.combinations_with_replacement(kinds, 2))
         one, other = choices[number % len(choices)]
-        first = fault(one, rng, doors=doors, boxes=boxes)
-        within = min(PAIR_NEAR, first.get("for_s", PAIR_NEAR))
-        faults += [first, fault(other, rng, first["at_s"] + rng.uniform(0.0, within), doors, boxes)]
-    for _ in range(rng.choice((0, 0, 1, 2, 3)) if pairs else rng.randint(1, MOST_FAULTS)):
-        faults.append(fault(rng.choice(kinds), rng, doors=doors, boxes=boxes))
+        first = draw_fault(one, rng, doors=doors, boxes=boxes)
+        within = min(PAIR_WINDOW_S, first.get("for_s", PAIR_WINDOW_S))
+        faults += [first, draw_fault(other, rng, first["at_s"] + rng.uniform(0.0, within), doors, boxes)]
+    for _ in range(rng.choice((0, 0, 1, 2, 3)) if pairs else rng.randint(1, MAX_FAULTS)):
+        faults.append(draw_fault(rng.choice(kinds), rng, doors=doors, boxes=boxes))
     faults.sort(key=lambda f: f["at_s"])
     return {
-        "base": BASE,
+        "base": BASE_SCENARIO,
         "seed": rng.getrandbits(31),
         "seconds": DURATION_S,
         "doors": doors,
@@ -110,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """A moment that matters, as a day that was played showed it: `at` in s from its start."""
+    """A moment of a simulated day at which a fault may have an effect: `at` in s from its start."""
 
     what: str
     at: float
@@ -119,15 +126,15 @@
 
 
 def add_aimed_fault(table: Table, moments: Sequence[Moment], rng: random.Random) -> Table | None:
-    """The same day with a fault more, at one of these moments to the µs; None where there is none.
+    """Add a fault at one of these moments, to the µs; None if none of them is in range.
 
-    A world in virtual time comes to that moment as it did before, since nothing before it has changed: no
-    draw of it is moved by a fault that has yet to come (`Platform.random` is drawn from when one begins).
+    The simulation reaches that moment unchanged, since a later fault moves no earlier random draw
+    (`Platform.random` is drawn from when a fault starts).
     """
-    able = [m for m in moments if FIRST_FAULT_S <= m.at <= LAST_FAULT_END_S - 0.1]
-    if not able:
+    candidates = [m for m in moments if FIRST_FAULT_S <= m.at <= LAST_FAULT_END_S - 0.1]
+    if not candidates:
         return None
-    moment = rng.choice(able)
+    moment = rng.choice(candidates)
     kinds = [
         "door-kill",
         "door-restart",
@@ -143,7 +150,7 @@
     ]
     kind = rng.choice([k for k in kinds if moment.hall or not k.startswith("hall")])
     doors = int(table.get("doors", 3))
-    added = fault(kind, rng, moment.at, doors, int(table.get("fleet", {}).get("boxes", 6)))
+    added = draw_fault(kind, rng, moment.at, doors, int(table.get("fleet", {}).get("boxes", 6)))
     if "door" in added:
         added["door"] = min(moment.door, doors - 1)
     if "hall" in added:
@@ -156,49 +163,57 @@
 
 
 def mutate(table: Table, rng: random.Random) -> Table:
-    """A day a little different from one that is worth it."""
+    """Return a schedule with one to three random changes, and sometimes another seed."""
     faults = [dict(f) for f in table.get("at", [])]
     doors = int(table.get("doors", 3))
     boxes = int(table.get("fleet", {}).get("boxes", 6))
 
-    def move() -> None:
+    def move_fault() -> None:
         if faults:
             f = rng.choice(faults)
             f["at_s"] = round(
                 min(LAST_FAULT_END_S - 0.05, max(FIRST_FAULT_S, f["at_s"] + rng.gauss(0.0, 0.15))), 6
             )
 
-    def add() -> None:
-        if len(faults) < MOST_FAULTS:
-            near = rng.choice(faults)["at_s"] + rng.uniform(0.0, PAIR_NEAR) if faults else None
-            faults.append(fault(rng.choice(KINDS), rng, near, doors, boxes))
+    def add_fault() -> None:
+        if len(faults) < MAX_FAULTS:
+            near = rng.choice(faults)["at_s"] + rng.uniform(0.0, PAIR_WINDOW_S) if faults else None
+            faults.append(draw_fault(rng.choice(KINDS), rng, near, doors, boxes))
 
-    def drop() -> None:
+    def remove_fault() -> None:
         if len(faults) > 1:
             faults.pop(rng.randrange(len(faults)))
 
-    def again() -> None:
-        if faults and len(faults) < MOST_FAULTS:
+    def repeat_fault() -> None:
+        if faults and len(faults) < MAX_FAULTS:
             f = dict(rng.choice(faults))
             f["at_s"] = round(
                 min(LAST_FAULT_END_S - 0.05, f["at_s"] + f.get("for_s", 0.2) + rng.uniform(0.0, 0.4)), 6
             )
             faults.append(f)
 
-    def stretch() -> None:
+    def scale_durations() -> None:
         for f in faults:
             if "for_s" in f and rng.random() < 0.5:
                 f["for_s"] = round(
                     max(0.02, min(LAST_FAULT_END_S - f["at_s"], f["for_s"] * rng.uniform(0.3, 2.5))), 3
                 )
 
-    changes: list[Callable[[], None]] = [move, move, add, add, drop, again, stretch]
+    changes: list[Callable[[], None]] = [
+        move_fault,
+        move_fault,
+        add_fault,
+        add_fault,
+        remove_fault,
+        repeat_fault,
+        scale_durations,
+    ]
     for _ in range(rng.randint(1, 3)):
         rng.choice(changes)()
     made = with_faults(table, faults)
     if rng.random() < 0.3:
         made["seed"] = rng.getrandbits(31)
-    for f in made["at"]:  # whatever was moved still ends in time
+    for f in made["at"]:  # all faults still end in time
         if "for_s" in f:
             f["for_s"] = round(max(0.02, min(f["for_s"], LAST_FAULT_END_S - f["at_s"])), 3)
     return made
@@ -209,16 +224,16 @@
 
 
 def scenario(table: Table, where: str = "schedule") -> Scenario:
-    """The scenario of a schedule. Raises `ScenarioError`."""
+    """Return the scenario of a schedule. Raises `ScenarioError`."""
     return read(table, where)
 
 
 def pairs_of(table: Table) -> set[tuple[str, str]]:
-    """The pairs of kinds of which one begins while the other lasts, or within half a second of its end."""
+    """Return the pairs of kinds of which one starts during the other, or within `PAIR_WINDOW_S` of its end."""
     found: set[tuple[str, str]] = set()
     faults = table.get("at", [])
     for one, other in itertools.combinations(faults, 2):
-        end = one["at_s"] + one.get("for_s", 0.0) + PAIR_NEAR
+        end = one["at_s"] + one.get("for_s", 0.0) + PAIR_WINDOW_S
         if other["at_s"] <= end:
             first, second = sorted((one["do"], other["do"]), key=list(FAULTS).index)
             found.add((first, second))
--- a/irisdeal/simulation/search/schedule_files.py
+++ b/irisdeal/simulation/search/schedule_files.py
@@ -1,4 +1,4 @@
-"""Schedules as files: scenarios in TOML that pytest, `irisdeal chaos replay` and `irisdeal demo` read."""
+"""Writes schedules as TOML scenario files, which pytest, `irisdeal chaos replay` and `irisdeal demo` read."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def to_toml(table: Table, broken: Sequence[str], texts: Sequence[str]) -> str:
-    """The file's text: what broke as a comment, then the schedule."""
+    """Return the file's text: the failures as a comment, then the schedule."""
     lines = [f"# Breaks: {', '.join(broken)}" if broken else "# Breaks nothing."]
     lines += [f"#   {' '.join(text.split())[:200]}" for text in texts[:3]]
     return "\n".join(lines) + "\n" + tomli_w.dumps(table)
 
 
 def write(folder: Path, table: Table, broken: Sequence[str], texts: Sequence[str]) -> Path:
-    """A new file in a folder, named by what breaks and numbered."""
+    """Write a new file into a folder, named by the first failure and numbered; return its path."""
     name = broken[0] if broken else "kept"
     number = 1
     while (path := folder / f"{name}-{number}.toml").exists():
--- a/irisdeal/simulation/search/search.py
+++ b/irisdeal/simulation/search/search.py
@@ -1,8 +1,8 @@
-"""The search: generations of schedules, some drawn, some aimed, some changed from what reached new ground.
+"""The search: generations of schedules, some drawn, some with an aimed fault, some mutated from the corpus.
 
-What it does next follows from the seed and from what was found, never from which process was quicker: days
-are made a generation at a time, and judged in any order. So a search can be cut off and taken up again, and
-the same seed finds the same.
+Each generation depends only on the seed and on earlier results, not on the speed of processes: schedules are
+created one generation at a time and judged in any order. So a search can be interrupted and resumed, and the same
+seed gives the same findings.
 """
 
 from __future__ import annotations
@@ -29,23 +29,22 @@
     pairs_of,
 )
 
-GENERATION_SIZE = (
-    64  # schedules made at once: enough for each core, few enough that what is learnt is used soon
-)
-MAX_CORPUS_SIZE = 400  # schedules in the corpus; past it the ones that brought least go
-MAX_FINDINGS = 40  # schedules kept of those that break something; more of the same tell nothing new
-MAX_FINDINGS_PER_FAILURE = 3  # of them for one name
-DRAWN, AIMED = 0.45, 0.25  # shares of a generation; the rest is changed from the corpus
+GENERATION_SIZE = 64  # schedules per generation: enough for all cores, few enough to use results soon
+MAX_CORPUS_SIZE = 400  # schedules; beyond it those that added the fewest pairs are dropped
+MAX_FINDINGS = 40  # failing schedules that are kept; more of them add no information
+MAX_FINDINGS_PER_FAILURE = 3  # of the same failure
+DRAWN_RATIO = 0.45  # of a generation
+AIMED_RATIO = 0.25  # of a generation; the rest is mutated from the corpus
 STATE_FILE = "search.json"
 
 
 class SearchError(Exception):
-    """The search cannot go on as asked."""
+    """The state of a search cannot be read."""
 
 
 @dataclass(slots=True)
 class CorpusEntry:
-    """A schedule of the corpus: what it brought, and its moments."""
+    """A schedule of the corpus: the number of new pairs it reached, and its moments."""
 
     table: Table
     brought: int
@@ -54,26 +53,26 @@
 
 @dataclass(slots=True)
 class Finding:
-    """A schedule that breaks something."""
+    """A schedule with a failure."""
 
     broken: list[str]
     texts: list[str]
     table: Table
-    day: int  # the number of days played when it was found
+    day: int  # number of simulated days when it was found
 
 
 @dataclass(slots=True)
 class Search:
-    """All that a search knows. `guided` False: every day is drawn, none learns of another."""
+    """The state of a search. Without `guided`, every schedule is drawn independently of earlier results."""
 
     seed: int
     guided: bool = True
     only: tuple[str, ...] = ()
     generation: int = 0
     days: int = 0
-    failing_days: int = 0  # days that broke something
+    failing_days: int = 0  # days with a failure
     virtual_s: float = 0.0  # s
-    real_s: float = 0.0  # s of CPU of the judges
+    real_s: float = 0.0  # real s of all simulations
     corpus: list[CorpusEntry] = field(default_factory=list)
     seen_pairs: set[int] = field(default_factory=set)  # pairs of values
     states: set[int] = field(default_factory=set)
@@ -81,24 +80,24 @@
     findings: list[Finding] = field(default_factory=list)
 
     def schedules(self) -> list[Table]:
-        """The next generation."""
+        """Return the schedules of the next generation."""
         rng = random.Random(f"{self.seed}:{self.generation}")
         made = []
         for n in range(GENERATION_SIZE):
             number = self.generation * GENERATION_SIZE + n
             table, chance = None, rng.random()
-            if self.guided and self.corpus and chance >= DRAWN:
-                kept = rng.choices(self.corpus, [1 + k.brought for k in self.corpus])[0]
-                if chance < DRAWN + AIMED:
-                    table = add_aimed_fault(kept.table, kept.moments, rng)
-                table = table or mutate(kept.table, rng)
+            if self.guided and self.corpus and chance >= DRAWN_RATIO:
+                entry = rng.choices(self.corpus, [1 + k.brought for k in self.corpus])[0]
+                if chance < DRAWN_RATIO + AIMED_RATIO:
+                    table = add_aimed_fault(entry.table, entry.moments, rng)
+                table = table or mutate(entry.table, rng)
                 if self.only:
                     table["at"] = [f for f in table["at"] if f["do"] in self.only]
             made.append(table or draw_schedule(number, rng, pairs=self.guided, only=self.only))
         return made
 
     def record_results(self, judged: Iterable[Judgement]) -> list[Finding]:
-        """Take in a whole generation, in the order of its schedules; what was found anew."""
+        """Record the results of a generation, in the order of its schedules; return the new findings."""
         new = []
         for one in judged:
             self.days += 1
@@ -106,16 +105,16 @@
             self.real_s += one.real_s
             self.states |= one.states
             self.fault_pairs |= pairs_of(one.table)
-            fresh = one.pairs - self.seen_pairs
+            new_pairs = one.pairs - self.seen_pairs
             self.seen_pairs |= one.pairs
             if one.broken:
                 self.failing_days += 1
-                alike = sum(f.broken[0] == one.broken[0] for f in self.findings)
-                if alike < MAX_FINDINGS_PER_FAILURE and len(self.findings) < MAX_FINDINGS:
+                similar_count = sum(f.broken[0] == one.broken[0] for f in self.findings)
+                if similar_count < MAX_FINDINGS_PER_FAILURE and len(self.findings) < MAX_FINDINGS:
                     self.findings.append(found := Finding(one.broken, one.texts, one.table, self.days))
                     new.append(found)
-            elif fresh and self.guided:
-                self.corpus.append(CorpusEntry(one.table, len(fresh), one.moments))
+            elif new_pairs and self.guided:
+                self.corpus.append(CorpusEntry(one.table, len(new_pairs), one.moments))
         if len(self.corpus) > MAX_CORPUS_SIZE:
             self.corpus = sorted(self.corpus, key=lambda k: -k.brought)[:MAX_CORPUS_SIZE]
         self.generation += 1
@@ -124,8 +123,8 @@
     # To disk and back
 
     def save(self, folder: Path) -> None:
-        """Whole or not at all."""
-        told = {
+        """Write the state atomically to a file in `folder`."""
+        state = {
             "seed": self.seed,
             "guided": self.guided,
             "only": list(self.only),
@@ -150,39 +149,39 @@
             ],
         }
         new = folder / f"{STATE_FILE}.new"
-        new.write_text(json.dumps(told), "utf-8")
+        new.write_text(json.dumps(state), "utf-8")
         new.replace(folder / STATE_FILE)
 
     @classmethod
     def load(cls, folder: Path) -> Search | None:
-        """The search that was cut off here; None where there is none. Raises `SearchError`."""
+        """Load the search saved in `folder`; None if there is none. Raises `SearchError`."""
         try:
-            told = json.loads((folder / STATE_FILE).read_text("utf-8"))
+            state = json.loads((folder / STATE_FILE).read_text("utf-8"))
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
             raise SearchError(f"{folder / STATE_FILE}: {error}") from None
         try:
             return cls(
-                told["seed"],
-                told["guided"],
-                tuple(told["only"]),
-                told["generation"],
-                told["days"],
-                told["breaking"],
-                told["virtual"],
-                told["real"],
+                state["seed"],
+                state["guided"],
+                tuple(state["only"]),
+                state["generation"],
+                state["days"],
+                state["breaking"],
+                state["virtual"],
+                state["real"],
                 [
                     CorpusEntry(k["table"], k["brought"], [Moment(*m) for m in k["moments"]])
-                    for k in told["corpus"]
+                    for k in state["corpus"]
                 ],
-                set(told["seen"]),
-                set(told["states"]),
-                {(one, other) for one, other in told["pairs"]},
-                [Finding(f["broken"], f["texts"], f["table"], f["day"]) for f in told["found"]],
+                set(state["seen"]),
+                set(state["states"]),
+                {(one, other) for one, other in state["pairs"]},
+                [Finding(f["broken"], f["texts"], f["table"], f["day"]) for f in state["found"]],
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise SearchError(f"{folder / STATE_FILE}: not a search of ours: {error!r}") from None
+            raise SearchError(f"{folder / STATE_FILE}: not a saved search: {error!r}") from None
 
     def coverage_summary(self) -> str:
         return f"{len(self.fault_pairs & set(PAIRS))} of {len(PAIRS)} pairs of faults"
@@ -195,27 +194,29 @@
 def judge_pool(
     jobs: int, bug: str = ""
 ) -> Iterator[Callable[[Sequence[Table]], Iterator[tuple[int, Judgement]]]]:
-    """A way to judge many schedules in so many processes: yields each with its number, as it is done."""
+    """Provide a function that judges schedules in `jobs` processes and yields each result with its number."""
     one = partial(judge, bug=bug)
     if jobs == 1:
         yield lambda tables: ((n, one(table)) for n, table in enumerate(tables))
         return
-    with ProcessPoolExecutor(jobs, mp_context=get_context("forkserver"), initializer=_quiet) as pool:
+    with ProcessPoolExecutor(
+        jobs, mp_context=get_context("forkserver"), initializer=_ignore_interrupts
+    ) as pool:
 
-        def all_of(tables: Sequence[Table]) -> Iterator[tuple[int, Judgement]]:
+        def judge_all(tables: Sequence[Table]) -> Iterator[tuple[int, Judgement]]:
             waiting = {pool.submit(one, table): n for n, table in enumerate(tables)}
             for future in as_completed(waiting):
                 yield waiting[future], future.result()
 
         try:
-            yield all_of
+            yield judge_all
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
             raise
 
 
-def _quiet() -> None:
-    """A Ctrl-C at the terminal is the parent's alone."""
+def _ignore_interrupts() -> None:
+    """Leave Ctrl-C at the terminal to the parent process."""
     import signal
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)
@@ -230,7 +231,7 @@
     found: Callable[[Finding], Any] = lambda _: None,
     folder: Path | None = None,
 ) -> None:
-    """Search on while `more` says so, asked after each generation; `told` hears how far each has come."""
+    """Search while `more` returns True, checked before each generation; `told` gets the progress."""
     with judge_pool(jobs, bug) as judge_all:
         while more(search):
             tables = search.schedules()
--- a/irisdeal/simulation/search/shrink.py
+++ b/irisdeal/simulation/search/shrink.py
@@ -1,8 +1,8 @@
-"""From a schedule that breaks something to the least one that still does: delta debugging. Pure.
+"""Reduces a failing schedule to a minimal one by delta debugging. Without side effects.
 
-Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input", IEEE TSE 2002, on the list of
-faults; then what is around them (seconds, doors, boxes, load, plans and classes), each step kept where the
-same thing still breaks. The world is exact, so a step that is kept once holds for ever.
+The list of faults is reduced with ddmin (Zeller and Hildebrandt, "Simplifying and isolating failure-inducing
+input", IEEE TSE 2002); then duration, front doors, backends, load and other settings. A step is kept if the same
+failure occurs. Runs are deterministic, so one run per candidate is enough.
 """
 
 from __future__ import annotations
@@ -12,66 +12,72 @@
 
 from irisdeal.simulation.search.schedule import Table, with_faults
 
-MOST_PLAYS = 200  # days played for one schedule
+MAX_PLAYS = 200  # simulated days per schedule
 
 Breaks = Callable[[Table], bool]
 
 
 @dataclass
 class Shrinker:
-    """`breaks` says whether a schedule still breaks the same thing."""
+    """Reduces schedules; `breaks` returns whether a schedule still has the same failure."""
 
     breaks: Breaks
-    max_plays: int = MOST_PLAYS
+    max_plays: int = MAX_PLAYS
     plays: int = 0
     on_progress: Callable[[str], None] = lambda _: None
-    _seen: dict[str, bool] = field(default_factory=dict)
+    _results: dict[str, bool] = field(default_factory=dict)
 
     def shrink(self, table: Table) -> Table:
-        """The least schedule found within the plays allowed; the one given, where nothing less breaks."""
-        table = self._faults(table)
-        for _ in range(3):  # what one step allows may allow another
+        """Return the smallest failing schedule found within `max_plays`; the given one if no smaller one fails."""
+        table = self._minimize_faults(table)
+        for _ in range(3):  # one reduction may make another possible
             before = table
-            for candidates in (_seconds, _doors, _boxes, _settings, _times):
-                table = self._first(table, candidates)
-            table = self._faults(table)
+            for candidates in (
+                _shorter_days,
+                _fewer_front_doors,
+                _fewer_backends,
+                _simpler_settings,
+                _simpler_faults,
+            ):
+                table = self._apply_reductions(table, candidates)
+            table = self._minimize_faults(table)
             if table == before:
                 break
         return table
 
-    def _try(self, table: Table) -> bool:
+    def _still_breaks(self, table: Table) -> bool:
         key = repr(table)
-        if key not in self._seen:
+        if key not in self._results:
             if self.plays >= self.max_plays:
                 return False
             self.plays += 1
-            self._seen[key] = self.breaks(table)
-            if self._seen[key]:
+            self._results[key] = self.breaks(table)
+            if self._results[key]:
                 self.on_progress(
                     f"{len(table.get('at', []))} faults, {table.get('seconds')} s, {table.get('doors')} doors"
                 )
-        return self._seen[key]
+        return self._results[key]
 
-    def _first(self, table: Table, candidates: Callable[[Table], Iterator[Table]]) -> Table:
-        """Take candidates as long as one of them still breaks."""
+    def _apply_reductions(self, table: Table, candidates: Callable[[Table], Iterator[Table]]) -> Table:
+        """Replace the schedule by a failing candidate until none is left."""
         while True:
             for candidate in candidates(table):
-                if candidate != table and self._try(candidate):
+                if candidate != table and self._still_breaks(candidate):
                     table = candidate
                     break
             else:
                 return table
 
-    def _faults(self, table: Table) -> Table:
-        """ddmin: complements of ever finer parts."""
+    def _minimize_faults(self, table: Table) -> Table:
+        """ddmin: remove parts of the list of faults, in ever smaller parts."""
         faults, parts = list(table.get("at", [])), 2
-        if faults and self._try(with_faults(table, [])):
+        if faults and self._still_breaks(with_faults(table, [])):
             return with_faults(table, [])
         while len(faults) >= 2:
             size = -(-len(faults) // parts)
             for begin in range(0, len(faults), size):
                 rest = faults[:begin] + faults[begin + size :]
-                if self._try(with_faults(table, rest)):
+                if self._still_breaks(with_faults(table, rest)):
                     faults, parts = rest, max(2, parts - 1)
                     break
             else:
@@ -81,7 +87,7 @@
         return with_faults(table, faults)
 
 
-def _seconds(table: Table) -> Iterator[Table]:
+def _shorter_days(table: Table) -> Iterator[Table]:
     seconds = float(table.get("seconds", 6.0))
     last = max([f["at_s"] for f in table.get("at", [])], default=0.0)
     for shorter in (last + 0.6, (last + seconds) / 2, seconds - 0.5):
@@ -90,7 +96,7 @@
             yield {**table, "seconds": shorter}
 
 
-def _doors(table: Table) -> Iterator[Table]:
+def _fewer_front_doors(table: Table) -> Iterator[Table]:
     doors = int(table.get("doors", 3))
     for fewer in range(1, doors):
         faults = [{**f, "door": min(f["door"], fewer - 1)} if "door" in f else f for f in table.get("at", [])]
@@ -99,7 +105,7 @@
         yield {**table, "doors": fewer, "at": faults}
 
 
-def _boxes(table: Table) -> Iterator[Table]:
+def _fewer_backends(table: Table) -> Iterator[Table]:
     boxes = int(table.get("fleet", {}).get("boxes", 6))
     for fewer in (1, 2, 3, boxes // 2, boxes - 1):
         if 0 < fewer < boxes:
@@ -109,8 +115,8 @@
             yield {**table, "fleet": {**table.get("fleet", {}), "boxes": fewer}, "at": faults}
 
 
-def _settings(table: Table) -> Iterator[Table]:
-    """Fewer stores, and settings that the small day has anyway."""
+def _simpler_settings(table: Table) -> Iterator[Table]:
+    """Yield schedules with less load, or with a default of the small scenario instead of a setting."""
     load = table.get("load", {})
     use = float(load.get("use", 0.16))
     if use > 0.02:
@@ -122,8 +128,8 @@
                 yield {**table, section: {k: v for k, v in values.items() if k != key}}
 
 
-def _times(table: Table) -> Iterator[Table]:
-    """Faults that are over sooner, smaller, and at rounder moments."""
+def _simpler_faults(table: Table) -> Iterator[Table]:
+    """Yield schedules with shorter or smaller faults, or with rounded start times."""
     faults = table.get("at", [])
     for n, f in enumerate(faults):
         for key, least in (("for_s", 0.1), ("boxes", 1)):
--- a/irisdeal/simulation/search/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -1,4 +1,4 @@
-"""A day that was played, as lines in the order of time: faults, doors, breaches, one request or box."""
+"""The timeline of a simulated day: faults, front doors, breaches, and one request or backend."""
 
 from __future__ import annotations
 
@@ -9,37 +9,39 @@
 
 
 def timeline(played: DayResult, trace: str = "", box: str = "", door: int | None = None) -> list[str]:
-    """Lines with their time in s; empty where what was asked for never came up."""
+    """Return lines with their time in s; empty if the request, backend or front door does not occur."""
     request_log = played.request_log
     lines: list[Line] = [(at, f"fault: {text}") for at, text in request_log.faults]
-    for life in request_log.front_doors:
-        if door is None or life.front_door == door:
-            lines += _life(life)
+    for incarnation in request_log.front_doors:
+        if door is None or incarnation.front_door == door:
+            lines += _incarnation_lines(incarnation)
     found = False
     if trace:
         ask = next((t.ask for t in request_log.client_attempts if t.trace == trace), None)
-        tries = [t for t in request_log.client_attempts if t.ask == ask and ask is not None]
-        names = {t.trace for t in tries}
-        found = bool(tries)
-        for taken in tries:
-            lines += _taken(taken)
-        lines += [line for a in request_log.attempts if a.trace in names for line in _attempt(a)]
+        client_attempts = [t for t in request_log.client_attempts if t.ask == ask and ask is not None]
+        names = {t.trace for t in client_attempts}
+        found = bool(client_attempts)
+        for client_attempt in client_attempts:
+            lines += _client_attempt_lines(client_attempt)
+        lines += [line for a in request_log.attempts if a.trace in names for line in _attempt_lines(a)]
     if box:
-        mine = [a for a in request_log.attempts if a.backend == box]
-        told = [t for t in request_log.endpoint_notices if t.backend == box]
-        found = found or bool(mine or told or any(life.backend == box for life in request_log.incarnations))
-        lines += [line for a in mine for line in _attempt(a)]
-        lines += [(t.at, f"door {t.front_door} is told: {box} {t.phase}") for t in told]
+        attempts = [a for a in request_log.attempts if a.backend == box]
+        notices = [t for t in request_log.endpoint_notices if t.backend == box]
+        found = found or bool(
+            attempts or notices or any(incarnation.backend == box for incarnation in request_log.incarnations)
+        )
+        lines += [line for a in attempts for line in _attempt_lines(a)]
+        lines += [(t.at, f"door {t.front_door} is told: {box} {t.phase}") for t in notices]
         lines += [
-            (life.at, f"{box} starts, life {life.incarnation}")
-            for life in request_log.incarnations
-            if life.backend == box and life.at
+            (incarnation.at, f"{box} starts, life {incarnation.incarnation}")
+            for incarnation in request_log.incarnations
+            if incarnation.backend == box and incarnation.at
         ]
         lines += [(at, f"{box} falls over, life {n}") for name, n, at in request_log.fallen if name == box]
     if door is not None:
-        found = found or any(life.front_door == door for life in request_log.front_doors)
-        for taken in (t for t in request_log.client_attempts if t.front_door == door):
-            lines += _taken(taken)
+        found = found or any(incarnation.front_door == door for incarnation in request_log.front_doors)
+        for client_attempt in (t for t in request_log.client_attempts if t.front_door == door):
+            lines += _client_attempt_lines(client_attempt)
         lines += [
             (t.at, f"door {door} is told: {t.backend} {t.phase}")
             for t in request_log.endpoint_notices
@@ -59,32 +61,35 @@
     ]
 
 
-def _life(life: FrontDoorIncarnation) -> list[Line]:
-    door = f"door {life.front_door}"
+def _incarnation_lines(incarnation: FrontDoorIncarnation) -> list[Line]:
+    door = f"door {incarnation.front_door}"
     found = [
-        (life.started, f"{door} starts"),
-        (life.ready, f"{door} is ready"),
-        (life.terminated, f"{door} gets SIGTERM"),
-        (life.killed, f"{door} is killed"),
-        (life.ended, f"{door} has ended with {life.code}"),
+        (incarnation.started, f"{door} starts"),
+        (incarnation.ready, f"{door} is ready"),
+        (incarnation.terminated, f"{door} gets SIGTERM"),
+        (incarnation.killed, f"{door} is killed"),
+        (incarnation.ended, f"{door} has ended with {incarnation.code}"),
     ]
     return [line for line in found if line[0]]
 
 
-def _taken(taken: ClientAttempt) -> list[Line]:
-    name = f"{taken.trace} ({taken.kind}, {taken.plan}, try {taken.attempt}, door {taken.front_door})"
-    lines = [(taken.due, f"{name} is due, waits {taken.wait / 1000:.0f} ms")]
-    if taken.at:
-        lines.append((taken.at, f"{name} is written"))
-    lines += [(a.at, f"{name} is answered {a.status}") for a in taken.answers]
-    if taken.disconnected_at:
-        lines.append((taken.disconnected_at, f"{name}: its connection ends with no answer"))
-    if taken.gave_up:
-        lines.append((taken.gave_up, f"{name} is given up by its client"))
+def _client_attempt_lines(client_attempt: ClientAttempt) -> list[Line]:
+    name = (
+        f"{client_attempt.trace} ({client_attempt.kind}, {client_attempt.plan}, "
+        f"try {client_attempt.attempt}, door {client_attempt.front_door})"
+    )
+    lines = [(client_attempt.due, f"{name} is due, waits {client_attempt.wait / 1000:.0f} ms")]
+    if client_attempt.at:
+        lines.append((client_attempt.at, f"{name} is written"))
+    lines += [(a.at, f"{name} is answered {a.status}") for a in client_attempt.answers]
+    if client_attempt.disconnected_at:
+        lines.append((client_attempt.disconnected_at, f"{name}: its connection ends with no answer"))
+    if client_attempt.gave_up:
+        lines.append((client_attempt.gave_up, f"{name} is given up by its client"))
     return lines
 
 
-def _attempt(attempt: Attempt) -> list[Line]:
+def _attempt_lines(attempt: Attempt) -> list[Line]:
     name = f"{attempt.trace} at {attempt.backend} ({attempt.zone}, from door {attempt.front_door})"
     lines = [(attempt.last_byte, f"{name} has come")]
     if attempt.ended:
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -331,7 +331,7 @@
 
 def test_the_file_of_a_search_that_is_none_is_refused(tmp_path: Path) -> None:
     (tmp_path / searching.STATE_FILE).write_text("{}")
-    with pytest.raises(SearchError, match="not a search of ours"):
+    with pytest.raises(SearchError, match="not a saved search"):
         Search.load(tmp_path)
     (tmp_path / searching.STATE_FILE).write_text("{")
     with pytest.raises(SearchError):
