--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -206,9 +206,9 @@
                 search,
                 jobs,
                 more,
-                told=told,
+                on_progress=told,
                 folder=folder,
-                found=lambda f: bar.console.print(_told(f), highlight=False, soft_wrap=True),
+                on_finding=lambda f: bar.console.print(_told(f), highlight=False, soft_wrap=True),
             )
     finally:
         signal.signal(signal.SIGINT, before)
@@ -248,7 +248,7 @@
         names.add(broken[0])
         if shrink and first:
             table = _shrunk(table, broken[0], "", 200, quiet)[0]
-            least = judge(table, look=False)
+            least = judge(table, samples_states=False)
             broken, texts = least.broken, least.texts
         written.append(str(write(folder, table, broken, texts)))
     return written
@@ -261,7 +261,9 @@
 
     with _progress(quiet) as bar:
         task = bar.add_task(f"making {name} least", total=most)
-        shrinker = Shrinker(lambda candidate: name in judge(candidate, bug, look=False).broken, most)
+        shrinker = Shrinker(
+            lambda candidate: name in judge(candidate, bug, samples_states=False).broken, most
+        )
         shrinker.on_progress = lambda text: bar.update(
             task, completed=shrinker.plays, description=f"{name}: {text}"
         )
@@ -439,11 +441,11 @@
     _known(bug)
     _writable(to)
     table = _read(file, seed)
-    first = judge(table, bug, look=False)
+    first = judge(table, bug, samples_states=False)
     if not first.broken:
         raise click.ClickException(f"{file}: breaks nothing")
     table, plays = _shrunk(table, first.broken[0], bug, most, False)
-    least = judge(table, bug, look=False)
+    least = judge(table, bug, samples_states=False)
     text = to_toml(table, least.broken, least.texts)
     if to is None:
         click.echo(text, nl=False)
@@ -530,7 +532,7 @@
                 jobs,
                 lambda s: not s.findings and s.days < days,
                 bug.name,
-                told=lambda s, done: bar.update(task, completed=s.days + done),
+                on_progress=lambda s, done: bar.update(task, completed=s.days + done),
             )
             seconds = time.monotonic() - begun
             first = search.findings[0] if search.findings else None
--- a/irisdeal/simulation/search/judge.py
+++ b/irisdeal/simulation/search/judge.py
@@ -47,8 +47,9 @@
     real_s: float = 0.0  # s
 
 
-def judge(table: Table, bug: str = "", look: bool = True) -> Judgement:
-    """Simulate a schedule and return its failures. `bug` is planted for the run; `look`: sample states.
+def judge(table: Table, bug: str = "", samples_states: bool = True) -> Judgement:
+    """Simulate a schedule and return its failures. `bug` is planted for the run; `samples_states`: sample
+    the states of front doors.
 
     Raises `ScenarioError` if the schedule is invalid.
     """
@@ -56,7 +57,7 @@
     result, started_at, sampler = Judgement(table), time.perf_counter(), StateSampler()
 
     def during(_: object, doors: SimulatedFrontDoors, __: object) -> None:
-        if look:
+        if samples_states:
             sampler.watch(doors.world, doors)
 
     day = draw(scenario(table), scenario(table).seed)
--- a/irisdeal/simulation/search/search.py
+++ b/irisdeal/simulation/search/search.py
@@ -225,21 +225,21 @@
 def run(
     search: Search,
     jobs: int,
-    more: Callable[[Search], bool],
+    should_continue: Callable[[Search], bool],
     bug: str = "",
-    told: Callable[[Search, int], None] = lambda *_: None,
-    found: Callable[[Finding], Any] = lambda _: None,
+    on_progress: Callable[[Search, int], None] = lambda *_: None,
+    on_finding: Callable[[Finding], Any] = lambda _: None,
     folder: Path | None = None,
 ) -> None:
-    """Search while `more` returns True, checked before each generation; `told` gets the progress."""
+    """Search while `should_continue` returns True, checked before each generation."""
     with judge_pool(jobs, bug) as judge_all:
-        while more(search):
+        while should_continue(search):
             tables = search.schedules()
             done: dict[int, Judgement] = {}
             for number, judged in judge_all(tables):
                 done[number] = judged
-                told(search, len(done))
+                on_progress(search, len(done))
             for new in search.record_results(done[n] for n in range(len(tables))):
-                found(new)
+                on_finding(new)
             if folder is not None:
                 search.save(folder)
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -72,15 +72,15 @@
 
 @pytest.mark.parametrize("file", FOUND, ids=lambda file: file.stem)
 def test_what_was_found_once_stays_mended(file: Path) -> None:
-    judged = judge(read(file), look=False)
+    judged = judge(read(file), samples_states=False)
     assert not judged.broken, judged.texts
 
 
 @pytest.mark.parametrize("file", PLANTED, ids=lambda file: file.stem)
 def test_a_planted_bug_breaks_its_schedule_and_nothing_else_does(file: Path) -> None:
     table = read(file)
-    assert not judge(table, look=False).broken
-    assert judge(table, bug=file.stem, look=False).broken
+    assert not judge(table, samples_states=False).broken
+    assert judge(table, bug=file.stem, samples_states=False).broken
 
 
 def read(file: Path) -> Table:
