--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The judge of histories against the general search, which tries every order (Wing and Gong 1993)."""
+"""Compares the check of histories with the general search, which tries every order (Wing and Gong 1993)."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def any_order(ops: tuple[Operation, ...], decided: tuple[tuple[int, str], ...] = ((NO_NUMBER, ""),)) -> bool:
-    """Whether some order of these, each acting within its times, gives these outcomes. `decided`: so far."""
+    """Whether some order of these calls, each within its times, gives these outcomes. `decided`: so far."""
     if all(op.kind is Kind.UNCLEAR for op in ops):
         return True
     number, body = decided[-1]
     soonest = min(op.end for op in ops if op.kind is not Kind.UNCLEAR)
     for op in ops:
         if op.start > soonest:
-            continue  # another one had ended before it began
+            continue  # another call ended before this one started
         rest = tuple(other for other in ops if other is not op)
         match op.kind:
             case Kind.READ if (op.number, op.body) != (number, body):
@@ -35,7 +35,7 @@
 
 @st.composite
 def histories(draw: st.DrawFn) -> list[Operation]:
-    """A few calls on few numbers, bodies and moments, so that many of them meet."""
+    """Generate a few calls with few numbers, bodies and moments, so that many of them overlap."""
     ops = []
     for _ in range(draw(st.integers(1, 7))):
         kind = draw(st.sampled_from([*Kind, Kind.CONFIRMED, Kind.READ]))
@@ -60,11 +60,11 @@
 @example(
     [put(Kind.CONFLICT, 1, "x", 0, 1), put(Kind.CONFIRMED, 1, "y", 0, 1), put(Kind.CONFIRMED, 1, "x", 2, 3)]
 )
-def test_the_judge_says_what_the_general_search_says(ops: list[Operation]) -> None:
+def test_the_check_agrees_with_the_general_search(ops: list[Operation]) -> None:
     assert (check(ops) == []) == any_order(tuple(ops)), (check(ops), ops)
 
 
-def test_a_long_history_that_can_be_ordered_is_passed_and_one_stale_read_in_it_is_named() -> None:
+def test_a_long_linearizable_history_passes_and_one_stale_read_in_it_is_reported() -> None:
     ops = []
     for number in range(2_000):
         ops.append(put(Kind.CONFIRMED, number, "x", number, number + 0.5))
@@ -84,7 +84,7 @@
     assert check(ops) and not check(ops[1:])
 
 
-def test_what_a_watcher_saw_may_be_old_but_never_undecided() -> None:
+def test_a_watched_value_may_be_old_but_never_undecided() -> None:
     old = [
         put(Kind.CONFIRMED, 5, "x", 0, 1),
         put(Kind.CONFIRMED, 6, "x", 2, 3),
@@ -99,6 +99,6 @@
     assert check(undecided)
 
 
-def test_an_order_that_was_confirmed_and_is_then_refused_is_a_breach() -> None:
+def test_a_put_that_is_refused_after_its_confirmation_is_a_breach() -> None:
     ops = [put(Kind.CONFIRMED, 5, "x", 0, 1), put(Kind.CONFLICT, 5, "x", 2, 3)]
     assert check(ops)
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -1,4 +1,4 @@
-"""Days in virtual time and the search on them: exact, judged whole, and able to find what is planted."""
+"""Simulated days and the schedule search: reproducible, fully judged, and able to find planted bugs."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 HERE = Path(__file__).parents[1] / "data"
 FOUND = sorted((HERE / "found").glob("*.toml"))
 PLANTED = sorted((HERE / "planted").glob("*.toml"))
-FIXED = 200  # days that CI plays
+FIXED_DAY_COUNT = 200  # simulated by CI
 QUIET: Table = {"base": "small", "seed": 4, "seconds": 3.0, "at": []}
 
 
@@ -58,20 +58,20 @@
     return play(draw(made, made.seed), **how)
 
 
-# What is found stays
+# Regressions
 
 
 def test_fixed_days_keep_all_rules() -> None:
     broken = []
     with judge_pool(min(8, os.cpu_count() or 1)) as judge_all:
-        for number, judged in judge_all(days(FIXED, 20261201)):
+        for number, judged in judge_all(days(FIXED_DAY_COUNT, 20261201)):
             if judged.broken:
                 broken.append((number, judged.broken, judged.texts))
     assert not broken
 
 
 @pytest.mark.parametrize("file", FOUND, ids=lambda file: file.stem)
-def test_what_was_found_once_stays_mended(file: Path) -> None:
+def test_schedules_of_fixed_bugs_pass(file: Path) -> None:
     judged = judge(read(file), samples_states=False)
     assert not judged.broken, judged.texts
 
@@ -95,7 +95,7 @@
     assert len(names) >= 15 and len(BUGS) >= 20
 
 
-# Exact
+# Reproducible
 
 
 def test_a_day_is_the_same_to_the_byte_in_other_processes() -> None:
@@ -104,7 +104,7 @@
         "from irisdeal.simulation.search.schedule import draw_schedule\nrng = random.Random(5)\n"
         "print([judge(draw_schedule(n, rng)).digest for n in range(4)])"
     )
-    told = {
+    digests = {
         subprocess.run(
             [sys.executable, "-c", code],
             check=True,
@@ -116,15 +116,15 @@
         for seed in ("1", "999")
     }
     rng = random.Random(5)
-    assert told == {f"{[judge(draw_schedule(n, rng)).digest for n in range(4)]}\n"}
+    assert digests == {f"{[judge(draw_schedule(n, rng)).digest for n in range(4)]}\n"}
 
 
 def test_another_seed_is_another_day() -> None:
     assert day(QUIET).digest() != day({**QUIET, "seed": 5}).digest()
 
 
-def test_a_fault_moves_nothing_before_it() -> None:
-    """What aiming at a moment stands on."""
+def test_a_fault_changes_nothing_before_it() -> None:
+    """Aiming a fault at a moment relies on this."""
     kill = {"at_s": 1.5, "do": "door-kill", "door": 0, "for_s": 0.5}
     calm, struck = day(QUIET), day(with_faults(QUIET, [kill]))
     at = calm.start + 1_500_000
@@ -141,10 +141,10 @@
     assert len(before(calm)) > 30 and calm.digest() != struck.digest()
 
 
-# Judged whole
+# Failures
 
 
-def test_a_quiet_day_serves_all_and_leaves_nothing() -> None:
+def test_a_day_without_faults_serves_all_and_leaves_nothing() -> None:
     played = day(QUIET)
     assert played.passed and not played.broken()
     assert played.service.total.share > 0.95
@@ -152,7 +152,7 @@
     assert played.seconds < 8
 
 
-def test_what_a_door_keeps_for_good_is_told() -> None:
+def test_a_leak_in_a_front_door_is_reported() -> None:
     def leaky(program: Program) -> None:
         taken = program.decision_loop.handle_request
 
@@ -167,7 +167,7 @@
     assert "open traces" in played.leftovers[0]
 
 
-def test_an_error_that_nobody_caught_and_an_end_by_itself_are_told() -> None:
+def test_an_uncaught_error_and_an_unexpected_exit_are_reported() -> None:
     def broken(program: Program) -> None:
         def reload() -> None:
             raise ValueError("planted")
@@ -184,8 +184,8 @@
     assert "crash" in day(QUIET, modify_program=ends).broken()
 
 
-def test_a_kill_amid_a_restart_is_one_start_and_not_two() -> None:
-    """Found by the search: both brought the door back, and the second start found the address taken."""
+def test_a_kill_during_a_restart_leads_to_one_start() -> None:
+    """Guards against two starts, of which the second fails because the address is in use."""
     played = day(
         with_faults(
             {**QUIET, "seconds": 6.0},
@@ -200,7 +200,7 @@
     assert len(lives) == 2 and lives[1].started - lives[0].killed >= 2_000_000
 
 
-def test_doors_on_one_core_wait_for_each_other() -> None:
+def test_front_doors_on_one_core_delay_each_other() -> None:
     busy = {**QUIET, "load": {"use": 0.4}}
     assert day(busy, cores=1).max_timer_delay_us > day(busy).max_timer_delay_us
 
@@ -210,7 +210,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(seed=st.integers(0, 10**9), number=st.integers(0, 10**6), pairs=st.booleans())
-def test_every_schedule_drawn_changed_or_aimed_is_a_scenario(seed: int, number: int, pairs: bool) -> None:
+def test_every_drawn_mutated_or_aimed_schedule_is_a_valid_scenario(
+    seed: int, number: int, pairs: bool
+) -> None:
     rng = random.Random(seed)
     table = draw_schedule(number, rng, pairs)
     moment = Moment("here", rng.uniform(FIRST_FAULT_S, LAST_FAULT_END_S - 0.1), rng.randrange(3), "hall-b")
@@ -240,7 +242,7 @@
 # Shrinking
 
 
-def test_the_least_schedule_is_found_and_the_plays_are_bounded() -> None:
+def test_a_schedule_is_shrunk_within_a_number_of_runs() -> None:
     rng = random.Random(3)
     table = next(
         t
@@ -249,7 +251,7 @@
     )
 
     def breaks(candidate: Table) -> bool:
-        scenario(candidate)  # each is one that can be played
+        scenario(candidate)  # each candidate must be valid
         return {"box-hang", "door-kill"} <= {f["do"] for f in candidate["at"]} and candidate["doors"] >= 2
 
     shrinker = Shrinker(breaks)
@@ -263,12 +265,12 @@
     assert few.plays == 5
 
 
-def test_a_breach_that_vanishes_when_shrunk_keeps_the_schedule_as_it_was() -> None:
+def test_a_failure_that_no_smaller_schedule_has_leaves_the_schedule_unchanged() -> None:
     table = draw_schedule(1, random.Random(2))
     assert Shrinker(lambda candidate: False).shrink(table) == table
 
 
-def test_one_that_breaks_without_any_fault_is_shrunk_to_none() -> None:
+def test_a_schedule_that_fails_without_faults_is_shrunk_to_none() -> None:
     assert Shrinker(lambda candidate: True).shrink(draw_schedule(1, random.Random(2)))["at"] == []
 
 
@@ -276,7 +278,7 @@
 
 
 def fake(table: Table) -> Judgement:
-    """A judge whose states follow from the schedule, and that breaks where two kinds meet."""
+    """A judge whose states depend on the schedule, and that fails it for two certain kinds of faults."""
     kinds = sorted({f["do"] for f in table["at"]})
     pairs = {hash_of(one + other) for one in kinds for other in kinds}
     broken = ["answers"] if {"box-hang", "door-kill"} & set(kinds) and len(kinds) > 2 else []
@@ -297,39 +299,39 @@
     return int.from_bytes(text.encode()[-6:])
 
 
-def searched(generations: int, search: Search | None = None) -> Search:
+def run_search(generations: int, search: Search | None = None) -> Search:
     search = search or Search(9)
     for _ in range(generations):
         search.record_results([fake(table) for table in search.schedules()])
     return search
 
 
-def test_a_search_that_was_cut_off_goes_on_as_if_it_had_not_been(tmp_path: Path) -> None:
-    whole = searched(6)
-    half = searched(3)
+def test_a_resumed_search_gives_the_same_results(tmp_path: Path) -> None:
+    whole = run_search(6)
+    half = run_search(3)
     half.save(tmp_path)
     again = Search.load(tmp_path)
     assert again is not None
-    rest = searched(3, again)
+    rest = run_search(3, again)
     assert rest.schedules() == whole.schedules()
     assert (rest.days, rest.seen_pairs, rest.fault_pairs) == (whole.days, whole.seen_pairs, whole.fault_pairs)
     assert rest.findings == whole.findings
     assert whole.days == 6 * searching.GENERATION_SIZE and whole.findings
 
 
-def test_a_search_is_bounded_in_what_it_keeps(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_state_of_a_search_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(searching, "MAX_CORPUS_SIZE", 20)
-    search = searched(12)
+    search = run_search(12)
     assert len(search.corpus) <= 20
     assert len(search.findings) <= searching.MAX_FINDINGS_PER_FAILURE < search.failing_days
 
 
-def test_a_guided_search_learns_and_a_plain_one_does_not() -> None:
-    plain = searched(3, Search(9, guided=False))
-    assert not plain.corpus and searched(3).corpus
+def test_only_a_guided_search_builds_a_corpus() -> None:
+    plain = run_search(3, Search(9, guided=False))
+    assert not plain.corpus and run_search(3).corpus
 
 
-def test_the_file_of_a_search_that_is_none_is_refused(tmp_path: Path) -> None:
+def test_an_invalid_file_of_a_search_is_refused(tmp_path: Path) -> None:
     (tmp_path / searching.STATE_FILE).write_text("{}")
     with pytest.raises(SearchError, match="not a saved search"):
         Search.load(tmp_path)
@@ -339,7 +341,7 @@
     assert Search.load(tmp_path / "none") is None
 
 
-def test_a_bug_is_gone_after_it_was_planted() -> None:
+def test_a_planted_bug_is_removed_after_its_context() -> None:
     def all_of() -> dict[str, list[object]]:
         return {bug.name: [getattr(owner, key) for owner, key, _ in bug.make()] for bug in BUGS}
 
@@ -350,7 +352,7 @@
     assert all_of() == before
 
 
-# What a person sees
+# Commands
 
 
 def ask(*words: str) -> tuple[int, str]:
@@ -406,7 +408,7 @@
     assert code == 2 and wanted in out and "Traceback" not in out
 
 
-def test_a_request_of_a_day_is_told_from_its_begin_to_its_end() -> None:
+def test_the_timeline_of_a_request_is_complete() -> None:
     played = day(QUIET)
     served = next(t for t in played.request_log.client_attempts if t.answers and t.answers[0].status == 200)
     lines = timeline(played, trace=served.trace)
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -1,4 +1,4 @@
-"""The simulation's clock, machines and network: what they guarantee and what they do not."""
+"""Guarantees of the simulation's clock, machines and network."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """Keeps what it receives."""
+    """Records what it receives."""
 
     def __init__(self, answers: bytes = b"", reads: bool = True, half: bool = False) -> None:
         self.answers, self.reads, self.half = answers, reads, half
@@ -80,7 +80,7 @@
         self.net.serve(self.server, made, ADDRESS)
 
     def run(self, work: Coroutine[Any, Any, Any], seconds: float = 60.0) -> Any:
-        """Run on the client's machine to its end."""
+        """Run a coroutine on the client's machine; return its result."""
         done: list[Any] = []
 
         async def main() -> int:
@@ -112,7 +112,7 @@
 
     rig.run(work())
     assert order == [-1, *range(20)]
-    assert rig.world.now == START_US + 1_000_000  # and no time was spent waiting
+    assert rig.world.now == START_US + 1_000_000  # no CPU time is spent waiting
 
 
 def test_asyncio_works_as_on_a_real_loop() -> None:
@@ -229,7 +229,7 @@
     assert rig.peers[0].eof and rig.peers[0].lost == [None] and peer.lost == [None]
     assert rig.peers[0].segments > 1
     assert not any(isinstance(f, SimulatedTransport) for f in rig.server.files.values())
-    assert len(rig.server.files) == 1  # what listens
+    assert len(rig.server.files) == 1  # the listening socket
 
 
 def test_closing_with_unread_bytes_resets_the_connection() -> None:
@@ -248,7 +248,7 @@
 
 
 def test_bytes_that_arrive_after_a_close_are_answered_with_a_reset() -> None:
-    """A half-closed end that writes on: the other process is not there any more."""
+    """A half-closed end keeps writing after the other end has closed its socket."""
     rig = Rig()
     rig.serve()
 
@@ -272,7 +272,7 @@
     async def work() -> Peer:
         peer = await rig.connect()
         peer.transport.write(b"ask")
-        await asyncio.sleep(0.011)  # the answer has left, and is on its way
+        await asyncio.sleep(0.011)  # the response is in transit
         rig.server.kill()
         await asyncio.sleep(0.1)
         return peer
@@ -283,14 +283,14 @@
 
 
 def test_a_turn_that_is_killed_sends_nothing_more() -> None:
-    """The turn of a slow machine began before the kill and would have written after it."""
+    """The turn of a slow machine starts before the kill and would write after it."""
     rig = Rig(link=NetworkLink(delay=10_000, jitter=0), read=5_000, write=5_000)
     rig.serve(lambda: Peer(answers=b"answer"))
 
     async def work() -> Peer:
         peer = await rig.connect()
         peer.transport.write(b"ask")
-        await asyncio.sleep(0.0105)  # the turn that reads has begun
+        await asyncio.sleep(0.0105)  # the turn that reads has started
         rig.server.kill()
         await asyncio.sleep(0.1)
         return peer
@@ -327,8 +327,8 @@
 
     async def work() -> list[str]:
         seen = []
-        for cut in (False, True):
-            link.is_partitioned = cut
+        for is_partitioned in (False, True):
+            link.is_partitioned = is_partitioned
             try:
                 async with asyncio.timeout(0.25):
                     await rig.connect()
@@ -399,7 +399,7 @@
 
 def test_descriptors_run_out() -> None:
     rig = Rig(files=3)
-    rig.serve()  # one listens
+    rig.serve()  # uses one descriptor
 
     async def work() -> None:
         for _ in range(2):
@@ -464,7 +464,7 @@
     kill: float | None,
     silent: bool,
 ) -> None:
-    """TCP's guarantee, whatever happens on the link; all bytes arrive where no process dies."""
+    """TCP's guarantee under all faults of the link; all bytes arrive if no process is killed."""
     link = NetworkLink(jitter=jitter, loss=loss)
     rig = Rig(seed, link)
     rig.serve()
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -1,12 +1,12 @@
-"""Digests of seeded simulated runs: what the software does, to the byte and the microsecond.
+"""Digests of seeded simulated runs: the exact behaviour of the software, to the byte and the microsecond.
 
-`python -m tests.support.run_digests --write` plays every run and writes `tests/data/run_digests.json`;
-`tests/test_run_digests.py` plays them again and compares. A refactoring must leave every digest as it is.
+`python -m tests.support.run_digests --write` runs every simulation and writes `tests/data/run_digests.json`;
+`tests/test_run_digests.py` repeats them and compares. A refactoring must not change any digest.
 
-Digested are the bytes sent on the simulated network with sender, receiver and instant, the acts on disks in
-memory, the answers to callers and the judge's figures. No name of a class, function or module is, nor the
-text of a log line or an exception. All names of the program stand in the imports and in references to
-attributes.
+A digest covers the bytes sent on the simulated network with sender, receiver and time, the operations on disks
+in memory, the replies to callers and the results of the judge. It covers no names of classes, functions or
+modules, and no texts of log lines or exceptions. Names of the program occur only in imports and in references
+to attributes.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 FILE = Path(__file__).parent.parent / "data" / "run_digests.json"
 SEEDS = 20  # of each kind of run
 WORKERS = 4
-STORE_SECONDS = 4.0  # of faults in a day of the store
+STORE_FAULTS_S = 4.0  # duration of the faults of a simulated store
 DIGEST_BYTES = 12
 PROBE_FAULTS = ("blink", "wipe", "cut", "freeze", "none")
 
@@ -66,7 +66,7 @@
 
 
 def encode(value: Any) -> bytes:
-    """An encoding of plain values that tells any two apart; of an enum its ordinal, of a dataclass its
+    """Return an unambiguous encoding of plain values; an enum is encoded as its ordinal, a dataclass as its
     values.
     """
     match value:
@@ -96,7 +96,7 @@
 
 
 def encode_text(tag: bytes, data: bytes) -> bytes:
-    """Bytes with their length."""
+    """Return bytes prefixed with a tag and their length."""
     return tag + b"%d;" % len(data) + data
 
 
@@ -106,67 +106,67 @@
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self._numbers: dict[str, int] = {}
-        self._disks: dict[int, tuple[int, MemoryDisk]] = {}  # each is kept, so that no id is used again
+        self._disks: dict[int, tuple[int, MemoryDisk]] = {}  # disks are referenced, so that no id is reused
         self.clock: Callable[[], float] = lambda: 0
         self.count = 0
 
     def note(self, *values: Any) -> None:
-        """Take in one event."""
+        """Add one event to the digest."""
         self.count += 1
         self._hash.update(encode(values))
 
     def machine(self, machine: Machine) -> int:
-        """The number of this machine; it keeps it over restarts."""
+        """Return the number of a machine, which stays the same over restarts."""
         return self._numbers.setdefault(machine.name, len(self._numbers))
 
     def disk(self, disk: MemoryDisk) -> int:
-        """The number of this disk."""
+        """Return the number of a disk."""
         return self._disks.setdefault(id(disk), (len(self._disks), disk))[0]
 
     def digest(self) -> str:
-        """Of all that was noted, with the number of events."""
+        """Return the digest of all events, with their number."""
         return f"{self._hash.hexdigest()}-{self.count}"
 
     # Hooks
 
     def world_made(self, world: World, *_: Any) -> None:
-        """Instants are those of the newest world."""
+        """Use the clock of the newest world."""
         self.clock = lambda: world.now
 
     def sent(self, _: Network, sock: Socket, data: bytes) -> None:
-        """Bytes leave a socket."""
+        """Record bytes that a socket sends."""
         receiver = self.machine(sock.peer.machine) if sock.peer is not None else None
         self.note("send", self.machine(sock.machine), receiver, sock.machine.instant(), data)
 
     def finished(self, _: Network, sock: Socket) -> None:
-        """One end sends no more."""
+        """Record a FIN."""
         self.note("fin", self.machine(sock.machine), sock.machine.instant())
 
     def connecting(self, _: Network, machine: Machine, __: Any, address: Address) -> None:
-        """A connection is begun."""
+        """Record the start of a connection."""
         self.note("connect", self.machine(machine), machine.instant(), address)
 
     def disk_act(self, kind: str, disk: MemoryDisk, *given: str | bytes) -> None:
-        """An act on a disk is tried."""
+        """Record an operation on a disk, before its outcome is known."""
         self.note(kind, self.disk(disk), self.clock(), given)
 
     def quota_call(self, kind: str, result: Any, _: QuotaService, *given: Any) -> None:
-        """A registry's quota service was called."""
+        """Record a call of a registry's quota service."""
         self.note(kind, self.clock(), [wire_form(value) for value in given], wire_form(result))
 
     def read(self, result: bool, _: Callers, machine: Machine, host: str) -> None:
-        """A caller of the store has its answer to a read."""
+        """Record the result of a read from the store."""
         self.note("read", self.machine(machine), host, result, self.clock())
 
 
 def wire_form(value: Any) -> Any:
-    """As it goes on the wire, where it does."""
+    """Return the wire encoding of a message, or the value itself if it has none."""
     return value.encode() if is_dataclass(value) and hasattr(value, "encode") else value
 
 
 @contextlib.contextmanager
-def seeded_chance(seed: int) -> Iterator[None]:
-    """Sources of chance that have no seed, such as a proxy's, are drawn from `seed`."""
+def seeded_randomness(seed: int) -> Iterator[None]:
+    """Seed the sources of randomness that have no seed, such as a proxy's, from `seed`."""
     source, make = random.Random(seed), random.Random
 
     def made(*given: Any) -> random.Random:
@@ -183,10 +183,10 @@
 
 @contextlib.contextmanager
 def numbered_hashes() -> Iterator[None]:
-    """Objects that the program keeps in sets hash by the order in which they were made, not by their address.
+    """Hash objects that the program keeps in sets by their order of creation instead of their address.
 
-    Servers and pools go through such sets where they end, so that else the order of their last acts is
-    chance.
+    Servers and pools iterate over such sets when they stop, so the order of their last operations would
+    otherwise vary.
     """
     numbers = itertools.count(1)
 
@@ -209,7 +209,7 @@
 
 
 def before(owner: type, method: Callable[..., Any], hook: Callable[..., None]) -> Any:
-    """A patch by which `hook` has the arguments of each call before the call is made."""
+    """Return a patch that calls `hook` with the arguments before each call."""
 
     @functools.wraps(method)
     def call(*given: Any, **named: Any) -> Any:
@@ -220,7 +220,7 @@
 
 
 def after(owner: type, method: Callable[..., Any], hook: Callable[..., None]) -> Any:
-    """A patch by which `hook` has the result and the arguments of each call."""
+    """Return a patch that calls `hook` with the result and the arguments after each call."""
 
     @functools.wraps(method)
     def call(*given: Any) -> Any:
@@ -232,7 +232,7 @@
 
 
 def after_async(owner: type, method: Callable[..., Any], hook: Callable[..., None]) -> Any:
-    """As `after`, of a coroutine."""
+    """Return a patch like `after` for a coroutine."""
 
     @functools.wraps(method)
     async def call(*given: Any) -> Any:
@@ -245,7 +245,7 @@
 
 @contextlib.contextmanager
 def hooked(recorder: Recorder) -> Iterator[None]:
-    """All hooks, while a run is played."""
+    """Install all hooks during a run."""
     disk_acts: tuple[Callable[..., Any], ...] = (
         MemoryDisk.write,
         MemoryDisk.sync,
@@ -281,7 +281,7 @@
 
 
 def note_record(recorder: Recorder, record: CallHistory) -> None:
-    """What the store's callers were answered, and when."""
+    """Record the replies to the store's callers, and their times."""
     for op in record.ops:
         recorder.note(op.kind, op.number, op.body, op.start, op.end)
     for seen in record.seen:
@@ -291,10 +291,10 @@
 
 
 def play_store_day(seed: int, recorder: Recorder) -> None:
-    """A short day of the replicated store, with faults; one seed has a burst of changes."""
+    """Simulate a short day of the store with faults; one seed has a burst of changes."""
     operators = 8 if seed % 4 == 0 else 2
     day = store_day.ClusterSimulation(
-        3 + seed % 3, seed, length=STORE_SECONDS, operators=operators, burst=seed == 7
+        3 + seed % 3, seed, length=STORE_FAULTS_S, operators=operators, burst=seed == 7
     )
     verdict = day.play()
     note_record(recorder, day.callers.record)
@@ -305,7 +305,7 @@
 
 
 def play_store_probes(seed: int, recorder: Recorder) -> None:
-    """The store's probes: races, replacements, duels, a second loss."""
+    """Run the probes of the store: races, replacements, dueling proposers, a second loss."""
     fault = PROBE_FAULTS[seed % len(PROBE_FAULTS)]
     played = (
         probes.race(seed),
@@ -322,12 +322,12 @@
 
 
 def note_members(recorder: Recorder, members: Members) -> None:
-    """A list of members."""
+    """Record a list of members."""
     recorder.note(members.number, members.seats, members.former)
 
 
 def note_core(recorder: Recorder, world: core_world.World) -> None:
-    """The state of a core, and what its judge says."""
+    """Record the state of a simulated core and of its invariants."""
     recorder.note(
         world.now,
         world.value.change,
@@ -348,7 +348,7 @@
 
 
 def change_core(world: core_world.World, chance: random.Random) -> int:
-    """One random event in a core; its number."""
+    """Apply one random event to a core; return its number."""
     one, other = chance.sample(list(world.machines.values()), 2)
     acts: tuple[Callable[[], object], ...] = (
         lambda: world.kill(one),
@@ -369,7 +369,7 @@
 
 
 def play_membership(seed: int, recorder: Recorder) -> None:
-    """Who is a member next, under random losses, cuts and replacements."""
+    """Simulate changes of members under random losses, partitions and replacements."""
     chance = random.Random(seed)
     world = core_world.World(3 + seed % 3)
     world.run(10.0)
@@ -386,7 +386,7 @@
 
 
 def play_quota_day(seed: int, recorder: Recorder) -> None:
-    """A day of quotas under floods and faults."""
+    """Simulate quotas under floods and faults."""
     day = faults.draw(seed)
     player = faults.QuotaDayPlayer(day)
     world = player.world
@@ -400,7 +400,7 @@
 
 
 def play_requests(seed: int, recorder: Recorder) -> None:
-    """Requests, departures, troubles and ends of a proxy."""
+    """Simulate requests through a proxy with disconnections, faults and shutdowns."""
     run = RandomRun(seed)
     result = run.play()
     for sent in run.world.requests:
@@ -419,21 +419,21 @@
 
 
 def play_door_day(seed: int, recorder: Recorder) -> None:
-    """A day of the earlier front door with drawn faults."""
+    """Simulate a day of the earlier front door with drawn faults."""
     scenario = door_schedule.scenario(door_schedule.draw_schedule(seed, random.Random(seed)))
     played = door_day.play(draw_day(scenario, scenario.seed))
-    books = played.request_log
-    recorder.note(books.attempts)
-    recorder.note(books.client_attempts)
+    request_log = played.request_log
+    recorder.note(request_log.attempts)
+    recorder.note(request_log.client_attempts)
     recorder.note(
-        books.endpoint_notices,
-        books.incarnations,
-        books.fallen,
-        books.link_faults,
-        books.pauses,
-        list(books.misbehaving_clients.values()),
+        request_log.endpoint_notices,
+        request_log.incarnations,
+        request_log.fallen,
+        request_log.link_faults,
+        request_log.pauses,
+        list(request_log.misbehaving_clients.values()),
     )
-    for incarnation in books.front_doors:
+    for incarnation in request_log.front_doors:
         recorder.note(
             incarnation.front_door,
             incarnation.started,
@@ -443,7 +443,7 @@
             incarnation.ended,
             incarnation.code,
         )
-    recorder.note([at for at, _ in books.faults])
+    recorder.note([at for at, _ in request_log.faults])
     recorder.note([(breach.rule, breach.times) for breach in played.verdict.breaches])
     recorder.note(played.service.total.offered, played.service.total.served, played.start, played.seconds)
     recorder.note(played.counter_calls, played.cpu, played.max_timer_delay_us)
@@ -452,12 +452,11 @@
 
 # Decisions of the earlier front door, over the simulator's wire
 
-DOORS, SERVERS, CUSTOMERS = (
-    3,
-    6,
-    9,
-)  # of more than 8 doors, accounts tell the counter what the wire cannot carry
-WIRE_SECONDS, ARRIVALS = 6, 700
+DOORS = 3  # with more than 8, accounts send the counter values that the wire cannot carry
+SERVERS = 6
+CUSTOMERS = 9
+WIRE_DURATION_S = 6
+ARRIVALS = 700
 DOOR_CLASSES = (
     {"repeat": "free", "slo_us": 200_000, "deadline_us": 900_000, "worth": 1.0, "late_value": 0.2},
     {"repeat": "guarded", "group": "zone", "window_us": 2_000_000, "slo_us": 300_000,
@@ -467,11 +466,11 @@
 )  # fmt: skip
 DOOR_PLANS = ((40.0, 20.0, 0, 0.0), (15.0, 5.0, 4, 0.0), (30.0, 10.0, 0, 45.0))
 FAILURES = (301, 302, 303, 304, 305, 307)
-TEXTS = (1060, 1070)  # records whose text is for people: a note, a failed decision
+TEXTS = (1060, 1070)  # records with a text for people: a note, a failed decision
 
 
 def door_settings(rank: int, seed: int) -> bytes:
-    """The settings text of one door."""
+    """Return the settings text of one front door."""
     values: dict[str, object] = {
         "discovery": "pushed" if seed % 2 else "on_request", "peers_total": DOORS, "rank": rank,
         "locality": rank % 3, "round_us": 1000, "profiles.count": len(DOOR_CLASSES),
@@ -499,13 +498,13 @@
 
 
 def wire_record(code: int, fields_: str, *values: Any) -> bytes:
-    """One record of a batch."""
+    """Return one record of a batch."""
     body = struct.pack("<" + fields_, *values)
     return struct.pack("<HI", code, len(body)) + body
 
 
 class DoorSimulator:
-    """Doors over their wire: arrivals by a seed, and an answer to all that the doors ask for."""
+    """Front doors over the simulator's wire: seeded arrivals, and a reply to each request of a front door."""
 
     def __init__(self, seed: int, recorder: Recorder) -> None:
         self.chance, self.recorder = random.Random(seed), recorder
@@ -513,7 +512,7 @@
         self.agenda: list[tuple[int, int, bytes]] = []
         self.made = 0
         self.now = 0
-        self.attempts: dict[tuple[int, int], int] = {}  # by door and request
+        self.attempts: dict[tuple[int, int], int] = {}  # by front door and request
         self.cancelled: set[tuple[int, int, int]] = set()
         self.pending: dict[int, tuple[int, int, int, bytes, int]] = {}
         self.counts: dict[int, float] = {}
@@ -523,17 +522,17 @@
             self.add(0, wire_record(1050, f"IQI{len(text)}s", door, seed * DOORS + door, len(text), text))
             self.add(1, self.server_list(door))
         for number in range(ARRIVALS):
-            self.add(self.chance.randrange(10_000, WIRE_SECONDS * 1_000_000), self.arrival(number))
-        for at in range(1, WIRE_SECONDS):
+            self.add(self.chance.randrange(10_000, WIRE_DURATION_S * 1_000_000), self.arrival(number))
+        for at in range(1, WIRE_DURATION_S):
             self.add(at * 1_000_000, self.server_list(self.chance.randrange(DOORS), changes=True))
 
     def add(self, at: int, record: bytes) -> None:
-        """This record comes at this time (µs)."""
+        """Schedule a record at this time (µs)."""
         self.made += 1
         heapq.heappush(self.agenda, (at, self.made, record))
 
     def arrival(self, number: int) -> bytes:
-        """A request at a random door."""
+        """Return a request at a random front door."""
         chance = self.chance
         customer = chance.randrange(CUSTOMERS)
         left = chance.choice((80_000, 600_000, 1_500_000))
@@ -544,7 +543,7 @@
         )  # fmt: skip
 
     def server_list(self, door: int, changes: bool = False) -> bytes:
-        """All servers, or a change of one of them."""
+        """Return a list of all servers, or a change of one of them."""
         numbers = [self.chance.randrange(SERVERS)] if changes else list(range(SERVERS))
         self.version += 1
         rows = b"".join(
@@ -560,8 +559,8 @@
         )
 
     def play(self) -> None:
-        """To the end of what was asked for, two seconds beyond the last arrival at most."""
-        end = (WIRE_SECONDS + 2) * 1_000_000
+        """Run until no event is left, at most until 2 s after the last arrival."""
+        end = (WIRE_DURATION_S + 2) * 1_000_000
         while self.agenda and self.agenda[0][0] < end:
             self.now = self.agenda[0][0]
             batch: list[bytes] = []
@@ -573,7 +572,7 @@
             self.take(self.host.reply(frame))
 
     def resolved(self, record: bytes) -> bytes:
-        """An end of an attempt has its outcome when it comes: a cancelled one is cancelled."""
+        """Return a record, with the outcome drawn if it ends an attempt; a cancelled attempt ends as cancelled."""
         code, _ = struct.unpack_from("<HI", record)
         if code != 1000:
             return record
@@ -590,7 +589,7 @@
         )  # fmt: skip
 
     def take(self, reply: bytes) -> None:
-        """Digest a reply and answer its records."""
+        """Add a reply to the digest and answer its records."""
         size, count = struct.unpack_from("<II", reply)
         at = 8
         for _ in range(count):
@@ -602,7 +601,7 @@
         assert at == size == len(reply)
 
     def answer(self, code: int, body: bytes) -> None:
-        """What comes of one record of a door."""
+        """Schedule the reply to one record of a front door."""
         door, chance = struct.unpack_from("<I", body)[0], self.chance
         match code:
             case 1020:
@@ -640,7 +639,7 @@
 
 
 def play_door_decisions(seed: int, recorder: Recorder) -> None:
-    """Decisions of three front doors over the simulator's wire."""
+    """Simulate decisions of three front doors over the simulator's wire."""
     DoorSimulator(seed, recorder).play()
 
 
@@ -658,22 +657,22 @@
 
 
 def digest_of(kind: str, seed: int) -> str:
-    """The digest of one run, played in this process."""
+    """Run one simulation in this process; return its digest."""
     recorder = Recorder()
-    with hooked(recorder), seeded_chance(seed), numbered_hashes():
+    with hooked(recorder), seeded_randomness(seed), numbered_hashes():
         RUNS[kind](seed, recorder)
     return recorder.digest()
 
 
 def prepare_worker() -> None:
-    """Hashes are fixed and log lines go nowhere. Levels stay: a judge counts events of level ERROR."""
+    """Check that hashes are fixed, and discard log lines. Log levels stay, since judges count ERROR events."""
     assert not sys.flags.hash_randomization
     logging.getLogger().addHandler(logging.NullHandler())
 
 
 @contextlib.contextmanager
 def workers(count: int = WORKERS) -> Iterator[ProcessPoolExecutor]:
-    """New processes with fixed hashes."""
+    """Start worker processes with fixed hashes."""
     context = multiprocessing.get_context("spawn")
     with (
         mock.patch.dict(os.environ, PYTHONHASHSEED="0"),
@@ -683,13 +682,13 @@
 
 
 def digests_of(pool: ProcessPoolExecutor, kind: str, seeds: Iterable[int] = range(SEEDS)) -> dict[str, str]:
-    """The digests of one kind of run by seed, as the file has them."""
+    """Return the digests of one kind of run by seed, as in the file."""
     played = {str(seed): pool.submit(digest_of, kind, seed) for seed in seeds}
     return {seed: future.result() for seed, future in played.items()}
 
 
 def read_file() -> dict[str, dict[str, str]]:
-    """The committed digests."""
+    """Read the committed digests."""
     found: dict[str, dict[str, str]] = json.loads(FILE.read_text("utf-8"))
     return found
 
--- a/tests/test_run_digests.py
+++ b/tests/test_run_digests.py
@@ -1,4 +1,4 @@
-"""What seeded simulated runs do is what it was: see `tests/support/run_digests.py`."""
+"""Seeded simulated runs behave as recorded: see `tests/support/run_digests.py`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
 
 @pytest.mark.parametrize("kind", RUNS)
-def test_runs_are_as_they_were(kind: str, pool: ProcessPoolExecutor) -> None:
-    wanted, found = read_file()[kind], digests_of(pool, kind)
-    moved = [seed for seed in wanted if found[seed] != wanted[seed]]
-    assert not moved, f"{kind}: {len(moved)} of {len(wanted)} digests have moved, of seeds {', '.join(moved)}"
+def test_digests_of_runs_are_unchanged(kind: str, pool: ProcessPoolExecutor) -> None:
+    expected, found = read_file()[kind], digests_of(pool, kind)
+    changed = [seed for seed in expected if found[seed] != expected[seed]]
+    assert not changed, (
+        f"{kind}: {len(changed)} of {len(expected)} digests differ, of seeds {', '.join(changed)}"
+    )
