--- a/irisdeal/simulation/cluster/callers.py
+++ b/irisdeal/simulation/cluster/callers.py
@@ -24,7 +24,7 @@
 
 CALL_TIMEOUT_S = 1.0  # after which an operator tries another member
 LOST_REPLY_TIMEOUTS_S = (0.0005, 0.004, 0.02, 0.08)  # of calls whose reply counts as lost
-ORDER_INTERVAL_S = 0.7  # maximum between two puts of all operators
+ORDER_INTERVAL_S = 0.7  # maximum between two puts of one operator, multiplied by their number
 MAX_SENDS = 12  # of one put
 READ_RATIO = 0.4  # puts followed by a read
 REPEATED_ORDER_RATIO = 0.08  # puts that repeat an old one
@@ -56,16 +56,17 @@
     orders: int = 0
     sends: int = 0
     acknowledged: int = 0
-    times: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # of each put: start, s until its acknowledgement
+    # Of each put: start, s until its acknowledgement.
+    times: list[tuple[float, float]] = field(default_factory=list)
     answers: list[tuple[float, str]] = field(default_factory=list)  # acknowledgements: time, member
 
     def newest(self) -> int:
+        """Return the highest confirmed number."""
         return max((op.number for op in self.ops if op.kind is Kind.CONFIRMED), default=NO_NUMBER)
 
 
 def digest(body: bytes) -> str:
+    """Return the SHA-256 digest of a body in hexadecimal."""
     return hashlib.sha256(body).hexdigest()
 
 
@@ -113,6 +114,7 @@
             machine.start(self._read(machine))
 
     def now(self) -> float:
+        """Return the virtual s since the start."""
         return self.cluster.world.seconds()
 
     def _client(self, machine: Machine, host: str) -> RpcClient:
--- a/irisdeal/simulation/cluster/cluster.py
+++ b/irisdeal/simulation/cluster/cluster.py
@@ -45,6 +45,7 @@
         self.pending_disk_calls: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
 
     def run_in_executor(self, executor: Any, func: Callable[..., Any], *args: Any) -> asyncio.Future[Any]:
+        """As in `Machine`; the call is recorded until it is done."""
         done = super().run_in_executor(executor, func, *args)
         self.pending_disk_calls[id(done)] = func, args
         done.add_done_callback(lambda call: self.pending_disk_calls.pop(id(call), None))
@@ -85,9 +86,8 @@
         self.machines: dict[str, ClusterMachine] = {}
         self.members: dict[str, StoreReplica] = {}
         self.stop_events: dict[str, asyncio.Event] = {}
-        self.bootstrap_seeds = [self.new_host() for _ in range(count)][
-            :SEED_PEER_COUNT
-        ]  # in all settings at the first start
+        # Seed peers in all settings at the first start.
+        self.bootstrap_seeds = [self.new_host() for _ in range(count)][:SEED_PEER_COUNT]
 
     # Machines
 
@@ -118,6 +118,7 @@
             self.net.set_link(caller, host, link)
 
     def settings(self, host: str, is_bootstrap: bool) -> Settings:
+        """Return the settings of a member; `is_bootstrap`: for the first start of the cluster."""
         seeds = (
             self.bootstrap_seeds
             if is_bootstrap
@@ -157,6 +158,7 @@
         machine.start(run())
 
     def is_up(self, host: str) -> bool:
+        """Whether the process of a machine is running."""
         return host in self.machines and not self.machines[host].dead
 
     # Faults
@@ -205,6 +207,7 @@
                     self.net.reset_connections(link.reverse)
 
     def schedule(self, seconds: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call in `seconds` virtual s."""
         self.world.at(self.world.now + int(seconds * 1e6), call.__name__, call, *args)
 
     def run(self, is_finished: Callable[[], bool], timeout_s: float) -> None:
--- a/irisdeal/simulation/cluster/faults.py
+++ b/irisdeal/simulation/cluster/faults.py
@@ -29,9 +29,8 @@
     lines: list[str] = field(default_factory=list)
     losses: list[tuple[float, str]] = field(default_factory=list)  # loss of one member: start, fault
     freezes: list[tuple[str, float, float]] = field(default_factory=list)
-    isolations: list[tuple[str, float, float]] = field(
-        default_factory=list
-    )  # member whose messages were held up
+    # Members whose messages were held up.
+    isolations: list[tuple[str, float, float]] = field(default_factory=list)
 
 
 class FaultInjector:
@@ -66,12 +65,15 @@
         self.names = [name for name in self.faults for _ in range(FAULT_WEIGHTS.get(name, 1))]
 
     def now(self) -> float:
+        """Return the virtual s since the start."""
         return self.cluster.world.seconds()
 
     def log_line(self, what: str) -> None:
+        """Add a line with the current time to the log."""
         self.log.lines.append(f"{self.now():.3f} {what}")
 
     async def wait(self, seconds: float) -> None:
+        """Wait for so many virtual seconds."""
         await pause(self.machine, seconds)
 
     async def play(self, length: float) -> None:
@@ -94,18 +96,22 @@
         return self.chance.choice((0.02, self.chance.uniform(0.05, 0.5), self.chance.uniform(0.2, 3.0)))
 
     async def restart(self, host: str, how: str, seconds: float) -> None:
+        """End a member's process as `SimulatedCluster.kill` does, and start it again after `seconds`."""
         self.cluster.kill(host, how)
         await self.wait(seconds)
         self.log_line(f"start {host}")
         self.cluster.start(host)
 
     async def kill(self, host: str) -> None:
+        """Kill a member's process and restart it."""
         await self.restart(host, "kill", self.chance.uniform(0.2, 3.0))
 
     async def power(self, host: str) -> None:
+        """Let a member lose power and restart it."""
         await self.restart(host, "power", self.chance.uniform(0.2, 3.0))
 
     async def wipe(self, host: str) -> None:
+        """Wipe a member's disk and restart it; sometimes all members are killed during its recovery."""
         await self.restart(host, "wipe", self.chance.uniform(0.2, 3.0))
         if self.chance.random() < 0.3:  # all are killed during its recovery
             await self.wait(self.chance.uniform(0.0, RECOVERY_S))
@@ -142,12 +148,15 @@
             await self.restart(host, self.chance.choice(("kill", "power")), self.chance.uniform(0.001, 0.03))
 
     async def partition(self, host: str) -> None:
+        """Partition a member from the others for 0.3 to 5 s."""
         await self._partition(host, self.chance.uniform(0.3, 5.0), True, True)
 
     async def long_partition(self, host: str) -> None:
+        """Partition a member from the others for `LONG_PARTITION_S`."""
         await self._partition(host, LONG_PARTITION_S, True, True)
 
     async def partition_one_way(self, host: str) -> None:
+        """Partition a member from the others in one direction."""
         outgoing = self.chance.random() < 0.5
         await self._partition(
             host, self.chance.choice((1.0, 3.0, 8.0, LONG_PARTITION_S)), outgoing, not outgoing
@@ -163,12 +172,14 @@
             self.log.isolations.append((host, started_at, self.now()))
 
     async def freeze(self, host: str) -> None:
+        """Pause a member's process for `FREEZE_S`."""
         started_at = self.now()
         self.cluster.machines[host].pause(self.cluster.world.now + int(FREEZE_S * 1e6))
         await self.wait(FREEZE_S)
         self.log.freezes.append((host, started_at, self.now()))
 
     async def slow_disk(self, host: str) -> None:
+        """Slow down a member's disk for a while."""
         machine = self.cluster.machines[host]
         previous_disk_time_us, machine.disk_time_us = (
             machine.disk_time_us,
@@ -178,12 +189,14 @@
         machine.disk_time_us = previous_disk_time_us
 
     async def full_disk(self, host: str) -> None:
+        """Let a member's disk refuse writes for a while."""
         disk = self.cluster.disks[host]
         disk.full = True
         await self.wait(self.chance.uniform(0.5, 5.0))
         disk.full = False
 
     async def reset(self, host: str) -> None:
+        """Reset all connections of a member, up to five times."""
         for _ in range(self.chance.randint(1, 5)):
             self.cluster.reset(host)
             await self.wait(self.chance.uniform(0.0, 0.3))
--- a/irisdeal/simulation/cluster/store_day.py
+++ b/irisdeal/simulation/cluster/store_day.py
@@ -47,9 +47,8 @@
     refused: int = 0  # conflicts returned for puts that were acknowledged before
     lists: int = 0  # newest number of a member list that a watcher received
     caught_up: float = 0.0  # s from the start of the final checks until every member had answered
-    outages: list[tuple[str, float]] = field(
-        default_factory=list
-    )  # puts affected by a loss: fault, duration in s
+    # Puts affected by a loss: fault, duration in s.
+    outages: list[tuple[str, float]] = field(default_factory=list)
     breaches: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     trace: str = ""  # digest of all events
@@ -82,6 +81,7 @@
         self.over = False
 
     def add_breach(self, what: str) -> None:
+        """Record a violation at the current time."""
         self.verdict.breaches.append(f"{self.cluster.world.seconds():.3f} s: {what}")
 
     async def _run_faults(self, machine: Machine) -> int:
--- a/irisdeal/simulation/search/coverage.py
+++ b/irisdeal/simulation/search/coverage.py
@@ -77,6 +77,7 @@
         self.states: set[State] = set()
 
     def watch(self, world: World, doors: SimulatedFrontDoors) -> None:
+        """Sample the states after each `SAMPLE_INTERVAL_US`."""
         world.at(world.now + SAMPLE_INTERVAL_US, "a look", self._sample, world, doors)
 
     def _sample(self, world: World, doors: SimulatedFrontDoors) -> None:
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -55,15 +55,19 @@
         self.machine, self.net, self._config = machine, net, config
 
     def now(self) -> int:
+        """Return the Unix time in µs."""
         return START_UNIX_TIME_US + self.machine.instant()
 
     def create_socket(self, family: int) -> Any:
+        """Return a new socket to listen with."""
         return self.net.listening(self.machine)
 
     def has_bytes(self, file: int) -> bool:
+        """Whether a descriptor is readable."""
         return self.net.has_bytes(self.machine, file)
 
     def reload_config(self) -> Config:
+        """Return the current configuration."""
         return self._config()
 
     def startup_complete(self) -> None:
@@ -79,11 +83,13 @@
         self.active_faults: dict[NetworkLink, LinkFault] = {}
 
     async def add(self, source: str, target: str, to: tuple[str, int]) -> tuple[str, int]:
+        """Add a link from `source` to `target`; return the address that connects over it."""
         link = NetworkLink(self.net.default_link.delay, self.net.default_link.jitter)
         self.links.append((source, target, link))
         return self.net.redirect(to, link)
 
     def set(self, names: Any, condition: Condition, target: str = "") -> None:
+        """Set the condition of the links at `names`; with a `target`, of those from `names` to it."""
         if condition.direction != "both":
             raise ValueError(
                 f"link fault in direction {condition.direction}: only both directions are simulated"
@@ -110,6 +116,7 @@
                 self.net.restore(link)
 
     def reset(self, names: Any, target: str = "") -> None:
+        """Reset all connections of the links that `set` would select."""
         selected_names, to = set(names), target
         for source, target, link in self.links:
             if (
@@ -166,6 +173,7 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
+        """The addresses of all front doors."""
         return [door.address for door in self.doors]
 
     @property
@@ -174,6 +182,7 @@
         return [d.program for d in self.doors if d.program is not None and d.machine and not d.machine.dead]
 
     async def start(self) -> None:
+        """Start all front doors and wait until they are ready."""
         await asyncio.gather(*(self._start(door) for door in self.doors))
 
     def _write_config(self, door: _FrontDoor) -> None:
@@ -248,6 +257,7 @@
     # Faults of the timeline
 
     async def kill(self, door: int, down: float) -> None:
+        """Kill a front door and start it again after `down` s."""
         front_door = self.doors[door]
         if front_door.machine is None or front_door.incarnation is None or front_door.machine.dead:
             return
@@ -259,6 +269,7 @@
         await self._start_again(front_door, restart_number)
 
     async def restart(self, door: int) -> None:
+        """Terminate a front door and start it again."""
         front_door = self.doors[door]
         if front_door.machine is None or front_door.machine.dead or not front_door.should_run:
             return
@@ -268,6 +279,7 @@
         await self._start_again(front_door, restart_number)
 
     async def stall(self, door: int, seconds: float) -> None:
+        """Pause a front door's process for `seconds`."""
         front_door = self.doors[door]
         if front_door.machine is None or front_door.machine.dead:
             return
@@ -277,6 +289,7 @@
         await asyncio.sleep(seconds)
 
     async def reload(self, door: int) -> None:
+        """Write a new configuration for a front door and send it SIGHUP."""
         front_door = self.doors[door]
         self._write_config(front_door)
         if front_door.machine is not None:
@@ -320,6 +333,7 @@
         await asyncio.gather(*(self._wait_for_exit(door) for door in running))
 
     def kill_all(self) -> None:
+        """Kill all front doors."""
         for door in self.doors:
             door.should_run = False
             if door.machine is not None:
@@ -346,6 +360,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether there was no failure."""
         return self.verdict.kept and not (self.crashes or self.errors or self.leftovers)
 
     def broken(self) -> list[str]:
--- a/irisdeal/simulation/search/planted_bugs.py
+++ b/irisdeal/simulation/search/planted_bugs.py
@@ -196,11 +196,11 @@
 
 def _ends_before_answers() -> list[Patch]:
     def made(old: Any) -> Any:
-        def wind_up(self: Program) -> None:
+        def finish(self: Program) -> None:
             self.clients.listener.close()
             self.finished.set()
 
-        return wind_up
+        return finish
 
     return _wrap(Program, "_finish_when_drained", made)
 
--- a/irisdeal/simulation/search/schedule.py
+++ b/irisdeal/simulation/search/schedule.py
@@ -159,6 +159,7 @@
 
 
 def with_faults(table: Table, faults: Sequence[Table]) -> Table:
+    """Return the schedule with these faults instead, in the order of their start."""
     return {**table, "at": sorted((dict(f) for f in faults), key=lambda f: f["at_s"])}
 
 
@@ -220,6 +221,7 @@
 
 
 def without_faults(table: Table) -> Table:
+    """Return the schedule without faults."""
     return {**table, "at": []}
 
 
--- a/irisdeal/simulation/search/search.py
+++ b/irisdeal/simulation/search/search.py
@@ -184,6 +184,7 @@
             raise SearchError(f"{folder / STATE_FILE}: not a saved search: {error!r}") from None
 
     def coverage_summary(self) -> str:
+        """Return a description of the pairs of faults that were simulated."""
         return f"{len(self.fault_pairs & set(PAIRS))} of {len(PAIRS)} pairs of faults"
 
 
