--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -172,7 +172,7 @@
         stores.add_column(name, justify="left" if name in ("store", "plan") else "right", no_wrap=True)
     for row in top_accounts(reports, count):
         stores.add_row(
-            row.customer.lstrip("0") or "0",
+            row.account_id.lstrip("0") or "0",
             row.plan,
             f"{100 * row.share:.1f}%",
             str(row.received),
--- a/irisdeal/front_door/queueing/reports.py
+++ b/irisdeal/front_door/queueing/reports.py
@@ -16,7 +16,7 @@
 class AccountSummary:
     """One account over all front doors. Shares are of the recent demand at all of them."""
 
-    customer: str
+    account_id: str
     plan: str
     share: float = 0.0
     received: int = 0
@@ -36,7 +36,7 @@
     def as_json(self) -> dict[str, object]:
         """Return the values under the keys of `irisdeal queues top`, which users read."""
         return {
-            "customer": self.customer,
+            "customer": self.account_id,
             "plan": self.plan,
             "share": self.share,
             "asked": self.received,
@@ -119,7 +119,7 @@
     account = _mapping(value)
     sent = _int(account["sent"])
     return AccountSummary(
-        customer=str(account["customer"]),
+        account_id=str(account["customer"]),
         plan=str(account["plan_name"]),
         share=_float(account["share"]),
         received=_int(account["asked"]),
@@ -164,12 +164,12 @@
     merged: dict[tuple[str, str], AccountSummary] = {}
     for front_door, accounts in all_reports:
         for account in accounts:
-            key = (account.customer, account.plan)
-            summary = merged.setdefault(key, AccountSummary(account.customer, account.plan))
+            key = (account.account_id, account.plan)
+            summary = merged.setdefault(key, AccountSummary(account.account_id, account.plan))
             if total_received:
                 summary.share += account.share * front_door.received / total_received
             _add(summary, account)
-    return sorted(merged.values(), key=lambda row: (-row.share, row.customer, row.plan))[:count]
+    return sorted(merged.values(), key=lambda row: (-row.share, row.account_id, row.plan))[:count]
 
 
 def _add(summary: AccountSummary, account: AccountSummary) -> None:
