--- a/irisdeal/front_door/decisions/interface.py
+++ b/irisdeal/front_door/decisions/interface.py
@@ -181,8 +181,18 @@
 
     def validate_request(self, event: RequestArrived) -> None:
         """Raise ValueError where a request has a class or plan that these settings do not have."""
-        _require(0 <= event.class_index < len(self.classes), "class_index", event.class_index, "known")
-        _require(0 <= event.plan_index < len(self.plans), "plan_index", event.plan_index, "known")
+        _require(
+            0 <= event.class_index < len(self.classes),
+            "class_index",
+            event.class_index,
+            "the index of a known class",
+        )
+        _require(
+            0 <= event.plan_index < len(self.plans),
+            "plan_index",
+            event.plan_index,
+            "the index of a known plan",
+        )
 
 
 def _require(is_valid: bool, field: str, value: object, expected: str) -> None:
--- a/irisdeal/front_door/queueing/queue_statistics.py
+++ b/irisdeal/front_door/queueing/queue_statistics.py
@@ -19,7 +19,7 @@
 RETRY_TOLERANCE_US = 20_000  # by which a client may be early: clocks and timers round
 # Upper ends of the histogram's intervals; one more interval counts all longer waits.
 WAIT_BUCKETS_MS = (1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)
-AccountKey = tuple[int, int]  # customer and plan
+AccountKey = tuple[int, int]  # account id and plan index
 
 
 class AccountReport(TypedDict):
@@ -134,9 +134,9 @@
 
     def _account(self, hitter: HeavyHitter[AccountKey], total_weight: float) -> AccountReport:
         record = self._records[hitter.key]
-        customer, plan = hitter.key
+        account_id, plan = hitter.key
         return {
-            "customer": f"{customer:016x}",
+            "customer": f"{account_id:016x}",
             "plan": plan,
             "share": round(hitter.weight / total_weight, 4) if total_weight else 0.0,
             "share_error": round(hitter.error / total_weight, 4) if total_weight else 0.0,
--- a/tests/front_door/test_fair_queue.py
+++ b/tests/front_door/test_fair_queue.py
@@ -64,10 +64,10 @@
 def test_an_account_with_one_request_goes_before_the_backlog_of_another() -> None:
     q = queue()
     for n in range(50):
-        push(q, "greedy", n)
-    assert [serve_next(q), serve_next(q)] == [("greedy", 0), ("greedy", 1)]
-    push(q, "quiet")
-    assert serve_next(q) == ("quiet", 0)
+        push(q, "backlogged", n)
+    assert [serve_next(q), serve_next(q)] == [("backlogged", 0), ("backlogged", 1)]
+    push(q, "single")
+    assert serve_next(q) == ("single", 0)
 
 
 def test_accounts_share_by_weight_and_by_cost() -> None:
@@ -174,7 +174,7 @@
 def test_a_late_account_shares_and_does_not_catch_up() -> None:
     q = queue()
     for n in range(40):
-        push(q, "greedy", n)
+        push(q, "backlogged", n)
     for _ in range(20):
         serve_next(q)
     push(q, "once")
@@ -212,13 +212,13 @@
 def test_a_full_queue_drops_from_the_longest_flow() -> None:
     q = queue(entries=100)
     for n in range(90):
-        push(q, "greedy", n)
+        push(q, "backlogged", n)
     for n in range(95):
-        _, dropped = push(q, f"quiet{n}")
-        assert all(account == "greedy" for account, _ in dropped)
+        _, dropped = push(q, f"single{n}")
+        assert all(account == "backlogged" for account, _ in dropped)
     assert q.entries == 100 and q.dropped == 85
-    _, dropped = push(q, "greedy", 99)
-    assert dropped == [("greedy", 99)]  # its own newest
+    _, dropped = push(q, "backlogged", 99)
+    assert dropped == [("backlogged", 99)]  # its own newest
 
 
 def test_among_flows_of_one_length_the_oldest_is_dropped_from() -> None:
--- a/tests/front_door/test_property.py
+++ b/tests/front_door/test_property.py
@@ -33,7 +33,7 @@
     """Checks each new action against the rules."""
 
     def __init__(self, harness: GatewayHarness) -> None:
-        self.desk, self.checked_count = harness, 0
+        self.harness, self.checked_count = harness, 0
         self.class_index_of: dict[int, int] = {}
         self.plan_of: dict[int, int] = {}
         self.deadline_at: dict[int, int] = {}
@@ -49,18 +49,18 @@
         return [s for n, s in enumerate(self.attempts[request]) if (request, n) not in self.not_executed]
 
     def check(self) -> None:
-        for at, action in self.desk.log[self.checked_count :]:
+        for at, action in self.harness.log[self.checked_count :]:
             if isinstance(action, StartAttempt):
                 self.check_attempt(at, action)
             elif isinstance(action, RejectRequest | FailRequest):
                 number = action.request_id
                 assert number not in self.answered
-                assert at <= self.deadline_at[number] + self.desk.settings.answer_grace_us
+                assert at <= self.deadline_at[number] + self.harness.settings.answer_grace_us
                 request_class = CLASSES[self.class_index_of[number]]
                 if isinstance(action, RejectRequest) and request_class.idempotency is not Idempotency.SAFE:
                     assert not self.may_have_run(number)
                 self.answered.add(number)
-        self.checked_count = len(self.desk.log)
+        self.checked_count = len(self.harness.log)
 
     def check_attempt(self, at: int, action: StartAttempt) -> None:
         number = action.request_id
@@ -71,7 +71,7 @@
         if earlier_attempts and request_class.idempotency is Idempotency.KEYED:
             assert self.states[earlier_attempts[0][1]][1] == self.states[action.server_id][1]
             assert at - earlier_attempts[0][0] < request_class.dedup_window_us
-        if not self.desk.settings.may_hedge:
+        if not self.harness.settings.may_hedge:
             assert not any(n == number for n, _ in self.in_flight)
         assert self.states[action.server_id][0] is ServerState.READY
         if self.plan_of[number] == CEILED and not self.attempts[number]:
--- a/tests/front_door/test_waiting.py
+++ b/tests/front_door/test_waiting.py
@@ -50,8 +50,8 @@
     harness = GatewayHarness(has_counter=False)
     full_window(harness)
     backlog = [harness.send_request(account_id=1)[0] for _ in range(20)]
-    quiet = harness.send_request(account_id=2)[0]
-    assert open_window(harness, 2) == [backlog[0], quiet]
+    single = harness.send_request(account_id=2)[0]
+    assert open_window(harness, 2) == [backlog[0], single]
 
 
 def test_a_head_of_reduced_value_does_not_block_the_queue() -> None:
@@ -201,8 +201,8 @@
         backlog.append(harness.next_request_id)
         harness.next_request_id += 1
         harness.handle(RequestArrived(backlog[-1], 1, FREE, SAFE, 3 * SECOND, 1.0, 0, 3, body_bytes=1_000))
-    quiet = harness.next_request_id
-    actions = harness.handle(RequestArrived(quiet, 2, FREE, SAFE, 3 * SECOND, 1.0, 0, 3, body_bytes=1_000))
+    single = harness.next_request_id
+    actions = harness.handle(RequestArrived(single, 2, FREE, SAFE, 3 * SECOND, 1.0, 0, 3, body_bytes=1_000))
     assert [rejected.request_id for rejected in actions_of_type(RejectRequest, actions)] == [backlog[-1]]
     assert harness.gateway.tenants[1, FREE].queued == 7
 
