--- a/irisdeal/front_door/queueing/fair_queue.py
+++ b/irisdeal/front_door/queueing/fair_queue.py
@@ -198,9 +198,8 @@
         root, best = self._root, None
         for band in self.bands[first_band:]:
             if band.sequence:
-                band.start_tag = max(
-                    band.start_tag, root.virtual_time
-                )  # closed for a while, it accumulates no claim
+                # closed for a while, it accumulates no claim
+                band.start_tag = max(band.start_tag, root.virtual_time)
                 if best is None or (band.start_tag, band.sequence) < (best.start_tag, best.sequence):
                     best = band
         if best is None:
--- a/tests/front_door/test_fair_queue.py
+++ b/tests/front_door/test_fair_queue.py
@@ -286,9 +286,8 @@
     """Rule 2; and each entry that can be served is served once, in the order of its account."""
     q, now = queue(), 0
     waiting: list[Entry[tuple[str, int]]] = []
-    served_since: dict[
-        Entry[tuple[str, int]], dict[Hashable, int]
-    ] = {}  # entries within their share: services of other flows since
+    # By entry of an account within its share: how often each other account was served since.
+    served_since: dict[Entry[tuple[str, int]], dict[Hashable, int]] = {}
     orders: defaultdict[Hashable, list[int]] = defaultdict(list)
     for kind, a, b, c in ops:
         now += 1000
--- a/tests/front_door/test_mechanism.py
+++ b/tests/front_door/test_mechanism.py
@@ -271,9 +271,8 @@
     harness.serve_request(account_id=1, plan_index=RATED, gateway_count=2)
     for n in range(2, 1500):
         harness.serve_request(account_id=n, plan_index=(RATED, CEILED)[n % 2], gateway_count=2)
-        harness.serve_request(
-            account_id=1, plan_index=RATED, gateway_count=2
-        )  # a regular tenant does not prevent that others are discarded
+        # a regular tenant does not prevent that others are discarded
+        harness.serve_request(account_id=1, plan_index=RATED, gateway_count=2)
         harness.advance(100 * MS)
     assert len(harness.gateway.tenants) <= 210  # those of the last 20 s, and the regular one
     harness.advance(10 * SECOND)
@@ -455,9 +454,8 @@
             harness.advance(20 * MS)
         return harness.gateway.counter_backoff_factor
 
-    assert (
-        backoff_factor_after(lambda n: n % 5 not in (1, 3)) < 2.0
-    )  # two in five fail: totals must stay recent
+    # two in five fail: totals must stay recent
+    assert backoff_factor_after(lambda n: n % 5 not in (1, 3)) < 2.0
     assert backoff_factor_after(lambda n: False) > 10.0
 
 
@@ -488,9 +486,8 @@
     _, actions = harness.send_request(account_id=2, plan_index=1, gateway_count=1)
     assert actions_of_type(StartAttempt, actions)
     gateway.in_flight = 0
-    assert [a.request_id for a in actions_of_type(StartAttempt, harness.handle(TimerFired(0)))] == [
-        cheap
-    ]  # the cheap one is not starved
+    # the cheap one is not starved
+    assert [a.request_id for a in actions_of_type(StartAttempt, harness.handle(TimerFired(0)))] == [cheap]
 
 
 @pytest.mark.parametrize("failure", [Result.NOT_CONNECTED, Result.REJECTED])
@@ -511,9 +508,8 @@
         if (tenant := harness.gateway.tenants[3, RATED]).total_known_at >= 0:
             break
     recent_demand = 20.0 * tenant.decay_us / SECOND  # of a constant rate: rate times decay time
-    assert (
-        0.5 * recent_demand < tenant.total_demand < 2.5 * recent_demand
-    )  # one call reports for up to 20 requests
+    # one call reports for up to 20 requests
+    assert 0.5 * recent_demand < tenant.total_demand < 2.5 * recent_demand
 
 
 def test_reduced_calls_report_the_whole_demand_in_sum() -> None:
--- a/tests/front_door/test_queue_statistics.py
+++ b/tests/front_door/test_queue_statistics.py
@@ -79,9 +79,8 @@
         statistics.record_received((account, 0), False, 0)
         statistics.record_rejected((account, 0), 500_000, 0)
         statistics.record_received((account, 0), True, retry_at)
-        statistics.record_received(
-            (account, 0), True, retry_at + 1
-        )  # after no further rejection: not counted
+        # after no further rejection: not counted
+        statistics.record_received((account, 0), True, retry_at + 1)
     report = {
         s["customer"][-1]: (s["advice_heeded"], s["advice_ignored"])
         for s in statistics.report(SECOND, 9)["stores"]
--- a/tests/front_door/test_quota_account.py
+++ b/tests/front_door/test_quota_account.py
@@ -51,9 +51,9 @@
 
 @dataclass
 class CallFaults:
-    """Faults of calls: maximum delay in µs, share of lost answers, share of calls added twice."""
+    """Faults of calls: longest delay, share of lost answers, share of calls added twice."""
 
-    delay: int = 8 * MS
+    max_delay_us: int = 8 * MS
     lost_share: float = 0.0
     doubled_share: float = 0.0
 
@@ -113,8 +113,8 @@
                     published = self.counter.add(next_call, now)
                 if self.random.random() < self.faults.lost_share:
                     published = None
-                late_claim = self.random.randrange(MS, self.faults.delay + 1)
-                heapq.heappush(steps, (now + late_claim, number, front_door, units, next_call, published))
+                delay_us = self.random.randrange(MS, self.faults.max_delay_us + 1)
+                heapq.heappush(steps, (now + delay_us, number, front_door, units, next_call, published))
 
     def _decide(self, is_admitted: bool, units: float, now: int) -> None:
         if not is_admitted:
@@ -268,9 +268,8 @@
     fleet = Fleet(front_doors, 1.0, 6.0)
     slot_us = fleet.accounts[0].slot_us
     begin = fleet.accounts[0].phase_us + ((START - fleet.accounts[0].phase_us) // slot_us + 2) * slot_us
-    attempts = [
-        (begin + n * 30 * MS, fleet.random.randrange(front_doors), 1.0) for n in range(80)
-    ]  # in one slot
+    # in one slot
+    attempts = [(begin + n * 30 * MS, fleet.random.randrange(front_doors), 1.0) for n in range(80)]
     fleet.run(attempts[:40])
     before = fleet.units_within_quota + fleet.units_over_quota
     fleet.counter.names.clear()
@@ -280,9 +279,8 @@
         <= 6.0 + fleet.accounts[0].refill(slot_us) + 0.5
     )
     if front_doors == 1:
-        assert (
-            fleet.units_within_quota + fleet.units_over_quota == before
-        )  # the front door had observed that the slot is exhausted
+        # the front door had observed that the slot is exhausted
+        assert fleet.units_within_quota + fleet.units_over_quota == before
 
 
 def test_local_knowledge_of_a_slot_remains_when_its_count_is_lost() -> None:
--- a/tests/front_door/test_rules.py
+++ b/tests/front_door/test_rules.py
@@ -197,9 +197,8 @@
                 harness.end_attempt(send.request_id, send.server_id)
     warming = sorted(at - start for at in sent if at - start < base_settings.warm_up_us)
     assert len(warming) >= 15
-    work = (
-        max(c.latency_target_us for c in base_settings.classes) / 6
-    )  # the module's high initial estimate of a request's work
+    # the module's high initial estimate of a request's work
+    work = max(c.latency_target_us for c in base_settings.classes) / 6
     for first in range(0, base_settings.warm_up_us, 100 * MS):
         window = [at for at in warming if first <= at < first + base_settings.collapse_window_us]
         warmth = (
--- a/tests/front_door/test_waiting.py
+++ b/tests/front_door/test_waiting.py
@@ -132,9 +132,8 @@
 def test_a_request_that_its_ceiling_cannot_admit_in_time_is_rejected_at_once() -> None:
     """Guards against: it waits for the half second that is permitted, in vain."""
     harness = GatewayHarness(has_counter=False)
-    number, actions = harness.send_request(
-        account_id=1, plan_index=CEILED, units=4.0
-    )  # 1.75 s of its share of the ceiling
+    # 1.75 s of its share of the ceiling
+    number, actions = harness.send_request(account_id=1, plan_index=CEILED, units=4.0)
     assert [rejected.request_id for rejected in actions_of_type(RejectRequest, actions)] == [number]
     assert not harness.gateway.queue.entries and not harness.gateway.requests
 
@@ -151,9 +150,8 @@
         0.001,
         tenant.local_demand,
     )
-    _, actions = harness.send_request(
-        account_id=4, plan_index=CAPPED
-    )  # with a known total of almost no demand
+    # with a known total of almost no demand
+    _, actions = harness.send_request(account_id=4, plan_index=CAPPED)
     assert tenant.local_max_in_flight == 2 and waiting in {
         send.request_id for send in actions_of_type(StartAttempt, actions)
     }
