--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -125,7 +125,9 @@
 
 
 def test_a_lost_connection_frees_no_permits() -> None:
-    """Otherwise a partitioned proxy would still use permits that were granted to others, as it happened once."""
+    """Otherwise a partitioned proxy would still use permits that were granted to others, as it happened
+    once.
+    """
     issuer, prefetched = make_issuer(), make_prefetched()
     grant(issuer, prefetched, 9.0)
     assert issuer.outstanding.total("t") == prefetched.count("t", 9.0) > 0
--- a/tests/proxy/test_backend_connection.py
+++ b/tests/proxy/test_backend_connection.py
@@ -56,7 +56,9 @@
 
 
 def receive(pieces: list[bytes], closes: bool = False) -> tuple[AttemptOutcome | None, bool]:
-    """Return the outcome of one request after its connection received these bytes, and whether that is dead."""
+    """Return the outcome of one request after its connection received these bytes, and whether that is
+    dead.
+    """
 
     async def play() -> tuple[AttemptOutcome | None, bool]:
         pool = ConnectionPool(asyncio.get_running_loop(), 8)
--- a/tests/proxy/test_departure_processes.py
+++ b/tests/proxy/test_departure_processes.py
@@ -1,4 +1,6 @@
-"""A store, a registry and a proxy as processes on loopback: clients that disconnect, and a SIGTERM under load."""
+"""A store, a registry and a proxy as processes on loopback: clients that disconnect, and a SIGTERM under
+load.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_registry_watcher.py
+++ b/tests/proxy/test_registry_watcher.py
@@ -1,4 +1,5 @@
-"""Proxies and registries in virtual time while a core machine is partitioned, in one or both directions, or paused.
+"""Proxies and registries in virtual time while a core machine is partitioned, in one or both directions, or
+paused.
 
 The tests check when proxies leave that machine, when decisions are in force, and that the reported ages are
 correct. Bounds are derived from the program's constants, and compared with those of the four deployments.
@@ -50,9 +51,11 @@
 # Maximum age that a registry reports, and maximum age of a proxy's state just before the next reply.
 REGISTRY_AGE_S = STORE_AGE_S + store_client.PROBE_INTERVAL_S + ROUND_TRIP_S
 PROXY_AGE_S = max(REGISTRY_AGE_S, watch.MAX_POLL_S) + ROUND_TRIP_S + watch.MAX_POLL_S + ROUND_TRIP_S
-# A decided version whose announcement was lost: one round of a store in contact, then the held polls are answered.
+# A decided version whose announcement was lost: one round of a store in contact, then the held polls are
+# answered.
 APPLY_S = STORE_AGE_S + 2 * ROUND_TRIP_S
-# Confirmed by a member that is partitioned before any other one received it: found undecided in a round, left so
+# Confirmed by a member that is partitioned before any other one received it: found undecided in a round, left
+# so
 # for a while, then decided by a ballot in the next round.
 UNDECIDED_S = 2 * (STATUS_INTERVAL_S + STATUS_WAIT_S) + 2 * UNDECIDED_WAIT_S + 2 * ROUND_TRIP_S
 # Leaving a registry that is partitioned from the core: its store's lease, the next probe, the failover.
@@ -94,7 +97,9 @@
 
 
 def watch_for_violations(rig: CoreRig, until: float) -> list[str]:
-    """Return a list to which the run adds violations: a decreasing version, or a reported age that is too low."""
+    """Return a list to which the run adds violations: a decreasing version, or a reported age that is too
+    low.
+    """
     violations: list[str] = []
     newest: dict[str, int] = {}
 
@@ -276,7 +281,9 @@
 
 
 def test_proxies_return_to_a_restarted_registry_gradually() -> None:
-    """One machine is down for 6 s; the new connections of 85 proxies per 0.25 s after its return are bounded."""
+    """One machine is down for 6 s; the new connections of 85 proxies per 0.25 s after its return are
+    bounded.
+    """
     rig = CoreRig(4, 85, 6)
     lost = rig.hosts[0]
     change_repeatedly(rig, 3.0, 4.0, [lost])
@@ -294,7 +301,8 @@
     rig.play(22.0)
     steps = [after - before for (_, before), (_, after) in pairwise(connection_counts)]
     assert connection_counts[-1][1] >= 15, "the proxies of its zone have returned"
-    # The 22 proxies in its zone return over at least MIN_BACKOFF_S: 22 / 2 x 0.25 per sample, and random variation.
+    # The 22 proxies in its zone return over at least MIN_BACKOFF_S: 22 / 2 x 0.25 per sample, and random
+    # variation.
     assert max(steps) <= 10, steps
 
 
--- a/tests/proxy/test_request_attempts.py
+++ b/tests/proxy/test_request_attempts.py
@@ -1,4 +1,6 @@
-"""A request's attempts, in virtual time: what is retried, and which response is returned. Backends are scripted."""
+"""A request's attempts, in virtual time: what is retried, and which response is returned. Backends are
+scripted.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_request_drain.py
+++ b/tests/proxy/test_request_drain.py
@@ -34,7 +34,9 @@
 
 
 def test_a_late_response_is_not_reset_by_the_next_request_of_its_client() -> None:
-    """Bytes of a next request that arrive at a closed socket cause an RST, which would discard the response."""
+    """Bytes of a next request that arrive at a closed socket cause an RST, which would discard the
+    response.
+    """
     world, durations_s = RequestWorld(), []
 
     async def act() -> None:
--- a/tests/proxy/test_route_table.py
+++ b/tests/proxy/test_route_table.py
@@ -275,7 +275,9 @@
 def test_a_build_is_abandoned_for_a_newer_version_but_some_builds_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Versions arrive faster than they are built; if each one abandoned the last build, none would complete."""
+    """Versions arrive faster than they are built; if each one abandoned the last build, none would
+    complete.
+    """
     applier_run = ApplierRun(monkeypatch, steps=100, cost=0.005)
 
     async def act(applier: ConfigApplier) -> None:
--- a/tests/support/random_request_runs.py
+++ b/tests/support/random_request_runs.py
@@ -1,6 +1,7 @@
 """Short random runs of requests, disconnects, faults and shutdowns of a proxy, each determined by a seed.
 
-`python -m tests.support.random_request_runs FIRST LAST` plays a range of seeds and prints each one with violations.
+`python -m tests.support.random_request_runs FIRST LAST` plays a range of seeds and prints each one with
+violations.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 class Result:
     """The counts of requests and the violations of one run.
 
-    `answered`: other responses than 429 and 503; `rejected`: responses with 429 or 503; `disconnected`: requests
-    whose client disconnected before the response.
+    `answered`: other responses than 429 and 503; `rejected`: responses with 429 or 503; `disconnected`:
+    requests whose client disconnected before the response.
     """
 
     seed: int
@@ -181,7 +182,9 @@
             client.disconnect(self.rng.choice(list(Disconnect)))
 
     def _reading_pause(self) -> float:
-        """Return for how many s a slow reader reads nothing; it resumes before the proxy's grace period ends."""
+        """Return for how many s a slow reader reads nothing; it resumes before the proxy's grace period
+        ends.
+        """
         until = LENGTH_S + 5.0 if self.term_at is None else self.term_at + GRACE_S - 1.0
         return max(0.1, min(self.rng.uniform(0.1, 6.0), until - self.world.now()))
 
@@ -232,7 +235,8 @@
             failed += 1
             print(f"seed {seed} ({result.scenario}): {result.violations[:3]}", flush=True)
     print(
-        f"{last - first} runs, {failed} with a violation; {total.requests} requests, {total.answered} answered, "
+        f"{last - first} runs, {failed} with a violation; {total.requests} requests, "
+        f"{total.answered} answered, "
         f"{total.rejected} rejected, {total.disconnected} disconnected; {time.monotonic() - started_at:.0f} s"
     )
     return failed
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -1,4 +1,5 @@
-"""A proxy, a backend and clients in virtual time, and checks based only on what clients and the backend observe.
+"""A proxy, a backend and clients in virtual time, and checks based only on what clients and the backend
+observe.
 
 The proxy is the real program on the simulated network. The backend executes a request for the time in its
 `X-Work-Ms` header, and cancels it when the connection closes. Times are in s since the start of the world.
@@ -121,7 +122,8 @@
             self.transport.abort()
             return
         head = (
-            f"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: {execution.attempt_id}\r\nX-Irisdeal-Backend-Seal: s\r\n"
+            f"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: {execution.attempt_id}\r\n"
+            "X-Irisdeal-Backend-Seal: s\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         self.transport.write(head.encode() + body)
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -3,10 +3,10 @@
 `python -m tests.support.run_digests --write` runs every simulation and writes `tests/data/run_digests.json`;
 `tests/test_run_digests.py` repeats them and compares. A refactoring must not change any digest.
 
-A digest covers the bytes sent on the simulated network with sender, receiver and time, the operations on disks
-in memory, the replies to callers and the results of the judge. It covers no names of classes, functions or
-modules, and no texts of log lines or exceptions. Names of the program occur only in imports and in references
-to attributes.
+A digest covers the bytes sent on the simulated network with sender, receiver and time, the operations on
+disks in memory, the replies to callers and the results of the judge. It covers no names of classes, functions
+or modules, and no texts of log lines or exceptions. Names of the program occur only in imports and in
+references to attributes.
 """
 
 from __future__ import annotations
@@ -572,7 +572,9 @@
             self.take(self.host.reply(frame))
 
     def resolved(self, record: bytes) -> bytes:
-        """Return a record, with the outcome drawn if it ends an attempt; a cancelled attempt ends as cancelled."""
+        """Return a record, with the outcome drawn if it ends an attempt; a cancelled attempt ends as
+        cancelled.
+        """
         code, _ = struct.unpack_from("<HI", record)
         if code != 1000:
             return record
@@ -665,7 +667,9 @@
 
 
 def prepare_worker() -> None:
-    """Check that hashes are fixed, and discard log lines. Log levels stay, since judges count ERROR events."""
+    """Check that hashes are fixed, and discard log lines. Log levels stay, since judges count ERROR
+    events.
+    """
     assert not sys.flags.hash_randomization
     logging.getLogger().addHandler(logging.NullHandler())
 
