--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -16,7 +16,7 @@
 
 import argparse
 
-from irisdeal.front_door.zones.fleet import BAD, FAULTS, Fleet, figures
+from irisdeal.front_door.zones.fleet import BAD_BACKENDS_PER_ZONE, FAULTS, FleetSimulation, summarize
 
 
 def main() -> None:
@@ -33,9 +33,9 @@
     for doors in given.doors or (12, 30, 200, 1000):
         backends = given.backends or max(9, 3 * round(doors * 0.2))
         for seed in range(1, given.seeds + 1):
-            bad = BAD if given.fault == "calm" else 0
-            f = figures(
-                Fleet(
+            bad = BAD_BACKENDS_PER_ZONE if given.fault == "calm" else 0
+            f = summarize(
+                FleetSimulation(
                     doors, backends, given.rate, seed, FAULTS[given.fault], bad, given.lose, not given.alone
                 ).run()
             )
--- a/benchmarks/zones_states.py
+++ b/benchmarks/zones_states.py
@@ -3,8 +3,8 @@
 
     python -m benchmarks.zones_states --depth 7 --from calm --from left
 
-A breadth-first search of the real core (`irisdeal.front_door.zones.belief.Zones`), no model of it. A step is one
-of: a door's attempt at a zone is answered, or fails, as that zone is; it fails though its zone is well
+A breadth-first search of the real core (`irisdeal.front_door.zones.failover.ZoneFailover`), no model of it. A step
+is one of: a door's attempt at a zone is answered, or fails, as that zone is; it fails though its zone is well
 (`STRAYS` times at most); the oldest word of a door reaches the keeper and is answered, or is lost
 (`LOSSES`); `TICK` passes; zone 0 is lost or back (`FAULTS`). Two states are one where they differ by
 nothing that is looked at again, or by which door is which. It begins from where all is well, from where
@@ -27,13 +27,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from irisdeal.front_door.zones.belief import BACK, EPOCH, LIVELY, SECOND, Stand, Word, Zones, suspects
+from irisdeal.front_door.zones.failover import (
+    EPOCH_US,
+    MAX_SUCCESS_AGE_US,
+    SECOND_US,
+    TRIAL_SUCCESS_AMOUNT,
+    ZoneCounterCall,
+    ZoneFailover,
+    ZoneState,
+    required_suspects,
+)
 
 DOORS, BACKENDS, FAULTS, STRAYS, LOSSES = 3, 2, 2, 2, 1
 PART = 0.6  # of what makes a cold backend fall: what all doors may send there
 TICK = 400_000  # µs: longer than the first look, shorter than the wait for a trial
-FALL, START, WARM = 4.0, 0.18, 17 * SECOND
-BEGIN = 100 * EPOCH + SECOND
+FALL, START, WARM = 4.0, 0.18, 17 * SECOND_US
+BEGIN = 100 * EPOCH_US + SECOND_US
 
 
 class Even(random.Random):
@@ -50,14 +59,14 @@
 class World:
     """One state."""
 
-    doors: list[Zones]
+    doors: list[ZoneFailover]
     now: int = BEGIN
     lost: bool = False
     faults: int = FAULTS
     strays: int = STRAYS
     losses: int = LOSSES
     counts: dict[int, int] = field(default_factory=dict)
-    words: list[list[Word]] = field(default_factory=lambda: [[], [], []])
+    words: list[list[ZoneCounterCall]] = field(default_factory=lambda: [[], [], []])
     # Door and zone that failed it since the door last changed its mind.
     saw: set[tuple[int, int]] = field(default_factory=set)
     fresh: set[tuple[int, int]] = field(default_factory=set)  # the same, and it has not answered since
@@ -66,27 +75,27 @@
 
     def key(self) -> tuple[Any, ...]:
         def age(at: int) -> int:
-            return min(20 * SECOND, self.now - at) if at >= 0 else -1
+            return min(20 * SECOND_US, self.now - at) if at >= 0 else -1
 
-        epoch = self.now // EPOCH
+        epoch = self.now // EPOCH_US
         doors = tuple(
             (
-                z.stand.value,
+                z.state.value,
                 round(z.evidence.score, 3),
-                sorted(z.evidence.failed),
-                round(z.evidence.failing, 4),
-                age(z.since),
+                sorted(z.evidence.failed_backends),
+                round(z.evidence.failure_ratio, 4),
+                age(z.state_since),
                 z.with_fleet,
-                z.epoch - epoch if z.epoch >= 0 else None,
-                z.backs,
-                z.asked - epoch,
-                max(-1, z.look_at - self.now) if z.look_at else None,
-                z.looks,
-                max(0, z.trial_at - self.now),
-                z.setbacks,
-                age(z.answered_at),
-                age(z.shown),
-                age(z.lost),
+                z.counted_epoch - epoch if z.counted_epoch >= 0 else None,
+                z.successes_at_leave,
+                z.checked_epoch - epoch,
+                max(-1, z.next_check_at - self.now) if z.next_check_at else None,
+                z.check_count,
+                max(0, z.next_trial_at - self.now),
+                z.failed_returns,
+                age(z.last_success_at),
+                age(z.last_success_sent_at),
+                age(z.last_failure_sent_at),
             )
             for door in self.doors
             for z in door.zones.values()
@@ -103,7 +112,7 @@
         )
         return (
             each,
-            self.now % EPOCH,
+            self.now % EPOCH_US,
             self.lost,
             self.faults,
             self.strays,
@@ -131,8 +140,8 @@
         made = self.then("tick")
         made.now += TICK
         for door, belief in enumerate(made.doors):
-            made._do(door, lambda belief=belief: belief.due(made.now))
-            belief.settle(made.now)
+            made._do(door, lambda belief=belief: belief.due_calls(made.now))
+            belief.finish_ramps(made.now)
         yield made
         if self.faults:
             made = self.then("back" if self.lost else "lost")
@@ -141,8 +150,8 @@
 
     def _attempts(self, door: int, zone: int) -> Iterator[World]:
         belief, sent = self.doors[door], self.now - TICK // 2
-        name = b"1" if b"0" in belief.zones[zone].evidence.failed else b"0"
-        if not belief.share(zone, self.now) and belief.trial(self.now) != zone:
+        name = b"1" if b"0" in belief.zones[zone].evidence.failed_backends else b"0"
+        if not belief.load_share(zone, self.now) and belief.due_trial(self.now) != zone:
             return
         fails = self.lost and zone == 0
         if fails or self.strays:
@@ -150,16 +159,16 @@
             made.strays -= not fails
             made.saw.add((door, zone))
             made.fresh.add((door, zone))
-            if not belief.share(zone, self.now):
-                made.doors[door].tried(zone, made.now)
-            made._do(door, lambda: made.doors[door].fails(zone, name, sent, made.now))
+            if not belief.load_share(zone, self.now):
+                made.doors[door].record_trial(zone, made.now)
+            made._do(door, lambda: made.doors[door].record_failure(zone, name, sent, made.now))
             yield made
         if not fails:
             made = self.then(f"door {door} is answered by zone {zone}")
-            if not belief.share(zone, self.now):
-                made.doors[door].tried(zone, made.now)
+            if not belief.load_share(zone, self.now):
+                made.doors[door].record_trial(zone, made.now)
             made.fresh.discard((door, zone))
-            made._do(door, lambda: made.doors[door].answers(zone, name, sent, made.now))
+            made._do(door, lambda: made.doors[door].record_success(zone, name, sent, made.now))
             yield made
 
     def _heard(self, door: int, answered: bool) -> World:
@@ -167,11 +176,15 @@
         word = made.words[door].pop(0)
         made.losses -= not answered
         if answered:
-            made.counts[word.name] = made.counts.get(word.name, 0) + int(word.amount)
-            stood = made.doors[door].zones[word.zone].stand is not Stand.LEFT
-            made._do(door, lambda: made.doors[door].hear(word, made.counts[word.name], made.now))
-            if stood and made.doors[door].zones[word.zone].stand is Stand.LEFT:
-                if (count := made.counts[word.name] % BACK) < suspects(DOORS):
+            made.counts[word.counter_name] = made.counts.get(word.counter_name, 0) + int(word.amount)
+            stood = made.doors[door].zones[word.zone].state is not ZoneState.LEFT
+            made._do(
+                door, lambda: made.doors[door].receive_count(word, made.counts[word.counter_name], made.now)
+            )
+            if stood and made.doors[door].zones[word.zone].state is ZoneState.LEFT:
+                if (count := made.counts[word.counter_name] % TRIAL_SUCCESS_AMOUNT) < required_suspects(
+                    DOORS
+                ):
                     made.broken = f"door {door} left zone {word.zone} since {count} did"
                 elif (door, word.zone) not in self.fresh:
                     made.broken = f"door {door} left zone {word.zone} on others' word alone"
@@ -179,16 +192,16 @@
 
     def _do(self, door: int, call: Any) -> None:
         """A call of the core's; what must hold of the change that it makes."""
-        before = [zone.stand for zone in self.doors[door].zones.values()]
+        before = [zone.state for zone in self.doors[door].zones.values()]
         self.words[door] += call()
         for number, zone in self.doors[door].zones.items():
-            if zone.stand is before[number]:
+            if zone.state is before[number]:
                 continue
-            if zone.stand is Stand.LEFT:
+            if zone.state is ZoneState.LEFT:
                 other = self.doors[door].zones[1 - number]
                 if (door, number) not in self.saw:
                     self.broken = f"door {door} left zone {number} and saw nothing fail there"
-                elif other.stand is Stand.LEFT or self.now - other.answered_at > LIVELY:
+                elif other.state is ZoneState.LEFT or self.now - other.last_success_at > MAX_SUCCESS_AGE_US:
                     self.broken = f"door {door} left zone {number} with no other that answers"
             self.saw.discard((door, number))
             self.fresh.discard((door, number))
@@ -199,21 +212,26 @@
         if self.broken:
             return self.broken
         for door, belief in enumerate(self.doors):
-            shares = [belief.share(zone, self.now) for zone in range(2)]
+            shares = [belief.load_share(zone, self.now) for zone in range(2)]
             if not any(shares):
                 return f"door {door} has no zone"
             for number, zone in belief.zones.items():
-                warm = START + (1.0 - START) * min(1.0, (self.now - zone.since) / WARM)
-                if zone.stand is Stand.RETURNING and shares[number] > PART * FALL * warm + 1e-9 < 1.0:
+                warm = START + (1.0 - START) * min(1.0, (self.now - zone.state_since) / WARM)
+                if zone.state is ZoneState.RETURNING and shares[number] > PART * FALL * warm + 1e-9 < 1.0:
                     return f"door {door} sends too much to zone {number}"
         if self.losses == LOSSES:
             for n in range(2):
-                word = Word(n, self.now // EPOCH, 0)
-                told = self.counts.get(word.name, 0) + sum(
-                    int(w.amount) for words in self.words for w in words if w.name == word.name
+                word = ZoneCounterCall(n, self.now // EPOCH_US, 0)
+                told = self.counts.get(word.counter_name, 0) + sum(
+                    int(w.amount)
+                    for words in self.words
+                    for w in words
+                    if w.counter_name == word.counter_name
                 )
-                counted = sum(b.zones[n].epoch == word.epoch for b in self.doors)
-                if (told + BACK // 2) % BACK - BACK // 2 != counted:
+                counted = sum(b.zones[n].counted_epoch == word.epoch for b in self.doors)
+                if (
+                    told + TRIAL_SUCCESS_AMOUNT // 2
+                ) % TRIAL_SUCCESS_AMOUNT - TRIAL_SUCCESS_AMOUNT // 2 != counted:
                     return f"zone {n}: {told} are told where {counted} count"
         return ""
 
@@ -222,10 +240,10 @@
     """One of the states that the search sets out from."""
     doors = []
     for _ in range(DOORS):
-        made = Zones(DOORS, FALL, START, WARM, True, Even())
-        made.listed({0: BACKENDS, 1: BACKENDS})
+        made = ZoneFailover(DOORS, FALL, START, WARM, True, Even())
+        made.update_backend_counts({0: BACKENDS, 1: BACKENDS})
         for zone in range(2):
-            made.answers(zone, b"0", BEGIN - TICK, BEGIN)
+            made.record_success(zone, b"0", BEGIN - TICK, BEGIN)
         doors.append(made)
     world = World(doors)
     if where == "calm":
@@ -233,7 +251,7 @@
     steps = ["lost", *("door 0 fails at zone 0",) * 3, *("door 1 fails at zone 0",) * 2]
     if where == "stale":  # no other zone has answered for long
         steps += ["tick"] * 6
-    elif where == "two":  # two have left, one suspects
+    elif where == "two":  # two have left, one suspects it
         steps += [f"door {door} fails at zone 0" for door in (0, 0, 1, 1, 1, 2, 2)]
         steps += [f"door {door}'s word is answered" for door in range(2)]
     elif where != "lost":
--- a/irisdeal/cli/zones.py
+++ b/irisdeal/cli/zones.py
@@ -15,7 +15,13 @@
 from rich.table import Table
 
 from irisdeal.cli.reports import fetch
-from irisdeal.front_door.zones.fleet import BAD, CUT, FAULTS, Fleet, figures
+from irisdeal.front_door.zones.fleet import (
+    BAD_BACKENDS_PER_ZONE,
+    FAULTS,
+    LOSS_DURATION_S,
+    FleetSimulation,
+    summarize,
+)
 
 HEADS = {
     "left": "left",
@@ -184,18 +190,18 @@
 
     Example: irisdeal zones simulate --doors 200 --fault flapping --seeds 3
     """
-    table = Table(title=f"{doors} doors, {fault}, {CUT:g} s", title_justify="left")
+    table = Table(title=f"{doors} doors, {fault}, {LOSS_DURATION_S:g} s", title_justify="left")
     for head in ("seed", *HEADS.values()):
         table.add_column(head, justify="right")
     for seed in range(1, seeds + 1):
-        found = figures(
-            Fleet(
+        found = summarize(
+            FleetSimulation(
                 doors,
                 backends or max(9, 3 * round(doors * 0.2)),
                 rate,
                 seed,
                 FAULTS[fault],
-                BAD if fault == "calm" else 0,
+                BAD_BACKENDS_PER_ZONE if fault == "calm" else 0,
                 lose,
                 not no_keeper,
             ).run()
--- a/irisdeal/front_door/decisions/gateway.py
+++ b/irisdeal/front_door/decisions/gateway.py
@@ -56,7 +56,7 @@
 from irisdeal.front_door.quota.counter_calls import CounterCall
 from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
 from irisdeal.front_door.quota.quota_account import QuotaAccount
-from irisdeal.front_door.zones.belief import Word, Zones
+from irisdeal.front_door.zones.failover import ZoneCounterCall, ZoneFailover
 
 # Targets of admission by probability, as ratios of a plan's rate, its slots and what is left of its burst.
 TARGET_RATE_RATIO = 0.90
@@ -149,8 +149,8 @@
         self.demand_calls: dict[int, deque[tuple[Request, float, int]]] = {}
         self.quota_calls: dict[int, deque[tuple[Tenant, CounterCall, Request | None]]] = {}
         self.counter_overload = CounterOverload()
-        self.zone_calls: dict[int, deque[Word]] = {}
-        self.zones = Zones(
+        self.zone_calls: dict[int, deque[ZoneCounterCall]] = {}
+        self.zones = ZoneFailover(
             settings.gateway_count,
             settings.collapse_load_ratio,
             settings.start_capacity_ratio,
@@ -198,7 +198,7 @@
         for event in events:
             self.handlers.get(type(event), lambda _: None)(event)
         self._report_slow_attempts()
-        if self.zones.troubled:
+        if self.zones.has_unhealthy_zone:
             self._update_zones()
         self._dispatch()  # before timeouts: a request that can be sent now is not rejected
         while self.timers and self.timers[0][0] <= now:
@@ -266,8 +266,10 @@
         if self.is_large_fleet and (zones := Counter(s.entry.zone for s in self.ready_servers)).keys() - {
             self.settings.zone
         }:
-            self._call_zone_counters(self.zones.listed(zones, self.now))
-            self.ready_servers = [s for s in self.ready_servers if self.zones.share(s.entry.zone, self.now)]
+            self._call_zone_counters(self.zones.update_backend_counts(zones, self.now))
+            self.ready_servers = [
+                s for s in self.ready_servers if self.zones.load_share(s.entry.zone, self.now)
+            ]
         usual_window = WINDOW_PER_SERVER * max(1, len(self.ready_servers)) / self.settings.gateway_count
         self.window, self.usual_window = self.window * usual_window / self.usual_window, usual_window
 
@@ -290,15 +292,15 @@
             ):
                 entry = attempt.server.entry
                 self._call_zone_counters(
-                    self.zones.fails(entry.zone, entry.server_id, attempt.started_at, self.now)
+                    self.zones.record_failure(entry.zone, entry.server_id, attempt.started_at, self.now)
                 )
 
     def _update_zones(self) -> None:
         """Update the zones that are suspected, left or returning."""
-        self._call_zone_counters(self.zones.due(self.now))
-        if changed := self.zones.settle(self.now):
+        self._call_zone_counters(self.zones.due_calls(self.now))
+        if changed := self.zones.finish_ramps(self.now):
             self._update_ready_servers()
-            self.actions += [LogMessage(self.zones.text(zone)) for zone in changed]
+            self.actions += [LogMessage(self.zones.describe(zone)) for zone in changed]
             for server in self.servers.values():  # their failures were the zone's
                 if server.entry.zone in changed:
                     server.failure_rates.clear()
@@ -310,21 +312,21 @@
                     if attempt.is_in_flight and not (attempt.is_streaming or is_done)
                 ]
                 if pending and not any(
-                    self.zones.share(attempt.server.entry.zone, self.now) for attempt in pending
+                    self.zones.load_share(attempt.server.entry.zone, self.now) for attempt in pending
                 ):
                     self._hedge(request, pending[-1])
-        if self.zones.troubled and self.next_zone_check_at <= self.now:
+        if self.zones.has_unhealthy_zone and self.next_zone_check_at <= self.now:
             self.next_zone_check_at = self.now + ZONE_CHECK_INTERVAL_US
             self._schedule(self.next_zone_check_at, lambda _: None, None)
 
-    def _call_zone_counters(self, calls: list[Word]) -> None:
+    def _call_zone_counters(self, calls: list[ZoneCounterCall]) -> None:
         for call in calls if self.settings.has_counter else []:
-            self.zone_calls.setdefault(call.name, deque()).append(call)
+            self.zone_calls.setdefault(call.counter_name, deque()).append(call)
             self.actions.append(
                 AddToCounter(
-                    call.name,
+                    call.counter_name,
                     call.amount,
-                    call.life,
+                    call.lifetime_us,
                     MAX_WAIT_COUNTER_TIMEOUTS * self.settings.counter_timeout_us,
                 )
             )
@@ -337,7 +339,7 @@
         is_safe = self.settings.classes[request.class_index].idempotency is Idempotency.SAFE and not (
             request.is_uploading or request.tenant.plan.max_in_flight
         )
-        if is_safe and self.zones.trials and (zone := self.zones.trial(self.now)) is not None:
+        if is_safe and self.zones.can_send_trials and (zone := self.zones.due_trial(self.now)) is not None:
             candidates = [
                 s
                 for key, s in self.servers.items()
@@ -352,7 +354,7 @@
                 or (self.may_use_cold_servers and self._has_cold_budget(s, ratio))
             ]
             if candidates:
-                self.zones.tried(zone, self.now)
+                self.zones.record_trial(zone, self.now)
                 self._start_attempt(request, self.random.choice(candidates))
 
     def _server_admin_state_changed(self, event: ServerAdminStateChanged) -> None:
@@ -513,7 +515,9 @@
         ready = self.random.sample(ready, min(MAX_SERVERS_COMPARED, len(ready))) + cold
         tried, best, min_cost = [t.server for t in request.attempts], None, math.inf
         for server in (s for s in ready if s not in tried):
-            if self.zones.troubled and self.random.random() >= self.zones.share(server.entry.zone, self.now):
+            if self.zones.has_unhealthy_zone and self.random.random() >= self.zones.load_share(
+                server.entry.zone, self.now
+            ):
                 continue
             capacity_ratio = self._capacity_ratio(server)
             if capacity_ratio < 1.0 and not (
@@ -753,7 +757,7 @@
             tenant.charge_attempt(request.units, self._demand_and_capacity(request)[0])
             self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
             self._start_attempt(request, server)
-            if self.zones.troubled:
+            if self.zones.has_unhealthy_zone:
                 self._send_zone_trial(request)
         queue.end_busy_period()
 
@@ -834,7 +838,7 @@
                 and (relative_duration is None or self._capacity_ratio(server) >= 1.0)
             ):
                 self._call_zone_counters(
-                    self.zones.fails(entry.zone, entry.server_id, attempt.started_at, self.now)
+                    self.zones.record_failure(entry.zone, entry.server_id, attempt.started_at, self.now)
                 )
             for plan in plans:  # None: the server as a whole
                 server.failure_rates[plan] += FAILURE_WEIGHT * (
@@ -867,7 +871,7 @@
         server, expected_us = attempt.server, self.mean_duration_us[request.class_index]
         server.last_success_at = self.now
         self._call_zone_counters(
-            self.zones.answers(server.entry.zone, server.entry.server_id, attempt.started_at, self.now)
+            self.zones.record_success(server.entry.zone, server.entry.server_id, attempt.started_at, self.now)
         )
         is_late = (
             duration_us > FAST_LATENCY_RATIO * self.settings.classes[request.class_index].latency_target_us
@@ -1045,7 +1049,7 @@
             if not zone_calls:
                 del self.zone_calls[event.counter_name]
             if event.result is Result.OK:
-                self._call_zone_counters(self.zones.hear(zone_call, event.total, self.now))
+                self._call_zone_counters(self.zones.receive_count(zone_call, event.total, self.now))
             return
         if not (calls := self.demand_calls.pop(event.counter_name, None)):
             return
--- a/irisdeal/front_door/handover/roles.py
+++ b/irisdeal/front_door/handover/roles.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WHOLE, HALF = 1.0, 0.5
+WHOLE, HALF_SHARE = 1.0, 0.5
 
 
 class Event(Enum):
     """What a process hears."""
 
-    ASKED = "a newer process asks for the state"
-    ACCEPTS = "the newer process accepts"
+    STATE_REQUESTED = "a newer process asks for the state"
+    NEWER_ACCEPTS = "the newer process accepts"
     NEWER_ENDED = "the newer process has ended"
     OLDER_ENDED = "the older process has ended"
 
@@ -36,11 +36,11 @@
     have spent it.
     """
 
-    part: float
-    warms: bool
-    accepts: bool
-    yields: bool  # it ends kept connections with their next answer
-    at_once: bool = True
+    ceiling_share: float
+    uses_cold_servers: bool
+    accepts_connections: bool
+    closes_connections: bool  # it ends kept connections with their next answer
+    is_immediate: bool = True
 
 
 class Stage(Enum):
@@ -48,36 +48,36 @@
 
     BESIDE_OLDER = "started beside an older one"
     ALONE = "alone"
-    TOLD = "has told its state"
-    YIELDED = "the newer one accepts"
+    STATE_SENT = "has told its state"
+    DRAINING = "the newer one accepts"
 
 
 DUTIES = {
-    Stage.BESIDE_OLDER: Duty(HALF, True, True, False),
+    Stage.BESIDE_OLDER: Duty(HALF_SHARE, True, True, False),
     Stage.ALONE: Duty(WHOLE, True, True, False),
-    Stage.TOLD: Duty(HALF, False, True, False),
-    Stage.YIELDED: Duty(HALF, False, False, True),
+    Stage.STATE_SENT: Duty(HALF_SHARE, False, True, False),
+    Stage.DRAINING: Duty(HALF_SHARE, False, False, True),
 }
-AGAIN = Duty(WHOLE, True, True, False, at_once=False)
+AGAIN = Duty(WHOLE, True, True, False, is_immediate=False)
 STEPS = {
     (Stage.BESIDE_OLDER, Event.OLDER_ENDED): Stage.ALONE,
-    (Stage.ALONE, Event.ASKED): Stage.TOLD,
-    (Stage.TOLD, Event.ACCEPTS): Stage.YIELDED,
-    (Stage.TOLD, Event.NEWER_ENDED): Stage.ALONE,
-    (Stage.YIELDED, Event.NEWER_ENDED): Stage.ALONE,
+    (Stage.ALONE, Event.STATE_REQUESTED): Stage.STATE_SENT,
+    (Stage.STATE_SENT, Event.NEWER_ACCEPTS): Stage.DRAINING,
+    (Stage.STATE_SENT, Event.NEWER_ENDED): Stage.ALONE,
+    (Stage.DRAINING, Event.NEWER_ENDED): Stage.ALONE,
 }
 
 
-class Role:
+class HandoverRole:
     """One process's place in a handover."""
 
     def __init__(self, has_older: bool) -> None:
         self.stage = Stage.BESIDE_OLDER if has_older else Stage.ALONE
 
-    def may_tell(self) -> bool:
+    def can_hand_over(self) -> bool:
         return self.stage is Stage.ALONE
 
-    def hear(self, event: Event) -> Duty | None:
+    def handle(self, event: Event) -> Duty | None:
         """What it does from now on; None where nothing changes (late, doubled or out of turn)."""
         after = STEPS.get((self.stage, event))
         if after is None:
--- a/irisdeal/front_door/handover/state.py
+++ b/irisdeal/front_door/handover/state.py
@@ -55,20 +55,20 @@
     "since": "base_demand_at",
 }
 CUSTOMER_WHOLE = {"told_index": "name_index", "bound": "local_max_in_flight"}
-ACCOUNT = {
+ACCOUNT_KEYS = {
     "drawn": "claimed",
     "carried": "carried_over",
     "much": "excess_rate_per_s",
     "mine": "local_demand",
     "alone": "local_allowance",
 }
-ACCOUNT_TIMES = {
+ACCOUNT_TIME_KEYS = {
     "heard_at": "total_known_at",
     "mine_at": "local_demand_at",
     "alone_at": "local_allowance_at",
 }
-ACCOUNT_WHOLE = {"index": "slot_index", "much_in": "excess_slot"}
-CROWDING = {"crowded": "attempts_per_claim", "silent": "unanswered_share"}
+ACCOUNT_INTEGER_KEYS = {"index": "slot_index", "much_in": "excess_slot"}
+COUNTER_OVERLOAD_KEYS = {"crowded": "attempts_per_claim", "silent": "unanswered_share"}
 GATEWAY = {
     "service": "service_time_us",
     "value": "mean_value_per_us",
@@ -78,7 +78,7 @@
 Names = dict[str, str]
 
 
-def pack(gateway: Gateway, now: int, share: float) -> dict[str, Any]:
+def export_state(gateway: Gateway, now: int, share: float) -> dict[str, Any]:
     """What is known, for the new process; `share` of each ceiling's store goes with it.
 
     The gateway no longer owes the counter what it has told; the caller tells it `Shared`, with the rest.
@@ -93,7 +93,7 @@
         "quickest": gateway.min_duration_us,
         "window": gateway.window / gateway.usual_window,
         "gateway": _values(gateway, GATEWAY),
-        "crowding": _values(gateway.counter_overload, CROWDING),
+        "crowding": _values(gateway.counter_overload, COUNTER_OVERLOAD_KEYS),
         "barred": [[_text(key), since] for key, since in gateway.disabled_servers.items()],
         "servers": [_server(gateway, key, server) for key, server in gateway.servers.items()],
         "customers": [_customer(key, customer, share) for key, customer in reversed(customers)],
@@ -103,7 +103,7 @@
     return told
 
 
-def unpack(told: dict[str, Any], gateway: Gateway, now: int) -> int:
+def import_state(told: dict[str, Any], gateway: Gateway, now: int) -> int:
     """Take over what `pack` told, after the list and `Shared` were told; how many customers are known.
 
     The caller tells `Barred` for each of `gateway.barred` behind it.
@@ -118,7 +118,7 @@
             own[:] = [_number(value, old, 0.0) for value, old in zip(values, own, strict=True)]
     gateway.window = gateway.usual_window * _number(told.get("window"), 1.0, 1e-3)
     _take(gateway, told.get("gateway"), GATEWAY)
-    _take(gateway.counter_overload, told.get("crowding"), CROWDING)
+    _take(gateway.counter_overload, told.get("crowding"), COUNTER_OVERLOAD_KEYS)
     for one in _lists(told.get("barred"), 2):
         gateway.disabled_servers[_bytes(one[0])] = min(now, _whole(one[1], now))
     for one in told["servers"]:
@@ -168,7 +168,7 @@
     for name in ("store", "ceiling_rate", "ceiling_most"):
         told[name] *= share
     if (account := customer.quota_account) is not None:
-        told["account"] = _values(account, {**ACCOUNT, **ACCOUNT_TIMES, **ACCOUNT_WHOLE})
+        told["account"] = _values(account, {**ACCOUNT_KEYS, **ACCOUNT_TIME_KEYS, **ACCOUNT_INTEGER_KEYS})
     return told
 
 
@@ -201,9 +201,9 @@
         max(1, customer.local_max_in_flight) if settings.plans[plan].max_in_flight else 0
     )
     if customer.quota_account is not None and isinstance(one := told.get("account"), dict):
-        _take(customer.quota_account, one, ACCOUNT)
-        _take_times(customer.quota_account, one, ACCOUNT_TIMES, now)
-        _take_whole(customer.quota_account, one, ACCOUNT_WHOLE)
+        _take(customer.quota_account, one, ACCOUNT_KEYS)
+        _take_times(customer.quota_account, one, ACCOUNT_TIME_KEYS, now)
+        _take_whole(customer.quota_account, one, ACCOUNT_INTEGER_KEYS)
     gateway.tenants[(number, plan)] = customer
     return True
 
--- a/irisdeal/front_door/operator/bans.py
+++ b/irisdeal/front_door/operator/bans.py
@@ -14,21 +14,21 @@
 MOST_KNOWN = 8_192  # ids: forty times the largest fleet there is; some 1.5 MB at 64 bytes an id
 
 
-class Bans:
+class BackendBans:
     """Ids that lists have named, and those of them that are left out by hand."""
 
-    def __init__(self, most: int = MOST_KNOWN) -> None:
-        self.most = most
+    def __init__(self, max_known: int = MOST_KNOWN) -> None:
+        self.max_known = max_known
         self.known: dict[bytes, None] = {}  # the one that was named last is last
         self.banned: dict[bytes, None] = {}
 
-    def named(self, servers: Iterable[bytes], listed: Container[bytes] = ()) -> None:
+    def record_listed(self, servers: Iterable[bytes], listed: Container[bytes] = ()) -> None:
         """A list, or a change of one, has named these; `listed` are all that are in it by now."""
         for server in servers:
             self.known.pop(server, None)
             self.known[server] = None
-        if len(self.known) > self.most:
-            spare = len(self.known) - self.most
+        if len(self.known) > self.max_known:
+            spare = len(self.known) - self.max_known
             for server in [s for s in self.known if not (s in self.banned or s in listed)][:spare]:
                 del self.known[server]
 
--- a/irisdeal/front_door/operator/calls.py
+++ b/irisdeal/front_door/operator/calls.py
@@ -15,12 +15,12 @@
 from enum import Enum
 from urllib.parse import parse_qsl
 
-MOST_HEAD = 8_192  # bytes of first line and headers together; a call needs some hundred
-MOST_BODY = 4_096  # bytes: no call needs a body, some tools send one
+MAX_HEAD_BYTES = 8_192  # bytes of first line and headers together; a call needs some hundred
+MAX_BODY_BYTES = 4_096  # bytes: no call needs a body, some tools send one
 MOST_ID = 256  # bytes of a backend's id
 
 
-class What(Enum):
+class CallKind(Enum):
     """The calls there are."""
 
     READY = "ready"
@@ -33,11 +33,11 @@
 class Call:
     """A call that can be carried out; `target` is the id of a backend where it names one."""
 
-    what: What
+    kind: CallKind
     target: bytes = b""
 
 
-class TurnedDown(Exception):
+class CallRejected(Exception):
     """A call that cannot be carried out; answered with this status and line."""
 
     def __init__(self, status: int, text: str, allow: str = "") -> None:
@@ -46,23 +46,23 @@
 
 
 CALLS = {
-    "/ready": ("GET", What.READY),
-    "/metrics": ("GET", What.METRICS),
-    "/backends/disable": ("POST", What.DISABLE),
-    "/backends/enable": ("POST", What.ENABLE),
+    "/ready": ("GET", CallKind.READY),
+    "/metrics": ("GET", CallKind.METRICS),
+    "/backends/disable": ("POST", CallKind.DISABLE),
+    "/backends/enable": ("POST", CallKind.ENABLE),
 }
-NAMES_A_BACKEND = (What.DISABLE, What.ENABLE)
+NAMES_A_BACKEND = (CallKind.DISABLE, CallKind.ENABLE)
 
 
-def read(method: bytes, url: bytes) -> Call:
+def parse_call(method: bytes, url: bytes) -> Call:
     """The call that a request's method and target make. TurnedDown where it is none."""
     path, _, query = url.decode("latin-1").partition("?")
     known = CALLS.get(path)
     if known is None:
-        raise TurnedDown(404, f"no such call: wanted one of {', '.join(CALLS)}")
+        raise CallRejected(404, f"no such call: wanted one of {', '.join(CALLS)}")
     wanted, what = known
     if method.decode("latin-1") != wanted and not (wanted == "GET" and method == b"HEAD"):
-        raise TurnedDown(405, f"{path} wants {wanted}", wanted)
+        raise CallRejected(405, f"{path} wants {wanted}", wanted)
     return Call(what, _target(query) if what in NAMES_A_BACKEND else b"")
 
 
@@ -70,11 +70,11 @@
     try:
         pairs = parse_qsl(query, keep_blank_values=True, max_num_fields=16, errors="strict")
     except ValueError:  # UnicodeDecodeError is one
-        raise TurnedDown(400, "the query cannot be read: wanted target=ID") from None
+        raise CallRejected(400, "the query cannot be read: wanted target=ID") from None
     found = [value for name, value in pairs if name == "target"]
     if len(found) != 1 or not found[0]:
-        raise TurnedDown(400, "wanted target=ID, once")
+        raise CallRejected(400, "wanted target=ID, once")
     target = found[0].encode()
     if len(target) > MOST_ID:
-        raise TurnedDown(400, f"target is over {MOST_ID} bytes")
+        raise CallRejected(400, f"target is over {MOST_ID} bytes")
     return target
--- a/irisdeal/front_door/operator/figures.py
+++ b/irisdeal/front_door/operator/metrics.py
@@ -20,7 +20,7 @@
 Number = int | float
 
 
-class Kind(Enum):
+class MetricType(Enum):
     """What a figure is, in the format's own words."""
 
     COUNTER = "counter"
@@ -28,24 +28,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class Metric:
     """One figure: `read` gives its number, or one for each value of `label`, in the order of `values`."""
 
     name: str
-    kind: Kind
+    kind: MetricType
     help: str
     read: Callable[[], Number | Sequence[Number]]
     label: str = ""
     values: tuple[str, ...] = ()
 
 
-class Registry:
+class MetricRegistry:
     """All figures of a door, in the order in which they were added."""
 
     def __init__(self) -> None:
-        self.figures: dict[str, Figure] = {}
+        self.figures: dict[str, Metric] = {}
 
-    def add(self, figure: Figure) -> None:
+    def add(self, figure: Metric) -> None:
         """ValueError where the name is taken."""
         if figure.name in self.figures:
             raise ValueError(f"figure {figure.name} is there already")
@@ -56,7 +56,7 @@
         return "".join(line for figure in self.figures.values() for line in _lines(figure)).encode()
 
 
-def _lines(figure: Figure) -> list[str]:
+def _lines(figure: Metric) -> list[str]:
     name = PREFIX + figure.name
     lines = [f"# HELP {name} {_escape_help(figure.help)}\n", f"# TYPE {name} {figure.kind.value}\n"]
     told = figure.read()
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -20,17 +20,17 @@
 from irisdeal.front_door.decisions.interface import CeilingShareChanged, ServerAdminStateChanged
 from irisdeal.front_door.handover.message import (
     ACCEPTING,
-    HEAD,
-    MOST_REQUEST,
-    Unreadable,
-    body,
-    read_body,
-    read_head,
-    read_request,
-    request,
+    HEADER,
+    MAX_REQUEST_BYTES,
+    HandoverError,
+    check_request,
+    decode_body,
+    decode_header,
+    encode_message,
+    encode_request,
 )
-from irisdeal.front_door.handover.roles import HALF, Duty, Event, Role
-from irisdeal.front_door.handover.state import pack, unpack
+from irisdeal.front_door.handover.roles import HALF_SHARE, Duty, Event, HandoverRole
+from irisdeal.front_door.handover.state import export_state, import_state
 
 if TYPE_CHECKING:
     from irisdeal.front_door.server.process_view import ProcessView
@@ -54,7 +54,7 @@
         config = program.config
         self.name, self.listen = config.name, "{}:{}".format(*config.listen)
         self.socket_name = f"irisdeal-{zlib.crc32(f'{self.name} {self.listen}'.encode()):08x}.sock"
-        self.role = Role(has_older=False)
+        self.role = HandoverRole(has_older=False)
         self.received_state: dict[str, Any] | None = None  # of the older process
         self.listening_socket: socket.socket | None = None  # of the older process
         self.older_connection: socket.socket | None = None
@@ -74,7 +74,7 @@
                     state = await self._request_state()
             except (FileNotFoundError, ConnectionRefusedError, NotADirectoryError):
                 return  # no older process, or it crashed and left its socket
-            except (OSError, TimeoutError, Unreadable) as error:
+            except (OSError, TimeoutError, HandoverError) as error:
                 log.warning("starting without the older process's state: %s", error or "no response in time")
                 return self._close_older_connection()
             if reason := state.get("refused"):
@@ -83,7 +83,7 @@
                     await asyncio.sleep(RETRY_DELAY_S)
                     continue
                 return log.warning("starting without the older process's state: %s", reason)
-            self.received_state, self.role = state, Role(has_older=True)
+            self.received_state, self.role = state, HandoverRole(has_older=True)
             return
 
     async def _request_state(self) -> dict[str, Any]:
@@ -92,24 +92,24 @@
         with self._socket_path() as path:
             connection.connect(path)  # connecting a Unix socket succeeds or fails at once
         _check_owner(connection)
-        connection.send(request(self.name, self.listen))
+        connection.send(encode_request(self.name, self.listen))
         head, files = b"", list[int]()
-        while len(head) < HEAD.size:
-            part, more_files = await self._receive(connection, HEAD.size - len(head))
+        while len(head) < HEADER.size:
+            part, more_files = await self._receive(connection, HEADER.size - len(head))
             files += more_files
             if not part:
-                raise Unreadable("the older process closed the connection")
+                raise HandoverError("the older process closed the connection")
             head += part
         if files:
             self.listening_socket = socket.socket(fileno=files[0])
-        length, crc = read_head(head)
+        length, crc = decode_header(head)
         parts = bytearray()
         while len(parts) < length:
             part, _ = await self._receive(connection, min(1 << 16, length - len(parts)))
             if not part:
-                raise Unreadable("the older process closed the connection before the end of its state")
+                raise HandoverError("the older process closed the connection before the end of its state")
             parts += part
-        return read_body(bytes(parts), length, crc)
+        return decode_body(bytes(parts), length, crc)
 
     def apply_state(self) -> socket.socket | None:
         """Apply the received state, including the server list; return the listening socket, if there is one."""
@@ -123,11 +123,11 @@
         if isinstance(known_list, dict) and known_list.get("members"):
             program.discovery.known_list = known_list
         program.discovery.apply_known_list()
-        self._apply_duty(Duty(HALF, True, True, False))
+        self._apply_duty(Duty(HALF_SHARE, True, True, False))
         decider = program.decision_loop.decider
         if isinstance(decider, Gateway):
             try:
-                count = unpack(state, decider, program.host.now())
+                count = import_state(state, decider, program.host.now())
                 log.info(
                     "received the state of the older process: %d customers, %d bans",
                     count,
@@ -143,7 +143,7 @@
                     for identifier in state.get("ids", ())
                     if isinstance(identifier, str)
                 ]
-                program.operator.bans.named([*ids, *decider.disabled_servers])
+                program.operator.bans.record_listed([*ids, *decider.disabled_servers])
                 program.operator.bans.banned.update(dict.fromkeys(decider.disabled_servers))
             program.decision_loop.process_events()
         self.received_state = None
@@ -162,7 +162,7 @@
             while (await self._receive(older, 64))[0]:
                 pass  # no further messages are defined
         self._close_older_connection()
-        if (duty := self.role.hear(Event.OLDER_ENDED)) is not None and not self.stopped:
+        if (duty := self.role.handle(Event.OLDER_ENDED)) is not None and not self.stopped:
             log.info("the older process has ended")
             self._apply_duty(duty)
 
@@ -208,20 +208,20 @@
             _check_owner(newer)
             async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 line = b""
-                while not line.endswith(b"\n") and len(line) < MOST_REQUEST:
-                    part, _ = await self._receive(newer, MOST_REQUEST - len(line))
+                while not line.endswith(b"\n") and len(line) < MAX_REQUEST_BYTES:
+                    part, _ = await self._receive(newer, MAX_REQUEST_BYTES - len(line))
                     if not part:
-                        raise Unreadable("closed half way")
+                        raise HandoverError("closed half way")
                     line += part
-            read_request(line, self.name, self.listen)
-            if not self.role.may_tell() or not isinstance(self.program.decision_loop.decider, Gateway):
-                rejection = body({"refused": "another handover is under way", "later": True})
+            check_request(line, self.name, self.listen)
+            if not self.role.can_hand_over() or not isinstance(self.program.decision_loop.decider, Gateway):
+                rejection = encode_message({"refused": "another handover is under way", "later": True})
                 await self.loop.sock_sendall(newer, rejection)
                 return newer.close()
-        except (OSError, TimeoutError, Unreadable) as error:
+        except (OSError, TimeoutError, HandoverError) as error:
             log.warning("handover rejected: %s", error or "no request in time")
             with contextlib.suppress(OSError):
-                newer.send(body({"refused": str(error)}))
+                newer.send(encode_message({"refused": str(error)}))
             return newer.close()
         await self._send_state(newer)
 
@@ -231,22 +231,22 @@
             message = self._encode_state()
             listening_socket = self.program.clients.listener.socket
             files = [listening_socket.fileno()] if listening_socket is not None else []
-            socket.send_fds(newer, [message[: HEAD.size]], files)
-            await self.loop.sock_sendall(newer, message[HEAD.size :])
+            socket.send_fds(newer, [message[: HEADER.size]], files)
+            await self.loop.sock_sendall(newer, message[HEADER.size :])
             received = b""
             while part := (await self._receive(newer, 64))[0]:
                 received = (received + part)[-64:]
-                if ACCEPTING in received and (duty := self.role.hear(Event.ACCEPTS)) is not None:
+                if ACCEPTING in received and (duty := self.role.handle(Event.NEWER_ACCEPTS)) is not None:
                     log.info("the newer process accepts connections")
                     self._close_request_socket()  # the newer process opens its own
                     self._apply_duty(duty)
         except OSError as error:
             log.warning("lost the connection to the newer process: %s", error)
-        except Unreadable as error:
+        except HandoverError as error:
             log.warning("cannot send the state: %s", error)
         self.newer_connection = None
         newer.close()
-        if (duty := self.role.hear(Event.NEWER_ENDED)) is not None and not self.stopped:
+        if (duty := self.role.handle(Event.NEWER_ENDED)) is not None and not self.stopped:
             log.warning("the newer process has ended, this one continues")
             self._apply_duty(duty)
             self._open_request_socket()
@@ -260,7 +260,7 @@
             max(program.config.max_sockets // 2, program.descriptors_in_use() + SPARE_SOCKETS),
             program.config.max_sockets - MIN_NEWER_SOCKETS,
         )
-        state = pack(gateway, program.host.now(), HALF)
+        state = export_state(gateway, program.host.now(), HALF_SHARE)
         state["sockets"] = program.config.max_sockets - own_sockets
         state["list"] = program.discovery.reader.write(
             program.discovery.schedule.version,
@@ -269,8 +269,8 @@
         )
         if program.operator is not None:
             state["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
-        message = body(state)
-        if (duty := self.role.hear(Event.ASKED)) is not None:
+        message = encode_message(state)
+        if (duty := self.role.handle(Event.STATE_REQUESTED)) is not None:
             self._apply_duty(duty)
         program.resize(own_sockets)
         return message
@@ -279,22 +279,24 @@
 
     def _apply_duty(self, duty: Duty) -> None:
         program = self.program
-        program.decision_loop.post(CeilingShareChanged(duty.part, duty.warms and duty.at_once))
-        if duty.warms and not duty.at_once:
+        program.decision_loop.post(
+            CeilingShareChanged(duty.ceiling_share, duty.uses_cold_servers and duty.is_immediate)
+        )
+        if duty.uses_cold_servers and not duty.is_immediate:
             delay_s = program.config.settings.collapse_window_us / 1e6
             self.loop.call_later(delay_s, self._allow_cold_servers)
-        if duty.part == 1.0:
+        if duty.ceiling_share == 1.0:
             program.resize(program.config.max_sockets)
         if not program.is_stopping:
-            program.clients.draining = duty.yields
-        if duty.accepts:
+            program.clients.draining = duty.closes_connections
+        if duty.accepts_connections:
             program.clients.listener.resume()
         else:
             program.clients.listener.suspend()
         program.decision_loop.process_events()
 
     def _allow_cold_servers(self) -> None:
-        if self.role.may_tell():  # still the only process
+        if self.role.can_hand_over():  # still the only process
             self.program.decision_loop.post(CeilingShareChanged(1.0, True))
 
     def stop(self) -> None:
@@ -349,10 +351,10 @@
 
 
 def _check_owner(peer: socket.socket) -> None:
-    """Raises Unreadable if the peer is a process of another user, which is not trusted."""
+    """Raises HandoverError if the peer is a process of another user, which is not trusted."""
     _, user, _ = CREDENTIALS.unpack(peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     if user != os.getuid():
-        raise Unreadable(f"a process of user {user}: wanted {os.getuid()}")
+        raise HandoverError(f"a process of user {user}: wanted {os.getuid()}")
 
 
 def _integer_or_zero(value: object) -> int:
--- a/irisdeal/front_door/server/operator.py
+++ b/irisdeal/front_door/server/operator.py
@@ -14,9 +14,16 @@
 
 from irisdeal.front_door.decisions.gateway import Gateway
 from irisdeal.front_door.decisions.interface import ServerAdminStateChanged, ServerList, ServerState
-from irisdeal.front_door.operator.bans import Bans
-from irisdeal.front_door.operator.calls import MOST_BODY, MOST_HEAD, Call, TurnedDown, What, read
-from irisdeal.front_door.operator.figures import CLASS_LABEL, CONTENT_TYPE, Figure, Kind, Registry
+from irisdeal.front_door.operator.bans import BackendBans
+from irisdeal.front_door.operator.calls import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    Call,
+    CallKind,
+    CallRejected,
+    parse_call,
+)
+from irisdeal.front_door.operator.metrics import CLASS_LABEL, CONTENT_TYPE, Metric, MetricRegistry, MetricType
 from irisdeal.front_door.server.config import Address
 from irisdeal.front_door.server.listener import Listener
 
@@ -74,8 +81,8 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             cause = error.__context__
-            if not isinstance(cause, TurnedDown):
-                cause = TurnedDown(400, "malformed call")
+            if not isinstance(cause, CallRejected):
+                cause = CallRejected(400, "malformed call")
             self.reject(cause)
 
     def on_url(self, url: bytes) -> None:
@@ -87,28 +94,28 @@
 
     def _count_head_bytes(self, size: int) -> None:
         self.head_bytes += size
-        if self.head_bytes > MOST_HEAD:
-            raise TurnedDown(431, f"head over {MOST_HEAD} bytes")
+        if self.head_bytes > MAX_HEAD_BYTES:
+            raise CallRejected(431, f"head over {MAX_HEAD_BYTES} bytes")
 
     def on_body(self, body: bytes) -> None:
         self.body_bytes += len(body)
-        if self.body_bytes > MOST_BODY:
-            raise TurnedDown(413, f"body over {MOST_BODY} bytes")
+        if self.body_bytes > MAX_BODY_BYTES:
+            raise CallRejected(413, f"body over {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         if self.is_answered or self.parser is None:
             return
         method = self.parser.get_method()
         try:
-            status, text, content_type = self.server.execute(read(method, self.url))
-        except TurnedDown as error:
+            status, text, content_type = self.server.execute(parse_call(method, self.url))
+        except CallRejected as error:
             return self.reject(error)
         except Exception:  # must not affect the front door
             log.exception("error while handling an operator's request")
-            return self.reject(TurnedDown(500, "failed"))
+            return self.reject(CallRejected(500, "failed"))
         self.respond(status, text, content_type, has_body=method != b"HEAD")
 
-    def reject(self, error: TurnedDown) -> None:
+    def reject(self, error: CallRejected) -> None:
         """Respond with an error."""
         extra_headers = b"Allow: %s\r\n" % error.allow.encode() if error.allow else b""
         self.respond(error.status, error.text.encode() + b"\n", TEXT_CONTENT_TYPE, extra_headers)
@@ -161,8 +168,8 @@
         """Allow `max_connections` at the same time; a new one replaces the oldest."""
         self.address, self.program, self.max_connections, self.loop = address, program, max_connections, loop
         self.connections: dict[OperatorConnection, None] = {}  # in the order of their start
-        self.metrics = Registry()
-        self.bans = Bans()
+        self.metrics = MetricRegistry()
+        self.bans = BackendBans()
         program.decision_loop.on_server_list = self.update_server_list
         self.listener = Listener(self.admit, loop, self.has_room, program.host)
         self.timer: asyncio.TimerHandle | None = None
@@ -208,25 +215,25 @@
                 connection.abort()
             else:
                 connection.connected_at = self.loop.time()  # time to read the response
-                connection.reject(TurnedDown(408, "no whole call came"))
+                connection.reject(CallRejected(408, "no whole call came"))
 
     # Requests
 
     def execute(self, call: Call) -> tuple[int, bytes, bytes]:
-        """Execute a request; return status, body and content type. Raises TurnedDown."""
-        if call.what is What.READY:
+        """Execute a request; return status, body and content type. Raises CallRejected."""
+        if call.kind is CallKind.READY:
             is_ready, reason = self.program.is_ready()
             return (
                 (200, b"ready\n", TEXT_CONTENT_TYPE)
                 if is_ready
                 else (503, f"not ready: {reason}\n".encode(), TEXT_CONTENT_TYPE)
             )
-        if call.what is What.METRICS:
+        if call.kind is CallKind.METRICS:
             return 200, self.metrics.text(), CONTENT_TYPE
-        bans, is_ban = self.bans, call.what is What.DISABLE
+        bans, is_ban = self.bans, call.kind is CallKind.DISABLE
         has_changed = bans.disable(call.target) if is_ban else bans.enable(call.target)
         if has_changed is None:
-            raise TurnedDown(404, "no list has named this id")
+            raise CallRejected(404, "no list has named this id")
         if has_changed:  # the ban is in effect before the response is written
             self.program.decision_loop.post(ServerAdminStateChanged(call.target, is_ban))
             self.program.decision_loop.process_events()
@@ -239,7 +246,7 @@
 
     def update_server_list(self, server_list: ServerList) -> None:
         """Record the servers that a list contains."""
-        self.bans.named(
+        self.bans.record_listed(
             [entry.server_id for entry in server_list.entries], self.program.decision_loop.addresses
         )
 
@@ -248,10 +255,10 @@
         server, decision_loop = program.clients, program.decision_loop
 
         def class_counter(name: str, text: str, read: Callable[[], list[int]]) -> None:
-            self.metrics.add(Figure(name, Kind.COUNTER, text, read, CLASS_LABEL, classes))
+            self.metrics.add(Metric(name, MetricType.COUNTER, text, read, CLASS_LABEL, classes))
 
-        def add(name: str, kind: Kind, text: str, read: Callable[[], int]) -> None:
-            self.metrics.add(Figure(name, kind, text, read))
+        def add(name: str, kind: MetricType, text: str, read: Callable[[], int]) -> None:
+            self.metrics.add(Metric(name, kind, text, read))
 
         class_counter(
             "completed_total", "Requests answered with a backend's answer.", lambda: server.completed
@@ -265,28 +272,35 @@
         )
         add(
             "upstream_requests_total",
-            Kind.COUNTER,
+            MetricType.COUNTER,
             "Attempts written whole to backends.",
             lambda: program.pool.written_count,
         )
-        add("pending", Kind.GAUGE, "Requests taken and not ended.", lambda: server.pending - server.uploading)
-        add("members", Kind.GAUGE, "Backends in the list.", lambda: len(self._servers()))
+        add(
+            "pending",
+            MetricType.GAUGE,
+            "Requests taken and not ended.",
+            lambda: server.pending - server.uploading,
+        )
+        add("members", MetricType.GAUGE, "Backends in the list.", lambda: len(self._servers()))
         add(
             "members_unavailable",
-            Kind.GAUGE,
+            MetricType.GAUGE,
             "Listed backends that are avoided now.",
             self._unavailable_count,
         )
-        add("client_connections", Kind.GAUGE, "Connections of clients.", lambda: len(server.connections))
+        add(
+            "client_connections", MetricType.GAUGE, "Connections of clients.", lambda: len(server.connections)
+        )
         add(
             "backend_connections",
-            Kind.GAUGE,
+            MetricType.GAUGE,
             "Connections to backends.",
             lambda: len(program.pool.connections),
         )
         add(
             "open_requests",
-            Kind.GAUGE,
+            MetricType.GAUGE,
             "Requests with an attempt out or no answer.",
             lambda: len(decision_loop.requests),
         )
--- a/irisdeal/front_door/server/process_view.py
+++ b/irisdeal/front_door/server/process_view.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from irisdeal.front_door.operator.bans import Bans
+from irisdeal.front_door.operator.bans import BackendBans
 from irisdeal.front_door.server.backends import BackendPool
 from irisdeal.front_door.server.clients import HttpServer
 from irisdeal.front_door.server.config import Config
@@ -17,7 +17,7 @@
     """The operators' listener as the handover uses it."""
 
     @property
-    def bans(self) -> Bans:
+    def bans(self) -> BackendBans:
         """Identifiers that an operator has banned."""
 
 
--- a/irisdeal/front_door/server/report.py
+++ b/irisdeal/front_door/server/report.py
@@ -100,7 +100,7 @@
                 "given_way": queue.dropped,
             }
             report["out"], report["window"] = decider.in_flight, round(decider.window, 2)
-            report["zones"] = decider.zones.told(loop.host.now())
+            report["zones"] = decider.zones.report(loop.host.now())
         return report
 
     def encode(self) -> bytes:
--- a/irisdeal/front_door/zones/evidence.py
+++ b/irisdeal/front_door/zones/evidence.py
@@ -16,7 +16,7 @@
 import math
 
 WELL, LOST = 0.1, 0.9  # chances that an attempt fails: one backend of eight is bad on a bad day
-ALARM = math.log(10_000)  # odds against a false alarm in one cycle of the sum
+ALARM_SCORE = math.log(10_000)  # odds against a false alarm in one cycle of the sum
 SUSPECT = 2 * math.log(LOST / WELL) - 1e-9  # two failures more than answers
 LEARN = 0.1  # weight of a new attempt in the share that fails
 
@@ -24,43 +24,45 @@
 class Evidence:
     """The sum for one zone."""
 
-    __slots__ = ("failed", "failing", "score")
+    __slots__ = ("failed_backends", "failure_ratio", "score")
 
     def __init__(self) -> None:
         self.score = 0.0
-        self.failed: set[bytes] = set()  # backends that count as failed
-        self.failing = 0.0  # share of the last attempts that failed
-
-    def fails(self, backend: bytes, of: int, elsewhere: float = 0.0) -> bool:
-        """An attempt at one `of` so many failed, as do `elsewhere` of those at others; whether it is news."""
-        self.failing += LEARN * (1.0 - self.failing)
-        if backend in self.failed and 2 * len(self.failed) <= of:
+        self.failed_backends: set[bytes] = set()  # backends that count as failed
+        self.failure_ratio = 0.0  # share of the last attempts that failed
+
+    def record_failure(
+        self, backend: bytes, backend_count: int, failure_ratio_elsewhere: float = 0.0
+    ) -> bool:
+        """Record a failed attempt; return whether it counts, as a backend counts once until it answers."""
+        self.failure_ratio += LEARN * (1.0 - self.failure_ratio)
+        if backend in self.failed_backends and 2 * len(self.failed_backends) <= backend_count:
             return False
-        self.failed.add(backend)
-        self.score += math.log(LOST / _well(elsewhere))
+        self.failed_backends.add(backend)
+        self.score += math.log(LOST / _well(failure_ratio_elsewhere))
         return True
 
-    def answers(self, backend: bytes, elsewhere: float = 0.0) -> None:
+    def record_success(self, backend: bytes, failure_ratio_elsewhere: float = 0.0) -> None:
         """An attempt was answered."""
-        self.failing -= LEARN * self.failing
-        self.failed.discard(backend)
-        self.score = max(0.0, self.score + math.log((1.0 - LOST) / (1.0 - _well(elsewhere))))
+        self.failure_ratio -= LEARN * self.failure_ratio
+        self.failed_backends.discard(backend)
+        self.score = max(0.0, self.score + math.log((1.0 - LOST) / (1.0 - _well(failure_ratio_elsewhere))))
         if not self.score:
-            self.failed.clear()
+            self.failed_backends.clear()
 
     @property
-    def suspects(self) -> bool:
+    def is_suspect(self) -> bool:
         return self.score >= SUSPECT
 
     @property
-    def alarms(self) -> bool:
-        return self.score >= ALARM
+    def is_alarm(self) -> bool:
+        return self.score >= ALARM_SCORE
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Begin anew, as after a change of what is believed."""
-        self.score = self.failing = 0.0
-        self.failed.clear()
+        self.score = self.failure_ratio = 0.0
+        self.failed_backends.clear()
 
 
-def _well(elsewhere: float) -> float:
-    return min(0.8, max(WELL, elsewhere))
+def _well(failure_ratio_elsewhere: float) -> float:
+    return min(0.8, max(WELL, failure_ratio_elsewhere))
--- a/tests/front_door/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -17,26 +17,26 @@
     ServerState,
     StartAttempt,
 )
-from irisdeal.front_door.operator.bans import Bans
+from irisdeal.front_door.operator.bans import BackendBans
 from tests.front_door.test_operator import OPERATOR, figures, operate
 from tests.support.decisions_rig import MS, SECOND, GatewayHarness, actions_of_type, server_entry, server_id
 from tests.support.fake_peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 
 
 def test_an_id_that_was_never_listed_is_not_known_and_repeats_change_nothing() -> None:
-    bans = Bans()
-    bans.named([b"a"])
+    bans = BackendBans()
+    bans.record_listed([b"a"])
     assert bans.disable(b"x") is None and bans.enable(b"x") is None
     assert bans.disable(b"a") and bans.disable(b"a") is False
     assert bans.enable(b"a") and bans.enable(b"a") is False
 
 
 def test_what_is_known_is_bounded_and_listed_or_banned_ids_stay() -> None:
-    bans = Bans(most=10)
-    bans.named([b"old"])
+    bans = BackendBans(max_known=10)
+    bans.record_listed([b"old"])
     bans.disable(b"old")
     for n in range(100):
-        bans.named([b"%d" % n], listed=[b"0"])
+        bans.record_listed([b"%d" % n], listed=[b"0"])
     assert len(bans.known) == 10 and {b"old", b"0", b"99"} <= set(bans.known) and b"1" not in bans.known
 
 
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -29,17 +29,17 @@
 )
 from irisdeal.front_door.handover import state as handover_state
 from irisdeal.front_door.handover.message import (
-    HEAD,
-    MOST_BODY,
-    Unreadable,
-    body,
-    read_body,
-    read_head,
-    read_request,
-    request,
+    HEADER,
+    MAX_BODY_BYTES,
+    HandoverError,
+    check_request,
+    decode_body,
+    decode_header,
+    encode_message,
+    encode_request,
 )
-from irisdeal.front_door.handover.roles import HALF, Event, Role, Stage
-from irisdeal.front_door.handover.state import pack, unpack
+from irisdeal.front_door.handover.roles import HALF_SHARE, Event, HandoverRole, Stage
+from irisdeal.front_door.handover.state import export_state, import_state
 from irisdeal.front_door.quota.counter_overload import CounterOverload
 from irisdeal.front_door.quota.quota_account import QuotaAccount
 from irisdeal.front_door.server.host import Host
@@ -62,10 +62,10 @@
 
 
 def test_a_message_comes_back_as_it_was() -> None:
-    text = body({"a": [1, "b"]})
-    length, crc = read_head(text[: HEAD.size])
-    assert read_body(text[HEAD.size :], length, crc) == {"a": [1, "b"]}
-    read_request(request("n0", "127.0.0.1:1").strip(), "n0", "127.0.0.1:1")
+    text = encode_message({"a": [1, "b"]})
+    length, crc = decode_header(text[: HEADER.size])
+    assert decode_body(text[HEADER.size :], length, crc) == {"a": [1, "b"]}
+    check_request(encode_request("n0", "127.0.0.1:1").strip(), "n0", "127.0.0.1:1")
 
 
 @pytest.mark.parametrize(
@@ -73,26 +73,26 @@
     [
         lambda text: text[:10],  # half written
         lambda text: b"XXXX" + text[4:],
-        lambda text: text[:4] + HEAD.pack(b"IRDH", 2, 3, 0)[4:8] + text[8:],  # another version
-        lambda text: HEAD.pack(b"IRDH", 1, MOST_BODY + 1, 0),
+        lambda text: text[:4] + HEADER.pack(b"IRDH", 2, 3, 0)[4:8] + text[8:],  # another version
+        lambda text: HEADER.pack(b"IRDH", 1, MAX_BODY_BYTES + 1, 0),
         lambda text: text[:-1],
         lambda text: text[:-2] + b"x" + text[-1:],  # damaged
-        lambda text: body({})[: HEAD.size - 8] + HEAD.pack(b"", 0, 2, 0x2144DF1C)[8:] + b"[]",
+        lambda text: encode_message({})[: HEADER.size - 8] + HEADER.pack(b"", 0, 2, 0x2144DF1C)[8:] + b"[]",
     ],
 )
 def test_what_is_no_message_is_not_believed(spoil: object) -> None:
-    text = spoil(body({"a": 1}))  # type: ignore[operator]
-    with pytest.raises(Unreadable):
-        length, crc = read_head(text[: HEAD.size])
-        read_body(text[HEAD.size :], length, crc)
+    text = spoil(encode_message({"a": 1}))  # type: ignore[operator]
+    with pytest.raises(HandoverError):
+        length, crc = decode_header(text[: HEADER.size])
+        decode_body(text[HEADER.size :], length, crc)
 
 
 @pytest.mark.parametrize(
-    "line", [b"", b"[]", b"{", b'{"version":2}', request("n1", "127.0.0.1:1"), b"[" * 2000]
+    "line", [b"", b"[]", b"{", b'{"version":2}', encode_request("n1", "127.0.0.1:1"), b"[" * 2000]
 )
 def test_only_the_same_door_of_the_same_version_is_told(line: bytes) -> None:
-    with pytest.raises(Unreadable):
-        read_request(line, "n0", "127.0.0.1:1")
+    with pytest.raises(HandoverError):
+        check_request(line, "n0", "127.0.0.1:1")
 
 
 # State
@@ -130,13 +130,15 @@
 
 def taken_over(old: GatewayHarness) -> tuple[Gateway, dict[str, object]]:
     """What a new gateway makes of an old one's state, through JSON."""
-    told = pack(old.gateway, old.now, HALF)
-    old.handle(CeilingShareChanged(HALF, False))
+    told = export_state(old.gateway, old.now, HALF_SHARE)
+    old.handle(CeilingShareChanged(HALF_SHARE, False))
     told = json.loads(json.dumps(told))
     new = Gateway(old.settings, 99)
     entries = tuple(s.listed_entry() for s in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF, True)])
-    unpack(told, new, old.now)
+    new.handle(
+        old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF_SHARE, True)]
+    )
+    import_state(told, new, old.now)
     new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
     return new, told
 
@@ -175,7 +177,7 @@
 
 def test_a_spoilt_state_costs_knowledge_never_a_start() -> None:
     old = worked()
-    told = json.loads(json.dumps(pack(old.gateway, old.now, HALF)))
+    told = json.loads(json.dumps(export_state(old.gateway, old.now, HALF_SHARE)))
     chance = random.Random(5)
     junk: list[object] = [None, "x", -1, 1e300, float("nan"), [], {}, True, 2**70, [[1]], "\ud800"]
 
@@ -190,7 +192,7 @@
         new = Gateway(old.settings, seed)
         new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, tuple(server_entry(n) for n in range(4)))])
         try:
-            unpack({key: spoil(value) for key, value in told.items()}, new, old.now)
+            import_state({key: spoil(value) for key, value in told.items()}, new, old.now)
         except ValueError as error:
             assert "wanted" in str(error)
         desk = GatewayHarness(seed=seed)
@@ -203,29 +205,31 @@
 
 # Who may spend what
 
-EVENTS = (Event.ASKED, Event.ACCEPTS, Event.NEWER_ENDED)
+EVENTS = (Event.STATE_REQUESTED, Event.NEWER_ACCEPTS, Event.NEWER_ENDED)
 
 
 def test_no_order_of_steps_gives_two_living_processes_more_than_one_door_has() -> None:
     """Every interleaving of the two sides' steps, with either dying at any point and messages late."""
     count = 0
     for steps in itertools.product(range(5), repeat=6):
-        old, new = Role(has_older=False), None
+        old, new = HandoverRole(has_older=False), None
         parts = {"old": (1.0, True)}
         alive = {"old": True, "new": False}
         to_old: list[Event] = []
         to_new: list[Event] = []
 
-        def do(who: str, role: Role, event: Event, parts: dict[str, tuple[float, bool]] = parts) -> None:
-            if (duty := role.hear(event)) is not None:
-                parts[who] = (duty.part, duty.warms and duty.at_once)
+        def do(
+            who: str, role: HandoverRole, event: Event, parts: dict[str, tuple[float, bool]] = parts
+        ) -> None:
+            if (duty := role.handle(event)) is not None:
+                parts[who] = (duty.ceiling_share, duty.uses_cold_servers and duty.is_immediate)
 
         for step in steps:
-            if step == 0 and alive["old"] and new is None and old.may_tell():  # the state is told
-                do("old", old, Event.ASKED)
-                new = Role(has_older=True)
-                parts["new"], alive["new"] = (HALF, True), True
-                to_old, to_new = [Event.ACCEPTS], []
+            if step == 0 and alive["old"] and new is None and old.can_hand_over():  # the state is told
+                do("old", old, Event.STATE_REQUESTED)
+                new = HandoverRole(has_older=True)
+                parts["new"], alive["new"] = (HALF_SHARE, True), True
+                to_old, to_new = [Event.NEWER_ACCEPTS], []
             elif step == 1 and to_old and alive["old"]:  # what has come is heard, however late
                 do("old", old, to_old.pop(0))
             elif step == 2 and to_new and new is not None and alive["new"]:
@@ -243,12 +247,12 @@
 
 
 def test_late_and_doubled_events_change_nothing() -> None:
-    role = Role(has_older=False)
-    assert role.hear(Event.ACCEPTS) is None and role.hear(Event.OLDER_ENDED) is None
-    assert role.hear(Event.ASKED) is not None and not role.may_tell()
-    assert role.hear(Event.ASKED) is None
-    assert role.hear(Event.ACCEPTS) is not None and role.hear(Event.ACCEPTS) is None
-    assert role.stage is Stage.YIELDED
+    role = HandoverRole(has_older=False)
+    assert role.handle(Event.NEWER_ACCEPTS) is None and role.handle(Event.OLDER_ENDED) is None
+    assert role.handle(Event.STATE_REQUESTED) is not None and not role.can_hand_over()
+    assert role.handle(Event.STATE_REQUESTED) is None
+    assert role.handle(Event.NEWER_ACCEPTS) is not None and role.handle(Event.NEWER_ACCEPTS) is None
+    assert role.stage is Stage.DRAINING
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -357,7 +361,7 @@
             async with program(folder, known=known) as old:
                 await operate(old, "/backends/disable?target=s-2", "POST")
                 async with program(folder) as new:  # it is told no list of its own
-                    await until(old, Stage.YIELDED)
+                    await until(old, Stage.DRAINING)
                     assert new.program.clients.port() == old.program.clients.port()
                     assert (await operate(new, "/ready"))[0] == "HTTP/1.1 200 OK"
                     assert new.program.discovery.schedule.version == 7
@@ -376,7 +380,7 @@
                         one.program.pool.max_connections + one.program.clients.slots.regular_slots
                         for one in (old, new)
                     ]
-                    assert sum(halves) < sockets and gateway.ceiling_share == HALF
+                    assert sum(halves) < sockets and gateway.ceiling_share == HALF_SHARE
                     end(old)
                     await until(new, Stage.ALONE)
                     assert gateway.ceiling_share == 1.0 and new.program.pool.max_connections > halves[1] / 2
@@ -399,7 +403,7 @@
 
             assert "connection" not in await once("a1")
             async with program(folder):
-                await until(old, Stage.YIELDED)
+                await until(old, Stage.DRAINING)
                 assert (await once("a2"))["connection"] == "close"
 
 
@@ -409,7 +413,7 @@
         folder = Path(text)
         async with Peer() as backend, program(folder, known=whole_list(member("s-1", backend.port))) as old:
             async with program(folder) as new:
-                await until(old, Stage.YIELDED)
+                await until(old, Stage.DRAINING)
                 end(new)
             await until(old, Stage.ALONE)
             reader, writer = await old.client()
@@ -419,7 +423,7 @@
             to_door.write(answer())
             assert "connection" not in (await read_message(reader))[1]
             async with program(folder):  # and the next one finds it
-                await until(old, Stage.YIELDED)
+                await until(old, Stage.DRAINING)
 
 
 @socket_test
@@ -428,10 +432,10 @@
         folder = Path(text)
         known = whole_list(member("s-1", 9))
         async with program(folder, known=known) as first, program(folder) as second:
-            await until(first, Stage.YIELDED)
+            await until(first, Stage.DRAINING)
             asyncio.get_running_loop().call_later(0.1, end, first)
             async with program(folder) as third:
-                await until(second, Stage.YIELDED)
+                await until(second, Stage.DRAINING)
                 assert role(third) is Stage.BESIDE_OLDER and third.program.is_ready()[0]
 
 
@@ -442,7 +446,7 @@
         async with program(folder, known=whole_list(member("s-1", 9))) as old:
             assert old.program.handover is not None
             path = folder / old.program.handover.socket_name
-            for words in (b"", b"noise\n", b"x" * 4000, request("n1", "127.0.0.1:9"), b'{"version":1'):
+            for words in (b"", b"noise\n", b"x" * 4000, encode_request("n1", "127.0.0.1:9"), b'{"version":1'):
                 reader, writer = await asyncio.open_unix_connection(str(path))
                 writer.write(words)
                 if writer.can_write_eof():
@@ -452,7 +456,7 @@
                 writer.close()
             assert role(old) is Stage.ALONE
             async with program(folder):
-                await until(old, Stage.YIELDED)
+                await until(old, Stage.DRAINING)
         path.unlink(missing_ok=True)
         path.write_bytes(b"a file of another time")
         async with program(folder, known=whole_list(member("s-1", 9))) as one:
@@ -466,7 +470,12 @@
         async with program(folder) as one:
             assert one.program.handover is not None
             path = folder / one.program.handover.socket_name
-        for said in (b"", body({"a": 1})[:20], body({"a": 1})[:-1] + b"\x00", body({"servers": 3})):
+        for said in (
+            b"",
+            encode_message({"a": 1})[:20],
+            encode_message({"a": 1})[:-1] + b"\x00",
+            encode_message({"servers": 3}),
+        ):
 
             async def say(
                 reader: asyncio.StreamReader,
@@ -491,17 +500,21 @@
         folder = Path(text) / ("long" * 30)
         folder.mkdir()
         async with program(folder, known=whole_list(member("s-1", 9))) as old, program(folder):
-            await until(old, Stage.YIELDED)
+            await until(old, Stage.DRAINING)
 
 
 def test_the_keys_of_accounts_in_a_handover_stay_whatever_the_attributes_are_called() -> None:
     """Processes of the version before write and read them."""
-    accounts = {**handover_state.ACCOUNT, **handover_state.ACCOUNT_TIMES, **handover_state.ACCOUNT_WHOLE}
+    accounts = {
+        **handover_state.ACCOUNT_KEYS,
+        **handover_state.ACCOUNT_TIME_KEYS,
+        **handover_state.ACCOUNT_INTEGER_KEYS,
+    }
     assert list(accounts) == [
         *("drawn", "carried", "much", "mine", "alone"),
         *("heard_at", "mine_at", "alone_at"),
         *("index", "much_in"),
     ]
-    assert list(handover_state.CROWDING) == ["crowded", "silent"]
+    assert list(handover_state.COUNTER_OVERLOAD_KEYS) == ["crowded", "silent"]
     assert set(accounts.values()) <= set(QuotaAccount.__slots__)
-    assert set(handover_state.CROWDING.values()) == set(vars(CounterOverload()))
+    assert set(handover_state.COUNTER_OVERLOAD_KEYS.values()) == set(vars(CounterOverload()))
--- a/tests/front_door/test_layout.py
+++ b/tests/front_door/test_layout.py
@@ -54,7 +54,7 @@
         "irisdeal.front_door.quota.quota_account",
         "irisdeal.front_door.quota.counter_calls",
         "irisdeal.front_door.quota.counter_overload",
-        "irisdeal.front_door.zones.belief",
+        "irisdeal.front_door.zones.failover",
     }
     for path in POLICY:
         assert imported(path) <= allowed, path
--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from irisdeal.front_door.operator.calls import Call, TurnedDown, What, read
-from irisdeal.front_door.operator.figures import Figure, Kind, Registry
+from irisdeal.front_door.operator.calls import Call, CallKind, CallRejected, parse_call
+from irisdeal.front_door.operator.metrics import Metric, MetricRegistry, MetricType
 from irisdeal.front_door.server.config import ConfigError, parse
 from irisdeal.front_door.server.limits import MAX_OPERATOR_CONNECTIONS, OWN_DESCRIPTORS, share_descriptors
 from irisdeal.front_door.server.program import Program
@@ -48,9 +48,9 @@
 
 
 def test_each_figure_has_a_type_and_labels_are_escaped() -> None:
-    registry = Registry()
-    registry.add(Figure("pending", Kind.GAUGE, "a\nb", lambda: 14))
-    registry.add(Figure("done_total", Kind.COUNTER, "c", lambda: [8, 0], "lane", ('a"b\\', "d\n")))
+    registry = MetricRegistry()
+    registry.add(Metric("pending", MetricType.GAUGE, "a\nb", lambda: 14))
+    registry.add(Metric("done_total", MetricType.COUNTER, "c", lambda: [8, 0], "lane", ('a"b\\', "d\n")))
     assert registry.text().decode() == (
         "# HELP edge_pending a\\nb\n# TYPE edge_pending gauge\nedge_pending 14\n"
         "# HELP edge_done_total c\n# TYPE edge_done_total counter\n"
@@ -59,10 +59,10 @@
 
 
 def test_a_figure_is_there_once_and_has_a_number_for_each_label() -> None:
-    registry = Registry()
-    registry.add(Figure("a", Kind.GAUGE, "", lambda: [1], "lane", ("x", "y")))
+    registry = MetricRegistry()
+    registry.add(Metric("a", MetricType.GAUGE, "", lambda: [1], "lane", ("x", "y")))
     with pytest.raises(ValueError, match="a is there already"):
-        registry.add(Figure("a", Kind.GAUGE, "", lambda: 1))
+        registry.add(Metric("a", MetricType.GAUGE, "", lambda: 1))
     with pytest.raises(ValueError, match="wanted 2 numbers"):
         registry.text()
 
@@ -86,15 +86,15 @@
     status: int,
     allow: str,
 ) -> None:
-    with pytest.raises(TurnedDown) as caught:
-        read(method, url)
+    with pytest.raises(CallRejected) as caught:
+        parse_call(method, url)
     assert (caught.value.status, caught.value.allow) == (status, allow)
 
 
 def test_calls_are_read_with_their_target() -> None:
-    assert read(b"GET", b"/ready?x=1") == Call(What.READY)
-    assert read(b"POST", b"/backends/disable?target=s%2D1") == Call(What.DISABLE, b"s-1")
-    assert read(b"POST", b"/backends/enable?note=x&target=s-1") == Call(What.ENABLE, b"s-1")
+    assert parse_call(b"GET", b"/ready?x=1") == Call(CallKind.READY)
+    assert parse_call(b"POST", b"/backends/disable?target=s%2D1") == Call(CallKind.DISABLE, b"s-1")
+    assert parse_call(b"POST", b"/backends/enable?note=x&target=s-1") == Call(CallKind.ENABLE, b"s-1")
 
 
 def test_operators_descriptors_come_out_of_the_shared_limit() -> None:
--- a/tests/front_door/test_zones_states.py
+++ b/tests/front_door/test_zones_states.py
@@ -8,9 +8,9 @@
 import pytest
 
 from benchmarks.zones_states import STARTS, search
-from irisdeal.front_door.zones import belief
-from irisdeal.front_door.zones.belief import Stand, Word, Zone, Zones
+from irisdeal.front_door.zones import failover
 from irisdeal.front_door.zones.evidence import Evidence
+from irisdeal.front_door.zones.failover import Zone, ZoneCounterCall, ZoneFailover, ZoneState
 
 
 @pytest.mark.parametrize("where", STARTS)
@@ -21,51 +21,53 @@
 
 
 def _leaves_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Evidence, "alarms", property(lambda self: True))
-    patch.setattr(Zones, "_others", lambda *_: True)
+    patch.setattr(Evidence, "is_alarm", property(lambda self: True))
+    patch.setattr(ZoneFailover, "_has_healthy_alternative", lambda *_: True)
 
 
 def _no_other(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Zones, "_others", lambda *_: True)
+    patch.setattr(ZoneFailover, "_has_healthy_alternative", lambda *_: True)
 
 
 def _no_doubt(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Zones, "_doubts", lambda *_: True)
+    patch.setattr(ZoneFailover, "_has_unanswered_failure", lambda *_: True)
 
 
 def _forgets_to_withdraw(patch: pytest.MonkeyPatch) -> None:
-    def withdraw(self: Zones, zone: Zone, now: int, more: int) -> list[Word]:
-        zone.epoch = -1
+    def withdraw(self: ZoneFailover, zone: Zone, now: int, more: int) -> list[ZoneCounterCall]:
+        zone.counted_epoch = -1
         return []
 
-    patch.setattr(Zones, "_withdraw", withdraw)
+    patch.setattr(ZoneFailover, "_withdraw_suspicion", withdraw)
 
 
 def _tells_twice(patch: pytest.MonkeyPatch) -> None:
-    tell: Callable[..., list[Word]] = Zones._tell
-    patch.setattr(Zones, "_tell", lambda *args: tell(*args) * 2)
+    tell: Callable[..., list[ZoneCounterCall]] = ZoneFailover._count_suspicion
+    patch.setattr(ZoneFailover, "_count_suspicion", lambda *args: tell(*args) * 2)
 
 
 def _no_ramp(patch: pytest.MonkeyPatch) -> None:
-    share = Zones.share
+    share = ZoneFailover.load_share
 
-    def whole(self: Zones, number: int, now: int) -> float:
+    def whole(self: ZoneFailover, number: int, now: int) -> float:
         zone = self.zones.get(number)
-        return 1.0 if zone is not None and zone.stand is Stand.RETURNING else share(self, number, now)
+        return 1.0 if zone is not None and zone.state is ZoneState.RETURNING else share(self, number, now)
 
-    patch.setattr(Zones, "share", whole)
+    patch.setattr(ZoneFailover, "load_share", whole)
 
 
 def _steeper_ramp(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(belief, "COLD_PART", 1.2)
+    patch.setattr(failover, "COLD_LOAD_RATIO", 1.2)
 
 
 def _one_suspect(patch: pytest.MonkeyPatch) -> None:
-    def hear(self: Zones, word: Word, total: float, now: int) -> list[Word]:
+    def receive_count(
+        self: ZoneFailover, word: ZoneCounterCall, total: float, now: int
+    ) -> list[ZoneCounterCall]:
         self._leave(self.zones[word.zone], now, True)
         return []
 
-    patch.setattr(Zones, "hear", hear)
+    patch.setattr(ZoneFailover, "receive_count", receive_count)
 
 
 @pytest.mark.parametrize(
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -41,15 +41,15 @@
 )
 from irisdeal.front_door.handover.message import (
     ACCEPTING,
-    HEAD,
-    body,
-    read_body,
-    read_head,
-    read_request,
-    request,
+    HEADER,
+    check_request,
+    decode_body,
+    decode_header,
+    encode_message,
+    encode_request,
 )
-from irisdeal.front_door.handover.roles import HALF
-from irisdeal.front_door.handover.state import pack, unpack
+from irisdeal.front_door.handover.roles import HALF_SHARE
+from irisdeal.front_door.handover.state import export_state, import_state
 from irisdeal.permits.messages import LendRequest, PrefetchReply, PrefetchReport
 from irisdeal.placement.attempt_result import AttemptResult
 from irisdeal.ratelimit.messages import Usage
@@ -458,26 +458,26 @@
 def handover() -> dict[str, str]:
     """Return in hex the messages of a handover, and the state of the gateway that took over."""
     old = worked()
-    decoded = pack(old.gateway, old.now, HALF)
-    old.handle(CeilingShareChanged(HALF, False))
-    state = body({**decoded, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
+    decoded = export_state(old.gateway, old.now, HALF_SHARE)
+    old.handle(CeilingShareChanged(HALF_SHARE, False))
+    state = encode_message({**decoded, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
     return {
-        "request": request(*DOOR).hex(),
+        "request": encode_request(*DOOR).hex(),
         "state": state.hex(),
-        "refused": body({"refused": "another process has asked", "later": True}).hex(),
+        "refused": encode_message({"refused": "another process has asked", "later": True}).hex(),
         "accepting": ACCEPTING.hex(),
         "taken over": taken_over(state).hex(),
     }
 
 
 def read_handover(decoded: bytes) -> dict[str, Any]:
-    length, crc = read_head(decoded[: HEAD.size])
-    return read_body(decoded[HEAD.size :], length, crc)
+    length, crc = decode_header(decoded[: HEADER.size])
+    return decode_body(decoded[HEADER.size :], length, crc)
 
 
 def read_asked(line: bytes) -> None:
     """Raise if the line is not a request for the state of this front door."""
-    read_request(line.strip(), *DOOR)
+    check_request(line.strip(), *DOOR)
 
 
 def taken_over(state: bytes) -> bytes:
@@ -485,10 +485,12 @@
     old, decoded = worked(), read_handover(state)
     new = Gateway(old.settings, 99)
     entries = tuple(server.listed_entry() for server in old.gateway.servers.values())
-    new.handle(old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF, True)])
-    unpack(decoded, new, old.now)
+    new.handle(
+        old.now, [ServerList(ServerListKind.CACHED, 2, entries), CeilingShareChanged(HALF_SHARE, True)]
+    )
+    import_state(decoded, new, old.now)
     new.handle(old.now, [ServerAdminStateChanged(server, True) for server in new.disabled_servers])
-    return body(pack(new, old.now, HALF))
+    return encode_message(export_state(new, old.now, HALF_SHARE))
 
 
 # The committed data
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from irisdeal.front_door.handover.message import body
+from irisdeal.front_door.handover.message import encode_message
 from irisdeal.rpc.calls import CALLS
 from irisdeal.rpc.client import RpcClient
 from irisdeal.rpc.frames import encode
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("name", ["state", "refused", "taken over"])
 def test_a_message_of_a_handover_is_read_back_and_written_the_same(name: str) -> None:
     message = bytes.fromhex(EXPECTED["handover"][name])
-    assert body(forms.read_handover(message)) == message
+    assert encode_message(forms.read_handover(message)) == message
 
 
 def test_the_recorded_request_is_accepted_and_the_recorded_state_is_taken_over() -> None:
