--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -4,8 +4,8 @@
     python -m benchmarks.zones --fault calm --doors 30
 
 Each door sends `--rate` attempts a second evenly over three zones. An attempt is answered after a
-lognormal time, or fails after a patience of two mean times. The keeper answers within `KEEPER` s, or loses
-a call.
+lognormal time, or fails after a patience of two mean times. The keeper answers within `COUNTER_DELAY_RANGE_S`,
+or loses a call.
 
 Columns: s from the loss until half, 95 in 100 and all of the doors have left; attempts spent on the lost
 zone, and trials; calls to the keeper a second while it is lost, and the most in any second; s from the return
--- a/tests/front_door/test_zones_states.py
+++ b/tests/front_door/test_zones_states.py
@@ -1,4 +1,4 @@
-"""The beliefs of three doors on two zones, searched state by state; and what the search finds when broken."""
+"""Exhaustive search of the zone failover of three front doors and two zones, which must find planted bugs."""
 
 from __future__ import annotations
 
@@ -20,51 +20,53 @@
     assert sum(found) > 100
 
 
-def _leaves_at_once(patch: pytest.MonkeyPatch) -> None:
+def _alarms_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Evidence, "is_alarm", property(lambda self: True))
     patch.setattr(ZoneFailover, "_has_healthy_alternative", lambda *_: True)
 
 
-def _no_other(patch: pytest.MonkeyPatch) -> None:
+def _needs_no_alternative(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ZoneFailover, "_has_healthy_alternative", lambda *_: True)
 
 
-def _no_doubt(patch: pytest.MonkeyPatch) -> None:
+def _needs_no_failure(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ZoneFailover, "_has_unanswered_failure", lambda *_: True)
 
 
 def _forgets_to_withdraw(patch: pytest.MonkeyPatch) -> None:
-    def withdraw(self: ZoneFailover, zone: Zone, now: int, more: int) -> list[ZoneCounterCall]:
+    def withdraw(self: ZoneFailover, zone: Zone, now: int, extra_amount: int) -> list[ZoneCounterCall]:
         zone.counted_epoch = -1
         return []
 
     patch.setattr(ZoneFailover, "_withdraw_suspicion", withdraw)
 
 
-def _tells_twice(patch: pytest.MonkeyPatch) -> None:
-    tell: Callable[..., list[ZoneCounterCall]] = ZoneFailover._count_suspicion
-    patch.setattr(ZoneFailover, "_count_suspicion", lambda *args: tell(*args) * 2)
+def _counts_twice(patch: pytest.MonkeyPatch) -> None:
+    count_suspicion: Callable[..., list[ZoneCounterCall]] = ZoneFailover._count_suspicion
+    patch.setattr(ZoneFailover, "_count_suspicion", lambda *args: count_suspicion(*args) * 2)
 
 
 def _no_ramp(patch: pytest.MonkeyPatch) -> None:
-    share = ZoneFailover.load_share
+    load_share = ZoneFailover.load_share
 
-    def whole(self: ZoneFailover, number: int, now: int) -> float:
+    def full_share(self: ZoneFailover, number: int, now: int) -> float:
         zone = self.zones.get(number)
-        return 1.0 if zone is not None and zone.state is ZoneState.RETURNING else share(self, number, now)
+        return (
+            1.0 if zone is not None and zone.state is ZoneState.RETURNING else load_share(self, number, now)
+        )
 
-    patch.setattr(ZoneFailover, "load_share", whole)
+    patch.setattr(ZoneFailover, "load_share", full_share)
 
 
 def _steeper_ramp(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(failover, "COLD_LOAD_RATIO", 1.2)
 
 
-def _one_suspect(patch: pytest.MonkeyPatch) -> None:
+def _needs_no_suspects(patch: pytest.MonkeyPatch) -> None:
     def receive_count(
-        self: ZoneFailover, word: ZoneCounterCall, total: float, now: int
+        self: ZoneFailover, call: ZoneCounterCall, total: float, now: int
     ) -> list[ZoneCounterCall]:
-        self._leave(self.zones[word.zone], now, True)
+        self._leave(self.zones[call.zone], now, True)
         return []
 
     patch.setattr(ZoneFailover, "receive_count", receive_count)
@@ -73,14 +75,14 @@
 @pytest.mark.parametrize(
     ("plant", "where", "rule"),
     [
-        (_leaves_at_once, "calm", "no other that answers|has no zone"),
-        (_no_other, "stale", "no other that answers"),
-        (_no_doubt, "two", "on others' word alone"),
+        (_alarms_at_once, "calm", "no other that answers|has no zone"),
+        (_needs_no_alternative, "stale", "no other that answers"),
+        (_needs_no_failure, "two", "on others' word alone"),
         (_forgets_to_withdraw, "lost", "are told where"),
-        (_tells_twice, "lost", "are told where"),
+        (_counts_twice, "lost", "are told where"),
         (_no_ramp, "returning", "sends too much"),
         (_steeper_ramp, "returning", "sends too much"),
-        (_one_suspect, "lost", "left zone 0 since"),
+        (_needs_no_suspects, "lost", "left zone 0 since"),
     ],
 )
 def test_a_planted_bug_is_found(
