--- a/irisdeal/front_door/handover/__init__.py
+++ b/irisdeal/front_door/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What an old process of a door tells a new one, and who may spend what while both live; no I/O."""
+"""Handover between two processes of one front door: its messages, the state, and what each may use. No I/O."""
--- a/irisdeal/front_door/handover/message.py
+++ b/irisdeal/front_door/handover/message.py
@@ -1,10 +1,11 @@
-"""The messages of a handover: a request line, then a head and a body of JSON.
+"""The messages of a handover: a request line, then a message of a binary header and a JSON body.
 
     new: {"version": 1, "name": "n0", "listen": "10.0.0.4:9000"} LF
-    old: 16 bytes of head (magic, version, length, CRC-32), and as many bytes of JSON
+    old: 16 bytes of header (magic, version, length, CRC-32), and `length` bytes of JSON
     new: accepting LF
 
-A body that is an object with `refused` says why there is no state; `later` True beside it: ask again.
+A body with the key `refused` gives the reason why no state is sent. If `later` is true in it, the new process
+may send its request again.
 """
 
 from __future__ import annotations
@@ -17,44 +18,45 @@
 VERSION = 1
 MAGIC = b"IRDH"
 HEADER = struct.Struct("<4sIII")
-MAX_REQUEST_BYTES = 2_048  # bytes
-MAX_BODY_BYTES = 8 << 20  # bytes: 4,096 customers at some 1 kB, 200 backends, and room to spare
+MAX_REQUEST_BYTES = 2_048
+MAX_BODY_BYTES = 8 << 20  # 4,096 customers at about 1 kB, 200 backends, and a margin
 ACCEPTING = b"accepting\n"
 
 
 class HandoverError(ValueError):
-    """Not a message of ours, or damaged; the text says how."""
+    """A message that is not one of this protocol, is damaged, or comes from another front door or user."""
 
 
 def encode_request(name: str, listen: str) -> bytes:
+    """Return the request line of the front door with this name and listening address."""
     return json.dumps({"version": VERSION, "name": name, "listen": listen}).encode() + b"\n"
 
 
 def check_request(line: bytes, name: str, listen: str) -> None:
-    """Unreadable where it is none, or asks for another door's state."""
-    told = _object(line)
-    if told.get("version") != VERSION:
-        raise HandoverError(f"version is {told.get('version')!r}: wanted {VERSION}")
-    if (told.get("name"), told.get("listen")) != (name, listen):
-        asked = f"{told.get('name')!r} at {told.get('listen')!r}"
-        raise HandoverError(f"asked for {asked}: this is {name} at {listen}")
-
-
-def encode_message(told: dict[str, Any]) -> bytes:
-    """Head and body. Unreadable where it is over the bound."""
-    text = json.dumps(told, separators=(",", ":")).encode()
+    """Raise `HandoverError` unless the line requests the state of the front door with this name and address."""
+    request = _decode_object(line)
+    if request.get("version") != VERSION:
+        raise HandoverError(f"version is {request.get('version')!r}: wanted {VERSION}")
+    if (request.get("name"), request.get("listen")) != (name, listen):
+        requested = f"{request.get('name')!r} at {request.get('listen')!r}"
+        raise HandoverError(f"asked for {requested}: this is {name} at {listen}")
+
+
+def encode_message(content: dict[str, Any]) -> bytes:
+    """Return header and body. Raises `HandoverError` where the body exceeds its maximum."""
+    text = json.dumps(content, separators=(",", ":")).encode()
     if len(text) > MAX_BODY_BYTES:
         raise HandoverError(f"state of {len(text)} bytes: wanted {MAX_BODY_BYTES} at most")
     return HEADER.pack(MAGIC, VERSION, len(text), zlib.crc32(text)) + text
 
 
-def decode_header(head: bytes) -> tuple[int, int]:
-    """Length and CRC-32 of the body. Unreadable where it is no head of this version."""
-    if len(head) != HEADER.size:
-        raise HandoverError("the head is cut short")
-    magic, version, length, crc = HEADER.unpack(head)
+def decode_header(header: bytes) -> tuple[int, int]:
+    """Return length and CRC-32 of the body. Raises `HandoverError` for anything but a header of this version."""
+    if len(header) != HEADER.size:
+        raise HandoverError("the handover header is cut short")
+    magic, version, length, crc = HEADER.unpack(header)
     if magic != MAGIC:
-        raise HandoverError("no message of a handover")
+        raise HandoverError("not a handover message: its magic number is wrong")
     if version != VERSION:
         raise HandoverError(f"version is {version}: wanted {VERSION}")
     if length > MAX_BODY_BYTES:
@@ -63,18 +65,19 @@
 
 
 def decode_body(text: bytes, length: int, crc: int) -> dict[str, Any]:
+    """Return the body's object. Raises `HandoverError` where it doesn't match its header or is not an object."""
     if len(text) != length:
         raise HandoverError(f"state of {len(text)} bytes: wanted {length}")
     if zlib.crc32(text) != crc:
-        raise HandoverError("the state is damaged")
-    return _object(text)
+        raise HandoverError("the state does not match its CRC-32")
+    return _decode_object(text)
 
 
-def _object(text: bytes) -> dict[str, Any]:
+def _decode_object(text: bytes) -> dict[str, Any]:
     try:
-        told = json.loads(text)
+        content = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise HandoverError(f"no JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(content, dict):
         raise HandoverError("wanted an object")
-    return told
+    return content
--- a/irisdeal/front_door/handover/roles.py
+++ b/irisdeal/front_door/handover/roles.py
@@ -1,14 +1,16 @@
-"""Who does what while two processes of one door live.
-
-Rules that this file keeps:
-
-1. Split. From the moment the old one tells its state, each has half of the door's part of every ceiling, and
-   cold backends are the new one's alone. Neither takes the other's part while the other may live.
-2. The connection between them is the only sign of life: its end, however it came, is the other's end. Nobody
-   closes it while it lives, not even over one that hangs: a part would be spent twice.
-3. The old one stops accepting only when the new one says that it accepts, and accepts again if that one ends.
-4. One handover at a time: a process that has an older one beside it, or has told its state, tells it to
-   nobody else. Who asks then asks again.
+"""What each of two processes of one front door may use and does during a handover.
+
+The rules:
+
+1. From the moment when the older process sends its state, each process has half of the front door's share of
+   every ceiling, and only the newer one may use cold backends. Neither takes the other's half while the other
+   may be running.
+2. The connection between them is the only sign that the other process runs: its end, whatever the cause, counts
+   as the other's end. Neither closes it while it runs, even if the other hangs: one half would be used twice.
+3. The older process stops accepting connections only when the newer one reports that it accepts, and resumes if
+   the newer one ends.
+4. There is one handover at a time: a process that started beside an older one, or has sent its state, sends it
+   to no other process. A process whose request is refused for this reason retries.
 """
 
 from __future__ import annotations
@@ -16,50 +18,51 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WHOLE, HALF_SHARE = 1.0, 0.5
+FULL_SHARE = 1.0
+HALF_SHARE = 0.5
 
 
 class Event(Enum):
-    """What a process hears."""
+    """Events of the other process."""
 
-    STATE_REQUESTED = "a newer process asks for the state"
-    NEWER_ACCEPTS = "the newer process accepts"
+    STATE_REQUESTED = "a newer process requests the state"
+    NEWER_ACCEPTS = "the newer process accepts connections"
     NEWER_ENDED = "the newer process has ended"
     OLDER_ENDED = "the older process has ended"
 
 
 @dataclass(frozen=True, slots=True)
 class Duty:
-    """What a process does from now on. `part` is of the door's ceilings; `warms`: it uses cold backends.
+    """What a process may use and does from now on. `ceiling_share` is of the front door's ceilings.
 
-    `at_once` False: only after the time in which a cold backend's budget is counted, since the other may
-    have spent it.
+    Where `is_immediate` is false, cold backends may be used only after the time window over which their budget is
+    counted, because the other process may have used up that budget.
     """
 
     ceiling_share: float
     uses_cold_servers: bool
     accepts_connections: bool
-    closes_connections: bool  # it ends kept connections with their next answer
+    closes_connections: bool  # each idle connection with its next response
     is_immediate: bool = True
 
 
 class Stage(Enum):
-    """Where a process stands."""
+    """Stage of the handover, as one process sees it."""
 
-    BESIDE_OLDER = "started beside an older one"
+    BESIDE_OLDER = "started beside an older process"
     ALONE = "alone"
-    STATE_SENT = "has told its state"
-    DRAINING = "the newer one accepts"
+    STATE_SENT = "the state was sent to a newer process"
+    DRAINING = "the newer process accepts connections"
 
 
 DUTIES = {
     Stage.BESIDE_OLDER: Duty(HALF_SHARE, True, True, False),
-    Stage.ALONE: Duty(WHOLE, True, True, False),
+    Stage.ALONE: Duty(FULL_SHARE, True, True, False),
     Stage.STATE_SENT: Duty(HALF_SHARE, False, True, False),
     Stage.DRAINING: Duty(HALF_SHARE, False, False, True),
 }
-AGAIN = Duty(WHOLE, True, True, False, is_immediate=False)
-STEPS = {
+DUTY_AFTER_FAILED_HANDOVER = Duty(FULL_SHARE, True, True, False, is_immediate=False)
+TRANSITIONS = {
     (Stage.BESIDE_OLDER, Event.OLDER_ENDED): Stage.ALONE,
     (Stage.ALONE, Event.STATE_REQUESTED): Stage.STATE_SENT,
     (Stage.STATE_SENT, Event.NEWER_ACCEPTS): Stage.DRAINING,
@@ -69,18 +72,19 @@
 
 
 class HandoverRole:
-    """One process's place in a handover."""
+    """State machine of one process in a handover."""
 
     def __init__(self, has_older: bool) -> None:
         self.stage = Stage.BESIDE_OLDER if has_older else Stage.ALONE
 
     def can_hand_over(self) -> bool:
+        """Return whether the state may be sent to a newer process (rule 4)."""
         return self.stage is Stage.ALONE
 
     def handle(self, event: Event) -> Duty | None:
-        """What it does from now on; None where nothing changes (late, doubled or out of turn)."""
-        after = STEPS.get((self.stage, event))
-        if after is None:
+        """Return the duty from now on; None where an event that is late, repeated or out of order has no effect."""
+        next_stage = TRANSITIONS.get((self.stage, event))
+        if next_stage is None:
             return None
-        self.stage = after
-        return AGAIN if event is Event.NEWER_ENDED else DUTIES[after]
+        self.stage = next_stage
+        return DUTY_AFTER_FAILED_HANDOVER if event is Event.NEWER_ENDED else DUTIES[next_stage]
