--- a/irisdeal/front_door/operator/__init__.py
+++ b/irisdeal/front_door/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' figures, calls and bans: what is asked and told; no input or output."""
+"""Operators' calls, metrics and bans of backends. No I/O."""
--- a/irisdeal/front_door/operator/metrics.py
+++ b/irisdeal/front_door/operator/metrics.py
@@ -1,10 +1,10 @@
-"""A door's figures as the Prometheus text format 0.0.4 writes them.
+"""Metrics of a front door in the Prometheus text format 0.0.4.
 
-Rules that this file keeps:
+The rules:
 
-1. A figure is read when it is asked for, never copied ahead: it is as old as the call.
-2. Every label value that can occur is there from the start, at 0: a counter that appears late has no rate.
-3. Names and labels are those of the operators' page; help texts are ours.
+1. A metric is read when the exposition is requested, never stored ahead: it is as recent as the request.
+2. Every label value that can occur is exposed from the start, at 0: a counter that appears late has no rate.
+3. Names and labels are those of the operators' page; help texts are not fixed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MetricType(Enum):
-    """What a figure is, in the format's own words."""
+    """A metric's type, as the format names it."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One figure: `read` gives its number, or one for each value of `label`, in the order of `values`."""
+    """One metric: `read` returns its value, or one for each value of `label`, in the order of `values`."""
 
     name: str
     kind: MetricType
@@ -40,35 +40,35 @@
 
 
 class MetricRegistry:
-    """All figures of a door, in the order in which they were added."""
+    """All metrics of a front door, in the order in which they were added."""
 
     def __init__(self) -> None:
-        self.figures: dict[str, Metric] = {}
+        self.metrics: dict[str, Metric] = {}
 
-    def add(self, figure: Metric) -> None:
-        """ValueError where the name is taken."""
-        if figure.name in self.figures:
-            raise ValueError(f"figure {figure.name} is there already")
-        self.figures[figure.name] = figure
+    def add(self, metric: Metric) -> None:
+        """Add a metric. Raises ValueError where its name is in use."""
+        if metric.name in self.metrics:
+            raise ValueError(f"metric {metric.name} is registered already")
+        self.metrics[metric.name] = metric
 
     def text(self) -> bytes:
-        """The exposition. ValueError where a figure reads another number of values than it has labels."""
-        return "".join(line for figure in self.figures.values() for line in _lines(figure)).encode()
-
-
-def _lines(figure: Metric) -> list[str]:
-    name = PREFIX + figure.name
-    lines = [f"# HELP {name} {_escape_help(figure.help)}\n", f"# TYPE {name} {figure.kind.value}\n"]
-    told = figure.read()
-    if not figure.label:
-        if isinstance(told, Sequence):
-            raise ValueError(f"{figure.name} has no label: wanted one number")
-        return [*lines, f"{name} {_number(told)}\n"]
-    if not isinstance(told, Sequence) or len(told) != len(figure.values):
-        raise ValueError(f"{figure.name}: wanted {len(figure.values)} numbers, one for each {figure.label}")
+        """Return the exposition. Raises ValueError where a metric returns a wrong number of values."""
+        return "".join(line for metric in self.metrics.values() for line in _lines(metric)).encode()
+
+
+def _lines(metric: Metric) -> list[str]:
+    name = PREFIX + metric.name
+    lines = [f"# HELP {name} {_escape_help(metric.help)}\n", f"# TYPE {name} {metric.kind.value}\n"]
+    reading = metric.read()
+    if not metric.label:
+        if isinstance(reading, Sequence):
+            raise ValueError(f"{metric.name} has no label: wanted one number")
+        return [*lines, f"{name} {_number(reading)}\n"]
+    if not isinstance(reading, Sequence) or len(reading) != len(metric.values):
+        raise ValueError(f"{metric.name}: wanted {len(metric.values)} numbers, one for each {metric.label}")
     return lines + [
-        f'{name}{{{figure.label}="{_escape(value)}"}} {_number(number)}\n'
-        for value, number in zip(figure.values, told, strict=True)
+        f'{name}{{{metric.label}="{_escape(value)}"}} {_number(number)}\n'
+        for value, number in zip(metric.values, reading, strict=True)
     ]
 
 
@@ -81,5 +81,5 @@
 
 
 def _escape(value: str) -> str:
-    """A label's value: backslash, quote and line feed (the format's own three)."""
+    """Escape backslash, quote and line feed in a label's value, as the format requires."""
     return _escape_help(value).replace('"', '\\"')
--- a/tests/front_door/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -1,4 +1,4 @@
-"""Bans by hand: the ids that are known, what the module does, and the calls on a running door."""
+"""Bans by operators: the known ids, the decision module's part, and the calls to a running front door."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.fake_peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 
 
-def test_an_id_that_was_never_listed_is_not_known_and_repeats_change_nothing() -> None:
+def test_an_id_that_was_never_listed_is_unknown_and_repeated_calls_have_no_effect() -> None:
     bans = BackendBans()
     bans.record_listed([b"a"])
     assert bans.disable(b"x") is None and bans.enable(b"x") is None
@@ -31,7 +31,7 @@
     assert bans.enable(b"a") and bans.enable(b"a") is False
 
 
-def test_what_is_known_is_bounded_and_listed_or_banned_ids_stay() -> None:
+def test_the_known_ids_are_bounded_but_listed_and_banned_ones_stay() -> None:
     bans = BackendBans(max_known=10)
     bans.record_listed([b"old"])
     bans.disable(b"old")
@@ -40,21 +40,21 @@
     assert len(bans.known) == 10 and {b"old", b"0", b"99"} <= set(bans.known) and b"1" not in bans.known
 
 
-def sent_to(desk: GatewayHarness, since: int) -> set[bytes]:
-    return {a.server_id for at, a in desk.log if at >= since and isinstance(a, StartAttempt)}
+def sent_to(rig: GatewayHarness, since: int) -> set[bytes]:
+    return {a.server_id for at, a in rig.log if at >= since and isinstance(a, StartAttempt)}
 
 
-def ask_often(desk: GatewayHarness, times: int, pause: int = 5 * MS) -> None:
+def send_requests(rig: GatewayHarness, times: int, pause: int = 5 * MS) -> None:
     for _ in range(times):
-        request, desk.next_request_id = desk.next_request_id, desk.next_request_id + 1
-        desk.handle(RequestArrived(request, 7, 0, 0, 2 * SECOND, 1.0, 0, 1))
-        for action in [a for at, a in desk.log if at == desk.now and isinstance(a, StartAttempt)]:
-            desk.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
-        desk.now += pause
+        request, rig.next_request_id = rig.next_request_id, rig.next_request_id + 1
+        rig.handle(RequestArrived(request, 7, 0, 0, 2 * SECOND, 1.0, 0, 1))
+        for action in [a for at, a in rig.log if at == rig.now and isinstance(a, StartAttempt)]:
+            rig.handle(AttemptEnded(action.request_id, 0, action.server_id, Result.OK, 3 * MS, True))
+        rig.now += pause
 
 
 @pytest.mark.parametrize(
-    "news",
+    "lists",
     [
         (),
         (ServerList(ServerListKind.CHANGES, 2, (server_entry(1),)),),
@@ -70,64 +70,62 @@
         ),
     ],
 )
-def test_a_ban_holds_through_every_event_of_the_list(news: tuple[ServerList, ...]) -> None:
-    desk = GatewayHarness()
-    ask_often(desk, 50)
-    assert server_id(1) in sent_to(desk, 0)
-    desk.handle(ServerAdminStateChanged(server_id(1), True))
-    since = desk.now
-    for event in news:
-        desk.handle(event)
-        ask_often(desk, 30)
-    ask_often(desk, 30)
-    assert server_id(1) not in sent_to(desk, since) and sent_to(desk, since)
-
-
-def test_a_backend_that_is_back_is_used_first_and_held_to_be_cold() -> None:
-    desk = GatewayHarness(servers=10, seed=3)
-    desk.handle(ServerAdminStateChanged(server_id(4), True))
-    ask_often(desk, 20)
-    since = desk.now
-    desk.handle(ServerAdminStateChanged(server_id(4), False))
-    ask_often(desk, 1)
-    assert sent_to(desk, since) == {server_id(4)}
-    server = desk.gateway.servers[server_id(4)]
-    assert server.entry.started_at == since and desk.gateway._capacity_ratio(server) < 0.25
-    desk.handle(
-        ServerList(ServerListKind.CHANGES, 2, (server_entry(4),))
-    )  # its old start, told again, changes nothing
-    assert desk.gateway.servers[server_id(4)].entry.started_at == since
-    desk.handle(
-        ServerList(ServerListKind.CHANGES, 3, (server_entry(4, started_at=since - SECOND),))
-    )  # the list knows better
-    assert desk.gateway.servers[server_id(4)].entry.started_at == since - SECOND
-
-
-def test_doors_of_many_spread_the_first_use_of_one_that_is_back() -> None:
+def test_a_ban_holds_through_every_kind_of_server_list(lists: tuple[ServerList, ...]) -> None:
+    rig = GatewayHarness()
+    send_requests(rig, 50)
+    assert server_id(1) in sent_to(rig, 0)
+    rig.handle(ServerAdminStateChanged(server_id(1), True))
+    since = rig.now
+    for event in lists:
+        rig.handle(event)
+        send_requests(rig, 30)
+    send_requests(rig, 30)
+    assert server_id(1) not in sent_to(rig, since) and sent_to(rig, since)
+
+
+def test_a_backend_whose_ban_ended_is_used_first_and_treated_as_cold() -> None:
+    rig = GatewayHarness(servers=10, seed=3)
+    rig.handle(ServerAdminStateChanged(server_id(4), True))
+    send_requests(rig, 20)
+    since = rig.now
+    rig.handle(ServerAdminStateChanged(server_id(4), False))
+    send_requests(rig, 1)
+    assert sent_to(rig, since) == {server_id(4)}
+    server = rig.gateway.servers[server_id(4)]
+    assert server.entry.started_at == since and rig.gateway._capacity_ratio(server) < 0.25
+    # The start time listed before has no effect.
+    rig.handle(ServerList(ServerListKind.CHANGES, 2, (server_entry(4),)))
+    assert rig.gateway.servers[server_id(4)].entry.started_at == since
+    # A later start time in the list counts.
+    rig.handle(ServerList(ServerListKind.CHANGES, 3, (server_entry(4, started_at=since - SECOND),)))
+    assert rig.gateway.servers[server_id(4)].entry.started_at == since - SECOND
+
+
+def test_front_doors_of_a_fleet_spread_their_first_use_of_a_backend_whose_ban_ended() -> None:
     first = []
     for seed in range(48):
-        desk = GatewayHarness(servers=10, seed=seed, gateway_count=48, rank=seed)
-        desk.handle(ServerAdminStateChanged(server_id(4), True))
-        since = desk.now
-        desk.handle(ServerAdminStateChanged(server_id(4), False))
-        while server_id(4) not in sent_to(desk, since):
-            ask_often(desk, 1, 50 * MS)
-        first.append(desk.now - since)
+        rig = GatewayHarness(servers=10, seed=seed, gateway_count=48, rank=seed)
+        rig.handle(ServerAdminStateChanged(server_id(4), True))
+        since = rig.now
+        rig.handle(ServerAdminStateChanged(server_id(4), False))
+        while server_id(4) not in sent_to(rig, since):
+            send_requests(rig, 1, 50 * MS)
+        first.append(rig.now - since)
     assert max(first) < 5 * SECOND
     assert max(sum(at <= t < at + SECOND for t in first) for at in first) < 30
 
 
-def test_with_all_banned_what_comes_is_refused_at_once() -> None:
-    desk = GatewayHarness(servers=2)
-    desk.handle(ServerAdminStateChanged(server_id(0), True), ServerAdminStateChanged(server_id(1), True))
-    assert actions_of_type(RejectRequest, desk.handle(RequestArrived(1, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
-    desk.handle(ServerAdminStateChanged(server_id(0), False))
-    assert actions_of_type(StartAttempt, desk.handle(RequestArrived(2, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
+def test_with_all_backends_banned_requests_are_rejected_at_once() -> None:
+    rig = GatewayHarness(servers=2)
+    rig.handle(ServerAdminStateChanged(server_id(0), True), ServerAdminStateChanged(server_id(1), True))
+    assert actions_of_type(RejectRequest, rig.handle(RequestArrived(1, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
+    rig.handle(ServerAdminStateChanged(server_id(0), False))
+    assert actions_of_type(StartAttempt, rig.handle(RequestArrived(2, 7, 0, 0, 2 * SECOND, 1.0, 0, 1)))
 
 
 def test_a_ban_holds_under_any_order_of_bans_lists_and_requests() -> None:
     for seed in range(20):
-        chance, desk, banned, started = (
+        chance, rig, banned, started = (
             random.Random(seed),
             GatewayHarness(seed=seed),
             set[int](),
@@ -137,47 +135,49 @@
             n, what = chance.randrange(4), chance.randrange(5)
             if what == 0:
                 banned.add(n)
-                desk.handle(ServerAdminStateChanged(server_id(n), True))
+                rig.handle(ServerAdminStateChanged(server_id(n), True))
             elif what == 1:
                 banned.discard(n)
-                desk.handle(ServerAdminStateChanged(server_id(n), False))
+                rig.handle(ServerAdminStateChanged(server_id(n), False))
             elif what == 2:
-                started[n] = desk.now
+                started[n] = rig.now
                 state = chance.choice(list(ServerState))
-                desk.handle(
+                rig.handle(
                     ServerList(
-                        ServerListKind.CHANGES, step + 2, (server_entry(n, state, started_at=desk.now),)
+                        ServerListKind.CHANGES, step + 2, (server_entry(n, state, started_at=rig.now),)
                     )
                 )
-            since = desk.now
-            ask_often(desk, 3)
-            assert not sent_to(desk, since) & {server_id(n) for n in banned}
+            since = rig.now
+            send_requests(rig, 3)
+            assert not sent_to(rig, since) & {server_id(n) for n in banned}
 
 
 @socket_test
-async def test_calls_out_and_back_on_a_running_door() -> None:
+async def test_a_running_front_door_bans_a_backend_and_ends_the_ban() -> None:
     async with Peer() as one, Peer() as two:
         known = whole_list(member("s-1", one.port), member("s-2", two.port))
-        async with running(operator=OPERATOR, known=known) as door:
-            assert (await operate(door, "/backends/disable?target=s-9", "POST"))[0].startswith("HTTP/1.1 404")
-            assert (await operate(door, "/backends/disable?target=s-1", "POST"))[2] == b"out\n"
-            assert (await operate(door, "/backends/disable?target=s-1", "POST"))[0] == "HTTP/1.1 200 OK"
-            told = await figures(door)
-            assert (told["edge_members"], told["edge_members_unavailable"]) == (2, 1)
-            door.program.pool.min_idle_s = 0.0
-            client, to_door = await door.client()
-            to_door.write(ask(trace="a0"))
+        async with running(operator=OPERATOR, known=known) as front_door:
+            assert (await operate(front_door, "/backends/disable?target=s-9", "POST"))[0].startswith(
+                "HTTP/1.1 404"
+            )
+            assert (await operate(front_door, "/backends/disable?target=s-1", "POST"))[2] == b"out\n"
+            assert (await operate(front_door, "/backends/disable?target=s-1", "POST"))[0] == "HTTP/1.1 200 OK"
+            metrics = await figures(front_door)
+            assert (metrics["edge_members"], metrics["edge_members_unavailable"]) == (2, 1)
+            front_door.program.pool.min_idle_s = 0.0
+            client, to_front_door = await front_door.client()
+            to_front_door.write(ask(trace="a0"))
             from_door, back = await two.connection()
             for n in range(20):
                 await read_message(from_door)
                 back.write(answer())
                 assert (await read_message(client))[0] == "HTTP/1.1 200 OK"
-                to_door.write(ask(trace=f"a{n + 1}"))
+                to_front_door.write(ask(trace=f"a{n + 1}"))
             await read_message(from_door)
             back.write(answer())
             await read_message(client)
             assert one.accepted.empty()
-            assert (await operate(door, "/backends/enable?target=s-1", "POST"))[2] == b"back\n"
-            to_door.write(ask(trace="b0"))
-            await read_message((await one.connection())[0])  # chosen for its first use
-            assert (await figures(door))["edge_members_unavailable"] == 0
+            assert (await operate(front_door, "/backends/enable?target=s-1", "POST"))[2] == b"back\n"
+            to_front_door.write(ask(trace="b0"))
+            await read_message((await one.connection())[0])  # its first use
+            assert (await figures(front_door))["edge_members_unavailable"] == 0
--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -1,4 +1,4 @@
-"""Operators' calls and figures: the pure parts, and a running door's listener on loopback."""
+"""Operators' calls and metrics: parsing and formatting, and a running front door's listener on loopback."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 )
 
 
-def test_each_figure_has_a_type_and_labels_are_escaped() -> None:
+def test_each_metric_has_a_type_and_labels_are_escaped() -> None:
     registry = MetricRegistry()
     registry.add(Metric("pending", MetricType.GAUGE, "a\nb", lambda: 14))
     registry.add(Metric("done_total", MetricType.COUNTER, "c", lambda: [8, 0], "lane", ('a"b\\', "d\n")))
@@ -58,10 +58,10 @@
     )
 
 
-def test_a_figure_is_there_once_and_has_a_number_for_each_label() -> None:
+def test_a_metric_is_registered_once_and_has_a_value_for_each_label() -> None:
     registry = MetricRegistry()
     registry.add(Metric("a", MetricType.GAUGE, "", lambda: [1], "lane", ("x", "y")))
-    with pytest.raises(ValueError, match="a is there already"):
+    with pytest.raises(ValueError, match="a is registered already"):
         registry.add(Metric("a", MetricType.GAUGE, "", lambda: 1))
     with pytest.raises(ValueError, match="wanted 2 numbers"):
         registry.text()
@@ -80,7 +80,7 @@
         (b"POST", b"/backends/disable?target=" + b"a" * 300, 400, ""),
     ],
 )
-def test_a_call_that_cannot_be_carried_out_is_turned_down(
+def test_an_invalid_call_is_rejected(
     method: bytes,
     url: bytes,
     status: int,
@@ -91,13 +91,13 @@
     assert (caught.value.status, caught.value.allow) == (status, allow)
 
 
-def test_calls_are_read_with_their_target() -> None:
+def test_calls_are_parsed_with_their_target() -> None:
     assert parse_call(b"GET", b"/ready?x=1") == Call(CallKind.READY)
     assert parse_call(b"POST", b"/backends/disable?target=s%2D1") == Call(CallKind.DISABLE, b"s-1")
     assert parse_call(b"POST", b"/backends/enable?note=x&target=s-1") == Call(CallKind.ENABLE, b"s-1")
 
 
-def test_operators_descriptors_come_out_of_the_shared_limit() -> None:
+def test_descriptors_for_operators_count_towards_the_shared_limit() -> None:
     for sockets in (256, 384, 1024):
         with_, without = share_descriptors(sockets, True), share_descriptors(sockets)
         assert (
@@ -107,146 +107,149 @@
         assert with_.clients < without.clients
 
 
-@pytest.mark.parametrize("told", ["9100", "127.0.0.1:0", "127.0.0.1:99999", 7])
-def test_a_bad_operator_address_is_one_clear_error(told: object) -> None:
+@pytest.mark.parametrize("value", ["9100", "127.0.0.1:0", "127.0.0.1:99999", 7])
+def test_an_invalid_operator_address_is_one_clear_error(value: object) -> None:
     base = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings()}
     with pytest.raises(ConfigError, match=r"operator is .*: wanted host:port"):
-        parse({**base, "operator": told})
+        parse({**base, "operator": value})
     with pytest.raises(ConfigError, match="another address than listen"):
         parse({**base, "operator": "127.0.0.1:1"})
     assert parse(base).operator is None
 
 
-async def operate(door: Running, call: str, method: str = "GET") -> tuple[str, dict[str, str], bytes]:
-    assert door.program.operator is not None
-    reader, writer = await asyncio.open_connection("127.0.0.1", door.program.operator.listener.port())
+async def operate(front_door: Running, call: str, method: str = "GET") -> tuple[str, dict[str, str], bytes]:
+    assert front_door.program.operator is not None
+    reader, writer = await asyncio.open_connection("127.0.0.1", front_door.program.operator.listener.port())
     writer.write(f"{method} {call} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
     message = await read_message(reader)
-    assert await reader.read() == b""  # one call to a connection
+    assert await reader.read() == b""  # one call per connection
     writer.close()
     return message
 
 
-async def figures(door: Running) -> dict[str, int]:
-    line, headers, text = await operate(door, "/metrics")
+async def figures(front_door: Running) -> dict[str, int]:
+    line, headers, text = await operate(front_door, "/metrics")
     assert (line, headers["content-type"]) == ("HTTP/1.1 200 OK", "text/plain; version=0.0.4; charset=utf-8")
     return {name: int(value) for name, value in re.findall(r"^(edge_\S+) (\d+)$", text.decode(), re.M)}
 
 
-OPERATOR = "127.0.0.1:2"  # port 0 takes its place, as with `listen`
+OPERATOR = "127.0.0.1:2"  # the test replaces the port by 0, as that of `listen`
 
 
 @socket_test
-async def test_ready_is_yes_once_a_list_is_known_and_no_while_the_door_ends() -> None:
-    async with running(operator=OPERATOR) as door:
-        assert (await operate(door, "/ready"))[0].startswith("HTTP/1.1 503")
-    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as door:
-        assert (await operate(door, "/ready"))[0] == "HTTP/1.1 200 OK"
-        door.program.stop()
-        assert (await operate(door, "/ready"))[2] == b"not ready: shutting down\n"
+async def test_ready_once_a_list_is_known_and_not_while_shutting_down() -> None:
+    async with running(operator=OPERATOR) as front_door:
+        assert (await operate(front_door, "/ready"))[0].startswith("HTTP/1.1 503")
+    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as front_door:
+        assert (await operate(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
+        front_door.program.stop()
+        assert (await operate(front_door, "/ready"))[2] == b"not ready: shutting down\n"
 
 
 @socket_test
-async def test_unreadable_calls_get_one_line_and_do_not_disturb() -> None:
-    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as door:
-        assert (await operate(door, "/nothing"))[0].startswith("HTTP/1.1 404")
-        line, headers, _ = await operate(door, "/ready", "PUT")
+async def test_invalid_calls_get_an_error_status() -> None:
+    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as front_door:
+        assert (await operate(front_door, "/nothing"))[0].startswith("HTTP/1.1 404")
+        line, headers, _ = await operate(front_door, "/ready", "PUT")
         assert (line, headers["allow"]) == ("HTTP/1.1 405 Method Not Allowed", "GET")
-        assert (await operate(door, "/ready?" + "x" * 9000))[0].startswith("HTTP/1.1 431")
-        assert (await operate(door, "/ready\r\nnoise"))[0].startswith("HTTP/1.1 400")
+        assert (await operate(front_door, "/ready?" + "x" * 9000))[0].startswith("HTTP/1.1 431")
+        assert (await operate(front_door, "/ready\r\nnoise"))[0].startswith("HTTP/1.1 400")
 
 
 @socket_test
-async def test_the_caller_that_is_silent_for_longest_gives_way() -> None:
-    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as door:
-        assert door.program.operator is not None
-        port = door.program.operator.listener.port()
+async def test_the_longest_silent_caller_is_disconnected_for_a_new_one() -> None:
+    async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as front_door:
+        assert front_door.program.operator is not None
+        port = front_door.program.operator.listener.port()
         silent = []
         for _ in range(2 * MAX_OPERATOR_CONNECTIONS):
             silent.append(await asyncio.open_connection("127.0.0.1", port))
             silent[-1][1].write(b"GET /rea")
-        assert (await operate(door, "/ready"))[0] == "HTTP/1.1 200 OK"
+        assert (await operate(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
         with contextlib.suppress(ConnectionResetError):
             assert await silent[0][0].read() == b""
-        assert len(door.program.operator.connections) <= MAX_OPERATOR_CONNECTIONS
+        assert len(front_door.program.operator.connections) <= MAX_OPERATOR_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
 
 
 @socket_test
-async def test_figures_count_every_end_of_a_request_once() -> None:
+async def test_metrics_count_every_end_of_a_request_once() -> None:
     async with Peer() as backend:
         decider = Script(lambda event: send_all(event))
         known = whole_list(member("s-1", backend.port))
-        async with running(decider, operator=OPERATOR, known=known) as door:
-            start = await figures(door)
+        async with running(decider, operator=OPERATOR, known=known) as front_door:
+            start = await figures(front_door)
             assert start['edge_completed_total{lane="look"}'] == start['edge_failed_total{lane="file"}'] == 0
 
             async def one(kind: str, trace: str, reply: bytes | None) -> None:
-                reader, writer = await door.client()
+                reader, writer = await front_door.client()
                 writer.write(ask(kind, trace))
-                from_door, to_door = await backend.connection()
-                await read_message(from_door)
-                assert (await figures(door))["edge_pending"] == 1
+                from_front_door, to_front_door = await backend.connection()
+                await read_message(from_front_door)
+                assert (await figures(front_door))["edge_pending"] == 1
                 if reply is None:
                     writer.transport.abort()
-                    while door.program.clients.pending:
+                    while front_door.program.clients.pending:
                         await asyncio.sleep(0)
                 else:
-                    to_door.write(reply)
+                    to_front_door.write(reply)
                     await read_message(reader)
-                to_door.transport.abort()
+                to_front_door.transport.abort()
 
             await one("look", "a1", answer())
             await one("look", "a2", answer(500))
             await one("file", "a3", answer())
             await one("look", "a4", None)
-            await door.call(ask("look", "a5", X_Expires_In="1m"))  # no time left: refused before the module
-            await door.call(ask("look", "a6", Account="x"))  # malformed
-            await door.call(ask("none", "a7"))  # of no class: not counted
-            told = await figures(door)
-            assert told['edge_completed_total{lane="look"}'] == 1
-            assert told['edge_completed_total{lane="file"}'] == 1
-            assert told['edge_failed_total{lane="look"}'] == 2
-            assert told['edge_rejected_total{lane="look"}'] == 1
-            assert told['edge_gone_total{lane="look"}'] == 1
-            assert (told["edge_upstream_requests_total"], told["edge_pending"]) == (4, 0)
-            side = door.program.clients
+            # No time left: rejected before the decision module.
+            await front_door.call(ask("look", "a5", X_Expires_In="1m"))
+            await front_door.call(ask("look", "a6", Account="x"))  # malformed
+            await front_door.call(ask("none", "a7"))  # of an unknown class: not counted
+            metrics = await figures(front_door)
+            assert metrics['edge_completed_total{lane="look"}'] == 1
+            assert metrics['edge_completed_total{lane="file"}'] == 1
+            assert metrics['edge_failed_total{lane="look"}'] == 2
+            assert metrics['edge_rejected_total{lane="look"}'] == 1
+            assert metrics['edge_gone_total{lane="look"}'] == 1
+            assert (metrics["edge_upstream_requests_total"], metrics["edge_pending"]) == (4, 0)
+            side = front_door.program.clients
             for n, taken in enumerate(side.received):
                 assert taken == side.completed[n] + side.rejected[n] + side.failed[n] + side.disconnected[n]
 
 
 @socket_test
-async def test_figures_are_those_of_the_stand_ins_books_at_every_moment_of_a_day() -> None:
-    looks = 0
+async def test_counts_add_up_at_every_moment_and_match_the_testbeds_logs() -> None:
+    checks = 0
 
-    def sums(program: Program) -> bool:
+    def counts_add_up(program: Program) -> bool:
         side = program.clients
         ended = sum(map(sum, (side.completed, side.rejected, side.failed, side.disconnected)))
         return sum(side.received) == ended + side.pending
 
-    def started(platform: Platform, programs: list[Program]) -> None:
+    def watch(platform: Platform, programs: list[Program]) -> None:
         loop = asyncio.get_running_loop()
 
-        def look() -> None:
-            nonlocal looks
-            assert all(map(sums, programs))
-            looks += 1
-            loop.call_later(0.01, look)
+        def check() -> None:
+            nonlocal checks
+            assert all(map(counts_add_up, programs))
+            checks += 1
+            loop.call_later(0.01, check)
 
-        look()
+        check()
 
-    day = await run_on_sockets(DAY_OF_ALL_ENDINGS, started=started)
-    assert looks > 50
-    for door, program in enumerate(day.programs):
+    day = await run_on_sockets(DAY_OF_ALL_ENDINGS, started=watch)
+    assert checks > 50
+    for front_door_number, program in enumerate(day.programs):
         side = program.clients
-        heard = [t for t in day.request_log.client_attempts if t.front_door == door and t.answers]
+        attempts = [
+            t for t in day.request_log.client_attempts if t.front_door == front_door_number and t.answers
+        ]
         by = {name: n for n, name in enumerate(program.config.classes)}
         for name, n in by.items():
-            answers = [t.answers[0].status for t in heard if t.kind == name]
+            answers = [t.answers[0].status for t in attempts if t.kind == name]
             assert side.completed[n] == sum(status == 200 for status in answers)
             assert side.rejected[n] == sum(status in (429, 503) for status in answers)
             assert side.failed[n] == sum(status not in (200, 429, 503) for status in answers)
         assert side.pending == 0 and sum(side.completed) > 20 and sum(side.rejected) > 0
-        boxed = sum(a.front_door == door for a in day.request_log.attempts)
-        assert abs(program.pool.written_count - boxed) <= 3  # some were written to boxes that crashed
+        received = sum(a.front_door == front_door_number for a in day.request_log.attempts)
+        assert abs(program.pool.written_count - received) <= 3  # those written to crashed backends
