--- a/irisdeal/front_door/membership/__init__.py
+++ b/irisdeal/front_door/membership/__init__.py
@@ -1,1 +1,4 @@
-"""When a front door polls the discovery service for the list of backends, and for what. No I/O, no own clock."""
+"""When a front door polls the discovery service for the list of backends, and for what.
+
+No I/O; the caller passes the time.
+"""
--- a/irisdeal/front_door/membership/polling_schedule.py
+++ b/irisdeal/front_door/membership/polling_schedule.py
@@ -8,13 +8,13 @@
 2. A discovery service that must be polled is one service for all front doors, whose calls queue there. Front
    doors that start at the same instant spread their first calls over the time in which it can serve one of each.
 3. A call that was rejected, or that timed out in that queue, shows that the service is overloaded; a call that
-   timed out there has cost it as much as one that it answered. Were all front doors to retry soon, the queue
-   would stay at its limit and no call would be answered in time. So a front door retries about once in a polling
-   period, with jitter, and later the more often it failed. The known list stays in use meanwhile.
-4. A call that broke shows that a connection is lost. It is retried almost at once: where a watch is resumed
+   timed out there has cost the service as much as one that it answered. If all front doors retried soon, the
+   queue would stay at its limit and no call would be answered in time. So a front door retries about once in a
+   polling period, with jitter, and later the more often it failed. The known list stays in use meanwhile.
+4. A broken call means that a connection was lost. It is retried almost at once: where a watch is resumed
    within `MAX_WATCH_GAP_S`, no change counts as notified but not received (PROTOCOL, Discovery). Then with
    exponential backoff.
-5. Delays are bounded, whatever the service asks for.
+5. Delays are bounded, whatever `Retry-After` the service sends.
 
 Times are seconds; `random_unit` returns numbers from 0 up to, not including, 1.
 """
@@ -25,7 +25,7 @@
 from dataclasses import dataclass
 
 MAX_WATCH_GAP_S = 0.2  # PROTOCOL, Discovery: a watch continues if its next call comes within this time
-WATCH_DURATION_MS = 4_000  # of one watch call: the loss of a peer that vanished is detected this late
+WATCH_DURATION_MS = 4_000  # of one watch call: the loss of a vanished peer may be detected this late
 # Added for the response to a watch that continues, or from an agent on the front door's own machine.
 RESPONSE_TIMEOUT_S = 1.0
 QUEUED_RESPONSE_TIMEOUT_S = 3.0  # for a call that queues at the discovery service, which fails it after 2 s
@@ -35,9 +35,8 @@
 # Time of the discovery service for one call of one front door: it is built to serve one of each of a fleet in 2
 # to 8 s, and fleets have 40 (BENCH, [discovery]); with the longest of these it is never overloaded.
 CALL_TIME_S = 0.2
-MAX_PERIOD_S = (
-    20.0  # beyond a hundred front doors, none stays without updates for longer to spare the service
-)
+# Reached with a hundred front doors: in larger fleets none goes without updates for longer to spare the service.
+MAX_PERIOD_S = 20.0
 INITIAL_SPREAD = 0.6  # of a period, for first calls: the short queue that this makes is served in time
 MIN_REJECTED_BACKOFF_S = 0.2  # also where the polling period is shorter
 # After each further rejection the delay is this many times the last, up to so many times the first.
@@ -72,8 +71,8 @@
 class PollingSchedule:
     """The state between calls.
 
-    `next_call` returns the call to make; then exactly one of `succeeded`, `rejected`, `broken` and
-    `invalid_response` is called with its result.
+    `next_call` returns the call to make; then the caller reports its result by exactly one of `succeeded`,
+    `rejected`, `broken` and `invalid_response`.
     """
 
     def __init__(
@@ -92,7 +91,7 @@
         self._broken_backoff_s = MIN_BROKEN_BACKOFF_S
 
     def initial_delay_s(self) -> float:
-        """Return the delay before the first call, in s. A front door that knows no backend calls at once."""
+        """Return the delay before the first call, in s. A front door without a known list calls at once."""
         if self.version < 0:
             return 0.0
         return INITIAL_SPREAD * self.period_s * self.random_unit()
@@ -115,7 +114,7 @@
     def rejected(self, retry_after_s: float | None = None) -> float:
         """Record that the call was rejected; return the delay before the next one, in s.
 
-        What the service asks for in `Retry-After` is the minimum, not the maximum.
+        The service's `Retry-After` is the minimum, not the maximum.
         """
         self._watch_continues = False
         base_s = max(MIN_REJECTED_BACKOFF_S, self.period_s)
--- a/irisdeal/front_door/overload/backlog.py
+++ b/irisdeal/front_door/overload/backlog.py
@@ -12,15 +12,16 @@
 
 from __future__ import annotations
 
-MAX_LENGTH = 512  # connections: a burst of hundreds is accepted; at 1,000 a second they wait half a second
-MIN_LENGTH = 32  # connections: a handful that arrives at once is no overload
+MAX_LENGTH = 512  # accepts a burst of hundreds; at 1,000 connections per second they wait for half a second
+MIN_LENGTH = 32  # a small burst is no overload
 # Most retries still have this much time when they arrive; one with less may be answered 58 ms late
-# (PROTOCOL, The rules on sockets). At 0.25 s some of a burst on a starved core were read too late to reject.
+# (PROTOCOL, The rules on sockets). With 0.25 s, some requests of a burst on an overloaded core were
+# read too late to be rejected in time.
 TARGET_WAIT_S = 0.05
 RATE_WINDOW_S = 0.1  # over which the accept rate is measured
-GROWTH_PER_S = 2.0  # factor by which the queue may grow again in a second
-MIN_CHANGE_RATIO = 0.2  # smaller changes are not applied: each costs a system call
-SMOOTHING = 0.5  # weight of a new measurement: one slow turn of the loop is no trend
+GROWTH_FACTOR_PER_S = 2.0  # by which the queue may grow again
+MIN_CHANGE_RATIO = 0.2  # smaller changes are not applied, because each costs a system call
+SMOOTHING_WEIGHT = 0.5  # of a new measurement: one slow iteration of the event loop is no trend
 
 
 class Backlog:
@@ -44,7 +45,7 @@
     def record_accepted(self, count: int, more_waiting: bool, now: float) -> int | None:
         """Record `count` accepted connections; return the length to set, or None to leave it.
 
-        `more_waiting` says that the queue did not empty.
+        `more_waiting`: the queue did not empty.
         """
         if not more_waiting:
             self._record_empty(now)
@@ -59,9 +60,9 @@
     def max_wait_s(self, now: float) -> float:
         """Return an upper bound on the time that a connection accepted now has waited, in s.
 
-        It is 0 where the queue was empty when last looked at. Otherwise the connection arrived after that,
+        It is 0 if the queue was empty when last checked. Otherwise the connection arrived after that,
         and at most `length` + 1 were ahead of it, accepted at the recent rate (Little's law). An overestimate
-        costs a client some of its time, an underestimate a response that comes too late.
+        takes some of a client's time; an underestimate makes a response come too late.
         """
         if self._window_started_at is None:
             return 0.0
@@ -73,7 +74,7 @@
     def _record_empty(self, now: float) -> None:
         self._empty_at = now
         if self._window_started_at is None and self._exact_length < self.max_length:
-            growth = GROWTH_PER_S ** max(0.0, now - self._adjusted_at)
+            growth = GROWTH_FACTOR_PER_S ** max(0.0, now - self._adjusted_at)
             self._exact_length = min(float(self.max_length), self._exact_length * growth)
         self._window_started_at = None
         self._adjusted_at = now
@@ -83,7 +84,7 @@
             return
         self._accept_rate_per_s = self._accepted_in_window / window_s
         target_length = self._accept_rate_per_s * TARGET_WAIT_S
-        self._exact_length += SMOOTHING * (target_length - self._exact_length)
+        self._exact_length += SMOOTHING_WEIGHT * (target_length - self._exact_length)
         self._exact_length = min(float(self.max_length), max(float(MIN_LENGTH), self._exact_length))
         self._window_started_at = now
         self._accepted_in_window = 0
--- a/irisdeal/front_door/overload/connection_slots.py
+++ b/irisdeal/front_door/overload/connection_slots.py
@@ -26,16 +26,16 @@
 K = TypeVar("K", bound=Hashable)
 
 # How long a connection must have been in a state before it may be evicted.
-MIN_CLOSING_S = 0.05  # what was in flight when it was closed has arrived by then, and been read
-MIN_UNUSED_S = 0.25  # a client sends its first request right after its connect; a busy one needs longer
+MIN_CLOSING_S = 0.05  # by then the data in flight when it was closed has arrived and been read
+MIN_UNUSED_S = 0.25  # a client sends its first request right after connecting; an overloaded one needs longer
 MIN_IDLE_S = 2.0  # the platform's shortest pause between two requests
 # Unused connections (no byte received) may not take all slots: once they take more than this share of the
 # regular ones, they get the shorter time, still many round trips. A burst of them delays others by about that.
 UNUSED_BURST_SHARE = 0.5
 MIN_UNUSED_IN_BURST_S = 0.05
-MAX_CANDIDATES_PER_STATE = 32  # looked at for one slot: the caller may have to skip some
+MAX_CANDIDATES_PER_STATE = 32  # examined for one slot: the caller may have to skip some
 RATE_WINDOW_S = 1.0  # over which rejections and released slots are counted for `retry_after_s`
-MIN_RETRY_AFTER_S = 0.05  # sooner than that nothing has changed
+MIN_RETRY_AFTER_S = 0.05  # an earlier retry would find nothing changed
 
 
 class ConnectionState(Enum):
--- a/irisdeal/front_door/overload/event_loop_lag.py
+++ b/irisdeal/front_door/overload/event_loop_lag.py
@@ -1,8 +1,8 @@
 """Estimate of the event loop's lag, by which a client's remaining time is overestimated.
 
-A request that lies in its socket while the loop is busy has less time left than its headers say, and its
-response waits for the loop once more. Timers measure the lag: where one fires late, whatever arrived
-meanwhile was read late by about as much, since a loop polls its timers and its sockets in the same turn.
+A request that waits in its socket while the loop is busy has less time left than its headers state, and its
+response waits for the loop once more. Timers measure the lag: if one fires late, data that arrived
+meanwhile was read late by about as much, since a loop polls its timers and its sockets in the same iteration.
 The estimate is the largest recent lag, halved every `HALF_LIFE_S`: lag comes in bursts, so that its mean
 would be exceeded half of the time.
 
@@ -11,8 +11,8 @@
 
 from __future__ import annotations
 
-HALF_LIFE_S = 0.25  # a few turns of a loop whose lag is large enough to matter
-NORMAL_LAG_S = 0.004  # timers count whole ms, and a turn with some requests takes as long
+HALF_LIFE_S = 0.25  # a few iterations of a loop whose lag is large enough to matter
+NORMAL_LAG_S = 0.004  # timers have a resolution of 1 ms, and an iteration with some requests takes as long
 
 
 class EventLoopLag:
--- a/irisdeal/front_door/streaming/byte_budget.py
+++ b/irisdeal/front_door/streaming/byte_budget.py
@@ -4,10 +4,10 @@
 
 1. Half of the budget is reserved: an admitted stream may always buffer the minimum and one read more, so that
    each makes progress and none waits for another. Once all reservations are in use, further streams are
-   rejected when they arrive, not half way.
+   rejected on arrival, not half way.
 2. The other half is granted in steps to streams that need more, until they end. Buffering a response frees its
-   backend early, and the slot of its attempt: with little buffered, a slow reader keeps an account at its limit
-   of concurrent attempts for seconds.
+   backend early, and the slot of its attempt: with little buffered, a client that reads slowly keeps its
+   account at the limit of concurrent attempts for seconds.
 3. No stream is granted more than remains for all others.
 
 Sizes are bytes.
@@ -15,10 +15,10 @@
 
 from __future__ import annotations
 
-# Two processes of a front door hold two budgets during an upgrade, beside some 15 MB each for the rest.
-BUDGET_SHARE_OF_MEMORY = 0.25
-MIN_BUFFER_BYTES = 16 << 10  # which every stream may buffer
-GRANT_BYTES = 256 << 10  # granted at a time
+# During an upgrade two processes of a front door hold a budget each, and about 15 MB each for the rest.
+BUDGET_MEMORY_RATIO = 0.25
+MIN_BUFFER_BYTES = 16 << 10  # every stream may buffer this much
+GRANT_BYTES = 256 << 10  # one step of a grant
 # What one more read may bring: front doors that stream bodies set their sockets' receive buffers to half of it,
 # and the kernel doubles what is set (socket(7), SO_RCVBUF).
 MAX_READ_BYTES = 64 << 10
@@ -29,7 +29,7 @@
 
     def __init__(self, memory_bytes: int) -> None:
         """`memory_bytes` is what the process may use for everything."""
-        self.total_bytes = int(memory_bytes * BUDGET_SHARE_OF_MEMORY)
+        self.total_bytes = int(memory_bytes * BUDGET_MEMORY_RATIO)
         self.max_streams = self.total_bytes // 2 // (MIN_BUFFER_BYTES + MAX_READ_BYTES)
         self.streams = 0
         self.grantable_bytes = self.total_bytes // 2
@@ -39,7 +39,7 @@
         return self.streams < self.max_streams
 
     def admit(self) -> StreamAllowance:
-        """Admit a stream; return what it may buffer. To be called only where `can_admit`."""
+        """Admit a stream; return what it may buffer. Requires `can_admit()`."""
         self.streams += 1
         return StreamAllowance(self)
 
--- a/irisdeal/front_door/streaming/progress.py
+++ b/irisdeal/front_door/streaming/progress.py
@@ -5,14 +5,14 @@
 
 from __future__ import annotations
 
-HEAD_TIMEOUT_S = 2.5  # a head may take 2 s (operators' page, Size), and some for a busy loop
+HEAD_TIMEOUT_S = 2.5  # a head may take 2 s (operators' page, Size); the rest is for a busy event loop
 BODY_IDLE_TIMEOUT_S = 2.5  # a client may send no byte of its body for this long
 MIN_BODY_BYTES_PER_S = 16_000.0  # a quarter of what slow clients send
-RESPONSE_IDLE_TIMEOUT_S = 10.0  # a streamed response may arrive, or be read, not at all for this long
+RESPONSE_IDLE_TIMEOUT_S = 10.0  # a streamed response may make no progress for this long, on either side
 # A small response may pause for this long between two reads; the time-out of its attempt applies as well.
 SMALL_RESPONSE_IDLE_TIMEOUT_S = 2.0
 MAX_BODY_BYTES = (32 << 20) + (64 << 10)  # 32 MB, with either meaning of MB
-MAX_REPLAY_BYTES = 256 << 10  # of a body that are kept so that it can be sent again
+MAX_REPLAY_BYTES = 256 << 10  # of a body that are kept for a retry
 
 
 class ReceiveProgress:
@@ -40,7 +40,7 @@
             self.received_bytes += size
 
     def reading_resumed(self, now: float) -> None:
-        """Record that reading was paused until now: the peer is not slow for what we did not read."""
+        """Record that reading was paused until now: that pause does not make the peer slow."""
         self.started_at = max(self.started_at, now - self.received_bytes / MIN_BODY_BYTES_PER_S)
         self.last_received_at = now
 
--- a/tests/front_door/test_overload.py
+++ b/tests/front_door/test_overload.py
@@ -1,4 +1,4 @@
-"""Connection slots, evictions and rejections, the backlog and the lag, on a clock of the test's own."""
+"""Connection slots, evictions and rejections, the accept backlog and the event loop lag."""
 
 import pytest
 from hypothesis import given
@@ -17,16 +17,16 @@
 from irisdeal.front_door.overload.event_loop_lag import HALF_LIFE_S, NORMAL_LAG_S, EventLoopLag
 
 
-def test_the_oldest_without_a_pending_request_is_evicted_and_one_that_began_to_send_never_is() -> None:
+def test_connections_without_a_request_are_evicted_oldest_first_and_busy_ones_never() -> None:
     slots: ConnectionSlots[str] = ConnectionSlots(4, 0)
-    for n, name in enumerate(("ends", "silent", "idle", "busy")):
+    for n, name in enumerate(("closing", "unused", "idle", "busy")):
         slots.add(name, n / 128)
     slots.set_state("busy", ConnectionState.BUSY, 0.125)
     slots.set_state("idle", ConnectionState.IDLE, 0.125)
-    slots.set_state("ends", ConnectionState.CLOSING, 0.125)
+    slots.set_state("closing", ConnectionState.CLOSING, 0.125)
     assert list(slots.eviction_candidates(0.125)) == []
-    assert list(slots.eviction_candidates(0.125 + MIN_UNUSED_S)) == ["ends", "silent"]
-    assert list(slots.eviction_candidates(0.125 + MIN_IDLE_S)) == ["ends", "silent", "idle"]
+    assert list(slots.eviction_candidates(0.125 + MIN_UNUSED_S)) == ["closing", "unused"]
+    assert list(slots.eviction_candidates(0.125 + MIN_IDLE_S)) == ["closing", "unused", "idle"]
     assert MIN_CLOSING_S <= MIN_IDLE_S
 
 
@@ -39,7 +39,7 @@
     assert list(slots.eviction_candidates(MIN_UNUSED_IN_BURST_S)) == [0, 1, 2]
 
 
-def test_one_in_the_reserve_is_rejected_until_a_regular_slot_is_free() -> None:
+def test_a_connection_in_the_reserve_is_rejected_until_a_regular_slot_is_free() -> None:
     slots: ConnectionSlots[int] = ConnectionSlots(1, 1)
     slots.add(1, 0.0)
     slots.add(2, 0.0)
@@ -68,9 +68,9 @@
     assert retry_after(100, 100) == 1.01
 
 
-MOVES = st.lists(
+OPERATIONS = st.lists(
     st.tuples(
-        st.sampled_from(["accept", "leave", "busy", "idle", "closing", "claim", "evict"]),
+        st.sampled_from(["accept", "remove", "busy", "idle", "closing", "claim", "evict"]),
         st.integers(0, 30),
         st.floats(0.0, 1.0),
     ),
@@ -78,37 +78,37 @@
 )
 
 
-@given(MOVES, st.integers(1, 6), st.integers(0, 3))
+@given(OPERATIONS, st.integers(1, 6), st.integers(0, 3))
 def test_slots_stay_within_their_bounds_and_the_tables_agree(
-    moves: list[tuple[str, int, float]],
+    operations: list[tuple[str, int, float]],
     regular: int,
     reserve: int,
 ) -> None:
     slots: ConnectionSlots[int] = ConnectionSlots(regular, reserve)
-    now, number, busy = 0.0, 0, set[int]()
-    for what, pick, later in moves:
-        now += later
-        here = list(slots.states)
-        one = here[pick % len(here)] if here else -1
-        if what == "accept" and slots.can_accept():
-            slots.add(number, now)
-            number += 1
-        elif what == "leave":
-            slots.remove(one, now)
-            busy.discard(one)
-        elif what == "claim" and one >= 0:
+    now, next_key, busy = 0.0, 0, set[int]()
+    for operation, index, delay_s in operations:
+        now += delay_s
+        keys = list(slots.states)
+        key = keys[index % len(keys)] if keys else -1
+        if operation == "accept" and slots.can_accept():
+            slots.add(next_key, now)
+            next_key += 1
+        elif operation == "remove":
+            slots.remove(key, now)
+            busy.discard(key)
+        elif operation == "claim" and key >= 0:
             before = slots.regular_in_use
-            assert slots.claim_regular_slot(one, now) or before == regular
-        elif what == "evict":
+            assert slots.claim_regular_slot(key, now) or before == regular
+        elif operation == "evict":
             found = list(slots.eviction_candidates(now))
             assert len(found) <= 3 * MAX_CANDIDATES_PER_STATE and not busy & set(found)
-            for key in found:
-                assert now - slots.entered_at[slots.states[key]][key] >= min(
+            for candidate in found:
+                assert now - slots.entered_at[slots.states[candidate]][candidate] >= min(
                     MIN_UNUSED_IN_BURST_S, MIN_CLOSING_S
                 )
-        elif what in ("busy", "idle", "closing"):
-            slots.set_state(one, ConnectionState[what.upper()], now)
-            (busy.add if what == "busy" else busy.discard)(one)
+        elif operation in ("busy", "idle", "closing"):
+            slots.set_state(key, ConnectionState[operation.upper()], now)
+            (busy.add if operation == "busy" else busy.discard)(key)
         assert len(slots) <= regular + reserve and slots.regular_in_use <= regular
         assert sum(map(len, slots.entered_at.values())) == len(slots)
         assert set(slots.in_reserve) <= set(slots.states)
@@ -116,9 +116,9 @@
             assert list(entries.values()) == sorted(entries.values())
 
 
-def test_the_backlog_is_as_long_as_what_is_accepted_in_the_target_wait() -> None:
+def test_the_backlog_is_as_long_as_the_accepts_within_the_target_wait() -> None:
     backlog, now = Backlog(), 0.0
-    for _ in range(200):  # 200 in each turn of 0.1 s, and more wait
+    for _ in range(200):  # 200 accepted every 0.1 s, and more are waiting
         backlog.record_accepted(200, True, now)
         now += 0.1
     assert 0.8 * 2_000 * TARGET_WAIT_S <= backlog.length <= 1.2 * 2_000 * TARGET_WAIT_S
@@ -126,7 +126,7 @@
         backlog.record_accepted(1, True, now)
         now += 0.1
     assert backlog.length == MIN_LENGTH
-    for _ in range(100):  # it empties each time: it grows again, and not at once
+    for _ in range(100):  # the queue empties each time: its length grows again, but not at once
         backlog.record_accepted(1, False, now)
         now += 0.1
         if now < 40.5:
@@ -134,16 +134,17 @@
     assert backlog.length == MAX_LENGTH
 
 
-def test_the_wait_in_the_backlog_is_bounded_by_what_was_seen() -> None:
+def test_the_wait_bound_follows_the_last_empty_queue_and_the_accept_rate() -> None:
     backlog = Backlog()
-    assert backlog.max_wait_s(50.0) == 0.0  # the queue has never been seen to last
+    assert backlog.max_wait_s(50.0) == 0.0  # no connection was left waiting so far
     backlog.record_accepted(3, False, 100.0)
-    assert backlog.max_wait_s(100.5) == 0.0  # it was empty when last looked at
+    assert backlog.max_wait_s(100.5) == 0.0  # the queue was empty when last checked
     backlog.record_accepted(64, True, 101.0)
-    assert backlog.max_wait_s(101.03) == pytest.approx(1.03)  # at most since it was last empty
+    # At most the time since the queue was last empty.
+    assert backlog.max_wait_s(101.03) == pytest.approx(1.03)
     for n in range(1, 30):
         backlog.record_accepted(100, True, 101.0 + n / 10)
-    # 1,000 a second, and the queue has shrunk to a twentieth of that: nobody waits for longer.
+    # At 1,000 accepts per second the queue has shrunk to a twentieth of that, which bounds the wait.
     assert backlog.max_wait_s(104.0) == pytest.approx((backlog.length + 1) / 1_000)
     assert backlog.max_wait_s(104.0) < 1.5 * TARGET_WAIT_S
     backlog.record_accepted(5, False, 104.1)
@@ -169,9 +170,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 64), st.booleans(), st.floats(0.0, 5.0)), max_size=100))
-def test_the_backlog_keeps_its_bounds(turns: list[tuple[int, bool, float]]) -> None:
+def test_the_backlog_stays_within_its_bounds(turns: list[tuple[int, bool, float]]) -> None:
     backlog, now = Backlog(), 0.0
-    for count, more, later in turns:
-        now += later
-        length = backlog.record_accepted(count, more, now)
+    for count, more_waiting, delay_s in turns:
+        now += delay_s
+        length = backlog.record_accepted(count, more_waiting, now)
         assert MIN_LENGTH <= backlog.length <= MAX_LENGTH and length in (None, backlog.length)
