--- a/tests/front_door/test_bans.py
+++ b/tests/front_door/test_bans.py
@@ -18,7 +18,7 @@
     StartAttempt,
 )
 from irisdeal.front_door.operator.bans import BackendBans
-from tests.front_door.test_operator import OPERATOR, figures, operate
+from tests.front_door.test_operator import OPERATOR, call_operator, scrape_metrics
 from tests.support.decisions_rig import MS, SECOND, GatewayHarness, actions_of_type, server_entry, server_id
 from tests.support.fake_peers import Peer, answer, ask, member, read_message, running, socket_test, whole_list
 
@@ -157,12 +157,14 @@
     async with Peer() as one, Peer() as two:
         known = whole_list(member("s-1", one.port), member("s-2", two.port))
         async with running(operator=OPERATOR, known=known) as front_door:
-            assert (await operate(front_door, "/backends/disable?target=s-9", "POST"))[0].startswith(
+            assert (await call_operator(front_door, "/backends/disable?target=s-9", "POST"))[0].startswith(
                 "HTTP/1.1 404"
             )
-            assert (await operate(front_door, "/backends/disable?target=s-1", "POST"))[2] == b"out\n"
-            assert (await operate(front_door, "/backends/disable?target=s-1", "POST"))[0] == "HTTP/1.1 200 OK"
-            metrics = await figures(front_door)
+            assert (await call_operator(front_door, "/backends/disable?target=s-1", "POST"))[2] == b"out\n"
+            assert (await call_operator(front_door, "/backends/disable?target=s-1", "POST"))[
+                0
+            ] == "HTTP/1.1 200 OK"
+            metrics = await scrape_metrics(front_door)
             assert (metrics["edge_members"], metrics["edge_members_unavailable"]) == (2, 1)
             front_door.program.pool.min_idle_s = 0.0
             client, to_front_door = await front_door.client()
@@ -177,7 +179,7 @@
             back.write(answer())
             await read_message(client)
             assert one.accepted.empty()
-            assert (await operate(front_door, "/backends/enable?target=s-1", "POST"))[2] == b"back\n"
+            assert (await call_operator(front_door, "/backends/enable?target=s-1", "POST"))[2] == b"back\n"
             to_front_door.write(ask(trace="b0"))
             await read_message((await one.connection())[0])  # its first use
-            assert (await figures(front_door))["edge_members_unavailable"] == 0
+            assert (await scrape_metrics(front_door))["edge_members_unavailable"] == 0
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -44,7 +44,7 @@
 from irisdeal.front_door.quota.quota_account import QuotaAccount
 from irisdeal.front_door.server.host import Host
 from irisdeal.front_door.server.program import Program
-from tests.front_door.test_operator import operate
+from tests.front_door.test_operator import call_operator
 from tests.support.decisions_rig import CEILED, MS, SECOND, GatewayHarness, server_entry, server_id
 from tests.support.fake_peers import (
     Peer,
@@ -98,7 +98,7 @@
 # State
 
 
-def worked(seed: int = 1, **changes: object) -> GatewayHarness:
+def used_gateway(seed: int = 1, **changes: object) -> GatewayHarness:
     """Return a gateway that has served customers of every plan, with a cold server and a banned one."""
     rig = GatewayHarness(seed=seed, **changes)  # type: ignore[arg-type]
     rig.handle(
@@ -144,7 +144,7 @@
 
 
 def test_a_new_process_imports_the_state_of_the_old_one() -> None:
-    old = worked()
+    old = used_gateway()
     cold = old.gateway.servers[server_id(1)]
     new, _ = hand_over(old)
     exported, imported = (
@@ -163,7 +163,7 @@
 
 
 def test_tokens_are_split_and_unreported_demand_is_moved() -> None:
-    old = worked()
+    old = used_gateway()
     stores = {key: c.refill(old.now) for key, c in old.gateway.tenants.items()}
     owed = {key: c.unreported_demand for key, c in old.gateway.tenants.items()}
     new, _ = hand_over(old)
@@ -176,7 +176,7 @@
 
 
 def test_a_damaged_state_costs_knowledge_but_never_a_start() -> None:
-    old = worked()
+    old = used_gateway()
     state = json.loads(json.dumps(export_state(old.gateway, old.now, HALF_SHARE)))
     chance = random.Random(5)
     junk: list[object] = [None, "x", -1, 1e300, float("nan"), [], {}, True, 2**70, [[1]], "\ud800"]
@@ -261,7 +261,7 @@
 def test_two_processes_together_keep_to_the_ceiling_of_one_front_door(seed: int) -> None:
     """A customer with a ceiling sends all it can to both, through a handover and the end of one of them."""
     chance = random.Random(seed)
-    old = worked(seed, has_counter=False)
+    old = used_gateway(seed, has_counter=False)
     plan = old.settings.plans[CEILED]
     units = list[int]()
     old_ends, handed_over_at, ended_at = (
@@ -365,15 +365,15 @@
         async with Peer() as backend, Peer() as other:
             known = whole_list(member("s-1", backend.port), member("s-2", other.port), revision=7)
             async with program(folder, known=known) as old:
-                await operate(old, "/backends/disable?target=s-2", "POST")
+                await call_operator(old, "/backends/disable?target=s-2", "POST")
                 async with program(folder) as new:  # with no server list of its own
                     await wait_for_stage(old, Stage.DRAINING)
                     assert new.program.clients.port() == old.program.clients.port()
-                    assert (await operate(new, "/ready"))[0] == "HTTP/1.1 200 OK"
+                    assert (await call_operator(new, "/ready"))[0] == "HTTP/1.1 200 OK"
                     assert new.program.discovery.schedule.version == 7
                     gateway = new.program.decision_loop.decider
                     assert isinstance(gateway, Gateway) and list(gateway.disabled_servers) == [b"s-2"]
-                    assert " 404 " in (await operate(new, "/backends/enable?target=s-9", "POST"))[0]
+                    assert " 404 " in (await call_operator(new, "/backends/enable?target=s-9", "POST"))[0]
                     # Both share one accept queue, and the new one accepts.
                     reader, writer = await old.client()
                     writer.write(ask())
@@ -391,7 +391,7 @@
                     end(old)
                     await wait_for_stage(new, Stage.ALONE)
                     assert gateway.ceiling_share == 1.0 and new.program.pool.max_connections > halves[1] / 2
-                    assert (await operate(new, "/backends/enable?target=s-2", "POST"))[2] == b"back\n"
+                    assert (await call_operator(new, "/backends/enable?target=s-2", "POST"))[2] == b"back\n"
 
 
 @socket_test
--- a/tests/front_door/test_operator.py
+++ b/tests/front_door/test_operator.py
@@ -117,7 +117,9 @@
     assert parse(base).operator is None
 
 
-async def operate(front_door: Running, call: str, method: str = "GET") -> tuple[str, dict[str, str], bytes]:
+async def call_operator(
+    front_door: Running, call: str, method: str = "GET"
+) -> tuple[str, dict[str, str], bytes]:
     assert front_door.program.operator is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", front_door.program.operator.listener.port())
     writer.write(f"{method} {call} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -127,8 +129,8 @@
     return message
 
 
-async def figures(front_door: Running) -> dict[str, int]:
-    line, headers, text = await operate(front_door, "/metrics")
+async def scrape_metrics(front_door: Running) -> dict[str, int]:
+    line, headers, text = await call_operator(front_door, "/metrics")
     assert (line, headers["content-type"]) == ("HTTP/1.1 200 OK", "text/plain; version=0.0.4; charset=utf-8")
     return {name: int(value) for name, value in re.findall(r"^(edge_\S+) (\d+)$", text.decode(), re.M)}
 
@@ -139,21 +141,21 @@
 @socket_test
 async def test_ready_once_a_list_is_known_and_not_while_shutting_down() -> None:
     async with running(operator=OPERATOR) as front_door:
-        assert (await operate(front_door, "/ready"))[0].startswith("HTTP/1.1 503")
+        assert (await call_operator(front_door, "/ready"))[0].startswith("HTTP/1.1 503")
     async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as front_door:
-        assert (await operate(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
+        assert (await call_operator(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
         front_door.program.stop()
-        assert (await operate(front_door, "/ready"))[2] == b"not ready: shutting down\n"
+        assert (await call_operator(front_door, "/ready"))[2] == b"not ready: shutting down\n"
 
 
 @socket_test
 async def test_invalid_calls_get_an_error_status() -> None:
     async with running(operator=OPERATOR, known=whole_list(member("s-1", 9))) as front_door:
-        assert (await operate(front_door, "/nothing"))[0].startswith("HTTP/1.1 404")
-        line, headers, _ = await operate(front_door, "/ready", "PUT")
+        assert (await call_operator(front_door, "/nothing"))[0].startswith("HTTP/1.1 404")
+        line, headers, _ = await call_operator(front_door, "/ready", "PUT")
         assert (line, headers["allow"]) == ("HTTP/1.1 405 Method Not Allowed", "GET")
-        assert (await operate(front_door, "/ready?" + "x" * 9000))[0].startswith("HTTP/1.1 431")
-        assert (await operate(front_door, "/ready\r\nnoise"))[0].startswith("HTTP/1.1 400")
+        assert (await call_operator(front_door, "/ready?" + "x" * 9000))[0].startswith("HTTP/1.1 431")
+        assert (await call_operator(front_door, "/ready\r\nnoise"))[0].startswith("HTTP/1.1 400")
 
 
 @socket_test
@@ -165,7 +167,7 @@
         for _ in range(2 * MAX_OPERATOR_CONNECTIONS):
             silent.append(await asyncio.open_connection("127.0.0.1", port))
             silent[-1][1].write(b"GET /rea")
-        assert (await operate(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
+        assert (await call_operator(front_door, "/ready"))[0] == "HTTP/1.1 200 OK"
         with contextlib.suppress(ConnectionResetError):
             assert await silent[0][0].read() == b""
         assert len(front_door.program.operator.connections) <= MAX_OPERATOR_CONNECTIONS
@@ -179,7 +181,7 @@
         decider = Script(lambda event: send_all(event))
         known = whole_list(member("s-1", backend.port))
         async with running(decider, operator=OPERATOR, known=known) as front_door:
-            start = await figures(front_door)
+            start = await scrape_metrics(front_door)
             assert start['edge_completed_total{lane="look"}'] == start['edge_failed_total{lane="file"}'] == 0
 
             async def one(kind: str, trace: str, reply: bytes | None) -> None:
@@ -187,7 +189,7 @@
                 writer.write(ask(kind, trace))
                 from_front_door, to_front_door = await backend.connection()
                 await read_message(from_front_door)
-                assert (await figures(front_door))["edge_pending"] == 1
+                assert (await scrape_metrics(front_door))["edge_pending"] == 1
                 if reply is None:
                     writer.transport.abort()
                     while front_door.program.clients.pending:
@@ -205,7 +207,7 @@
             await front_door.call(ask("look", "a5", X_Expires_In="1m"))
             await front_door.call(ask("look", "a6", Account="x"))  # malformed
             await front_door.call(ask("none", "a7"))  # of an unknown class: not counted
-            metrics = await figures(front_door)
+            metrics = await scrape_metrics(front_door)
             assert metrics['edge_completed_total{lane="look"}'] == 1
             assert metrics['edge_completed_total{lane="file"}'] == 1
             assert metrics['edge_failed_total{lane="look"}'] == 2
--- a/tests/front_door/test_streaming.py
+++ b/tests/front_door/test_streaming.py
@@ -32,7 +32,7 @@
     MIN_BODY_BYTES_PER_S,
     ReceiveProgress,
 )
-from tests.front_door.test_operator import OPERATOR, figures
+from tests.front_door.test_operator import OPERATOR, scrape_metrics
 from tests.support.decisions_rig import CEILED, MS, SECOND, GatewayHarness, actions_of_type
 from tests.support.fake_peers import (
     Peer,
@@ -252,7 +252,7 @@
                 assert line == "HTTP/1.1 200 OK" and got == data
                 assert ("content-length" in headers) is (how == "length" or size <= 65_536)
                 await sending
-            metrics = await figures(front_door)
+            metrics = await scrape_metrics(front_door)
             assert metrics['edge_completed_total{lane="look"}'] == 2 and metrics["edge_pending"] == 0
             assert (
                 front_door.program.clients.budget is not None
@@ -290,7 +290,7 @@
             from_front_door, to_front_door = await backend.connection()
             headers, got = await read_upload(from_front_door)
             assert (headers["x-trace-id"], got) == ("u1", data)
-            assert (await figures(front_door))["edge_upstream_requests_total"] == 1
+            assert (await scrape_metrics(front_door))["edge_upstream_requests_total"] == 1
             to_front_door.write(answer(200, b"filed"))
             assert (await read_message(reader))[2] == b"filed"
             await sending
@@ -351,7 +351,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await reader.readexactly(LONG)
             assert backend.accepted.empty()  # no further attempt
-        metrics = await figures(front_door)
+        metrics = await scrape_metrics(front_door)
         assert metrics['edge_failed_total{lane="look"}'] == 2 and metrics["edge_pending"] == 0
 
 
@@ -371,7 +371,7 @@
             await asyncio.sleep(0)
         assert (
             front_door.program.decision_loop.unanswered_count == 0
-            and (await figures(front_door))["edge_pending"] == 0
+            and (await scrape_metrics(front_door))["edge_pending"] == 0
         )
 
 
@@ -385,7 +385,7 @@
         writer.transport.abort()
         with contextlib.suppress(ConnectionResetError):
             await from_front_door.read()
-        metrics = await figures(front_door)
+        metrics = await scrape_metrics(front_door)
         assert metrics["edge_upstream_requests_total"] == 0 and metrics["edge_pending"] == 0
 
 
--- a/tests/support/wire_formats.py
+++ b/tests/support/wire_formats.py
@@ -76,7 +76,7 @@
 )
 from irisdeal.rpc.calls import CALLS, CANCEL
 from irisdeal.rpc.frames import HELLO_REQUEST_ID, NOTIFICATION_REQUEST_ID, FrameReader, encode
-from tests.front_door.test_handover import worked
+from tests.front_door.test_handover import used_gateway
 from tests.support.exchange import Call, record_exchange
 
 DATA = Path(__file__).parent.parent / "data" / "frames.json"
@@ -457,7 +457,7 @@
 
 def handover() -> dict[str, str]:
     """Return in hex the messages of a handover, and the state of the gateway that took over."""
-    old = worked()
+    old = used_gateway()
     decoded = export_state(old.gateway, old.now, HALF_SHARE)
     old.handle(CeilingShareChanged(HALF_SHARE, False))
     state = encode_message({**decoded, "sockets": 300, "ids": ["i-1"], "list": {"members": []}})
@@ -482,7 +482,7 @@
 
 def taken_over(state: bytes) -> bytes:
     """Return the state that a new gateway would hand over after it received this state and the list."""
-    old, decoded = worked(), read_handover(state)
+    old, decoded = used_gateway(), read_handover(state)
     new = Gateway(old.settings, 99)
     entries = tuple(server.listed_entry() for server in old.gateway.servers.values())
     new.handle(
