--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from irisdeal.demo.deployment import free_port
-from irisdeal.demo.usage import Use, measure
+from irisdeal.demo.usage import ProcessUsage, measure_usage
 from irisdeal.testbed.counter_service import CounterServer
 from irisdeal.testbed.discovery_service import DiscoveryServer, Endpoint
 from irisdeal.testbed.front_door_settings import front_door_settings
@@ -120,10 +120,10 @@
 async def turn(load_: Load, pid: int, rate: float, seconds: float) -> Turn:
     await load_.run(rate, WARM)
     load_.took.clear()
-    before, after = Use(), Use()
-    measure(pid, before)
+    before, after = ProcessUsage(), ProcessUsage()
+    measure_usage(pid, before)
     await load_.run(rate, seconds)
-    measure(pid, after)
+    measure_usage(pid, after)
     took = sorted(load_.took)
     return Turn(
         ((after.cpu or 0) - (before.cpu or 0)) / len(took),
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from irisdeal.demo.deployment import Deploy
+from irisdeal.demo.deployment import Deployment
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.request_log import SECOND
 from irisdeal.testbed.scenario_files import parse
@@ -107,7 +107,7 @@
 
 def played(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
     """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
-    deploy = Deploy(root, f"exec {sys.executable} -m irisdeal")
+    deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
     return asyncio.run(play(draw(parse(DAY + FAULTS[fault]), seed), deploy))
 
 
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -16,7 +16,7 @@
 import sys
 from pathlib import Path
 
-from irisdeal.demo.deployment import Deploy
+from irisdeal.demo.deployment import Deployment
 from irisdeal.demo.run import Outcome, play
 from irisdeal.front_door.quota.quota_account import LOCAL_SHARES, US_PER_S, QuotaAccount
 from irisdeal.testbed.quota_overshoot import Refusals, refusals
@@ -78,7 +78,7 @@
 
 def played(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
     """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
-    deploy = Deploy(root, f"exec {sys.executable} -m irisdeal")
+    deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
     return asyncio.run(play(draw(parse(DAY + FAULTS[fault][0]), seed), deploy))
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from irisdeal.demo.deployment import find_deploy
+from irisdeal.demo.deployment import find_deployment
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.audit import Rule
 from irisdeal.testbed.scenario import Fault, Scenario
@@ -82,7 +82,7 @@
     parser.add_argument("--deploy", type=Path, default=None, help="whose run line starts the doors")
     parser.add_argument("--json", type=Path, default=None)
     told = parser.parse_args()
-    deploy = find_deploy(Path.cwd(), told.deploy)
+    deploy = find_deployment(Path.cwd(), told.deploy)
     lines: list[dict[str, Any]] = []
     for sockets in told.sockets:
         for seed in range(1, told.seeds + 1):
--- a/benchmarks/sim_fidelity.py
+++ b/benchmarks/sim_fidelity.py
@@ -19,13 +19,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from irisdeal.demo.deployment import Deploy
+from irisdeal.demo.deployment import Deployment
 from irisdeal.demo.run import play as play_real
 from irisdeal.simulation.search.front_door_day import play as play_virtual
 from irisdeal.testbed import scenario_files as scenarios
 from irisdeal.testbed.workload import draw
 
-HERE = Deploy(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
+HERE = Deployment(Path(__file__).parent.parent, f"exec {sys.executable} -m irisdeal")
 # Played in both worlds; the rest want several processes of terminals, or strangers by the thousand.
 USUAL = ("calm", "drains", "hang", "keeper-down", "door-kill", "hall-cut")
 
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -22,7 +22,7 @@
 from irisdeal.cli.zones import zones
 
 if TYPE_CHECKING:
-    from irisdeal.demo.deployment import Deploy
+    from irisdeal.demo.deployment import Deployment
     from irisdeal.demo.run import Outcome
     from irisdeal.testbed.workload import Day
 
@@ -137,7 +137,7 @@
 
     Example: irisdeal demo --scenario hall-cut --doors 4 --seed 7
     """
-    from irisdeal.demo.deployment import DemoError, find_deploy
+    from irisdeal.demo.deployment import DemoError, find_deployment
     from irisdeal.demo.report import as_json
     from irisdeal.demo.tables import show
     from irisdeal.testbed import scenario_files as scenarios
@@ -154,7 +154,7 @@
     try:
         scenario = scenarios.load(name)
         day = draw(scenario.resized(doors, seconds), scenario.seed if seed is None else seed)
-        deploy = find_deploy(Path.cwd(), deploy_file)
+        deploy = find_deployment(Path.cwd(), deploy_file)
         outcome = _play(day, deploy, out is not None and str(out) == "-", reports)
     except (ScenarioError, DemoError, ValueError) as error:
         raise Unusable(str(error)) from None
@@ -172,7 +172,7 @@
     sys.exit(0 if outcome.kept else 1)
 
 
-def _play(day: Day, deploy: Deploy, quiet: bool, reports: Path | None) -> Outcome:
+def _play(day: Day, deploy: Deployment, quiet: bool, reports: Path | None) -> Outcome:
     """Play with a progress bar on standard error; Ctrl-C and SIGTERM end it in good order, twice at once."""
     import uvloop
 
--- a/irisdeal/demo/deployment.py
+++ b/irisdeal/demo/deployment.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deploy:
+class Deployment:
     """How front doors are built and run: the two lines and the folder that they are run in."""
 
     root: Path
@@ -25,7 +25,7 @@
     build: str = ""
 
 
-def find_deploy(start: Path, path: Path | None = None) -> Deploy:
+def find_deployment(start: Path, path: Path | None = None) -> Deployment:
     """`deploy/balancer.toml` in a folder or above it; without one, this interpreter's own `-m irisdeal`."""
     candidates = (
         [path]
@@ -41,13 +41,13 @@
             run, build = deployment.get("run"), deployment.get("build", "")
             if not isinstance(run, str) or not isinstance(build, str):
                 raise DemoError(f"{candidate}: run: wanted the line that starts a door")
-            return Deploy(candidate.resolve().parent.parent, run, build)
+            return Deployment(candidate.resolve().parent.parent, run, build)
     if path is not None:
         raise DemoError(f"{path}: no such file")
-    return Deploy(start, f"exec {sys.executable} -m irisdeal")
+    return Deployment(start, f"exec {sys.executable} -m irisdeal")
 
 
-async def build(deploy: Deploy) -> None:
+async def build(deploy: Deployment) -> None:
     """Run the deployment's `build` line; quick where everything is built already."""
     if not deploy.build:
         return
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.demo.deployment import DemoError, Deploy, own_address
-from irisdeal.demo.usage import Use, measure
+from irisdeal.demo.deployment import DemoError, Deployment, own_address
+from irisdeal.demo.usage import ProcessUsage, measure_usage
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.load_processes import LoadProcesses
 from irisdeal.testbed.platform import Platform
@@ -39,7 +39,7 @@
     incarnation: FrontDoorIncarnation | None = None
     wanted: bool = True  # an end that nobody asked for is a crash
     turn: int = 0  # of kills and restarts: the last one alone brings it back
-    uses: list[Use] = field(default_factory=list)
+    uses: list[ProcessUsage] = field(default_factory=list)
     log: bytearray = field(default_factory=bytearray)
     reader: asyncio.Task[None] | None = None
     watcher: asyncio.Task[None] | None = None
@@ -53,7 +53,7 @@
 class FrontDoorProcesses:
     """The front doors of one run. Implements what the platform's timeline asks of front doors."""
 
-    def __init__(self, platform: Platform, deploy: Deploy, folder: Path, seed: int) -> None:
+    def __init__(self, platform: Platform, deploy: Deployment, folder: Path, seed: int) -> None:
         self.platform, self.deploy, self.folder = platform, deploy, folder
         self.random = random.Random(seed)
         self.front_doors = [
@@ -93,7 +93,7 @@
             front_door.number, front_door.process.pid, self.platform.now()
         )
         front_door.wanted = True
-        front_door.uses.append(Use())
+        front_door.uses.append(ProcessUsage())
         self.platform.request_log.front_doors.append(front_door.incarnation)
         loop = asyncio.get_running_loop()
         front_door.log = bytearray()
@@ -103,7 +103,7 @@
         )
         await self._wait_until_ready(front_door)
         front_door.incarnation.ready = self.platform.now()
-        measure(front_door.process.pid, front_door.uses[-1])
+        measure_usage(front_door.process.pid, front_door.uses[-1])
         front_door.uses[-1].start_cpu = front_door.uses[-1].cpu or 0
 
     def _environment(self, front_door: _FrontDoor) -> dict[str, str]:
@@ -290,11 +290,11 @@
     def _measure_all(self) -> None:
         for front_door in self.front_doors:
             if front_door.process is not None and front_door.process.returncode is None:
-                measure(front_door.process.pid, front_door.uses[-1])
+                measure_usage(front_door.process.pid, front_door.uses[-1])
 
-    def use(self, front_door: int) -> Use:
+    def use(self, front_door: int) -> ProcessUsage:
         """Over all lives of a front door: CPU added up, the most of the others."""
-        total = Use()
+        total = ProcessUsage()
         for use in self.front_doors[front_door].uses:
             total.cpu = use.cpu if total.cpu is None else total.cpu + (use.cpu or 0)
             total.memory = max((m for m in (total.memory, use.memory) if m is not None), default=None)
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from irisdeal.demo.deployment import DemoError, Deploy, build
+from irisdeal.demo.deployment import DemoError, Deployment, build
 from irisdeal.demo.processes import FrontDoorProcesses, make_folder
-from irisdeal.demo.usage import Use
+from irisdeal.demo.usage import ProcessUsage
 from irisdeal.testbed.audit import Verdict, audit
 from irisdeal.testbed.capacity_bound import reference
 from irisdeal.testbed.load_generator import LoadGenerator
@@ -18,7 +18,7 @@
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.quota_overshoot import TenantUsage, tenant_usage
 from irisdeal.testbed.request_log import RequestLog
-from irisdeal.testbed.service_report import MannerUse, Service, manners, reckon
+from irisdeal.testbed.service_report import MannerUse, Service, manners, summarize_service
 from irisdeal.testbed.site_frames import SiteError
 from irisdeal.testbed.workload import Day
 
@@ -35,7 +35,7 @@
     request_log: RequestLog
     verdict: Verdict
     service: Service
-    uses: list[Use]
+    uses: list[ProcessUsage]
     own_cpu: int  # µs of this process: all test services
     start: int
     crashes: list[str] = field(default_factory=list)
@@ -58,7 +58,7 @@
 
 async def play(
     day: Day,
-    deploy: Deploy,
+    deploy: Deployment,
     progress: Callable[[float], None] = lambda _: None,
     interrupted: asyncio.Event | None = None,
     started: Callable[[list[int]], None] = lambda _: None,
@@ -180,7 +180,7 @@
         day,
         request_log,
         audit(request_log, platform.figures),
-        reckon(request_log, scenario, start),
+        summarize_service(request_log, scenario, start),
         [front_doors.use(number) for number in platform.front_doors],
         played.own_cpu,
         start,
--- a/irisdeal/demo/usage.py
+++ b/irisdeal/demo/usage.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class ProcessUsage:
     """What one process used. CPU in µs since it was ready; memory in bytes and descriptors, the most of each.
 
     None where this machine does not tell.
@@ -23,7 +23,7 @@
     files: int | None = None
 
 
-def measure(pid: int, use: Use) -> None:
+def measure_usage(pid: int, use: ProcessUsage) -> None:
     """Measure what a process uses, from /proc; nothing where there is none (not Linux)."""
     with suppress(OSError, ValueError, IndexError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
--- a/irisdeal/simulation/search/front_door_day.py
+++ b/irisdeal/simulation/search/front_door_day.py
@@ -31,7 +31,7 @@
 from irisdeal.testbed.load_generator import LoadGenerator
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import FrontDoorIncarnation, LinkFault, RequestLog
-from irisdeal.testbed.service_report import Service, reckon
+from irisdeal.testbed.service_report import Service, summarize_service
 from irisdeal.testbed.workload import Day, stream
 
 START_UNIX_TIME_US = 1_700_000_000_000_000  # Unix time when the world's clock is 0
@@ -380,7 +380,7 @@
                 request_log.client_attempts,
                 request_log.endpoint_notices,
                 request_log.incarnations,
-                request_log.fallen,
+                request_log.overload_failures,
                 request_log.front_doors,
                 request_log.link_faults,
                 request_log.faults,
@@ -455,7 +455,7 @@
         day,
         request_log,
         audit(request_log, platform.figures),
-        reckon(request_log, day.scenario, found.get("start", START_UNIX_TIME_US)),
+        summarize_service(request_log, day.scenario, found.get("start", START_UNIX_TIME_US)),
         found.get("start", START_UNIX_TIME_US),
         world.trace,
         world.seconds(),
--- a/irisdeal/simulation/search/timeline.py
+++ b/irisdeal/simulation/search/timeline.py
@@ -17,8 +17,14 @@
             lines += _incarnation_lines(incarnation)
     found = False
     if trace:
-        ask = next((t.ask for t in request_log.client_attempts if t.trace == trace), None)
-        client_attempts = [t for t in request_log.client_attempts if t.ask == ask and ask is not None]
+        request_number = next(
+            (t.request_number for t in request_log.client_attempts if t.trace == trace), None
+        )
+        client_attempts = [
+            t
+            for t in request_log.client_attempts
+            if t.request_number == request_number and request_number is not None
+        ]
         names = {t.trace for t in client_attempts}
         found = bool(client_attempts)
         for client_attempt in client_attempts:
@@ -37,7 +43,11 @@
             for incarnation in request_log.incarnations
             if incarnation.backend == box and incarnation.at
         ]
-        lines += [(at, f"{box} falls over, life {n}") for name, n, at in request_log.fallen if name == box]
+        lines += [
+            (at, f"{box} falls over, life {n}")
+            for name, n, at in request_log.overload_failures
+            if name == box
+        ]
     if door is not None:
         found = found or any(incarnation.front_door == door for incarnation in request_log.front_doors)
         for client_attempt in (t for t in request_log.client_attempts if t.front_door == door):
--- a/irisdeal/testbed/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -24,7 +24,7 @@
 from irisdeal.testbed.request_log import Clock, End, RequestLog
 from irisdeal.testbed.scenario import Scenario, ScenarioError
 from irisdeal.testbed.scenario_files import load
-from irisdeal.testbed.service_report import reckon
+from irisdeal.testbed.service_report import summarize_service
 from irisdeal.testbed.workload import draw, machine
 
 MAX_FRONT_DOORS = 16  # addresses that one service listens on
@@ -161,7 +161,7 @@
     start = now()
     await load_generator.run(start)
     load_generator.close()
-    service = reckon(request_log, day.scenario, start)
+    service = summarize_service(request_log, day.scenario, start)
     # What was within a quota is seen at the backends alone: only what the clients saw is printed.
     figures = {
         "first_tries": service.first_attempts,
--- a/irisdeal/testbed/audit/slow_start.py
+++ b/irisdeal/testbed/audit/slow_start.py
@@ -39,7 +39,7 @@
         what = f"{work / 1e6:.2f} s of work in one window, {budget / 1e6:.2f} s allowed"
         times = (incarnations[which].at, attempt.last_byte)
         yield Breach(Rule.COLD, what, attempt.trace, (which[0],), times, allowed)
-    for backend, number, at in request_log.fallen:
+    for backend, number, at in request_log.overload_failures:
         blamed = _blamed(sent.get((backend, number), []), at, figures)
         if (backend, number) not in overloaded and blamed:
             yield Breach(Rule.COLD, "it fell over", backend, (backend,), (at,), allowed)
--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -222,7 +222,7 @@
         verdict = self.model.arrive(job)
         if verdict is Admission.FALLEN:
             self.fell = True
-            self.request_log.fallen.append((self.name, self.incarnation.incarnation, self.now()))
+            self.request_log.overload_failures.append((self.name, self.incarnation.incarnation, self.now()))
             return self.crash()
         if verdict is not Admission.TAKEN:
             return self._reject(connection, attempt, verdict.name.lower())
--- a/irisdeal/testbed/digest_text.py
+++ b/irisdeal/testbed/digest_text.py
@@ -28,6 +28,7 @@
     "slow_start": "cold",
     "tenant": "store",
     "disconnected_at": "cut",
+    "request_number": "ask",
 }
 
 
--- a/irisdeal/testbed/load_generator.py
+++ b/irisdeal/testbed/load_generator.py
@@ -101,7 +101,7 @@
         self.alive.add(front_door)
         self.leaving.discard(front_door)
 
-    # One ask
+    # One request
 
     def _begin(self, arrival: Arrival) -> None:
         if self.stopped:
@@ -116,7 +116,7 @@
         kind, tenant = scenario.classes[arrival.kind], self.day.tenants[arrival.tenant]
         due = self.now()
         until = due + round(kind.deadline_ms * 1000)
-        key = claim_key(self.day.seed, arrival.ask) if kind.repeat == "keyed" else ""
+        key = claim_key(self.day.seed, arrival.request_number) if kind.repeat == "keyed" else ""
         front_door = -1
         for attempt in itertools.count():
             if attempt and until - self.now() < MIN_ATTEMPT * 1e6:
@@ -124,8 +124,8 @@
             front_door = self._choose_front_door(arrival.tenant, front_door)
             wait = min(round(kind.deadline_ms * 1000 * load.attempt_share), until - self.now())
             client_attempt = ClientAttempt(
-                trace(self.day.seed, arrival.ask, attempt),
-                arrival.ask,
+                trace(self.day.seed, arrival.request_number, attempt),
+                arrival.request_number,
                 attempt,
                 key,
                 kind.name,
--- a/irisdeal/testbed/remote_services.py
+++ b/irisdeal/testbed/remote_services.py
@@ -129,13 +129,13 @@
             self.counter_calls += calls
             request_log.attempts += site_log.attempts
             request_log.incarnations += site_log.incarnations
-            request_log.fallen += site_log.fallen
+            request_log.overload_failures += site_log.overload_failures
             request_log.link_faults += site_log.link_faults
         request_log.attempts.sort(key=lambda attempt: (attempt.last_byte, attempt.trace))
         request_log.incarnations.sort(
             key=lambda incarnation: (incarnation.at, incarnation.backend, incarnation.incarnation)
         )
-        request_log.fallen.sort(key=lambda fallen: fallen[2])
+        request_log.overload_failures.sort(key=lambda failure: failure[2])
         request_log.most_late = max(
             [request_log.lateness, *(late for site_log, _ in found for _, late in site_log.stalls)]
         )
--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -85,7 +85,7 @@
     """One attempt of a client at one front door, sent at `at`; 0 where no connection came up."""
 
     trace: str
-    ask: int  # the first attempt and its retries share this number
+    request_number: int  # the first attempt and its retries share this number
     attempt: int  # 0 for the first attempt
     key: str
     kind: str
@@ -169,7 +169,7 @@
     client_attempts: list[ClientAttempt] = field(default_factory=list)
     endpoint_notices: list[EndpointNotice] = field(default_factory=list)
     incarnations: list[BackendIncarnation] = field(default_factory=list)
-    fallen: list[tuple[str, int, int]] = field(default_factory=list)  # backend, life, µs
+    overload_failures: list[tuple[str, int, int]] = field(default_factory=list)  # backend, life, µs
     front_doors: list[FrontDoorIncarnation] = field(default_factory=list)
     link_faults: list[LinkFault] = field(default_factory=list)
     pauses: list[tuple[int, int, int]] = field(
--- a/irisdeal/testbed/service_report.py
+++ b/irisdeal/testbed/service_report.py
@@ -82,7 +82,7 @@
         return self.latencies[min(len(self.latencies) - 1, int(share * len(self.latencies)))] / 1000
 
 
-def reckon(request_log: RequestLog, scenario: Scenario, start: int) -> Service:
+def summarize_service(request_log: RequestLog, scenario: Scenario, start: int) -> Service:
     """Compute the service of one run that began at `start` (µs)."""
     made = Service(
         kinds={c.name: Share() for c in scenario.classes}, plans={p.name: Share() for p in scenario.plans}
@@ -119,7 +119,7 @@
     """Group the client attempts of each request; in the order of their first attempts."""
     by_ask: dict[int, list[ClientAttempt]] = defaultdict(list)
     for client_attempt in request_log.client_attempts:
-        by_ask[client_attempt.ask].append(client_attempt)
+        by_ask[client_attempt.request_number].append(client_attempt)
     return sorted(by_ask.values(), key=lambda client_attempts: client_attempts[0].due)
 
 
@@ -189,7 +189,7 @@
 def manners(
     request_log: RequestLog, scenario: Scenario, manner_of: dict[int, str], start: int
 ) -> dict[str, MannerUse]:
-    """Compute the service by the manner in which tenants ask; `manner_of` by customer."""
+    """Compute the service by the manner in which tenants send requests; `manner_of` by customer."""
     made = {manner: MannerUse() for manner in sorted(set(manner_of.values()))}
     for manner in manner_of.values():
         made[manner].tenants += 1
--- a/irisdeal/testbed/workload.py
+++ b/irisdeal/testbed/workload.py
@@ -71,7 +71,7 @@
     at: int
     tenant: int
     kind: int
-    ask: int
+    request_number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -244,8 +244,8 @@
             if rng.random() * top < _rate(tenant, plan_rate, swells, now):
                 found.append((now, n, rng.choices(kinds, weights)[0]))
     found.sort()
-    for ask, (now, n, kind) in enumerate(found):
-        yield Arrival(now, n, kind, ask)
+    for request_number, (now, n, kind) in enumerate(found):
+        yield Arrival(now, n, kind, request_number)
 
 
 def _rate(tenant: Tenant, plan_rate: float, swells: list[tuple[int, int, float]], now: int) -> float:
@@ -255,14 +255,14 @@
     return rate * math.prod(size for start, end, size in swells if start <= now < end)
 
 
-def trace(seed: int, ask: int, attempt: int) -> str:
+def trace(seed: int, request_number: int, attempt: int) -> str:
     """Return the id of a client attempt: 16 hex digits, never the same for two of one seed."""
-    return hashlib.blake2b(f"{seed}:{ask}:{attempt}".encode(), digest_size=8).hexdigest()
+    return hashlib.blake2b(f"{seed}:{request_number}:{attempt}".encode(), digest_size=8).hexdigest()
 
 
-def claim_key(seed: int, ask: int) -> str:
+def claim_key(seed: int, request_number: int) -> str:
     """Return the key of a keyed request: the same for a client's retries of it."""
-    return hashlib.blake2b(f"key:{seed}:{ask}".encode(), digest_size=16).hexdigest()
+    return hashlib.blake2b(f"key:{seed}:{request_number}".encode(), digest_size=16).hexdigest()
 
 
 def work(seed: int, name: str, kind: Class) -> int:
--- a/tests/support/run_digests.py
+++ b/tests/support/run_digests.py
@@ -428,7 +428,7 @@
     recorder.note(
         request_log.endpoint_notices,
         request_log.incarnations,
-        request_log.fallen,
+        request_log.overload_failures,
         request_log.link_faults,
         request_log.pauses,
         list(request_log.misbehaving_clients.values()),
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -65,7 +65,7 @@
 def client_attempt(*answers: Answer, **changes: object) -> ClientAttempt:
     base: dict[str, object] = {
         "trace": "t",
-        "ask": 1,
+        "request_number": 1,
         "attempt": 0,
         "key": "",
         "kind": "check",
@@ -300,7 +300,7 @@
     assert len(found) == 1 and found[0].startswith("COLD: 5.00 s of work in one window, 4.50 s allowed")
     spread = [attempt(at + n * 250 * MS, trace=f"t{n}", work=SECOND // 2) for n in range(20)]
     assert broken(incarnations=[incarnation], attempts=spread, endpoint_notices=told) == []
-    assert broken(fallen=[("s1", 0, at)]) == ["COLD: it fell over"]
+    assert broken(overload_failures=[("s1", 0, at)]) == ["COLD: it fell over"]
     assert (
         broken(
             incarnations=[BackendIncarnation("s1", "a", 0, 0, 2.0, 0.25, 10 * SECOND)],
@@ -324,10 +324,13 @@
     )
     late = [EndpointNotice(front_door, at + 1, "s1", "Ready", incarnation.at) for front_door in range(3)]
     assert (
-        broken(incarnations=[incarnation], attempts=ten, endpoint_notices=late, fallen=[("s1", 0, at)]) == []
+        broken(
+            incarnations=[incarnation], attempts=ten, endpoint_notices=late, overload_failures=[("s1", 0, at)]
+        )
+        == []
     )
     assert broken(
-        incarnations=[incarnation], attempts=nine, endpoint_notices=told, fallen=[("s1", 0, at)]
+        incarnations=[incarnation], attempts=nine, endpoint_notices=told, overload_failures=[("s1", 0, at)]
     ) == ["COLD: it fell over"]
 
 
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.deployment import DemoError, Deploy, find_deploy
+from irisdeal.demo.deployment import DemoError, Deployment, find_deployment
 from irisdeal.demo.processes import FrontDoorProcesses
 from irisdeal.testbed.audit import audit
 from irisdeal.testbed.load_generator import LoadGenerator
@@ -24,7 +24,7 @@
 from tests.support.front_door_rig import SMALL
 
 ROOT = Path(__file__).parents[2]
-HERE = Deploy(ROOT, f"exec {sys.executable} -m irisdeal")
+HERE = Deployment(ROOT, f"exec {sys.executable} -m irisdeal")
 
 
 def deploy_file(folder: Path, run: str = HERE.run) -> Path:
@@ -161,12 +161,12 @@
 def test_the_deployment_is_found_above_or_is_this_interpreter(tmp_path: Path) -> None:
     inner = tmp_path / "a" / "b"
     inner.mkdir(parents=True)
-    assert find_deploy(inner).run.endswith("-m irisdeal")
+    assert find_deployment(inner).run.endswith("-m irisdeal")
     deploy_file(tmp_path)
-    assert find_deploy(inner).root == tmp_path
+    assert find_deployment(inner).root == tmp_path
     (tmp_path / "deploy" / "balancer.toml").write_text("run = 3\n")
     with pytest.raises(DemoError, match="run: wanted the line"):
-        find_deploy(inner)
+        find_deployment(inner)
 
 
 def test_a_front_door_killed_between_a_backends_answer_and_the_clients_is_the_clients_to_retry(
--- a/tests/testbed/test_load_processes.py
+++ b/tests/testbed/test_load_processes.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.deployment import Deploy
+from irisdeal.demo.deployment import Deployment
 from irisdeal.demo.run import play
 from irisdeal.testbed.capacity_bound import reference
 from irisdeal.testbed.load_processes import LoadProcessError, LoadProcesses
@@ -26,7 +26,7 @@
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
-HERE = Deploy(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
+HERE = Deployment(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
 CROWDED = (
     SMALL.replace("use = 0.25", "use = 0.25\nprocesses = 2")
     + """
@@ -50,14 +50,17 @@
     assert outcome.kept, [breach.text() for breach in outcome.verdict.breaches]
     request_log = outcome.request_log
     asks = [
-        client_attempt.ask for client_attempt in request_log.client_attempts if client_attempt.attempt == 0
+        client_attempt.request_number
+        for client_attempt in request_log.client_attempts
+        if client_attempt.attempt == 0
     ]
-    assert sorted(asks) == [arrival.ask for arrival in day.arrivals]
+    assert sorted(asks) == [arrival.request_number for arrival in day.arrivals]
     assert len({client_attempt.trace for client_attempt in request_log.client_attempts}) == len(
         request_log.client_attempts
     )
     by_trace = {client_attempt.trace: client_attempt for client_attempt in request_log.client_attempts}
-    for attempt in request_log.attempts:  # one clock: what a backend saw lies between the ask and its answer
+    # One clock: the time at a backend lies between the client's request and its answer.
+    for attempt in request_log.attempts:
         client_attempt = by_trace[attempt.trace]
         assert client_attempt.at - 5_000 <= attempt.last_byte
         # Another backend may have answered first while this one's attempt was on its way.
@@ -97,8 +100,20 @@
         parse(SMALL.replace("use = 0.25", "use = 0.25\nprocesses = 9"))
 
 
-def told(at_s: float, kind: str = "check", ask: int = 0) -> ClientAttempt:
-    return ClientAttempt(f"t{ask}", ask, 0, "", kind, "plain", ask, 1.0, 0, round(at_s * SECOND), SECOND)
+def told(at_s: float, kind: str = "check", request_number: int = 0) -> ClientAttempt:
+    return ClientAttempt(
+        f"t{request_number}",
+        request_number,
+        0,
+        "",
+        kind,
+        "plain",
+        request_number,
+        1.0,
+        0,
+        round(at_s * SECOND),
+        SECOND,
+    )
 
 
 def test_the_bound_by_capacity_is_the_densest_work_that_fits_in_time() -> None:
@@ -112,13 +127,13 @@
             RequestLog(client_attempts=list(client_attempt), incarnations=incarnations), scenario, start
         )
 
-    heap = [told(4.0, ask=n) for n in range(400)]  # all at once, each of a tenant of its own
+    heap = [told(4.0, request_number=n) for n in range(400)]  # all at once, each of a tenant of its own
     each = kinds["check"].work_ms / 1000
     # Slots of half a second, and an aim of 0.4 s from the begin of one: the work has that one slot alone.
     assert bound(1.0, *heap) == pytest.approx(0.5 / (400 * each))
     assert bound(100.0, *heap) == pytest.approx(1.0)
     # The same work spread over the day fits the same capacity.
-    assert bound(1.0, *(told(2.0 + n * 0.02, ask=n) for n in range(300))) > 0.9
+    assert bound(1.0, *(told(2.0 + n * 0.02, request_number=n) for n in range(300))) > 0.9
     # Denser work goes first: a claim is value as much as a check and takes longer. Its aim ends a slot later.
     mixed = [*heap[:200], *(told(4.0, "claim", 1000 + n) for n in range(200))]
     claim = kinds["claim"].work_ms / 1000
--- a/tests/testbed/test_service_report.py
+++ b/tests/testbed/test_service_report.py
@@ -7,7 +7,7 @@
 from irisdeal.testbed.request_log import SECOND, Answer, Attempt, ClientAttempt, End, RequestLog
 from irisdeal.testbed.scenario import Scenario
 from irisdeal.testbed.scenario_files import parse
-from irisdeal.testbed.service_report import Bucket, Share, reckon, recovery
+from irisdeal.testbed.service_report import Bucket, Share, recovery, summarize_service
 
 TEXT = """
 seconds = 30
@@ -35,12 +35,14 @@
 def request_log(*client_attempts: tuple[int, int, int, int]) -> RequestLog:
     """Each try: ask, attempt, ms of its moment, ms that its good answer took (0: refused)."""
     made = RequestLog()
-    for ask, attempt, at, took in client_attempts:
+    for request_number, attempt, at, took in client_attempts:
         due = START + at * 1000
-        trace = f"{ask}-{attempt}"
+        trace = f"{request_number}-{attempt}"
         answer = Answer(due + max(1, took) * 1000, 200 if took else 429, b"")
         made.client_attempts.append(
-            ClientAttempt(trace, ask, attempt, "", "check", "p", 1, 1.0, 0, due, SECOND, due, [answer])
+            ClientAttempt(
+                trace, request_number, attempt, "", "check", "p", 1, 1.0, 0, due, SECOND, due, [answer]
+            )
         )
         if took:
             made.attempts.append(
@@ -69,36 +71,36 @@
 
 
 def test_all_in_time_is_one() -> None:
-    service = reckon(request_log((1, 0, 2000, 50), (2, 0, 4000, 50)), scenario(), START)
+    service = summarize_service(request_log((1, 0, 2000, 50), (2, 0, 4000, 50)), scenario(), START)
     assert (service.total.share, service.worst, service.first_attempts) == (1.0, 1.0, 2)
     assert service.percentile(0.5) == 50.0
 
 
 def test_late_earns_its_part_and_refused_nothing() -> None:
-    service = reckon(request_log((1, 0, 2000, 500), (2, 0, 4000, 0)), scenario(), START)
+    service = summarize_service(request_log((1, 0, 2000, 500), (2, 0, 4000, 0)), scenario(), START)
     assert service.total.share == pytest.approx(0.1)
     assert service.refused == 1
 
 
 def test_a_retry_belongs_to_its_first_attempt() -> None:
-    service = reckon(request_log((1, 0, 2000, 0), (1, 1, 2040, 50)), scenario(), START)
+    service = summarize_service(request_log((1, 0, 2000, 0), (1, 1, 2040, 50)), scenario(), START)
     assert (service.first_attempts, service.client_attempts, service.total.share) == (1, 2, 1.0)
 
 
 def test_beyond_the_quota_is_not_offered_and_earns_nothing() -> None:
-    service = reckon(request_log(*((n, 0, 2000 + n, 50) for n in range(4))), scenario(), START)
+    service = summarize_service(request_log(*((n, 0, 2000 + n, 50) for n in range(4))), scenario(), START)
     assert service.total.offered == 2 * 2.0 and service.total.share == 1.0  # two units in the tenant
     assert service.beyond_units == 0.5
 
 
 def test_the_first_second_does_not_count() -> None:
-    service = reckon(request_log((1, 0, 500, 0), (2, 0, 2000, 50)), scenario(), START)
+    service = summarize_service(request_log((1, 0, 500, 0), (2, 0, 2000, 50)), scenario(), START)
     assert (service.first_attempts, service.total.share) == (1, 1.0)
 
 
 def test_the_worst_ten_seconds_are_found() -> None:
     client_attempts = [(n, 0, 1000 * n + 100, 0 if 15 <= n < 20 else 50) for n in range(1, 30)]
-    service = reckon(request_log(*client_attempts), scenario(), START)
+    service = summarize_service(request_log(*client_attempts), scenario(), START)
     assert service.worst == pytest.approx(0.5) and 9.0 <= service.worst_at <= 15.0
 
 
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from irisdeal.demo.deployment import DemoError, Deploy
+from irisdeal.demo.deployment import DemoError, Deployment
 from irisdeal.demo.run import Outcome, play
 from irisdeal.testbed.remote_services import Sites
 from irisdeal.testbed.request_log import Clock, RequestLog
@@ -18,7 +18,7 @@
 from irisdeal.testbed.workload import draw
 from tests.support.front_door_rig import SMALL
 
-HERE = Deploy(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
+HERE = Deployment(Path(__file__).parents[2], f"exec {sys.executable} -m irisdeal")
 APART = (
     SMALL.replace("[fleet]", "[fleet]\napart = true")
     + """
