--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -27,7 +27,7 @@
 FIRST_PORT, PORTS = 18_600, 16
 CONTROL, FRONT, READINESS, BACKEND = 18_700, 18_701, 18_702, 18_703
 METRICS = {"proxy": 18_710, "registry": 18_711, "config_store": 18_712}
-GRACE_S = 6.0  # from SIGTERM to SIGKILL
+SHUTDOWN_GRACE_S = 6.0  # from SIGTERM to SIGKILL
 UP_BY_S = 15.0  # for a gateway to serve its first request
 PATIENCE_S = 9.0  # that a client waits for an answer
 WARM = 40  # requests before a SIGTERM: a proxy that has answered few takes less after it
@@ -55,7 +55,7 @@
 """
 
 
-class Leaving(enum.Enum):
+class DisconnectMode(enum.Enum):
     """How a client ends its connection."""
 
     RESET = "a reset"
@@ -63,13 +63,13 @@
     HALF_CLOSE = "shutdown(SHUT_WR), reading on"
 
 
-class End(enum.Enum):
+class RequestOutcome(enum.Enum):
     """How a request ended for its client."""
 
     ANSWERED = "answered"
-    PROMISED = "promised (503)"
-    REFUSED = "not connected"
-    CUT = "cut"
+    REJECTED = "promised (503)"
+    NOT_CONNECTED = "not connected"
+    INTERRUPTED = "cut"
     FAILED = "failed (5xx)"
 
 
@@ -214,7 +214,7 @@
                 last=FIRST_PORT + PORTS - 1,
                 core=CORE,
                 control=CONTROL,
-                grace=GRACE_S,
+                grace=SHUTDOWN_GRACE_S,
                 disk=self.folder / "disk",
                 front=FRONT,
                 readiness=READINESS,
@@ -270,7 +270,7 @@
 
 
 @contextlib.asynccontextmanager
-async def gateway(folder: Path) -> AsyncIterator[GatewayProcesses]:
+async def running_gateway(folder: Path) -> AsyncIterator[GatewayProcesses]:
     """A gateway that serves."""
     processes = GatewayProcesses(folder)
     await processes.backend.listen(CORE, BACKEND)
@@ -283,7 +283,7 @@
             assert time.monotonic() < up_by, "the store takes no order"
             await asyncio.sleep(0.1)
         client = Client("first", 0)
-        while await client.ask() is not End.ANSWERED:
+        while await client.ask() is not RequestOutcome.ANSWERED:
             assert time.monotonic() < up_by, "the proxy serves nothing"
             await asyncio.sleep(0.1)
         yield processes
@@ -301,7 +301,7 @@
     work_ms: int
     path: str = "/a/x"
     deadline_ms: int = 8000
-    end: End | None = None
+    end: RequestOutcome | None = None
     sent_at: float = 0.0
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -310,45 +310,47 @@
         writer.write(request(self.attempt_id, self.work_ms, self.path, self.deadline_ms))
         return reader, writer
 
-    async def ask(self) -> End:
+    async def ask(self) -> RequestOutcome:
         """Its end, once there is one."""
         try:
             async with asyncio.timeout(PATIENCE_S):
                 reader, writer = await self.connect()
         except (OSError, TimeoutError):
-            self.end = End.REFUSED
+            self.end = RequestOutcome.NOT_CONNECTED
             return self.end
         self.end = await self.answer(reader)
         writer.close()
         return self.end
 
     @staticmethod
-    async def answer(reader: asyncio.StreamReader) -> End:
+    async def answer(reader: asyncio.StreamReader) -> RequestOutcome:
         """How the request ends whose answer is read here."""
         try:
             async with asyncio.timeout(PATIENCE_S):
                 status = await read_answer(reader)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            return End.CUT
+            return RequestOutcome.INTERRUPTED
         if status == 200:
-            return End.ANSWERED
-        return End.PROMISED if status in (429, 503) else End.FAILED
+            return RequestOutcome.ANSWERED
+        return RequestOutcome.REJECTED if status in (429, 503) else RequestOutcome.FAILED
 
 
-def leave(writer: asyncio.StreamWriter, how: Leaving) -> None:
+def leave(writer: asyncio.StreamWriter, how: DisconnectMode) -> None:
     """End a client's connection."""
     match how:
-        case Leaving.RESET:
+        case DisconnectMode.RESET:
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
-        case Leaving.CLOSE:
+        case DisconnectMode.CLOSE:
             writer.close()
-        case Leaving.HALF_CLOSE:
+        case DisconnectMode.HALF_CLOSE:
             writer.write_eof()
 
 
-async def departures(processes: GatewayProcesses, how: Leaving, count: int = 8, work_ms: int = 2000) -> int:
+async def count_running_after_disconnect(
+    processes: GatewayProcesses, how: DisconnectMode, count: int = 8, work_ms: int = 2000
+) -> int:
     """Of so many clients that left after 0.3 s: runs that are still at work 0.5 s later."""
     opened = [await Client(f"{how.name}-{number}", work_ms).connect() for number in range(count)]
     await asyncio.sleep(0.3)
@@ -369,34 +371,39 @@
 
 
 @dataclass
-class TermResult:
+class TerminationResult:
     """What became of the requests round a SIGTERM. `cut` are those that a backend had begun."""
 
-    ended_s: float | None
-    ends: dict[End, int]
-    cut_after_s: list[float]
+    shutdown_s: float | None
+    outcomes: dict[RequestOutcome, int]
+    interrupted_sent_after_s: list[float]
 
 
-async def terminated(processes: GatewayProcesses, every_s: float = 0.05) -> TermResult:
+async def terminate_under_load(processes: GatewayProcesses, every_s: float = 0.05) -> TerminationResult:
     """SIGTERM to the proxy, and a new connection with a request each `every_s`."""
     clients: list[Client] = []
-    asking: list[asyncio.Task[End]] = []
+    asking: list[asyncio.Task[RequestOutcome]] = []
     work = works()
     warm = [Client(f"warm-{number}", next(work)) for number in range(WARM)]
     await asyncio.gather(*(client.ask() for client in warm))
     signalled = time.monotonic()
     processes.terminate("proxy")
-    ended = asyncio.ensure_future(processes.ended("proxy", GRACE_S + 1))
+    ended = asyncio.ensure_future(processes.ended("proxy", SHUTDOWN_GRACE_S + 1))
     while not ended.done():
         client = Client(f"term-{len(clients)}", next(work))
         clients.append(client)
         asking.append(asyncio.ensure_future(client.ask()))
         await asyncio.sleep(every_s)
     await asyncio.gather(*asking)
-    cut = [c for c in clients if c.end in (End.CUT, End.FAILED) and processes.backend.began(c.attempt_id)]
-    return TermResult(
+    cut = [
+        c
+        for c in clients
+        if c.end in (RequestOutcome.INTERRUPTED, RequestOutcome.FAILED)
+        and processes.backend.began(c.attempt_id)
+    ]
+    return TerminationResult(
         ended.result(),
-        {end: sum(c.end is end for c in clients) for end in End},
+        {end: sum(c.end is end for c in clients) for end in RequestOutcome},
         [round(c.sent_at - signalled, 2) for c in cut],
     )
 
@@ -426,7 +433,7 @@
     reading = [asyncio.ensure_future(read_slowly(number)) for number in range(count)]
     await asyncio.sleep(0.5)
     processes.terminate("proxy")
-    await processes.ended("proxy", GRACE_S + 1)
+    await processes.ended("proxy", SHUTDOWN_GRACE_S + 1)
     return sum(await asyncio.gather(*reading))
 
 
@@ -445,21 +452,25 @@
 async def main() -> None:
     """Print a row a case."""
     with tempfile.TemporaryDirectory() as name:
-        async with gateway(Path(name)) as processes:
-            for how in Leaving:
-                print(f"{how.value}: {await departures(processes, how)} of 8 runs at work 0.5 s later")
-            result = await terminated(processes)
+        async with running_gateway(Path(name)) as processes:
+            for how in DisconnectMode:
+                print(
+                    f"{how.value}: {await count_running_after_disconnect(processes, how)} of 8 "
+                    "runs at work 0.5 s later"
+                )
+            result = await terminate_under_load(processes)
             print(
-                f"SIGTERM: ended after {result.ended_s} s;",
-                ", ".join(f"{count} {end.value}" for end, count in result.ends.items()),
+                f"SIGTERM: ended after {result.shutdown_s} s;",
+                ", ".join(f"{count} {end.value}" for end, count in result.outcomes.items()),
             )
             print(
-                f"passed on and cut: {len(result.cut_after_s)}, sent after the signal: {result.cut_after_s}"
+                f"passed on and cut: {len(result.interrupted_sent_after_s)}, "
+                f"sent after the signal: {result.interrupted_sent_after_s}"
             )
             print(f"failed tasks in the proxy's log (E105): {processes.log('proxy').count('E105')}")
             print(f"orders that had an answer amid a SIGTERM of the registry: {await orders(processes)} of 5")
     with tempfile.TemporaryDirectory() as name:
-        async with gateway(Path(name)) as processes:
+        async with running_gateway(Path(name)) as processes:
             print(
                 f"slow readers of 32 MB that had all of it amid a SIGTERM: {await slow_readers(processes)} of 4"
             )
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -30,12 +30,15 @@
 
 ROOT = Path(__file__).parent.parent
 # Boxes are slow and half busy, so that doors send into all zones, some three attempts a second into each.
-DOORS, LOST, BACK, ENDS = 12, 2.5, 6.5, 10.5  # doors; s of the day: the zone is lost, is back, the day ends
+FRONT_DOOR_COUNT = 12
+LOST = 2.5  # s of the day at which the zone is lost
+BACK = 6.5  # s of the day at which it is back
+ENDS = 10.5  # s of the day at which it ends
 SETTLED = 2.5  # s after the loss, from which on only trials are to go there
 ZONE = "hall-b"
 DAY = f"""
 seconds = {ENDS}
-doors = {DOORS}
+doors = {FRONT_DOOR_COUNT}
 [fleet]
 boxes = 36
 cross_ms = 1
@@ -74,7 +77,7 @@
 [door]
 connect_timeout_ms = 250
 """
-LINK = f'[[at]]\nat_s = {LOST}\nfor_s = {BACK - LOST}\ndoor = {DOORS}\nto = "{ZONE}"\n'
+LINK = f'[[at]]\nat_s = {LOST}\nfor_s = {BACK - LOST}\ndoor = {FRONT_DOOR_COUNT}\nto = "{ZONE}"\n'
 SILENT = LINK + 'do = "link-silent"\nway = "both"\n'
 KEEPER = f"[[at]]\nat_s = {LOST - 0.5}\nfor_s = {BACK - LOST}\n"
 FAULTS = {
@@ -82,7 +85,7 @@
     "cut": LINK + 'do = "link-cut"\n',
     "silent": SILENT,
     "mute": LINK + 'do = "link-silent"\nway = "back"\n',  # requests arrive, answers do not
-    "one door cut": LINK.replace(f"door = {DOORS}", "door = 1") + 'do = "link-cut"\n',
+    "one door cut": LINK.replace(f"door = {FRONT_DOOR_COUNT}", "door = 1") + 'do = "link-cut"\n',
     "silent, no keeper": SILENT + KEEPER + 'do = "keeper-silent"\n',
     "silent, keeper split": SILENT + KEEPER + 'do = "keeper-split"\ndoor = 6\n',
     "silent, doors killed": SILENT
@@ -105,7 +108,7 @@
     why: str
 
 
-def played(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
+def play_day(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
     """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
     deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
     return asyncio.run(play(draw(parse(DAY + FAULTS[fault]), seed), deploy))
@@ -122,21 +125,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ZoneExits:
     """How the doors left the zone and came back. Times in s from the loss, or from the return."""
 
-    left: list[float]  # of each door that left, the first time
-    with_fleet: int
-    back: list[float]
-    wrong: int
-    writes: list[float]
+    left_after_s: list[float]  # of each door that left, the first time
+    with_fleet_count: int
+    returned_after_s: list[float]
+    wrong_exit_count: int
+    writes_after_s: list[float]
 
-    def when(self, share: float, times: list[float], of: int) -> float:
+    def time_until_share(self, share: float, times: list[float], of: int) -> float:
         wanted = max(1, math.ceil(of * share))
         return sorted(times)[wanted - 1] if len(times) >= wanted else math.inf
 
 
-def leaving(outcome: Outcome) -> Leaving:
+def zone_exits(outcome: Outcome) -> ZoneExits:
     """By logs and by the links' books."""
     zone = outcome.day.scenario.fleet.zones.index(ZONE)
     left: dict[int, float] = {}
@@ -156,7 +159,7 @@
         if hold.target == ZONE
         for at in hold.writes
     ]
-    return Leaving(list(left.values()), len(fleet), list(back.values()), len(wrong), sorted(writes))
+    return ZoneExits(list(left.values()), len(fleet), list(back.values()), len(wrong), sorted(writes))
 
 
 def main() -> None:
@@ -168,17 +171,23 @@
     print(f"{'fault':<21} seed kept left fleet   half    95%  spread writes late   back wrong served calls")
     for fault in given.fault or FAULTS:
         for seed in range(1, given.seeds + 1):
-            outcome = played(fault, seed, given.root)
-            found, whole = leaving(outcome), outcome.service.total
-            last, of = found.when(0.95, found.left, DOORS), len(found.left)
-            late = sum(at > SETTLED for at in found.writes)
+            outcome = play_day(fault, seed, given.root)
+            found, whole = zone_exits(outcome), outcome.service.total
+            last, of = (
+                found.time_until_share(0.95, found.left_after_s, FRONT_DOOR_COUNT),
+                len(found.left_after_s),
+            )
+            late = sum(at > SETTLED for at in found.writes_after_s)
             calls = outcome.counter_calls / max(1, outcome.service.first_attempts)
-            kept, half = "yes" if outcome.kept else "NO", found.when(0.5, found.left, DOORS)
+            kept, half = (
+                "yes" if outcome.kept else "NO",
+                found.time_until_share(0.5, found.left_after_s, FRONT_DOOR_COUNT),
+            )
             print(
                 f"{fault:<21} {seed:4} {kept:<4}"
-                f" {of:4} {found.with_fleet:5} {half:6.2f} {last:6.2f}"
-                f" {last - min(found.left, default=0.0):7.2f} {len(found.writes):6} {late:4}"
-                f" {found.when(0.95, found.back, of):6.2f} {found.wrong:5}"
+                f" {of:4} {found.with_fleet_count:5} {half:6.2f} {last:6.2f}"
+                f" {last - min(found.left_after_s, default=0.0):7.2f} {len(found.writes_after_s):6} {late:4}"
+                f" {found.time_until_share(0.95, found.returned_after_s, of):6.2f} {found.wrong_exit_count:5}"
                 f" {whole.served / whole.offered:6.3f} {calls:5.2f}",
                 flush=True,
             )
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -76,13 +76,13 @@
 }
 
 
-def played(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
+def play_day(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
     """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
     deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
     return asyncio.run(play(draw(parse(DAY + FAULTS[fault][0]), seed), deploy))
 
 
-def bound(fault: str) -> float:
+def overshoot_bound(fault: str) -> float:
     """Units by which a store may pass its quota at most."""
     _, again, alone = FAULTS[fault]
     account = QuotaAccount(0, 1.0, 6.0, DOORS, 0)
@@ -92,7 +92,7 @@
     return most
 
 
-def quiet(outcome: Outcome) -> Refusals:
+def calm_refusals(outcome: Outcome) -> Refusals:
     """What came of the tries of stores far within their quotas."""
     calm = {store.customer for store in outcome.day.tenants if store.manner == "calm"}
     return refusals(outcome.request_log, outcome.day.scenario, calm)
@@ -107,11 +107,11 @@
     print(f"{'fault':<14} seed kept  worst  bound  asked  with room  served")
     for fault in given.fault or FAULTS:
         for seed in range(1, given.seeds + 1):
-            outcome = played(fault, seed, given.root)
-            calm, whole = quiet(outcome), outcome.service.total
+            outcome = play_day(fault, seed, given.root)
+            calm, whole = calm_refusals(outcome), outcome.service.total
             kept, worst = "yes" if outcome.kept else "NO", outcome.tenants[0].overshoot
             print(
-                f"{fault:<14} {seed:4} {kept:<4} {worst:6.1f} {bound(fault):6.1f} {calm.asked:6}"
+                f"{fault:<14} {seed:4} {kept:<4} {worst:6.1f} {overshoot_bound(fault):6.1f} {calm.asked:6}"
                 f" {calm.fraction:10.3f} {whole.served / whole.offered:7.3f}",
                 flush=True,
             )
--- a/benchmarks/register_states.py
+++ b/benchmarks/register_states.py
@@ -46,7 +46,7 @@
 GONE = -1  # an acceptor that is not there (any more)
 
 
-def orders(*version_ids: VersionId) -> Program:
+def propose_versions(*version_ids: VersionId) -> Program:
     """One order after the other."""
 
     def program(decided: Value) -> Change | None:
@@ -56,7 +56,7 @@
     return program
 
 
-def takes_in(seats: tuple[str, ...]) -> Program:
+def change_members_to(seats: tuple[str, ...]) -> Program:
     """A change of the list to these seats, and its settling."""
 
     def program(decided: Value) -> Change | None:
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class SearchPlan:
     """Where a search begins and what may happen in it."""
 
     seats: tuple[str, ...]  # all that there may be; those after `first` come as learners
@@ -77,32 +77,46 @@
     programs: tuple[Program, ...]  # of the proposers, which live on the first seats
     ballots: tuple[int, ...]  # how many each may begin
     crashes: int = 0
-    again: Program | None = None  # what the first proposer wants once all kills are over, where that differs
-    wiped: tuple[int, int] | None = (
+    program_after_crashes: Program | None = (
+        None  # what the first proposer wants once all kills are over, where that differs
+    )
+    replaced_disk: tuple[int, int] | None = (
         None  # the seat whose disk is lost once, and the one that comes in its place
     )
-    there: tuple[int, ...] = ()  # learners that are there from the start
+    initial_learners: tuple[int, ...] = ()  # learners that are there from the start
     reads: int = 0  # by the last proposer's machine
     late: bool = True  # whether accepts of ballots that are over still come
-    unsynced: bool = False  # planted: answers go out before they are synced
-    reused: bool = False  # planted: a ballot is counted from where its process began
+    skips_sync: bool = False  # planted: answers go out before they are synced
+    reuses_ballots: bool = False  # planted: a ballot is counted from where its process began
 
 
 A, B, C = VersionId(1, b"a"), VersionId(1, b"b"), VersionId(2, b"c")
 THREE, FOUR = ("a", "b", "c"), ("a", "b", "c", "d")
 PLANS = {
-    "two bodies under one number": Plan(THREE, 3, (orders(A), orders(B)), (2, 2)),
-    "two bodies, a kill": Plan(THREE, 3, (orders(A), orders(B)), (2, 1), crashes=1),
-    "four members": Plan(FOUR, 4, (orders(A), orders(B)), (1, 2)),
-    "one after the other": Plan(THREE, 3, (orders(A, C), orders(B)), (2, 1)),
-    "a fourth member": Plan(FOUR, 3, (takes_in(FOUR), orders(A)), (2, 1), there=(3,)),
-    "a fourth member, knows the old list": Plan(FOUR, 3, (takes_in(FOUR), orders(A, C)), (1, 2), there=(3,)),
-    "one in the place of another": Plan(FOUR, 3, (takes_in(("a", "b", "d")), orders(A)), (2, 1), there=(3,)),
-    "an empty disk": Plan(
-        ("a", "b", "c", "c2"), 3, (takes_in(("a", "b", "c2")), orders(A)), (2, 1), wiped=(2, 3)
+    "two bodies under one number": SearchPlan(THREE, 3, (propose_versions(A), propose_versions(B)), (2, 2)),
+    "two bodies, a kill": SearchPlan(THREE, 3, (propose_versions(A), propose_versions(B)), (2, 1), crashes=1),
+    "four members": SearchPlan(FOUR, 4, (propose_versions(A), propose_versions(B)), (1, 2)),
+    "one after the other": SearchPlan(THREE, 3, (propose_versions(A, C), propose_versions(B)), (2, 1)),
+    "a fourth member": SearchPlan(
+        FOUR, 3, (change_members_to(FOUR), propose_versions(A)), (2, 1), initial_learners=(3,)
+    ),
+    "a fourth member, knows the old list": SearchPlan(
+        FOUR, 3, (change_members_to(FOUR), propose_versions(A, C)), (1, 2), initial_learners=(3,)
+    ),
+    "one in the place of another": SearchPlan(
+        FOUR, 3, (change_members_to(("a", "b", "d")), propose_versions(A)), (2, 1), initial_learners=(3,)
+    ),
+    "an empty disk": SearchPlan(
+        ("a", "b", "c", "c2"),
+        3,
+        (change_members_to(("a", "b", "c2")), propose_versions(A)),
+        (2, 1),
+        replaced_disk=(2, 3),
+    ),
+    "a read": SearchPlan(THREE, 3, (propose_versions(A), propose_versions(B)), (2, 1), reads=2),
+    "a read while the list changes": SearchPlan(
+        FOUR, 3, (change_members_to(FOUR), propose_versions(A)), (1, 1), initial_learners=(3,), reads=1
     ),
-    "a read": Plan(THREE, 3, (orders(A), orders(B)), (2, 1), reads=2),
-    "a read while the list changes": Plan(FOUR, 3, (takes_in(FOUR), orders(A)), (1, 1), there=(3,), reads=1),
 }
 
 
@@ -169,18 +183,18 @@
 class Search:
     """One search."""
 
-    plan: Plan
+    plan: SearchPlan
     most: int = 1_000_000
     table: Table = field(default_factory=Table)
     changes: list[Change] = field(default_factory=list)
     wanted: dict[tuple[int, int, bool], int] = field(default_factory=dict)
     steps: dict[Any, Any] = field(default_factory=dict)
-    depths: Counter[int] = field(default_factory=Counter)
-    complete: bool = False
-    broken: str = ""
-    way: list[str] = field(default_factory=list)
+    states_by_depth: Counter[int] = field(default_factory=Counter)
+    is_complete: bool = False
+    violation: str = ""
+    trace: list[str] = field(default_factory=list)
 
-    def begin(self) -> State:
+    def initial_state(self) -> State:
         """The first state."""
         plan, number = self.plan, self.table.number
         first = Value.initial(Members(0, plan.seats[: plan.first]))
@@ -189,7 +203,7 @@
             number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE)),
         )
         seats = tuple(
-            kept if index < plan.first else empty if index in plan.there else GONE
+            kept if index < plan.first else empty if index in plan.initial_learners else GONE
             for index in range(len(plan.seats))
         )
         count = len(plan.programs)
@@ -209,27 +223,27 @@
         )
 
     def run(self) -> Search:
-        start = self.begin()
+        start = self.initial_state()
         came: dict[State, tuple[State | None, str]] = {start: (None, "")}
         waiting = deque([(start, 0)])
         while waiting:
             state, depth = waiting.popleft()
-            self.depths[depth] += 1
-            for what, then in self.next(state):
+            self.states_by_depth[depth] += 1
+            for what, then in self.successors(state):
                 if then not in came:
                     came[then] = state, what
                     waiting.append((then, depth + 1))
-                if self.broken:
-                    self.way = self._way(came, then)
+                if self.violation:
+                    self.trace = self._way(came, then)
                     return self
             if len(came) > self.most:
                 return self
-        self.complete = True
+        self.is_complete = True
         return self
 
     @property
-    def states(self) -> int:
-        return sum(self.depths.values())
+    def state_count(self) -> int:
+        return sum(self.states_by_depth.values())
 
     @staticmethod
     def _way(came: dict[State, tuple[State | None, str]], state: State | None) -> list[str]:
@@ -241,7 +255,7 @@
 
     # Steps
 
-    def next(self, state: State) -> Iterator[tuple[str, State]]:
+    def successors(self, state: State) -> Iterator[tuple[str, State]]:
         for proposer in range(len(self.plan.programs)):
             yield from self._begin(state, proposer)
             yield from self._ask(state, proposer)
@@ -250,8 +264,8 @@
                 yield f"{proposer} is killed", self._killed(state, proposer)
         if self.plan.late:
             yield from self._late(state)
-        if self.plan.wiped is not None and not state.wiped:
-            old, new = self.plan.wiped
+        if self.plan.replaced_disk is not None and not state.wiped:
+            old, new = self.plan.replaced_disk
             empty = self.table.number(AcceptorState(NO_BALLOT, NO_BALLOT, UNKNOWN_VALUE))
             seats = _set(_set(state.now, old, GONE), new, empty)
             yield f"the disk of {old} is lost", state._replace(now=seats, synced=seats, wiped=True)
@@ -266,7 +280,7 @@
         things, seat = self.table.things, self.plan.seats[proposer]
         kept: AcceptorState = things[state.now[proposer]]
         known: Value = things[state.known[proposer]]
-        if self.plan.reused:
+        if self.plan.reuses_ballots:
             ballot = Ballot(state.above[proposer] + 1, seat)
         else:
             ballot = Ballot(max(kept.promised.count, state.above[proposer]) + 1, seat)
@@ -278,14 +292,14 @@
             above=_set(state.above, proposer, ballot.count),
             rounds=_set(state.rounds, proposer, self.table.number(fresh)),
         )
-        if not self.plan.reused:  # the own promise is synced before anyone is asked
+        if not self.plan.reuses_ballots:  # the own promise is synced before anyone is asked
             state = self._prepare(state, proposer, proposer, True)
         yield f"{proposer} begins {ballot.count}", state
 
     def _change(self, proposer: int, known: int, over: bool) -> int | None:
         key = proposer, known, over
         if key not in self.wanted:
-            again = self.plan.again if over and not proposer else None
+            again = self.plan.program_after_crashes if over and not proposer else None
             change = (again or self.plan.programs[proposer])(self.table.things[known])
             if change is not None:
                 self.changes.append(change)
@@ -360,7 +374,7 @@
         if state.now[seat] == kept:
             return state
         state = state._replace(now=_set(state.now, seat, kept))
-        if self.plan.unsynced and self.table.things[kept].accepted != self.table.things[kept].promised:
+        if self.plan.skips_sync and self.table.things[kept].accepted != self.table.things[kept].promised:
             return state  # only the promise is not synced
         return state._replace(synced=_set(state.synced, seat, kept))
 
@@ -471,7 +485,7 @@
         if value is None:
             return
         if value.change < reading.least:
-            self.broken = f"a read answers {value.encode()} after change {reading.least} was decided"
+            self.violation = f"a read answers {value.encode()} after change {reading.least} was decided"
         state = state._replace(reading=None)
         found = [n for n in state.proposed if self.table.things[n][:2] == (highest, value)]
         yield f"the read answers {value.change}", self._tell(state, found[0]) if found else state
@@ -488,7 +502,7 @@
             self._takes_over(self.table.things[told], new)
         for other in state.proposed:
             if self.table.things[other].ballot == new.ballot and self.table.things[other].value != new.value:
-                self.broken = f"{new.ballot.encode()} proposes two values"
+                self.violation = f"{new.ballot.encode()} proposes two values"
         return state._replace(proposed=state.proposed | {number})
 
     def _tell(self, state: State, number: int) -> State:
@@ -499,17 +513,17 @@
         for other in state.told:
             old: Proposal = self.table.things[other]
             if old.value.change == new.value.change and old.value != new.value:
-                self.broken = f"change {new.value.change} is {old.value.encode()} and {new.value.encode()}"
+                self.violation = f"change {new.value.change} is {old.value.encode()} and {new.value.encode()}"
             if (
                 old.value.version_id.number == new.value.version_id.number
                 and old.value.version_id != new.value.version_id
             ):
-                self.broken = f"number {new.value.version_id.number} has two bodies"
+                self.violation = f"number {new.value.version_id.number} has two bodies"
         return state._replace(told=state.told | {number})
 
     def _takes_over(self, told: Proposal, other: Proposal) -> None:
         if other.ballot > told.ballot and other.base < told.ballot:
-            self.broken = (
+            self.violation = (
                 f"{other.ballot.encode()} does not take over {told.ballot.encode()}, which was decided"
             )
 
@@ -534,12 +548,12 @@
         begun = time.monotonic()
         ballots = tuple(count + given.more for count in PLANS[name].ballots)
         found = search(name, given.most, ballots=ballots)
-        broken |= bool(found.broken)
+        broken |= bool(found.violation)
         print(
-            f"{name}: {found.states} states, {max(found.depths)} steps deep, "
-            f"{'all' if found.complete else 'not all'}, {time.monotonic() - begun:.1f} s"
-            f"{' BROKEN: ' + found.broken if found.broken else ''}",
-            *found.way,
+            f"{name}: {found.state_count} states, {max(found.states_by_depth)} steps deep, "
+            f"{'all' if found.is_complete else 'not all'}, {time.monotonic() - begun:.1f} s"
+            f"{' BROKEN: ' + found.violation if found.violation else ''}",
+            *found.trace,
             sep="\n  ",
             flush=True,
         )
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from benchmarks.departures import FRONT, PROXY, GatewayProcesses, gateway, read_answer, request
+from benchmarks.departures import FRONT, PROXY, GatewayProcesses, read_answer, request, running_gateway
 
 CLIENTS, EACH, WARM = 16, 400, 50  # kept connections, requests on each, and before that
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -36,7 +36,7 @@
 async def main() -> None:
     """Print the cost."""
     with tempfile.TemporaryDirectory() as name:
-        async with gateway(Path(name)) as processes:
+        async with running_gateway(Path(name)) as processes:
             await asyncio.gather(*(ask(client, WARM) for client in range(CLIENTS)))
             before = processor_s(processes)
             await asyncio.gather(*(ask(client, EACH) for client in range(CLIENTS)))
--- a/benchmarks/zones_states.py
+++ b/benchmarks/zones_states.py
@@ -70,7 +70,7 @@
     # Door and zone that failed it since the door last changed its mind.
     saw: set[tuple[int, int]] = field(default_factory=set)
     fresh: set[tuple[int, int]] = field(default_factory=set)  # the same, and it has not answered since
-    way: tuple[str, ...] = ()
+    trace: tuple[str, ...] = ()
     broken: str = ""
 
     def key(self) -> tuple[Any, ...]:
@@ -123,7 +123,7 @@
     def then(self, what: str) -> World:
         made = copy.copy(self)
         made.doors, made.counts = copy.deepcopy(self.doors), dict(self.counts)
-        made.words, made.way = [list(w) for w in self.words], (*self.way, what)
+        made.words, made.trace = [list(w) for w in self.words], (*self.trace, what)
         made.saw, made.fresh = set(self.saw), set(self.fresh)
         return made
 
@@ -260,7 +260,7 @@
     if where == "returning":
         steps += ["back", *("tick",) * 5, "door 1 is answered by zone 1", "door 0 is answered by zone 0"]
     for step in steps:
-        world = next(made for made in world.next() if made.way[-1] == step)
+        world = next(made for made in world.next() if made.trace[-1] == step)
     world.faults = max(1, world.faults)
     return world
 
@@ -306,7 +306,7 @@
             flush=True,
         )
         if broken is not None:
-            print(f"broken: {broken.check()}\n  " + "\n  ".join(broken.way))
+            print(f"broken: {broken.check()}\n  " + "\n  ".join(broken.trace))
 
 
 if __name__ == "__main__":
--- a/tests/config_store/test_register.py
+++ b/tests/config_store/test_register.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from benchmarks.register_states import PLANS, Plan, Search, orders
+from benchmarks.register_states import PLANS, Search, SearchPlan, propose_versions
 from irisdeal.config_store.configuration.version import ConfigVersion, VersionId
 from irisdeal.config_store.consensus.proposer import Proposer
 from irisdeal.config_store.consensus.register import (
@@ -48,23 +48,23 @@
 def test_long_random_runs_violate_no_invariant(seed: int, name: str) -> None:
     rng, plan = random.Random(seed), PLANS[name]
     version_ids = [VersionId(number, bytes([number])) for number in range(1, 5)]
-    programs = (*plan.programs[:-1], orders(*version_ids))
-    longer_plan = Plan(
+    programs = (*plan.programs[:-1], propose_versions(*version_ids))
+    longer_plan = SearchPlan(
         plan.seats,
         plan.first,
         programs,
         tuple(6 for _ in plan.ballots),
         2,
-        plan.again,
-        plan.wiped,
-        plan.there,
+        plan.program_after_crashes,
+        plan.replaced_disk,
+        plan.initial_learners,
         3,
     )
     search = Search(longer_plan)
-    state = search.begin()
+    state = search.initial_state()
     for _ in range(150):
-        steps = list(search.next(state))
-        assert not search.broken, search.broken
+        steps = list(search.successors(state))
+        assert not search.violation, search.violation
         if not steps:
             break
         _, state = rng.choice(steps)
--- a/tests/config_store/test_register_states.py
+++ b/tests/config_store/test_register_states.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from benchmarks.register_states import PLANS, THREE, A, B, orders, search
+from benchmarks.register_states import PLANS, THREE, A, B, propose_versions, search
 from irisdeal.config_store.consensus import register
 from irisdeal.config_store.consensus.register import AcceptorState, Ballot, BallotStep, Value
 from irisdeal.config_store.membership import decided_value
@@ -24,15 +24,18 @@
 @pytest.mark.parametrize("name", PLANS)
 def test_no_state_within_the_bound_violates_an_invariant(name: str) -> None:
     found = search(name, MAX_STATES)
-    print(f"{name}: {found.states} states, {max(found.depths)} steps deep, complete: {found.complete}")
-    assert not found.broken, (found.broken, found.way)
-    assert found.states > MAX_STATES / 4
+    print(
+        f"{name}: {found.state_count} states, {max(found.states_by_depth)} steps deep, "
+        f"complete: {found.is_complete}"
+    )
+    assert not found.violation, (found.violation, found.trace)
+    assert found.state_count > MAX_STATES / 4
 
 
 def test_all_states_with_one_ballot_for_each_proposer() -> None:
     found = search("two bodies under one number", ballots=(1, 1))
-    print(f"one ballot each: {found.states} states, {max(found.depths)} steps deep")
-    assert found.complete and not found.broken, (found.broken, found.way)
+    print(f"one ballot each: {found.state_count} states, {max(found.states_by_depth)} steps deep")
+    assert found.is_complete and not found.violation, (found.violation, found.trace)
 
 
 def _accepts_after_a_higher_promise(patch: pytest.MonkeyPatch) -> None:
@@ -134,11 +137,15 @@
 @pytest.mark.parametrize(
     ("plant", "plan", "changes", "violations"),
     [
-        (_no_bug, "two bodies, a kill", {"unsynced": True}, "does not take over"),
+        (_no_bug, "two bodies, a kill", {"skips_sync": True}, "does not take over"),
         (
             _promises_one_ballot_twice,
             "two bodies, a kill",
-            {"reused": True, "again": orders(B), "programs": (orders(A), orders())},
+            {
+                "reuses_ballots": True,
+                "program_after_crashes": propose_versions(B),
+                "programs": (propose_versions(A), propose_versions()),
+            },
             "proposes two values",
         ),
         (_accepts_after_a_higher_promise, "two bodies under one number", {}, "does not take over"),
@@ -151,7 +158,7 @@
         (
             _no_bug,
             "an empty disk",
-            {"wiped": (2, 2), "programs": (orders(A), orders(B))},
+            {"replaced_disk": (2, 2), "programs": (propose_versions(A), propose_versions(B))},
             "does not take over",
         ),
     ],
@@ -166,9 +173,9 @@
 ) -> None:
     plant(monkeypatch)
     found = search(plan, 60_000, **changes)
-    print(f"{found.states} states: {found.broken}", *found.way, sep="\n  ")
-    assert any(text in found.broken for text in violations.split("|")), found.states
-    assert found.broken
+    print(f"{found.state_count} states: {found.violation}", *found.trace, sep="\n  ")
+    assert any(text in found.violation for text in violations.split("|")), found.state_count
+    assert found.violation
 
 
 def test_the_plans_are_of_three_and_four_members() -> None:
--- a/tests/front_door/test_zones_states.py
+++ b/tests/front_door/test_zones_states.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("where", STARTS)
 def test_no_state_within_a_few_steps_breaks_a_rule(where: str) -> None:
     found, broken = search(3, where=where)
-    assert broken is None, (broken.check(), broken.way)
+    assert broken is None, (broken.check(), broken.trace)
     assert sum(found) > 100
 
 
