--- a/irisdeal/front_door/handover/roles.py
+++ b/irisdeal/front_door/handover/roles.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Duty:
+class ProcessMode:
     """What a process may use and does from now on. `ceiling_share` is of the front door's ceilings.
 
     Where `is_immediate` is false, cold backends may be used only after the time window over which their budget is
@@ -50,24 +50,24 @@
     """Stage of the handover, as one process sees it."""
 
     BESIDE_OLDER = "started beside an older process"
-    ALONE = "alone"
+    ONLY_PROCESS = "the only process of its front door"
     STATE_SENT = "the state was sent to a newer process"
     DRAINING = "the newer process accepts connections"
 
 
-DUTIES = {
-    Stage.BESIDE_OLDER: Duty(HALF_SHARE, True, True, False),
-    Stage.ALONE: Duty(FULL_SHARE, True, True, False),
-    Stage.STATE_SENT: Duty(HALF_SHARE, False, True, False),
-    Stage.DRAINING: Duty(HALF_SHARE, False, False, True),
+MODES = {
+    Stage.BESIDE_OLDER: ProcessMode(HALF_SHARE, True, True, False),
+    Stage.ONLY_PROCESS: ProcessMode(FULL_SHARE, True, True, False),
+    Stage.STATE_SENT: ProcessMode(HALF_SHARE, False, True, False),
+    Stage.DRAINING: ProcessMode(HALF_SHARE, False, False, True),
 }
-DUTY_AFTER_FAILED_HANDOVER = Duty(FULL_SHARE, True, True, False, is_immediate=False)
+MODE_AFTER_FAILED_HANDOVER = ProcessMode(FULL_SHARE, True, True, False, is_immediate=False)
 TRANSITIONS = {
-    (Stage.BESIDE_OLDER, Event.OLDER_ENDED): Stage.ALONE,
-    (Stage.ALONE, Event.STATE_REQUESTED): Stage.STATE_SENT,
+    (Stage.BESIDE_OLDER, Event.OLDER_ENDED): Stage.ONLY_PROCESS,
+    (Stage.ONLY_PROCESS, Event.STATE_REQUESTED): Stage.STATE_SENT,
     (Stage.STATE_SENT, Event.NEWER_ACCEPTS): Stage.DRAINING,
-    (Stage.STATE_SENT, Event.NEWER_ENDED): Stage.ALONE,
-    (Stage.DRAINING, Event.NEWER_ENDED): Stage.ALONE,
+    (Stage.STATE_SENT, Event.NEWER_ENDED): Stage.ONLY_PROCESS,
+    (Stage.DRAINING, Event.NEWER_ENDED): Stage.ONLY_PROCESS,
 }
 
 
@@ -75,16 +75,16 @@
     """State machine of one process in a handover."""
 
     def __init__(self, has_older: bool) -> None:
-        self.stage = Stage.BESIDE_OLDER if has_older else Stage.ALONE
+        self.stage = Stage.BESIDE_OLDER if has_older else Stage.ONLY_PROCESS
 
     def can_hand_over(self) -> bool:
         """Return whether the state may be sent to a newer process (rule 4)."""
-        return self.stage is Stage.ALONE
+        return self.stage is Stage.ONLY_PROCESS
 
-    def handle(self, event: Event) -> Duty | None:
-        """Return the duty from now on; None where an event that is late, repeated or out of order has no effect."""
+    def handle(self, event: Event) -> ProcessMode | None:
+        """Return the mode from now on; None where an event that is late, repeated or out of order has no effect."""
         next_stage = TRANSITIONS.get((self.stage, event))
         if next_stage is None:
             return None
         self.stage = next_stage
-        return DUTY_AFTER_FAILED_HANDOVER if event is Event.NEWER_ENDED else DUTIES[next_stage]
+        return MODE_AFTER_FAILED_HANDOVER if event is Event.NEWER_ENDED else MODES[next_stage]
--- a/irisdeal/front_door/server/handover.py
+++ b/irisdeal/front_door/server/handover.py
@@ -29,7 +29,7 @@
     encode_message,
     encode_request,
 )
-from irisdeal.front_door.handover.roles import HALF_SHARE, Duty, Event, HandoverRole
+from irisdeal.front_door.handover.roles import HALF_SHARE, Event, HandoverRole, ProcessMode
 from irisdeal.front_door.handover.state import export_state, import_state
 
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
         if isinstance(known_list, dict) and known_list.get("members"):
             program.discovery.known_list = known_list
         program.discovery.apply_known_list()
-        self._apply_duty(Duty(HALF_SHARE, True, True, False))
+        self._apply_mode(ProcessMode(HALF_SHARE, True, True, False))
         decider = program.decision_loop.decider
         if isinstance(decider, Gateway):
             try:
@@ -162,9 +162,9 @@
             while (await self._receive(older, 64))[0]:
                 pass  # no further messages are defined
         self._close_older_connection()
-        if (duty := self.role.handle(Event.OLDER_ENDED)) is not None and not self.stopped:
+        if (mode := self.role.handle(Event.OLDER_ENDED)) is not None and not self.stopped:
             log.info("the older process has ended")
-            self._apply_duty(duty)
+            self._apply_mode(mode)
 
     # To a newer process
 
@@ -236,19 +236,19 @@
             received = b""
             while part := (await self._receive(newer, 64))[0]:
                 received = (received + part)[-64:]
-                if ACCEPTING in received and (duty := self.role.handle(Event.NEWER_ACCEPTS)) is not None:
+                if ACCEPTING in received and (mode := self.role.handle(Event.NEWER_ACCEPTS)) is not None:
                     log.info("the newer process accepts connections")
                     self._close_request_socket()  # the newer process opens its own
-                    self._apply_duty(duty)
+                    self._apply_mode(mode)
         except OSError as error:
             log.warning("lost the connection to the newer process: %s", error)
         except HandoverError as error:
             log.warning("cannot send the state: %s", error)
         self.newer_connection = None
         newer.close()
-        if (duty := self.role.handle(Event.NEWER_ENDED)) is not None and not self.stopped:
+        if (mode := self.role.handle(Event.NEWER_ENDED)) is not None and not self.stopped:
             log.warning("the newer process has ended, this one continues")
-            self._apply_duty(duty)
+            self._apply_mode(mode)
             self._open_request_socket()
 
     def _encode_state(self) -> bytes:
@@ -270,26 +270,26 @@
         if program.operator is not None:
             state["ids"] = [server.decode("latin-1") for server in program.operator.bans.known]
         message = encode_message(state)
-        if (duty := self.role.handle(Event.STATE_REQUESTED)) is not None:
-            self._apply_duty(duty)
+        if (mode := self.role.handle(Event.STATE_REQUESTED)) is not None:
+            self._apply_mode(mode)
         program.resize(own_sockets)
         return message
 
     # Shared by both sides
 
-    def _apply_duty(self, duty: Duty) -> None:
+    def _apply_mode(self, mode: ProcessMode) -> None:
         program = self.program
         program.decision_loop.post(
-            CeilingShareChanged(duty.ceiling_share, duty.uses_cold_servers and duty.is_immediate)
+            CeilingShareChanged(mode.ceiling_share, mode.uses_cold_servers and mode.is_immediate)
         )
-        if duty.uses_cold_servers and not duty.is_immediate:
+        if mode.uses_cold_servers and not mode.is_immediate:
             delay_s = program.config.settings.collapse_window_us / 1e6
             self.loop.call_later(delay_s, self._allow_cold_servers)
-        if duty.ceiling_share == 1.0:
+        if mode.ceiling_share == 1.0:
             program.resize(program.config.max_sockets)
         if not program.is_stopping:
-            program.clients.draining = duty.closes_connections
-        if duty.accepts_connections:
+            program.clients.draining = mode.closes_connections
+        if mode.accepts_connections:
             program.clients.listener.resume()
         else:
             program.clients.listener.suspend()
--- a/tests/front_door/test_handover.py
+++ b/tests/front_door/test_handover.py
@@ -221,8 +221,8 @@
         def apply(
             process: str, role: HandoverRole, event: Event, shares: dict[str, tuple[float, bool]] = shares
         ) -> None:
-            if (duty := role.handle(event)) is not None:
-                shares[process] = (duty.ceiling_share, duty.uses_cold_servers and duty.is_immediate)
+            if (mode := role.handle(event)) is not None:
+                shares[process] = (mode.ceiling_share, mode.uses_cold_servers and mode.is_immediate)
 
         for step in steps:
             if step == 0 and is_running["old"] and new is None and old.can_hand_over():  # the state is sent
@@ -389,7 +389,7 @@
                     ]
                     assert sum(halves) < sockets and gateway.ceiling_share == HALF_SHARE
                     end(old)
-                    await wait_for_stage(new, Stage.ALONE)
+                    await wait_for_stage(new, Stage.ONLY_PROCESS)
                     assert gateway.ceiling_share == 1.0 and new.program.pool.max_connections > halves[1] / 2
                     assert (await call_operator(new, "/backends/enable?target=s-2", "POST"))[2] == b"back\n"
 
@@ -422,7 +422,7 @@
             async with program(folder) as new:
                 await wait_for_stage(old, Stage.DRAINING)
                 end(new)
-            await wait_for_stage(old, Stage.ALONE)
+            await wait_for_stage(old, Stage.ONLY_PROCESS)
             reader, writer = await old.client()
             writer.write(ask())
             from_front_door, to_front_door = await backend.connection()
@@ -461,13 +461,13 @@
                 with contextlib.suppress(ConnectionResetError):
                     await reader.read()
                 writer.close()
-            assert stage_of(old) is Stage.ALONE
+            assert stage_of(old) is Stage.ONLY_PROCESS
             async with program(folder):
                 await wait_for_stage(old, Stage.DRAINING)
         path.unlink(missing_ok=True)
         path.write_bytes(b"a file of another time")
         async with program(folder, known=whole_list(member("s-1", 9))) as one:
-            assert one.program.is_ready()[0] and stage_of(one) is Stage.ALONE
+            assert one.program.is_ready()[0] and stage_of(one) is Stage.ONLY_PROCESS
 
 
 @socket_test
