--- a/tests/front_door/test_zones.py
+++ b/tests/front_door/test_zones.py
@@ -361,7 +361,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["fail", "answer", "hear", "due", "trial"]),
+            st.sampled_from(["failure", "success", "count", "due", "trial"]),
             st.integers(0, 2),
             st.integers(0, 7),
             st.integers(0, 40_000),
@@ -375,11 +375,11 @@
     for what, zone, backend, total, wait in steps:
         now += wait * MS
         sent = now - (backend + 1) * 200 * MS
-        if what == "fail":
+        if what == "failure":
             calls += zones.record_failure(zone, backend_id(backend), sent, now)
-        elif what == "answer":
+        elif what == "success":
             calls += zones.record_success(zone, backend_id(backend), sent, now)
-        elif what == "hear" and calls:  # late, repeated and wrong totals
+        elif what == "count" and calls:  # late, repeated and wrong totals
             zones.receive_count(calls[total % len(calls)], total, now)
         elif what == "due":
             calls += zones.due_calls(now)
