--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -1,7 +1,8 @@
-"""What goes on for clients that have left, and what a SIGTERM cuts: a whole gateway as processes on loopback.
+"""Client disconnects and SIGTERM on a complete gateway of processes on loopback: which work goes on, what is cut.
 
-`python -m benchmarks.departures` starts a store, a registry and a proxy, a stand-in backend in this process, and
-prints a row a case. Everything is bounded, stays on 127.0.0.0/8, and each process is ended by its id.
+`python -m benchmarks.departures` starts a store, a registry and a proxy, and a stub backend in this process, and
+prints one line for each case. Every wait has a limit, all addresses are in 127.0.0.0/8, and each process is stopped
+by its id.
 """
 
 from __future__ import annotations
@@ -23,17 +24,22 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-CORE, PROXY = "127.9.0.1", "127.9.0.2"
-FIRST_PORT, PORTS = 18_600, 16
-CONTROL, FRONT, READINESS, BACKEND = 18_700, 18_701, 18_702, 18_703
-METRICS = {"proxy": 18_710, "registry": 18_711, "config_store": 18_712}
+CORE_IP = "127.9.0.1"
+PROXY_IP = "127.9.0.2"
+FIRST_PORT = 18_600  # of the ports between the processes
+PORT_COUNT = 16
+CONTROL_PORT = 18_700
+FRONT_PORT = 18_701
+READINESS_PORT = 18_702
+BACKEND_PORT = 18_703
+METRICS_PORTS = {"proxy": 18_710, "registry": 18_711, "config_store": 18_712}
 SHUTDOWN_GRACE_S = 6.0  # from SIGTERM to SIGKILL
-UP_BY_S = 15.0  # for a gateway to serve its first request
-PATIENCE_S = 9.0  # that a client waits for an answer
-WARM = 40  # requests before a SIGTERM: a proxy that has answered few takes less after it
-READING_S = 5.0  # that a slow reader takes for its answer
-HEARTBEAT_S = 0.4  # between two heartbeats of the backend
-SETTINGS = """
+STARTUP_TIMEOUT_S = 15.0  # until the gateway answers its first request
+CLIENT_TIMEOUT_S = 9.0
+WARMUP_REQUEST_COUNT = 40  # before a SIGTERM: a proxy that has answered few requests accepts fewer after it
+SLOW_READ_S = 5.0  # in which a slow client reads its answer
+HEARTBEAT_INTERVAL_S = 0.4
+SETTINGS_TEMPLATE = """
 node_name = "{name}"
 role = "{name}"
 ip = "{ip}"
@@ -60,34 +66,34 @@
 
     RESET = "a reset"
     CLOSE = "close() (FIN)"
-    HALF_CLOSE = "shutdown(SHUT_WR), reading on"
+    HALF_CLOSE = "shutdown(SHUT_WR), still reading"
 
 
 class RequestOutcome(enum.Enum):
     """How a request ended for its client."""
 
     ANSWERED = "answered"
-    REJECTED = "promised (503)"
+    REJECTED = "rejected (429 or 503)"
     NOT_CONNECTED = "not connected"
-    INTERRUPTED = "cut"
+    INTERRUPTED = "interrupted"
     FAILED = "failed (5xx)"
 
 
 @dataclass
-class Run:
-    """One request at the stand-in backend. Times are s of the steady clock."""
+class BackendRun:
+    """One request at the stub backend. Times are in s of the monotonic clock."""
 
     attempt_id: str
-    began: float
-    ended: float | None = None
-    is_whole: bool = False
+    started_at: float
+    ended_at: float | None = None
+    is_complete: bool = False
 
 
 @dataclass
-class WorkingBackend:
-    """Works on each request for the ms that its `X-Work-Ms` names, and drops it when its connection ends."""
+class StubBackend:
+    """Answers each request after the ms in its `X-Work-Ms` field, or aborts it when its connection ends."""
 
-    runs: list[Run] = field(default_factory=list)
+    runs: list[BackendRun] = field(default_factory=list)
     server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -97,10 +103,10 @@
         if self.server is not None:
             self.server.close()
 
-    def at_work(self) -> list[Run]:
-        return [run for run in self.runs if run.ended is None]
+    def running_requests(self) -> list[BackendRun]:
+        return [run for run in self.runs if run.ended_at is None]
 
-    def began(self, attempt_id: str) -> bool:
+    def has_started(self, attempt_id: str) -> bool:
         return any(run.attempt_id == attempt_id for run in self.runs)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -108,37 +114,37 @@
             while True:
                 _, fields = await read_head(reader)
                 await reader.readexactly(int(fields.get("content-length", "0")))
-                await self._work(reader, writer, fields)
+                await self._answer(reader, writer, fields)
         writer.close()
 
-    async def _work(
+    async def _answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fields: dict[str, str]
     ) -> None:
-        run = Run(fields["x-irisdeal-attempt-id"], time.monotonic())
+        run = BackendRun(fields["x-irisdeal-attempt-id"], time.monotonic())
         self.runs.append(run)
         try:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(float(fields.get("x-work-ms", "0")) / 1000):
                     if not await reader.read(1):
-                        raise ConnectionResetError("the caller has gone")
+                        raise ConnectionResetError("the client closed its connection")
             body = b"x" * int(fields.get("x-answer-bytes", "2"))
             writer.write(
                 b"HTTP/1.1 200 OK\r\nX-Irisdeal-Attempt-Id: %s\r\nX-Irisdeal-Backend-Seal: s\r\n"
                 b"Content-Length: %d\r\n\r\n%s" % (run.attempt_id.encode(), len(body), body)
             )
-            run.is_whole = True
+            run.is_complete = True
         finally:
-            run.ended = time.monotonic()
+            run.ended_at = time.monotonic()
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """The first line, and the fields by their names in lower case."""
+    """The first line, and the header fields by lower-case name."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     named = (line.partition(":") for line in lines if line)
     return first, {name.lower(): value.strip() for name, _, value in named}
 
 
-def request(
+def build_request(
     attempt_id: str,
     work_ms: int,
     path: str = "/a/x",
@@ -146,7 +152,7 @@
     answer_bytes: int = 2,
     method: str = "GET",
 ) -> bytes:
-    """A client's request for so much work."""
+    """Encode a client's request that takes `work_ms` at the backend."""
     return (
         f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Irisdeal-Attempt-Id: {attempt_id}\r\n"
         f"X-Irisdeal-Deadline-Ms: {deadline_ms}\r\nX-Work-Ms: {work_ms}\r\n"
@@ -154,21 +160,21 @@
     ).encode()
 
 
-async def read_answer(reader: asyncio.StreamReader) -> int:
-    """The status of a whole answer. asyncio.IncompleteReadError or OSError where it breaks off."""
+async def read_response_status(reader: asyncio.StreamReader) -> int:
+    """The status of a complete response. Raises asyncio.IncompleteReadError or OSError if it is cut off."""
     first, fields = await read_head(reader)
     await reader.readexactly(int(fields["content-length"]))
     return int(first.split()[1])
 
 
-async def call(host: str, port: int, line: str, body: bytes = b"") -> int:
-    """The status of an answer on a connection of its own; 0 for none."""
+async def request_status(host: str, port: int, line: str, body: bytes = b"") -> int:
+    """Send one request on a new connection; returns the status of its response, 0 for none."""
     try:
         async with asyncio.timeout(2.0):
             reader, writer = await asyncio.open_connection(host, port)
             head = f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n"
             writer.write(head.encode() + body)
-            status = await read_answer(reader)
+            status = await read_response_status(reader)
             writer.close()
             return status
     except (OSError, TimeoutError, asyncio.IncompleteReadError, IndexError):
@@ -176,7 +182,7 @@
 
 
 def configuration() -> bytes:
-    """One service, with a route that may be repeated and one that may not."""
+    """One service with an idempotent route and a mutating one."""
 
     def rule(name: str, kind: str, prefix: str) -> dict[str, object]:
         effect = {"service": "s", "timeout_ms": 8000, "max_tries": 2}
@@ -196,28 +202,28 @@
 
 @dataclass
 class GatewayProcesses:
-    """A store, a registry and a proxy, each a process of its own, and the backend that they know."""
+    """A store, a registry and a proxy, each in its own process, and the stub backend."""
 
     folder: Path
-    backend: WorkingBackend = field(default_factory=WorkingBackend)
+    backend: StubBackend = field(default_factory=StubBackend)
     running: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
 
     def start(self, role: str) -> None:
-        ip = PROXY if role == "proxy" else CORE
+        ip = PROXY_IP if role == "proxy" else CORE_IP
         settings = self.folder / f"{role}.toml"
         settings.write_text(
-            SETTINGS.format(
+            SETTINGS_TEMPLATE.format(
                 name=role,
-                metrics=METRICS[role],
+                metrics=METRICS_PORTS[role],
                 ip=ip,
                 port=FIRST_PORT,
-                last=FIRST_PORT + PORTS - 1,
-                core=CORE,
-                control=CONTROL,
+                last=FIRST_PORT + PORT_COUNT - 1,
+                core=CORE_IP,
+                control=CONTROL_PORT,
                 grace=SHUTDOWN_GRACE_S,
                 disk=self.folder / "disk",
-                front=FRONT,
-                readiness=READINESS,
+                front=FRONT_PORT,
+                readiness=READINESS_PORT,
             )
         )
         with (self.folder / f"{role}.log").open("ab") as log:
@@ -235,29 +241,30 @@
     def terminate(self, role: str) -> None:
         self.running[role].send_signal(signal.SIGTERM)
 
-    async def ended(self, role: str, within_s: float) -> float | None:
-        """s until this process has ended; None where it has not by then."""
-        begun = time.monotonic()
-        while time.monotonic() - begun < within_s:
+    async def wait_until_ended(self, role: str, within_s: float) -> float | None:
+        """Return the s until this process ended; None if it still runs after `within_s`."""
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < within_s:
             if self.running[role].poll() is not None:
-                return time.monotonic() - begun
+                return time.monotonic() - started_at
             await asyncio.sleep(0.01)
         return None
 
-    def end(self) -> None:
+    def stop(self) -> None:
+        """Kill each process by its id."""
         for process in self.running.values():
             if process.poll() is None:
                 process.kill()
             process.wait(5)
 
     async def send_heartbeats(self) -> None:
-        """Send the backend's heartbeats, for ever."""
+        """Send the backend's heartbeats until cancelled."""
         count = 0
         while True:
             count += 1
             heartbeat = {
                 "service": "s",
-                "address": f"{CORE}:{BACKEND}",
+                "address": f"{CORE_IP}:{BACKEND_PORT}",
                 "zone": "z",
                 "generation": "v1",
                 "capacity": 500,
@@ -265,69 +272,71 @@
                 "warmup_left_ms": 0,
                 "call_count": count,
             }
-            await call(CORE, CONTROL, "POST /backends/i-1/heartbeat", json.dumps(heartbeat).encode())
-            await asyncio.sleep(HEARTBEAT_S)
+            await request_status(
+                CORE_IP, CONTROL_PORT, "POST /backends/i-1/heartbeat", json.dumps(heartbeat).encode()
+            )
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
 @contextlib.asynccontextmanager
 async def running_gateway(folder: Path) -> AsyncIterator[GatewayProcesses]:
-    """A gateway that serves."""
+    """Start a gateway, and stop it at the end. AssertionError if no request is answered in time."""
     processes = GatewayProcesses(folder)
-    await processes.backend.listen(CORE, BACKEND)
+    await processes.backend.listen(CORE_IP, BACKEND_PORT)
     heartbeats = asyncio.ensure_future(processes.send_heartbeats())
     try:
         for role in ("config_store", "registry", "proxy"):
             processes.start(role)
-        up_by = time.monotonic() + UP_BY_S
-        while await call(CORE, CONTROL, "POST /config/replace", configuration()) != 200:
-            assert time.monotonic() < up_by, "the store takes no order"
+        up_by = time.monotonic() + STARTUP_TIMEOUT_S
+        while await request_status(CORE_IP, CONTROL_PORT, "POST /config/replace", configuration()) != 200:
+            assert time.monotonic() < up_by, "the store acknowledges no configuration"
             await asyncio.sleep(0.1)
         client = Client("first", 0)
         while await client.ask() is not RequestOutcome.ANSWERED:
-            assert time.monotonic() < up_by, "the proxy serves nothing"
+            assert time.monotonic() < up_by, "the proxy answers no request"
             await asyncio.sleep(0.1)
         yield processes
     finally:
         heartbeats.cancel()
         processes.backend.close()
-        processes.end()
+        processes.stop()
 
 
 @dataclass
 class Client:
-    """One request on a connection of its own."""
+    """One request on a new connection."""
 
     attempt_id: str
     work_ms: int
     path: str = "/a/x"
     deadline_ms: int = 8000
-    end: RequestOutcome | None = None
+    outcome: RequestOutcome | None = None
     sent_at: float = 0.0
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        reader, writer = await asyncio.open_connection(PROXY, FRONT)
+        reader, writer = await asyncio.open_connection(PROXY_IP, FRONT_PORT)
         self.sent_at = time.monotonic()
-        writer.write(request(self.attempt_id, self.work_ms, self.path, self.deadline_ms))
+        writer.write(build_request(self.attempt_id, self.work_ms, self.path, self.deadline_ms))
         return reader, writer
 
     async def ask(self) -> RequestOutcome:
-        """Its end, once there is one."""
+        """Send the request and wait for its outcome."""
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 reader, writer = await self.connect()
         except (OSError, TimeoutError):
-            self.end = RequestOutcome.NOT_CONNECTED
-            return self.end
-        self.end = await self.answer(reader)
+            self.outcome = RequestOutcome.NOT_CONNECTED
+            return self.outcome
+        self.outcome = await self.read_outcome(reader)
         writer.close()
-        return self.end
+        return self.outcome
 
     @staticmethod
-    async def answer(reader: asyncio.StreamReader) -> RequestOutcome:
-        """How the request ends whose answer is read here."""
+    async def read_outcome(reader: asyncio.StreamReader) -> RequestOutcome:
+        """Read the response to a request that was sent."""
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                status = await read_answer(reader)
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
+                status = await read_response_status(reader)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return RequestOutcome.INTERRUPTED
         if status == 200:
@@ -335,8 +344,8 @@
         return RequestOutcome.REJECTED if status in (429, 503) else RequestOutcome.FAILED
 
 
-def leave(writer: asyncio.StreamWriter, how: DisconnectMode) -> None:
-    """End a client's connection."""
+def disconnect(writer: asyncio.StreamWriter, how: DisconnectMode) -> None:
+    """End a client's connection in this way."""
     match how:
         case DisconnectMode.RESET:
             sock = writer.get_extra_info("socket")
@@ -351,112 +360,119 @@
 async def count_running_after_disconnect(
     processes: GatewayProcesses, how: DisconnectMode, count: int = 8, work_ms: int = 2000
 ) -> int:
-    """Of so many clients that left after 0.3 s: runs that are still at work 0.5 s later."""
+    """Disconnect `count` clients 0.3 s after their requests; returns the requests still running 0.5 s later."""
     opened = [await Client(f"{how.name}-{number}", work_ms).connect() for number in range(count)]
     await asyncio.sleep(0.3)
     for _, writer in opened:
-        leave(writer, how)
+        disconnect(writer, how)
     await asyncio.sleep(0.5)
-    still = len(processes.backend.at_work())
+    running_count = len(processes.backend.running_requests())
     await asyncio.sleep(work_ms / 1000)
     for _, writer in opened:
         writer.close()
-    return still
+    return running_count
 
 
-def works() -> Iterator[int]:
-    """ms of work, in turn."""
+def work_durations_ms() -> Iterator[int]:
+    """Yield the ms of work of successive requests."""
     while True:
         yield from (100, 900, 2000)
 
 
 @dataclass
 class TerminationResult:
-    """What became of the requests round a SIGTERM. `cut` are those that a backend had begun."""
+    """The outcomes of requests sent after a SIGTERM.
+
+    `interrupted_sent_after_s`: when each request that the backend had started and that got no proper answer was
+    sent, in s after the signal.
+    """
 
     shutdown_s: float | None
     outcomes: dict[RequestOutcome, int]
     interrupted_sent_after_s: list[float]
 
 
-async def terminate_under_load(processes: GatewayProcesses, every_s: float = 0.05) -> TerminationResult:
-    """SIGTERM to the proxy, and a new connection with a request each `every_s`."""
+async def terminate_under_load(processes: GatewayProcesses, interval_s: float = 0.05) -> TerminationResult:
+    """Send SIGTERM to the proxy, and a request on a new connection every `interval_s` until it ends."""
     clients: list[Client] = []
-    asking: list[asyncio.Task[RequestOutcome]] = []
-    work = works()
-    warm = [Client(f"warm-{number}", next(work)) for number in range(WARM)]
-    await asyncio.gather(*(client.ask() for client in warm))
-    signalled = time.monotonic()
+    tasks: list[asyncio.Task[RequestOutcome]] = []
+    work = work_durations_ms()
+    warmup_clients = [Client(f"warm-{number}", next(work)) for number in range(WARMUP_REQUEST_COUNT)]
+    await asyncio.gather(*(client.ask() for client in warmup_clients))
+    signalled_at = time.monotonic()
     processes.terminate("proxy")
-    ended = asyncio.ensure_future(processes.ended("proxy", SHUTDOWN_GRACE_S + 1))
+    ended = asyncio.ensure_future(processes.wait_until_ended("proxy", SHUTDOWN_GRACE_S + 1))
     while not ended.done():
         client = Client(f"term-{len(clients)}", next(work))
         clients.append(client)
-        asking.append(asyncio.ensure_future(client.ask()))
-        await asyncio.sleep(every_s)
-    await asyncio.gather(*asking)
-    cut = [
+        tasks.append(asyncio.ensure_future(client.ask()))
+        await asyncio.sleep(interval_s)
+    await asyncio.gather(*tasks)
+    interrupted = [
         c
         for c in clients
-        if c.end in (RequestOutcome.INTERRUPTED, RequestOutcome.FAILED)
-        and processes.backend.began(c.attempt_id)
+        if c.outcome in (RequestOutcome.INTERRUPTED, RequestOutcome.FAILED)
+        and processes.backend.has_started(c.attempt_id)
     ]
     return TerminationResult(
         ended.result(),
-        {end: sum(c.end is end for c in clients) for end in RequestOutcome},
-        [round(c.sent_at - signalled, 2) for c in cut],
+        {end: sum(c.outcome is end for c in clients) for end in RequestOutcome},
+        [round(c.sent_at - signalled_at, 2) for c in interrupted],
     )
 
 
-async def slow_readers(processes: GatewayProcesses, count: int = 4, size: int = 32 << 20) -> int:
-    """Of so many clients that take 5 s to read their answer, amid a SIGTERM: those that had all of it."""
+async def count_complete_slow_reads(processes: GatewayProcesses, count: int = 4, size: int = 32 << 20) -> int:
+    """Of `count` clients that read their response over 5 s during a SIGTERM: how many got all of it."""
 
     async def read_slowly(number: int) -> bool:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(sock, (PROXY, FRONT))
-        await loop.sock_sendall(sock, request(f"slow-{number}", 10, answer_bytes=size))
-        had, begun = 0, loop.time()
+        await loop.sock_connect(sock, (PROXY_IP, FRONT_PORT))
+        await loop.sock_sendall(sock, build_request(f"slow-{number}", 10, answer_bytes=size))
+        received_bytes, started_at = 0, loop.time()
         with contextlib.suppress(OSError):
-            while had < size:
+            while received_bytes < size:
                 data = await loop.sock_recv(sock, size // 100)
                 if not data:
                     break
-                had += len(data)
-                behind = had / size * READING_S - (loop.time() - begun)
+                received_bytes += len(data)
+                behind = received_bytes / size * SLOW_READ_S - (loop.time() - started_at)
                 await asyncio.sleep(max(0.0, behind))
         sock.close()
-        return had >= size
+        return received_bytes >= size
 
     reading = [asyncio.ensure_future(read_slowly(number)) for number in range(count)]
     await asyncio.sleep(0.5)
     processes.terminate("proxy")
-    await processes.ended("proxy", SHUTDOWN_GRACE_S + 1)
+    await processes.wait_until_ended("proxy", SHUTDOWN_GRACE_S + 1)
     return sum(await asyncio.gather(*reading))
 
 
-async def orders(processes: GatewayProcesses, count: int = 5) -> int:
-    """Of so many orders at a registry whose store stands still, amid a SIGTERM: those that had an answer."""
+async def count_answered_puts(processes: GatewayProcesses, count: int = 5) -> int:
+    """Of `count` configurations put at a registry during its SIGTERM, its store stopped: how many were answered."""
     processes.running["config_store"].send_signal(signal.SIGSTOP)
     line = "POST /config/replace"
-    asking = [asyncio.ensure_future(call(CORE, CONTROL, line, configuration())) for _ in range(count)]
+    tasks = [
+        asyncio.ensure_future(request_status(CORE_IP, CONTROL_PORT, line, configuration()))
+        for _ in range(count)
+    ]
     await asyncio.sleep(0.05)
     processes.terminate("registry")
-    answered = sum([await status > 0 for status in asking])
+    answered = sum([await status > 0 for status in tasks])
     processes.running["config_store"].send_signal(signal.SIGCONT)
     return answered
 
 
 async def main() -> None:
-    """Print a row a case."""
+    """Print a line for each case."""
     with tempfile.TemporaryDirectory() as name:
         async with running_gateway(Path(name)) as processes:
             for how in DisconnectMode:
                 print(
                     f"{how.value}: {await count_running_after_disconnect(processes, how)} of 8 "
-                    "runs at work 0.5 s later"
+                    "requests still running 0.5 s later"
                 )
             result = await terminate_under_load(processes)
             print(
@@ -464,15 +480,18 @@
                 ", ".join(f"{count} {end.value}" for end, count in result.outcomes.items()),
             )
             print(
-                f"passed on and cut: {len(result.interrupted_sent_after_s)}, "
+                f"started by the backend and interrupted: {len(result.interrupted_sent_after_s)}, "
                 f"sent after the signal: {result.interrupted_sent_after_s}"
             )
             print(f"failed tasks in the proxy's log (E105): {processes.log('proxy').count('E105')}")
-            print(f"orders that had an answer amid a SIGTERM of the registry: {await orders(processes)} of 5")
+            print(
+                f"puts answered during a SIGTERM of the registry: {await count_answered_puts(processes)} of 5"
+            )
     with tempfile.TemporaryDirectory() as name:
         async with running_gateway(Path(name)) as processes:
             print(
-                f"slow readers of 32 MB that had all of it amid a SIGTERM: {await slow_readers(processes)} of 4"
+                "slow readers of 32 MB that got all of it during a SIGTERM: "
+                f"{await count_complete_slow_reads(processes)} of 4"
             )
 
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,15 +1,16 @@
-"""Processes of two checkouts side by side: a store, a registry and a proxy, of which some are older than others.
+"""Compatibility test of two versions: a store, a registry and a proxy, each started from one of two checkouts.
 
     python -m benchmarks.mixed_versions --old ../before
     python -m benchmarks.mixed_versions --old ../before --new ../after --only 1
 
-Each mix of the two is played in turn, the core of one and the proxy of the other first: requests go through the
-proxy all the while, the configuration is changed amid them so that others are to run them, and a backend says that
-it drains. A line a mix, and one verdict: whether all requests were answered, each by a backend of a configuration
-that was in force then, and none begun by the drained backend after its drain was acknowledged.
+Each mix of the two versions runs in turn, those with the core of one version and the proxy of the other first.
+Under a steady load of requests through the proxy, the configuration changes to route to other backends, and then
+one backend starts to drain. One line is printed for each mix, and then the result of all: every request was
+answered, each by a backend of a configuration that was in force at that time, and the draining backend started no
+request after its drain was acknowledged.
 
-Which module plays a role is read from each checkout's own `deploy/system.toml`. Everything is bounded, stays on
-127.0.0.0/8, and each process is ended by its id.
+The module of each role is read from the checkout's own `deploy/system.toml`. Every wait has a limit, all addresses
+are in 127.0.0.0/8, and each process is stopped by its id.
 """
 
 from __future__ import annotations
@@ -31,25 +32,31 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.departures import WorkingBackend, call, read_answer, request
+from benchmarks.departures import StubBackend, build_request, read_response_status, request_status
 
 ROOT = Path(__file__).parent.parent
-FIRST_PORT, PORTS = 18_800, 16
-CONTROL, FRONT, READINESS, FIRST_BACKEND = 18_900, 18_901, 18_902, 18_910
-UP_BY_S = 15.0  # for the three to serve their first request
-BEAT_S = 0.4  # between two heartbeats of a backend
-EVERY_S = 0.02  # between two requests
-PATIENCE_S = 5.0  # that a client waits for an answer
-APPLY_S = 2.5  # from the acknowledgement of a configuration until it is in force
-ON_ITS_WAY_S = 0.1  # that an attempt which was placed before a drain may take to its backend
-LEAD_S, CHANGED_S, DRAINED_S = 1.0, APPLY_S + 1.0, 1.5  # before the change, after it, after the drain
-WORK_MS = 15
-LAST_WORDS = 1500  # characters of a log
+FIRST_PORT = 18_800  # of the ports between the processes
+PORT_COUNT = 16
+CONTROL_PORT = 18_900
+FRONT_PORT = 18_901
+READINESS_PORT = 18_902
+FIRST_BACKEND_PORT = 18_910
+STARTUP_TIMEOUT_S = 15.0  # until the three processes answer their first request
+HEARTBEAT_INTERVAL_S = 0.4
+REQUEST_INTERVAL_S = 0.02
+CLIENT_TIMEOUT_S = 5.0
+MAX_APPLY_S = 2.5  # from the acknowledgement of a configuration until it is in force everywhere
+MAX_ATTEMPT_TRANSIT_S = 0.1  # for an attempt placed before the drain to reach its backend
+BEFORE_CHANGE_S = 1.0  # of load before the configuration changes
+AFTER_CHANGE_S = MAX_APPLY_S + 1.0  # of load between the change and the drain
+AFTER_DRAIN_S = 1.5  # of load after the drain
+REQUEST_WORK_MS = 15
+LOG_TAIL_CHARS = 1500
 TENANT_KEY = "k-1"
-SERVICES = {1: "one", 2: "two"}  # which a configuration routes to, by its number
+SERVICES = {1: "one", 2: "two"}  # the service that each configuration routes to, by its number
 BACKENDS = {"i-1": "one", "i-2": "one", "i-3": "two", "i-4": "two"}
-FAULTS = ("E105", "E500", "E510", "E511")  # a handler that raised; bytes that were not understood
-SETTINGS = """
+FAULT_EVENTS = ("E105", "E500", "E510", "E511")  # a handler raised an exception; bytes could not be decoded
+SETTINGS_TEMPLATE = """
 node_name = "{role}"
 role = "{role}"
 ip = "{ip}"
@@ -70,8 +77,8 @@
 """
 
 
-class Part(Enum):
-    """What a process of the gateway does, whatever its role is called."""
+class Component(Enum):
+    """A kind of gateway process; the name of its role may differ between versions."""
 
     STORE = "store"
     REGISTRY = "registry"
@@ -86,22 +93,22 @@
     module: str
 
 
-def part_of(role: dict[str, Any]) -> Part:
-    """By what it serves, and on which machines it runs. ValueError where it is none of the three."""
+def component_of(role: dict[str, Any]) -> Component:
+    """Identify a role by what it serves and where it runs. Raises ValueError for any other role."""
     serves = set(role["serves"])
     if "edge" in serves:
-        return Part.PROXY
+        return Component.PROXY
     if "control_plane" in serves:
-        return Part.REGISTRY
+        return Component.REGISTRY
     if role["on"] == "core" and not serves:
-        return Part.STORE
+        return Component.STORE
     raise ValueError(f"a role that serves {sorted(serves)} on {role['on']}")
 
 
 def module_of(command: str) -> str:
-    """Of `python3 -S -m MODULE`. ValueError where it starts none."""
-    words = command.split()
-    return words[words.index("-m") + 1]
+    """Return the module of a command `python3 -S -m MODULE`. Raises ValueError if there is none."""
+    arguments = command.split()
+    return arguments[arguments.index("-m") + 1]
 
 
 @dataclass(frozen=True)
@@ -110,32 +117,35 @@
 
     name: str
     root: Path
-    roles: dict[Part, Role]
+    roles: dict[Component, Role]
 
     @staticmethod
     def read(name: str, root: Path) -> Checkout:
-        """ValueError where its deployment does not name the three parts."""
-        told = tomllib.loads((root / "deploy" / "system.toml").read_text("utf-8"))["roles"]
-        roles = {part_of(role): Role(key, module_of(role["run"])) for key, role in told.items()}
-        if set(roles) != set(Part):
-            raise ValueError(f"{root}: the roles {sorted(told)} are not a store, a registry and a proxy")
+        """Read the roles of a checkout. Raises ValueError unless there is one for each component."""
+        deployment = tomllib.loads((root / "deploy" / "system.toml").read_text("utf-8"))["roles"]
+        roles = {component_of(role): Role(key, module_of(role["run"])) for key, role in deployment.items()}
+        if set(roles) != set(Component):
+            raise ValueError(
+                f"{root}: the roles {sorted(deployment)} are not a store, a registry and a proxy"
+            )
         return Checkout(name, root, roles)
 
 
-Mix = dict[Part, Checkout]
+Mix = dict[Component, Checkout]
 
 
 def mixes(old: Checkout, new: Checkout) -> list[Mix]:
-    """All in which both are; those that split the core from the proxies first."""
-    every = [
-        dict(zip(Part, chosen, strict=True)) for chosen in itertools.product((old, new), repeat=len(Part))
+    """All mixes that contain both versions; those with one version for the whole core come first."""
+    combinations = [
+        dict(zip(Component, chosen, strict=True))
+        for chosen in itertools.product((old, new), repeat=len(Component))
     ]
-    mixed = [mix for mix in every if len({checkout.name for checkout in mix.values()}) > 1]
-    return sorted(mixed, key=lambda mix: mix[Part.STORE] is not mix[Part.REGISTRY])
+    mixed = [mix for mix in combinations if len({checkout.name for checkout in mix.values()}) > 1]
+    return sorted(mixed, key=lambda mix: mix[Component.STORE] is not mix[Component.REGISTRY])
 
 
 def configuration(number: int) -> bytes:
-    """All requests go to one service, another by each number; of one tenant that has room."""
+    """A configuration that routes all requests to the service of its number, with one tenant below its limit."""
     rule = {
         "name": "all",
         "kind": "idempotent",
@@ -155,8 +165,8 @@
 
 
 @dataclass
-class Asked:
-    """One request of a client. Times are s of the steady clock; `status`: 0 where it was not answered."""
+class ClientRequest:
+    """One request of a client. Times are in s of the monotonic clock; `status` is 0 without an answer."""
 
     attempt_id: str
     sent_at: float
@@ -165,40 +175,40 @@
 
 
 @dataclass
-class Processes:
-    """A store, a registry and a proxy, each of its own checkout, and the backends that they know."""
+class MixedProcesses:
+    """A store, a registry and a proxy, each from the checkout of the mix, and their stub backends."""
 
     mix: Mix
     folder: Path
-    core: str
-    edge: str
-    running: dict[Part, subprocess.Popen[bytes]] = field(default_factory=dict)
-    backends: dict[str, WorkingBackend] = field(
-        default_factory=lambda: {id_: WorkingBackend() for id_ in BACKENDS}
+    core_ip: str
+    proxy_ip: str
+    running: dict[Component, subprocess.Popen[bytes]] = field(default_factory=dict)
+    backends: dict[str, StubBackend] = field(
+        default_factory=lambda: {backend_id: StubBackend() for backend_id in BACKENDS}
     )
     draining: set[str] = field(default_factory=set)
-    beats: dict[str, int] = field(default_factory=dict)
+    heartbeat_counts: dict[str, int] = field(default_factory=dict)
 
-    def start(self, part: Part) -> None:
-        """This part's process, from its checkout."""
-        checkout = self.mix[part]
-        role = checkout.roles[part]
-        settings = self.folder / f"{part.value}.toml"
+    def start(self, component: Component) -> None:
+        """Start the process of this component from its checkout."""
+        checkout = self.mix[component]
+        role = checkout.roles[component]
+        settings = self.folder / f"{component.value}.toml"
         settings.write_text(
-            SETTINGS.format(
+            SETTINGS_TEMPLATE.format(
                 role=role.name,
-                ip=self.edge if part is Part.PROXY else self.core,
+                ip=self.proxy_ip if component is Component.PROXY else self.core_ip,
                 port=FIRST_PORT,
-                last=FIRST_PORT + PORTS - 1,
-                core=self.core,
-                control=CONTROL,
+                last=FIRST_PORT + PORT_COUNT - 1,
+                core=self.core_ip,
+                control=CONTROL_PORT,
                 disk=self.folder / "disk",
-                front=FRONT,
-                readiness=READINESS,
+                front=FRONT_PORT,
+                readiness=READINESS_PORT,
             )
         )
-        with self._log(part).open("ab") as log:
-            self.running[part] = subprocess.Popen(
+        with self._log(component).open("ab") as log:
+            self.running[component] = subprocess.Popen(
                 [sys.executable, "-m", role.module],
                 cwd=checkout.root,
                 stdout=log,
@@ -206,28 +216,32 @@
                 env={**os.environ, "PYTHONPATH": str(checkout.root), "IRISDEAL_SETTINGS": str(settings)},
             )
 
-    def _log(self, part: Part) -> Path:
-        return self.folder / f"{part.value}.log"
+    def _log(self, component: Component) -> Path:
+        return self.folder / f"{component.value}.log"
 
-    def faults(self) -> list[str]:
-        """What a process told of that another one caused, and processes that have ended."""
-        told = [
-            f"{part.value}: {line}"
-            for part in self.running
-            for line in self._log(part).read_text("utf-8", "replace").splitlines()
-            if any(fault in line for fault in FAULTS)
+    def find_faults(self) -> list[str]:
+        """Logged fault events, and processes that have ended."""
+        logged = [
+            f"{component.value}: {line}"
+            for component in self.running
+            for line in self._log(component).read_text("utf-8", "replace").splitlines()
+            if any(event in line for event in FAULT_EVENTS)
         ]
-        return told + [
-            f"{part.value}: ended" for part, process in self.running.items() if process.poll() is not None
+        return logged + [
+            f"{component.value}: ended"
+            for component, process in self.running.items()
+            if process.poll() is not None
         ]
 
-    def last_words(self) -> str:
-        """The end of each log, for whoever asks why nothing is served."""
-        logs = {part.value: self._log(part).read_text("utf-8", "replace") for part in self.running}
-        return "\n".join(f"{name}: {text[-LAST_WORDS:]}" for name, text in logs.items())
+    def log_tails(self) -> str:
+        """The end of each log, for the error message of a failed start."""
+        logs = {
+            component.value: self._log(component).read_text("utf-8", "replace") for component in self.running
+        }
+        return "\n".join(f"{name}: {text[-LOG_TAIL_CHARS:]}" for name, text in logs.items())
 
-    def end(self) -> None:
-        """Each by its id."""
+    def stop(self) -> None:
+        """Kill each process by its id, and close the backends."""
         for process in self.running.values():
             if process.poll() is None:
                 process.kill()
@@ -237,225 +251,257 @@
 
     async def listen(self) -> None:
         for number, backend in enumerate(self.backends.values()):
-            await backend.listen(self.core, FIRST_BACKEND + number)
-
-    async def beat(self, id_: str) -> int:
-        """A backend says how it is; the status of the answer."""
-        self.beats[id_] = self.beats.get(id_, 0) + 1
-        told = {
-            "service": BACKENDS[id_],
-            "address": f"{self.core}:{FIRST_BACKEND + list(BACKENDS).index(id_)}",
+            await backend.listen(self.core_ip, FIRST_BACKEND_PORT + number)
+
+    async def send_heartbeat(self, backend_id: str) -> int:
+        """Send one heartbeat of a backend; returns the status of the answer."""
+        self.heartbeat_counts[backend_id] = self.heartbeat_counts.get(backend_id, 0) + 1
+        heartbeat = {
+            "service": BACKENDS[backend_id],
+            "address": f"{self.core_ip}:{FIRST_BACKEND_PORT + list(BACKENDS).index(backend_id)}",
             "zone": "z",
             "generation": "v1",
             "capacity": 500,
-            "state": "draining" if id_ in self.draining else "ready",
+            "state": "draining" if backend_id in self.draining else "ready",
             "warmup_left_ms": 0,
-            "call_count": self.beats[id_],
+            "call_count": self.heartbeat_counts[backend_id],
         }
-        return await call(self.core, CONTROL, f"POST /backends/{id_}/heartbeat", json.dumps(told).encode())
+        return await request_status(
+            self.core_ip,
+            CONTROL_PORT,
+            f"POST /backends/{backend_id}/heartbeat",
+            json.dumps(heartbeat).encode(),
+        )
 
-    async def beat_on(self, id_: str) -> None:
-        """For ever."""
+    async def send_heartbeats(self, backend_id: str) -> None:
+        """Send heartbeats of a backend until cancelled."""
         while True:
-            await self.beat(id_)
-            await asyncio.sleep(BEAT_S)
-
-    async def put(self, number: int) -> bool:
-        """Whether this configuration is acknowledged."""
-        return await call(self.core, CONTROL, "POST /config/replace", configuration(number)) == 200
-
-    async def drain(self, id_: str) -> bool:
-        """Whether a backend's drain is acknowledged."""
-        self.draining.add(id_)
-        return await self.beat(id_) == 200
-
-    def busiest(self, service: str) -> str:
-        """The backend of this service that began the most requests: at a small load one may begin all."""
-        ids = [id_ for id_, name in BACKENDS.items() if name == service]
-        return max(ids, key=lambda id_: len(self.backends[id_].runs))
-
-    async def ask(self, attempt_id: str) -> Asked:
-        """One request on a connection of its own."""
-        asked = Asked(attempt_id, time.monotonic())
-        sent = request(attempt_id, WORK_MS, deadline_ms=round(PATIENCE_S * 1000))
+            await self.send_heartbeat(backend_id)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    async def replace_configuration(self, number: int) -> bool:
+        """Put the configuration of this number; returns whether it was acknowledged."""
+        return (
+            await request_status(self.core_ip, CONTROL_PORT, "POST /config/replace", configuration(number))
+            == 200
+        )
+
+    async def drain_backend(self, backend_id: str) -> bool:
+        """Report a backend as draining; returns whether that was acknowledged."""
+        self.draining.add(backend_id)
+        return await self.send_heartbeat(backend_id) == 200
+
+    def busiest_backend(self, service: str) -> str:
+        """The backend of this service with the most requests; under a small load it may have all of them."""
+        ids = [backend_id for backend_id, name in BACKENDS.items() if name == service]
+        return max(ids, key=lambda backend_id: len(self.backends[backend_id].runs))
+
+    async def send_request(self, attempt_id: str) -> ClientRequest:
+        """Send one request on a new connection and wait for its answer."""
+        request = ClientRequest(attempt_id, time.monotonic())
+        sent = build_request(attempt_id, REQUEST_WORK_MS, deadline_ms=round(CLIENT_TIMEOUT_S * 1000))
         head, _, rest = sent.partition(b"\r\n")
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-            async with asyncio.timeout(PATIENCE_S):
-                reader, writer = await asyncio.open_connection(self.edge, FRONT)
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(self.proxy_ip, FRONT_PORT)
                 writer.write(head + b"\r\nAuthorization: Bearer " + TENANT_KEY.encode() + b"\r\n" + rest)
-                asked.status = await read_answer(reader)
+                request.status = await read_response_status(reader)
                 writer.close()
-        asked.answered_at = time.monotonic()
-        return asked
+        request.answered_at = time.monotonic()
+        return request
 
-    def ran(self) -> dict[str, set[str]]:
-        """Who began each request, by its id."""
-        began: dict[str, set[str]] = {}
-        for id_, backend in self.backends.items():
+    def backends_by_attempt(self) -> dict[str, set[str]]:
+        """The backends that started each request, by attempt id."""
+        started: dict[str, set[str]] = {}
+        for backend_id, backend in self.backends.items():
             for run in backend.runs:
-                began.setdefault(run.attempt_id, set()).add(id_)
-        return began
+                started.setdefault(run.attempt_id, set()).add(backend_id)
+        return started
 
 
 @contextlib.asynccontextmanager
-async def serving(mix: Mix, folder: Path, number: int) -> AsyncIterator[Processes]:
-    """The three, with the first configuration, once a request is answered. TimeoutError where none is."""
-    processes = Processes(mix, folder, f"127.9.{10 + number}.1", f"127.9.{10 + number}.2")
+async def running_processes(mix: Mix, folder: Path, number: int) -> AsyncIterator[MixedProcesses]:
+    """Start the processes with the first configuration. TimeoutError if no request is answered in time."""
+    processes = MixedProcesses(mix, folder, f"127.9.{10 + number}.1", f"127.9.{10 + number}.2")
     await processes.listen()
-    beating = [asyncio.ensure_future(processes.beat_on(id_)) for id_ in BACKENDS]
+    heartbeats = [asyncio.ensure_future(processes.send_heartbeats(backend_id)) for backend_id in BACKENDS]
     try:
-        for part in Part:
-            processes.start(part)
+        for component in Component:
+            processes.start(component)
         try:
-            async with asyncio.timeout(UP_BY_S):
-                while not await processes.put(1):
+            async with asyncio.timeout(STARTUP_TIMEOUT_S):
+                while not await processes.replace_configuration(1):
                     await asyncio.sleep(0.1)
-                while (await processes.ask("first")).status != 200:
+                while (await processes.send_request("first")).status != 200:
                     await asyncio.sleep(0.1)
         except TimeoutError:
-            raise TimeoutError(processes.last_words()) from None
+            raise TimeoutError(processes.log_tails()) from None
         yield processes
     finally:
-        for task in beating:
+        for task in heartbeats:
             task.cancel()
-        processes.end()
+        processes.stop()
 
 
 @dataclass
-class Played:
-    """What one mix showed. Times are s of the steady clock."""
-
-    asked: list[Asked]
-    ran: dict[str, set[str]]
-    put_at: float
-    confirmed_at: float | None
-    drained_at: float | None
-    begun_at_drained: list[float]
+class MixResult:
+    """What was observed of one mix. Times are in s of the monotonic clock."""
+
+    requests: list[ClientRequest]
+    backends_by_attempt: dict[str, set[str]]
+    change_sent_at: float
+    change_acknowledged_at: float | None
+    drain_acknowledged_at: float | None
+    drained_backend_starts: list[float]
     faults: list[str]
 
-    def unanswered(self) -> list[Asked]:
-        return [asked for asked in self.asked if asked.status != 200]
+    def unanswered_requests(self) -> list[ClientRequest]:
+        return [request for request in self.requests if request.status != 200]
 
-    def services(self, asked: Asked) -> set[str]:
-        return {BACKENDS[id_] for id_ in self.ran.get(asked.attempt_id, ())}
+    def services_of(self, request: ClientRequest) -> set[str]:
+        """The services whose backends started this request."""
+        return {BACKENDS[backend_id] for backend_id in self.backends_by_attempt.get(request.attempt_id, ())}
 
-    def misrouted(self) -> list[Asked]:
-        """Answered by a backend of another configuration than one that was in force in its time."""
+    def misrouted_requests(self) -> list[ClientRequest]:
+        """Requests answered by a backend of a configuration that was not in force at that time."""
         first, second = SERVICES[1], SERVICES[2]
-        after = [asked for asked in self.asked if asked.answered_at >= self.put_at]
+        after = [request for request in self.requests if request.answered_at >= self.change_sent_at]
         changed_at = min(
-            (asked.answered_at for asked in after if self.services(asked) == {second}), default=float("inf")
+            (request.answered_at for request in after if self.services_of(request) == {second}),
+            default=float("inf"),
         )
-        in_force_by = min(changed_at, (self.confirmed_at or float("inf")) + APPLY_S)
+        in_force_by = min(changed_at, (self.change_acknowledged_at or float("inf")) + MAX_APPLY_S)
         wrong = []
-        for asked in self.asked:
+        for request in self.requests:
             allowed = {first, second}
-            if asked.answered_at < self.put_at:
+            if request.answered_at < self.change_sent_at:
                 allowed = {first}
-            elif asked.sent_at > in_force_by:
+            elif request.sent_at > in_force_by:
                 allowed = {second}
-            services = self.services(asked)
-            if asked.status == 200 and not (services and services <= allowed):
-                wrong.append(asked)
+            services = self.services_of(request)
+            if request.status == 200 and not (services and services <= allowed):
+                wrong.append(request)
         return wrong
 
-    def after_drain(self) -> list[float]:
-        """s after the acknowledgement at which the drained backend began a request all the same."""
-        if self.drained_at is None:
+    def starts_after_drain(self) -> list[float]:
+        """Requests that the draining backend started too late, each in s after the drain was acknowledged."""
+        if self.drain_acknowledged_at is None:
             return []
-        return [at - self.drained_at for at in self.begun_at_drained if at > self.drained_at + ON_ITS_WAY_S]
-
-    def breaches(self) -> list[str]:
-        """What must not be; nothing where this mix works."""
-        found = [f"not answered: {len(self.unanswered())} of {len(self.asked)}"] if self.unanswered() else []
-        if self.misrouted():
-            found.append(f"by another configuration: {len(self.misrouted())}")
-        if self.confirmed_at is None:
+        return [
+            at - self.drain_acknowledged_at
+            for at in self.drained_backend_starts
+            if at > self.drain_acknowledged_at + MAX_ATTEMPT_TRANSIT_S
+        ]
+
+    def violations(self) -> list[str]:
+        """All violated requirements; empty if the versions work together."""
+        found = (
+            [f"not answered: {len(self.unanswered_requests())} of {len(self.requests)}"]
+            if self.unanswered_requests()
+            else []
+        )
+        if self.misrouted_requests():
+            found.append(f"by another configuration: {len(self.misrouted_requests())}")
+        if self.change_acknowledged_at is None:
             found.append("the change was not acknowledged")
-        if self.drained_at is None:
+        if self.drain_acknowledged_at is None:
             found.append("the drain was not acknowledged")
-        if self.after_drain():
-            found.append(f"begun by the drained backend: {len(self.after_drain())} after its drain")
-        return [*found, *self._unseen(), *self.faults]
-
-    def _unseen(self) -> list[str]:
-        """What this mix would have to show for its checks to mean anything."""
-        ran = [self.services(asked) for asked in self.asked]
-        unseen = [f"no request ran at {name}" for name in SERVICES.values() if {name} not in ran]
-        before = [at for at in self.begun_at_drained if self.drained_at is None or at < self.drained_at]
+        if self.starts_after_drain():
+            found.append(f"begun by the drained backend: {len(self.starts_after_drain())} after its drain")
+        return [*found, *self._missing_coverage(), *self.faults]
+
+    def _missing_coverage(self) -> list[str]:
+        """Conditions without which the checks prove nothing, and which this run did not meet."""
+        services = [self.services_of(request) for request in self.requests]
+        unseen = [f"no request ran at {name}" for name in SERVICES.values() if {name} not in services]
+        before = [
+            at
+            for at in self.drained_backend_starts
+            if self.drain_acknowledged_at is None or at < self.drain_acknowledged_at
+        ]
         if not before:
             unseen.append("the drained backend ran nothing before its drain")
-        last = max(asked.sent_at for asked in self.asked)
-        if self.drained_at is None or last < self.drained_at + DRAINED_S / 2:
+        last = max(request.sent_at for request in self.requests)
+        if self.drain_acknowledged_at is None or last < self.drain_acknowledged_at + AFTER_DRAIN_S / 2:
             unseen.append("no request was sent after the drain")
         return unseen
 
 
-async def _load(processes: Processes, asking: list[asyncio.Task[Asked]]) -> None:
-    """Requests for ever, at an even pace whatever becomes of them."""
+async def _send_load(processes: MixedProcesses, tasks: list[asyncio.Task[ClientRequest]]) -> None:
+    """Send requests at a fixed interval, regardless of the answers, until cancelled."""
     for number in itertools.count():
-        asking.append(asyncio.ensure_future(processes.ask(f"a-{number}")))
-        await asyncio.sleep(EVERY_S)
+        tasks.append(asyncio.ensure_future(processes.send_request(f"a-{number}")))
+        await asyncio.sleep(REQUEST_INTERVAL_S)
 
 
-async def play(mix: Mix, number: int) -> Played:
-    """One mix, from its start to its end."""
+async def run_mix(mix: Mix, number: int) -> MixResult:
+    """Start one mix, apply the load, the change and the drain, and stop it."""
     with tempfile.TemporaryDirectory() as name:
-        async with serving(mix, Path(name), number) as processes:
-            asking: list[asyncio.Task[Asked]] = []
-            load = asyncio.ensure_future(_load(processes, asking))
-            await asyncio.sleep(LEAD_S)
-            put_at = time.monotonic()
-            confirmed_at = time.monotonic() if await processes.put(2) else None
-            await asyncio.sleep(CHANGED_S)
-            drained = processes.busiest(SERVICES[2])
-            drained_at = time.monotonic() if await processes.drain(drained) else None
-            await asyncio.sleep(DRAINED_S)
+        async with running_processes(mix, Path(name), number) as processes:
+            tasks: list[asyncio.Task[ClientRequest]] = []
+            load = asyncio.ensure_future(_send_load(processes, tasks))
+            await asyncio.sleep(BEFORE_CHANGE_S)
+            change_sent_at = time.monotonic()
+            change_acknowledged_at = time.monotonic() if await processes.replace_configuration(2) else None
+            await asyncio.sleep(AFTER_CHANGE_S)
+            drained = processes.busiest_backend(SERVICES[2])
+            drain_acknowledged_at = time.monotonic() if await processes.drain_backend(drained) else None
+            await asyncio.sleep(AFTER_DRAIN_S)
             load.cancel()
-            asked = list(await asyncio.gather(*asking))
-            begun = [run.began for run in processes.backends[drained].runs]
-            return Played(asked, processes.ran(), put_at, confirmed_at, drained_at, begun, processes.faults())
+            requests = list(await asyncio.gather(*tasks))
+            drained_starts = [run.started_at for run in processes.backends[drained].runs]
+            return MixResult(
+                requests,
+                processes.backends_by_attempt(),
+                change_sent_at,
+                change_acknowledged_at,
+                drain_acknowledged_at,
+                drained_starts,
+                processes.find_faults(),
+            )
 
 
-def named(mix: Mix) -> str:
-    return ", ".join(f"{part.value} {checkout.name}" for part, checkout in mix.items())
+def describe_mix(mix: Mix) -> str:
+    return ", ".join(f"{component.value} {checkout.name}" for component, checkout in mix.items())
 
 
-async def tried(mix: Mix, number: int) -> bool:
-    """Play a mix and print its line; whether nothing was wrong."""
+async def run_and_print_mix(mix: Mix, number: int) -> bool:
+    """Run a mix and print its line; returns whether it had no violations."""
     try:
-        played = await play(mix, number)
+        played = await run_mix(mix, number)
     except TimeoutError as error:
-        print(f"{named(mix)}: served nothing in {UP_BY_S:g} s\n{error}")
+        print(f"{describe_mix(mix)}: answered no request in {STARTUP_TIMEOUT_S:g} s\n{error}")
         return False
-    breaches = played.breaches()
-    served = len(played.asked) - len(played.unanswered())
-    second = sum(played.services(asked) == {SERVICES[2]} for asked in played.asked)
+    violations = played.violations()
+    served = len(played.requests) - len(played.unanswered_requests())
+    second = sum(played.services_of(request) == {SERVICES[2]} for request in played.requests)
     print(
-        f"{named(mix)}: {served} of {len(played.asked)} served, {second} by the second configuration",
+        f"{describe_mix(mix)}: {served} of {len(played.requests)} served, {second} by the second configuration",
         end="; ",
     )
-    print("; ".join(breaches) or "none at the drained backend after its drain")
-    return not breaches
+    print("; ".join(violations) or "none at the drained backend after its drain")
+    return not violations
 
 
 async def main() -> int:
-    """Print a line a mix and the verdict; 1 where something was wrong."""
+    """Print a line for each mix and the result of all; returns 1 if any mix had violations."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--old", type=Path, required=True, help="the checkout of the version before")
-    parser.add_argument("--new", type=Path, default=ROOT, help="this one, if nothing is said")
-    parser.add_argument("--only", type=int, help="the mix of this number, from 0")
-    told = parser.parse_args()
+    parser.add_argument("--old", type=Path, required=True, help="the checkout of the older version")
+    parser.add_argument(
+        "--new", type=Path, default=ROOT, help="the checkout of the newer version (default: this one)"
+    )
+    parser.add_argument("--only", type=int, help="run only the mix of this number, counted from 0")
+    args = parser.parse_args()
     chosen = list(
-        enumerate(mixes(Checkout.read("old", told.old.resolve()), Checkout.read("new", told.new.resolve())))
+        enumerate(mixes(Checkout.read("old", args.old.resolve()), Checkout.read("new", args.new.resolve())))
     )
-    if told.only is not None:
-        chosen = chosen[told.only : told.only + 1]
-    good = [await tried(mix, number) for number, mix in chosen]
-    is_good = bool(good) and all(good)
-    print(f"{'good' if is_good else 'BROKEN'}: {sum(good)} of {len(good)} mixes of the two versions work")
+    if args.only is not None:
+        chosen = chosen[args.only : args.only + 1]
+    passed = [await run_and_print_mix(mix, number) for number, mix in chosen]
+    is_good = bool(passed) and all(passed)
+    print(f"{'good' if is_good else 'BROKEN'}: {sum(passed)} of {len(passed)} mixes of the two versions work")
     return 0 if is_good else 1
 
 
