--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` and `make test` each do all of their own set-up; Python 3.11 or later is all they want.
+# `make demo` and `make test` each create the environment they need; the only requirement is Python 3.11 or later.
 PYTHON ?= python3
 
 .PHONY: demo test bench capacity clean
@@ -18,7 +18,7 @@
 bench: .venv-dev/installed.txt
 	.venv-dev/bin/python -m benchmarks.door_cost $(ARGS)
 
-# What each role costs at several sizes, in under 10 minutes; then the page's tables from it (docs/CAPACITY.md).
+# Measures each role's cost at several sizes in under 10 minutes, then writes the tables of docs/CAPACITY.md.
 capacity: .venv-dev/installed.txt
 	.venv-dev/bin/python -m benchmarks.capacity run $(ARGS)
 	.venv-dev/bin/python -m benchmarks.capacity page --write
