--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -217,7 +217,9 @@
 
 
 class StandInRegistry:
-    """A stand-in registry that places attempts immediately, or after `hold_s`; it counts the waiting calls."""
+    """A stand-in registry that places attempts immediately, or after `hold_s`; it counts the waiting
+    calls.
+    """
 
     def __init__(self, world: RequestWorld) -> None:
         self.world, self.hold_s, self.number = world, 0.0, 0
@@ -264,7 +266,9 @@
     """The proxy, backend, clients and network of one seed."""
 
     def __init__(self, seed: int = 1, has_registry: bool = False, max_tries: int = 2) -> None:
-        """`has_registry`: a stand-in registry places attempts; otherwise the proxy chooses backends itself."""
+        """`has_registry`: a stand-in registry places attempts; otherwise the proxy chooses backends
+        itself.
+        """
         self.world = World(seed)
         self.net = Network(self.world)
         self.rng = random.Random(seed)
