--- a/benchmarks/route_match.py
+++ b/benchmarks/route_match.py
@@ -30,7 +30,7 @@
 from irisdeal.front_door.routes.matcher import Matcher
 from irisdeal.front_door.routes.model import Repeat, Route, Rule
 from irisdeal.front_door.routes.path import Target, read_target
-from irisdeal.front_door.routes.table import building
+from irisdeal.front_door.routes.table import build_in_steps
 from irisdeal.front_door.routes.wire import route_from_wire
 
 SIZES = (10, 100, 1_000, 10_000)
@@ -123,7 +123,7 @@
     longest, last = 0.0, time.perf_counter()
     whole = last
     wire = done.stdout.splitlines()[1:]
-    for _ in building(route_from_wire(json.loads(line), rules) for line in wire):
+    for _ in build_in_steps(route_from_wire(json.loads(line), rules) for line in wire):
         now = time.perf_counter()
         longest, last = max(longest, now - last), now
     return {
--- a/irisdeal/cli/routes.py
+++ b/irisdeal/cli/routes.py
@@ -42,7 +42,7 @@
 
 def _table(file: Path) -> Table:
     """The table of a description that must be right: its first error ends the command, with 1."""
-    from irisdeal.front_door.routes.table import TooMany, build
+    from irisdeal.front_door.routes.table import DescriptionLimitError, build
 
     description = _read(file)
     if description.errors:
@@ -54,7 +54,7 @@
             allow_weaken="weaken" in description.allow,
             allow_remove="remove" in description.allow,
         )
-    except TooMany as error:
+    except DescriptionLimitError as error:
         click.echo(f"irisdeal: {file}: {error}", err=True)
         sys.exit(1)
 
@@ -209,8 +209,8 @@
 
     Example: irisdeal routes match refund.yaml GET "/refund/check?receipt=7"
     """
-    from irisdeal.front_door.routes.costs import BadUnits, units_of
-    from irisdeal.front_door.routes.path import BadTarget, read_target
+    from irisdeal.front_door.routes.costs import InvalidUnitsError, read_units
+    from irisdeal.front_door.routes.path import InvalidTargetError, read_target
 
     table = _table(file)
     told: dict[str, Any]
@@ -220,12 +220,16 @@
         if found.route is not None:
             told = {"status": None, "route": _as_json(found.route), "parameters": found.parameters}
             if found.route.units.place != "body":
-                told["units"] = units_of(found.route.units, read.query, b"")
-        elif found.allow:
-            told = {"status": 405, "allow": list(found.allow), "reason": "the path has other methods"}
+                told["units"] = read_units(found.route.units, read.query, b"")
+        elif found.allowed_methods:
+            told = {
+                "status": 405,
+                "allow": list(found.allowed_methods),
+                "reason": "the path has other methods",
+            }
         else:
             told = {"status": 404, "reason": "no such path"}
-    except (BadTarget, BadUnits) as error:
+    except (InvalidTargetError, InvalidUnitsError) as error:
         told = {"status": 400, "reason": str(error)}
     if as_json:
         click.echo(json.dumps(told, indent=1))
@@ -252,10 +256,10 @@
 
     Example: irisdeal routes diff refund.yaml refund-new.yaml
     """
-    from irisdeal.front_door.routes.difference import difference, refusal
+    from irisdeal.front_door.routes.difference import difference, refusal_reason
 
     one, other = _table(old), _table(new)
-    changes, reason = difference(one, other), refusal(one, other)
+    changes, reason = difference(one, other), refusal_reason(one, other)
     if as_json:
         click.echo(
             json.dumps(
--- a/irisdeal/front_door/routes/costs.py
+++ b/irisdeal/front_door/routes/costs.py
@@ -18,12 +18,12 @@
 STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
 
 
-class BadUnits(ValueError):
+class InvalidUnitsError(ValueError):
     """A request whose units cannot be told: answered 400, with this text."""
 
 
-def units_of(units: Units, query: str, body: bytes) -> float:
-    """The units of one request, over 0 and at most the cap. Raises `BadUnits`."""
+def read_units(units: Units, query: str, body: bytes) -> float:
+    """The units of one request, over 0 and at most the cap. Raises `InvalidUnitsError`."""
     if not units.place:
         return units.amount
     value = query_value(query, units.name) if units.place == "query" else body_value(body, units.name)
@@ -31,23 +31,25 @@
         return units.default
     if isinstance(value, str):
         if not NUMBER.fullmatch(value):
-            raise BadUnits(f"units in {units.place} {units.name}: no plain number")
+            raise InvalidUnitsError(f"units in {units.place} {units.name}: no plain number")
         value = float(value)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise BadUnits(f"units in {units.place} {units.name}: no number")
+        raise InvalidUnitsError(f"units in {units.place} {units.name}: no number")
     try:
         amount = float(value)
     except OverflowError:
         amount = math.inf
     if not (math.isfinite(amount) and 0 < amount <= MOST_UNITS):
-        raise BadUnits(f"units in {units.place} {units.name}: wanted over 0 and at most {MOST_UNITS:g}")
+        raise InvalidUnitsError(
+            f"units in {units.place} {units.name}: wanted over 0 and at most {MOST_UNITS:g}"
+        )
     return min(amount, units.cap)
 
 
 def query_value(query: str, name: str) -> str | None:
     """The value of a parameter; None where it is not there. Twice is an error: which one counts?"""
     if len(query) > MOST_QUERY:
-        raise BadUnits("query too long")
+        raise InvalidUnitsError("query too long")
     found = [
         value
         for part in query.split("&")
@@ -55,7 +57,7 @@
         if key == name or (("%" in key or "+" in key) and unquote_plus(key) == name)
     ]
     if len(found) > 1:
-        raise BadUnits(f"query parameter {name} more than once")
+        raise InvalidUnitsError(f"query parameter {name} more than once")
     return unquote_plus(found[0]) if found else None
 
 
@@ -64,13 +66,13 @@
     if not body:
         return None
     if len(body) > MOST_BODY:
-        raise BadUnits(f"body over {MOST_BODY} bytes")
+        raise InvalidUnitsError(f"body over {MOST_BODY} bytes")
     if _depth(body) > MOST_DEPTH:
-        raise BadUnits(f"body nested over {MOST_DEPTH} deep")
+        raise InvalidUnitsError(f"body nested over {MOST_DEPTH} deep")
     try:
         value = json.loads(body, parse_constant=_refuse, parse_int=_whole)
     except (ValueError, RecursionError):  # no JSON, no UTF-8, NaN
-        raise BadUnits("body is no JSON") from None
+        raise InvalidUnitsError("body is no JSON") from None
     for token in tokens(pointer):
         if isinstance(value, dict):
             value = value.get(token)
--- a/irisdeal/front_door/routes/difference.py
+++ b/irisdeal/front_door/routes/difference.py
@@ -94,7 +94,7 @@
     )
 
 
-def refusal(old: Table, new: Table) -> str | None:
+def refusal_reason(old: Table, new: Table) -> str | None:
     """Why a swap is not to be made, with the first route that it concerns; None where it may be."""
     for change in difference(old, new):
         if change.what == "weaker" and not new.allow_weaken:
--- a/irisdeal/front_door/routes/matcher.py
+++ b/irisdeal/front_door/routes/matcher.py
@@ -8,8 +8,8 @@
 3. a segment that is one parameter.
 
 A branch that leads to no route is left for the next one. Two templates of one shape (`/a/{x}`, `/a/{y}`) are
-told when the tree is made (`Clash`): the description may not have both. Where two mixed segments of one
-place can match the same text the order above decides, and `Matcher.overlaps` tells of it: no ambiguity is
+told when the tree is made (`RouteConflictError`): the description may not have both. Where two mixed segments
+of one place can match the same text the order above decides, and `Matcher.overlaps` tells of it: no ambiguity is
 silent.
 """
 
@@ -24,7 +24,7 @@
 MOST_OVERLAPS = 100  # told of; more say nothing new
 
 
-class Clash(ValueError):
+class RouteConflictError(ValueError):
     """Two routes that no target can tell apart."""
 
     def __init__(self, one: Route, other: Route) -> None:
@@ -45,16 +45,16 @@
 class Found:
     """A route and its parameters; or the methods that the path has, for 405."""
 
-    __slots__ = ("allow", "names", "route", "values")
+    __slots__ = ("allowed_methods", "names", "route", "values")
 
     def __init__(
         self,
         route: Route | None,
         names: tuple[str, ...] = (),
         values: Sequence[str] = (),
-        allow: tuple[str, ...] = (),
+        allowed_methods: tuple[str, ...] = (),
     ) -> None:
-        self.route, self.names, self.values, self.allow = route, names, values, allow
+        self.route, self.names, self.values, self.allowed_methods = route, names, values, allowed_methods
 
     @property
     def parameters(self) -> dict[str, str]:
@@ -76,13 +76,13 @@
             self.add(route)
 
     def add(self, route: Route) -> None:
-        """One more route. Raises `Clash`, or `BadTemplate` of `path`."""
+        """One more route. Raises `RouteConflictError`, or `InvalidTemplateError` of `path`."""
         segments = read_template(route.template)
         node = self.root
         for segment in segments:
             node = self._child(node, segment)
         if (other := node.own.get(route.method)) is not None:
-            raise Clash(other, route)
+            raise RouteConflictError(other, route)
         node.own[route.method] = route
         names = tuple(name for segment in segments for name in segment.names)
         node.able[route.method] = route, names
@@ -109,15 +109,15 @@
         return child
 
     def find(self, method: str, target: Target) -> Found:
-        """The route of a request; where only other methods are described, `allow` names them."""
+        """The route of a request; where only other methods are described, `allowed_methods` names them."""
         values: list[str] = []
         able = _search(self.root, target.segments, 0, method, values)
         if able is not None:
             return Found(able[0], able[1], values)
-        allow: set[str] = set()
+        methods: set[str] = set()
         for node in _reached(self.root, target.segments, 0):
-            allow.update(node.able)
-        return Found(None, allow=tuple(sorted(allow))) if allow else NOTHING
+            methods.update(node.able)
+        return Found(None, allowed_methods=tuple(sorted(methods))) if methods else NOTHING
 
 
 def _search(
--- a/irisdeal/front_door/routes/model.py
+++ b/irisdeal/front_door/routes/model.py
@@ -81,7 +81,7 @@
     worth: float = 1.0
     late_worth: float = 0.0
 
-    def stricter(self, other: Rule) -> Rule:
+    def restricted_by(self, other: Rule) -> Rule:
         """This class with the stricter rule on repeats of the two; times and worth stay."""
         if other.repeat <= self.repeat and not (
             self.repeat is Repeat.KEYED
--- a/irisdeal/front_door/routes/path.py
+++ b/irisdeal/front_door/routes/path.py
@@ -21,22 +21,22 @@
 CONTROL = re.compile(r"[\x00-\x1f\x7f]")
 
 
-class BadTarget(ValueError):
+class InvalidTargetError(ValueError):
     """A target that is not routed: answered 400, with this text."""
 
 
 class Target(NamedTuple):
-    """A target taken apart. `segments` are decoded once, `query` is as it came, `plain` is path and query."""
+    """A target taken apart. `segments` are decoded once; `query` and `path_and_query` are as they came."""
 
     segments: list[str]
     query: str
-    plain: str
+    path_and_query: str
 
 
 def read_target(target: str) -> Target:
-    """Origin form or absolute form to its parts; `*` has the one segment `*`. Raises `BadTarget`."""
+    """Origin form or absolute form to its parts; `*` has the one segment `*`. Raises `InvalidTargetError`."""
     if len(target) > MOST_TARGET:
-        raise BadTarget(f"target over {MOST_TARGET} bytes")
+        raise InvalidTargetError(f"target over {MOST_TARGET} bytes")
     if (
         target[:1] == "/"
         and "%" not in target
@@ -53,29 +53,29 @@
     if not target.startswith("/"):
         absolute = ABSOLUTE.match(target)
         if absolute is None:
-            raise BadTarget("target is neither a path nor a URL")
+            raise InvalidTargetError("target is neither a path nor a URL")
         target = target[absolute.end() :]
         if not target.startswith("/"):
             target = "/" + target
     if "#" in target:
-        raise BadTarget("target with a fragment")
+        raise InvalidTargetError("target with a fragment")
     path, _, query = target.partition("?")
     return Target(read_path(path), query, target)
 
 
 def read_path(path: str) -> list[str]:
-    """A path's segments, each decoded once: an encoded slash divides nothing. Raises `BadTarget`."""
+    """A path's segments, each decoded once: an encoded slash divides nothing. Raises `InvalidTargetError`."""
     raw = path.split("/")[1:]
     if len(raw) > MOST_SEGMENTS:
-        raise BadTarget(f"path with over {MOST_SEGMENTS} segments")
+        raise InvalidTargetError(f"path with over {MOST_SEGMENTS} segments")
     if "%" in path:
         if BAD_PERCENT.search(path):
-            raise BadTarget("malformed percent-encoding")
+            raise InvalidTargetError("malformed percent-encoding")
         raw = [unquote_to_bytes(s).decode("utf-8", "surrogateescape") if "%" in s else s for s in raw]
     if "." in raw or ".." in raw:
-        raise BadTarget("path with dot segments")
+        raise InvalidTargetError("path with dot segments")
     if CONTROL.search(path) or ("%" in path and any(CONTROL.search(s) for s in raw)):
-        raise BadTarget("path with control characters")
+        raise InvalidTargetError("path with control characters")
     return raw
 
 
@@ -101,23 +101,23 @@
         return self.literals
 
 
-class BadTemplate(ValueError):
+class InvalidTemplateError(ValueError):
     """A path template that cannot be used, with the reason."""
 
 
 def read_template(template: str) -> tuple[Segment, ...]:
-    """A path template's segments. Raises `BadTemplate`."""
+    """A path template's segments. Raises `InvalidTemplateError`."""
     if not template.startswith("/"):
-        raise BadTemplate("wanted a path that begins with /")
+        raise InvalidTemplateError("wanted a path that begins with /")
     if "?" in template or "#" in template:
-        raise BadTemplate("wanted a path without query and fragment")
+        raise InvalidTemplateError("wanted a path without query and fragment")
     segments = [_segment(raw) for raw in template.split("/")[1:]]
     if len(segments) > MOST_SEGMENTS:
-        raise BadTemplate(f"wanted at most {MOST_SEGMENTS} segments")
+        raise InvalidTemplateError(f"wanted at most {MOST_SEGMENTS} segments")
     names = [name for segment in segments for name in segment.names]
     for name in names:
         if names.count(name) > 1:
-            raise BadTemplate(f"parameter {{{name}}} stands more than once")
+            raise InvalidTemplateError(f"parameter {{{name}}} stands more than once")
     return tuple(segments)
 
 
@@ -125,12 +125,12 @@
     parts = PARAMETER.split(raw)
     literals, names = [_literal(text) for text in parts[::2]], tuple(parts[1::2])
     if any(not name for name in names):
-        raise BadTemplate("a parameter without a name")
+        raise InvalidTemplateError("a parameter without a name")
     if not names and literals[0] in (".", ".."):
-        raise BadTemplate("a dot segment, which no request can match")
+        raise InvalidTemplateError("a dot segment, which no request can match")
     for between in literals[1:-1]:
         if not between:
-            raise BadTemplate("two parameters with nothing between them")
+            raise InvalidTemplateError("two parameters with nothing between them")
     if not names:
         return Segment(tuple(literals), (), None)
     # Leftmost parameter shortest, as in most routers; each literal between stands where it first fits.
@@ -142,10 +142,10 @@
 
 def _literal(text: str) -> str:
     if "{" in text or "}" in text:
-        raise BadTemplate("a brace that closes nothing")
+        raise InvalidTemplateError("a brace that closes nothing")
     if BAD_PERCENT.search(text):
-        raise BadTemplate("malformed percent-encoding")
+        raise InvalidTemplateError("malformed percent-encoding")
     decoded = unquote_to_bytes(text).decode("utf-8", "surrogateescape")
     if CONTROL.search(decoded):
-        raise BadTemplate("control characters")
+        raise InvalidTemplateError("control characters")
     return decoded
--- a/irisdeal/front_door/routes/table.py
+++ b/irisdeal/front_door/routes/table.py
@@ -18,10 +18,10 @@
 
 MOST_ROUTES = 50_000
 MOST_CLASSES = 1_000  # of one generation: each has an average of its own in the module
-SLICE = 16  # routes added between two rests, so that a swap does not hold up the loop
+ROUTES_PER_STEP = 16  # routes added between two rests, so that a swap does not hold up the loop
 
 
-class TooMany(ValueError):
+class DescriptionLimitError(ValueError):
     """A description past what a door takes."""
 
 
@@ -44,7 +44,7 @@
         return tuple(dict.fromkeys(route.rule for route in self.routes.values()))
 
 
-def building(
+def build_in_steps(
     routes: Iterable[Route],
     number: int = 1,
     allow_weaken: bool = False,
@@ -52,20 +52,21 @@
 ) -> Iterator[Table]:
     """Make a table in small steps: the same table is given after each, whole with the last one.
 
-    Raises `Clash`, `BadTemplate` or `TooMany`; a table that is not whole must not be used.
+    Raises `RouteConflictError`, `InvalidTemplateError` or `DescriptionLimitError`.
+    A table that is not whole must not be used.
     """
     table = Table(number, allow_weaken=allow_weaken, allow_remove=allow_remove)
     digest = hashlib.blake2b(digest_size=16)
     for count, route in enumerate(routes, 1):
         if count > MOST_ROUTES:
-            raise TooMany(f"over {MOST_ROUTES} operations")
+            raise DescriptionLimitError(f"over {MOST_ROUTES} operations")
         table.matcher.add(route)
         table.routes[route.key] = route
         digest.update(repr(route).encode("utf-8", "surrogatepass"))
-        if count % SLICE == 0:
+        if count % ROUTES_PER_STEP == 0:
             yield table
     if len(table.rules()) > MOST_CLASSES:
-        raise TooMany(f"over {MOST_CLASSES} classes")
+        raise DescriptionLimitError(f"over {MOST_CLASSES} classes")
     digest.update(repr((allow_weaken, allow_remove)).encode())
     table.digest = digest.hexdigest()
     yield table
@@ -73,21 +74,21 @@
 
 def build(routes: Iterable[Route], number: int = 1, **allow: bool) -> Table:
     """The same at once."""
-    *_, table = building(routes, number, **allow)
+    *_, table = build_in_steps(routes, number, **allow)
     return table
 
 
-class Classes:
-    """The numbers of classes over generations. `fixed` are those of the settings, which never change."""
+class ClassNumbers:
+    """The numbers of classes over generations. The first `reserved_count` are the settings' and never change."""
 
-    def __init__(self, fixed: int = 0) -> None:
-        self.fixed = fixed
-        self.rules: list[Rule | None] = [None] * fixed
+    def __init__(self, reserved_count: int = 0) -> None:
+        self.reserved_count = reserved_count
+        self.rules: list[Rule | None] = [None] * reserved_count
         self.numbers: dict[Rule, int] = {}
         self.uses: dict[int, int] = {}  # open requests by number
         self.current: set[int] = set()  # of the generation in force
 
-    def take_on(self, rules: Iterable[Rule]) -> dict[Rule, int]:
+    def activate(self, rules: Iterable[Rule]) -> dict[Rule, int]:
         """A generation comes in force: its numbers. Those of the last one stay while requests use them."""
         wanted = tuple(rules)
         known = {self.numbers[rule] for rule in wanted if rule in self.numbers}
@@ -97,20 +98,20 @@
             self.current.add(self._number(rule))
         return {rule: self.numbers[rule] for rule in wanted}
 
-    def number(self, rule: Rule) -> int:
+    def assign(self, rule: Rule) -> int:
         """The number of one more rule (a stricter one of an open request, say)."""
         return self._number(rule)
 
     def _number(self, rule: Rule) -> int:
         if (number := self.numbers.get(rule)) is None:
-            free = (n for n in range(self.fixed, len(self.rules)) if self.rules[n] is None)
+            free = (n for n in range(self.reserved_count, len(self.rules)) if self.rules[n] is None)
             number = next(free, len(self.rules))
             if number == len(self.rules):
                 self.rules.append(None)
             self.rules[number], self.numbers[rule] = rule, number
         return number
 
-    def use(self, number: int) -> None:
+    def acquire(self, number: int) -> None:
         """An open request has this class."""
         self.uses[number] = self.uses.get(number, 0) + 1
 
@@ -123,7 +124,7 @@
             self.uses.pop(number, None)
 
     def _let_go(self) -> None:
-        for number in range(self.fixed, len(self.rules)):
+        for number in range(self.reserved_count, len(self.rules)):
             rule = self.rules[number]
             if rule is not None and number not in self.current and number not in self.uses:
                 self.rules[number] = None
--- a/irisdeal/front_door/server/routed.py
+++ b/irisdeal/front_door/server/routed.py
@@ -30,12 +30,18 @@
     Settings,
 )
 from irisdeal.front_door.decisions.interface import Idempotency as Repeats
-from irisdeal.front_door.routes.costs import BadUnits, query_value, units_of
-from irisdeal.front_door.routes.difference import refusal
-from irisdeal.front_door.routes.matcher import Clash
+from irisdeal.front_door.routes.costs import InvalidUnitsError, query_value, read_units
+from irisdeal.front_door.routes.difference import refusal_reason
+from irisdeal.front_door.routes.matcher import RouteConflictError
 from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source
-from irisdeal.front_door.routes.path import BadTarget, BadTemplate, Target, read_target
-from irisdeal.front_door.routes.table import SLICE, Classes, Table, TooMany, building
+from irisdeal.front_door.routes.path import InvalidTargetError, InvalidTemplateError, Target, read_target
+from irisdeal.front_door.routes.table import (
+    ROUTES_PER_STEP,
+    ClassNumbers,
+    DescriptionLimitError,
+    Table,
+    build_in_steps,
+)
 from irisdeal.front_door.routes.wire import route_from_wire
 from irisdeal.front_door.server.client_request import ClientRequest, RequestError
 from irisdeal.front_door.server.clients import (
@@ -119,7 +125,7 @@
         )
         self.settings: Settings = config.settings
         self.table = Table()
-        self.classes = Classes(fixed=len(config.settings.classes))
+        self.classes = ClassNumbers(reserved_count=len(config.settings.classes))
         self.request_classes: list[RequestClass] = list(config.settings.classes)
         self.class_numbers: dict[Rule, int] = {}
         self.plans = {name: n for n, name in enumerate(config.plans)}
@@ -148,15 +154,17 @@
         method_name = method.decode("latin-1")
         try:
             target = read_target(url.decode("latin-1"))
-        except BadTarget as error:
+        except InvalidTargetError as error:
             raise RequestError(400, str(error)) from None
         found = self.table.find(method_name, target)
         route = found.route
         if route is None:
-            if not found.allow:
+            if not found.allowed_methods:
                 raise RequestError(404, "no such path")
             raise RequestError(
-                405, "the path has other methods", b"Allow: " + ", ".join(found.allow).encode() + b"\r\n"
+                405,
+                "the path has other methods",
+                b"Allow: " + ", ".join(found.allowed_methods).encode() + b"\r\n",
             )
         if body and method_name in ("GET", "HEAD"):
             raise RequestError(400, f"{method_name} with a body")
@@ -181,8 +189,8 @@
             raise RequestError(400, "unknown plan")
         request.customer = self._customer(self._value(route.customer, values, target, found.parameters))
         try:
-            request.units = units_of(route.units, target.query, body)
-        except BadUnits as error:
+            request.units = read_units(route.units, target.query, body)
+        except InvalidUnitsError as error:
             raise RequestError(400, str(error)) from None
         if request.units > self.http_server.max_units[plan]:
             raise RequestError(400, "more units than the plan can pass")
@@ -193,11 +201,11 @@
         request.is_retry = values.get(b"x-second-try", b"") == b"1"
         request.is_write = method_name not in ("GET", "HEAD")
         request.head = b"".join(
-            (method, b" ", target.plain.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra_headers)
+            (method, b" ", target.path_and_query.encode("latin-1"), b" HTTP/1.1\r\n", *headers, extra_headers)
         )
         request.body = body
         request.route_context = RouteContext(method_name, target, rule)
-        self.classes.use(request.request_class)
+        self.classes.acquire(request.request_class)
 
     def _value(
         self,
@@ -212,7 +220,7 @@
             return parameters.get(source.name, "")
         try:
             return query_value(target.query, source.name) or ""
-        except BadUnits as error:
+        except InvalidUnitsError as error:
             raise RequestError(400, str(error)) from None
 
     def _customer(self, text: str) -> int:
@@ -344,7 +352,7 @@
             await process.wait()
         if table.digest == self.table.digest:
             return
-        if self.table.number and (reason := refusal(self.table, table)) is not None:
+        if self.table.number and (reason := refusal_reason(self.table, table)) is not None:
             raise DescriptionError(f"{self.routes.file}: {reason}")
         self._activate(table)
 
@@ -372,13 +380,13 @@
                         f"{self.routes.file}: the reader process ended after {len(routes)} routes"
                     )
                 routes.append(route_from_wire(line, rules))
-                if len(routes) % SLICE == 0:
+                if len(routes) % ROUTES_PER_STEP == 0:
                     await asyncio.sleep(0)
-            steps = building(routes, self.table.number + 1, "weaken" in allow, "remove" in allow)
+            steps = build_in_steps(routes, self.table.number + 1, "weaken" in allow, "remove" in allow)
             for partial_table in steps:
                 table = partial_table
                 await asyncio.sleep(0)
-        except (Clash, BadTemplate, TooMany, ValueError) as error:
+        except (RouteConflictError, InvalidTemplateError, DescriptionLimitError, ValueError) as error:
             raise DescriptionError(f"{self.routes.file}: {error}") from None
         return table
 
@@ -399,7 +407,7 @@
         rule applies to its further attempts; if its route was removed, its former rule still applies.
         """
         former = self.table
-        self.class_numbers = self.classes.take_on(table.rules())
+        self.class_numbers = self.classes.activate(table.rules())
         restricted: list[Event] = []
         for number, request in self.decision_loop.requests.items():
             client = request.client
@@ -407,11 +415,11 @@
             if request.is_answered or not isinstance(context, RouteContext):
                 continue
             route = table.find(context.method, context.target).route
-            if route is None or (rule := context.rule.stricter(route.rule)) == context.rule:
+            if route is None or (rule := context.rule.restricted_by(route.rule)) == context.rule:
                 continue
             context.rule, former_class = rule, client.request_class
-            client.request_class = self.classes.number(rule)
-            self.classes.use(client.request_class)
+            client.request_class = self.classes.assign(rule)
+            self.classes.acquire(client.request_class)
             self.classes.release(former_class)
             restricted.append(RequestClassChanged(number, client.request_class))
         for number, known in enumerate(self.classes.rules):
--- a/irisdeal/front_door/sources/openapi.py
+++ b/irisdeal/front_door/sources/openapi.py
@@ -28,7 +28,7 @@
 from referencing.exceptions import Unresolvable
 
 from irisdeal.front_door.routes.costs import tokens
-from irisdeal.front_door.routes.matcher import Clash, Matcher
+from irisdeal.front_door.routes.matcher import Matcher, RouteConflictError
 from irisdeal.front_door.routes.model import (
     DEFAULT_AIM,
     DEFAULT_DEADLINE,
@@ -43,7 +43,7 @@
     Units,
     check_rule,
 )
-from irisdeal.front_door.routes.path import BadTarget, BadTemplate, read_path, read_template
+from irisdeal.front_door.routes.path import InvalidTargetError, InvalidTemplateError, read_path, read_template
 from irisdeal.front_door.routes.wire import route_to_wire
 from irisdeal.front_door.sources.yamljson import MOST_BYTES, Malformed, load
 
@@ -315,14 +315,14 @@
             if path and not path.startswith("/"):
                 path = "/" + path.removeprefix("./")
             read_path(path or "/")
-        except (BadTarget, ValueError) as error:
+        except (InvalidTargetError, ValueError) as error:
             raise self._stop(at, f"url {_short(url)}: {error}") from None
         return path.rstrip("/") or "/"
 
     def _path(self, at: _At, template: str, bases: list[str], above: dict[str, _At]) -> None:
         try:
             names = [name for segment in read_template(template) for name in segment.names]
-        except BadTemplate as error:
+        except InvalidTemplateError as error:
             raise self._stop(at, f"path {_short(template)}: {error}") from None
         item = self._resolved(at)
         if not isinstance(item.value, dict):
@@ -526,12 +526,12 @@
         for route in self.made.routes:
             try:
                 matcher.add(route)
-            except Clash as clash:
+            except RouteConflictError as clash:
                 self._note(
                     _At(None, self.root, route.pointer[1:]),
                     f"{clash}: wanted one of them, which stands at {clash.one.pointer}",
                 )
-            except BadTemplate as error:  # with its base path: too many segments, a name twice
+            except InvalidTemplateError as error:  # with its base path: too many segments, a name twice
                 self._note(_At(None, self.root, route.pointer[1:]), f"path {_short(route.template)}: {error}")
         for one, other in matcher.overlaps:
             self._note(
--- a/tests/front_door/test_routes.py
+++ b/tests/front_door/test_routes.py
@@ -11,12 +11,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.front_door.routes.costs import BadUnits, tokens, units_of
-from irisdeal.front_door.routes.difference import difference, refusal, weaker
-from irisdeal.front_door.routes.matcher import Clash, Matcher
+from irisdeal.front_door.routes.costs import InvalidUnitsError, read_units, tokens
+from irisdeal.front_door.routes.difference import difference, refusal_reason, weaker
+from irisdeal.front_door.routes.matcher import Matcher, RouteConflictError
 from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source, Units, check_rule
-from irisdeal.front_door.routes.path import BadTarget, BadTemplate, read_target, read_template
-from irisdeal.front_door.routes.table import Classes, TooMany, build, building
+from irisdeal.front_door.routes.path import (
+    InvalidTargetError,
+    InvalidTemplateError,
+    read_target,
+    read_template,
+)
+from irisdeal.front_door.routes.table import ClassNumbers, DescriptionLimitError, build, build_in_steps
 from irisdeal.front_door.routes.wire import route_from_wire, route_to_wire
 
 SAFE, KEYED, UNSAFE = Rule("r", Repeat.SAFE), Rule("k", Repeat.KEYED), Rule("u", Repeat.UNSAFE)
@@ -51,7 +56,7 @@
 )
 def test_targets_are_taken_apart(target: str, segments: tuple[str, ...], query: str, plain: str) -> None:
     read = read_target(target)
-    assert (tuple(read.segments), read.query, read.plain) == (segments, query, plain)
+    assert (tuple(read.segments), read.query, read.path_and_query) == (segments, query, plain)
 
 
 @pytest.mark.parametrize(
@@ -75,7 +80,7 @@
     ],
 )
 def test_targets_that_a_box_may_read_in_another_way_are_not_routed(target: str) -> None:
-    with pytest.raises(BadTarget):
+    with pytest.raises(InvalidTargetError):
         read_target(target)
 
 
@@ -97,7 +102,7 @@
     ],
 )
 def test_templates_that_cannot_be_used(template: str) -> None:
-    with pytest.raises(BadTemplate):
+    with pytest.raises(InvalidTemplateError):
         read_template(template)
 
 
@@ -140,19 +145,19 @@
 def test_methods_that_are_not_there_and_head_for_get() -> None:
     matcher = Matcher([route("GET", "/a"), route("POST", "/a"), route("DELETE", "/{x}"), route("POST", "/b")])
     found = matcher.find("PATCH", read_target("/a"))
-    assert (found.route, found.allow) == (None, ("DELETE", "GET", "HEAD", "POST"))
+    assert (found.route, found.allowed_methods) == (None, ("DELETE", "GET", "HEAD", "POST"))
     assert find(matcher, "HEAD", "/a") == "/a" and find(matcher, "HEAD", "/b") is None
     assert find(matcher, "DELETE", "/a") == "/{x}"  # a later choice has the method
-    assert matcher.find("GET", read_target("/x/y")).allow == ()
+    assert matcher.find("GET", read_target("/x/y")).allowed_methods == ()
     own = Matcher([route("GET", "/a", SAFE), route("HEAD", "/a", KEYED)])
     head = own.find("HEAD", read_target("/a")).route
     assert head is not None and head.rule is KEYED
 
 
 def test_two_of_one_shape_clash_and_overlaps_are_told() -> None:
-    with pytest.raises(Clash, match=r"GET /a/\{y\} matches what GET /a/\{x\} matches"):
+    with pytest.raises(RouteConflictError, match=r"GET /a/\{y\} matches what GET /a/\{x\} matches"):
         Matcher([route("GET", "/a/{x}"), route("GET", "/a/{y}")])
-    with pytest.raises(Clash):
+    with pytest.raises(RouteConflictError):
         Matcher([route("GET", "/a%2Db"), route("GET", "/a-b")])
     assert Matcher([route("GET", "/a/{x}"), route("PUT", "/a/{y}")]).overlaps == []
     assert Matcher([route("GET", "/{x}.pdf"), route("GET", "/r{x}")]).overlaps == [("{x}.pdf", "r{x}")]
@@ -220,7 +225,7 @@
 def test_any_target_is_read_or_refused(text: str) -> None:
     try:
         read = read_target(text)
-    except BadTarget:
+    except InvalidTargetError:
         return
     assert Matcher([route("GET", "/{a}"), route("GET", "/x{a}y")]).find("GET", read) is not None
 
@@ -252,7 +257,7 @@
     ],
 )
 def test_units_are_read(units: Units, query: str, body: bytes, amount: float) -> None:
-    assert units_of(units, query, body) == amount
+    assert read_units(units, query, body) == amount
 
 
 @pytest.mark.parametrize(
@@ -286,15 +291,17 @@
 )
 def test_units_that_are_no_number_are_the_requests_error(place: str, text: str) -> None:
     units = Units(place=place, name="n" if place == "query" else "/n")
-    with pytest.raises(BadUnits):
-        units_of(units, text if place == "query" else "", text.encode("latin-1") if place == "body" else b"")
+    with pytest.raises(InvalidUnitsError):
+        read_units(
+            units, text if place == "query" else "", text.encode("latin-1") if place == "body" else b""
+        )
 
 
 @given(st.binary(max_size=200), st.text(max_size=40))
 def test_any_body_and_query_cost_something_within_bounds_or_are_refused(body: bytes, query: str) -> None:
     for units in (Units(place="body", name="/n", cap=9.0), Units(place="query", name="n", cap=9.0)):
-        with suppress(BadUnits):
-            assert 0 < units_of(units, query, body) <= 9.0
+        with suppress(InvalidUnitsError):
+            assert 0 < read_units(units, query, body) <= 9.0
 
 
 def test_pointers_are_rfc_6901s() -> None:
@@ -354,13 +361,13 @@
 
 @given(RULES, RULES)
 def test_the_stricter_of_two_allows_nothing_that_either_forbids(one: Rule, other: Rule) -> None:
-    made = one.stricter(other)
+    made = one.restricted_by(other)
     for rule in (one, other):
         assert made.repeat >= rule.repeat
         if made.repeat is Repeat.KEYED and rule.repeat is Repeat.KEYED:
             assert made.window <= rule.window and rule.group in ("all", made.group)
     assert (made.aim, made.name) == (one.aim, one.name)
-    assert made.stricter(other) == made and one.stricter(one) == one
+    assert made.restricted_by(other) == made and one.restricted_by(one) == one
 
 
 def test_differences_and_refusals() -> None:
@@ -381,25 +388,25 @@
         ("gone", "/c"),
         ("new", "/d"),
     ]
-    assert refusal(old, new) == (
+    assert refusal_reason(old, new) == (
         "POST /b: unsafe would become keyed by idempotency-key, zone, 5000 ms: "
         "wanted weaken in x-irisdeal allow"
     )
     new.allow_weaken = True
-    assert refusal(old, new) == "PUT /c would be gone: wanted remove in x-irisdeal allow"
+    assert refusal_reason(old, new) == "PUT /c would be gone: wanted remove in x-irisdeal allow"
     new.allow_remove = True
-    assert refusal(old, new) is None and refusal(old, old) is None
+    assert refusal_reason(old, new) is None and refusal_reason(old, old) is None
     renamed = [build([route("GET", f"/a/{{{name}}}", SAFE)]) for name in "xy"]
-    assert difference(*renamed) == [] and refusal(*renamed) is None
+    assert difference(*renamed) == [] and refusal_reason(*renamed) is None
 
 
 def test_a_table_is_built_in_small_steps_and_its_digest_is_its_content() -> None:
     routes = [route("GET", f"/r{n}/{{x}}", SAFE) for n in range(1_000)]
-    steps = list(building(routes))
+    steps = list(build_in_steps(routes))
     assert len(steps) == 1_000 // 16 + 1 and steps[0] is steps[-1]
     assert build(routes).digest == steps[-1].digest != build(routes[1:]).digest
     assert build(routes, allow_weaken=True).digest != steps[-1].digest
-    with pytest.raises(TooMany):
+    with pytest.raises(DescriptionLimitError):
         build(route("GET", f"/r{n}", replace(SAFE, name=f"c{n}")) for n in range(1_001))
 
 
@@ -431,22 +438,22 @@
 
 
 def test_numbers_stay_over_generations_and_are_given_anew_when_nothing_uses_them() -> None:
-    classes = Classes(fixed=2)
+    classes = ClassNumbers(reserved_count=2)
     a, b, c, d = rules("a", "b", "c", "d")
-    assert classes.take_on([a, b]) == {a: 2, b: 3}
-    classes.use(2)
-    assert classes.take_on([b, c]) == {b: 3, c: 4}  # a is in use
+    assert classes.activate([a, b]) == {a: 2, b: 3}
+    classes.acquire(2)
+    assert classes.activate([b, c]) == {b: 3, c: 4}  # a is in use
     assert classes.rules == [None, None, a, b, c]
     classes.release(2)
-    assert classes.take_on([b, d]) == {b: 3, d: 2}  # a and c are over
+    assert classes.activate([b, d]) == {b: 3, d: 2}  # a and c are over
     assert classes.rules == [None, None, d, b, None]
 
 
 def test_fifty_swaps_do_not_make_fifty_times_the_classes() -> None:
-    classes = Classes()
+    classes = ClassNumbers()
     for swap in range(50):
-        numbers = classes.take_on(rules(*(f"{swap}-{n}" for n in range(10))))
-        classes.use(numbers[Rule(f"{swap}-0")])
+        numbers = classes.activate(rules(*(f"{swap}-{n}" for n in range(10))))
+        classes.acquire(numbers[Rule(f"{swap}-0")])
         if swap:
             classes.release(classes.numbers[Rule(f"{swap - 1}-0")])
     assert len(classes.rules) <= 3 * 10
@@ -467,15 +474,15 @@
 def test_no_open_request_sees_its_number_become_another_class(
     steps: list[tuple[str, list[str] | str]],
 ) -> None:
-    classes, held = Classes(fixed=1), list[tuple[int, Rule]]()
-    classes.take_on(rules("a"))
+    classes, held = ClassNumbers(reserved_count=1), list[tuple[int, Rule]]()
+    classes.activate(rules("a"))
     for what, told in steps:
         if what == "swap":
-            classes.take_on(rules(*told))
+            classes.activate(rules(*told))
         elif what == "use":
             rule = Rule(str(told))
             if (number := classes.numbers.get(rule)) in classes.current and number is not None:
-                classes.use(number)
+                classes.acquire(number)
                 held.append((number, rule))
         elif held:
             classes.release(held.pop()[0])
