--- a/irisdeal/cli/routes.py
+++ b/irisdeal/cli/routes.py
@@ -256,10 +256,10 @@
 
     Example: irisdeal routes diff refund.yaml refund-new.yaml
     """
-    from irisdeal.front_door.routes.difference import difference, refusal_reason
+    from irisdeal.front_door.routes.difference import compare_tables, refusal_reason
 
     one, other = _table(old), _table(new)
-    changes, reason = difference(one, other), refusal_reason(one, other)
+    changes, reason = compare_tables(one, other), refusal_reason(one, other)
     if as_json:
         click.echo(
             json.dumps(
@@ -268,7 +268,7 @@
                     "new": other.digest,
                     "refused": reason,
                     "changes": [
-                        {"what": c.what, "method": c.method, "path": c.template, "old": c.old, "new": c.new}
+                        {"what": c.kind, "method": c.method, "path": c.template, "old": c.old, "new": c.new}
                         for c in changes
                     ],
                 },
--- a/irisdeal/front_door/routes/__init__.py
+++ b/irisdeal/front_door/routes/__init__.py
@@ -1,2 +1,1 @@
-"""Routes and costs, as an OpenAPI description tells them: table, matcher, costs, differences. Pure, no
-I/O."""
+"""Routes and request costs of an OpenAPI description: tables, matcher, costs and comparison, without I/O."""
--- a/irisdeal/front_door/routes/costs.py
+++ b/irisdeal/front_door/routes/costs.py
@@ -1,4 +1,4 @@
-"""What a request counts, from its route's `Units`, its query and its body (RFC 6901 for pointers)."""
+"""The cost of a request in units, from its route's `Units`, its query and its body (pointers: RFC 6901)."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from typing import Any
 from urllib.parse import unquote_plus
 
-from irisdeal.front_door.routes.model import MOST_UNITS, Units
+from irisdeal.front_door.routes.model import MAX_UNITS, Units
 
-MOST_BODY = 65_536  # bytes of a body that are read for its units; PROTOCOL, top
-MOST_DEPTH = 64  # of nesting in such a body
-MOST_QUERY = 16_384
-NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-ARRAY_INDEX = re.compile(r"0|[1-9][0-9]{0,8}")
-STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
+MAX_BODY_BYTES = 65_536  # the largest body that is parsed for its units; the protocol's limit of a body
+MAX_BODY_DEPTH = 64  # levels of nested arrays and objects
+MAX_QUERY_CHARS = 16_384
+NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+ARRAY_INDEX_PATTERN = re.compile(r"0|[1-9][0-9]{0,8}")
+JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
 
 
 class InvalidUnitsError(ValueError):
-    """A request whose units cannot be told: answered 400, with this text."""
+    """The units of a request cannot be determined; the client gets status 400 with this text."""
 
 
 def read_units(units: Units, query: str, body: bytes) -> float:
-    """The units of one request, over 0 and at most the cap. Raises `InvalidUnitsError`."""
+    """Return the units of a request, over 0 and at most the cap. Raises `InvalidUnitsError`."""
     if not units.place:
         return units.amount
     value = query_value(query, units.name) if units.place == "query" else body_value(body, units.name)
     if value is None:
         return units.default
     if isinstance(value, str):
-        if not NUMBER.fullmatch(value):
+        if not NUMBER_PATTERN.fullmatch(value):
             raise InvalidUnitsError(f"units in {units.place} {units.name}: no plain number")
         value = float(value)
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -39,52 +39,56 @@
         amount = float(value)
     except OverflowError:
         amount = math.inf
-    if not (math.isfinite(amount) and 0 < amount <= MOST_UNITS):
+    if not (math.isfinite(amount) and 0 < amount <= MAX_UNITS):
         raise InvalidUnitsError(
-            f"units in {units.place} {units.name}: wanted over 0 and at most {MOST_UNITS:g}"
+            f"units in {units.place} {units.name}: wanted over 0 and at most {MAX_UNITS:g}"
         )
     return min(amount, units.cap)
 
 
 def query_value(query: str, name: str) -> str | None:
-    """The value of a parameter; None where it is not there. Twice is an error: which one counts?"""
-    if len(query) > MOST_QUERY:
+    """Return the value of a query parameter, or None. A repeated parameter is ambiguous and raises an error."""
+    if len(query) > MAX_QUERY_CHARS:
         raise InvalidUnitsError("query too long")
-    found = [
+    values = [
         value
         for part in query.split("&")
         for key, _, value in (part.partition("="),)
         if key == name or (("%" in key or "+" in key) and unquote_plus(key) == name)
     ]
-    if len(found) > 1:
+    if len(values) > 1:
         raise InvalidUnitsError(f"query parameter {name} more than once")
-    return unquote_plus(found[0]) if found else None
+    return unquote_plus(values[0]) if values else None
 
 
 def body_value(body: bytes, pointer: str) -> Any:
-    """What a pointer leads to in a JSON body; None where the body is empty or has no such place."""
+    """Return the value at a JSON pointer in a body, or None where the body is empty or has no such value."""
     if not body:
         return None
-    if len(body) > MOST_BODY:
-        raise InvalidUnitsError(f"body over {MOST_BODY} bytes")
-    if _depth(body) > MOST_DEPTH:
-        raise InvalidUnitsError(f"body nested over {MOST_DEPTH} deep")
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidUnitsError(f"body over {MAX_BODY_BYTES} bytes")
+    if _nesting_depth(body) > MAX_BODY_DEPTH:
+        raise InvalidUnitsError(f"body nested over {MAX_BODY_DEPTH} deep")
     try:
-        value = json.loads(body, parse_constant=_refuse, parse_int=_whole)
-    except (ValueError, RecursionError):  # no JSON, no UTF-8, NaN
+        value = json.loads(body, parse_constant=_reject_constant, parse_int=_parse_integer)
+    except (ValueError, RecursionError):  # not JSON, not UTF-8, or NaN
         raise InvalidUnitsError("body is no JSON") from None
-    for token in tokens(pointer):
+    for token in pointer_tokens(pointer):
         if isinstance(value, dict):
             value = value.get(token)
         elif isinstance(value, list):
-            value = value[int(token)] if ARRAY_INDEX.fullmatch(token) and int(token) < len(value) else None
+            value = (
+                value[int(token)]
+                if ARRAY_INDEX_PATTERN.fullmatch(token) and int(token) < len(value)
+                else None
+            )
         else:
             return None
     return value
 
 
-def tokens(pointer: str) -> list[str]:
-    """A JSON pointer's reference tokens (RFC 6901 4). ValueError where it is none."""
+def pointer_tokens(pointer: str) -> list[str]:
+    """Return the reference tokens of a JSON pointer (RFC 6901 4). Raises ValueError for an invalid pointer."""
     if not pointer:
         return []
     if not pointer.startswith("/"):
@@ -94,24 +98,27 @@
     return [part.replace("~1", "/").replace("~0", "~") for part in pointer.split("/")[1:]]
 
 
-def _refuse(text: str) -> Any:
+def _reject_constant(text: str) -> Any:
     raise ValueError(text)
 
 
-def _whole(text: str) -> float:
-    """A whole number of any length, in time that grows with its length only."""
+def _parse_integer(text: str) -> float:
+    """Parse an integer of any length as a float, in linear time."""
     return float(text)
 
 
-def _depth(body: bytes) -> int:
-    """How deep brackets nest, outside strings; a cheap bound before anything is built."""
-    deepest = depth = 0
-    if body.count(b"[") + body.count(b"{") <= MOST_DEPTH:
+def _nesting_depth(body: bytes) -> int:
+    """Return how deep brackets nest outside strings, or 0 where there are too few to exceed the limit.
+
+    It bounds the depth cheaply before the body is parsed.
+    """
+    max_depth = depth = 0
+    if body.count(b"[") + body.count(b"{") <= MAX_BODY_DEPTH:
         return 0
-    for byte in STRINGS.sub(b"", body):
+    for byte in JSON_STRING_PATTERN.sub(b"", body):
         if byte in b"[{":
             depth += 1
-            deepest = max(deepest, depth)
+            max_depth = max(max_depth, depth)
         elif byte in b"]}":
             depth -= 1
-    return deepest
+    return max_depth
--- a/irisdeal/front_door/routes/matcher.py
+++ b/irisdeal/front_door/routes/matcher.py
@@ -1,16 +1,17 @@
-"""From a target to its route: a tree of segments, so that the cost grows with the path and not with the
-routes.
+"""Match a request target to its route in a tree of path segments.
 
-Order, leftmost segment first (OpenAPI, Path Templating Matching: concrete before templated):
+The cost of a match grows with the path and not with the number of routes.
+Candidates are tried in this order, leftmost segment first (OpenAPI, Path Templating Matching: concrete before
+templated):
 
 1. a literal segment,
-2. a segment of literals and parameters, the one with most literal characters first, then the earlier in text,
+2. a segment of literals and parameters, the one with the most literal characters first, then by its text,
 3. a segment that is one parameter.
 
-A branch that leads to no route is left for the next one. Two templates of one shape (`/a/{x}`, `/a/{y}`) are
-told when the tree is made (`RouteConflictError`): the description may not have both. Where two mixed segments
-of one place can match the same text the order above decides, and `Matcher.overlaps` tells of it: no ambiguity is
-silent.
+If a branch has no route for the request, the next candidate is tried. Two templates of one shape (`/a/{x}`,
+`/a/{y}`) are an error when the tree is built (`RouteConflictError`). Where two mixed segments at one position can
+match the same text, the order above decides, and `Matcher.overlaps` lists the pair, so that no ambiguity stays
+unreported.
 """
 
 from __future__ import annotations
@@ -21,15 +22,17 @@
 from irisdeal.front_door.routes.model import Route
 from irisdeal.front_door.routes.path import Segment, Target, read_template
 
-MOST_OVERLAPS = 100  # told of; more say nothing new
+MAX_OVERLAPS = 100  # reported pairs; further ones add no information
 
 
 class RouteConflictError(ValueError):
-    """Two routes that no target can tell apart."""
+    """Two routes of one method match the same targets."""
 
-    def __init__(self, one: Route, other: Route) -> None:
-        super().__init__(f"{other.method} {other.template} matches what {one.method} {one.template} matches")
-        self.one, self.other = one, other
+    def __init__(self, existing: Route, added: Route) -> None:
+        super().__init__(
+            f"{added.method} {added.template} matches what {existing.method} {existing.template} matches"
+        )
+        self.existing, self.added = existing, added
 
 
 @dataclass(slots=True)
@@ -37,13 +40,13 @@
     literals: dict[str, _Node] = field(default_factory=dict)
     mixed: list[tuple[Segment, _Node]] = field(default_factory=list)
     parameter: _Node | None = None
-    # By method, with its parameters in order; GET's stands for HEAD where HEAD has none of its own.
-    able: dict[str, tuple[Route, tuple[str, ...]]] = field(default_factory=dict)
-    own: dict[str, Route] = field(default_factory=dict)  # by method, as described
+    # By method, with the parameter names in order; GET's route also serves HEAD if HEAD has none of its own.
+    routes_by_method: dict[str, tuple[Route, tuple[str, ...]]] = field(default_factory=dict)
+    described: dict[str, Route] = field(default_factory=dict)  # by method, without GET's route for HEAD
 
 
-class Found:
-    """A route and its parameters; or the methods that the path has, for 405."""
+class RouteMatch:
+    """A route with its parameter values, or the methods that the path allows (status 405)."""
 
     __slots__ = ("allowed_methods", "names", "route", "values")
 
@@ -58,15 +61,15 @@
 
     @property
     def parameters(self) -> dict[str, str]:
-        """By name, decoded once."""
+        """Return the values by parameter name, percent-decoded once."""
         return dict(zip(self.names, self.values, strict=True))
 
 
-NOTHING = Found(None)
+NO_MATCH = RouteMatch(None)
 
 
 class Matcher:
-    """All routes of one generation. Built by `add`, then only read."""
+    """The routes of one generation. `add` builds it; afterwards it is only read."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self.root = _Node()
@@ -76,21 +79,21 @@
             self.add(route)
 
     def add(self, route: Route) -> None:
-        """One more route. Raises `RouteConflictError`, or `InvalidTemplateError` of `path`."""
+        """Add a route. Raises `RouteConflictError` or `InvalidTemplateError`."""
         segments = read_template(route.template)
         node = self.root
         for segment in segments:
-            node = self._child(node, segment)
-        if (other := node.own.get(route.method)) is not None:
+            node = self._child_node(node, segment)
+        if (other := node.described.get(route.method)) is not None:
             raise RouteConflictError(other, route)
-        node.own[route.method] = route
+        node.described[route.method] = route
         names = tuple(name for segment in segments for name in segment.names)
-        node.able[route.method] = route, names
-        if route.method == "GET" and "HEAD" not in node.own:  # RFC 9110 9.3.2
-            node.able["HEAD"] = route, names
+        node.routes_by_method[route.method] = route, names
+        if route.method == "GET" and "HEAD" not in node.described:  # RFC 9110 9.3.2
+            node.routes_by_method["HEAD"] = route, names
         self.count += 1
 
-    def _child(self, node: _Node, segment: Segment) -> _Node:
+    def _child_node(self, node: _Node, segment: Segment) -> _Node:
         if not segment.names:
             return node.literals.setdefault(segment.literals[0], _Node())
         if segment.is_parameter:
@@ -101,91 +104,91 @@
             if other.shape == segment.shape:
                 return child
         for other, _ in node.mixed:
-            if len(self.overlaps) < MOST_OVERLAPS and _may_overlap(other, segment):
-                self.overlaps.append((_text(other), _text(segment)))
+            if len(self.overlaps) < MAX_OVERLAPS and _may_overlap(other, segment):
+                self.overlaps.append((_segment_text(other), _segment_text(segment)))
         child = _Node()
         node.mixed.append((segment, child))
         node.mixed.sort(key=lambda pair: (-sum(map(len, pair[0].literals)), pair[0].literals))
         return child
 
-    def find(self, method: str, target: Target) -> Found:
-        """The route of a request; where only other methods are described, `allowed_methods` names them."""
+    def find(self, method: str, target: Target) -> RouteMatch:
+        """Return the route of a request. If only other methods are described, `allowed_methods` names them."""
         values: list[str] = []
-        able = _search(self.root, target.segments, 0, method, values)
-        if able is not None:
-            return Found(able[0], able[1], values)
+        found = _find_route(self.root, target.segments, 0, method, values)
+        if found is not None:
+            return RouteMatch(found[0], found[1], values)
         methods: set[str] = set()
-        for node in _reached(self.root, target.segments, 0):
-            methods.update(node.able)
-        return Found(None, allowed_methods=tuple(sorted(methods))) if methods else NOTHING
+        for node in _reached_nodes(self.root, target.segments, 0):
+            methods.update(node.routes_by_method)
+        return RouteMatch(None, allowed_methods=tuple(sorted(methods))) if methods else NO_MATCH
 
 
-def _search(
+def _find_route(
     node: _Node,
     segments: Sequence[str],
-    at: int,
+    index: int,
     method: str,
     values: list[str],
 ) -> tuple[Route, tuple[str, ...]] | None:
-    """The first choice that has the method; its parameters are behind what `values` held.
+    """Return the first candidate that has the method, with its parameter names, and append its values.
 
-    A node of the tree is reached by one way only, so each is looked at once at most.
+    Only one path leads to each node of the tree, so each is visited at most once.
     """
     count = len(segments)
-    while at < count:
-        segment = segments[at]
-        at += 1
+    while index < count:
+        segment = segments[index]
+        index += 1
         child = node.literals.get(segment)
         if child is not None:
             if node.parameter is None and not node.mixed:
                 node = child
                 continue
             depth = len(values)
-            if (found := _search(child, segments, at, method, values)) is not None:
+            if (found := _find_route(child, segments, index, method, values)) is not None:
                 return found
             del values[depth:]
         if not segment:
-            return None  # parameters are not empty
+            return None  # parameters never match an empty segment
         for pattern, child in node.mixed:
             if (match := pattern.pattern.fullmatch(segment)) is not None:  # type: ignore[union-attr]
                 depth = len(values)
                 values += match.groups()
-                if (found := _search(child, segments, at, method, values)) is not None:
+                if (found := _find_route(child, segments, index, method, values)) is not None:
                     return found
                 del values[depth:]
         if node.parameter is None:
             return None
         values.append(segment)
         node = node.parameter
-    return node.able.get(method)
+    return node.routes_by_method.get(method)
 
 
-def _reached(node: _Node, segments: Sequence[str], at: int) -> Iterator[_Node]:
-    """Every node that the segments lead to, whatever its methods."""
-    if at == len(segments):
+def _reached_nodes(node: _Node, segments: Sequence[str], index: int) -> Iterator[_Node]:
+    """Yield every node that the segments lead to, of any method."""
+    if index == len(segments):
         yield node
         return
-    segment = segments[at]
+    segment = segments[index]
     if (child := node.literals.get(segment)) is not None:
-        yield from _reached(child, segments, at + 1)
+        yield from _reached_nodes(child, segments, index + 1)
     if segment:
         for pattern, child in node.mixed:
             if pattern.pattern is not None and pattern.pattern.fullmatch(segment):
-                yield from _reached(child, segments, at + 1)
+                yield from _reached_nodes(child, segments, index + 1)
         if node.parameter is not None:
-            yield from _reached(node.parameter, segments, at + 1)
+            yield from _reached_nodes(node.parameter, segments, index + 1)
 
 
 def _may_overlap(one: Segment, other: Segment) -> bool:
-    """Whether some text may match both: their beginnings and ends agree as far as both go."""
+    """Return whether a text may match both: the shorter prefix and suffix agree with the longer ones."""
     heads = (one.literals[0], other.literals[0])
     tails = (one.literals[-1], other.literals[-1])
     head, tail = min(map(len, heads)), min(map(len, tails))
     return heads[0][:head] == heads[1][:head] and (not tail or tails[0][-tail:] == tails[1][-tail:])
 
 
-def _text(segment: Segment) -> str:
-    made = segment.literals[0]
+def _segment_text(segment: Segment) -> str:
+    text = segment.literals[0]
     for name, literal in zip(segment.names, segment.literals[1:], strict=True):
-        made += f"{{{name}}}{literal}"
-    return made
+        text += f"{{{name}}}{literal}"
+    return text
--- a/irisdeal/front_door/routes/model.py
+++ b/irisdeal/front_door/routes/model.py
@@ -1,13 +1,13 @@
-"""What a route is: a method and a path template, a class with its rule on repeats, and what it costs.
+"""A route: its method and path template, its request class with the repeat rule, and its cost.
 
-Rules that everything here obeys:
+Rules of this package:
 
-1. Where a description says nothing, GET and HEAD are safe and every other method is unsafe. RFC 9110 9.2.2
-   calls PUT and DELETE idempotent, which is a promise about one client's repeats of one request alone:
-   between a first DELETE and its repeat another client may have made the thing again. A gateway repeats what
-   it cannot see the meaning of, so it wants to be told.
-2. A route that is marked unsafe stays unsafe whatever a key header says.
-3. A figure that is out of range is an error where it is read, never a default taken in silence.
+1. By default, GET and HEAD are safe and every other method is unsafe. RFC 9110 9.2.2 calls PUT and DELETE
+   idempotent, but that covers only one client's repeats of one request: between a DELETE and its repeat, another
+   client may have created the resource again. A gateway cannot see what a request means, so the description has
+   to declare it repeatable.
+2. A route marked unsafe stays unsafe even for requests with a key header.
+3. A value out of range is an error when it is read; it is never replaced by a default.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-PARAMETER = re.compile(r"\{[^{}/]*\}")
+PARAMETER_PATTERN = re.compile(r"\{[^{}/]*\}")
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE")  # OpenAPI, Path Item Object
 SAFE_METHODS = ("GET", "HEAD")
-DEFAULT_AIM = 1_000_000  # µs; a person notices an answer that takes longer (Nielsen 1993, three limits)
-DEFAULT_DEADLINE = 5_000_000  # µs
-LONGEST = 3_600_000_000  # µs
-MOST_UNITS = 1_000_000.0
-DEFAULT_WINDOW = 5_000_000  # µs; what the boxes of one hall remember keys for (BRIEF, Requests)
+DEFAULT_AIM_US = 1_000_000  # users notice a longer response time (Nielsen 1993, three limits)
+DEFAULT_DEADLINE_US = 5_000_000
+MAX_TIME_US = 3_600_000_000
+MAX_UNITS = 1_000_000.0
+DEFAULT_WINDOW_US = 5_000_000  # how long the backends of one zone remember idempotency keys
 
 
 class Repeat(IntEnum):
-    """How often a request's effect may happen, from the mildest rule to the strictest."""
+    """Whether a request may be sent again, from the mildest rule to the strictest."""
 
     SAFE = 0
     KEYED = 1
@@ -37,31 +37,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Where a value is read from: a header (lower case), a query parameter, or a path parameter."""
+    """Where a value is read from: a header (name in lower case), a query parameter, or a path parameter."""
 
     place: str  # header, query or path
     name: str
 
     def text(self) -> str:
+        """Return it for display."""
         return f"{self.place} {self.name}"
 
 
 @dataclass(frozen=True, slots=True)
 class Units:
-    """What a request counts: `amount`, or what a query parameter or a JSON pointer into the body says.
+    """The cost of a request: `amount`, or a value read from a query parameter or by a JSON pointer into the body.
 
-    `default` is taken where the place holds nothing; `cap` bounds what is read. What is there and is no
-    number over 0 is an error of the request, not the default: else a client could choose to count as little
-    as it likes.
+    `default` applies if the value is missing; `cap` bounds the value. A value that is not a number over 0 is an
+    error of the request and does not give the default: otherwise a client could lower its own cost.
     """
 
     amount: float = 1.0
-    place: str = ""  # query or body; "" for a plain amount
-    name: str = ""  # a parameter, or a JSON pointer (RFC 6901)
+    place: str = ""  # query or body; "" for a fixed amount
+    name: str = ""  # of the query parameter, or a JSON pointer (RFC 6901)
     default: float = 1.0
-    cap: float = MOST_UNITS
+    cap: float = MAX_UNITS
 
     def text(self) -> str:
+        """Return it for display."""
         if not self.place:
             return f"{self.amount:g}"
         return f"{self.place} {self.name}, else {self.default:g}, at most {self.cap:g}"
@@ -69,20 +70,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """A class: its name, its rule on repeats and its times (µs). Equal rules are one class."""
+    """A request class: its name, its repeat rule and its times (µs). Equal rules are one class."""
 
     name: str
     repeat: Repeat = Repeat.UNSAFE
-    group: str = "zone"  # zone, cell or all; keyed only
-    window: int = DEFAULT_WINDOW
+    group: str = "zone"  # the backends that share idempotency keys: zone, cell or all; keyed only
+    window: int = DEFAULT_WINDOW_US
     key_header: str = "idempotency-key"
-    aim: int = DEFAULT_AIM
-    deadline: int = DEFAULT_DEADLINE
+    aim: int = DEFAULT_AIM_US
+    deadline: int = DEFAULT_DEADLINE_US
     worth: float = 1.0
     late_worth: float = 0.0
 
     def restricted_by(self, other: Rule) -> Rule:
-        """This class with the stricter rule on repeats of the two; times and worth stay."""
+        """Return this class with the stricter of the two repeat rules. Times and worth stay."""
         if other.repeat <= self.repeat and not (
             self.repeat is Repeat.KEYED
             and other.repeat is Repeat.KEYED
@@ -91,14 +92,15 @@
             return self
         if other.repeat is Repeat.KEYED and self.repeat is Repeat.KEYED:
             if other.group != self.group and "all" not in (other.group, self.group):
-                # A zone and a cell have no order: only a place in both would do, and none may know the key.
-                return _with(self, Repeat.UNSAFE, self.group, self.window)
+                # Neither zone nor cell contains the other: only a backend in both would be allowed, and it may
+                # not have seen the key.
+                return _with_repeat(self, Repeat.UNSAFE, self.group, self.window)
             group = other.group if self.group == "all" else self.group
-            return _with(self, Repeat.KEYED, group, min(self.window, other.window))
-        return _with(self, other.repeat, other.group, other.window)
+            return _with_repeat(self, Repeat.KEYED, group, min(self.window, other.window))
+        return _with_repeat(self, other.repeat, other.group, other.window)
 
 
-def _with(rule: Rule, repeat: Repeat, group: str, window: int) -> Rule:
+def _with_repeat(rule: Rule, repeat: Repeat, group: str, window: int) -> Rule:
     return Rule(
         rule.name,
         repeat,
@@ -114,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One operation. `pointer` says where in the description it stands."""
+    """One operation. `pointer` is the JSON pointer to it in the description."""
 
     method: str
     template: str  # with the base path
@@ -128,20 +130,20 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What tells it from others: a parameter by another name makes no other route."""
-        return self.method, PARAMETER.sub("{}", self.template)
+        """Return its identity, which does not depend on the names of the parameters."""
+        return self.method, PARAMETER_PATTERN.sub("{}", self.template)
 
 
 def check_rule(rule: Rule) -> str | None:
-    """What is wrong with a rule's figures, in words; None where nothing is."""
-    if not 0 < rule.aim <= LONGEST:
-        return f"aim is {rule.aim / 1000:g} ms: wanted over 0 and at most {LONGEST // 1000} ms"
-    if not 0 < rule.deadline <= LONGEST:
-        return f"deadline is {rule.deadline / 1000:g} ms: wanted over 0 and at most {LONGEST // 1000} ms"
+    """Return what is wrong with a rule's values, or None. The text starts with the name of the value."""
+    if not 0 < rule.aim <= MAX_TIME_US:
+        return f"aim is {rule.aim / 1000:g} ms: wanted over 0 and at most {MAX_TIME_US // 1000} ms"
+    if not 0 < rule.deadline <= MAX_TIME_US:
+        return f"deadline is {rule.deadline / 1000:g} ms: wanted over 0 and at most {MAX_TIME_US // 1000} ms"
     if rule.aim > rule.deadline:
         return f"aim is {rule.aim / 1000:g} ms: wanted at most the deadline, {rule.deadline / 1000:g} ms"
-    if not 0 < rule.window <= LONGEST:
-        return f"window is {rule.window / 1000:g} ms: wanted over 0 and at most {LONGEST // 1000} ms"
+    if not 0 < rule.window <= MAX_TIME_US:
+        return f"window is {rule.window / 1000:g} ms: wanted over 0 and at most {MAX_TIME_US // 1000} ms"
     if not (math.isfinite(rule.worth) and rule.worth > 0):
         return f"worth is {rule.worth!r}: wanted a number over 0"
     if not 0 <= rule.late_worth <= 1:
--- a/irisdeal/front_door/routes/table.py
+++ b/irisdeal/front_door/routes/table.py
@@ -1,9 +1,9 @@
-"""One generation of routes, and the numbers of its classes.
+"""A generation of routes, and the class numbers that stay stable over generations.
 
-Class numbers are what the decision module knows classes by. They stay stable over generations: `Classes`
-gives each rule a number that it keeps as long as any generation or any open request uses it. A number that
-nothing uses any more goes to the next new rule, so that fifty swaps do not make fifty times the classes; the
-module then forgets what it had learnt of that number (its usual time), since it was another class's.
+The decision core identifies request classes by number. `ClassNumbers` gives each rule a number, which it keeps
+while the active generation or an open request uses it. A number without users is reused for the next new rule, so
+that repeated swaps do not grow the list of classes. The decision core then discards what it measured under that
+number (the usual response time), because that belongs to another class.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from irisdeal.front_door.routes.matcher import Found, Matcher
+from irisdeal.front_door.routes.matcher import Matcher, RouteMatch
 from irisdeal.front_door.routes.model import Route, Rule
 from irisdeal.front_door.routes.path import Target
 
-MOST_ROUTES = 50_000
-MOST_CLASSES = 1_000  # of one generation: each has an average of its own in the module
-ROUTES_PER_STEP = 16  # routes added between two rests, so that a swap does not hold up the loop
+MAX_ROUTES = 50_000
+MAX_CLASSES = 1_000  # of one generation; the decision core keeps an average for each
+ROUTES_PER_STEP = 16  # routes added between two yields, so that a swap does not block the event loop
 
 
 class DescriptionLimitError(ValueError):
-    """A description past what a door takes."""
+    """A description has more operations or classes than a gateway accepts."""
 
 
 @dataclass(slots=True)
@@ -33,14 +33,15 @@
     matcher: Matcher = field(default_factory=Matcher)
     routes: dict[tuple[str, str], Route] = field(default_factory=dict)
     digest: str = ""
-    allow_weaken: bool = False  # the description says on purpose that safety may weaken
-    allow_remove: bool = False
+    allow_weaken: bool = False  # the description permits weaker repeat rules
+    allow_remove: bool = False  # the description permits removed routes
 
-    def find(self, method: str, target: Target) -> Found:
+    def find(self, method: str, target: Target) -> RouteMatch:
+        """Return the route of a request."""
         return self.matcher.find(method, target)
 
     def rules(self) -> tuple[Rule, ...]:
-        """Its classes, in the order of their first route."""
+        """Return its classes, in the order of their first route."""
         return tuple(dict.fromkeys(route.rule for route in self.routes.values()))
 
 
@@ -50,82 +51,88 @@
     allow_weaken: bool = False,
     allow_remove: bool = False,
 ) -> Iterator[Table]:
-    """Make a table in small steps: the same table is given after each, whole with the last one.
+    """Build a table in small steps, so that the caller can yield between them.
+
+    The same table is yielded after each step; it is complete, and usable, only with the last one.
 
     Raises `RouteConflictError`, `InvalidTemplateError` or `DescriptionLimitError`.
-    A table that is not whole must not be used.
     """
     table = Table(number, allow_weaken=allow_weaken, allow_remove=allow_remove)
     digest = hashlib.blake2b(digest_size=16)
     for count, route in enumerate(routes, 1):
-        if count > MOST_ROUTES:
-            raise DescriptionLimitError(f"over {MOST_ROUTES} operations")
+        if count > MAX_ROUTES:
+            raise DescriptionLimitError(f"over {MAX_ROUTES} operations")
         table.matcher.add(route)
         table.routes[route.key] = route
+        # The digest depends on the field names of `Route`, `Rule`, `Units` and `Source`.
         digest.update(repr(route).encode("utf-8", "surrogatepass"))
         if count % ROUTES_PER_STEP == 0:
             yield table
-    if len(table.rules()) > MOST_CLASSES:
-        raise DescriptionLimitError(f"over {MOST_CLASSES} classes")
+    if len(table.rules()) > MAX_CLASSES:
+        raise DescriptionLimitError(f"over {MAX_CLASSES} classes")
     digest.update(repr((allow_weaken, allow_remove)).encode())
     table.digest = digest.hexdigest()
     yield table
 
 
 def build(routes: Iterable[Route], number: int = 1, **allow: bool) -> Table:
-    """The same at once."""
+    """Build a table at once. Raises as `build_in_steps`."""
     *_, table = build_in_steps(routes, number, **allow)
     return table
 
 
 class ClassNumbers:
-    """The numbers of classes over generations. The first `reserved_count` are the settings' and never change."""
+    """Class numbers over generations. The first `reserved_count` belong to the settings and never change."""
 
     def __init__(self, reserved_count: int = 0) -> None:
         self.reserved_count = reserved_count
         self.rules: list[Rule | None] = [None] * reserved_count
-        self.numbers: dict[Rule, int] = {}
-        self.uses: dict[int, int] = {}  # open requests by number
-        self.current: set[int] = set()  # of the generation in force
+        self.numbers_by_rule: dict[Rule, int] = {}
+        self.open_request_counts: dict[int, int] = {}  # by class number
+        self.active_numbers: set[int] = set()  # of the active generation
 
     def activate(self, rules: Iterable[Rule]) -> dict[Rule, int]:
-        """A generation comes in force: its numbers. Those of the last one stay while requests use them."""
-        wanted = tuple(rules)
-        known = {self.numbers[rule] for rule in wanted if rule in self.numbers}
-        self.current = known
-        self._let_go()
-        for rule in wanted:
-            self.current.add(self._number(rule))
-        return {rule: self.numbers[rule] for rule in wanted}
+        """Activate a generation and return its numbers. Older numbers stay while open requests use them."""
+        active_rules = tuple(rules)
+        assigned = {self.numbers_by_rule[rule] for rule in active_rules if rule in self.numbers_by_rule}
+        self.active_numbers = assigned
+        self._free_unused()
+        for rule in active_rules:
+            self.active_numbers.add(self._assign(rule))
+        return {rule: self.numbers_by_rule[rule] for rule in active_rules}
 
     def assign(self, rule: Rule) -> int:
-        """The number of one more rule (a stricter one of an open request, say)."""
-        return self._number(rule)
+        """Return the number of a further rule, such as the stricter rule of an open request."""
+        return self._assign(rule)
 
-    def _number(self, rule: Rule) -> int:
-        if (number := self.numbers.get(rule)) is None:
+    def _assign(self, rule: Rule) -> int:
+        if (number := self.numbers_by_rule.get(rule)) is None:
             free = (n for n in range(self.reserved_count, len(self.rules)) if self.rules[n] is None)
             number = next(free, len(self.rules))
             if number == len(self.rules):
                 self.rules.append(None)
-            self.rules[number], self.numbers[rule] = rule, number
+            self.rules[number], self.numbers_by_rule[rule] = rule, number
         return number
 
     def acquire(self, number: int) -> None:
-        """An open request has this class."""
-        self.uses[number] = self.uses.get(number, 0) + 1
+        """Count an open request of this class."""
+        self.open_request_counts[number] = self.open_request_counts.get(number, 0) + 1
 
     def release(self, number: int) -> None:
-        """It is over."""
-        left = self.uses.get(number, 0) - 1
-        if left > 0:
-            self.uses[number] = left
+        """Count the end of an open request of this class."""
+        remaining = self.open_request_counts.get(number, 0) - 1
+        if remaining > 0:
+            self.open_request_counts[number] = remaining
         else:
-            self.uses.pop(number, None)
+            self.open_request_counts.pop(number, None)
 
-    def _let_go(self) -> None:
+    def _free_unused(self) -> None:
         for number in range(self.reserved_count, len(self.rules)):
             rule = self.rules[number]
-            if rule is not None and number not in self.current and number not in self.uses:
+            if (
+                rule is not None
+                and number not in self.active_numbers
+                and number not in self.open_request_counts
+            ):
                 self.rules[number] = None
-                del self.numbers[rule]
+                del self.numbers_by_rule[rule]
--- a/irisdeal/front_door/routes/wire.py
+++ b/irisdeal/front_door/routes/wire.py
@@ -1,7 +1,7 @@
-"""The compact form of routes: what the reader's process writes and a door reads, line by line.
+"""The compact form of routes that the process reading a description writes to the gateway, one line a route.
 
-A list of 17 values for each route, in the order of `FIELDS`. It is made and read by the same version of this
-program.
+Each route is a list of 17 values, in the order of `FIELDS`. It is written and read by the same version of
+this program.
 """
 
 from __future__ import annotations
@@ -32,6 +32,7 @@
 
 
 def route_to_wire(route: Route) -> list[Any]:
+    """Return the values of a route."""
     rule, units = route.rule, route.units
     return [
         route.method,
@@ -54,10 +55,10 @@
     ]
 
 
-def route_from_wire(told: list[Any], rules: dict[Rule, Rule]) -> Route:
-    """A route; equal rules are shared through `rules`. ValueError where it is none."""
-    if len(told) != len(FIELDS):
-        raise ValueError(f"a route of {len(told)} values: wanted {len(FIELDS)}")
+def route_from_wire(values: list[Any], rules: dict[Rule, Rule]) -> Route:
+    """Return the route of these values; equal rules are shared through `rules`. Raises ValueError."""
+    if len(values) != len(FIELDS):
+        raise ValueError(f"a route of {len(values)} values: wanted {len(FIELDS)}")
     (
         method,
         template,
@@ -76,7 +77,7 @@
         operation,
         pointer,
         deprecated,
-    ) = told
+    ) = values
     rule = Rule(name, Repeat(repeat), group, window, key_header, aim, deadline, worth, late_worth)
     rule = rules.setdefault(rule, rule)
     return Route(
--- a/irisdeal/front_door/sources/__init__.py
+++ b/irisdeal/front_door/sources/__init__.py
@@ -1,2 +1,1 @@
-"""Where what a door is told comes from: readers that turn files and services into the pure forms of other
-packages."""
+"""Readers that convert files into the data types of other packages."""
--- a/tests/front_door/test_routes.py
+++ b/tests/front_door/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: targets, the matcher against a plain oracle, costs, differences, numbers of classes. No I/O."""
+"""Tests of routes: targets, the matcher against a linear search, costs, table comparison and class numbers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisdeal.front_door.routes.costs import InvalidUnitsError, read_units, tokens
-from irisdeal.front_door.routes.difference import difference, refusal_reason, weaker
+from irisdeal.front_door.routes.costs import InvalidUnitsError, pointer_tokens, read_units
+from irisdeal.front_door.routes.difference import compare_tables, is_weaker, refusal_reason
 from irisdeal.front_door.routes.matcher import Matcher, RouteConflictError
 from irisdeal.front_door.routes.model import Repeat, Route, Rule, Source, Units, check_rule
 from irisdeal.front_door.routes.path import (
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "segments", "query", "plain"),
+    ("target", "segments", "query", "path_and_query"),
     [
         ("/", ("",), "", "/"),
         ("/a/b?x=1?2", ("a", "b"), "x=1?2", "/a/b?x=1?2"),
@@ -54,9 +54,9 @@
         ("*", ("*",), "", "*"),
     ],
 )
-def test_targets_are_taken_apart(target: str, segments: tuple[str, ...], query: str, plain: str) -> None:
+def test_targets_are_parsed(target: str, segments: tuple[str, ...], query: str, path_and_query: str) -> None:
     read = read_target(target)
-    assert (tuple(read.segments), read.query, read.path_and_query) == (segments, query, plain)
+    assert (tuple(read.segments), read.query, read.path_and_query) == (segments, query, path_and_query)
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
         "/" * 300,
     ],
 )
-def test_targets_that_a_box_may_read_in_another_way_are_not_routed(target: str) -> None:
+def test_targets_that_a_backend_may_parse_differently_are_rejected(target: str) -> None:
     with pytest.raises(InvalidTargetError):
         read_target(target)
 
@@ -101,7 +101,7 @@
         "/a%00",
     ],
 )
-def test_templates_that_cannot_be_used(template: str) -> None:
+def test_invalid_templates_are_rejected(template: str) -> None:
     with pytest.raises(InvalidTemplateError):
         read_template(template)
 
@@ -128,7 +128,7 @@
     assert [find(matcher, "GET", t) for t in ("/r/", "/r", "/r/7/", "//mine", "/r//7", "*")] == [None] * 6
 
 
-def test_a_branch_that_leads_nowhere_is_left() -> None:
+def test_a_branch_without_a_route_is_abandoned() -> None:
     matcher = Matcher(route("GET", t) for t in ("/a/b/c", "/a/{x}/d", "/{y}/b/e", "/{y}/{x}/{z}"))
     assert find(matcher, "GET", "/a/b/d") == "/a/{x}/d"
     assert find(matcher, "GET", "/a/b/e") == "/{y}/b/e"
@@ -142,19 +142,19 @@
     assert set(matcher.find("PUT", read_target("/s/a/7.x")).parameters) == {"shop", "n", "form"}
 
 
-def test_methods_that_are_not_there_and_head_for_get() -> None:
+def test_a_path_without_the_method_lists_its_methods_and_get_serves_head() -> None:
     matcher = Matcher([route("GET", "/a"), route("POST", "/a"), route("DELETE", "/{x}"), route("POST", "/b")])
     found = matcher.find("PATCH", read_target("/a"))
     assert (found.route, found.allowed_methods) == (None, ("DELETE", "GET", "HEAD", "POST"))
     assert find(matcher, "HEAD", "/a") == "/a" and find(matcher, "HEAD", "/b") is None
-    assert find(matcher, "DELETE", "/a") == "/{x}"  # a later choice has the method
+    assert find(matcher, "DELETE", "/a") == "/{x}"  # a later candidate has the method
     assert matcher.find("GET", read_target("/x/y")).allowed_methods == ()
     own = Matcher([route("GET", "/a", SAFE), route("HEAD", "/a", KEYED)])
     head = own.find("HEAD", read_target("/a")).route
     assert head is not None and head.rule is KEYED
 
 
-def test_two_of_one_shape_clash_and_overlaps_are_told() -> None:
+def test_templates_of_one_shape_conflict_and_overlaps_are_listed() -> None:
     with pytest.raises(RouteConflictError, match=r"GET /a/\{y\} matches what GET /a/\{x\} matches"):
         Matcher([route("GET", "/a/{x}"), route("GET", "/a/{y}")])
     with pytest.raises(RouteConflictError):
@@ -175,32 +175,32 @@
 TEMPLATES = st.lists(SEGMENT, min_size=1, max_size=4).map(
     lambda parts: "/" + "/".join(p.replace("{p}", f"{{p{n}}}") for n, p in enumerate(parts))
 )
-TEXT = st.lists(
+TEXTS = st.lists(
     st.sampled_from(["a", "b", "ab", "a.b", "-", "x/y", "é", "aab", "a-b", "%2F"]), min_size=1, max_size=2
 ).map("".join)
-PATHS = st.lists(TEXT, min_size=1, max_size=4)
+PATHS = st.lists(TEXTS, min_size=1, max_size=4)
 
 
 def shape(template: str) -> tuple[tuple[str, ...], ...]:
     return tuple(tuple(unquote(t) for t in re.split(r"\{[^}]*\}", s)) for s in template.split("/")[1:])
 
 
-def oracle(templates: list[str], segments: list[str]) -> str | None:
-    """The plain way: every template as a list of patterns, the first by the stated order, left to right."""
+def linear_search(templates: list[str], segments: list[str]) -> str | None:
+    """Match each template as a list of patterns and return the first in the documented order."""
 
     def rank(literals: tuple[str, ...]) -> tuple[int, int, tuple[str, ...]]:
         kind = 0 if len(literals) == 1 else 2 if literals == ("", "") else 1
         return kind, -sum(map(len, literals)) if kind == 1 else 0, literals
 
-    able = []
+    matches = []
     for template in templates:
         parts = shape(template)
         if len(parts) == len(segments) and all(
             re.fullmatch("(?:.+)".join(map(re.escape, literals)), text, re.DOTALL)
             for literals, text in zip(parts, segments, strict=True)
         ):
-            able.append(([rank(literals) for literals in parts], template))
-    return min(able)[1] if able else None
+            matches.append(([rank(literals) for literals in parts], template))
+    return min(matches)[1] if matches else None
 
 
 @given(st.lists(TEMPLATES, max_size=12, unique_by=shape), st.lists(PATHS, min_size=1, max_size=6))
@@ -208,21 +208,21 @@
     matcher = Matcher(route("GET", t) for t in templates)
     for segments in paths:
         target = "/" + "/".join(quote(s, safe="") for s in segments)
-        assert find(matcher, "GET", target) == oracle(templates, segments), (templates, target)
+        assert find(matcher, "GET", target) == linear_search(templates, segments), (templates, target)
 
 
 @given(st.lists(TEMPLATES, min_size=1, max_size=12, unique_by=shape), st.randoms())
 def test_the_order_of_the_description_does_not_matter(templates: list[str], rng: object) -> None:
     shuffled = list(templates)
     rng.shuffle(shuffled)  # type: ignore[attr-defined]
-    one, other = (Matcher(route("GET", t) for t in order) for order in (templates, shuffled))
+    first, second = (Matcher(route("GET", t) for t in order) for order in (templates, shuffled))
     for template in templates:
         target = re.sub(r"\{[^}]*\}", "ab", template)
-        assert find(one, "GET", target) == find(other, "GET", target) is not None
+        assert find(first, "GET", target) == find(second, "GET", target) is not None
 
 
 @given(st.text(max_size=60))
-def test_any_target_is_read_or_refused(text: str) -> None:
+def test_any_target_is_parsed_or_rejected(text: str) -> None:
     try:
         read = read_target(text)
     except InvalidTargetError:
@@ -289,7 +289,7 @@
         ("body", '{"n":Infinity}'),
     ],
 )
-def test_units_that_are_no_number_are_the_requests_error(place: str, text: str) -> None:
+def test_units_that_are_not_a_number_are_an_error_of_the_request(place: str, text: str) -> None:
     units = Units(place=place, name="n" if place == "query" else "/n")
     with pytest.raises(InvalidUnitsError):
         read_units(
@@ -298,23 +298,23 @@
 
 
 @given(st.binary(max_size=200), st.text(max_size=40))
-def test_any_body_and_query_cost_something_within_bounds_or_are_refused(body: bytes, query: str) -> None:
+def test_any_body_and_query_cost_units_within_bounds_or_are_rejected(body: bytes, query: str) -> None:
     for units in (Units(place="body", name="/n", cap=9.0), Units(place="query", name="n", cap=9.0)):
         with suppress(InvalidUnitsError):
             assert 0 < read_units(units, query, body) <= 9.0
 
 
-def test_pointers_are_rfc_6901s() -> None:
-    assert tokens("") == [] and tokens("/") == [""] and tokens("/~01") == ["~1"]
+def test_pointers_follow_rfc_6901() -> None:
+    assert pointer_tokens("") == [] and pointer_tokens("/") == [""] and pointer_tokens("/~01") == ["~1"]
     for bad in ("a", "/~", "/~2"):
         with pytest.raises(ValueError):
-            tokens(bad)
+            pointer_tokens(bad)
 
 
 # Rules, differences, swaps
 
 
-def test_where_times_make_no_sense_the_rule_says_so() -> None:
+def test_a_rule_with_invalid_values_is_rejected_with_the_reason() -> None:
     assert check_rule(SAFE) is None
     assert "aim is 9000 ms: wanted at most the deadline" in (check_rule(replace(SAFE, aim=9_000_000)) or "")
     for changes in (
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "is_weaker"),
+    ("old", "new", "expected"),
     [
         (UNSAFE, KEYED, True),
         (UNSAFE, SAFE, True),
@@ -346,8 +346,10 @@
         (KEYED, replace(KEYED, aim=1), False),
     ],
 )
-def test_what_is_weaker(old: Rule, new: Rule, is_weaker: bool) -> None:
-    assert weaker(old, new) is is_weaker
+def test_a_rule_is_weaker_if_it_allows_a_repeat_that_the_old_one_forbids(
+    old: Rule, new: Rule, expected: bool
+) -> None:
+    assert is_weaker(old, new) is expected
 
 
 RULES = st.builds(
@@ -360,17 +362,17 @@
 
 
 @given(RULES, RULES)
-def test_the_stricter_of_two_allows_nothing_that_either_forbids(one: Rule, other: Rule) -> None:
-    made = one.restricted_by(other)
-    for rule in (one, other):
-        assert made.repeat >= rule.repeat
-        if made.repeat is Repeat.KEYED and rule.repeat is Repeat.KEYED:
-            assert made.window <= rule.window and rule.group in ("all", made.group)
-    assert (made.aim, made.name) == (one.aim, one.name)
-    assert made.restricted_by(other) == made and one.restricted_by(one) == one
+def test_the_stricter_of_two_rules_allows_nothing_that_either_forbids(first: Rule, second: Rule) -> None:
+    result = first.restricted_by(second)
+    for rule in (first, second):
+        assert result.repeat >= rule.repeat
+        if result.repeat is Repeat.KEYED and rule.repeat is Repeat.KEYED:
+            assert result.window <= rule.window and rule.group in ("all", result.group)
+    assert (result.aim, result.name) == (first.aim, first.name)
+    assert result.restricted_by(second) == result and first.restricted_by(first) == first
 
 
-def test_differences_and_refusals() -> None:
+def test_changes_between_tables_and_refused_swaps() -> None:
     old = build([route("GET", "/a", SAFE), route("POST", "/b", UNSAFE), route("PUT", "/c", KEYED)])
     new = build(
         [
@@ -379,7 +381,7 @@
             route("PUT", "/d", replace(KEYED, aim=5)),
         ]
     )
-    assert [(c.what, c.template) for c in difference(old, new)] == [
+    assert [(c.kind, c.template) for c in compare_tables(old, new)] == [
         ("stricter", "/a"),
         ("cost", "/a"),
         ("name", "/a"),
@@ -397,7 +399,7 @@
     new.allow_remove = True
     assert refusal_reason(old, new) is None and refusal_reason(old, old) is None
     renamed = [build([route("GET", f"/a/{{{name}}}", SAFE)]) for name in "xy"]
-    assert difference(*renamed) == [] and refusal_reason(*renamed) is None
+    assert compare_tables(*renamed) == [] and refusal_reason(*renamed) is None
 
 
 def test_a_table_is_built_in_small_steps_and_its_digest_is_its_content() -> None:
@@ -410,9 +412,9 @@
         build(route("GET", f"/r{n}", replace(SAFE, name=f"c{n}")) for n in range(1_001))
 
 
-def test_routes_go_over_the_compact_form_unchanged() -> None:
+def test_routes_survive_the_compact_form_unchanged() -> None:
     units = Units(1, "body", "/n", 2.0, 4.0)
-    made = route(
+    result = route(
         "POST",
         "/a/{x}",
         replace(KEYED, window=7, worth=2.5),
@@ -424,38 +426,38 @@
         deprecated=True,
     )
     shared: dict[Rule, Rule] = {}
-    read = [route_from_wire(route_to_wire(made), shared) for _ in range(2)]
-    assert read == [made, made] and read[0].rule is read[1].rule
+    read = [route_from_wire(route_to_wire(result), shared) for _ in range(2)]
+    assert read == [result, result] and read[0].rule is read[1].rule
     with pytest.raises(ValueError):
         route_from_wire([1, 2], {})
 
 
-# Numbers of classes
+# Class numbers
 
 
 def rules(*names: str) -> list[Rule]:
     return [Rule(name) for name in names]
 
 
-def test_numbers_stay_over_generations_and_are_given_anew_when_nothing_uses_them() -> None:
+def test_numbers_stay_over_generations_and_are_reused_when_unused() -> None:
     classes = ClassNumbers(reserved_count=2)
     a, b, c, d = rules("a", "b", "c", "d")
     assert classes.activate([a, b]) == {a: 2, b: 3}
     classes.acquire(2)
-    assert classes.activate([b, c]) == {b: 3, c: 4}  # a is in use
+    assert classes.activate([b, c]) == {b: 3, c: 4}  # an open request uses a
     assert classes.rules == [None, None, a, b, c]
     classes.release(2)
-    assert classes.activate([b, d]) == {b: 3, d: 2}  # a and c are over
+    assert classes.activate([b, d]) == {b: 3, d: 2}  # a and c are unused
     assert classes.rules == [None, None, d, b, None]
 
 
-def test_fifty_swaps_do_not_make_fifty_times_the_classes() -> None:
+def test_fifty_swaps_do_not_multiply_the_classes() -> None:
     classes = ClassNumbers()
     for swap in range(50):
         numbers = classes.activate(rules(*(f"{swap}-{n}" for n in range(10))))
         classes.acquire(numbers[Rule(f"{swap}-0")])
         if swap:
-            classes.release(classes.numbers[Rule(f"{swap - 1}-0")])
+            classes.release(classes.numbers_by_rule[Rule(f"{swap - 1}-0")])
     assert len(classes.rules) <= 3 * 10
 
 
@@ -471,21 +473,21 @@
         max_size=40,
     )
 )
-def test_no_open_request_sees_its_number_become_another_class(
+def test_the_number_of_an_open_request_is_not_reused_for_another_class(
     steps: list[tuple[str, list[str] | str]],
 ) -> None:
     classes, held = ClassNumbers(reserved_count=1), list[tuple[int, Rule]]()
     classes.activate(rules("a"))
-    for what, told in steps:
-        if what == "swap":
-            classes.activate(rules(*told))
-        elif what == "use":
-            rule = Rule(str(told))
-            if (number := classes.numbers.get(rule)) in classes.current and number is not None:
+    for action, argument in steps:
+        if action == "swap":
+            classes.activate(rules(*argument))
+        elif action == "use":
+            rule = Rule(str(argument))
+            if (number := classes.numbers_by_rule.get(rule)) in classes.active_numbers and number is not None:
                 classes.acquire(number)
                 held.append((number, rule))
         elif held:
             classes.release(held.pop()[0])
         assert all(classes.rules[number] == rule for number, rule in held)
         numbers = [n for n, rule in enumerate(classes.rules) if rule is not None]
-        assert len(numbers) == len(set(numbers)) == len(classes.numbers)
+        assert len(numbers) == len(set(numbers)) == len(classes.numbers_by_rule)
