--- a/irisdeal/cli/__init__.py
+++ b/irisdeal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `irisdeal` command: it parses, calls one subsystem and prints. No logic of its own."""
+"""The `irisdeal` command: parses arguments, calls one subsystem and prints the result."""
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -1,4 +1,4 @@
-"""`irisdeal`: the commands. Exit codes: 0 done, 1 the check failed, 2 it cannot be used as asked."""
+"""The `irisdeal` command line. Exit codes: 0 success, 1 a check failed, 2 the command cannot run as given."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
     from irisdeal.demo.run import Outcome
     from irisdeal.testbed.workload import Day
 
-CONTEXT = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
+CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 
 
-class Unusable(click.ClickException):
-    """Cannot be used as asked: one line on standard error, exit code 2."""
+class CommandError(click.ClickException):
+    """The command cannot run as given: one line on standard error, exit code 2."""
 
     exit_code = 2
 
     def show(self, file: object = None) -> None:
+        """Print the line."""
         click.echo(f"irisdeal: {self.message}", err=True)
 
 
-@click.group(context_settings=CONTEXT)
+@click.group(context_settings=CONTEXT_SETTINGS)
 @click.version_option(__version__, prog_name="irisdeal")
 def main() -> None:
-    """Front doors that keep each store to its quota before a shared fleet, and the tools round them."""
+    """API gateways that hold each store to its quota before a shared fleet, and their tools."""
 
 
 main.add_command(store)
@@ -56,14 +57,14 @@
 def serve() -> None:
     """Run one front door in the foreground, as `python -m irisdeal` does.
 
-    The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY go
-    before it.
+    The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override
+    it.
 
     Example: EDGE_CONFIG=config.json irisdeal serve
     """
-    from irisdeal.front_door.server.program import main as run_door
+    from irisdeal.front_door.server.program import main as run_gateway
 
-    sys.exit(run_door())
+    sys.exit(run_gateway())
 
 
 @main.command()
@@ -75,18 +76,23 @@
     show_default=True,
     help="A built-in scenario, or a TOML file.",
 )
-@click.option("--doors", type=click.IntRange(1, 64), default=None, help="In place of the scenario's.")
+@click.option(
+    "--doors",
+    type=click.IntRange(1, 64),
+    default=None,
+    help="Number of front doors, instead of the scenario's.",
+)
 @click.option(
     "--seconds",
     type=click.FloatRange(0.5, 3600),
     default=None,
-    help="In place of the scenario's; its timeline moves along.",
+    help="Duration instead of the scenario's; its timeline is scaled with it.",
 )
 @click.option(
     "--seed",
     type=click.IntRange(0),
     default=None,
-    help="The same seed draws the same day.  [default: the scenario's, mostly 1]",
+    help="Seed of the workload; the same seed gives the same one.  [default: the scenario's, mostly 1]",
 )
 @click.option(
     "--json",
@@ -94,7 +100,7 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=None,
     metavar="FILE",
-    help="Also write the figures to a file; - for standard output in place of the tables.",
+    help="Also write the results to a file; - for standard output instead of the tables.",
 )
 @click.option(
     "--deploy",
@@ -102,7 +108,7 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=None,
     metavar="FILE",
-    help="Whose run line starts the doors; else deploy/balancer.toml here or above.",
+    help="Its run line starts the front doors; by default deploy/balancer.toml here or above.",
 )
 @click.option(
     "--stores",
@@ -116,9 +122,9 @@
     type=click.Path(file_okay=False, exists=True, path_type=Path),
     default=None,
     metavar="DIR",
-    help="Where the doors make the sockets of their reports, for `irisdeal queues`.",
+    help="Folder for the report sockets of the front doors, for `irisdeal queues`.",
 )
-@click.option("--list", "list_them", is_flag=True, help="List the built-in scenarios and end.")
+@click.option("--list", "list_only", is_flag=True, help="List the built-in scenarios and end.")
 def demo(
     name: str,
     doors: int | None,
@@ -128,12 +134,12 @@
     deploy_file: Path | None,
     stores: int,
     reports: Path | None,
-    list_them: bool,
+    list_only: bool,
 ) -> None:
-    """Play a day: stand-ins on loopback, real doors as processes, and the five rules judged.
+    """Run a scenario with simulated services on loopback and front doors as processes, and check the five rules.
 
-    Exit code 0 where the rules held, 1 where one broke, 2 where it could not run. Ctrl-C ends it early, with
-    what was measured until then.
+    Exit code 0 if the rules held, 1 if one was broken, 2 if it could not run. Ctrl-C ends it early, with the
+    results so far.
 
     Example: irisdeal demo --scenario hall-cut --doors 4 --seed 7
     """
@@ -145,19 +151,19 @@
     from irisdeal.testbed.workload import draw
 
     console = Console(soft_wrap=False)
-    if list_them:
-        for known in scenarios.names():
-            console.print(f"[bold]{known:<18}[/] {scenarios.load(known).about}", highlight=False)
+    if list_only:
+        for builtin in scenarios.names():
+            console.print(f"[bold]{builtin:<18}[/] {scenarios.load(builtin).about}", highlight=False)
         return
     if out is not None and str(out) != "-" and not os.access(out.parent, os.W_OK):
-        raise Unusable(f"--json {out}: cannot be written")
+        raise CommandError(f"--json {out}: cannot be written")
     try:
         scenario = scenarios.load(name)
         day = draw(scenario.resized(doors, seconds), scenario.seed if seed is None else seed)
         deploy = find_deployment(Path.cwd(), deploy_file)
         outcome = _play(day, deploy, out is not None and str(out) == "-", reports)
     except (ScenarioError, DemoError, ValueError) as error:
-        raise Unusable(str(error)) from None
+        raise CommandError(str(error)) from None
     if out is not None:
         text = json.dumps(as_json(outcome), indent=1)
         if str(out) == "-":
@@ -166,14 +172,14 @@
             try:
                 out.write_text(text + "\n", "utf-8")
             except OSError as error:
-                raise Unusable(f"--json {out}: {error.strerror}") from None
+                raise CommandError(f"--json {out}: {error.strerror}") from None
     if out is None or str(out) != "-":
         show(outcome, console, stores)
     sys.exit(0 if outcome.kept else 1)
 
 
 def _play(day: Day, deploy: Deployment, quiet: bool, reports: Path | None) -> Outcome:
-    """Play with a progress bar on standard error; Ctrl-C and SIGTERM end it in good order, twice at once."""
+    """Run with a progress bar on standard error. SIGINT or SIGTERM ends it in order, a second one at once."""
     import uvloop
 
     from irisdeal.demo.run import play
@@ -186,13 +192,13 @@
         loop, stop = asyncio.get_running_loop(), asyncio.Event()
         task = asyncio.current_task()
 
-        def interrupted() -> None:
+        def on_signal() -> None:
             if stop.is_set() and task is not None:
-                task.cancel()  # asked twice: no good order any more
+                task.cancel()  # the second signal ends it without an orderly stop
             stop.set()
 
         for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, interrupted)
+            loop.add_signal_handler(number, on_signal)
         console = Console(stderr=True)
         with Progress(
             TextColumn("{task.description}"),
@@ -203,11 +209,11 @@
             disable=quiet,
             transient=True,
         ) as bar:
-            shown = bar.add_task(day.scenario.name, total=day.scenario.seconds)
+            progress_task = bar.add_task(day.scenario.name, total=day.scenario.seconds)
             return await play(
                 day,
                 deploy,
-                lambda s: bar.update(shown, completed=s),
+                lambda s: bar.update(progress_task, completed=s),
                 stop,
                 started,
                 reports and reports.absolute(),
@@ -216,7 +222,7 @@
     try:
         return uvloop.run(run())
     except asyncio.CancelledError:
-        raise Unusable("interrupted twice: ended at once, nothing is told") from None
+        raise CommandError("interrupted twice: ended at once without results") from None
 
 
 if __name__ == "__main__":
--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -1,4 +1,4 @@
-"""`irisdeal queues`: what waits at the doors, and which stores it is."""
+"""`irisdeal queues`: the waiting requests of gateways, by customer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from irisdeal.cli.reports import fetch
+from irisdeal.cli.reports import fetch_report
 from irisdeal.front_door.queueing.reports import (
     AccountSummary,
     FrontDoorSummary,
@@ -24,14 +24,15 @@
     top_accounts,
 )
 
-Answer = tuple[FrontDoorSummary, list[AccountSummary]] | str  # a report, or why there is none
+Answer = tuple[FrontDoorSummary, list[AccountSummary]] | str  # a report, or the reason why there is none
 
 
 @click.group()
 def queues() -> None:
-    """What waits at the doors, by store.
+    """Show the waiting requests of gateways, by store.
 
-    A door tells it on the socket that its configuration names as `report`; without that key it tells nothing.
+    A gateway reports them on the socket that its configuration names as `report`; without that key there is
+    none.
 
     Example: irisdeal queues top /run/irisdeal/*.sock
     """
@@ -46,7 +47,7 @@
     default=1.0,
     show_default=True,
     metavar="SECONDS",
-    help="Between two looks.",
+    help="Interval between updates.",
 )
 @click.option(
     "--for",
@@ -54,10 +55,10 @@
     type=click.FloatRange(0),
     default=None,
     metavar="SECONDS",
-    help="End after that; else it goes on until Ctrl-C.",
+    help="End after this time; by default at Ctrl-C.",
 )
-@click.option("--once", is_flag=True, help="One look, then end.")
-@click.option("--json", "as_json", is_flag=True, help="For machines: one look as JSON.")
+@click.option("--once", is_flag=True, help="Print one report and end.")
+@click.option("--json", "as_json", is_flag=True, help="Print one report as JSON.")
 def top(
     sockets: tuple[Path, ...],
     count: int,
@@ -66,22 +67,22 @@
     once: bool,
     as_json: bool,
 ) -> None:
-    """The stores that ask most, over all doors named: what they got, how long they waited, who heeds advice.
+    """Show the stores with the most requests at these gateways: results, waits, and retries that follow the advice.
 
-    Live until Ctrl-C, or one look with --once or --json. Exit code 0, 1 where a door did not answer the last
-    look, 2 where none ever did.
+    Live until Ctrl-C, or once with --once or --json. Exit code 0; 1 if a gateway did not answer the last time; 2 if
+    none answered at all.
 
     Example: irisdeal queues top /run/irisdeal/n1.sock /run/irisdeal/n2.sock --count 10
     """
-    answers = asyncio.run(_ask(sockets))
+    answers = asyncio.run(_fetch_all(sockets))
     if all(isinstance(answer, str) for answer in answers.values()):
-        for path, why in answers.items():
-            click.echo(f"irisdeal: {path}: {why}", err=True)
+        for path, reason in answers.items():
+            click.echo(f"irisdeal: {path}: {reason}", err=True)
         sys.exit(2)
     if as_json:
-        click.echo(json.dumps(_plain(answers, count), indent=1))
+        click.echo(json.dumps(_as_json(answers, count), indent=1))
     elif once:
-        Console().print(_tables(answers, count))
+        Console().print(_render(answers, count))
     else:
         answers = _follow(sockets, answers, count, every, seconds)
     sys.exit(1 if any(isinstance(answer, str) for answer in answers.values()) else 0)
@@ -94,28 +95,28 @@
     every: float,
     seconds: float | None,
 ) -> dict[Path, Answer]:
-    ends = None if seconds is None else time.monotonic() + seconds
-    with Live(_tables(answers, count), auto_refresh=False) as live:
+    deadline = None if seconds is None else time.monotonic() + seconds
+    with Live(_render(answers, count), auto_refresh=False) as live:
         try:
-            while ends is None or time.monotonic() < ends:
-                time.sleep(every if ends is None else max(0.0, min(every, ends - time.monotonic())))
-                answers = asyncio.run(_ask(sockets))
-                live.update(_tables(answers, count), refresh=True)
+            while deadline is None or time.monotonic() < deadline:
+                time.sleep(every if deadline is None else max(0.0, min(every, deadline - time.monotonic())))
+                answers = asyncio.run(_fetch_all(sockets))
+                live.update(_render(answers, count), refresh=True)
         except KeyboardInterrupt:
             pass
     return answers
 
 
-async def _ask(sockets: Iterable[Path]) -> dict[Path, Answer]:
+async def _fetch_all(sockets: Iterable[Path]) -> dict[Path, Answer]:
     paths = list(dict.fromkeys(sockets))
-    return dict(zip(paths, await asyncio.gather(*(_one(path) for path in paths)), strict=True))
+    return dict(zip(paths, await asyncio.gather(*(_fetch_answer(path) for path in paths)), strict=True))
 
 
-async def _one(path: Path) -> Answer:
-    """One door's report, or in words why there is none."""
+async def _fetch_answer(path: Path) -> Answer:
+    """Return the report of a gateway, or the reason why there is none."""
     try:
-        told = await fetch(path)
-        return told if isinstance(told, str) else parse_report(told)
+        report = await fetch_report(path)
+        return report if isinstance(report, str) else parse_report(report)
     except InvalidReportError as error:
         return str(error)
 
@@ -124,21 +125,21 @@
     return [answer for answer in answers.values() if not isinstance(answer, str)]
 
 
-def _plain(answers: dict[Path, Answer], count: int) -> dict[str, object]:
+def _as_json(answers: dict[Path, Answer], count: int) -> dict[str, object]:
     reports = _reports(answers)
     return {
         "doors": [door.as_json() for door, _ in reports],
-        "silent": {str(path): why for path, why in answers.items() if isinstance(why, str)},
+        "silent": {str(path): reason for path, reason in answers.items() if isinstance(reason, str)},
         "stores": [row.as_json() for row in top_accounts(reports, count)],
     }
 
 
-def _table(title: str) -> Table:
+def _new_table(title: str) -> Table:
     return Table(title=title, title_justify="left", box=None, padding=(0, 1, 0, 0), pad_edge=False)
 
 
-def _tables(answers: dict[Path, Answer], count: int) -> RenderableType:
-    doors = _table("Doors")
+def _render(answers: dict[Path, Answer], count: int) -> RenderableType:
+    doors = _new_table("Doors")
     for name in (
         "door",
         "waiting",
@@ -166,8 +167,10 @@
             str(door.sent),
             str(door.rejected),
         )
-    silent = [Text(f"{path}: {why}", style="red") for path, why in answers.items() if isinstance(why, str)]
-    stores = _table("Stores that lately ask most, over these doors; waits in ms")
+    silent = [
+        Text(f"{path}: {reason}", style="red") for path, reason in answers.items() if isinstance(reason, str)
+    ]
+    stores = _new_table("Stores with the most recent requests at these doors; waits in ms")
     for name in ("store", "plan", "share", "asked", "sent", "refused", "wait", "longest", "advice", "doors"):
         stores.add_column(name, justify="left" if name in ("store", "plan") else "right", no_wrap=True)
     for row in top_accounts(reports, count):
--- a/irisdeal/cli/routes.py
+++ b/irisdeal/cli/routes.py
@@ -9,7 +9,7 @@
 
 import click
 from rich.console import Console
-from rich.table import Table as Grid
+from rich.table import Table as DisplayTable
 
 if TYPE_CHECKING:
     from irisdeal.front_door.routes.model import Route
@@ -17,34 +17,34 @@
     from irisdeal.front_door.sources.openapi import Description
 
 FILE = click.Path(dir_okay=False, path_type=Path)
-JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
-class Missing(click.ClickException):
-    """A library of the extra is not installed."""
+class MissingExtraError(click.ClickException):
+    """A library of the extra `irisdeal[routes]` is not installed."""
 
     exit_code = 2
 
     def __init__(self, error: ImportError) -> None:
-        super().__init__(f"irisdeal routes wants the extra irisdeal[routes]: {error.name} is missing")
+        super().__init__(f"irisdeal routes needs the extra irisdeal[routes]: {error.name} is missing")
 
 
-def _read(file: Path) -> Description:
+def _read_description(file: Path) -> Description:
     try:
         from irisdeal.front_door.sources.openapi import read
     except ImportError as error:
-        raise Missing(error) from None
+        raise MissingExtraError(error) from None
     if not file.exists():
         click.echo(f"irisdeal: {file}: no such file", err=True)
         sys.exit(2)
     return read(file)
 
 
-def _table(file: Path) -> Table:
-    """The table of a description that must be right: its first error ends the command, with 1."""
+def _load_table(file: Path) -> Table:
+    """Return the route table of a description. Exits with code 1 and the first error if it is invalid."""
     from irisdeal.front_door.routes.table import DescriptionLimitError, build
 
-    description = _read(file)
+    description = _read_description(file)
     if description.errors:
         click.echo(f"irisdeal: {description.errors[0].line()}", err=True)
         sys.exit(1)
@@ -59,7 +59,7 @@
         sys.exit(1)
 
 
-def _as_json(route: Route) -> dict[str, Any]:
+def _route_as_json(route: Route) -> dict[str, Any]:
     rule = route.rule
     return {
         "method": route.method,
@@ -86,7 +86,7 @@
 def routes() -> None:
     """OpenAPI descriptions as the source of routes and costs.
 
-    Exit codes: 0, 1 where a check fails, 2 where the command cannot be used as asked.
+    Exit codes: 0, 1 if a check fails, 2 if the command cannot run as given.
 
     Example: irisdeal routes check refund.yaml
     """
@@ -94,20 +94,24 @@
 
 @routes.command()
 @click.argument("file", type=FILE)
-@click.option("--schema", is_flag=True, help="Also validate the whole description; slow for large ones.")
+@click.option(
+    "--schema",
+    is_flag=True,
+    help="Also validate the description against the OpenAPI schema; slow for large ones.",
+)
 @JSON
 def check(file: Path, schema: bool, as_json: bool) -> None:
-    """Whether a door would take this description; every problem with its place.
+    """Check whether a gateway would accept a description, and list its problems.
 
     Example: irisdeal routes check refund.yaml --json
     """
-    description = _read(file)
+    description = _read_description(file)
     problems = [
         {"file": p.file, "pointer": p.pointer, "text": p.text, "level": "error" if p.error else "warning"}
         for p in description.problems
     ]
     if schema and not description.errors:
-        problems += _validated(file)
+        problems += _schema_problems(file)
     failed = any(problem["level"] == "error" for problem in problems)
     if as_json:
         click.echo(
@@ -133,68 +137,73 @@
     sys.exit(1 if failed else 0)
 
 
-def _validated(file: Path) -> list[dict[str, str]]:
-    """What the OpenAPI schema itself finds wrong."""
+def _schema_problems(file: Path) -> list[dict[str, str]]:
+    """Return the violations of the OpenAPI schema."""
     try:
         from openapi_spec_validator import OpenAPIV30SpecValidator, OpenAPIV31SpecValidator
     except ImportError as error:
-        raise Missing(error) from None
+        raise MissingExtraError(error) from None
     from irisdeal.front_door.sources.yamljson import load
 
     text = file.read_text("utf-8-sig")
     value = load(text, file.suffix.lower() == ".json" or text.lstrip()[:1] == "{")
     is_30 = str(value.get("openapi")).startswith("3.0")
-    made = OpenAPIV30SpecValidator if is_30 else OpenAPIV31SpecValidator
-    found = []
+    validator_class = OpenAPIV30SpecValidator if is_30 else OpenAPIV31SpecValidator
+    problems = []
     try:
-        for wrong in made(value, base_uri=file.absolute().as_uri()).iter_errors():
+        for schema_error in validator_class(value, base_uri=file.absolute().as_uri()).iter_errors():
             pointer = "#" + "".join(
-                "/" + str(p).replace("~", "~0").replace("/", "~1") for p in wrong.absolute_path
+                "/" + str(p).replace("~", "~0").replace("/", "~1") for p in schema_error.absolute_path
             )
-            found.append(
+            problems.append(
                 {
                     "file": str(file),
                     "pointer": pointer,
                     "level": "error",
-                    "text": " ".join(str(wrong.message).split())[:300],
+                    "text": " ".join(str(schema_error.message).split())[:300],
                 }
             )
-    except Exception as error:  # the validator's own trouble with a reference, say, is told and not hidden
+    except Exception as error:  # an error of the validator itself, such as in a reference, is reported too
         text = f"cannot be validated: {type(error).__name__}: {' '.join(str(error).split())[:200]}"
-        found.append({"file": str(file), "pointer": "#", "level": "error", "text": text})
-    return found
+        problems.append({"file": str(file), "pointer": "#", "level": "error", "text": text})
+    return problems
 
 
 @routes.command()
 @click.argument("file", type=FILE)
 @JSON
 def show(file: Path, as_json: bool) -> None:
-    """Every route with its class, rule on repeats and cost.
+    """Show every route with its class, repeat rule and cost.
 
     Example: irisdeal routes show refund.yaml
     """
-    table = _table(file)
+    table = _load_table(file)
     if as_json:
         click.echo(
             json.dumps(
-                {"digest": table.digest, "routes": [_as_json(route) for route in table.routes.values()]},
+                {
+                    "digest": table.digest,
+                    "routes": [_route_as_json(route) for route in table.routes.values()],
+                },
                 indent=1,
             )
         )
         return
-    grid = Grid(title=f"{file}: {len(table.routes)} routes, digest {table.digest}", title_justify="left")
+    grid = DisplayTable(
+        title=f"{file}: {len(table.routes)} routes, digest {table.digest}", title_justify="left"
+    )
     for name in ("method", "path", "class", "repeat", "units", "aim ms", "deadline ms"):
         grid.add_column(name, overflow="fold")
     for route in table.routes.values():
-        told = _as_json(route)
+        fields = _route_as_json(route)
         grid.add_row(
             route.method,
             route.template,
-            told["class"],
-            told["repeat"],
-            told["units"],
-            f"{told['aim_ms']:g}",
-            f"{told['deadline_ms']:g}",
+            fields["class"],
+            fields["repeat"],
+            fields["units"],
+            f"{fields['aim_ms']:g}",
+            f"{fields['deadline_ms']:g}",
         )
     Console().print(grid)
 
@@ -205,46 +214,50 @@
 @click.argument("target")
 @JSON
 def match(file: Path, method: str, target: str, as_json: bool) -> None:
-    """Which route a request takes, and why none where it takes none (exit code 1).
+    """Show the route of a request, or why it has none (exit code 1).
 
     Example: irisdeal routes match refund.yaml GET "/refund/check?receipt=7"
     """
     from irisdeal.front_door.routes.costs import InvalidUnitsError, read_units
     from irisdeal.front_door.routes.path import InvalidTargetError, read_target
 
-    table = _table(file)
-    told: dict[str, Any]
+    table = _load_table(file)
+    result: dict[str, Any]
     try:
-        read = read_target(target)
-        found = table.find(method, read)
-        if found.route is not None:
-            told = {"status": None, "route": _as_json(found.route), "parameters": found.parameters}
-            if found.route.units.place != "body":
-                told["units"] = read_units(found.route.units, read.query, b"")
-        elif found.allowed_methods:
-            told = {
+        parsed = read_target(target)
+        route_match = table.find(method, parsed)
+        if route_match.route is not None:
+            result = {
+                "status": None,
+                "route": _route_as_json(route_match.route),
+                "parameters": route_match.parameters,
+            }
+            if route_match.route.units.place != "body":
+                result["units"] = read_units(route_match.route.units, parsed.query, b"")
+        elif route_match.allowed_methods:
+            result = {
                 "status": 405,
-                "allow": list(found.allowed_methods),
+                "allow": list(route_match.allowed_methods),
                 "reason": "the path has other methods",
             }
         else:
-            told = {"status": 404, "reason": "no such path"}
+            result = {"status": 404, "reason": "no such path"}
     except (InvalidTargetError, InvalidUnitsError) as error:
-        told = {"status": 400, "reason": str(error)}
+        result = {"status": 400, "reason": str(error)}
     if as_json:
-        click.echo(json.dumps(told, indent=1))
-    elif told["status"] is None:
-        route = told["route"]
+        click.echo(json.dumps(result, indent=1))
+    elif result["status"] is None:
+        route = result["route"]
         click.echo(
             f"{route['method']} {route['path']}: class {route['class']}, {route['repeat']}, units "
-            f"{told.get('units', route['units'])}"
+            f"{result.get('units', route['units'])}"
         )
-        for name, value in told["parameters"].items():
+        for name, value in result["parameters"].items():
             click.echo(f"  {name} = {value}")
     else:
-        allow = f" Allow: {', '.join(told['allow'])}" if "allow" in told else ""
-        click.echo(f"{told['status']}: {told['reason']}{allow}")
-    sys.exit(0 if told["status"] is None else 1)
+        allow = f" Allow: {', '.join(result['allow'])}" if "allow" in result else ""
+        click.echo(f"{result['status']}: {result['reason']}{allow}")
+    sys.exit(0 if result["status"] is None else 1)
 
 
 @routes.command()
@@ -252,23 +265,29 @@
 @click.argument("new", type=FILE)
 @JSON
 def diff(old: Path, new: Path, as_json: bool) -> None:
-    """What changes from one description to another; exit code 1 where a door would refuse the swap.
+    """Show the changes between two descriptions; exit code 1 if a gateway would refuse the swap.
 
     Example: irisdeal routes diff refund.yaml refund-new.yaml
     """
     from irisdeal.front_door.routes.difference import compare_tables, refusal_reason
 
-    one, other = _table(old), _table(new)
-    changes, reason = compare_tables(one, other), refusal_reason(one, other)
+    old_table, new_table = _load_table(old), _load_table(new)
+    changes, reason = compare_tables(old_table, new_table), refusal_reason(old_table, new_table)
     if as_json:
         click.echo(
             json.dumps(
                 {
-                    "old": one.digest,
-                    "new": other.digest,
+                    "old": old_table.digest,
+                    "new": new_table.digest,
                     "refused": reason,
                     "changes": [
-                        {"what": c.kind, "method": c.method, "path": c.template, "old": c.old, "new": c.new}
+                        {
+                            "what": c.kind,
+                            "method": c.method,
+                            "path": c.template,
+                            "old": c.old,
+                            "new": c.new,
+                        }
                         for c in changes
                     ],
                 },
@@ -278,5 +297,5 @@
     else:
         for change in changes:
             click.echo(change.text())
-        click.echo(f"{len(changes)} changes" + (f"; a door refuses this swap: {reason}" if reason else ""))
+        click.echo(f"{len(changes)} changes" + (f"; a gateway refuses this swap: {reason}" if reason else ""))
     sys.exit(1 if reason else 0)
--- a/irisdeal/cli/store/__init__.py
+++ b/irisdeal/cli/store/__init__.py
@@ -1,4 +1,4 @@
-"""`irisdeal store`: the replicas of the configuration store, their folders, and a new member list by hand."""
+"""`irisdeal store`: replicas of the configuration store, their folders, and the adoption of a member list."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @click.group()
 def store() -> None:
-    """Look at and repair the replicated store of the operator's configuration.
+    """Inspect and repair the replicated store of the operator's configuration.
 
-    status and members ask replicas that run; history, verify and export read a replica's folder and change nothing;
-    adopt starts a new list of members where no quorum can be had any more.
+    status and members query running replicas; history, verify and export read a replica's folder without change;
+    adopt starts a new list of members after a permanent loss of the quorum.
 
     Example: irisdeal store status --settings /etc/irisdeal/settings.toml
     """
--- a/irisdeal/cli/store/adopt.py
+++ b/irisdeal/cli/store/adopt.py
@@ -1,4 +1,4 @@
-"""`irisdeal store adopt`: a new member list from this machine's disk, where no quorum can be had any more."""
+"""`irisdeal store adopt`: a new member list from this machine's disk after a permanent loss of the quorum."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     "confirmed",
     multiple=True,
     metavar="NAME",
-    help="A machine or generation that may be given up; again for each.",
+    help="A machine or generation whose loss is accepted; may be repeated.",
 )
-@click.option("--dry-run", is_flag=True, help="Say what would be done, and change nothing.")
+@click.option("--dry-run", is_flag=True, help="Print what would be done, and change nothing.")
 @JSON
 def adopt(settings_file: str | None, confirmed: tuple[str, ...], dry_run: bool, as_json: bool) -> None:
-    """Start a new list of members from this machine's disk, where no quorum can be had any more.
+    """Start a new list of members from this machine's disk after a permanent loss of the quorum.
 
     Run it on the core machine whose disk has the newest change (status, history), with its store stopped. It is
-    refused (exit code 1) while a quorum can be had, while a store that answers has something newer, and until
-    each machine that does not answer was named with --yes-lose: what those alone have is given up. Then start the
-    store; the others join by themselves, from empty disks or their own.
+    refused (exit code 1) while a quorum is possible, while a store that answers has newer data, and until each
+    machine that does not answer is named with --yes-lose: data that only those have is lost. Then start the store;
+    the others join automatically, with empty disks or their own.
 
     Example: irisdeal store adopt --settings settings.toml --yes-lose 10.0.0.2 --yes-lose 10.0.0.3
     """
@@ -59,7 +59,7 @@
 
 
 def _survey(settings: Settings, planned: Adoption) -> Survey:
-    """Ask the stores of all machines that are known."""
+    """Query the stores of all known machines."""
     from irisdeal.config_store.membership.survey import survey
     from irisdeal.runtime import ports
 
@@ -68,7 +68,7 @@
 
 
 def _write(settings: Settings, planned: Adoption) -> None:
-    """Write the new list to the disk, synced. UsageError where the disk refuses."""
+    """Write the new list to the disk, synced. Raises `UsageError` if the write fails."""
     from irisdeal.config_store.membership import adoption
     from irisdeal.config_store.storage.folder import DiskFolder
     from irisdeal.runtime.events import Event, log_event
--- a/irisdeal/cli/store/folder.py
+++ b/irisdeal/cli/store/folder.py
@@ -1,4 +1,4 @@
-"""`irisdeal store history`, `verify` and `export`: a replica's folder is read and not changed."""
+"""`irisdeal store history`, `verify` and `export`: read a replica's folder without changing it."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 def history(folder: str, as_json: bool) -> None:
     """Show the versions in a replica's folder, the newest first, and the status of each.
 
-    `decided`: the newest that it knew to be decided; `accepted`: perhaps not decided; `kept`: older, or one that
-    lost against another.
+    `decided`: the newest version known as decided; `accepted`: possibly not decided; `kept`: an older version, or
+    one that lost against another.
 
     Example: irisdeal store history /var/lib/irisdeal
     """
@@ -100,20 +100,25 @@
 
 @click.command()
 @FOLDER
-@click.option("--generation", default=None, metavar="rN", help="Another one than the newest decided.")
+@click.option(
+    "--generation",
+    default=None,
+    metavar="rN",
+    help="The generation to export; by default the newest decided one.",
+)
 @click.option(
     "--to",
     "out",
     type=click.Path(dir_okay=False, path_type=Path),
     default=None,
     metavar="FILE",
-    help="Else standard output.",
+    help="Output file; by default standard output.",
 )
-@click.option("--json", "as_json", is_flag=True, help="With --to: what was written, for machines.")
+@click.option("--json", "as_json", is_flag=True, help="With --to: print what was written as JSON.")
 def export(folder: str, generation: str | None, out: Path | None, as_json: bool) -> None:
     """Write out a configuration from a replica's folder, byte for byte as the operator sent it.
 
-    Exit code 1 where it is not there. Sent to POST /config/replace again, it is what it was.
+    Exit code 1 if it is not in the folder. Sent to POST /config/replace, it restores that configuration.
 
     Example: irisdeal store export /var/lib/irisdeal --generation r12 --to r12.json
     """
--- a/irisdeal/cli/store/options.py
+++ b/irisdeal/cli/store/options.py
@@ -1,6 +1,6 @@
-"""Options and arguments of `irisdeal store`, the error of bad usage, and the reading of what they name.
+"""Options and arguments of `irisdeal store`, the usage error, and the reading of settings and folders.
 
-Modules of the store are imported where they are used, so that the command line starts quickly.
+Modules of the store are imported inside functions, so that the command line starts quickly.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class UsageError(click.ClickException):
-    """The command cannot run as asked: one line on standard error, exit code 2."""
+    """The command cannot run as given: one line on standard error, exit code 2."""
 
     exit_code = 2
 
@@ -30,11 +30,11 @@
     name = "ip:port"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """Return the address. Fails with what was wanted."""
+        """Return the address. Fails with the expected form."""
         from irisdeal.runtime.settings import parse_address
 
         if isinstance(value, tuple):
-            return value  # converted before
+            return value  # already converted
         try:
             return parse_address(str(value))
         except ValueError as error:
@@ -48,15 +48,15 @@
     envvar="IRISDEAL_SETTINGS",
     show_envvar=True,
     metavar="FILE",
-    help="A core machine's settings.",
+    help="Settings of a core machine.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 STORES = click.argument("stores", type=AddressType(), nargs=-1)
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
 def read_settings(settings_file: str | None) -> Settings:
-    """Read the settings that `--settings` names. UsageError where it is missing or wrong."""
+    """Read the settings that `--settings` names. Raises `UsageError` if it is missing or invalid."""
     if settings_file is None:
         raise UsageError("--settings: wanted, as no store was named")
     from returns.result import Failure
@@ -70,7 +70,7 @@
 
 
 def read_folder(folder: str) -> FolderContent:
-    """Read a replica's folder without changing it. UsageError where the disk refuses."""
+    """Read a replica's folder without changing it. Raises `UsageError` if it cannot be read."""
     from irisdeal.config_store.storage.folder import DiskFolder
     from irisdeal.config_store.storage.inspection import inspect_folder
 
--- a/irisdeal/cli/store/output.py
+++ b/irisdeal/cli/store/output.py
@@ -1,4 +1,4 @@
-"""Output of `irisdeal store`: JSON, tables, and the text of a value of the register."""
+"""Output of `irisdeal store`: JSON, tables and register values."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from irisdeal.config_store.consensus.register import Value
 
-TABLE_WIDTH = 116  # columns: as long as our lines
+TABLE_WIDTH = 116  # columns
 NUMERIC_COLUMNS = ("change", "list", "ballot", "bytes")
 
 
 def print_json(content: object) -> None:
-    """Print the answer of `--json`."""
+    """Print the output of `--json`."""
     click.echo(json.dumps(content, indent=1))
 
 
 def print_table(columns: Iterable[str], rows: Iterable[Iterable[str]]) -> None:
-    """Print rows under these headings; numbers stand to the right."""
+    """Print rows under these headings, with numbers aligned right."""
     table = Table(box=None, padding=(0, 2, 0, 0), pad_edge=False)
     for column in columns:
         table.add_column(column, justify="right" if column in NUMERIC_COLUMNS else "left")
@@ -38,7 +38,7 @@
 
 
 def value_as_json(value: Value) -> dict[str, object]:
-    """Return a value of the register for `--json`."""
+    """Return a register value as JSON."""
     return {
         "change": value.change,
         "generation": generation_of(value),
--- a/irisdeal/cli/store/status.py
+++ b/irisdeal/cli/store/status.py
@@ -1,4 +1,4 @@
-"""`irisdeal store status` and `members`: replicas that run are asked for their status."""
+"""`irisdeal store status` and `members`: the status of running replicas."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 @SETTINGS
 @JSON
 def status(stores: tuple[Address, ...], settings_file: str | None, as_json: bool) -> None:
-    """Show what each replica has and knows, and whether a quorum answers.
+    """Show the state of each replica, and whether a quorum answers.
 
-    STORES are ip:port of any of them, the first port of `port_range`; else the seeds of the settings. One that
-    answers is enough: the others are found by it. Exit code 0 with a quorum, 1 without, 2 where nobody answered.
+    STORES are ip:port of any replicas, with the first port of `port_range`; by default the seeds of the settings.
+    One that answers is enough: it names the others. Exit code 0 with a quorum, 1 without, 2 if no replica answered.
 
     Example: irisdeal store status 10.0.0.1:7340
     """
@@ -47,7 +47,7 @@
         print_json(_status_as_json(survey))
     else:
         _print_status(survey)
-    _exit(survey)
+    _exit_with_quorum_status(survey)
 
 
 @click.command()
@@ -55,7 +55,7 @@
 @SETTINGS
 @JSON
 def members(stores: tuple[Address, ...], settings_file: str | None, as_json: bool) -> None:
-    """Show the list of members under its number, which of them answer, and which learners wait to join.
+    """Show the numbered list of members, which of them answer, and which learners are waiting to join.
 
     STORES and exit codes as for status.
 
@@ -66,7 +66,7 @@
         print_json(_members_as_json(survey))
     else:
         _print_members(survey)
-    _exit(survey)
+    _exit_with_quorum_status(survey)
 
 
 def _survey(stores: tuple[Address, ...], settings_file: str | None) -> Survey:
@@ -83,8 +83,8 @@
     return [ports.address_of(settings, ip, ports.CONFIG_STORE) for ip in ips]
 
 
-def _exit(survey: Survey) -> None:
-    """Exit code 0 with a quorum, 1 without, 2 where nobody answered."""
+def _exit_with_quorum_status(survey: Survey) -> None:
+    """Exit with code 0 with a quorum, 1 without, 2 if no replica answered."""
     if not survey.statuses:
         sys.exit(2)
     sys.exit(0 if survey.has_quorum else 1)
@@ -100,13 +100,13 @@
         "stores": [
             _replica_as_json(survey, address, replica) for address, replica in sorted(survey.statuses.items())
         ],
-        "silent": {_text(address): why for address, why in sorted(survey.failures.items())},
+        "silent": {_format_address(address): reason for address, reason in sorted(survey.failures.items())},
     }
 
 
 def _replica_as_json(survey: Survey, address: Address, replica: ReplicaStatus) -> dict[str, object]:
     return {
-        "store": _text(address),
+        "store": _format_address(address),
         "seat": replica.seat,
         "zone": replica.zone,
         "counts": _role(survey, replica.seat),
@@ -122,23 +122,23 @@
 def _print_status(survey: Survey) -> None:
     rows = [_status_row(survey, address, replica) for address, replica in sorted(survey.statuses.items())]
     print_table(STATUS_COLUMNS, rows)
-    for address, why in sorted(survey.failures.items()):
-        click.echo(f"{_text(address)}: {why}")
-    click.echo(_verdict(survey))
+    for address, reason in sorted(survey.failures.items()):
+        click.echo(f"{_format_address(address)}: {reason}")
+    click.echo(_quorum_summary(survey))
 
 
 def _status_row(survey: Survey, address: Address, replica: ReplicaStatus) -> list[str]:
     return [
-        _text(address),
+        _format_address(address),
         replica.seat,
         replica.zone,
         _role(survey, replica.seat),
         str(replica.decided.change),
         generation_of(replica.decided),
-        _yes(replica.has_body),
+        _format_flag(replica.has_body),
         str(replica.decided.members.number),
         str(replica.accepted.count),
-        _yes(replica.is_leaving),
+        _format_flag(replica.is_leaving),
     ]
 
 
@@ -160,9 +160,9 @@
     state = "a change is under way" if survey.members.former else "settled"
     click.echo(f"list {survey.members.number}, {state}")
     answered = survey.answered()
-    rows = [[seat, _role(survey, seat), _yes(seat in answered)] for seat in _seats(survey)]
+    rows = [[seat, _role(survey, seat), _format_flag(seat in answered)] for seat in _seats(survey)]
     print_table(("seat", "counts", "answers"), rows)
-    click.echo(_verdict(survey))
+    click.echo(_quorum_summary(survey))
 
 
 def _seats(survey: Survey) -> list[str]:
@@ -175,17 +175,17 @@
     return "former" if seat in survey.members.former else "learner"
 
 
-def _verdict(survey: Survey) -> str:
+def _quorum_summary(survey: Survey) -> str:
     spare = survey.spare_members()
     if spare < 0:
-        return "no quorum: nothing is confirmed or read"
-    return f"a quorum lives; it bears the loss of {spare} more"
+        return "no quorum: no reads or writes are possible"
+    return f"a quorum answers; it bears the loss of {spare} more"
 
 
-def _yes(is_so: bool) -> str:
-    return "yes" if is_so else "-"
+def _format_flag(is_set: bool) -> str:
+    return "yes" if is_set else "-"
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     ip, port = address
     return f"{ip}:{port}"
--- a/irisdeal/cli/zones.py
+++ b/irisdeal/cli/zones.py
@@ -1,4 +1,4 @@
-"""`irisdeal zones`: which zones doors have left and why, and what a fleet does while one is lost."""
+"""`irisdeal zones`: the zones that gateways have taken out of service and why, and a simulation of a lost zone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from irisdeal.cli.reports import fetch
+from irisdeal.cli.reports import fetch_report
 from irisdeal.front_door.zones.fleet import (
     BAD_BACKENDS_PER_ZONE,
     FAULTS,
@@ -23,7 +23,7 @@
     summarize,
 )
 
-HEADS = {
+COLUMN_HEADINGS = {
     "left": "left",
     "half": "half, s",
     "most": "95%, s",
@@ -40,22 +40,22 @@
 
 @click.group()
 def zones() -> None:
-    """Zones of backends that a fleet of doors leaves together."""
+    """Zones of backends that the gateways of a fleet take out of service together."""
 
 
-def _told(sockets: tuple[Path, ...]) -> dict[str, dict[str, Any]]:
-    """The zones of each door that answers, by its name. Ends with exit code 2 where none does."""
+def _fetch_zones(sockets: tuple[Path, ...]) -> dict[str, dict[str, Any]]:
+    """Return the zones of each gateway that answers, by its name. Exits with code 2 if none answers."""
 
-    async def ask() -> list[dict[str, object] | str]:
-        return await asyncio.gather(*(fetch(path) for path in sockets))
+    async def fetch_all() -> list[dict[str, object] | str]:
+        return await asyncio.gather(*(fetch_report(path) for path in sockets))
 
     found: dict[str, dict[str, Any]] = {}
-    for path, told in zip(sockets, asyncio.run(ask()), strict=True):
-        if isinstance(told, dict) and isinstance(told.get("zones"), dict):
-            found[str(told.get("name", path))] = told["zones"]  # type: ignore[assignment]
+    for path, report in zip(sockets, asyncio.run(fetch_all()), strict=True):
+        if isinstance(report, dict) and isinstance(report.get("zones"), dict):
+            found[str(report.get("name", path))] = report["zones"]  # type: ignore[assignment]
         else:
-            why = told if isinstance(told, str) else "a report with no zones"
-            click.echo(f"irisdeal: {path}: {why}", err=True)
+            reason = report if isinstance(report, str) else "a report with no zones"
+            click.echo(f"irisdeal: {path}: {reason}", err=True)
     if not found:
         sys.exit(2)
     return found
@@ -63,21 +63,21 @@
 
 @zones.command()
 @click.argument("sockets", type=click.Path(path_type=Path), nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="For machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def show(sockets: tuple[Path, ...], as_json: bool) -> None:
-    """Each zone as each of these doors sees it: stand, since when, by what, share, ramp.
+    """Show each zone as each of these gateways sees it: state, its duration and cause, share, failures.
 
-    SOCKETS are those that the doors' configurations name as `report`. Exit code 0, 1 where a door did not
-    answer, 2 where none did.
+    SOCKETS are those that the gateways' configurations name as `report`. Exit code 0; 1 if a gateway did not
+    answer; 2 if none did.
 
     Example: irisdeal zones show /run/irisdeal/*.sock
     """
-    found = _told(sockets)
+    found = _fetch_zones(sockets)
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
         table = Table(box=None, padding=(0, 2, 0, 0), pad_edge=False)
-        for head in (
+        for heading in (
             "door",
             "zone",
             "stand",
@@ -89,9 +89,9 @@
             "by",
             "setbacks",
         ):
-            table.add_column(head, justify="left" if head in ("door", "stand", "by") else "right")
-        for name, told in sorted(found.items()):
-            for zone in told["zones"]:
+            table.add_column(heading, justify="left" if heading in ("door", "stand", "by") else "right")
+        for name, report in sorted(found.items()):
+            for zone in report["zones"]:
                 since = zone["for_s"]
                 table.add_row(
                     name,
@@ -112,17 +112,17 @@
 @zones.command()
 @click.argument("zone", type=click.IntRange(0))
 @click.argument("sockets", type=click.Path(path_type=Path), nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="For machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def explain(zone: int, sockets: tuple[Path, ...], as_json: bool) -> None:
-    """The last changes of one zone at these doors, the latest first, with the figures that led to each.
+    """Show the last changes of a zone at these gateways, the latest first, with the values that led to each.
 
     Example: irisdeal zones explain 1 /run/irisdeal/*.sock
     """
     changes = sorted(
         (
             {"door": name, **change}
-            for name, told in _told(sockets).items()
-            for change in told["changes"]
+            for name, report in _fetch_zones(sockets).items()
+            for change in report["changes"]
             if change["zone"] == zone
         ),
         key=lambda change: (change["ago_s"], change["door"]),
@@ -142,40 +142,46 @@
     type=click.IntRange(9, 2000),
     default=30,
     show_default=True,
-    help="Doors of the fleet; up to eight leave no zone.",
+    help="Gateways of the fleet; up to eight take no zone out of service.",
 )
 @click.option(
     "--backends",
     type=click.IntRange(3, 6000),
     default=None,
-    help="Of all three zones together.  [default: 0.6 a door, 9 at least]",
+    help="In all three zones together.  [default: 0.6 a gateway, at least 9]",
 )
 @click.option(
     "--rate",
     type=click.FloatRange(0.1, 100),
     default=6.0,
     show_default=True,
-    help="Attempts a second of each door.",
+    help="Attempts per second of each gateway.",
 )
 @click.option(
     "--fault",
     type=click.Choice(list(FAULTS)),
     default="cut",
     show_default=True,
-    help="What becomes of zone 0; calm has two bad backends in each zone.",
+    help="The fault of zone 0; calm has two bad backends in each zone.",
 )
 @click.option(
-    "--seeds", type=click.IntRange(1, 10_000), default=1, show_default=True, help="Days, from seed 1 on."
+    "--seeds",
+    type=click.IntRange(1, 10_000),
+    default=1,
+    show_default=True,
+    help="Number of runs, from seed 1 on.",
 )
 @click.option(
     "--lose",
     type=click.FloatRange(0, 1),
     default=0.0,
     show_default=True,
-    help="Share of the count keeper's answers that get lost.",
+    help="Share of the counter service's answers that are lost.",
+)
+@click.option("--no-keeper", is_flag=True, help="The counter service does not answer.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print one JSON object for each run instead of a table."
 )
-@click.option("--no-keeper", is_flag=True, help="The count keeper is silent all day.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object for each day in place of a table.")
 def simulate(
     doors: int,
     backends: int | None,
@@ -186,13 +192,13 @@
     no_keeper: bool,
     as_json: bool,
 ) -> None:
-    """Play the beliefs of all doors for 30 s in which zone 0 fails for 8: when they leave and are back.
+    """Simulate all gateways for 30 s in which zone 0 fails for 8 s: when they take it out and put it back.
 
     Example: irisdeal zones simulate --doors 200 --fault flapping --seeds 3
     """
     table = Table(title=f"{doors} doors, {fault}, {LOSS_DURATION_S:g} s", title_justify="left")
-    for head in ("seed", *HEADS.values()):
-        table.add_column(head, justify="right")
+    for heading in ("seed", *COLUMN_HEADINGS.values()):
+        table.add_column(heading, justify="right")
     for seed in range(1, seeds + 1):
         found = summarize(
             FleetSimulation(
@@ -206,18 +212,18 @@
                 not no_keeper,
             ).run()
         )
-        told = {
+        outcome = {
             name: None if isinstance(value, float) and not math.isfinite(value) else value
             for name, value in dataclasses.asdict(found).items()
         }
         if as_json:
-            click.echo(json.dumps({"seed": seed, "doors": doors, "fault": fault, **told}))
+            click.echo(json.dumps({"seed": seed, "doors": doors, "fault": fault, **outcome}))
         else:
             table.add_row(
                 str(seed),
                 *(
                     "-" if value is None else f"{value:.2f}" if isinstance(value, float) else str(value)
-                    for value in told.values()
+                    for value in outcome.values()
                 ),
             )
     if not as_json:
--- a/tests/cli/test_queues.py
+++ b/tests/cli/test_queues.py
@@ -1,4 +1,4 @@
-"""A door's report on its socket, and `irisdeal queues top` over several doors."""
+"""Tests of a gateway's report on its socket, and of `irisdeal queues top` over several gateways."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def report(name: str = "n0", asked: int = 10, **stores: float) -> dict[str, Any]:
-    """A report in which stores have these shares."""
+    """Return a report in which stores have these shares."""
     return {
         "version": 1,
         "name": name,
@@ -73,7 +73,7 @@
     return dict(json.loads(text))
 
 
-def test_a_door_tells_what_its_stores_got(tmp_path: Path) -> None:
+def test_the_report_of_a_gateway_counts_the_requests_of_its_stores(tmp_path: Path) -> None:
     where = tmp_path / "n0.sock"
 
     @socket_test
@@ -83,13 +83,13 @@
             running(known=whole_list(member("s-1", backend.port)), report=str(where)) as door,
         ):
             await door.program.start_report()
-            assert stat.S_IMODE(os.stat(where).st_mode) == 0o600  # it tells stores' numbers
+            assert stat.S_IMODE(os.stat(where).st_mode) == 0o600  # it contains customer data
             client, to_door = await door.client()
             to_door.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
-            told = await fetch(where)
-            assert (told["name"], told["open"], told["out"]) == ("n0", 1, 1)
+            summary = await fetch(where)
+            assert (summary["name"], summary["open"], summary["out"]) == ("n0", 1, 1)
             writer.write(answer())
             await read_message(client)
             store = (await fetch(where))["watch"]["stores"][0]
@@ -103,7 +103,7 @@
     run()
 
 
-def test_a_refusal_is_told(tmp_path: Path) -> None:
+def test_a_refusal_is_in_the_report(tmp_path: Path) -> None:
     where = tmp_path / "n0.sock"
 
     @socket_test
@@ -112,13 +112,13 @@
             await door.program.start_report()
             line, _, _ = await door.call(ask(X_Expires_In="300m"))
             assert line.startswith("HTTP/1.1 429")
-            told = (await fetch(where))["watch"]
-            assert (told["refused"], told["stores"][0]["refused"]) == (1, 1)
+            summary = (await fetch(where))["watch"]
+            assert (summary["refused"], summary["stores"][0]["refused"]) == (1, 1)
 
     run()
 
 
-def test_readers_are_bounded_and_one_that_never_reads_holds_up_nobody(tmp_path: Path) -> None:
+def test_report_connections_are_bounded(tmp_path: Path) -> None:
     where = tmp_path / "n0.sock"
 
     @socket_test
@@ -134,7 +134,7 @@
     run()
 
 
-def test_a_socket_that_a_dead_door_left_is_taken_over_and_nothing_else_is(tmp_path: Path) -> None:
+def test_only_an_unused_socket_file_is_replaced(tmp_path: Path) -> None:
     left, used, plain = tmp_path / "left.sock", tmp_path / "used.sock", tmp_path / "plain"
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(str(left))
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("bad", ["relative.sock", "", 7, "/" + "x" * 120])
-def test_a_path_that_cannot_be_a_socket_is_one_clear_error(bad: object) -> None:
+def test_an_invalid_socket_path_is_a_configuration_error(bad: object) -> None:
     with pytest.raises(ConfigError, match=r"report is .*: wanted an absolute path"):
         config(report=bad)
 
@@ -170,7 +170,7 @@
 
 @contextmanager
 def doors(tmp_path: Path, *texts: bytes) -> Iterator[list[str]]:
-    """Sockets that each say one text to whoever connects."""
+    """Listen on sockets that each send one text to every client."""
     paths, listening = [], []
     stop = threading.Event()
 
@@ -204,21 +204,21 @@
     return CliRunner().invoke(main, ["queues", "top", *arguments], env={"COLUMNS": "160"})
 
 
-def test_stores_are_brought_together_over_doors(tmp_path: Path) -> None:
+def test_the_command_merges_stores_over_gateways(tmp_path: Path) -> None:
     one, two = report("n0", 30, a=0.5, b=0.5), report("n1", 10, a=1.0)
     with doors(tmp_path, json.dumps(one).encode(), json.dumps(two).encode()) as paths:
         result = run(*paths, "--json")
         shown = run(*paths, "--once")
-    told = json.loads(result.stdout)
-    assert result.exit_code == 0 and [door["name"] for door in told["doors"]] == ["n0", "n1"]
-    assert [(s["customer"], s["share"], s["doors"]) for s in told["stores"]] == [
+    summary = json.loads(result.stdout)
+    assert result.exit_code == 0 and [door["name"] for door in summary["doors"]] == ["n0", "n1"]
+    assert [(s["customer"], s["share"], s["doors"]) for s in summary["stores"]] == [
         ("a", 0.625, ["n0", "n1"]),
         ("b", 0.375, ["n0"]),
     ]
     assert shown.exit_code == 0 and "62.5%" in shown.stdout and "mall" in shown.stdout
 
 
-def test_a_door_that_does_not_answer_is_named_and_the_others_are_shown(tmp_path: Path) -> None:
+def test_a_gateway_that_does_not_answer_is_listed_and_the_others_are_shown(tmp_path: Path) -> None:
     with doors(tmp_path, json.dumps(report(a=1.0)).encode(), b"no json") as paths:
         result = run(*paths, str(tmp_path / "gone.sock"), "--json")
         shown = run(*paths, "--once")
@@ -231,13 +231,13 @@
     assert "its answer is no JSON" in " ".join(shown.stdout.split()) and "100.0%" in shown.stdout
 
 
-def test_it_follows_until_its_time_is_over(tmp_path: Path) -> None:
+def test_live_output_ends_after_the_given_time(tmp_path: Path) -> None:
     with doors(tmp_path, json.dumps(report(a=1.0)).encode()) as paths:
         result = run(*paths, "--every", "0.1", "--for", "0.15")
     assert result.exit_code == 0 and "100.0%" in result.stdout
 
 
-def test_without_any_door_it_is_one_line_each_and_exit_code_two(tmp_path: Path) -> None:
+def test_without_any_answer_there_is_one_line_each_and_exit_code_2(tmp_path: Path) -> None:
     result = run(str(tmp_path / "gone.sock"), "--once")
     assert result.exit_code == 2 and result.stderr.count("\n") == 1
     assert "wanted the socket that a door's configuration names as report" in result.stderr
@@ -246,12 +246,12 @@
 @pytest.mark.parametrize(
     "bad", [[], {}, {"version": 2}, {**report(a=1.0), "queue": {}}, {**report(), "watch": 3}]
 )
-def test_what_is_no_report_is_said_so(bad: object) -> None:
+def test_an_invalid_report_is_rejected(bad: object) -> None:
     with pytest.raises(InvalidReportError, match="report"):
         parse_report(bad)
 
 
-def test_no_doors_make_no_rows() -> None:
+def test_no_gateways_give_no_rows() -> None:
     assert (
         top_accounts([], 5) == [] and top_accounts([parse_report(report(asked=0, a=0.0))], 5)[0].share == 0.0
     )
