--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -483,7 +483,7 @@
 @click.option("--door", type=click.IntRange(0), default=None, help="One gateway.")
 @click.option("--bug", default="", metavar="NAME", help="Plant a bug for it.")
 def show(file: Path, seed: int | None, trace: str, box: str, door: int | None, bug: str) -> None:
-    """Show a day as a timeline: all its faults and rule breaches, or those of one request, backend or gateway.
+    """Show a timeline of a day: all faults and rule breaches, or those of a request, backend or gateway.
 
     Example: irisdeal chaos show found/answers-1.toml --request 1f0c6b02a9d54e11
     """
--- a/irisdeal/cli/main.py
+++ b/irisdeal/cli/main.py
@@ -57,8 +57,8 @@
 def serve() -> None:
     """Run one front door in the foreground, as `python -m irisdeal` does.
 
-    The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override
-    it.
+    The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY
+    override it.
 
     Example: EDGE_CONFIG=config.json irisdeal serve
     """
@@ -136,7 +136,7 @@
     reports: Path | None,
     list_only: bool,
 ) -> None:
-    """Run a scenario with simulated services on loopback and front doors as processes, and check the five rules.
+    """Run a scenario with simulated services on loopback and front door processes, and check the rules.
 
     Exit code 0 if the rules held, 1 if one was broken, 2 if it could not run. Ctrl-C ends it early, with the
     results so far.
--- a/irisdeal/cli/queues.py
+++ b/irisdeal/cli/queues.py
@@ -67,10 +67,10 @@
     once: bool,
     as_json: bool,
 ) -> None:
-    """Show the stores with the most requests at these gateways: results, waits, and retries that follow the advice.
+    """Show the stores with the most requests at these gateways: results, waits and obeyed retry advice.
 
-    Live until Ctrl-C, or once with --once or --json. Exit code 0; 1 if a gateway did not answer the last time; 2 if
-    none answered at all.
+    Live until Ctrl-C, or once with --once or --json. Exit code 0; 1 if a gateway did not answer the last
+    time; 2 if none answered at all.
 
     Example: irisdeal queues top /run/irisdeal/n1.sock /run/irisdeal/n2.sock --count 10
     """
--- a/irisdeal/cli/store/__init__.py
+++ b/irisdeal/cli/store/__init__.py
@@ -13,8 +13,8 @@
 def store() -> None:
     """Inspect and repair the replicated store of the operator's configuration.
 
-    status and members query running replicas; history, verify and export read a replica's folder without change;
-    adopt starts a new list of members after a permanent loss of the quorum.
+    status and members query running replicas; history, verify and export read a replica's folder without
+    change; adopt starts a new list of members after a permanent loss of the quorum.
 
     Example: irisdeal store status --settings /etc/irisdeal/settings.toml
     """
--- a/irisdeal/cli/store/adopt.py
+++ b/irisdeal/cli/store/adopt.py
@@ -32,10 +32,10 @@
 def adopt(settings_file: str | None, confirmed: tuple[str, ...], dry_run: bool, as_json: bool) -> None:
     """Start a new list of members from this machine's disk after a permanent loss of the quorum.
 
-    Run it on the core machine whose disk has the newest change (status, history), with its store stopped. It is
-    refused (exit code 1) while a quorum is possible, while a store that answers has newer data, and until each
-    machine that does not answer is named with --yes-lose: data that only those have is lost. Then start the store;
-    the others join automatically, with empty disks or their own.
+    Run it on the core machine whose disk has the newest change (status, history), with its store stopped. It
+    is refused (exit code 1) while a quorum is possible, while a store that answers has newer data, and until
+    each machine that does not answer is named with --yes-lose: data that only those have is lost. Then start
+    the store; the others join automatically, with empty disks or their own.
 
     Example: irisdeal store adopt --settings settings.toml --yes-lose 10.0.0.2 --yes-lose 10.0.0.3
     """
--- a/irisdeal/cli/store/folder.py
+++ b/irisdeal/cli/store/folder.py
@@ -26,8 +26,8 @@
 def history(folder: str, as_json: bool) -> None:
     """Show the versions in a replica's folder, the newest first, and the status of each.
 
-    `decided`: the newest version known as decided; `accepted`: possibly not decided; `kept`: an older version, or
-    one that lost against another.
+    `decided`: the newest version known as decided; `accepted`: possibly not decided; `kept`: an older
+    version, or one that lost against another.
 
     Example: irisdeal store history /var/lib/irisdeal
     """
--- a/irisdeal/cli/store/status.py
+++ b/irisdeal/cli/store/status.py
@@ -37,8 +37,9 @@
 def status(stores: tuple[Address, ...], settings_file: str | None, as_json: bool) -> None:
     """Show the state of each replica, and whether a quorum answers.
 
-    STORES are ip:port of any replicas, with the first port of `port_range`; by default the seeds of the settings.
-    One that answers is enough: it names the others. Exit code 0 with a quorum, 1 without, 2 if no replica answered.
+    STORES are ip:port of any replicas, with the first port of `port_range`; by default the seeds of the
+    settings. One that answers is enough: it names the others. Exit code 0 with a quorum, 1 without, 2 if no
+    replica answered.
 
     Example: irisdeal store status 10.0.0.1:7340
     """
--- a/irisdeal/cli/zones.py
+++ b/irisdeal/cli/zones.py
@@ -1,4 +1,4 @@
-"""`irisdeal zones`: the zones that gateways have taken out of service and why, and a simulation of a lost zone."""
+"""`irisdeal zones`: zones that gateways have taken out of service and why, and a simulated zone loss."""
 
 from __future__ import annotations
 
--- a/irisdeal/front_door/routes/costs.py
+++ b/irisdeal/front_door/routes/costs.py
@@ -47,7 +47,7 @@
 
 
 def query_value(query: str, name: str) -> str | None:
-    """Return the value of a query parameter, or None. A repeated parameter is ambiguous and raises an error."""
+    """Return the value of a query parameter, or None. A repeated parameter is an ambiguity error."""
     if len(query) > MAX_QUERY_CHARS:
         raise InvalidUnitsError("query too long")
     values = [
@@ -88,7 +88,7 @@
 
 
 def pointer_tokens(pointer: str) -> list[str]:
-    """Return the reference tokens of a JSON pointer (RFC 6901 4). Raises ValueError for an invalid pointer."""
+    """Return the reference tokens of a JSON pointer (RFC 6901 4). Raises ValueError if it is invalid."""
     if not pointer:
         return []
     if not pointer.startswith("/"):
--- a/irisdeal/front_door/routes/matcher.py
+++ b/irisdeal/front_door/routes/matcher.py
@@ -9,9 +9,9 @@
 3. a segment that is one parameter.
 
 If a branch has no route for the request, the next candidate is tried. Two templates of one shape (`/a/{x}`,
-`/a/{y}`) are an error when the tree is built (`RouteConflictError`). Where two mixed segments at one position can
-match the same text, the order above decides, and `Matcher.overlaps` lists the pair, so that no ambiguity stays
-unreported.
+`/a/{y}`) are an error when the tree is built (`RouteConflictError`). Where two mixed segments at one position
+can match the same text, the order above decides, and `Matcher.overlaps` lists the pair, so that no ambiguity
+stays unreported.
 """
 
 from __future__ import annotations
@@ -112,7 +112,7 @@
         return child
 
     def find(self, method: str, target: Target) -> RouteMatch:
-        """Return the route of a request. If only other methods are described, `allowed_methods` names them."""
+        """Return the route of a request, or in `allowed_methods` the methods that its path has."""
         values: list[str] = []
         found = _find_route(self.root, target.segments, 0, method, values)
         if found is not None:
--- a/irisdeal/front_door/routes/model.py
+++ b/irisdeal/front_door/routes/model.py
@@ -3,9 +3,9 @@
 Rules of this package:
 
 1. By default, GET and HEAD are safe and every other method is unsafe. RFC 9110 9.2.2 calls PUT and DELETE
-   idempotent, but that covers only one client's repeats of one request: between a DELETE and its repeat, another
-   client may have created the resource again. A gateway cannot see what a request means, so the description has
-   to declare it repeatable.
+   idempotent, but that covers only one client's repeats of one request: between a DELETE and its repeat,
+   another client may have created the resource again. A gateway cannot see what a request means, so the
+   description has to declare it repeatable.
 2. A route marked unsafe stays unsafe even for requests with a key header.
 3. A value out of range is an error when it is read; it is never replaced by a default.
 """
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Units:
-    """The cost of a request: `amount`, or a value read from a query parameter or by a JSON pointer into the body.
+    """The cost of a request: `amount`, or a value from a query parameter or at a JSON pointer into the body.
 
-    `default` applies if the value is missing; `cap` bounds the value. A value that is not a number over 0 is an
-    error of the request and does not give the default: otherwise a client could lower its own cost.
+    `default` applies if the value is missing; `cap` bounds the value. A value that is not a number over 0 is
+    an error of the request and does not give the default: otherwise a client could lower its own cost.
     """
 
     amount: float = 1.0
@@ -92,8 +92,8 @@
             return self
         if other.repeat is Repeat.KEYED and self.repeat is Repeat.KEYED:
             if other.group != self.group and "all" not in (other.group, self.group):
-                # Neither zone nor cell contains the other: only a backend in both would be allowed, and it may
-                # not have seen the key.
+                # Neither zone nor cell contains the other: only a backend in both would be
+                # allowed, and it may not have seen the key.
                 return _with_repeat(self, Repeat.UNSAFE, self.group, self.window)
             group = other.group if self.group == "all" else self.group
             return _with_repeat(self, Repeat.KEYED, group, min(self.window, other.window))
--- a/irisdeal/front_door/routes/path.py
+++ b/irisdeal/front_door/routes/path.py
@@ -1,8 +1,8 @@
 """Parse request targets and path templates (RFC 9112 3.2, RFC 3986 2 and 3.3, OpenAPI Path Templating).
 
-A target is forwarded to the backend unchanged. A target that the backend may parse differently must not be routed:
-dot segments, malformed percent-encoding, a decoded NUL. If `/check/../claim` were matched literally, it would be
-accounted as one operation and executed as another.
+A target is forwarded to the backend unchanged. A target that the backend may parse differently must not be
+routed: dot segments, malformed percent-encoding, a decoded NUL. If `/check/../claim` were matched literally,
+it would be accounted as one operation and executed as another.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def read_target(target: str) -> Target:
-    """Parse a target in origin form or absolute form; `*` has the one segment `*`. Raises `InvalidTargetError`."""
+    """Parse a target in origin or absolute form; `*` has the one segment `*`. Raises `InvalidTargetError`."""
     if len(target) > MAX_TARGET_BYTES:
         raise InvalidTargetError(f"target over {MAX_TARGET_BYTES} bytes")
     if (
@@ -63,7 +63,7 @@
 
 
 def read_path(path: str) -> list[str]:
-    """Return a path's segments, each decoded once after the split, so an encoded slash does not separate segments.
+    """Return a path's segments, each decoded once after the split: an encoded slash separates nothing.
 
     Raises `InvalidTargetError`.
     """
@@ -85,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """One segment of a template: alternating literals and parameter names, beginning and ending with a literal.
+    """One segment of a template: alternating literals and parameter names, a literal first and last.
 
-    `pattern` matches the decoded segment; it is None for a segment without parameters. Parameters match at least
-    one character.
+    `pattern` matches the decoded segment; it is None for a segment without parameters. Parameters match at
+    least one character.
     """
 
     literals: tuple[str, ...]
--- a/irisdeal/front_door/routes/table.py
+++ b/irisdeal/front_door/routes/table.py
@@ -1,9 +1,9 @@
 """A generation of routes, and the class numbers that stay stable over generations.
 
-The decision core identifies request classes by number. `ClassNumbers` gives each rule a number, which it keeps
-while the active generation or an open request uses it. A number without users is reused for the next new rule, so
-that repeated swaps do not grow the list of classes. The decision core then discards what it measured under that
-number (the usual response time), because that belongs to another class.
+The decision core identifies request classes by number. `ClassNumbers` gives each rule a number, which it
+keeps while the active generation or an open request uses it. A number without users is reused for the next
+new rule, so that repeated swaps do not grow the list of classes. The decision core then discards what it
+measured under that number (the usual response time), because that belongs to another class.
 """
 
 from __future__ import annotations
--- a/irisdeal/front_door/sources/openapi.py
+++ b/irisdeal/front_door/sources/openapi.py
@@ -1,12 +1,12 @@
 """Read the routes of an OpenAPI 3.0 or 3.1 description in JSON or YAML.
 
-Only what routes and costs need is checked; `irisdeal routes check --schema` validates the rest. A description is
-accepted as a whole or rejected: each problem has the file, a JSON pointer into it and the expected value.
-References may lead to the same file or to files inside the folder of the description; nothing is fetched over the
-network.
+Only what routes and costs need is checked; `irisdeal routes check --schema` validates the rest. A description
+is accepted as a whole or rejected: each problem has the file, a JSON pointer into it and the expected value.
+References may lead to the same file or to files inside the folder of the description; nothing is fetched over
+the network.
 
-As a program it prints the routes in their compact form, so that the gateway does not load the libraries of this
-module:
+As a program it prints the routes in their compact form, so that the gateway does not load the libraries of
+this module:
 
     python -m irisdeal.front_door.sources.openapi FILE
 """
@@ -175,7 +175,7 @@
                 raise MalformedInputError(f"over {MAX_FILES} files")
             path = self.folder / unquote(urlsplit(uri).path.lstrip("/"))
             real = Path(os.path.realpath(path))
-            # The description itself may be a symbolic link to another folder, as when it is replaced by a link.
+            # The description itself may be a symbolic link out of the folder, which is replaced for a swap.
             if uri != self.root_uri and not real.is_relative_to(self.folder):
                 raise MalformedInputError("leads out of the description's folder")
             with real.open("rb") as file:
@@ -297,7 +297,7 @@
         return merged
 
     def _base_paths(self, node: _Node, inherited: list[str]) -> list[str]:
-        """Return the base paths of `servers` without a trailing slash, or the inherited ones without `servers`."""
+        """Return the base paths of `servers` without a trailing slash, else the inherited ones."""
         if "servers" not in node.value:
             return inherited
         servers = node.child("servers")
--- a/irisdeal/front_door/sources/yamljson.py
+++ b/irisdeal/front_door/sources/yamljson.py
@@ -1,8 +1,8 @@
 """Load YAML and JSON files into plain values, with limits on the memory and time that a file can use.
 
-YAML follows the JSON schema of YAML 1.2 (YAML 1.2.2, 10.2): `no`, `on` and dates are strings, and there are no
-merge keys and no tags. libyaml parses events, and this module builds the values, so that nesting, aliases and
-duplicate keys are checked during reading. Errors have line and column.
+YAML follows the JSON schema of YAML 1.2 (YAML 1.2.2, 10.2): `no`, `on` and dates are strings, and there are
+no merge keys and no tags. libyaml parses events, and this module builds the values, so that nesting, aliases
+and duplicate keys are checked during reading. Errors have line and column.
 """
 
 from __future__ import annotations
