--- a/irisdeal/testbed/audit/__init__.py
+++ b/irisdeal/testbed/audit/__init__.py
@@ -1,19 +1,19 @@
-"""The five rules (BRIEF 11 to 15), judged by the testbed's request logs alone. Pure: no I/O, no clock.
+"""Audit of the five rules (BRIEF 11 to 15), from the testbed's request logs alone. Pure: no I/O, no clock.
 
-What a breach of each rule is in the request logs:
+A breach of each rule, in terms of the request logs:
 
 | rule | a breach is |
 | --- | --- |
-| answers (11) | an accepted request with no final answer in time, two, a forged one, or more sent after it |
-| effects (12) | a further attempt, or a refusal, that the class forbids while an earlier one may have run |
-| drains (13) | an attempt whose first byte came to a backend later than the grace after its front door's notice |
-| cold (14) | work sent to a backend in slow start, in any window, over its budget, by front doors that knew |
-| ceilings (15) | a tenant's bucket of the ceiling below its slack |
-
-Excused, by the protocol: what a front door had pending when it was killed (BRIEF 11), and a client attempt on a
-reused connection that closed before the front door can have read it (PROTOCOL, Clients to front doors). Time
-limits are 50 ms longer on sockets (PROTOCOL, The rules on sockets), and longer by the stalls of the testbed's own
-event loop meanwhile: its lag must not be a front door's breach.
+| answers (11) | no final answer in time, two answers, a body that no backend made, or attempts after the answer |
+| effects (12) | a retry or a rejection that the class forbids while an earlier attempt may have run |
+| drains (13) | an attempt that reached a backend later than the grace after its front door's notice |
+| cold (14) | work over a backend's slow start budget in any window, sent by front doors notified of the start |
+| ceilings (15) | a tenant's token bucket at the ceiling's rate is below the allowed slack |
+
+The protocol excuses the requests that were pending at a front door when it was killed (BRIEF 11), and a client
+attempt on a reused connection that closed before the front door can have read it (PROTOCOL, Clients to front
+doors). On sockets, time limits are extended by 50 ms (PROTOCOL, The rules on sockets), and by the stalls of the
+testbed's event loop in that time, so that its lag does not count as a breach.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 def audit(request_log: RequestLog, figures: Figures, timed: bool = True) -> Verdict:
-    """Judge one run. The request logs must be complete: all attempts of clients and at backends are in them.
+    """Check one run against all rules. The request log must contain all attempts of clients and at backends.
 
-    Not `timed`, how late an answer came is left out, and that alone: for a front door in the test services' own
-    loop, whose lateness is theirs and the machine's.
+    With `timed` false, only the check for late answers is skipped. This is for a front door that shares the event
+    loop of the test services, where lateness depends on them and on the machine.
     """
     verdict = Verdict({rule: 0 for rule in Rule}, {rule: 0 for rule in Rule}, [])
     evidence = Evidence(request_log, figures, verdict)
--- a/irisdeal/testbed/audit/answers.py
+++ b/irisdeal/testbed/audit/answers.py
@@ -10,30 +10,30 @@
 from irisdeal.testbed.audit.model import Breach, Rule
 from irisdeal.testbed.request_log import Answer, Attempt, ClientAttempt, End, FrontDoorIncarnation
 
-WATCHED = 450_000  # µs that a client surely still reads after it has given up
-TERM_SPARED = 700_000  # µs after SIGTERM from which SIGKILL excuses nothing; PROTOCOL, Figures
-NO_ANSWER = "its connection ended with no whole answer"
+MIN_READ_AFTER_TIMEOUT_US = 450_000  # a client reads its connection at least this long after giving up
+MAX_EXCUSED_SHUTDOWN_US = 700_000  # SIGKILL later than this after SIGTERM excuses nothing; PROTOCOL, Figures
+CONNECTION_ENDED = "its connection ended without a complete answer"
 
 
 def answers(evidence: Evidence, timed: bool) -> Iterator[Breach]:
-    """Find the breaches of rule 11; how late an answer was counts only where `timed`."""
+    """Find the breaches of rule 11; late answers are reported only if `timed` is true."""
     incarnations: dict[int, list[FrontDoorIncarnation]] = defaultdict(list)
     for incarnation in evidence.request_log.front_doors:
         incarnations[incarnation.front_door].append(incarnation)
     for client_attempt in evidence.request_log.client_attempts:
         if not client_attempt.at:
-            continue  # it never reached a front door
+            continue  # no connection to a front door was established
         evidence.verdict.checked[Rule.ANSWERS] += 1
-        case = _case(evidence, client_attempt)
+        case = _make_case(evidence, client_attempt)
         if client_attempt.answers:
-            yield from _judge_answered(evidence, case, timed)
+            yield from _check_answered(evidence, case, timed)
         else:
-            yield from _judge_unanswered(evidence, case, incarnations[client_attempt.front_door])
+            yield from _check_unanswered(evidence, case, incarnations[client_attempt.front_door])
 
 
 @dataclass(frozen=True, slots=True)
 class _Case:
-    """One client attempt with its attempts at backends; `due` and `limit` in µs, `limit` with all tolerances."""
+    """A client attempt and its backend attempts. `due` and `limit` in µs; `limit` includes all tolerances."""
 
     client_attempt: ClientAttempt
     attempts: list[Attempt]
@@ -43,7 +43,7 @@
 
     @property
     def backends(self) -> tuple[str, ...]:
-        """The backends that received an attempt, each once."""
+        """The backends that received an attempt, without repeats."""
         return tuple(dict.fromkeys(a.backend for a in self.attempts))
 
     def breach(self, what: str, times: tuple[int, ...], figure: str) -> Breach:
@@ -51,7 +51,7 @@
         return Breach(Rule.ANSWERS, what, self.client_attempt.trace, self.backends, times, figure)
 
 
-def _case(evidence: Evidence, client_attempt: ClientAttempt) -> _Case:
+def _make_case(evidence: Evidence, client_attempt: ClientAttempt) -> _Case:
     at, grace = client_attempt.at, evidence.figures.answer_grace
     due = at + client_attempt.wait + grace
     answered = client_attempt.answers[0].at if client_attempt.answers else 0
@@ -62,40 +62,40 @@
     return _Case(client_attempt, attempts, due, due + extra, figure)
 
 
-def _judge_unanswered(
+def _check_unanswered(
     evidence: Evidence, case: _Case, incarnations: Iterable[FrontDoorIncarnation]
 ) -> Iterator[Breach]:
     client_attempt = case.client_attempt
     if client_attempt.crossed and not case.attempts:
         return
-    if _excused(client_attempt, incarnations) or _unseen(evidence, case):
+    if _is_excused(client_attempt, incarnations) or _is_unobserved(evidence, case):
         evidence.verdict.excused += 1
         return
-    what = NO_ANSWER if client_attempt.disconnected_at else "never answered"
+    what = CONNECTION_ENDED if client_attempt.disconnected_at else "never answered"
     times = (client_attempt.at, client_attempt.disconnected_at or case.limit)
     yield case.breach(what, times, case.figure)
 
 
-def _unseen(evidence: Evidence, case: _Case) -> bool:
-    """Whether we paused its front door, and its client had gone before the answer was due."""
+def _is_unobserved(evidence: Evidence, case: _Case) -> bool:
+    """Whether the front door was paused and the client stopped reading before the answer was due."""
     client_attempt = case.client_attempt
     return (
         client_attempt.gave_up > 0
-        and case.limit > client_attempt.gave_up + WATCHED
+        and case.limit > client_attempt.gave_up + MIN_READ_AFTER_TIMEOUT_US
         and evidence.pauses.over(client_attempt.front_door, client_attempt.at, case.due) > 0
     )
 
 
-def _judge_answered(evidence: Evidence, case: _Case, timed: bool) -> Iterator[Breach]:
+def _check_answered(evidence: Evidence, case: _Case, timed: bool) -> Iterator[Breach]:
     client_attempt, answer = case.client_attempt, case.client_attempt.answers[0]
     if answer.at > case.limit and timed:
         yield case.breach("answered too late", (client_attempt.at, answer.at), case.figure)
     if len(client_attempt.answers) > 1 or client_attempt.stray:
         times = tuple(a.at for a in client_attempt.answers)
         yield case.breach("answered more than once", times, "one final one")
-    if answer.status == 200 and not _made(answer, case.attempts):
-        figure = "the body of a box's 200 answer, unchanged"
-        yield case.breach("served with what no box made for it", (answer.at,), figure)
+    if answer.status == 200 and not _was_made_by_backend(answer, case.attempts):
+        figure = "the unchanged body of a backend's 200 answer"
+        yield case.breach("served with a body that no backend sent", (answer.at,), figure)
     for attempt in case.attempts:
         sent = evidence.sent(attempt)
         if sent > answer.at + evidence.slack.near(answer.at, sent):
@@ -109,19 +109,22 @@
             )
 
 
-def _excused(client_attempt: ClientAttempt, incarnations: Iterable[FrontDoorIncarnation]) -> bool:
-    """Whether its front door was killed with it pending (not so late that all should be answered)."""
+def _is_excused(client_attempt: ClientAttempt, incarnations: Iterable[FrontDoorIncarnation]) -> bool:
+    """Whether the front door was killed while the request was pending, soon enough after SIGTERM."""
     for incarnation in incarnations:
-        # Its sockets go on taking until it has ended, a moment after the signal.
+        # Its sockets accept requests until the process has ended, shortly after the signal.
         if (
             incarnation.killed
             and incarnation.started <= client_attempt.at <= max(incarnation.killed, incarnation.ended)
             and (not client_attempt.answers or client_attempt.answers[0].at > incarnation.killed)
         ):
-            return not (incarnation.terminated and incarnation.killed - incarnation.terminated > TERM_SPARED)
+            return not (
+                incarnation.terminated
+                and incarnation.killed - incarnation.terminated > MAX_EXCUSED_SHUTDOWN_US
+            )
     return False
 
 
-def _made(answer: Answer, attempts: list[Attempt]) -> bool:
-    """Whether a backend had made this answer by then."""
+def _was_made_by_backend(answer: Answer, attempts: list[Attempt]) -> bool:
+    """Whether a backend had sent this body by the time of the answer."""
     return any(a.end is End.SERVED and a.body == answer.body and a.ended <= answer.at for a in attempts)
--- a/irisdeal/testbed/audit/drains.py
+++ b/irisdeal/testbed/audit/drains.py
@@ -1,4 +1,4 @@
-"""Rule 13: nothing is sent to a backend that drains, once the grace after the notice is over."""
+"""Rule 13: no attempt is sent to a draining backend after the grace period that follows the notice."""
 
 from __future__ import annotations
 
@@ -25,39 +25,39 @@
         if at > since + grace:
             yield Breach(
                 Rule.DRAINS,
-                "sent to a box that drains or is gone",
+                "sent to a backend that drains or is gone",
                 attempt.trace,
                 (attempt.backend,),
                 (since, at),
-                f"{grace / 1e6:.2f} s after the door was told",
+                f"{grace / 1e6:.2f} s after the notice",
             )
 
 
 class _History:
-    """The states of each backend as each process of a front door was notified of them.
+    """The states of each backend in the order in which each front door process was notified of them.
 
-    What one process was notified of, the next one was not.
+    A restarted process does not have the notices of its predecessor.
     """
 
     def __init__(self, request_log: RequestLog) -> None:
-        self.starts: dict[int, list[int]] = defaultdict(list)  # µs, by front door
+        self.starts: dict[int, list[int]] = defaultdict(list)  # start times in µs, by front door
         for incarnation in request_log.front_doors:
             self.starts[incarnation.front_door].append(incarnation.started)
         for times in self.starts.values():
             times.sort()
-        # (time in µs, whether it is to be used), by front door, process of it, and backend
+        # (time in µs, whether the backend is ready), by front door, process and backend
         self.states: dict[tuple[int, int, str], list[tuple[int, bool]]] = defaultdict(list)
         for notice in sorted(request_log.endpoint_notices, key=lambda notice: notice.at):
             states = self.states[self._key(notice.front_door, notice.at, notice.backend)]
             ready = notice.phase == "Ready"
-            if not states or states[-1][1] != ready:  # after a repeat, the older drain's time still counts
+            if not states or states[-1][1] != ready:  # a repeated notice keeps the time of the first
                 states.append((notice.at, ready))
 
     def _key(self, front_door: int, at: int, backend: str) -> tuple[int, int, str]:
         return front_door, bisect_right(self.starts[front_door], at), backend
 
     def draining_since(self, attempt: Attempt, at: int) -> int | None:
-        """Since when, µs, the sender knew at `at` that the backend drains; None where it did not."""
+        """Return the time, µs, of the drain notice in force for the sender at `at`; None if there is none."""
         states = self.states.get(self._key(attempt.front_door, at, attempt.backend), [])
         index = bisect_right(states, at, key=lambda state: state[0])
         if not index or states[index - 1][1]:
--- a/irisdeal/testbed/audit/evidence.py
+++ b/irisdeal/testbed/audit/evidence.py
@@ -1,4 +1,4 @@
-"""What every rule is judged by: the request log, indexed, with the figures and the tolerances."""
+"""The input that all rules share: the indexed request log, the rules' figures and the tolerances."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Evidence:
-    """One run. The rules count what they check in `verdict`.
+    """One run. The rules count their checks in `verdict`.
 
-    `attempts` gives the attempts of each request, by trace, in the order in which backends received them.
+    `attempts` maps a trace to the attempts of its request, in the order in which backends received them.
     """
 
     def __init__(self, request_log: RequestLog, figures: Figures, verdict: Verdict) -> None:
--- a/irisdeal/testbed/audit/model.py
+++ b/irisdeal/testbed/audit/model.py
@@ -7,11 +7,11 @@
 
 from irisdeal.testbed.request_log import SECOND
 
-MAX_NAMED = 50  # breaches kept of each rule: a day that breaks all the time must not fill the memory
+MAX_KEPT_BREACHES = 50  # of each rule; bounds the memory of a run with many breaches
 
 
 class Rule(Enum):
-    """The rules, by what each promises. The names in lower case are keys of the demo's JSON."""
+    """The rules, with the text that reports show. The names in lower case are keys of the demo's JSON."""
 
     ANSWERS = "no request is lost"
     EFFECTS = "no effect happens twice"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRule:
-    """A class's rule on repeats: `repeat` is safe, keyed or unsafe; `group` is all, zone or cell."""
+    """The repeat rule of a class. `repeat` is safe, keyed or unsafe; `group` is all, zone or cell."""
 
     repeat: str
     group: str = "zone"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ceiling:
-    """A plan's ceiling: units a second, units at most, and units that it may go below nothing."""
+    """A plan's ceiling as a token bucket: `rate` in units a second, `depth` and allowed debt `slack` in units."""
 
     rate: float
     depth: float
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The figures of the rules, from the front doors' settings."""
+    """The limits that the rules use, as in the front doors' settings."""
 
     kinds: dict[str, KindRule]
-    ceilings: dict[str, Ceiling]  # by plan; a plan that is not here has none
+    ceilings: dict[str, Ceiling]  # by plan; a plan without an entry has no ceiling
     answer_grace: int  # µs
     drain_grace: int  # µs
     fall_multiple: float
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One breach: the request (or customer), the backends, the times in µs, and the rule's figure in words."""
+    """One breach: the request (or backend), the backends, the times in µs, and the rule's limit as text."""
 
     rule: Rule
     what: str
@@ -63,7 +63,7 @@
     figure: str
 
     def text(self, origin: int = 0) -> str:
-        """One line; times in seconds from `origin` (µs)."""
+        """Return the breach as one line, with times in seconds from `origin` (µs)."""
         when = ", ".join(f"{(at - origin) / 1e6:.3f} s" for at in self.times)
         at = f" at {', '.join(self.backends)}" if self.backends else ""
         return f"{self.rule.value}: {self.what}: {self.request}{at} ({when}; {self.figure})"
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What the audit found: how much it looked at, and each breach."""
+    """The result of an audit: breaches and checks by rule, excused requests, and the breaches that were kept."""
 
     counts: dict[Rule, int]
     checked: dict[Rule, int]
@@ -88,7 +88,7 @@
         return {rule for rule, count in self.counts.items() if count}
 
     def record(self, breach: Breach) -> None:
-        """Count a breach, and keep it while there are few of its rule."""
+        """Count a breach, and keep the first `MAX_KEPT_BREACHES` of each rule."""
         self.counts[breach.rule] += 1
-        if self.counts[breach.rule] <= MAX_NAMED:
+        if self.counts[breach.rule] <= MAX_KEPT_BREACHES:
             self.breaches.append(breach)
--- a/tests/testbed/test_audit_on_days.py
+++ b/tests/testbed/test_audit_on_days.py
@@ -1,4 +1,4 @@
-"""Front doors that are broken on purpose: the audit names the rule. With the real module the day passes."""
+"""The audit reports the rule that a deliberately faulty front door breaks, and none for the real one."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 UNSAFE = 2  # the class `file`
 
 
-class Listed(Gateway):
-    """Keeps the list that it was told beside what the module makes of it."""
+class RecordsServers(Gateway):
+    """Keeps the server list that the gateway received."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.list: dict[bytes, ServerEntry] = {}
+        self.entries_by_id: dict[bytes, ServerEntry] = {}
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         for event in list(events):
             if isinstance(event, ServerList):
                 if event.kind is ServerListKind.COMPLETE:
-                    self.list.clear()
+                    self.entries_by_id.clear()
                 for entry in event.entries:
-                    self.list[entry.server_id] = entry
+                    self.entries_by_id[entry.server_id] = entry
         return super().handle(now, events)
 
 
-class SendsAgain(Listed):
-    """A second copy of every unsafe request, to another backend."""
+class SendsAgain(RecordsServers):
+    """Sends each unsafe request to a second backend as well."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         unsafe = {
@@ -55,13 +55,13 @@
         actions = super().handle(now, events)
         for action in list(actions):
             if isinstance(action, StartAttempt) and action.request_id in unsafe:
-                other = next(s for s in self.list if s != action.server_id)
+                other = next(s for s in self.entries_by_id if s != action.server_id)
                 actions.append(StartAttempt(action.request_id, other))
         return actions
 
 
-class RefusesAfterSending(Listed):
-    """Promises that an unsafe request, just sent, did not run."""
+class RefusesAfterSending(RecordsServers):
+    """Rejects an unsafe request right after sending it."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         unsafe = {
@@ -76,7 +76,7 @@
 
 
 class KeepsDraining(Gateway):
-    """Never hears that a backend drains."""
+    """Ignores that a backend drains or is gone."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         for n, event in enumerate(list(events)):
@@ -92,19 +92,19 @@
         return super().handle(now, events)
 
 
-class FloodsCold(Listed):
-    """Everything goes to the backend that started last, once there is one."""
+class FloodsCold(RecordsServers):
+    """Sends all requests to the most recently started backend."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         actions = super().handle(now, events)
-        newest = max(self.list.values(), key=lambda e: e.started_at, default=None)
+        newest = max(self.entries_by_id.values(), key=lambda e: e.started_at, default=None)
         if newest is None or not newest.started_at:
             return actions
         return [replace(a, server_id=newest.server_id) if isinstance(a, StartAttempt) else a for a in actions]
 
 
 def without_ceiling(settings: Settings, seed: int) -> Gateway:
-    """A module that was told of no quota and no ceiling."""
+    """Make a gateway without quotas and ceilings."""
     plans = tuple(replace(p, rate_per_s=0.0, ceiling_rate_per_s=0.0, max_in_flight=0) for p in settings.plans)
     return Gateway(replace(settings, plans=plans), seed)
 
@@ -121,15 +121,15 @@
     take = program.decision_loop.handle_request
 
     def taken(request: ClientRequest) -> None:
-        where = cast(HttpConnection, request.connection)  # this connection alone: the class is left as it is
-        where.reply = lambda *arguments: twice(where, *arguments)  # type: ignore[method-assign]
+        connection = cast(HttpConnection, request.connection)  # patches this connection, not the class
+        connection.reply = lambda *arguments: twice(connection, *arguments)  # type: ignore[method-assign]
         take(request)
 
     setattr(program.decision_loop, "handle_request", taken)  # noqa: B010 - mypy knows the method's own names
 
 
 def never_answers_some(program: Program) -> None:
-    """One request in ten is forgotten, and the front door's own guard with it."""
+    """Drop one request in ten, before the decision loop can set its timeout."""
     front_door, take, count = program.decision_loop, program.decision_loop.handle_request, [0]
 
     def forget(request: ClientRequest) -> None:
@@ -141,7 +141,7 @@
 
 
 def answers_itself(program: Program) -> None:
-    """Serves a made-up answer."""
+    """Answer requests without a backend."""
 
     def take(self: DecisionLoop, request: ClientRequest) -> None:
         request.reply(200, b"surely fine")
@@ -200,4 +200,4 @@
 def test_an_answer_that_no_backend_made_is_caught() -> None:
     run = run_in_virtual_time(SMALL, modify=answers_itself)
     assert run.verdict.broken() == {Rule.ANSWERS}
-    assert all("no box made" in b.what for b in run.verdict.breaches)
+    assert all("no backend sent" in b.what for b in run.verdict.breaches)
