--- a/irisdeal/demo/report.py
+++ b/irisdeal/demo/report.py
@@ -1,4 +1,4 @@
-"""The report of a demo as JSON values, for programs."""
+"""The report of a demo as JSON values."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from irisdeal.testbed.audit import Rule
 from irisdeal.testbed.service_report import MannerUse
 
-VERSION = 1  # of the JSON form; a key that goes or changes its meaning counts up
+VERSION = 1  # of the JSON format; incremented when a key is removed or changes its meaning
 
 
 def as_json(outcome: Outcome) -> dict[str, Any]:
@@ -110,7 +110,7 @@
 def _manner(use: MannerUse) -> dict[str, Any]:
     return {
         "stores": use.tenants,
-        "asks": use.asks,
+        "asks": use.requests,
         "inside": use.inside,
         "inside_unserved": use.unserved,
         "inside_late": use.late,
--- a/irisdeal/testbed/__main__.py
+++ b/irisdeal/testbed/__main__.py
@@ -1,8 +1,8 @@
-"""Each test service alone: `python -m irisdeal.testbed backend|counter|discovery|relay|load`.
+"""Runs a single test service: `python -m irisdeal.testbed backend|counter|discovery|relay|load`.
 
 A service prints one JSON line with its addresses once it is ready, serves until SIGINT or SIGTERM, and then
-prints one JSON line with what it counted. `load` prints its figures when the day is over. Exit codes: 0, or 2
-where the service cannot be started as asked.
+prints one JSON line with its counts. `load` prints its results at the end of the day. Exit codes: 0, or 2 if the
+service cannot be started.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 from irisdeal.testbed.workload import draw, machine
 
 MAX_FRONT_DOORS = 16  # addresses that one service listens on
-Report = Callable[[], dict[str, Any]]  # what a service counted, once it has ended
-Started = tuple[dict[str, Any], Report]  # the JSON object of a service that is ready, and its report
+Report = Callable[[], dict[str, Any]]  # the counts of a service, once it has ended
+Started = tuple[dict[str, Any], Report]  # JSON object with the addresses, and the report
 
 
 def _address(text: str) -> Address:
@@ -105,13 +105,13 @@
     await backend.start(range(options.doors), options.cold)
 
     def report() -> dict[str, Any]:
-        """Count the attempts by how they ended."""
+        """Return the counts of attempts, by how they ended."""
         attempts = request_log.attempts
         return {
             "attempts": len(attempts),
             "ran": sum(a.ran for a in attempts),
             "ends": {end.value: sum(a.end is end for a in attempts) for end in End},
-            "fell_over": backend.fell,
+            "fell_over": backend.has_failed,
         }
 
     return {"box": backend.name, "addresses": _loopback(backend.ports)}, report
@@ -119,12 +119,12 @@
 
 async def _counter(options: argparse.Namespace, scenario: Scenario) -> Started:
     counter = CounterServer(scenario.counter, Clock(), options.seed)
-    counter.model.slower = options.slower
+    counter.model.slowdown = options.slower
     await counter.start(range(options.doors))
     return {"addresses": _loopback(counter.ports)}, lambda: {
         "calls": counter.calls,
-        "busy": counter.busy,
-        "late": counter.late,
+        "busy": counter.busy_answers,
+        "late": counter.late_answers,
         "names": len(counter.model.counts),
     }
 
@@ -162,7 +162,7 @@
     await load_generator.run(start)
     load_generator.close()
     service = summarize_service(request_log, day.scenario, start)
-    # What was within a quota is seen at the backends alone: only what the clients saw is printed.
+    # Quota usage is recorded at the backends alone, so only the clients' results are printed.
     figures = {
         "first_tries": service.first_attempts,
         "tries": service.client_attempts,
@@ -196,7 +196,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one service as the command line says; the exit code."""
+    """Run the service given on the command line; returns the exit code."""
     options = _parser().parse_args(arguments)
     if not 1 <= options.doors <= MAX_FRONT_DOORS:
         print(f"testbed: --doors is {options.doors}: wanted 1 to {MAX_FRONT_DOORS}", file=sys.stderr)
--- a/irisdeal/testbed/backend.py
+++ b/irisdeal/testbed/backend.py
@@ -1,8 +1,7 @@
 """A backend on loopback sockets (PROTOCOL, Front doors to backends), around the pure `BackendModel`.
 
-Each front door has an address of its own to reach the backend by, so that the request log can tell the front
-doors apart without asking them. Every complete request is an attempt in the log, from its first byte to its
-end.
+Each front door reaches the backend at a separate address, which identifies the front door in the request log.
+Every complete request is recorded as an attempt.
 """
 
 from __future__ import annotations
@@ -29,16 +28,20 @@
 from irisdeal.testbed.scenario import Class, Fleet
 from irisdeal.testbed.workload import Machine, stream, work
 
-SPOILT = (  # what a spoilt answer looks like; the request has run, and no more can come of it
+SPOILT_ANSWERS = (  # malformed or truncated answers to requests that have run
     b"\x00\xff noise without a line\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nContent-Length: 99\r\n\r\nshort",
     b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nhalf an answer",
 )
+DEFAULT_TIMEOUT_US = 3_600_000_000  # for a request without a valid X-Expires-In
 
 
 @dataclass(frozen=True, slots=True)
 class BackendContext:
-    """What the backends of one run share. `front_door_zones` by number of the front door; empty: the same zone."""
+    """What the backends of a run share.
+
+    `front_door_zones` gives the zone of each front door by its number; an unlisted one is in the backend's zone.
+    """
 
     fleet: Fleet
     classes: tuple[Class, ...]
@@ -51,7 +54,7 @@
 
 
 class BackendServer:
-    """One backend. `listen` opens its addresses, `crash` and `start` are its restarts."""
+    """One backend. A restart is `crash` and then `start`, which listens on the same addresses."""
 
     def __init__(
         self,
@@ -66,25 +69,26 @@
         self.classes = {c.name: c for c in context.classes}
         self.front_door_zones = context.front_door_zones
         self.random: random.Random = stream(self.seed, "box", name)
-        self.ports: dict[int, int] = {}  # by front door, kept over restarts
+        self.ports: dict[int, int] = {}  # by front door; unchanged by restarts
         self.servers: list[asyncio.Server] = []
-        self.connections: dict[ServerConnection, None] = {}  # in the order they came, as all that ends many
-        self.incarnations = self.opened_count = 0
-        self.spoil = 0.0  # share of answers that come spoilt
-        self.up = self.fell = False
+        # In order of arrival, so that resets happen in a fixed order.
+        self.connections: dict[ServerConnection, None] = {}
+        self.incarnations = self.connection_count = 0
+        self.spoil = 0.0  # share of answers that are malformed
+        self.up = self.has_failed = False
         self.model: BackendModel = BackendModel(
             machine, self.figures, BackendIncarnation(name, machine.zone, 0, 0, 1.0, 1.0, 0)
         )
         self.load_report = LoadReport()
         self.report_since = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = 0
-        self.ticks: asyncio.TimerHandle | None = None
+        self.timer_due = 0
+        self.report_timer: asyncio.TimerHandle | None = None
 
-    # Its life
+    # Start, crash and faults
 
     async def start(self, front_doors: range, warming_up: bool = False) -> None:
-        """Come up, at the same addresses as before; `cold` where it starts now and not long ago."""
+        """Start listening, on the same addresses as before. With `warming_up`, slow start begins now."""
         loop = asyncio.get_running_loop()
         self.incarnation = BackendIncarnation(
             self.name,
@@ -103,21 +107,21 @@
             )
             self.ports[front_door] = int(server.sockets[0].getsockname()[1])
             self.servers.append(server)
-        self.up, self.fell = True, False
+        self.up, self.has_failed = True, False
         self.load_report, self.report_since = LoadReport(), self.now()
-        self.ticks = loop.call_later(self.fleet.report_every_ms / 1000, self._tick)
+        self.report_timer = loop.call_later(self.fleet.report_every_ms / 1000, self._make_report)
 
     def crash(self) -> None:
-        """End the process: connections are reset, new ones refused, pending work is lost."""
+        """Simulate a crash: connections are reset, new ones refused, and pending work is lost."""
         self.up = False
         self.incarnations += 1
         for server in self.servers:
             server.close()
         self.servers.clear()
-        for handle in (self.timer, self.ticks):
+        for handle in (self.timer, self.report_timer):
             if handle is not None:
                 handle.cancel()
-        self.timer = self.ticks = None
+        self.timer = self.report_timer = None
         for connection in list(self.connections):
             connection.abort()
             self.closed(connection)
@@ -128,42 +132,42 @@
             connection.abort()
 
     def drain(self) -> None:
-        """Reject new requests from now on; running and queued ones end."""
+        """Reject new requests from now on; running and queued ones are completed."""
         self.model.draining = True
 
     def set_hung(self, hung: bool) -> None:
         """Start or end a hang, in which requests are admitted and none finishes."""
         self._advance()
         self.model.hung = hung
-        self._arm()
+        self._set_timer()
 
     def set_slower(self, times: float) -> None:
-        """Run so many times slower than drawn."""
+        """Set the factor by which the backend is slower than drawn."""
         self._advance()
-        self.model.slower = times
-        self._arm()
+        self.model.slowdown = times
+        self._set_timer()
 
     def set_spoil(self, share: float) -> None:
-        """Spoil that share of the answers from now on."""
+        """Set the share of answers that are malformed."""
         self.spoil = share
 
     @property
     def started(self) -> int:
-        """When it last started, µs; 0 for long ago."""
+        """The time of the last start, µs; 0 if it is not in slow start."""
         return self.incarnation.at
 
     # Connections
 
     def _connection(self, front_door: int) -> ServerConnection:
-        self.opened_count += 1
-        return ServerConnection(self, front_door, self.opened_count)
+        self.connection_count += 1
+        return ServerConnection(self, front_door, self.connection_count)
 
     def opened(self, connection: ServerConnection) -> None:
         """Register a connection that was accepted."""
         self.connections[connection] = None
 
     def closed(self, connection: ServerConnection) -> None:
-        """Forget a connection; its open attempt ends as broken."""
+        """Remove a connection; its open attempt ends as broken."""
         self.connections.pop(connection, None)
         if isinstance(attempt := connection.context, Attempt) and attempt.end is End.OPEN:
             attempt.end, attempt.ended = End.BROKEN, self.now()
@@ -179,15 +183,17 @@
         if kind is None:
             connection.reply(400, b"unknown class\n")
             return
-        took = work(self.seed, trace, kind)
+        work_us = work(self.seed, trace, kind)
         if connection.requests == 1:
-            took += round(self.fleet.handshake_ms * 1000)  # a new connection costs work as a handshake would
-        attempt = self._log_attempt(connection, request, kind, took)
+            work_us += round(self.fleet.handshake_ms * 1000)  # the cost of a handshake, for a new connection
+        attempt = self._log_attempt(connection, request, kind, work_us)
         if len(self.connections) > self.fleet.connections_per_core * self.machine.cores:
             return self._reject(connection, attempt, "too many connections", close=True)
         self._admit(connection, request, attempt)
 
-    def _log_attempt(self, connection: ServerConnection, request: Request, kind: Class, took: int) -> Attempt:
+    def _log_attempt(
+        self, connection: ServerConnection, request: Request, kind: Class, work_us: int
+    ) -> Attempt:
         headers, trace = request.headers, request.headers["x-trace-id"]
         quota = dict(item.partition("=")[::2] for item in headers.get("quota-info", "").split(","))
         attempt = Attempt(
@@ -204,7 +210,7 @@
             connection.number,
             request.first_byte,
             request.last_byte,
-            took,
+            work_us,
         )
         self.request_log.attempts.append(attempt)
         self.meter.add(trace, attempt.plan, attempt.customer, attempt.units, request.last_byte)
@@ -215,31 +221,33 @@
         self._advance()
         job = Job(
             attempt.work,
-            request.last_byte + _wait(request.headers.get("x-expires-in", "")),
+            request.last_byte + _parse_timeout(request.headers.get("x-expires-in", "")),
             request.last_byte,
             tag=(connection, attempt),
         )
         verdict = self.model.arrive(job)
-        if verdict is Admission.FALLEN:
-            self.fell = True
+        if verdict is Admission.OVERLOADED:
+            self.has_failed = True
             self.request_log.overload_failures.append((self.name, self.incarnation.incarnation, self.now()))
             return self.crash()
-        if verdict is not Admission.TAKEN:
+        if verdict is not Admission.ADMITTED:
             return self._reject(connection, attempt, verdict.name.lower())
-        self._arm()
+        self._set_timer()
 
     def _reject(
         self,
         connection: ServerConnection,
         attempt: Attempt,
-        why: str,
+        reason: str,
         close: bool = False,
         status: int = 503,
     ) -> None:
         if attempt.end is End.OPEN:
             attempt.end, attempt.ended = End.REJECTED, self.now()
         connection.context = None
-        connection.reply(status, why.encode() + b"\n", "X-Never-Ran: 1\r\n" + self._figures(attempt), close)
+        connection.reply(
+            status, reason.encode() + b"\n", "X-Never-Ran: 1\r\n" + self._load_headers(attempt), close
+        )
 
     # Work
 
@@ -255,7 +263,7 @@
         attempt.ran = True
         attempt.effect = not attempt.key or self.memory.first(attempt.key, self.now())
         if attempt.end is not End.OPEN:
-            return  # its connection has ended; the work was done all the same
+            return  # the connection has ended, but the work was done
         zone = (
             self.front_door_zones[attempt.front_door]
             if attempt.front_door < len(self.front_door_zones)
@@ -268,22 +276,24 @@
         if attempt.end is not End.OPEN or connection.context is not attempt:
             return
         attempt.ended, connection.context = self.now(), None
-        drawn = self.random.random()
-        if drawn < self.machine.error_rate:
+        sample = self.random.random()
+        if sample < self.machine.error_rate:
             attempt.end = End.ERROR
-            connection.reply(500, b"error\n", self._figures(attempt))
-        elif drawn < self.machine.error_rate + self.spoil:
+            connection.reply(500, b"error\n", self._load_headers(attempt))
+        elif sample < self.machine.error_rate + self.spoil:
             attempt.end = End.SPOILT
-            connection.raw(self.random.choice(SPOILT))
+            connection.raw(self.random.choice(SPOILT_ANSWERS))
         else:
             attempt.end = End.SERVED
             attempt.body = json.dumps(
                 {"id": attempt.trace, "box": self.name, "repeat": not attempt.effect}
             ).encode()
-            connection.reply(200, attempt.body, "Content-Type: application/json\r\n" + self._figures(attempt))
+            connection.reply(
+                200, attempt.body, "Content-Type: application/json\r\n" + self._load_headers(attempt)
+            )
 
-    def _figures(self, attempt: Attempt) -> str:
-        """Format the load report and the meter's figure as header lines."""
+    def _load_headers(self, attempt: Attempt) -> str:
+        """Format the load report and the tenant's usage percentage as header lines."""
         use = self.meter.percent(attempt.plan, attempt.customer, self.now())
         load = self.load_report
         return (
@@ -291,30 +301,30 @@
             f"util={load.util:.3f}, queue={load.queue}\r\n"
         )
 
-    def _arm(self) -> None:
-        """Wake when the next job may end."""
+    def _set_timer(self) -> None:
+        """Set the timer for the next completion."""
         due = self.model.next_end()
         if due is None or not self.up:
             return
         if self.timer is not None:
-            if self.timer_at <= due:
+            if self.timer_due <= due:
                 return
             self.timer.cancel()
-        self.timer_at = due
-        # The loop counts whole milliseconds; what is due is taken on waking, up to one late.
-        self.timer = asyncio.get_running_loop().call_later(max(0, due - self.now()) / 1e6, self._woken)
+        self.timer_due = due
+        # Loop timers have millisecond resolution, so a completion is processed up to 1 ms late.
+        self.timer = asyncio.get_running_loop().call_later(max(0, due - self.now()) / 1e6, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         self._advance()
-        self._arm()
+        self._set_timer()
 
-    def _tick(self) -> None:
-        """Refresh the load report, which is published late, and close idle connections."""
+    def _make_report(self) -> None:
+        """Make a load report, publish it after `report_late_ms`, and reset idle connections."""
         loop = asyncio.get_running_loop()
-        self.ticks = loop.call_later(self.fleet.report_every_ms / 1000, self._tick)
+        self.report_timer = loop.call_later(self.fleet.report_every_ms / 1000, self._make_report)
         self._advance()
-        self._arm()
+        self._set_timer()
         report = self.model.report(self.report_since)
         self.report_since = self.now()
         noise = max(0.0, self.random.gauss(1.0, self.fleet.report_noise))
@@ -328,10 +338,10 @@
         self.load_report = report
 
 
-def _wait(text: str) -> int:
-    """`X-Expires-In` in µs; an hour where it is missing or malformed."""
+def _parse_timeout(text: str) -> int:
+    """Parse `X-Expires-In` to µs; an hour if it is missing or malformed."""
     unit = {"m": 1000, "u": 1}.get(text[-1:])
     try:
-        return round(float(text[:-1]) * unit) if unit else 3_600_000_000
+        return round(float(text[:-1]) * unit) if unit else DEFAULT_TIMEOUT_US
     except ValueError:
-        return 3_600_000_000
+        return DEFAULT_TIMEOUT_US
--- a/irisdeal/testbed/backend_model.py
+++ b/irisdeal/testbed/backend_model.py
@@ -1,15 +1,16 @@
-"""What one backend does with the requests it receives. Pure: time is an argument, in µs.
+"""Model of a backend: admission, queueing and processing of requests. Pure: time is an argument, in µs.
 
 The rules of the model (BENCH, The world; PROTOCOL, Front doors to backends):
 
-1. A backend has cores, slots for running requests, and a queue; what arrives when both are full is rejected
-   without being run, as is what arrives while it drains.
+1. A backend has cores, slots for running requests, and a queue. A request that arrives when both are full, or
+   while the backend drains, is rejected without being run.
 2. Running requests share the cores evenly (processor sharing); none runs faster than one core.
-3. A backend that starts is in slow start: its capacity rises linearly from the initial share to the full. All
-   work that reaches it meanwhile, rejected work too, counts against its budget; over that it fails and stays
-   down.
-4. A cancel or a time-out stops no running request; a queued one that is overdue at its turn is rejected.
-5. Hung, it admits requests and finishes none; slots and queue fill.
+3. In slow start, after a start, the capacity rises linearly from the initial share to the full capacity. All work
+   that arrives in this time, rejected work too, counts against a budget. If it is exceeded, the backend fails and
+   stays down.
+4. A cancellation or timeout does not stop a running request. A queued one whose deadline has passed at its turn is
+   rejected.
+5. A hung backend admits requests and completes none, so slots and queue fill.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 from irisdeal.testbed.request_log import BackendIncarnation
 from irisdeal.testbed.workload import Machine
 
-SLOW_START_STEP = 50_000  # µs: how often the speed of a backend in slow start is taken anew between events
-MOST_JOBS = 4_096  # in work and waiting; slots and queue are far fewer
+SLOW_START_STEP_US = 50_000  # interval at which the capacity in slow start is recomputed between events
+MAX_JOBS = 4_096  # bound of the queue, far above configured sizes
 
 
 class Admission(Enum):
-    """What becomes of a request as it comes."""
+    """The result of a request's arrival."""
 
-    TAKEN = auto()
+    ADMITTED = auto()
     FULL = auto()
     DRAINING = auto()
-    FALLEN = auto()  # with this one the budget was exceeded, and the backend failed
+    OVERLOADED = auto()  # this request exceeded the slow start budget, and the backend failed
 
 
 class Completion(Enum):
     """How a request that was admitted ends."""
 
     SERVED = auto()
-    EXPIRED = auto()  # overdue when its turn came: never ran
+    EXPIRED = auto()  # its deadline had passed at its turn: never ran
 
 
 @dataclass(slots=True, eq=False)
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A load report as a backend makes it: recent service time in ms, share of its cores busy, how many wait."""
+    """A backend's load report: recent service time in ms, share of busy cores, and queue length."""
 
     latency_ms: float = 0.0
     util: float = 0.0
@@ -66,39 +67,46 @@
 
 @dataclass(slots=True)
 class BackendModel:
-    """One life of a backend."""
+    """The state of a backend from one start to the next."""
 
     machine: Machine
     figures: Figures
     incarnation: BackendIncarnation
     draining: bool = False
     hung: bool = False
-    slower: float = 1.0  # times slower than drawn
-    fallen_at: int = 0
-    running: list[tuple[float, int, Job]] = field(default_factory=list)  # by the progress at which each ends
+    slowdown: float = 1.0  # factor by which it is slower than drawn
+    failed_at: int = 0
+    # Heap, by the progress at which each ends.
+    running: list[tuple[float, int, Job]] = field(default_factory=list)
     waiting: deque[Job] = field(default_factory=deque)
     now: int = 0
-    progress: float = 0.0  # µs of work at speed 1 that each running job has got since the start
-    count: int = 0
-    sent: list[tuple[int, int]] = field(default_factory=list)  # time and work, while cold
+    progress: float = 0.0  # µs of work at speed 1 done for each running job since the model was last empty
+    begun_count: int = 0
+    # (time, work) of the current window in slow start.
+    slow_start_work: list[tuple[int, int]] = field(default_factory=list)
     busy: float = 0.0  # µs of cores in use since the last report
     recent_ms: float = 0.0
 
     def rate(self) -> float:
-        """µs of work at speed 1 that each running job gets in a µs."""
+        """Return the work at speed 1 done for each running job, in µs per µs."""
         if self.hung or not self.running:
             return 0.0
-        warmth = self.incarnation.now(self.now) / self.incarnation.capacity
-        return self.machine.speed / self.slower * warmth * min(1.0, self.machine.cores / len(self.running))
+        capacity_ratio = self.incarnation.now(self.now) / self.incarnation.capacity
+        return (
+            self.machine.speed
+            / self.slowdown
+            * capacity_ratio
+            * min(1.0, self.machine.cores / len(self.running))
+        )
 
     def advance(self, now: int) -> list[tuple[Job, Completion]]:
-        """Everything that ends by `now`, in order."""
+        """Advance the time to `now`, and return the jobs that end by then, in order."""
         done: list[tuple[Job, Completion]] = []
         while self.now < now:
             rate = self.rate()
             step = now - self.now
             if self.incarnation.at and self.now < self.incarnation.at + self.incarnation.slow_start:
-                step = min(step, SLOW_START_STEP)
+                step = min(step, SLOW_START_STEP_US)
             if rate > 0.0:
                 needed = (self.running[0][0] - self.progress) / rate
                 step = min(step, max(1, round(needed + 0.5)))
@@ -126,39 +134,39 @@
 
     def _begin(self, job: Job) -> None:
         job.began = self.now
-        self.count += 1
+        self.begun_count += 1
         if not self.running:
-            self.progress = 0.0  # no sum of floats grows all day
-        heapq.heappush(self.running, (self.progress + job.work, self.count, job))
+            self.progress = 0.0  # keeps the floating point error of the sum small
+        heapq.heappush(self.running, (self.progress + job.work, self.begun_count, job))
 
     def arrive(self, job: Job) -> Admission:
         """Admit or reject a request that arrives now; call `advance` first."""
         if self.incarnation.at and self.now < self.incarnation.at + self.incarnation.slow_start:
-            self.sent.append((self.now, job.work))
-            while self.sent[0][0] <= self.now - self.figures.fall_window:
-                self.sent.pop(0)
-            if over_budget(self.sent, self.incarnation, self.figures) is not None:
-                self.fallen_at = self.now
-                return Admission.FALLEN
+            self.slow_start_work.append((self.now, job.work))
+            while self.slow_start_work[0][0] <= self.now - self.figures.fall_window:
+                self.slow_start_work.pop(0)
+            if over_budget(self.slow_start_work, self.incarnation, self.figures) is not None:
+                self.failed_at = self.now
+                return Admission.OVERLOADED
         if self.draining:
             return Admission.DRAINING
         if len(self.running) < self.machine.slots:
             self._begin(job)
-        elif len(self.waiting) < min(self.machine.queue, MOST_JOBS):
+        elif len(self.waiting) < min(self.machine.queue, MAX_JOBS):
             self.waiting.append(job)
         else:
             return Admission.FULL
-        return Admission.TAKEN
+        return Admission.ADMITTED
 
     def next_end(self) -> int | None:
-        """When something may end next, µs; None while nothing can."""
+        """Return the time, µs, at which the next job can end; None if none can."""
         rate = self.rate()
         if rate <= 0.0:
             return None
         return self.now + max(1, round((self.running[0][0] - self.progress) / rate + 0.5))
 
     def report(self, since: int) -> LoadReport:
-        """Make the load report since the last one, which began at `since` (µs)."""
+        """Make the load report of the time from `since` (µs) until now."""
         span = max(1, self.now - since)
         util = min(1.0, self.busy / (span * self.machine.cores))
         self.busy = 0.0
@@ -170,11 +178,11 @@
     incarnation: BackendIncarnation,
     figures: Figures,
 ) -> tuple[int, float, float] | None:
-    """Where work sent during slow start exceeds its budget: time, work and budget in µs; None where it never does.
+    """Find where work sent during slow start first exceeds its budget: time, work and budget in µs, or None.
 
     `sent` is (time, work) in µs, in order. The budget of a window that ends now is multiple x present
-    capacity x window (BENCH, How a day is judged), and one largest piece of work more: slack for chance.
-    The audit has a reckoning of its own.
+    capacity x window (BENCH, How a day is judged), plus the largest single piece of work, as slack for random
+    arrival. The audit computes the budget independently.
     """
     window: deque[tuple[int, int]] = deque()
     total = 0
@@ -191,16 +199,16 @@
 
 @dataclass(slots=True)
 class IdempotencyMemory:
-    """One zone's memory of keys: a repeat within the window is answered and has no effect again (BRIEF 12).
+    """Idempotency keys of one zone: a repeat within the window is answered without a second effect (BRIEF 12).
 
-    `window` in µs. The time counts from the first attempt of a key; what is older is forgotten.
+    `window` in µs, from the first attempt with a key; older keys are removed.
     """
 
     window: int
-    seen: dict[str, int] = field(default_factory=dict)  # in the order of their first time
+    seen: dict[str, int] = field(default_factory=dict)  # time of the first attempt, in order
 
     def first(self, key: str, now: int) -> bool:
-        """Whether this is the first attempt with the key that the zone remembers."""
+        """Record an attempt; whether it is the first with this key within the window."""
         while self.seen:
             oldest = next(iter(self.seen))
             if self.seen[oldest] > now - self.window:
@@ -214,7 +222,7 @@
 
 @dataclass(slots=True)
 class Meter:
-    """The use of each tenant over all backends, in percent of its rate, published late (PROTOCOL, `Usage-Percent`).
+    """Usage of each tenant over all backends, in percent of its rate, with a delay (PROTOCOL, `Usage-Percent`).
 
     `period` and `late` in µs; `rates` gives units a second by plan.
     """
@@ -222,8 +230,9 @@
     period: int
     late: int
     rates: dict[str, float]
-    sums: dict[int, dict[tuple[str, int], float]] = field(default_factory=dict)  # by number of the period
-    counted: dict[str, int] = field(default_factory=dict)  # traces of the last periods
+    # Units by tenant, by number of the period.
+    sums: dict[int, dict[tuple[str, int], float]] = field(default_factory=dict)
+    counted: dict[str, int] = field(default_factory=dict)  # period by trace, for the last periods
 
     def add(self, trace: str, plan: str, customer: int, units: float, now: int) -> None:
         """Count a request that reached a backend; its further attempts add nothing."""
@@ -239,7 +248,7 @@
             del self.counted[first]
 
     def percent(self, plan: str, customer: int, now: int) -> int:
-        """Percent of the rate used in the last finished period that has been added up."""
+        """Return the usage in the last published period, in percent of the rate."""
         number = (now - self.late) // self.period - 1
         used = self.sums.get(number, {}).get((plan, customer), 0.0)
         rate = self.rates.get(plan, 0.0)
--- a/irisdeal/testbed/digest_text.py
+++ b/irisdeal/testbed/digest_text.py
@@ -1,8 +1,8 @@
-"""The text of drawn days and logged records that their digests are taken of.
+"""Text form of drawn days and logged records, from which their digests are computed.
 
-The digest of a day's schedule stands in the JSON of `irisdeal demo`, and that of a run in the output of the
-fault search: people compare them between versions. So the text spells types, fields and enum members as the
-first version did, whatever the code calls them today. Everything else is spelled as by `repr`.
+The digest of a day's schedule is part of the JSON output of `irisdeal demo`, and the digest of a run part of the
+output of the fault search. They are compared between versions, so the text uses the type, field and enum member
+names of the first version, regardless of later renames. All other values are formatted by `repr`.
 """
 
 from __future__ import annotations
@@ -29,6 +29,8 @@
     "tenant": "store",
     "disconnected_at": "cut",
     "request_number": "ask",
+    "honors_retry_after": "honours",
+    "flood_at": "once",
 }
 
 
--- a/irisdeal/testbed/fault_players.py
+++ b/irisdeal/testbed/fault_players.py
@@ -36,7 +36,7 @@
 
 
 async def _crash(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
-    """Crash backends and start them again, in slow start; discovery learns late, and only that they run."""
+    """Crash and restart backends, with slow start. Discovery publishes the restart alone, with a delay."""
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
         backend.crash()
@@ -49,14 +49,14 @@
 
 
 async def _replace(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
-    """Machines go for good; others, with new ids, take their addresses, which the old list still has."""
+    """Replace machines by ones with new ids at the same addresses, which the old list still contains."""
     backends = platform.pick_backends(fault.backends)
     for backend in backends:
         backend.crash()
     await asyncio.sleep(fault.for_s)
     for backend in backends:
         gone = platform.endpoint_of(backend, "Gone")
-        new = await platform.new_backend(warming_up=True, instead=backend)
+        new = await platform.new_backend(warming_up=True, replaced=backend)
         platform.discovery.change(gone, platform.endpoint_of(new, "Ready"))
     platform.record_fault(f"{len(backends)} new boxes stand at the old addresses, cold")
 
@@ -130,15 +130,15 @@
 
 
 async def _discovery_late(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
-    platform.discovery.later = fault.size
+    platform.discovery.extra_delay_s = fault.size
     await asyncio.sleep(fault.for_s)
-    platform.discovery.later = 0.0
+    platform.discovery.extra_delay_s = 0.0
 
 
 async def _discovery_lose(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
-    platform.discovery.lose = fault.size
+    platform.discovery.push_loss_ratio = fault.size
     await asyncio.sleep(fault.for_s)
-    platform.discovery.lose = 0.0
+    platform.discovery.push_loss_ratio = 0.0
 
 
 async def _zone_cut_off(platform: FaultTarget, fault: Fault, _: FrontDoors) -> None:
@@ -189,14 +189,14 @@
 
 
 async def _front_door_reload(platform: FaultTarget, fault: Fault, front_doors: FrontDoors) -> None:
-    """Discovery and counter service move for all front doors, each of which reloads on SIGHUP."""
+    """Move discovery and counter service to new addresses, and reload all front doors by SIGHUP."""
     await platform.discovery.move(platform.front_doors)
     await platform.counter.move(platform.front_doors)
     for front_door in platform.front_doors:
         await front_doors.reload(front_door)
 
 
-FAULT_PLAYERS: dict[str, FaultPlayer] = {  # by the name that scenario files have
+FAULT_PLAYERS: dict[str, FaultPlayer] = {  # by name in scenario files
     "box-hang": _hang,
     "box-slow": _slow,
     "box-crash": _crash,
--- a/irisdeal/testbed/fault_target.py
+++ b/irisdeal/testbed/fault_target.py
@@ -1,4 +1,4 @@
-"""What the faults of a timeline need of the platform that they are played on, and of its front doors."""
+"""Interfaces of the platform and its front doors that the faults of a timeline use."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class FrontDoors(Protocol):
-    """What the timeline does to front doors."""
+    """Operations of the timeline on front doors."""
 
     async def kill(self, front_door: int, down: float) -> None:
-        """SIGKILL, and start again after `down` s."""
+        """Send SIGKILL, and restart after `down` s."""
 
     async def restart(self, front_door: int) -> None:
-        """SIGTERM, and start again once it has ended."""
+        """Send SIGTERM, and restart once the process has ended."""
 
     async def stall(self, front_door: int, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after `seconds`; it is in ``RequestLog.pauses`` by then."""
+        """Send SIGSTOP, and SIGCONT after `seconds`; the pause is recorded in `RequestLog.pauses` by then."""
 
     async def reload(self, front_door: int) -> None:
-        """Send SIGHUP; the configuration file is written already."""
+        """Rewrite the configuration file and send SIGHUP."""
 
 
 class Links(Protocol):
     """Network links with faults between names: see `fault_proxy.Relay`."""
 
     async def add(self, source: str, target: str, to: Address) -> Address:
-        """Open a link; the address to use in place of the target's."""
+        """Open a link; returns the address to use in place of the target's."""
 
     def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
-        """Set the condition of the links of these names, or of those to a target."""
+        """Set the condition of the links of these names, or only of those to `target`."""
 
     def reset(self, names: Iterable[str], target: str = "") -> None:
         """Reset the connections of these links."""
@@ -45,7 +45,7 @@
 
 
 class FaultTarget(Protocol):
-    """The platform as the faults see it."""
+    """Operations of the faults on the platform."""
 
     front_doors: range
     counter: CounterServer | RemoteCounter
@@ -53,18 +53,18 @@
     relay: Links
 
     def record_fault(self, text: str) -> None:
-        """Log a line on the faults, with the time."""
+        """Record a line about faults, with the time."""
 
     def pick_backends(self, count: int) -> list[BackendServer | RemoteBackend]:
-        """Draw backends that are up and in no other fault."""
+        """Draw backends that are up and in no other fault, and reserve them."""
 
     def release_backends(self, backends: list[BackendServer | RemoteBackend]) -> None:
-        """End a fault of these backends."""
+        """Make backends available to other faults."""
 
     def endpoint_of(self, backend: BackendServer | RemoteBackend, phase: str) -> Endpoint:
         """Return the entry of a backend in the list of endpoints."""
 
     async def new_backend(
-        self, warming_up: bool, instead: BackendServer | RemoteBackend | None = None
+        self, warming_up: bool, replaced: BackendServer | RemoteBackend | None = None
     ) -> BackendServer | RemoteBackend:
-        """Start another machine; `instead` of one whose addresses, zone and cell it takes."""
+        """Start another machine. It takes over addresses, zone and cell of `replaced`, if given."""
--- a/irisdeal/testbed/front_door_settings.py
+++ b/irisdeal/testbed/front_door_settings.py
@@ -7,12 +7,17 @@
 from irisdeal.testbed.audit import Ceiling
 from irisdeal.testbed.scenario import Class, Plan, Scenario, microseconds
 
-REPEATS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}  # the protocol's names of the rules
+# The protocol's names of the repeat rules.
+REPEATS = {
+    "safe": "free",
+    "keyed": "guarded",
+    "unsafe": "single_shot",
+}
 NO_CEILING = Ceiling(0.0, 0.0, 0.0)
 
 
 def front_door_settings(scenario: Scenario, rank: int) -> dict[str, Any]:
-    """Return the settings of the front door of this rank, as JSON values."""
+    """Return the settings of a front door, by its rank, as JSON values."""
     return {
         "family": "gate",
         "discovery": "pushed",
--- a/irisdeal/testbed/http.py
+++ b/irisdeal/testbed/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 of the testbed: a small server side and a small client side on `httptools`.
+"""HTTP/1.1 for the testbed: a small server and a small client on `httptools`.
 
-Neither imports anything of the front door: the two must not share a mistake.
+They share no code with the front door, so that a bug there does not hide itself.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-MOST_MESSAGE = 8_000_000  # bytes of a body, either way
+MAX_BODY_BYTES = 8_000_000  # of a request
 
 
 class Request:
-    """A request as it came. Header names are lower case; times are the owner's clock in µs."""
+    """A received request. Header names are lower case; times are from the owner's clock, in µs."""
 
     __slots__ = ("body", "first_byte", "headers", "last_byte", "method", "target")
 
@@ -38,7 +38,7 @@
 
 
 class Owner(Protocol):
-    """What a server connection needs of the server it belongs to."""
+    """The server of a `ServerConnection`, as the connection uses it."""
 
     def now(self) -> int:
         """Return the time, µs."""
@@ -50,11 +50,11 @@
         """Handle a complete request."""
 
     def closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One accepted connection. It takes one request at a time; the rest waits in the peer."""
+    """One accepted connection, for one request at a time."""
 
     def __init__(self, owner: Owner, front_door: int, number: int) -> None:
         self.owner, self.front_door, self.number = owner, front_door, number
@@ -63,8 +63,8 @@
         self.request: Request | None = None
         self.busy = False
         self.requests = 0
-        self.since = 0  # of its last change between idle and busy
-        self.context: object = None  # the owner's
+        self.since = 0  # µs, time of the last change between idle and busy
+        self.context: object = None  # for use by the owner
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection with its owner."""
@@ -73,7 +73,7 @@
         self.owner.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner that the connection has ended."""
+        """Notify the owner of the end of the connection."""
         self.transport = None
         self.owner.closed(self)
 
@@ -99,10 +99,10 @@
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body, which is bounded by `MOST_MESSAGE`."""
+        """Add a piece of the body, which is bounded by `MAX_BODY_BYTES`."""
         assert self.request is not None
         self.request.body += body
-        if len(self.request.body) > MOST_MESSAGE:
+        if len(self.request.body) > MAX_BODY_BYTES:
             raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
@@ -116,7 +116,7 @@
         self.owner.asked(self, request)
 
     def reply(self, status: int, body: bytes = b"", headers: str = "", close: bool = False) -> bool:
-        """Write a whole answer; False where the connection has gone."""
+        """Write a complete answer; False if the connection has ended."""
         if self.transport is None or self.transport.is_closing():
             return False
         self.busy, self.since = False, self.owner.now()
@@ -131,7 +131,7 @@
         return True
 
     def raw(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write bytes unchanged."""
         if self.transport is not None:
             self.transport.write(data)
 
@@ -142,14 +142,14 @@
 
 
 def readable_now(sock: socket.socket) -> bool:
-    """Whether a read of this socket would return at once, asked of the kernel."""
+    """Whether a read of this socket would return without waiting."""
     poller = select.poll()
     poller.register(sock.fileno(), select.POLLIN)
     return bool(poller.poll(0))
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client. Answers go to `on_answer(status, headers, body)` as they arrive complete."""
+    """One connection of a client. Complete answers are passed to `on_answer(status, headers, body)`."""
 
     def __init__(self, readable: Callable[[Any], bool] = readable_now) -> None:
         self.readable = readable
@@ -169,7 +169,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the user of the connection that it has ended."""
+        """Call `on_end`."""
         self.transport = None
         self.on_end()
 
@@ -178,10 +178,10 @@
         return self.transport is not None and not self.transport.is_closing() and self.reusable
 
     def ended(self) -> bool:
-        """Whether bytes, or the peer's end, wait to be read where no answer is due.
+        """Whether the connection has ended, or has unread bytes or an end of stream while no answer is due.
 
-        The event loop may not have read them yet: a client that checks this before it writes does not lose a
-        request to a connection that has ended.
+        The event loop may not have read them yet. Checked before a write, this avoids sending a request on a
+        connection that the peer has closed.
         """
         if self.transport is None or self.transport.is_closing():
             return True
@@ -221,7 +221,7 @@
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Pass a final answer on; interim ones are dropped."""
+        """Pass a final answer on; interim ones are ignored."""
         status = self.parser.get_status_code()
         if status >= 200:
             self.reusable = self.parser.should_keep_alive()
--- a/irisdeal/testbed/load_processes.py
+++ b/irisdeal/testbed/load_processes.py
@@ -1,11 +1,11 @@
-"""The load generator in several processes, for days that one event loop cannot play in time.
+"""The load generator in several processes, for days with too much load for one event loop.
 
-Each process plays every n-th first attempt of the day with its retries, and records them on the machine's one
-monotonic clock; the records are merged at the end, with the times at which its event loop was stalled.
+Each process sends every n-th request of the day with its retries, and records them on the machine's monotonic
+clock. The records are merged at the end, with the stalls of the event loops.
 
-Protocol between the parent and its child: the child's standard input has one pickled `LoadShard` behind its
-length (4 bytes, big end first), then lines of commands; its standard output a line `ready`, and at the end one
-pickled `ShardReport` behind its length. Pickle is safe here, since both ends are this module.
+Protocol between parent and child: the child's standard input has a pickled `LoadShard` after its length (4 bytes,
+big-endian), then lines of commands. Its standard output has a line `ready` and, at the end, a pickled `ShardReport`
+after its length. Pickle is safe here, since both ends are this module.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from contextlib import suppress
 from dataclasses import dataclass, replace
 
-from irisdeal.testbed.load_generator import LATE_WATCH, Address, LoadGenerator
+from irisdeal.testbed.load_generator import LATE_ANSWER_WATCH_S, Address, LoadGenerator
 from irisdeal.testbed.loop_lag import LoopLagMonitor
-from irisdeal.testbed.request_log import ClientAttempt, Clock, RequestLog, lay_together
+from irisdeal.testbed.request_log import ClientAttempt, Clock, RequestLog, merge_stalls
 from irisdeal.testbed.workload import Day
 
-READY_WITHIN = 20.0  # s for a process to come up
-ENDS_WITHIN = 60.0  # s for a report to be handed over once the last attempt has ended
-MAX_REPORT = 1 << 30  # bytes: a length over this is noise on the pipe
+READY_TIMEOUT_S = 20.0  # for a process to start
+REPORT_TIMEOUT_S = 60.0  # for a process to send its report after its length
+MAX_REPORT_BYTES = 1 << 30  # a larger length is treated as corrupt
 
 
 @dataclass(frozen=True, slots=True)
 class LoadShard:
-    """What one process plays: the `number`-th of `parts`, with the clock's offset (ns) of the whole run."""
+    """The load of one process: shard `number` of `shards`. `offset` (ns) is that of the run's clock."""
 
     day: Day
     front_doors: tuple[Address, ...]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardReport:
-    """What one process saw."""
+    """The records of one process."""
 
     client_attempts: list[ClientAttempt]
     stalls: list[tuple[int, int]]
@@ -48,11 +48,11 @@
 
 
 class LoadProcessError(Exception):
-    """A process of load generators did not do as it should."""
+    """A load generator process failed."""
 
 
 class LoadProcesses:
-    """Has the calls of `Load generators`, and plays the day in `parts` processes of its own."""
+    """As `LoadGenerator`, with the load divided among `shards` processes."""
 
     def __init__(
         self, day: Day, request_log: RequestLog, now: Clock, front_doors: list[Address], shards: int
@@ -73,7 +73,7 @@
         return [process.pid for process in self.processes]
 
     async def prepare(self) -> None:
-        """Start all processes and wait until each can play. Raises `CrowdError`."""
+        """Start all processes and wait until each is ready. Raises `LoadProcessError`."""
         self.processes = [
             await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -92,19 +92,19 @@
         for process in self.processes:
             assert process.stdout is not None
             try:
-                async with asyncio.timeout(READY_WITHIN):
+                async with asyncio.timeout(READY_TIMEOUT_S):
                     line = await process.stdout.readline()
             except TimeoutError:
                 line = b""
             if line != b"ready\n":
                 self.close()
-                raise LoadProcessError(f"a process of terminals did not come up within {READY_WITHIN:g} s")
+                raise LoadProcessError(f"a load generator process was not ready within {READY_TIMEOUT_S:g} s")
 
     async def run(self, start: int) -> None:
-        """Play from `start` (µs) on, until every attempt has ended; then merge the request logs."""
-        self._say(f"start {start}")
-        found = await asyncio.gather(*(self._receive_report(process) for process in self.processes))
-        for report in found:
+        """Send the load from `start` (µs) on until every attempt has ended; then merge the records."""
+        self._send_command(f"start {start}")
+        reports = await asyncio.gather(*(self._receive_report(process) for process in self.processes))
+        for report in reports:
             self.request_log.client_attempts += report.client_attempts
             for name, count in report.misbehaving_clients.items():
                 self.request_log.misbehaving_clients[name] = (
@@ -113,11 +113,11 @@
         self.request_log.client_attempts.sort(
             key=lambda client_attempt: (client_attempt.due, client_attempt.trace)
         )
-        self.request_log.most_late = max(
-            [self.request_log.lateness, *(late for b in found for _, late in b.stalls)]
+        self.request_log.max_lateness = max(
+            [self.request_log.lateness, *(late for each in reports for _, late in each.stalls)]
         )
-        self.request_log.stalls[:] = lay_together(
-            self.request_log.stalls, *(report.stalls for report in found)
+        self.request_log.stalls[:] = merge_stalls(
+            self.request_log.stalls, *(report.stalls for report in reports)
         )
         for process in self.processes:
             await process.wait()
@@ -126,26 +126,26 @@
         assert process.stdout is not None
         try:
             size = int.from_bytes(await process.stdout.readexactly(4), "big")
-            if size > MAX_REPORT:
-                raise LoadProcessError(f"a book of {size} bytes")
-            async with asyncio.timeout(ENDS_WITHIN):
+            if size > MAX_REPORT_BYTES:
+                raise LoadProcessError(f"a report of {size} bytes")
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = pickle.loads(await process.stdout.readexactly(size))
         except (asyncio.IncompleteReadError, TimeoutError, pickle.UnpicklingError):
-            raise LoadProcessError("a process of terminals ended without its book") from None
+            raise LoadProcessError("a load generator process ended without its report") from None
         assert isinstance(report, ShardReport)
         return report
 
-    def _say(self, line: str) -> None:
+    def _send_command(self, line: str) -> None:
         for process in self.processes:
             if process.stdin is not None and not process.stdin.is_closing():
                 process.stdin.write(line.encode() + b"\n")
 
     def stop(self) -> None:
-        """Ask nothing new."""
-        self._say("stop")
+        """Send no further requests."""
+        self._send_command("stop")
 
     def close(self) -> None:
-        """End what still runs: processes that we started, by the handles we have kept."""
+        """Kill the processes that are still running."""
         for process in self.processes:
             if process.returncode is None:
                 with suppress(ProcessLookupError):
@@ -153,19 +153,19 @@
 
     def front_door_down(self, front_door: int) -> None:
         """As `LoadGenerator.front_door_down`, in all processes."""
-        self._say(f"down {front_door}")
+        self._send_command(f"down {front_door}")
 
     def front_door_draining(self, front_door: int) -> None:
         """As `LoadGenerator.front_door_draining`, in all processes."""
-        self._say(f"leaves {front_door}")
+        self._send_command(f"leaves {front_door}")
 
     def front_door_up(self, front_door: int) -> None:
         """As `LoadGenerator.front_door_up`, in all processes."""
-        self._say(f"up {front_door}")
+        self._send_command(f"up {front_door}")
 
 
 async def _play(reader: asyncio.StreamReader) -> bytes:
-    """Play one shard as the parent commands; its pickled report, or nothing where the parent has gone."""
+    """Run one shard; returns its pickled report, or no bytes if the parent has ended."""
     size = int.from_bytes(await reader.readexactly(4), "big")
     shard = pickle.loads(await reader.readexactly(size))
     assert isinstance(shard, LoadShard)
@@ -176,12 +176,13 @@
     sys.stdout.buffer.write(b"ready\n")
     sys.stdout.buffer.flush()
     lag = LoopLagMonitor(request_log.stalls, now)
-    if not await _obey(reader, load_generator, lag):
+    if not await _run_commands(reader, load_generator, lag):
         load_generator.close()
         tasks = (*load_generator.tasks, *load_generator.misbehaving_clients.tasks)
         await asyncio.gather(*tasks, return_exceptions=True)
         return b""
-    await asyncio.sleep(LATE_WATCH)  # what answers an attempt that was given up just now is still seen
+    # Record late answers to the last attempts.
+    await asyncio.sleep(LATE_ANSWER_WATCH_S)
     lag.stop()
     load_generator.close()
     return pickle.dumps(
@@ -189,8 +190,10 @@
     )
 
 
-async def _obey(reader: asyncio.StreamReader, load_generator: LoadGenerator, lag: LoopLagMonitor) -> bool:
-    """Follow the parent's commands until the day is played; whether the parent is still there."""
+async def _run_commands(
+    reader: asyncio.StreamReader, load_generator: LoadGenerator, lag: LoopLagMonitor
+) -> bool:
+    """Run the parent's commands until the load has ended; False if the parent has ended."""
     actions = {
         "down": load_generator.front_door_down,
         "leaves": load_generator.front_door_draining,
@@ -230,8 +233,8 @@
 if __name__ == "__main__":
     import uvloop
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a Ctrl-C is the parent's, which says "stop"
-    # Under its own name, so that what is pickled here is what the parent knows.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # on Ctrl-C the parent sends "stop"
+    # Import by name, so that pickled classes do not belong to `__main__`.
     from irisdeal.testbed import load_processes
 
     uvloop.run(load_processes._main())
--- a/irisdeal/testbed/loop_lag.py
+++ b/irisdeal/testbed/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the testbed's own event loop runs: the audit allows for it."""
+"""Measures the lag of the testbed's event loop, by which the audit extends time limits."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from irisdeal.testbed.request_log import Now
 
-STEP = 0.01  # s: how often it is looked at
-LEAST = 5_000  # µs: what a loop of whole milliseconds shows anyway
-MOST = 100_000  # noted; a run that stalls more often is no run
+SAMPLE_INTERVAL_S = 0.01
+MIN_STALL_US = 5_000  # smaller lag is normal with millisecond timers
+MAX_STALLS = 100_000  # recorded; a run with more is of no use
 
 
 class LoopLagMonitor:
-    """Notes in `stalls` when the running loop went on (µs), and how long it had stood still (µs)."""
+    """Records the stalls of the running loop in `stalls`, as end and duration (µs)."""
 
     def __init__(self, stalls: list[tuple[int, int]], now: Now) -> None:
         self.stalls, self.now = stalls, now
@@ -30,6 +30,6 @@
     def _check(self, due: float) -> None:
         loop = asyncio.get_running_loop()
         late = round((loop.time() - due) * 1e6)
-        if late >= LEAST and len(self.stalls) < MOST:
+        if late >= MIN_STALL_US and len(self.stalls) < MAX_STALLS:
             self.stalls.append((self.now(), late))
-        self.timer = loop.call_later(STEP, self._check, loop.time() + STEP)
+        self.timer = loop.call_later(SAMPLE_INTERVAL_S, self._check, loop.time() + SAMPLE_INTERVAL_S)
--- a/irisdeal/testbed/misbehaving_clients.py
+++ b/irisdeal/testbed/misbehaving_clients.py
@@ -1,8 +1,8 @@
-"""Connections of no tenant, beside the load: clients that send nothing, and clients that never read.
+"""Misbehaving clients in addition to the load: some send nothing, others never read.
 
-Each connection is counted by how it ended: `told` with an answer, `closed` without one, `refused` before it came
-up, `open` where the front door had not ended it within `WATCH` (LATER, Bad clients: an error or a close within
-3 s).
+Each connection is counted by how it ended: `told` with an answer, `closed` without one, `refused` before it was
+established, `open` if the front door had not ended it within `WATCH_S` (LATER, Bad clients: an error or a close
+within 3 s).
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from irisdeal.testbed.workload import Day
 
-WATCH = 3.0  # s
-CONNECT_TIMEOUT = 3.0  # s
-STEP = 0.02  # s between two handfuls of connections
-MOST = 2_000  # at a time in one process: its descriptors are bounded
+WATCH_S = 3.0
+CONNECT_TIMEOUT_S = 3.0
+STEP_S = 0.02  # interval between batches of connections, and between writes
+MAX_CONNECTIONS = 2_000  # open in one process, which limits its descriptors
 Work = Coroutine[Any, Any, None]
-ASK = b"GET /_health HTTP/1.1\r\nHost: door\r\n\r\n"
+HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: door\r\n\r\n"
 
 
 class _MisbehavingConnection(asyncio.Protocol):
@@ -26,10 +26,10 @@
         self.reads, self.received, self.wrote = reads, 0, 0
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
-        self.full = False
+        self.is_write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, without reading where the client never reads."""
+        """Register the transport, with reading paused for a client that never reads."""
         self.transport = cast(asyncio.Transport, transport)
         if not self.reads:
             self.transport.pause_reading()
@@ -39,17 +39,17 @@
         self.received += len(data)
 
     def pause_writing(self) -> None:
-        """Note that the peer reads no more."""
-        self.full = True
+        """Note that the write buffer is full."""
+        self.is_write_paused = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end."""
+        """Note the end of the connection."""
         if not self.ended.done():
             self.ended.set_result(None)
 
 
 class MisbehavingClients:
-    """All misbehaving clients of one process; `outcomes` counts how they ended."""
+    """All misbehaving clients of one process; `outcomes` counts their connections by how they ended."""
 
     def __init__(
         self,
@@ -64,10 +64,12 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def play(self, wait: float) -> None:
-        """Put all on the loop; the day begins in `wait` s."""
+        """Schedule all on the event loop; the day begins in `wait` s."""
         loop = asyncio.get_running_loop()
         for fault in self.faults:
-            act = self._storm if fault.do == "connect-storm" else self._unread
+            act = (
+                self._open_idle_connections if fault.do == "connect-storm" else self._open_unread_connections
+            )
             share = fault.size / self.shards
             loop.call_later(max(0.0, wait + fault.at_s), self._begin, act, share, fault.for_s)
 
@@ -77,59 +79,63 @@
             task.cancel()
 
     def _begin(self, act: Callable[[float, float], Work], size: float, seconds: float) -> None:
-        self._keep(act(size, seconds))
+        self._start_task(act(size, seconds))
 
-    def _keep(self, work: Work) -> None:
+    def _start_task(self, work: Work) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _storm(self, rate: float, seconds: float) -> None:
-        """So many connections a second that say nothing."""
-        loop, made = asyncio.get_running_loop(), 0
+    async def _open_idle_connections(self, rate: float, seconds: float) -> None:
+        """Open `rate` connections a second that send nothing."""
+        loop, opened = asyncio.get_running_loop(), 0
         begin = loop.time()
-        while (gone := loop.time() - begin) < seconds:
-            while made < rate * gone and len(self.tasks) < MOST:
-                self._keep(self._idle_connection(made % len(self.front_doors)))
-                made += 1
-            await asyncio.sleep(STEP)
+        while (elapsed := loop.time() - begin) < seconds:
+            while opened < rate * elapsed and len(self.tasks) < MAX_CONNECTIONS:
+                self._start_task(self._idle_connection(opened % len(self.front_doors)))
+                opened += 1
+            await asyncio.sleep(STEP_S)
 
-    async def _unread(self, count: float, seconds: float) -> None:
-        """So many connections that ask without end and never read an answer."""
-        for n in range(min(MOST, round(count))):
-            self._keep(self._never_reads(n % len(self.front_doors), seconds))
+    async def _open_unread_connections(self, count: float, seconds: float) -> None:
+        """Open `count` connections that send requests and never read an answer."""
+        for n in range(min(MAX_CONNECTIONS, round(count))):
+            self._start_task(self._never_reads(n % len(self.front_doors), seconds))
 
     def _count(self, name: str) -> None:
         self.outcomes[name] = self.outcomes.get(name, 0) + 1
 
     async def _connect(self, front_door: int, reads: bool) -> _MisbehavingConnection | None:
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
-                _, made = await asyncio.get_running_loop().create_connection(
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: _MisbehavingConnection(reads), *self.front_doors[front_door]
                 )
         except (OSError, TimeoutError):
             self._count("refused")
             return None
-        return made
+        return connection
 
     async def _idle_connection(self, front_door: int) -> None:
-        if (one := await self._connect(front_door, True)) is None:
+        if (connection := await self._connect(front_door, True)) is None:
             return
-        await asyncio.wait({one.ended}, timeout=WATCH)
-        self._count("told" if one.received else "closed" if one.ended.done() else "open")
-        if one.transport is not None:
-            one.transport.abort()
+        await asyncio.wait({connection.ended}, timeout=WATCH_S)
+        self._count("told" if connection.received else "closed" if connection.ended.done() else "open")
+        if connection.transport is not None:
+            connection.transport.abort()
 
     async def _never_reads(self, front_door: int, seconds: float) -> None:
-        if (one := await self._connect(front_door, False)) is None:
+        if (connection := await self._connect(front_door, False)) is None:
             return
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        while not one.ended.done() and loop.time() < until:
-            if one.transport is not None and not one.full and not one.transport.is_closing():
-                one.transport.write(ASK * 4)
-            await asyncio.wait({one.ended}, timeout=STEP)
-        self._count("unread, ended" if one.ended.done() else "unread, open")
-        if one.transport is not None:
-            one.transport.abort()
+        while not connection.ended.done() and loop.time() < until:
+            if (
+                connection.transport is not None
+                and not connection.is_write_paused
+                and not connection.transport.is_closing()
+            ):
+                connection.transport.write(HEALTH_REQUEST * 4)
+            await asyncio.wait({connection.ended}, timeout=STEP_S)
+        self._count("unread, ended" if connection.ended.done() else "unread, open")
+        if connection.transport is not None:
+            connection.transport.abort()
--- a/irisdeal/testbed/platform.py
+++ b/irisdeal/testbed/platform.py
@@ -1,8 +1,7 @@
 """All services of the testbed for one day, and the timeline of its faults.
 
 `Platform` starts backends, discovery service, counter service and links, writes the configuration of each front
-door, and plays the timeline. The front doors belong to the caller: `FrontDoors` is what the timeline needs of
-them.
+door, and plays the timeline. The caller runs the front doors and passes them as `FrontDoors`.
 """
 
 from __future__ import annotations
@@ -41,14 +40,14 @@
         folder: Path | None = None,
         links: Links | None = None,
     ) -> None:
-        """`links` in place of a relay, where the network itself has faults."""
+        """`links` replaces the relay if the network itself simulates the faults."""
         self.day, self.scenario = day, day.scenario
         self.clock = Clock()
         self.now: Now = now or self.clock
         self.request_log = RequestLog()
         self.front_doors = range(self.scenario.front_doors)
         self.folder = folder
-        self.reports: Path | None = None  # where the front doors are to make their reports' sockets
+        self.reports: Path | None = None  # folder for the sockets of the front doors' reports
         fleet, seed = self.scenario.fleet, day.seed
         window = round(max(c.window_ms for c in self.scenario.classes) * 1000)
         self.memories = {zone: IdempotencyMemory(window) for zone in fleet.zones}
@@ -57,23 +56,25 @@
         self.figures = self.scenario.figures(self.cells)
         self.context = self._backend_context()
         self.backends: list[BackendServer | RemoteBackend] = []
-        self.number = 0  # of machines made
-        # Backends and counter service in processes of their own, if the scenario says so; not in virtual time.
+        self.machine_count = 0  # number of the next machine
+        # Separate processes for backends and counter service, if the scenario has `apart`; not in virtual time.
         self.sites = Sites(day, self.clock, self.request_log) if fleet.apart and links is None else None
         self.counter = self._counter()
         self.discovery = DiscoveryServer(self.scenario.discovery, self.request_log, self.now, seed)
         self.relay = links or self._links()
-        self.link_ports: dict[str, dict[int, int]] = {}  # by backend, the port that each front door is given
-        ends = {f.to for f in self.scenario.faults if f.do.startswith("link-")}
+        self.link_ports: dict[str, dict[int, int]] = {}  # by backend and front door
+        link_targets = {f.to for f in self.scenario.faults if f.do.startswith("link-")}
         zone_faults = any(f.do.startswith("hall-") for f in self.scenario.faults)
-        self.relayed = bool(ends & set(fleet.zones)) or zone_faults  # backends are reached through links
-        # Ports by front door of the services that are reached through links.
-        self.led = {name: dict[int, int]() for name in ("keeper", "roster") if name in ends}
+        self.has_backend_links = bool(link_targets & set(fleet.zones)) or zone_faults
+        # By name and front door, for the services that are reached through links.
+        self.service_link_ports = {
+            name: dict[int, int]() for name in ("keeper", "roster") if name in link_targets
+        }
         self.random = stream(seed, "faults")
-        self.struck: set[str] = set()  # backends that a fault has; those that are gone stay
+        self.faulty_backends: set[str] = set()  # names of backends in a fault; those that are gone stay
         self.tasks: set[asyncio.Task[None]] = set()
-        self.lateness = LoopLagMonitor(self.request_log.stalls, self.now)
-        self.monitors_lag = True  # in virtual time these loops are never late
+        self.lag_monitor = LoopLagMonitor(self.request_log.stalls, self.now)
+        self.monitors_lag = True  # False in virtual time, where the loop has no lag
         self.closed = False
 
     def _counter(self) -> CounterServer | RemoteCounter:
@@ -115,24 +116,24 @@
         await self.discovery.start(self.front_doors)
         await self.counter.start(self.front_doors)
         for name, ports in (("keeper", self.counter.ports), ("roster", self.discovery.ports)):
-            if name in self.led:
+            if name in self.service_link_ports:
                 for front_door in self.front_doors:
                     link_address = await self.relay.add(
                         front_door_name(front_door), name, ("127.0.0.1", ports[front_door])
                     )
-                    self.led[name][front_door] = link_address[1]
+                    self.service_link_ports[name][front_door] = link_address[1]
         if self.monitors_lag:
-            self.lateness.start()
+            self.lag_monitor.start()
 
     async def gather(self) -> None:
-        """Once the day is over: what was seen in other processes is in the request logs as well."""
+        """Merge the request logs of other processes, at the end of the day."""
         if self.sites is not None:
             await self.sites.gather()
 
     def close(self) -> None:
         """Stop all services."""
         self.closed = True
-        self.lateness.stop()
+        self.lag_monitor.stop()
         for task in self.tasks:
             task.cancel()
         for backend in self.backends:
@@ -145,34 +146,36 @@
             self.sites.close()
 
     async def ended(self) -> None:
-        """After `close`: no process of ours is left."""
+        """Wait, after `close`, until all processes have ended."""
         if self.sites is not None:
             await self.sites.ended()
 
     async def new_backend(
-        self, warming_up: bool, instead: BackendServer | RemoteBackend | None = None
+        self, warming_up: bool, replaced: BackendServer | RemoteBackend | None = None
     ) -> BackendServer | RemoteBackend:
-        """Start the machine of the next number; `instead` of another one it takes its addresses, zone, cell."""
-        drawn = machine(self.scenario, self.day.seed, self.number)
-        if instead is not None:
-            drawn = replace(drawn, zone=instead.machine.zone, cell=instead.machine.cell)
-        name = f"s-{stream(self.day.seed, 'name', self.number).randrange(2**32):08x}"
-        self.number += 1
-        self.cells[name] = drawn.cell
-        self.figures.cells[name] = drawn.cell
+        """Start the next machine. It takes over addresses, zone and cell of `replaced`, if given."""
+        new_machine = machine(self.scenario, self.day.seed, self.machine_count)
+        if replaced is not None:
+            new_machine = replace(new_machine, zone=replaced.machine.zone, cell=replaced.machine.cell)
+        name = f"s-{stream(self.day.seed, 'name', self.machine_count).randrange(2**32):08x}"
+        self.machine_count += 1
+        self.cells[name] = new_machine.cell
+        self.figures.cells[name] = new_machine.cell
         backend: BackendServer | RemoteBackend = (
-            RemoteBackend(self.sites, name, drawn)
+            RemoteBackend(self.sites, name, new_machine)
             if self.sites is not None
-            else BackendServer(name, drawn, self.memories[drawn.zone], self.context)
+            else BackendServer(name, new_machine, self.memories[new_machine.zone], self.context)
         )
-        backend.ports = dict(instead.ports) if instead is not None else {}
+        backend.ports = dict(replaced.ports) if replaced is not None else {}
         await backend.start(self.front_doors, warming_up)
         self.backends.append(backend)
-        if self.relayed:
+        if self.has_backend_links:
             self.link_ports[name] = {
                 front_door: (
                     await self.relay.add(
-                        front_door_name(front_door), drawn.zone, ("127.0.0.1", backend.ports[front_door])
+                        front_door_name(front_door),
+                        new_machine.zone,
+                        ("127.0.0.1", backend.ports[front_door]),
                     )
                 )[1]
                 for front_door in self.front_doors
@@ -196,11 +199,11 @@
     # Front doors' configuration
 
     def discovery_address(self, front_door: int) -> str:
-        """Where a front door finds the discovery service."""
-        return f"127.0.0.1:{self.led.get('roster', self.discovery.ports)[front_door]}"
+        """Return the address of the discovery service for a front door."""
+        return f"127.0.0.1:{self.service_link_ports.get('roster', self.discovery.ports)[front_door]}"
 
     def config(self, front_door: int, listen: str, seed: int) -> dict[str, Any]:
-        """Return a front door's configuration (DEPLOY, What a front door is told)."""
+        """Return the configuration of a front door (DEPLOY, What a front door is told)."""
         revision, members = self.discovery.endpoints.complete_list(front_door)
         spec = self.scenario.front_door
         report = {"report": str(self.reports / f"n{front_door}.sock")} if self.reports is not None else {}
@@ -210,7 +213,7 @@
             "discovery": self.discovery_address(front_door),
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": spec.memory_mb, "sockets": spec.sockets},
-            "counter": f"127.0.0.1:{self.led.get('keeper', self.counter.ports)[front_door]}",
+            "counter": f"127.0.0.1:{self.service_link_ports.get('keeper', self.counter.ports)[front_door]}",
             "known": {
                 "revision": revision,
                 "complete": True,
@@ -220,7 +223,7 @@
         }
 
     def write_config(self, front_door: int, listen: str, seed: int, path: Path) -> None:
-        """Whole or not at all: a front door may read it at any time."""
+        """Replace the configuration file atomically, since a front door may read it at any time."""
         new = path.with_suffix(".new")
         new.write_text(json.dumps(self.config(front_door, listen, seed)))
         new.replace(path)
@@ -228,7 +231,7 @@
     # The timeline
 
     def play(self, start: int, front_doors: FrontDoors) -> None:
-        """Put the whole timeline on the loop; `start` in µs."""
+        """Schedule the timeline on the event loop; `start` in µs."""
         loop = asyncio.get_running_loop()
         for fault in self.scenario.faults:
             wait = max(0.0, (start - self.now()) / 1e6 + fault.at_s)
@@ -237,32 +240,32 @@
     def _begin(self, fault: Fault, front_doors: FrontDoors) -> None:
         if not self.closed:
             self.tasks.add(task := asyncio.get_running_loop().create_task(self.do(fault, front_doors)))
-            task.add_done_callback(self._ended)
+            task.add_done_callback(self._on_fault_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_fault_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("a fault could not be played: %r", error)
             self.record_fault(f"could not be played: {error!r}")
 
     def record_fault(self, text: str) -> None:
-        """Log a line on the faults, with the time."""
+        """Record a line about faults, with the time."""
         self.request_log.faults.append((self.now(), text))
 
     async def do(self, fault: Fault, front_doors: FrontDoors) -> None:
         """Play one fault to its end."""
         self.record_fault(fault.text())
         play = FAULT_PLAYERS.get(fault.do)
-        if play is not None:  # the others are drawn into the day, or belong to the load generator
+        if play is not None:  # the others are part of the drawn day or of the load generator
             await play(self, fault, front_doors)
 
     def pick_backends(self, count: int) -> list[BackendServer | RemoteBackend]:
-        """Draw backends that are up and in no other fault; they are in this one until `release_backends`."""
-        able = [b for b in self.backends if b.up and b.name not in self.struck]
-        backends = self.random.sample(able, min(count, len(able)))
-        self.struck |= {backend.name for backend in backends}
+        """Draw backends that are up and in no other fault, and reserve them until `release_backends`."""
+        eligible = [b for b in self.backends if b.up and b.name not in self.faulty_backends]
+        backends = self.random.sample(eligible, min(count, len(eligible)))
+        self.faulty_backends |= {backend.name for backend in backends}
         return backends
 
     def release_backends(self, backends: list[BackendServer | RemoteBackend]) -> None:
-        """End a fault of these backends."""
-        self.struck -= {backend.name for backend in backends}
+        """Make backends available to other faults."""
+        self.faulty_backends -= {backend.name for backend in backends}
--- a/irisdeal/testbed/quota_overshoot.py
+++ b/irisdeal/testbed/quota_overshoot.py
@@ -1,9 +1,9 @@
-"""How far each tenant exceeded its quota over all front doors together, by the backends' request logs. Pure.
+"""Computes by how much tenants exceeded their quotas over all front doors, from the backends' records. Pure.
 
 A quota of `rate` units a second with a burst of `burst` allows `burst + rate x (t - s)` units in each span from
-s to t. The overshoot of a tenant is the most by which the units first forwarded in any span exceed that. It is
-computed in one pass: a bucket that fills at the rate, holds the burst at most and may go below zero is lowest
-exactly by the overshoot (the (sigma, rho) bound of Cruz 1991, read backwards).
+s to t. The overshoot of a tenant is the largest excess over that in any span, counting the first attempt of each
+request. It is computed in one pass: it equals the largest debt of a token bucket that fills at the rate up to the
+burst and may go below zero (the inverse of the (sigma, rho) bound of Cruz 1991).
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from irisdeal.testbed.request_log import Attempt, RequestLog
 from irisdeal.testbed.scenario import Scenario
 
-REFUSED_CAPACITY = 0.5  # part of a burst that a tenant holds at least where a refusal counts as one with room
+MIN_REMAINING_RATIO = 0.5  # share of the burst that must remain for a rejection to count as within the quota
 
 
 @dataclass(frozen=True, slots=True)
 class TenantUsage:
-    """One customer's use. `allowed` is burst + rate x the run; units; `worst_at` in µs."""
+    """One customer's usage in units; `allowed` is burst + rate x length of the run; `worst_at` in µs."""
 
     plan: str
     customer: int
@@ -28,16 +28,16 @@
     allowed: float
     overshoot: float
     worst_at: int
-    front_doors: int  # through which its requests went on
+    front_doors: int  # number of front doors that forwarded its requests
 
     @property
     def fraction(self) -> float:
-        """Its overshoot as a part of what was allowed in the whole run."""
+        """The overshoot as a fraction of the units allowed in the run."""
         return self.overshoot / self.allowed if self.allowed else 0.0
 
 
 def overshoot(sent: Iterable[tuple[int, float]], rate: float, burst: float) -> tuple[float, int]:
-    """Compute the most units over the quota in any span, and when (µs); 0 and 0 where it was kept.
+    """Return the largest excess over the quota in any span, in units, and its time (µs); 0 and 0 if there is none.
 
     `sent` is (time in µs, units), in order of time; `rate` in units a second.
     """
@@ -53,7 +53,7 @@
 
 
 def tenant_usage(request_log: RequestLog, scenario: Scenario) -> list[TenantUsage]:
-    """Every customer of which something was forwarded, the largest overshoot first."""
+    """Return the usage of every customer with forwarded requests, the largest overshoot first."""
     firsts: dict[str, Attempt] = {}
     for attempt in sorted(request_log.attempts, key=lambda a: a.last_byte):
         firsts.setdefault(attempt.trace, attempt)
@@ -61,12 +61,12 @@
     for attempt in firsts.values():
         by_tenant[attempt.plan, attempt.customer].append(attempt)
     plans = {plan.name: plan for plan in scenario.plans}
-    made = []
+    usage = []
     for (name, customer), attempts in by_tenant.items():
         plan = plans[name]
         burst = scenario.burst(plan)
         worst, at = overshoot([(a.last_byte, a.units) for a in attempts], plan.rate, burst)
-        made.append(
+        usage.append(
             TenantUsage(
                 name,
                 customer,
@@ -77,12 +77,12 @@
                 len({a.front_door for a in attempts}),
             )
         )
-    return sorted(made, key=lambda use: (-use.overshoot, use.plan, use.customer))
+    return sorted(usage, key=lambda use: (-use.overshoot, use.plan, use.customer))
 
 
 @dataclass(frozen=True, slots=True)
 class Refusals:
-    """Tries that were refused, and those of them whose tenant had room; `asked` are all client attempts."""
+    """Counts of client attempts, of rejected ones, and of rejected ones whose tenant had quota left."""
 
     asked: int = 0
     refused: int = 0
@@ -95,9 +95,9 @@
 
 
 def refusals(request_log: RequestLog, scenario: Scenario, customers: Container[int]) -> Refusals:
-    """Rejections of these customers' attempts, and those whose tenant had `REFUSED_CAPACITY` of its burst left.
+    """Count rejections of these customers' attempts, and those with `MIN_REMAINING_RATIO` of the burst left.
 
-    What was left is by the backends' request logs: a request that has not arrived yet counts as not drawn.
+    The remaining quota is computed from the backends' records, so requests in transit do not count as used.
     """
     sends: dict[str, Attempt] = {}
     for attempt in sorted(request_log.attempts, key=lambda a: a.last_byte):
@@ -111,14 +111,14 @@
     ]
     levels: dict[tuple[str, int], tuple[float, int]] = {}
     refused = within_quota = 0
-    for now, name, customer, units, away in sorted(steps):
+    for now, name, customer, units, is_rejection in sorted(steps):
         if customer not in customers:
             continue
         plan, burst = plans[name], scenario.burst(plans[name])
         level, at = levels.get((name, customer), (burst, now))
         level = min(burst, level + plan.rate * (now - at) / 1e6)
-        if away:
+        if is_rejection:
             refused += 1
-            within_quota += level >= max(units, REFUSED_CAPACITY * burst)
-        levels[name, customer] = (level if away else level - units), now
+            within_quota += level >= max(units, MIN_REMAINING_RATIO * burst)
+        levels[name, customer] = (level if is_rejection else level - units), now
     return Refusals(sum(t.customer in customers for t in request_log.client_attempts), refused, within_quota)
--- a/irisdeal/testbed/remote_services.py
+++ b/irisdeal/testbed/remote_services.py
@@ -1,7 +1,7 @@
-"""The parent's end of the sites: their processes, and the services in them with the calls of the timeline.
+"""The parent's side of the sites: their processes, and proxies of the services in them.
 
-`RemoteBackend`, `RemoteCounter` and `RemoteLinks` have the calls that the timeline makes of `BackendServer`,
-`CounterServer` and `Relay`.
+`RemoteBackend`, `RemoteCounter` and `RemoteLinks` provide the calls of `BackendServer`, `CounterServer` and `Relay`
+that the timeline uses.
 """
 
 from __future__ import annotations
@@ -15,61 +15,61 @@
 from typing import Any, cast
 
 from irisdeal.testbed.fault_proxy import Address, Condition, Relay
-from irisdeal.testbed.request_log import Clock, RequestLog, lay_together
+from irisdeal.testbed.request_log import Clock, RequestLog, merge_stalls
 from irisdeal.testbed.site_frames import COUNTER_SITE, SiteError, SiteSpec, encode_frame, read_frame
 from irisdeal.testbed.workload import Day, Machine
 
-ANSWERS_WITHIN = 30.0  # s for any call: a process of ours that takes longer hangs
+CALL_TIMEOUT_S = 30.0  # a site that takes longer is treated as hung
 
 
 @dataclass(slots=True, eq=False)
 class SiteProcess:
-    """One process of a site, as its parent has it."""
+    """The parent's handle of one site process."""
 
     spec: SiteSpec
     process: asyncio.subprocess.Process
     waiting: dict[int, asyncio.Future[Any]] = field(default_factory=dict)
     number: int = 0
     reader: asyncio.Task[None] | None = None
-    gone: bool = False
+    has_ended: bool = False
 
-    def notify(self, call: str, *arguments: object) -> None:
+    def notify(self, method: str, *arguments: object) -> None:
         """Call without waiting for a result."""
-        self._write(0, call, arguments)
+        self._write(0, method, arguments)
 
-    async def ask(self, call: str, *arguments: object) -> object:
+    async def call(self, method: str, *arguments: object) -> object:
         """Call and return the result. Raises `SiteError`."""
         self.number += 1
         number, answer = self.number, asyncio.get_running_loop().create_future()
         self.waiting[number] = answer
-        self._write(number, call, arguments)
+        self._write(number, method, arguments)
         try:
-            async with asyncio.timeout(ANSWERS_WITHIN):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 result: object = await answer
                 return result
         except TimeoutError:
-            raise SiteError(f"{self.spec.name}: no answer to {call} in {ANSWERS_WITHIN:g} s") from None
+            raise SiteError(f"{self.spec.name}: no answer to {method} in {CALL_TIMEOUT_S:g} s") from None
         finally:
             self.waiting.pop(number, None)
 
-    def _write(self, number: int, call: str, arguments: tuple[object, ...]) -> None:
-        if self.gone:
+    def _write(self, number: int, method: str, arguments: tuple[object, ...]) -> None:
+        if self.has_ended:
             if number:
                 raise SiteError(f"{self.spec.name}: its process has ended")
             return
         assert self.process.stdin is not None
-        self.process.stdin.write(encode_frame((number, call, arguments)))
+        self.process.stdin.write(encode_frame((number, method, arguments)))
 
     def end(self) -> None:
         """Mark the process as ended, and fail the calls that wait for it."""
-        self.gone = True
+        self.has_ended = True
         for answer in self.waiting.values():
             if not answer.done():
                 answer.set_exception(SiteError(f"{self.spec.name}: its process has ended"))
 
 
 class Sites:
-    """All processes of one run. Raises `SiteError` where one does not do as it should."""
+    """All site processes of one run. Raises `SiteError` if one fails."""
 
     def __init__(self, day: Day, clock: Clock, request_log: RequestLog) -> None:
         self.day, self.clock, self.request_log = day, clock, request_log
@@ -95,7 +95,7 @@
         assert process.stdin is not None
         process.stdin.write(encode_frame(spec))
         site_process.reader = asyncio.get_running_loop().create_task(self._read_frames(site_process))
-        await site_process.ask("begin")
+        await site_process.call("begin")
 
     async def _read_frames(self, site_process: SiteProcess) -> None:
         assert site_process.process.stdout is not None
@@ -119,9 +119,9 @@
             site_process.end()
 
     async def gather(self) -> None:
-        """Lay the request logs of all processes into the run's, in the order of time."""
+        """Merge the request logs of all processes into that of the run, in order of time."""
         collected = await asyncio.gather(
-            *(site_process.ask("collect") for site_process in self.site_processes.values())
+            *(site_process.call("collect") for site_process in self.site_processes.values())
         )
         found = cast(list[tuple[RequestLog, int]], collected)
         request_log = self.request_log
@@ -136,13 +136,13 @@
             key=lambda incarnation: (incarnation.at, incarnation.backend, incarnation.incarnation)
         )
         request_log.overload_failures.sort(key=lambda failure: failure[2])
-        request_log.most_late = max(
+        request_log.max_lateness = max(
             [request_log.lateness, *(late for site_log, _ in found for _, late in site_log.stalls)]
         )
-        request_log.stalls[:] = lay_together(request_log.stalls, *(site_log.stalls for site_log, _ in found))
+        request_log.stalls[:] = merge_stalls(request_log.stalls, *(site_log.stalls for site_log, _ in found))
 
     def close(self) -> None:
-        """End what still runs: processes that we started, by the handles we have kept."""
+        """Kill the processes that are still running."""
         for site_process in self.site_processes.values():
             if site_process.reader is not None:
                 site_process.reader.cancel()
@@ -152,28 +152,30 @@
                     site_process.process.kill()
 
     async def ended(self) -> None:
-        """After `close`: until all of them have ended."""
+        """Wait, after `close`, until all processes have ended."""
         for site_process in self.site_processes.values():
             await site_process.process.wait()
 
 
 class RemoteBackend:
-    """A backend at a site, with the calls of `Box` that the timeline makes."""
+    """A backend at a site, with the calls of `BackendServer` that the timeline uses."""
 
     def __init__(self, sites: Sites, name: str, machine: Machine) -> None:
         self.name, self.machine, self.site_process = name, machine, sites.site_processes[machine.zone]
         self.ports: dict[int, int] = {}
-        self.up, self.started, self.made = False, 0, False
+        self.up, self.started, self.is_created = False, 0, False
         sites.backends[name] = self
 
     async def start(self, front_doors: range, warming_up: bool = False) -> None:
         """As `BackendServer.start`."""
-        if self.made:
-            self.started = cast(int, await self.site_process.ask("start_backend", self.name, warming_up))
+        if self.is_created:
+            self.started = cast(int, await self.site_process.call("start_backend", self.name, warming_up))
         else:
-            made = await self.site_process.ask("new_backend", self.name, self.machine, self.ports, warming_up)
+            made = await self.site_process.call(
+                "new_backend", self.name, self.machine, self.ports, warming_up
+            )
             self.ports, self.started = cast(tuple[dict[int, int], int], made)
-        self.up = self.made = True
+        self.up = self.is_created = True
 
     def crash(self) -> None:
         """As `BackendServer.crash`."""
@@ -198,7 +200,7 @@
 
 
 class RemoteCounter:
-    """The counter service at its site, with the calls of `Keeper` that the timeline makes."""
+    """The counter service at its site, with the calls of `CounterServer` that the timeline uses."""
 
     def __init__(self, sites: Sites) -> None:
         self.sites = sites
@@ -211,22 +213,22 @@
 
     @property
     def calls(self) -> int:
-        """Known once the request logs are merged."""
+        """The number of calls, available once the request logs are merged."""
         return self.sites.counter_calls
 
     async def start(self, front_doors: range) -> None:
         """As `CounterServer.start`."""
-        await self.site_process.ask("call_counter", "start", front_doors)
-        self.ports = cast(dict[int, int], await self.site_process.ask("counter_ports"))
+        await self.site_process.call("call_counter", "start", front_doors)
+        self.ports = cast(dict[int, int], await self.site_process.call("counter_ports"))
 
     async def restart(self, front_doors: range, empty: bool) -> None:
         """As `CounterServer.restart`."""
-        await self.site_process.ask("call_counter", "restart", front_doors, empty)
+        await self.site_process.call("call_counter", "restart", front_doors, empty)
 
     async def move(self, front_doors: range) -> None:
         """As `CounterServer.move`."""
-        await self.site_process.ask("call_counter", "move", front_doors)
-        self.ports = cast(dict[int, int], await self.site_process.ask("counter_ports"))
+        await self.site_process.call("call_counter", "move", front_doors)
+        self.ports = cast(dict[int, int], await self.site_process.call("counter_ports"))
 
     def refuse(self) -> None:
         """As `CounterServer.refuse`."""
@@ -238,7 +240,7 @@
 
     async def forget(self, share: float) -> int:
         """As `CounterServer.forget`."""
-        return cast(int, await self.site_process.ask("call_counter", "flush", share))
+        return cast(int, await self.site_process.call("call_counter", "flush", share))
 
     def split(self, *groups: Iterable[int]) -> None:
         """As `CounterServer.split`."""
@@ -249,37 +251,37 @@
         self.site_process.notify("call_counter", "heal")
 
     def close(self) -> None:
-        """Do nothing: it ends with its process."""
+        """Do nothing: the service ends with its process."""
 
 
 class RemoteLinks:
-    """Links, each in the process that it leads to; those to the discovery service in the parent's own."""
+    """Links, each in the process of its target; those to the discovery service are in the parent."""
 
-    def __init__(self, sites: Sites, near: Relay) -> None:
-        self.sites, self.near = sites, near
+    def __init__(self, sites: Sites, local_relay: Relay) -> None:
+        self.sites, self.local_relay = sites, local_relay
 
     async def add(self, source: str, target: str, to: Address) -> Address:
         """As `Relay.add`."""
         site_process = self.sites.site_processes.get(target)
         if site_process is None:
-            return await self.near.add(source, target, to)
-        host, port = cast(Address, await site_process.ask("add_link", source, target, to))
+            return await self.local_relay.add(source, target, to)
+        host, port = cast(Address, await site_process.call("add_link", source, target, to))
         return host, port
 
     def set(self, names: Iterable[str], condition: Condition, target: str = "") -> None:
         """As `Relay.set`."""
         wanted = list(names)
-        self.near.set(wanted, condition, target)
+        self.local_relay.set(wanted, condition, target)
         for site_process in self.sites.site_processes.values():
             site_process.notify("set_links", wanted, condition, target)
 
     def reset(self, names: Iterable[str], target: str = "") -> None:
         """As `Relay.reset`."""
         wanted = list(names)
-        self.near.reset(wanted, target)
+        self.local_relay.reset(wanted, target)
         for site_process in self.sites.site_processes.values():
             site_process.notify("reset_links", wanted, target)
 
     def close(self) -> None:
         """As `Relay.close`."""
-        self.near.close()
+        self.local_relay.close()
--- a/irisdeal/testbed/request_log.py
+++ b/irisdeal/testbed/request_log.py
@@ -1,8 +1,8 @@
-"""The records of the testbed's services, which the audit reads.
+"""Records of the testbed's services, the input of the audit.
 
 All times are whole microseconds of Unix time from one clock (`Clock`), so that the records of one run can be
-compared with each other. A record is written by the service that observed the fact: nothing here is taken from
-what a front door reports about itself.
+compared with each other. A record is written by the service that observed the event; no record comes from a
+front door's own reports.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-SECOND = 1_000_000  # µs
+SECOND = 1_000_000  # in µs
 
 Now = Callable[[], int]
 
 
 def front_door_name(front_door: int) -> str:
-    """How links and holds name a front door."""
+    """Return the name of a front door in links and link faults."""
     return f"door {front_door}"
 
 
 class Clock:
-    """Whole microseconds that never go back and agreed with Unix time at the start."""
+    """A monotonic clock in whole microseconds, set to Unix time at the start."""
 
     def __init__(self, offset: int | None = None) -> None:
-        """`offset` in ns: that of another process's clock on this machine, so that both tell one time."""
+        """`offset` in ns from the monotonic clock; pass that of another process to share its clock."""
         self.offset = time.time_ns() - time.monotonic_ns() if offset is None else offset
 
     def __call__(self) -> int:
@@ -40,14 +40,14 @@
     OPEN = "still out"
     SERVED = "served"
     ERROR = "error"
-    REJECTED = "turned away"  # with X-Never-Ran: the front door knows that it never ran
-    BROKEN = "connection ended"  # while the attempt was out
+    REJECTED = "turned away"  # with the header X-Never-Ran
+    BROKEN = "connection ended"  # before the answer
     SPOILT = "spoilt answer"
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that arrived complete to a backend. `ran` turns true when work on it begins."""
+    """One attempt that a backend received completely. `ran` becomes true once its work is done."""
 
     trace: str
     key: str
@@ -64,15 +64,15 @@
     last_byte: int  # µs
     work: int  # µs of one core at speed 1, handshake included
     ran: bool = False
-    effect: bool = False  # the work was done here and now, not remembered from an earlier repeat
+    effect: bool = False  # the request took effect, rather than repeating one with the same key
     end: End = End.OPEN
-    ended: int = 0  # µs; when its answer was written, or its connection ended
-    body: bytes = b""  # of a served answer
+    ended: int = 0  # µs, when the answer was written or the connection ended
+    body: bytes = b""  # of the answer, if served
 
 
 @dataclass(slots=True)
 class Answer:
-    """What a client received on its connection for one attempt."""
+    """An answer that a client received for an attempt."""
 
     at: int  # µs, of the last byte
     status: int
@@ -82,10 +82,10 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One attempt of a client at one front door, sent at `at`; 0 where no connection came up."""
+    """One attempt of a client at a front door, sent at `at`, which is 0 if no connection was established."""
 
     trace: str
-    request_number: int  # the first attempt and its retries share this number
+    request_number: int  # shared by a first attempt and its retries
     attempt: int  # 0 for the first attempt
     key: str
     kind: str
@@ -93,14 +93,14 @@
     customer: int
     units: float
     front_door: int
-    due: int  # µs, when the client wanted to send it
-    wait: int  # µs that the client waits, from `at`
+    due: int  # µs, scheduled send time
+    wait: int  # timeout of the client in µs, from `at`
     at: int = 0
     answers: list[Answer] = field(default_factory=list)
-    disconnected_at: int = 0  # µs, when its connection ended with no whole answer
-    stray: int = 0  # bytes that belong to no answer
-    crossed: bool = False  # a kept connection closed under it before the front door can have read it
-    gave_up: int = 0  # µs
+    disconnected_at: int = 0  # µs, when the connection ended without a complete answer
+    stray: int = 0  # bytes after the answer
+    crossed: bool = False  # a reused connection closed before the front door can have read it
+    gave_up: int = 0  # µs, when the client timed out
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
     """One entry of the endpoint list as a front door was notified of it."""
 
     front_door: int
-    at: int  # µs, when the agent wrote it, or must be taken to have
+    at: int  # µs, when the agent wrote it
     backend: str
     phase: str  # Ready, Terminating or Gone
     started: int  # µs
@@ -116,18 +116,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendIncarnation:
-    """One start of a backend: what it can do, in seconds of work a second."""
+    """One start of a backend, with its capacity in core seconds a second."""
 
     backend: str
     zone: str
     incarnation: int
-    at: int  # µs; 0 for long ago
-    capacity: float  # core seconds a second once warm
-    initial_capacity: float  # share of it at the start
-    slow_start: int  # µs until warm
+    at: int  # µs; 0 if it is not in slow start
+    capacity: float  # core seconds a second after slow start
+    initial_capacity: float  # as a share of the capacity, at the start
+    slow_start: int  # duration in µs
 
     def now(self, at: int) -> float:
-        """Its capacity at a time, in core seconds a second (BENCH, The world: rises about evenly)."""
+        """Return the capacity at a time, in core seconds a second; it rises linearly (BENCH, The world)."""
         if not self.at or self.slow_start <= 0:
             return self.capacity
         share = min(1.0, max(0.0, (at - self.at) / self.slow_start))
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True)
 class FrontDoorIncarnation:
-    """One process of a front door, as the one who started it saw it."""
+    """One process of a front door, as observed by its parent."""
 
     front_door: int
     pid: int
@@ -151,51 +151,52 @@
 
 @dataclass(slots=True)
 class LinkFault:
-    """A time in which a link kept what was sent through it: a fault of ours, and no front door's lateness."""
+    """A time in which a link withheld or delayed bytes: an injected fault, not lateness of a front door."""
 
     source: str
     target: str
     start: int  # µs
-    end: int = 0  # µs; 0 while it lasts
-    late: int = 0  # µs that each byte was kept; 0: until the end
-    writes: list[int] = field(default_factory=list)  # µs, when the source wrote what was kept till the end
+    end: int = 0  # µs; 0 while it is active
+    late: int = 0  # delay of each byte in µs; 0: withheld until the end
+    writes: list[int] = field(default_factory=list)  # µs, times at which the source wrote withheld bytes
 
 
 @dataclass(slots=True)
 class RequestLog:
-    """All request logs of one run."""
+    """The records of one run."""
 
     attempts: list[Attempt] = field(default_factory=list)
     client_attempts: list[ClientAttempt] = field(default_factory=list)
     endpoint_notices: list[EndpointNotice] = field(default_factory=list)
     incarnations: list[BackendIncarnation] = field(default_factory=list)
-    overload_failures: list[tuple[str, int, int]] = field(default_factory=list)  # backend, life, µs
+    overload_failures: list[tuple[str, int, int]] = field(default_factory=list)  # backend, incarnation, µs
     front_doors: list[FrontDoorIncarnation] = field(default_factory=list)
     link_faults: list[LinkFault] = field(default_factory=list)
-    pauses: list[tuple[int, int, int]] = field(
-        default_factory=list
-    )  # front door, µs from and to: we stopped it
-    faults: list[tuple[int, str]] = field(default_factory=list)  # µs and words, as they came
-    stalls: list[tuple[int, int]] = field(default_factory=list)  # µs when our loop went on, µs it stood still
+    pauses: list[tuple[int, int, int]] = field(default_factory=list)  # front door, start and end in µs
+    faults: list[tuple[int, str]] = field(default_factory=list)  # µs and text, in order
+    # End and duration of a stall of the event loop, µs.
+    stalls: list[tuple[int, int]] = field(default_factory=list)
 
-    most_late: int | None = None  # µs, of any one loop, where the stalls are those of several merged
-    misbehaving_clients: dict[str, int] = field(
-        default_factory=dict
-    )  # connections of no tenant, by how they ended
+    max_lateness: int | None = None  # µs, of any single loop, if the stalls of several are merged
+    misbehaving_clients: dict[str, int] = field(default_factory=dict)  # connections by how they ended
 
     @property
     def lateness(self) -> int:
-        """µs, the most by which a loop of the test services ran late."""
-        return max((late for _, late in self.stalls), default=0) if self.most_late is None else self.most_late
+        """The longest stall of an event loop of the test services, µs."""
+        return (
+            max((late for _, late in self.stalls), default=0)
+            if self.max_lateness is None
+            else self.max_lateness
+        )
 
     def late_within(self, begin: int, end: int) -> int:
-        """µs, the longest stall of which a part lies between these two (µs)."""
+        """Return the longest stall, µs, that overlaps the time from `begin` to `end` (µs)."""
         return max((late for on, late in self.stalls if begin < on and on - late < end), default=0)
 
 
-def lay_together(*request_log: list[tuple[int, int]]) -> list[tuple[int, int]]:
-    """Merge the stalls of several loops into those of one: where any was stalled. Sorted, disjoint."""
-    spans = sorted((end - late, end) for stalls in request_log for end, late in stalls)
+def merge_stalls(*stall_lists: list[tuple[int, int]]) -> list[tuple[int, int]]:
+    """Merge the stalls of several event loops into sorted, disjoint ones."""
+    spans = sorted((end - late, end) for stalls in stall_lists for end, late in stalls)
     found: list[tuple[int, int]] = []
     for begin, end in spans:
         if found and begin <= found[-1][1]:
--- a/irisdeal/testbed/scenario.py
+++ b/irisdeal/testbed/scenario.py
@@ -1,7 +1,7 @@
 """The model of a scenario: the fleet, the plans, the load, and a timeline of faults and signals.
 
-`scenario_files` reads it from TOML, `scenario_checks` rejects figures that make no sense, and
-`front_door_settings` derives the settings of the front doors.
+`scenario_files` reads it from TOML, `scenario_checks` validates the values, and `front_door_settings` derives the
+settings of the front doors.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be played: file, key, and what was wanted."""
+    """An invalid scenario; the message names file, key and expected value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of machine. `speed` is against a yardstick core; slots and queue are counted for each core."""
+    """A kind of machine. `speed` is relative to a reference core."""
 
     name: str = "std"
     share: float = 1.0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The backends. `cross_ms` is the way between two zones, one way, beside what loopback takes."""
+    """The backends. `cross_ms` and `same_ms` are one-way delays between and within zones, besides loopback."""
 
     backends: int = 12
     zones: tuple[str, ...] = ("hall-a", "hall-b", "hall-c")
@@ -49,9 +49,8 @@
     idle_s: float = 30.0
     meter_s: float = 1.0
     meter_late_ms: float = 600.0
-    apart: bool = (
-        False  # each zone's backends, and the counter service, in a process of their own; not in virtual time
-    )
+    # Separate processes for the backends of each zone and for the counter service; not in virtual time.
+    apart: bool = False
     kinds: tuple[Kind, ...] = (Kind(),)
 
 
@@ -75,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan. `rate` in units a second; `burst_s` and `ceiling` are times of it; `tenants` 0: by the load."""
+    """A plan. `rate` in units a second, `ceiling` a multiple of it; `tenants` 0: as many as the load needs."""
 
     name: str
     share: float
@@ -91,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What the tenants ask: `use` of the fleet's capacity inside the quotas, and the shares of odd tenants."""
+    """The load of the tenants: `use` of the fleet's capacity within quotas, and the shares of each manner."""
 
     use: float = 0.5
     calm_use: tuple[float, float] = (0.22, 0.45)
@@ -112,13 +111,13 @@
     backoff_ms: float = 80.0
     honour: float = 0.6
     notice_s: float = 2.0
-    reuse: bool = True  # else each attempt has a connection of its own
-    processes: int = 1  # that the load generators run in
+    reuse: bool = True  # of connections; if false, each attempt opens a new one
+    processes: int = 1  # number of load generator processes
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoverySpec:
-    """How late news of the list is, and how unevenly over the front doors."""
+    """The delay of endpoint list changes, and its spread over the front doors."""
 
     notice_s: float = 2.0
     spread_ms: float = 100.0
@@ -126,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterSpec:
-    """The counter service: calls a second over all parts, time of a call, how long its line may get."""
+    """The counter service: total call rate of all shards, time of a call, and longest wait in a queue."""
 
     calls_per_s: float = 720.0
     shards: int = 3
@@ -138,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RulesSpec:
-    """The figures of the rules."""
+    """The limits of the rules."""
 
     drain_grace_ms: float = 1000.0
     answer_grace_ms: float = 8.0
@@ -151,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontDoorSpec:
-    """What each front door is given and allowed."""
+    """Resources and limits of each front door."""
 
     memory_mb: int = 192
     sockets: int = 1024
@@ -163,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One line of the timeline. What each `do` needs is in `FAULTS`."""
+    """One entry of the timeline. `FAULTS` lists the keys that each `do` requires."""
 
     at_s: float
     do: str
@@ -175,10 +174,10 @@
     ms: float = 0.0
     empty: bool = False
     to: str = ""  # counter service, discovery service or a zone
-    direction: str = "both"  # out, from the front doors; back, to them; both
+    direction: str = "both"  # "out" from the front doors, "back" to them, or "both"
 
     def text(self) -> str:
-        """Return the fault as a line of the report."""
+        """Return the fault as text for the report."""
         needs = FAULTS[self.do]
         texts = {
             "boxes": f"{self.backends} boxes",
@@ -194,55 +193,54 @@
         return " ".join(phrases)
 
 
-# The faults, and the keys that each needs beside `at_s`, as scenario files name them.
+# The faults, and the keys that each requires besides `at_s`, as in scenario files.
 FAULTS: dict[str, tuple[str, ...]] = {
-    "box-hang": ("boxes", "for_s"),  # take requests and answer none
-    "box-slow": ("boxes", "for_s", "size"),  # so many times slower
-    "box-crash": ("boxes", "for_s"),  # the process dies, and starts again, in slow start, after for_s
-    "box-replace": ("boxes", "for_s"),  # a new id, in slow start, at the old one's address after for_s
+    "box-hang": ("boxes", "for_s"),  # admits requests and answers none
+    "box-slow": ("boxes", "for_s", "size"),  # slower by this factor
+    "box-crash": ("boxes", "for_s"),  # the process ends, and restarts with slow start after for_s
+    # A backend with a new id takes the address, with slow start, after for_s.
+    "box-replace": ("boxes", "for_s"),
     "box-drain": ("boxes", "for_s"),  # Terminating; gone after for_s
-    "box-add": ("boxes",),  # new backends, in slow start
-    "box-spoil": ("boxes", "for_s", "size"),  # that share of answers comes spoilt or cut
-    "keeper-silent": ("for_s",),  # no answers; back with its counts
-    "keeper-refuse": ("for_s",),  # connections refused; back with its counts, or `empty`
+    "box-add": ("boxes",),  # new backends, with slow start
+    "box-spoil": ("boxes", "for_s", "size"),  # this share of answers is malformed or truncated
+    "keeper-silent": ("for_s",),  # no answers; keeps its counts
+    "keeper-refuse": ("for_s",),  # connections refused; keeps its counts unless `empty`
     "keeper-slow": ("for_s", "size"),
-    "keeper-flush": ("size",),  # forgets that share of its names
+    "keeper-flush": ("size",),  # loses this share of its names
     "keeper-spoil": ("for_s", "size"),
-    "keeper-split": (
-        "door",
-        "for_s",
-    ),  # front doors before that one have a counter service of their own; its counts stay
+    # Front doors before this one and the others use separate counts; those of the former are kept.
+    "keeper-split": ("door", "for_s"),
     "roster-silent": ("for_s",),
     "roster-late": ("for_s", "size"),  # seconds later than usual
-    "roster-lose": ("for_s", "size"),  # that share of pushes never comes; the next one brings it
-    "hot-door": ("for_s", "size"),  # that share of a tenant's requests gathers on its busiest front door
-    "hall-cut": ("hall", "for_s"),  # no byte passes between the front doors and that zone, both ways
+    "roster-lose": ("for_s", "size"),  # this share of pushes is lost; the next push includes the changes
+    "hot-door": ("for_s", "size"),  # this share of a tenant's requests moves to its busiest front door
+    "hall-cut": ("hall", "for_s"),  # no bytes pass between front doors and zone, in either direction
     "hall-slow": ("hall", "for_s", "ms"),
-    "hall-reset": ("hall",),  # every connection to that zone is reset
-    # The ways that the front doors before `door` have to `to`; other front doors keep theirs.
-    "link-cut": ("door", "to", "for_s"),  # no byte passes and no connection comes up
-    "link-silent": ("door", "to", "way", "for_s"),  # what is written one way, or both, is held
+    "hall-reset": ("hall",),  # all connections to the zone are reset
+    # Links from the front doors before `door` to `to`; other front doors are not affected.
+    "link-cut": ("door", "to", "for_s"),  # no bytes pass and no connection is established
+    "link-silent": ("door", "to", "way", "for_s"),  # bytes in one direction, or both, are withheld
     "link-slow": ("door", "to", "ms", "for_s"),
     "link-reset": ("door", "to"),
-    "door-kill": ("door", "for_s"),  # SIGKILL; started again after for_s
-    "door-restart": ("door",),  # SIGTERM; started again when it has ended
-    "door-stall": ("door", "for_s"),  # SIGSTOP, SIGCONT after for_s: swapped out, or a starved core
-    "door-reload": ("door",),  # discovery service and counter service move, then SIGHUP
-    "rush": ("for_s", "size"),  # all tenants ask so many times as much
-    "greedy": ("for_s", "size"),  # the heavy tenants ask so many times as much, and heed no advice
-    "flood": ("for_s", "size"),  # so many new tenants a second, of the first plan, that ask once each
-    "connect-storm": ("for_s", "size"),  # so many connections a second that say nothing
-    "slow-readers": ("for_s", "size"),  # so many connections that ask and never read an answer
+    "door-kill": ("door", "for_s"),  # SIGKILL; restarted after for_s
+    "door-restart": ("door",),  # SIGTERM; restarted when it has ended
+    "door-stall": ("door", "for_s"),  # SIGSTOP, SIGCONT after for_s: as when swapped out or without CPU time
+    "door-reload": ("door",),  # discovery and counter services change addresses, then SIGHUP
+    "rush": ("for_s", "size"),  # all tenants send this many times as many requests
+    "greedy": ("for_s", "size"),  # heavy tenants send this many times as many, and ignore Retry-After
+    "flood": ("for_s", "size"),  # this many new tenants a second, of the first plan, with one request each
+    "connect-storm": ("for_s", "size"),  # this many connections a second that send nothing
+    "slow-readers": ("for_s", "size"),  # this many connections that send requests and never read
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """All of a day but its seed."""
+    """Everything that defines a day, except the seed it is drawn with."""
 
     name: str
     about: str = ""
-    seed: int = 1  # that it is played with, unless another one is asked for
+    seed: int = 1  # the default seed
     seconds: float = 20.0
     front_doors: int = 3
     front_door: FrontDoorSpec = field(default_factory=FrontDoorSpec)
@@ -256,9 +254,9 @@
     faults: tuple[Fault, ...] = ()
 
     def resized(self, front_doors: int | None = None, seconds: float | None = None) -> Scenario:
-        """Change the number of front doors or the length; the timeline is scaled with it.
+        """Return a copy with another number of front doors or another length, with the timeline scaled to it.
 
-        A fault that names a front door which is not there goes to the last one.
+        A fault of a front door beyond the new number applies to the last one.
         """
         made = self
         if front_doors is not None:
@@ -279,17 +277,17 @@
         return made
 
     def doing(self, what: str) -> list[tuple[int, int, float]]:
-        """When a fault of that name begins and ends (µs from the start), and its size, for each."""
+        """Return begin, end (µs from the start) and size of each fault with this name."""
         faults = [fault for fault in self.faults if fault.do == what]
         return [(microseconds(f.at_s * 1e3), microseconds((f.at_s + f.for_s) * 1e3), f.size) for f in faults]
 
     def burst(self, plan: Plan) -> float:
-        """Units that a tenant's quota holds: two of the largest requests at least, four under a ceiling."""
+        """Return the burst of a plan's quota, at least two of the largest requests, or four with a ceiling."""
         most = max(c.units for c in self.classes)
         return max(round(plan.rate * plan.burst_s), most * (4.0 if plan.ceiling else 2.0))
 
     def ceiling(self, plan: Plan) -> Ceiling | None:
-        """Return the hard ceiling of a plan; None where it has none."""
+        """Return the hard ceiling of a plan; None if it has none."""
         if not plan.ceiling:
             return None
         depth = float(round(self.burst(plan) * plan.ceiling))
@@ -297,7 +295,7 @@
         return Ceiling(plan.rate * plan.ceiling, depth, max(depth * self.rules.ceiling_slack, most))
 
     def figures(self, cells: Mapping[str, int]) -> Figures:
-        """Return the rules' figures, as the front doors' settings have them."""
+        """Return the rules' limits, as in the front doors' settings."""
         ceilings = {plan.name: c for plan in self.plans if (c := self.ceiling(plan)) is not None}
         rules = self.rules
         return Figures(
--- a/irisdeal/testbed/scenario_checks.py
+++ b/irisdeal/testbed/scenario_checks.py
@@ -1,6 +1,6 @@
-"""Checks of a scenario whose values are of the right types: figures that make no sense are rejected.
+"""Validates the values of a scenario, whose types are checked already.
 
-Errors name the keys of the scenario file. The checks run in a fixed order, and the first that fails raises.
+Errors name the keys of the scenario file. The checks run in a fixed order, and the first failure raises.
 """
 
 from __future__ import annotations
@@ -11,15 +11,16 @@
 from irisdeal.testbed.scenario_keys import field_of, key_of
 
 MAX_SECONDS = 3600.0  # of a day
-MAX_FRONT_DOORS = 64  # that one machine can start
-MAX_BACKENDS = 200  # likewise
+MAX_FRONT_DOORS = 64  # as many as one machine can run
+MAX_BACKENDS = 200  # as many as one machine can run
 MAX_PROCESSES = 8  # of the load generator
-MAX_NUMBER = 1e9  # of any figure: a larger one is a slip of the unit
-SHARE_FAULTS = ("keeper-flush", "keeper-spoil", "box-spoil", "roster-lose", "hot-door")  # size is a share
+MAX_NUMBER = 1e9  # of any value: a larger one is likely in the wrong unit
+# Faults whose size is a share.
+SHARE_FAULTS = ("keeper-flush", "keeper-spoil", "box-spoil", "roster-lose", "hot-door")
 
 
 def check(scenario: Scenario, where: str) -> None:
-    """Check all figures of a scenario read from `where`. Raises `ScenarioError` with key and what was wanted."""
+    """Check all values of a scenario read from `where`. Raises `ScenarioError` with key and expected value."""
     checks = _Checks(where, scenario)
     checks.top()
     checks.ranges()
@@ -40,7 +41,7 @@
     scenario: Scenario
 
     def need(self, fulfilled: bool, key: str, value: object, wanted: str) -> None:
-        """Raise `ScenarioError` unless this is fulfilled."""
+        """Raise `ScenarioError` unless `fulfilled`."""
         if not fulfilled:
             raise ScenarioError(f"{self.where}: {key} is {value!r}: wanted {wanted}")
 
@@ -56,7 +57,7 @@
         self.need(0 < value <= 1, f"{at}.{key}", value, "over 0 and at most 1")
 
     def top(self) -> None:
-        """Check length, seed and front doors, and that there are classes and plans."""
+        """Check length, seed and front doors, and require classes and plans."""
         made = self.scenario
         self.need(0.5 <= made.seconds <= MAX_SECONDS, "seconds", made.seconds, f"0.5 to {MAX_SECONDS:g}")
         self.need(0 <= made.seed < 2**63, "seed", made.seed, "0 to 2**63 - 1")
@@ -67,7 +68,7 @@
         self.need(bool(made.plans), "plan", [], "at least one [[plan]]")
 
     def ranges(self) -> None:
-        """No number of any table is negative or beyond use."""
+        """Check that the numbers of all tables are in range."""
         made = self.scenario
         tables: list[tuple[str, object]] = [
             ("fleet", made.fleet),
@@ -85,7 +86,7 @@
             self.in_range(table, at)
 
     def in_range(self, table: object, at: str) -> None:
-        """Check that no number of a table is negative or beyond use."""
+        """Check that the numbers of a table are at least 0 and below `MAX_NUMBER`, and ranges in order."""
         for f in fields(table):  # type: ignore[arg-type]
             value, key = getattr(table, f.name), f"{at}.{key_of(f.name)}"
             for number in value if isinstance(value, tuple) else (value,):
@@ -106,7 +107,7 @@
             self.positive_share(kind, f"fleet.kind[{number}]", "cold_from")
 
     def services(self) -> None:
-        """Check the counter service and the figures of the rules."""
+        """Check the counter service and the limits of the rules."""
         self.positive(self.scenario.counter, "keeper", "calls_per_s", "parts", "timeout_ms")
         self.positive_share(self.scenario.rules, "rules", "start_capacity")
         self.positive(self.scenario.rules, "rules", "fall_multiple", "fall_ms")
--- a/irisdeal/testbed/scenario_files.py
+++ b/irisdeal/testbed/scenario_files.py
@@ -1,7 +1,7 @@
-"""Scenarios from TOML files: reading, inheritance by `base`, and errors that name file, key and what was wanted.
+"""Reads scenarios from TOML files, with inheritance by `base`. Errors name file, key and expected value.
 
-An unknown key is an error too, since a key that is ignored is a setting forgotten. A scenario may name another
-one as its `base`: its tables are then laid over that one's, key by key.
+An unknown key is an error, since it is likely a misspelled setting. A scenario can name another one as its `base`:
+its tables then override that one's, key by key.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 
 BUILT_IN = resources.files("irisdeal.testbed") / "scenarios"
 MAX_BYTES = 262_144  # of a scenario file
-MAX_BASES = 4  # a chain of bases longer than this is a circle
-WANTED = {  # by the type of a field, in the words of an error
+MAX_BASES = 4  # a longer chain of bases is treated as a cycle
+TYPE_TEXTS = {  # expected value in error messages, by the type of a field
     "float": "a number",
     "int": "a whole number",
     "str": "a text",
@@ -53,20 +53,20 @@
 
 def load(name: str) -> Scenario:
     """Read a built-in scenario by its name, or one from a file by its path. Raises `ScenarioError`."""
-    return _Reading(name).scenario(_merged(name, 0))
+    return _Reader(name).scenario(_load_tables(name, 0))
 
 
 def parse(text: str, where: str = "scenario") -> Scenario:
     """Read a scenario from its text."""
-    return _Reading(where).scenario(_overlaid(_toml(text, where), where, 0))
+    return _Reader(where).scenario(_resolve_base(_toml(text, where), where, 0))
 
 
 def read(table: Mapping[str, Any], where: str = "scenario") -> Scenario:
-    """Read a scenario from its tables, as TOML gives them; they are left as they are."""
-    return _Reading(where).scenario(_overlaid(dict(table), where, 0))
+    """Read a scenario from its tables, as parsed from TOML; they are not modified."""
+    return _Reader(where).scenario(_resolve_base(dict(table), where, 0))
 
 
-def _merged(name: str, depth: int) -> dict[str, Any]:
+def _load_tables(name: str, depth: int) -> dict[str, Any]:
     if name in names():
         text = (BUILT_IN / f"{name}.toml").read_text("utf-8")
     else:
@@ -83,7 +83,7 @@
             text = raw.decode("utf-8")
         except UnicodeDecodeError as error:
             raise ScenarioError(f"{name}: not UTF-8 at byte {error.start}") from None
-    return _overlaid(_toml(text, name), name, depth)
+    return _resolve_base(_toml(text, name), name, depth)
 
 
 def _toml(text: str, where: str) -> dict[str, Any]:
@@ -93,7 +93,7 @@
         raise ScenarioError(f"{where}: no TOML: {error}") from None
 
 
-def _overlaid(table: dict[str, Any], where: str, depth: int) -> dict[str, Any]:
+def _resolve_base(table: dict[str, Any], where: str, depth: int) -> dict[str, Any]:
     base = table.pop("base", None)
     if base is None:
         return table
@@ -101,25 +101,25 @@
         raise ScenarioError(f"{where}: base: wanted the name of a scenario, not {base!r}")
     if depth >= MAX_BASES:
         raise ScenarioError(f"{where}: base: a chain of over {MAX_BASES} scenarios, perhaps a circle")
-    return _over(_merged(base, depth + 1), table)
+    return _overlay(_load_tables(base, depth + 1), table)
 
 
-def _over(under: dict[str, Any], upper: dict[str, Any]) -> dict[str, Any]:
-    made = dict(under)
-    for key, value in upper.items():
+def _overlay(base: dict[str, Any], override: dict[str, Any]) -> dict[str, Any]:
+    made = dict(base)
+    for key, value in override.items():
         old = made.get(key)
-        made[key] = _over(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
+        made[key] = _overlay(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return made
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
-    """Reads one file; each error names it."""
+class _Reader:
+    """Converts the tables of one file; each error names the file."""
 
     where: str
 
-    def wrong(self, key: str, value: object, wanted: str) -> ScenarioError:
-        """Make the error of a value that is not as wanted."""
+    def error(self, key: str, value: object, wanted: str) -> ScenarioError:
+        """Return the error for an invalid value."""
         return ScenarioError(f"{self.where}: {key} is {value!r}: wanted {wanted}")
 
     def scenario(self, table: dict[str, Any]) -> Scenario:
@@ -155,7 +155,7 @@
     def list(self, value: object, key: str) -> list[object]:
         """Require a list of tables."""
         if not isinstance(value, list):
-            raise self.wrong(key, value, f"a list of tables, [[{key}]]")
+            raise self.error(key, value, f"a list of tables, [[{key}]]")
         return value
 
     def tables(self, kind: type[Table], value: object, key: str) -> Iterator[Table]:
@@ -166,7 +166,7 @@
     def table(self, kind: type[Table], value: object, key: str) -> Table:
         """Make a dataclass from its table. Unknown and missing keys are errors."""
         if not isinstance(value, dict):
-            raise self.wrong(key, value, "a table")
+            raise self.error(key, value, "a table")
         known = {_key_in(kind, f.name): f.name for f in fields(kind)}  # type: ignore[arg-type]
         made: dict[str, object] = {}
         for name, inner in value.items():
@@ -184,35 +184,35 @@
             raise ScenarioError(f"{self.where}: {key}: missing {missing}") from None
 
     def value(self, kind: type, name: str, value: object, key: str) -> object:
-        """Check a value against its field's type; whole numbers pass for decimals."""
+        """Check a value against its field's type; an integer is accepted for a float."""
         wanted = next(str(f.type) for f in fields(kind) if f.name == name)
         if wanted == "float" and _is_number(value):
             return float(value)  # type: ignore[arg-type]
         if wanted == "tuple[float, float]":
             return self.pair(value, key)
-        fits = {
+        matches = {
             "int": isinstance(value, int) and not isinstance(value, bool),
             "str": isinstance(value, str),
             "bool": isinstance(value, bool),
             "tuple[str, ...]": isinstance(value, list) and all(isinstance(v, str) for v in value),
         }
-        if not fits.get(wanted, False):
-            raise self.wrong(key, value, WANTED[wanted])
+        if not matches.get(wanted, False):
+            raise self.error(key, value, TYPE_TEXTS[wanted])
         return tuple(value) if isinstance(value, list) else value
 
     def pair(self, value: object, key: str) -> tuple[float, float]:
-        """Read least and most; a number alone is both."""
+        """Read a range as minimum and maximum; a single number is both."""
         if _is_number(value):
             return float(value), float(value)  # type: ignore[arg-type]
         if isinstance(value, list) and len(value) == 2 and all(map(_is_number, value)):
             return float(value[0]), float(value[1])
-        raise self.wrong(key, value, WANTED["tuple[float, float]"])
+        raise self.error(key, value, TYPE_TEXTS["tuple[float, float]"])
 
     def fault(self, line: object, n: int) -> Fault:
-        """Make a fault with the keys that its kind needs, and no others."""
+        """Make a fault, which must have exactly the keys that its kind requires."""
         fault = self.table(Fault, line, f"at[{n}]")
         if fault.do not in FAULTS:
-            raise self.wrong(f"at[{n}].do", fault.do, f"one of {', '.join(FAULTS)}")
+            raise self.error(f"at[{n}].do", fault.do, f"one of {', '.join(FAULTS)}")
         assert isinstance(line, dict)
         for key in FAULTS[fault.do]:
             if key not in line:
--- a/irisdeal/testbed/site_frames.py
+++ b/irisdeal/testbed/site_frames.py
@@ -1,7 +1,8 @@
-"""Frames between a parent and the processes of its sites.
+"""Frames between a parent and its site processes.
 
-A frame is a length (4 bytes, big end first) and a pickled tuple. Down: (number, call, arguments), number 0 for a
-notification. Up: (number, value), or (0, notification). Pickle is safe here, since both ends are this package.
+A frame is a length (4 bytes, big-endian) and a pickled tuple. Parent to site: (number, call, arguments), with
+number 0 for a notification. Site to parent: (number, value), or (0, notification). Pickle is safe here, since
+both ends are this package.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 from irisdeal.testbed.workload import Day
 
-MAX_FRAME = 1 << 30  # bytes: a length over this is noise on the pipe
-COUNTER_SITE = "keeper"  # the site of the counter service, and the name of the links that lead there
+MAX_FRAME_BYTES = 1 << 30  # a larger length is treated as corrupt
+COUNTER_SITE = "keeper"  # the site of the counter service, and the target name of its links
 
 
 class SiteError(Exception):
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteSpec:
-    """What one process serves: a zone, or the counter service. `offset` (ns) is that of the run's clock."""
+    """The site of one process: a zone, or the counter service. `offset` (ns) is that of the run's clock."""
 
     day: Day
     name: str
@@ -30,15 +31,15 @@
 
 
 def encode_frame(value: object) -> bytes:
-    """Return the frame of a value: its length in 4 bytes, big end first, and its pickled form."""
+    """Return the frame of a value: its length in 4 bytes, big-endian, and its pickled form."""
     text = pickle.dumps(value)
     return len(text).to_bytes(4, "big") + text
 
 
 async def read_frame(reader: asyncio.StreamReader) -> object:
-    """Read the next frame; raises IncompleteReadError at the end of the stream."""
+    """Read the next frame. Raises IncompleteReadError at the end of the stream."""
     size = int.from_bytes(await reader.readexactly(4), "big")
-    if size > MAX_FRAME:
+    if size > MAX_FRAME_BYTES:
         raise SiteError(f"a frame of {size} bytes")
     value: object = pickle.loads(await reader.readexactly(size))
     return value
--- a/irisdeal/testbed/site_processes.py
+++ b/irisdeal/testbed/site_processes.py
@@ -1,9 +1,8 @@
 """The process of a site: the backends of a zone, or the counter service, with their links and records.
 
-A site serves one zone (its backends, their shared idempotency memory, and the links that lead to them) or the
-counter service, for fleets that one event loop cannot serve in time. Records are kept where the fact is
-observed, on the machine's one monotonic clock, and merged at the end by the parent (`remote_services`). Calls
-take effect in the order in which they were made.
+A site serves one zone (its backends, their shared idempotency memory, and the links to them) or the counter
+service, for fleets that are too large for one event loop. Each process records events on the machine's monotonic
+clock, and the parent merges the records at the end (`remote_services`). Calls take effect in order.
 """
 
 from __future__ import annotations
@@ -23,12 +22,12 @@
 from irisdeal.testbed.site_frames import SiteSpec, encode_frame, read_frame
 from irisdeal.testbed.workload import Day, Machine
 
-METER_EVERY = 0.1  # s between two reports of what was used; the meter itself publishes far later
+METER_INTERVAL_S = 0.1  # between usage reports to other sites; the meter publishes far less often
 Call = tuple[int, str, tuple[object, ...]]  # number, name of the method, arguments
 
 
 class _SharedMeter(Meter):
-    """Counts what arrives here, and keeps it to be sent to the other sites."""
+    """Counts requests that arrive here, and collects them to be sent to the other sites."""
 
     __slots__ = ("unsent",)
 
@@ -47,13 +46,13 @@
         self.unsent.append((trace, plan, customer, units, now))
 
     def add_remote(self, usage: list[tuple[str, str, int, float, int]]) -> None:
-        """Add what another site has counted."""
+        """Add the usage counted at another site."""
         for trace, plan, customer, units, at in usage:
             super().add(trace, plan, customer, units, at)
 
 
 class Site:
-    """What one process has. Each method that a frame may name is a call of the parent's."""
+    """The services of one process. The parent calls its public methods by frames."""
 
     def __init__(self, spec: SiteSpec, write: Callable[[object], None]) -> None:
         self.day, self.name, self.write = spec.day, spec.name, write
@@ -76,21 +75,21 @@
             self.meter,
             tuple(zones[number % len(zones)] for number in self.front_doors),
         )
-        self.late = LoopLagMonitor(self.request_log.stalls, self.now)
+        self.lag_monitor = LoopLagMonitor(self.request_log.stalls, self.now)
 
     def begin(self) -> None:
         """Start monitoring the loop's lag and sharing the meter."""
-        self.late.start()
+        self.lag_monitor.start()
         self._send_meter()
 
     def _send_meter(self) -> None:
         if self.meter.unsent:
             self.write((0, ("meter", self.meter.unsent)))
             self.meter.unsent = []
-        asyncio.get_running_loop().call_later(METER_EVERY, self._send_meter)
+        asyncio.get_running_loop().call_later(METER_INTERVAL_S, self._send_meter)
 
     def add_remote_usage(self, usage: list[tuple[str, str, int, float, int]]) -> None:
-        """Add what another site's meter has counted."""
+        """Add the usage counted by another site's meter."""
         self.meter.add_remote(usage)
 
     async def new_backend(
@@ -100,7 +99,7 @@
         ports: dict[int, int],
         warming_up: bool,
     ) -> tuple[dict[int, int], int]:
-        """Make a backend and start it; its ports by front door, and since when it is up, µs."""
+        """Create and start a backend; returns its ports by front door, and its start time, µs."""
         backend = self.backends[name] = _MonitoredBackend(
             name, machine, self.memory, self.context, self._backend_down
         )
@@ -109,18 +108,18 @@
         return backend.ports, backend.started
 
     async def start_backend(self, name: str, warming_up: bool) -> int:
-        """Up again, at its old ports; since when, µs."""
+        """Restart a backend on the same ports; returns its start time, µs."""
         await self.backends[name].start(self.front_doors, warming_up)
         return self.backends[name].started
 
     def call_backend(self, name: str, call: str, *arguments: object) -> None:
-        """Call a method of a backend, unless it has failed meanwhile."""
+        """Call a method of a backend; after a failure only `crash` is called."""
         backend = self.backends[name]
-        if backend.up or call == "crash":  # it may have fallen over meanwhile
+        if backend.up or call == "crash":  # it may have failed from overload
             getattr(backend, call)(*arguments)
 
     async def call_counter(self, call: str, *arguments: object) -> object:
-        """Call a method of the counter service; its result."""
+        """Call a method of the counter service; returns its result."""
         made = getattr(self.counter, call)(*arguments)
         return await made if asyncio.iscoroutine(made) else made
 
@@ -129,7 +128,7 @@
         return self.counter.ports
 
     async def add_link(self, source: str, target: str, to: Address) -> Address:
-        """Open a link to this site; its address."""
+        """Open a link to this site; returns its address."""
         return await self.relay.add(source, target, to)
 
     def set_links(self, names: list[str], condition: Condition, target: str) -> None:
@@ -144,12 +143,12 @@
         self.write((0, ("down", name)))
 
     def collect(self) -> tuple[RequestLog, int]:
-        """All that was seen here, and how many calls the counter service had."""
+        """Return the request log of this process, and the number of calls of the counter service."""
         return self.request_log, self.counter.calls
 
     def close(self) -> None:
         """Stop everything in this process."""
-        self.late.stop()
+        self.lag_monitor.stop()
         for backend in self.backends.values():
             if backend.up:
                 backend.crash()
@@ -178,7 +177,7 @@
 
 
 async def _serve(reader: asyncio.StreamReader) -> None:
-    """Serve the process of a site until its parent's end of the pipe closes."""
+    """Serve calls until the parent closes the pipe."""
 
     def write(value: object) -> None:
         """Write a frame to the parent."""
@@ -195,7 +194,7 @@
             try:
                 value = getattr(site, call)(*arguments)
                 value = await value if asyncio.iscoroutine(value) else value
-            except Exception as error:  # goes to whoever asked
+            except Exception as error:  # returned to the caller
                 value = RuntimeError(f"{call}: {error!r}")
             if number:
                 write((number, value))
@@ -214,8 +213,8 @@
 if __name__ == "__main__":
     import uvloop
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a Ctrl-C is the parent's, which ends this
-    # Under its own name, so that what is pickled here is what the parent knows.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # on Ctrl-C the parent ends this process
+    # Import by name, so that pickled classes do not belong to `__main__`.
     from irisdeal.testbed import site_processes
 
     uvloop.run(site_processes._main())
--- a/irisdeal/testbed/workload.py
+++ b/irisdeal/testbed/workload.py
@@ -1,8 +1,8 @@
 """A day drawn from a scenario and a seed: machines, tenants, and every first attempt with its time. Pure.
 
-The same scenario and seed give the same day every time, on any machine and under any hash seed: each thing
-that is drawn has a random stream of its own, named by its purpose, so that a change to one draw moves no other.
-The names of the streams are part of every digest of a seeded run and never change.
+The same scenario and seed give the same day on any machine and under any hash seed. Each draw uses a separate
+random stream, named by its purpose, so that a change to one draw does not affect the others. The stream names
+determine the digests of seeded runs and must not change.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from irisdeal.testbed.request_log import SECOND
 from irisdeal.testbed.scenario import Class, Plan, Scenario
 
-MIN_TENANTS = 2  # of each plan: one alone would make its plan
-MOST_ARRIVALS = 2_000_000  # of a day: a load over this is refused rather than drawn
+MIN_TENANTS = 2  # of each plan: a single one would determine the plan's results
+MAX_ARRIVALS = 2_000_000  # of a day: a larger load is rejected
 
 
 def stream(seed: int, *name: object) -> random.Random:
-    """Make a random stream for each name."""
+    """Return the random stream of a name."""
     digest = hashlib.blake2b(repr((seed, *name)).encode(), digest_size=16).digest()
     return random.Random(int.from_bytes(digest))
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One backend as drawn. `speed` is that of one core; slots and queue are whole numbers for the backend."""
+    """One backend as drawn. `speed` is that of one core; `slots` and `queue` are totals of the backend."""
 
     number: int
     zone: str
@@ -45,23 +45,23 @@
 
     @property
     def capacity(self) -> float:
-        """Core seconds of work a second."""
+        """Core seconds of work a second, after slow start."""
         return self.cores * self.speed
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer and how it asks."""
+    """One customer and its load."""
 
     customer: int
     plan: int
-    first: int  # of its front doors
+    first: int  # number of the first of its front doors
     spread: int
-    rate: float  # units a second that it asks, spikes apart
-    manner: str  # calm, full, heavy or spiky; new: it comes with a flood
-    spikes: tuple[tuple[int, int, float], ...]  # start and end (µs from the start), times the plan's rate
-    honours: bool  # Retry-After
-    once: int = 0  # µs from the start at which one that came with a flood asks, its only time; 0: not so
+    rate: float  # units a second that it requests, except in spikes
+    manner: str  # calm, full, heavy or spiky; new: part of a flood
+    spikes: tuple[tuple[int, int, float], ...]  # start, end (µs from the start), multiple of the plan's rate
+    honors_retry_after: bool
+    flood_at: int = 0  # time of the only request of a tenant in a flood, µs from the start; else 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """All that is drawn ahead."""
+    """A scenario and what is drawn from it."""
 
     scenario: Scenario
     seed: int
@@ -85,27 +85,27 @@
     arrivals: tuple[Arrival, ...]
 
     def digest(self) -> str:
-        """Digest the whole schedule: the same for the same seed."""
+        """Return the digest of the schedule, which depends on scenario and seed alone."""
         text = digest_text((self.machines, self.tenants, self.arrivals)).encode()
         return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
 def draw(scenario: Scenario, seed: int) -> Day:
-    """Draw the day of this seed. ValueError where the load is past any use."""
+    """Draw the day of a seed. Raises ValueError if it has more than `MAX_ARRIVALS` requests."""
     machines = tuple(machine(scenario, seed, n) for n in range(scenario.fleet.backends))
     tenants = (*_tenants(scenario, seed, machines), *_flood(scenario, seed))
     expected = sum(s.rate for s in tenants) / mean_units(scenario) * scenario.seconds
-    expected += sum(bool(s.once) for s in tenants)
-    if expected > MOST_ARRIVALS:
-        raise ValueError(f"{scenario.name}: about {expected:.0f} requests: wanted at most {MOST_ARRIVALS}")
+    expected += sum(bool(s.flood_at) for s in tenants)
+    if expected > MAX_ARRIVALS:
+        raise ValueError(f"{scenario.name}: about {expected:.0f} requests: wanted at most {MAX_ARRIVALS}")
     return Day(scenario, seed, machines, tenants, tuple(_arrivals(scenario, seed, tenants)))
 
 
 def machine(scenario: Scenario, seed: int, number: int) -> Machine:
-    """Draw the backend of this number; numbers past the fleet's are those that come later."""
+    """Draw the backend of a number; numbers beyond the fleet are backends that are added later."""
     fleet, rng = scenario.fleet, stream(seed, "machine", number)
     total = sum(k.share for k in fleet.kinds)
-    # Kinds by their share without luck: the low-discrepancy sequence keeps a small fleet near its shares.
+    # A low-discrepancy sequence keeps the kinds of a small fleet near their shares.
     point = (0.5 + number * 0.618033988749895) % 1.0 * total
     for kind in fleet.kinds:
         point -= kind.share
@@ -141,56 +141,58 @@
     return sum(c.share * c.work_ms for c in scenario.classes) / shares / 1e3 / mean_units(scenario)
 
 
-def _inside(manner: str, use: float) -> float:
+def _use_within_quota(manner: str, use: float) -> float:
     """Estimate the share of its rate that a tenant uses within its quota."""
     return {"calm": use, "spiky": use + 0.1, "full": 0.92, "heavy": 1.0}[manner]
 
 
 def _tenants(scenario: Scenario, seed: int, machines: tuple[Machine, ...]) -> Iterator[Tenant]:
     load = scenario.load
-    inside = load.use * sum(m.capacity for m in machines) / mean_work(scenario)  # units a second, all plans
+    # Units a second, over all plans.
+    units_within_quota = load.use * sum(m.capacity for m in machines) / mean_work(scenario)
     shares = sum(p.share for p in scenario.plans)
     for n, plan in enumerate(scenario.plans):
         rng = stream(seed, "stores", n)
-        wanted, used, made = inside * plan.share / shares, 0.0, 0
+        target, used, made = units_within_quota * plan.share / shares, 0.0, 0
         manners = _manners(scenario, rng)
-        while made < plan.tenants or (not plan.tenants and (made < MIN_TENANTS or used < wanted)):
+        while made < plan.tenants or (not plan.tenants and (made < MIN_TENANTS or used < target)):
             manner = next(manners)
             use = rng.uniform(*load.calm_use)
-            used += _inside(manner, use) * plan.rate
+            used += _use_within_quota(manner, use) * plan.rate
             made += 1
             yield _tenant(scenario, plan, n, rng, manner, use)
 
 
 def _flood(scenario: Scenario, seed: int) -> Iterator[Tenant]:
-    """Draw the tenants that come once, at even times with chance between: `size` of them a second."""
+    """Draw the tenants of floods, with one request each: `size` tenants a second, evenly spaced with jitter."""
     rng = stream(seed, "flood")
     for fault in scenario.faults:
         if fault.do == "flood":
             for n in range(round(fault.size * fault.for_s)):
                 at = fault.at_s + (n + rng.random()) / fault.size
                 tenant = _tenant(scenario, scenario.plans[0], 0, rng, "new", 0.0)
-                yield replace(tenant, once=max(1, round(at * SECOND)))
+                yield replace(tenant, flood_at=max(1, round(at * SECOND)))
 
 
 def _manners(scenario: Scenario, rng: random.Random) -> Iterator[str]:
-    """Manners by their shares, in an order drawn for each hundred: few tenants must not be all of one."""
+    """Yield manners by their shares, shuffled in batches of 100 so that few tenants are not all alike."""
     load = scenario.load
     counts = [("full", load.full), ("heavy", load.heavy), ("spiky", load.spiky)]
     while True:
-        hundred = [name for name, share in counts for _ in range(round(100 * share))][:100]
-        hundred += ["calm"] * (100 - len(hundred))
-        rng.shuffle(hundred)
-        yield from hundred
+        batch = [name for name, share in counts for _ in range(round(100 * share))][:100]
+        batch += ["calm"] * (100 - len(batch))
+        rng.shuffle(batch)
+        yield from batch
 
 
 def _tenant(
     scenario: Scenario, plan: Plan, number: int, rng: random.Random, manner: str, use: float
 ) -> Tenant:
     load, front_doors = scenario.load, scenario.front_doors
-    least = min(2, front_doors)
-    spread = min(front_doors, max(least, round(rng.uniform(*load.spread) * front_doors)))
-    if ceiling := scenario.ceiling(plan):  # its part of the ceiling must hold a request of the largest kind
+    min_spread = min(2, front_doors)
+    spread = min(front_doors, max(min_spread, round(rng.uniform(*load.spread) * front_doors)))
+    # Each front door's part of the ceiling must hold the largest request.
+    if ceiling := scenario.ceiling(plan):
         most = max(c.units for c in scenario.classes)
         spread = max(1, min(spread, int(ceiling.depth / (2 * most))))
     rate = (
@@ -229,30 +231,30 @@
     kinds = range(len(scenario.classes))
     for n, tenant in enumerate(tenants):
         rng = stream(seed, "arrivals", n)
-        if tenant.once:
-            if tenant.once < scenario.seconds * SECOND:
-                found.append((tenant.once, n, rng.choices(kinds, weights)[0]))
+        if tenant.flood_at:
+            if tenant.flood_at < scenario.seconds * SECOND:
+                found.append((tenant.flood_at, n, rng.choices(kinds, weights)[0]))
             continue
-        swells = rushes + (greedy if tenant.manner == "heavy" else [])
+        surges = rushes + (greedy if tenant.manner == "heavy" else [])
         plan_rate = scenario.plans[tenant.plan].rate
-        # Thinning (Lewis and Shedler 1979): draw at the highest rate, keep by the share of the present one.
+        # Thinning (Lewis and Shedler 1979): draw at the highest rate, keep each by the ratio of the present rate.
         top = max([tenant.rate, *(times * plan_rate for _, _, times in tenant.spikes)])
-        top *= math.prod([1.0, *(max(1.0, size) for _, _, size in swells)])
+        top *= math.prod([1.0, *(max(1.0, size) for _, _, size in surges)])
         at = 0.0
         while (at := at + rng.expovariate(top / units)) < scenario.seconds:
             now = round(at * 1e6)
-            if rng.random() * top < _rate(tenant, plan_rate, swells, now):
+            if rng.random() * top < _rate(tenant, plan_rate, surges, now):
                 found.append((now, n, rng.choices(kinds, weights)[0]))
     found.sort()
     for request_number, (now, n, kind) in enumerate(found):
         yield Arrival(now, n, kind, request_number)
 
 
-def _rate(tenant: Tenant, plan_rate: float, swells: list[tuple[int, int, float]], now: int) -> float:
-    """Return the units a second that a tenant asks at `now` (µs from the start), with spikes and swells."""
+def _rate(tenant: Tenant, plan_rate: float, surges: list[tuple[int, int, float]], now: int) -> float:
+    """Return the units a second that a tenant requests at `now` (µs from the start), with spikes and surges."""
     spike = next((times for start, end, times in tenant.spikes if start <= now < end), None)
     rate = tenant.rate if spike is None else spike * plan_rate
-    return rate * math.prod(size for start, end, size in swells if start <= now < end)
+    return rate * math.prod(size for start, end, size in surges if start <= now < end)
 
 
 def trace(seed: int, request_number: int, attempt: int) -> str:
@@ -266,7 +268,7 @@
 
 
 def work(seed: int, name: str, kind: Class) -> int:
-    """µs of work of a request, by its id: lognormal with the class's mean and spread.
+    """Draw the work of a request, in µs, by its id: lognormal with the class's mean and coefficient of variation.
 
     A mean m and a coefficient of variation c are those of exp(N(ln m - s²/2, s²)) with s² = ln(1 + c²).
     """
@@ -277,9 +279,9 @@
 
 
 def weights(seed: int, scenario: Scenario, tenant: int, spread: int, now: int) -> list[float]:
-    """How a tenant's requests are dealt out over its front doors at a time (µs from the start); sums to 1.
+    """Return the shares of a tenant's front doors in its requests at `now` (µs from the start); they sum to 1.
 
-    The busiest changes every `shift_s`; a hot front door takes its share of them while it lasts.
+    The busiest front door changes every `shift_s`. During a hot-door fault it receives an additional share.
     """
     load = scenario.load
     turn = int(now // (load.shift_s * SECOND))
@@ -298,5 +300,5 @@
 
 
 def window_of(start: int, seconds: float) -> tuple[int, int]:
-    """Return the part of a run that counts, µs: from the first second on (BRIEF, Weights of service)."""
+    """Return start and end of the evaluated time, µs, which omits the first second (BRIEF, Weights of service)."""
     return start + SECOND, start + round(seconds * SECOND)
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -1,4 +1,4 @@
-"""The pure parts of the test services, on a clock that the test owns."""
+"""Tests of the pure parts of the test services, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from irisdeal.testbed.audit import Figures
 from irisdeal.testbed.backend_model import Admission, BackendModel, Completion, IdempotencyMemory, Job, Meter
-from irisdeal.testbed.counter_service import CounterModel, CounterServer, _CounterConnection, read_call
+from irisdeal.testbed.counter_service import CounterModel, CounterServer, _CounterConnection, parse_call
 from irisdeal.testbed.discovery_service import Endpoint, EndpointList
 from irisdeal.testbed.request_log import SECOND, BackendIncarnation
 from irisdeal.testbed.scenario import CounterSpec
@@ -62,13 +62,13 @@
     assert len(model.advance(1001 + 2010)) == 4
 
 
-def test_past_slots_and_waiting_room_it_is_full() -> None:
+def test_a_request_beyond_slots_and_queue_is_rejected() -> None:
     model = backend()
-    verdicts = [model.arrive(job(1000)) for _ in range(7)]
-    assert verdicts == [Admission.TAKEN] * 6 + [Admission.FULL]
+    results = [model.arrive(job(1000)) for _ in range(7)]
+    assert results == [Admission.ADMITTED] * 6 + [Admission.FULL]
 
 
-def test_overdue_in_the_waiting_room_never_runs() -> None:
+def test_an_expired_queued_request_never_runs() -> None:
     model = backend(slots=1, cores=1)
     model.arrive(job(1000))
     model.arrive(job(1000, deadline=500))
@@ -76,16 +76,16 @@
     assert [done for _, done in ends] == [Completion.SERVED, Completion.EXPIRED]
 
 
-def test_hung_it_takes_and_ends_nothing_until_it_goes_on() -> None:
+def test_a_hung_backend_admits_and_completes_nothing_until_the_hang_ends() -> None:
     model = backend()
     model.hung = True
-    assert model.arrive(job(1000)) is Admission.TAKEN
+    assert model.arrive(job(1000)) is Admission.ADMITTED
     assert model.advance(SECOND) == [] and model.next_end() is None
     model.hung = False
     assert len(model.advance(SECOND + 1001)) == 1
 
 
-def test_a_cold_backend_has_its_share_at_the_start_and_all_at_the_end() -> None:
+def test_capacity_in_slow_start_rises_from_the_initial_share_to_the_full() -> None:
     start = 100 * SECOND
     model = backend(at=start, cores=1)
     assert model.incarnation.now(start) == pytest.approx(0.25)
@@ -98,30 +98,30 @@
     assert not model.running
 
 
-def test_pushed_over_its_budget_it_falls_over() -> None:
+def test_a_backend_over_its_slow_start_budget_fails() -> None:
     start = 100 * SECOND
     model = backend(at=start, slots=100, queue=1000)
-    # 2 cores x 0.25 x 4 x 2 s = 4 s of work in a window, and one largest request more
-    verdicts = [model.arrive(job(SECOND // 2)) for _ in range(10)]
-    assert verdicts[:9] == [Admission.TAKEN] * 9 and verdicts[9] is Admission.FALLEN
+    # Budget of a window: 2 cores x 0.25 x 4 x 2 s = 4 s of work, plus the largest single request.
+    results = [model.arrive(job(SECOND // 2)) for _ in range(10)]
+    assert results[:9] == [Admission.ADMITTED] * 9 and results[9] is Admission.OVERLOADED
     warm = backend(slots=100, queue=1000)
-    assert Admission.FALLEN not in [warm.arrive(job(SECOND)) for _ in range(50)]
+    assert Admission.OVERLOADED not in [warm.arrive(job(SECOND)) for _ in range(50)]
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 20_000), st.integers(100, 60_000)), min_size=1, max_size=40),
     st.lists(st.integers(1, 30_000), max_size=40),
 )
-def test_all_that_is_taken_ends_once_and_no_work_is_lost(
+def test_each_admitted_request_ends_once_and_no_work_is_lost(
     jobs: list[tuple[int, int]],
-    looks: list[int],
+    pauses: list[int],
 ) -> None:
     model, at, admitted, ended, latest = backend(slots=3, queue=50), 0, 0, [], 0
     for pause, work in jobs:
         at += pause
         ended += model.advance(at)
-        admitted += model.arrive(job(work)) is Admission.TAKEN
-    for pause in looks:
+        admitted += model.arrive(job(work)) is Admission.ADMITTED
+    for pause in pauses:
         at += pause
         ended += model.advance(at)
     while (due := model.next_end()) is not None:
@@ -129,10 +129,10 @@
         latest = due
     assert len(ended) == admitted == len({id(j) for j, _ in ended})
     total = sum(j.work for j, _ in ended)
-    assert latest == 0 or model.now * 2 >= total - 2 * len(ended) - 2  # two cores do no more than that
+    assert latest == 0 or model.now * 2 >= total - 2 * len(ended) - 2  # the most that two cores can do
 
 
-def test_a_zone_remembers_a_key_for_its_window() -> None:
+def test_an_idempotency_key_is_kept_for_its_window() -> None:
     memory = IdempotencyMemory(5 * SECOND)
     assert memory.first("k", 0)
     assert not memory.first("k", 5 * SECOND - 1)
@@ -142,12 +142,12 @@
     assert len(memory.seen) <= 5001
 
 
-def test_the_meter_tells_late_and_counts_an_attempt_once() -> None:
+def test_the_meter_publishes_with_a_delay_and_counts_a_request_once() -> None:
     meter = Meter(SECOND, SECOND // 2, {"p": 10.0})
     for _ in range(3):
         meter.add("t1", "p", 7, 4.0, 200_000)
     meter.add("t2", "p", 7, 1.0, 900_000)
-    assert meter.percent("p", 7, 1_400_000) == 0  # over, and not added up yet
+    assert meter.percent("p", 7, 1_400_000) == 0  # the period is over but not yet published
     assert meter.percent("p", 7, 1_600_000) == 50
     assert meter.percent("p", 7, 2_600_000) == 0
     for n in range(1000):
@@ -158,17 +158,17 @@
 # The counter service
 
 
-def test_the_counter_service_adds_forgets_and_turns_away() -> None:
+def test_the_counter_adds_expires_names_and_rejects_calls_over_its_queue() -> None:
     model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20))
     assert model.add("n", 2.0, SECOND, 0) == 2.0
-    assert model.add("n", 1.5, 60 * SECOND, SECOND - 1) == 3.5  # later calls do not extend its life
+    assert model.add("n", 1.5, 60 * SECOND, SECOND - 1) == 3.5  # later calls do not extend the lifetime
     assert model.add("n", 1.0, SECOND, SECOND) == 1.0
     dues = [model.serve("n", 10 * SECOND) for _ in range(4)]
     assert dues == [10 * SECOND + 11_000, 10 * SECOND + 21_000, 10 * SECOND + 31_000, None]
 
 
-def test_slow_is_slower_and_a_flush_takes_its_share() -> None:
-    model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20), slower=5.0)
+def test_a_slowdown_delays_calls_and_a_flush_removes_its_share_of_names() -> None:
+    model = CounterModel(CounterSpec(calls_per_s=100, shards=1, call_ms=1, queue_ms=20), slowdown=5.0)
     assert model.serve("n", 0) == 51_000
     for n in range(100):
         model.add(f"n{n}", 1.0, 60 * SECOND, 0)
@@ -176,7 +176,7 @@
     assert len(model.counts) == 20
 
 
-def test_a_keepers_memory_is_that_of_the_names_that_live() -> None:
+def test_the_counter_removes_expired_names() -> None:
     model = CounterModel(CounterSpec())
     for second in range(200):
         for n in range(20):
@@ -202,13 +202,13 @@
         b"\xff n 1 5",
     ],
 )
-def test_what_is_no_call_is_an_error(line: bytes) -> None:
-    assert read_call(line) is None
+def test_a_malformed_call_is_rejected(line: bytes) -> None:
+    assert parse_call(line) is None
 
 
-def test_a_call_is_read_with_its_life_cut_to_a_minute() -> None:
-    assert read_call(b"tally a.b -2.5 4000") == ("a.b", -2.5, 4 * SECOND)
-    assert read_call(b"tally n 1e3 600000") == ("n", 1000.0, 60 * SECOND)
+def test_a_calls_lifetime_is_limited_to_a_minute() -> None:
+    assert parse_call(b"tally a.b -2.5 4000") == ("a.b", -2.5, 4 * SECOND)
+    assert parse_call(b"tally n 1e3 600000") == ("n", 1000.0, 60 * SECOND)
 
 
 # The discovery service
@@ -218,27 +218,27 @@
     return Endpoint(name, "a", "std", 0, phase, 0, (1, 2))
 
 
-def test_an_agent_tells_what_it_was_sent_and_no_more() -> None:
+def test_an_agent_serves_only_the_revisions_pushed_to_it() -> None:
     endpoints = EndpointList()
     endpoints.change(member("s1"), member("s2"))
     endpoints.fill(range(2))
     revision = endpoints.change(member("s1", "Terminating"))
     assert [m.phase for m in endpoints.complete_list(0)[1]] == ["Ready", "Ready"]
     assert endpoints.push(0, revision) and not endpoints.push(0, revision)
-    reached, told, complete = endpoints.since(0, revision - 1)
-    assert (reached, [(m.backend, m.phase) for m in told], complete) == (
+    reached, changes, complete = endpoints.since(0, revision - 1)
+    assert (reached, [(m.backend, m.phase) for m in changes], complete) == (
         revision,
         [("s1", "Terminating")],
         False,
     )
     assert endpoints.since(1, revision - 1)[1] == []
     last = endpoints.change(member("s1", "Gone"))
-    endpoints.push(1, last)  # a lost push: the next one brings both, the last word counts
+    endpoints.push(1, last)  # after a lost push, the next one has both changes; the later one counts
     assert [(m.backend, m.phase) for m in endpoints.since(1, revision - 1)[1]] == [("s1", "Gone")]
     assert [m.backend for m in endpoints.complete_list(1)[1]] == ["s2"]
 
 
-def test_who_is_too_far_behind_or_ahead_gets_the_whole_list() -> None:
+def test_a_watch_too_far_behind_or_ahead_gets_the_complete_list() -> None:
     endpoints = EndpointList()
     endpoints.change(member("s0"))
     endpoints.fill(range(1))
@@ -249,7 +249,7 @@
     assert endpoints.since(0, 10**9)[2]
 
 
-async def _answers_of_a_late_loop() -> list[bytes]:
+async def _answers_with_a_late_loop() -> list[bytes]:
     clock = [0]
     counter = CounterServer(CounterSpec(), lambda: clock[0], 1)
     line = _CounterConnection(counter, 0)
@@ -264,7 +264,8 @@
 
     line.transport = Wire()
     line.answer(20_000, b"first")
-    clock[0] = 19_999  # its loop stood still: the timer of the first is far off, by the loop's own time
+    # The clock jumps, as after a stalled loop: the timer of the first answer is still far off.
+    clock[0] = 19_999
     line.answer(19_999, b"second")
     clock[0] = 20_000
     await asyncio.wait_for(both.wait(), 10)
@@ -272,5 +273,5 @@
 
 
 def test_a_late_counter_service_still_answers_in_the_order_of_the_calls() -> None:
-    """Lost: two answers due together changed places, and a quiet tenant was told a greedy one's total."""
-    assert asyncio.run(_answers_of_a_late_loop()) == [b"first", b"second"]
+    """With one timer for each answer, two that were due together were swapped: a call got another name's total."""
+    assert asyncio.run(_answers_with_a_late_loop()) == [b"first", b"second"]
--- a/tests/testbed/test_quota_overshoot.py
+++ b/tests/testbed/test_quota_overshoot.py
@@ -1,4 +1,4 @@
-"""How far tenants went over their quotas: the one pass against every span, and the report."""
+"""Tests of quota overshoot: the single pass against a check of every span, and the report by tenant."""
 
 from __future__ import annotations
 
@@ -49,14 +49,14 @@
     )
 
 
-def test_within_the_burst_and_the_rate_there_is_none() -> None:
+def test_no_overshoot_within_burst_and_rate() -> None:
     assert overshoot([(0, 2.0), (SECOND, 2.0), (2 * SECOND, 2.0)], 2.0, 2.0) == (0.0, 0)
     assert overshoot([], 2.0, 2.0) == (0.0, 0)
 
 
-def test_what_goes_over_is_reported_with_its_moment() -> None:
+def test_the_largest_overshoot_is_reported_with_its_time() -> None:
     assert overshoot([(0, 2.0), (SECOND, 5.0), (9 * SECOND, 1.0)], 2.0, 2.0) == (3.0, SECOND)
-    # A quiet time gives back no more than the burst.
+    # An idle time refills no more than the burst.
     assert overshoot([(0, 1.0), (100 * SECOND, 4.0)], 2.0, 2.0) == (2.0, 100 * SECOND)
 
 
@@ -87,7 +87,7 @@
     request_log = RequestLog(
         attempts=[
             attempt(0, "a", 1),
-            attempt(1, "a", 1, front_door=1),  # a further attempt takes nothing
+            attempt(1, "a", 1, front_door=1),  # a further attempt of a request takes no units
             *(attempt(n, f"b{n}", 2, front_door=n % 3) for n in range(10)),
         ]
     )
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is wrong is one line with file, key and what was wanted. Schedules: one seed, one day."""
+"""Tests of scenarios: one-line errors with file, key and expected value; and a schedule set by its seed."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 @pytest.mark.parametrize("name", names())
-def test_each_built_in_scenario_can_be_drawn_and_has_something_to_say(name: str) -> None:
+def test_each_built_in_scenario_can_be_drawn_and_has_a_description(name: str) -> None:
     scenario = load(name)
     assert scenario.about and len(draw(scenario.resized(seconds=2), 1).arrivals) > 40
 
 
-def test_brief_troubles_and_the_rest_are_built_in() -> None:
+def test_the_scenarios_of_the_brief_are_built_in() -> None:
     wanted = {
         "calm",
         "keeper-down",
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected"),
     [
         (SMALL + "[door]\nmemory = 5\n", "door.memory: no such key: wanted one of"),
         ("sekonds = 5\n" + SMALL, "sekonds: no such key"),
@@ -101,15 +101,15 @@
         ("fleet = []\n", "fleet is []: wanted a table"),
     ],
 )
-def test_what_is_wrong_is_named_in_one_line(text: str, says: str) -> None:
+def test_an_invalid_scenario_is_a_one_line_error(text: str, expected: str) -> None:
     with pytest.raises(ScenarioError) as caught:
         parse(text, "day.toml")
-    told = str(caught.value)
-    assert says in told and "\n" not in told
-    assert told.startswith("day.toml: ") or told.startswith("nothing: ")
+    message = str(caught.value)
+    assert expected in message and "\n" not in message
+    assert message.startswith("day.toml: ") or message.startswith("nothing: ")
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_named_in_the_error(tmp_path: Path) -> None:
     with pytest.raises(ScenarioError, match=r"none\.toml: No such file"):
         load(str(tmp_path / "none.toml"))
     (tmp_path / "odd.toml").write_bytes(b"a = '\xff'")
@@ -124,7 +124,7 @@
         load(str(circle))
 
 
-def test_a_base_is_laid_under_key_by_key() -> None:
+def test_a_scenario_overrides_its_base_key_by_key() -> None:
     made = parse('base = "calm"\nseconds = 7\n[fleet]\nboxes = 5\n')
     calm = load("calm")
     assert (made.seconds, made.fleet.backends) == (7.0, 5)
@@ -149,15 +149,13 @@
     assert len(digests) == 1 and re.fullmatch(r"[0-9a-f]{16}\n", digests.pop())
 
 
-def test_another_seed_is_another_day() -> None:
+def test_another_seed_gives_another_schedule() -> None:
     scenario = load("calm").resized(seconds=2)
     assert draw(scenario, 1).digest() != draw(scenario, 2).digest()
 
 
-def test_the_load_is_what_was_asked() -> None:
-    """Work asked inside the quotas comes to `use` of what the backends can do, within what few
-    tenants allow.
-    """
+def test_the_load_matches_the_configured_use() -> None:
+    """The work of the requests is near `use` of the backends' capacity; few tenants make it vary."""
     scenario = parse('base = "calm"\n[load]\nuse = 0.4\nfull = 0\nheavy = 0\nspiky = 0\n')
     day = draw(scenario, 3)
     units = sum(scenario.classes[a.kind].units for a in day.arrivals) / scenario.seconds
@@ -165,13 +163,13 @@
     assert 0.34 < asked < 0.46
 
 
-def test_work_has_its_classs_mean() -> None:
+def test_drawn_work_has_the_mean_of_its_class() -> None:
     kind = load("calm").classes[0]
     drawn = [work(1, f"{n}", kind) for n in range(20_000)]
     assert 0.96 < sum(drawn) / len(drawn) / (kind.work_ms * 1000) < 1.04
 
 
-def test_a_rush_and_a_hot_front_door_are_in_the_day() -> None:
+def test_rush_and_hot_door_faults_change_the_drawn_load() -> None:
     rush = '[[at]]\nat_s = 1\ndo = "rush"\nfor_s = 1\nsize = 3\n'
     day = draw(parse(SMALL + rush), 1)
     seconds = [sum(1 for a in day.arrivals if a.at // 1_000_000 == n) for n in range(3)]
@@ -181,13 +179,13 @@
     assert max(during) == pytest.approx(0.5 + max(before) / 2) and sum(during) == pytest.approx(1.0)
 
 
-def test_a_shorter_day_keeps_its_timeline_in_proportion() -> None:
+def test_a_shorter_day_scales_its_timeline() -> None:
     scenario = load("keeper-down").resized(front_doors=1, seconds=10)
     assert [f.at_s for f in scenario.faults] == [2.0, 6.5]
     assert load("rolling-restart").resized(front_doors=1).faults[2].front_door == 0
 
 
-def test_every_fault_says_what_it_is() -> None:
+def test_the_text_of_a_fault_starts_with_its_name() -> None:
     for name in names():
         for fault in load(name).faults:
             assert fault.text().startswith(fault.do) and fault.do in FAULTS
--- a/tests/testbed/test_service_report.py
+++ b/tests/testbed/test_service_report.py
@@ -1,4 +1,4 @@
-"""What the tenants got, reckoned from request logs written by hand."""
+"""Tests of the service report on constructed request logs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def request_log(*client_attempts: tuple[int, int, int, int]) -> RequestLog:
-    """Each try: ask, attempt, ms of its moment, ms that its good answer took (0: refused)."""
+    """Make a log of (request number, attempt, send time in ms, latency in ms; 0 for a rejection)."""
     made = RequestLog()
     for request_number, attempt, at, took in client_attempts:
         due = START + at * 1000
@@ -70,13 +70,13 @@
     return made
 
 
-def test_all_in_time_is_one() -> None:
+def test_the_share_is_one_if_all_answers_are_in_time() -> None:
     service = summarize_service(request_log((1, 0, 2000, 50), (2, 0, 4000, 50)), scenario(), START)
     assert (service.total.share, service.worst, service.first_attempts) == (1.0, 1.0, 2)
     assert service.percentile(0.5) == 50.0
 
 
-def test_late_earns_its_part_and_refused_nothing() -> None:
+def test_a_late_answer_has_its_late_value_and_a_rejection_none() -> None:
     service = summarize_service(request_log((1, 0, 2000, 500), (2, 0, 4000, 0)), scenario(), START)
     assert service.total.share == pytest.approx(0.1)
     assert service.refused == 1
@@ -87,9 +87,9 @@
     assert (service.first_attempts, service.client_attempts, service.total.share) == (1, 2, 1.0)
 
 
-def test_beyond_the_quota_is_not_offered_and_earns_nothing() -> None:
+def test_requests_beyond_the_quota_are_neither_offered_nor_served() -> None:
     service = summarize_service(request_log(*((n, 0, 2000 + n, 50) for n in range(4))), scenario(), START)
-    assert service.total.offered == 2 * 2.0 and service.total.share == 1.0  # two units in the tenant
+    assert service.total.offered == 2 * 2.0 and service.total.share == 1.0  # the tenant's burst is two units
     assert service.beyond_units == 0.5
 
 
@@ -104,15 +104,15 @@
     assert service.worst == pytest.approx(0.5) and 9.0 <= service.worst_at <= 15.0
 
 
-def test_a_bucket_counts_units_and_attempts_out() -> None:
+def test_a_bucket_limits_units_and_attempts_in_flight() -> None:
     bucket = Bucket(1.0, 2.0, 1)
     assert bucket.take(0, 1.0, 5 * SECOND)
-    assert not bucket.take(SECOND, 1.0, SECOND)  # one is out
+    assert not bucket.take(SECOND, 1.0, SECOND)  # one attempt is in flight
     assert bucket.take(6 * SECOND, 2.0, 6 * SECOND)
-    assert not bucket.take(7 * SECOND, 2.0, 8 * SECOND)  # one unit is back
+    assert not bucket.take(7 * SECOND, 2.0, 8 * SECOND)  # only one unit is refilled
 
 
-def test_service_is_back_once_it_is_no_worse_than_the_calm_day_at_its_worst() -> None:
+def test_service_has_recovered_once_it_is_no_worse_than_the_worst_of_a_day_without_faults() -> None:
     def day(*shares: float) -> dict[int, Share]:
         return {n: Share(1.0, share) for n, share in enumerate(shares)}
 
--- a/tests/testbed/test_site_processes.py
+++ b/tests/testbed/test_site_processes.py
@@ -1,4 +1,4 @@
-"""Backends and the counter service in processes of their own: the same calls, and one request log."""
+"""Tests of backends and the counter service in separate processes, with one merged request log."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
     return uvloop.run(play(draw(parse(APART).resized(seconds=3), 5), HERE))
 
 
-def test_a_day_with_faults_keeps_the_rules_and_every_site_saw_its_part(outcome: Outcome) -> None:
+def test_a_day_with_faults_keeps_the_rules_and_uses_every_site(outcome: Outcome) -> None:
     assert outcome.kept, [breach.text() for breach in outcome.verdict.breaches]
     assert {a.zone for a in outcome.request_log.attempts} == set(outcome.day.scenario.fleet.zones)
     assert outcome.counter_calls > 0
-    told = [text for _, text in outcome.request_log.faults]
-    assert any(text.startswith("the keeper lost") for text in told)
-    assert not any("could not be played" in text for text in told)
+    faults = [text for _, text in outcome.request_log.faults]
+    assert any(text.startswith("the keeper lost") for text in faults)
+    assert not any("could not be played" in text for text in faults)
 
 
 def test_the_request_logs_of_all_processes_are_on_one_clock_and_in_order(outcome: Outcome) -> None:
@@ -76,7 +76,7 @@
     )
 
 
-def test_faults_reach_the_process_that_has_what_they_are_for(outcome: Outcome) -> None:
+def test_faults_reach_the_process_of_their_target(outcome: Outcome) -> None:
     request_log = outcome.request_log
     again = [incarnation for incarnation in request_log.incarnations if incarnation.incarnation > 0]
     assert len(again) == 2 and all(incarnation.at > 0 for incarnation in again)
@@ -91,9 +91,9 @@
         processes = [site_process.process for site_process in sites.site_processes.values()]
         sites.site_processes["hall-a"].process.kill()
         with pytest.raises(SiteError, match="hall-a: its process has ended"):
-            await sites.site_processes["hall-a"].ask("collect")
+            await sites.site_processes["hall-a"].call("collect")
         with pytest.raises(SiteError, match="no_such"):
-            await sites.site_processes[COUNTER_SITE].ask("no_such")
+            await sites.site_processes[COUNTER_SITE].call("no_such")
         sites.close()
         await sites.ended()
         assert all(process.returncode for process in processes)
@@ -101,7 +101,7 @@
     uvloop.run(run())
 
 
-def test_a_run_whose_site_dies_is_no_run() -> None:
+def test_a_run_fails_if_a_site_dies() -> None:
     async def run() -> None:
         day = draw(parse(APART).resized(seconds=1), 5)
         start = Sites.start
@@ -118,18 +118,18 @@
     uvloop.run(run())
 
 
-def test_what_one_site_counts_another_tells_and_an_attempt_counts_once() -> None:
+def test_usage_is_shared_between_sites_and_a_request_counts_once() -> None:
     day = draw(parse(APART), 1)
-    here, there = _SharedMeter(day), _SharedMeter(day)
+    local_meter, remote_meter = _SharedMeter(day), _SharedMeter(day)
     plan = day.scenario.plans[0]
-    here.add("t1", plan.name, 7, plan.rate / 2, 0)
-    there.add_remote(here.unsent)
-    there.add("t1", plan.name, 7, plan.rate / 2, 100)  # a further attempt of the same try
-    seen = here.late + here.period
-    assert here.percent(plan.name, 7, seen) == there.percent(plan.name, 7, seen) == 50
+    local_meter.add("t1", plan.name, 7, plan.rate / 2, 0)
+    remote_meter.add_remote(local_meter.unsent)
+    remote_meter.add("t1", plan.name, 7, plan.rate / 2, 100)  # a further attempt of the same request
+    seen = local_meter.late + local_meter.period
+    assert local_meter.percent(plan.name, 7, seen) == remote_meter.percent(plan.name, 7, seen) == 50
 
 
-def test_the_day_of_a_lost_zone_is_one_that_two_zones_only_just_carry() -> None:
+def test_two_zones_can_barely_carry_the_load_of_the_zone_lost_scenario() -> None:
     day = draw(load("zone-lost"), 1)
     fleet = day.scenario.fleet
     zones = {h: sum(m.capacity for m in day.machines if m.zone == h) for h in fleet.zones}
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -1,6 +1,4 @@
-"""The services of the testbed on real sockets, each with its faults; and the hard cases of a whole
-platform.
-"""
+"""Tests of the testbed's services on real sockets with their faults, and of whole days with link faults."""
 
 from __future__ import annotations
 
@@ -44,7 +42,7 @@
 
 
 @socket_test
-async def test_the_counter_service_speaks_its_lines_in_order() -> None:
+async def test_the_counter_service_answers_in_order() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     reader, writer = await opened(counter.ports[0])
@@ -60,7 +58,7 @@
 
 
 @socket_test
-async def test_an_answer_whose_caller_has_gone_is_counted_all_the_same() -> None:
+async def test_an_amount_is_added_even_if_the_caller_disconnects() -> None:
     counter = CounterServer(CounterSpec(call_ms=40), Clock(), 1)
     await counter.start(ONE)
     _, writer = await opened(counter.ports[0])
@@ -68,14 +66,14 @@
     while not counter.calls:
         await asyncio.sleep(0)
     writer.transport.abort()
-    while not counter.late:
+    while not counter.late_answers:
         await asyncio.sleep(0.001)
     assert counter.model.counts["a"][0] == 2.0
     counter.close()
 
 
 @socket_test
-async def test_the_counter_service_refuses_and_returns_empty_or_not_and_moves() -> None:
+async def test_the_counter_service_refuses_connections_restarts_and_moves() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     port = counter.ports[0]
@@ -91,13 +89,13 @@
         reader, writer = await opened(port)
         writer.write(b"tally a 1 4000\r\n")
         assert await reader.readline() == total
-    await counter.move(ONE, patience=0.0)
+    await counter.move(ONE, close_delay=0.0)
     assert counter.ports[0] != port and await gone(reader)
     counter.close()
 
 
 @socket_test
-async def test_the_counter_service_holds_32_connections_of_a_front_door() -> None:
+async def test_the_counter_service_accepts_32_connections_of_a_front_door() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(ONE)
     lines = [await opened(counter.ports[0]) for _ in range(33)]
@@ -123,7 +121,7 @@
 
 
 @socket_test
-async def test_a_split_counter_service_counts_for_each_side_and_one_sides_counts_stay() -> None:
+async def test_a_split_counter_service_counts_for_each_side_and_keeps_one_sides_counts() -> None:
     counter = CounterServer(CounterSpec(), Clock(), 1)
     await counter.start(range(2))
     lines = [await opened(counter.ports[front_door]) for front_door in range(2)]
@@ -137,7 +135,7 @@
     counter.split([0], [1])
     assert [await add(0), await add(0), await add(1)] == [3.0, 4.0, 3.0]
     counter.heal()
-    assert await add(1) == 5.0  # the second side's adds are lost
+    assert await add(1) == 5.0  # amounts of the second side are lost
     counter.split([0], [1])
     assert [await add(0), await add(1)] == [6.0, 6.0]
     assert await add(1) == 7.0
@@ -161,12 +159,12 @@
     writer.write(f"GET /catalog/members{query} HTTP/1.1\r\nHost: agent\r\n\r\n".encode())
     line, _, body = await read_message(reader)
     assert " 200 " in line
-    told: dict[str, object] = json.loads(body)
-    return told
+    update: dict[str, object] = json.loads(body)
+    return update
 
 
 @socket_test
-async def test_a_watch_hears_of_changes_when_its_agent_does() -> None:
+async def test_a_watch_is_answered_when_its_agent_receives_a_change() -> None:
     request_log = RequestLog()
     discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), request_log, Clock(), 1)
     discovery.endpoints.change(member("s1"))
@@ -178,32 +176,32 @@
     while not discovery.agents[0].watches:
         await asyncio.sleep(0)
     discovery.change(member("s1", "Terminating"))
-    told = await watch
-    assert told["complete"] is False and told["members"][0]["phase"] == "Terminating"  # type: ignore[index]
+    update = await watch
+    assert update["complete"] is False and update["members"][0]["phase"] == "Terminating"  # type: ignore[index]
     assert [(t.backend, t.phase) for t in request_log.endpoint_notices] == [
         ("s1", "Ready"),
         ("s1", "Terminating"),
     ]
-    empty = await get(reader, writer, f"?index={told['revision']}&wait=1")
+    empty = await get(reader, writer, f"?index={update['revision']}&wait=1")
     assert empty["members"] == []
     discovery.close()
 
 
 @socket_test
-async def test_a_lost_push_comes_with_the_next_and_a_whole_list_tells_who_is_gone() -> None:
+async def test_the_next_push_includes_a_lost_one_and_a_complete_list_shows_removals() -> None:
     request_log = RequestLog()
     discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), request_log, Clock(), 1)
     discovery.endpoints.change(member("s1"), member("s2"))
     await discovery.start(ONE)
     reader, writer = await opened(discovery.ports[0])
     complete = await get(reader, writer)
-    discovery.lose = 1.0
+    discovery.push_loss_ratio = 1.0
     discovery.change(member("s1", "Gone"))
     await asyncio.sleep(0)
     assert (await get(reader, writer, f"?index={complete['revision']}&wait=0"))["members"] == []
-    discovery.lose = 0.0
+    discovery.push_loss_ratio = 0.0
     discovery.change(member("s3"))
-    while discovery.endpoints.reached[0] < discovery.endpoints.revision:
+    while discovery.endpoints.agent_revisions[0] < discovery.endpoints.revision:
         await asyncio.sleep(0)
     await get(reader, writer)
     assert (
@@ -214,7 +212,7 @@
 
 
 @socket_test
-async def test_a_silent_discovery_service_says_nothing_and_a_moved_one_lets_go() -> None:
+async def test_an_unresponsive_discovery_service_does_not_answer_and_can_move() -> None:
     discovery = DiscoveryServer(DiscoverySpec(notice_s=0.0, spread_ms=0), RequestLog(), Clock(), 1)
     await discovery.start(ONE)
     port = discovery.ports[0]
@@ -224,7 +222,7 @@
     while not any(c.busy for c in discovery.agents[0].connections):
         await asyncio.sleep(0)
     discovery.set_unresponsive(False)
-    assert await gone(reader)  # that call is never answered
+    assert await gone(reader)  # the call is never answered
     await discovery.move(ONE)
     assert discovery.ports[0] != port
     with pytest.raises(ConnectionError):
@@ -237,7 +235,7 @@
 
 class Echo(asyncio.Protocol):
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def data_received(self, data: bytes) -> None:
         self.transport.write(data)
@@ -250,7 +248,7 @@
 
 
 @socket_test
-async def test_a_silent_link_holds_and_then_goes_on() -> None:
+async def test_a_stalled_link_withholds_bytes_and_forwards_them_later() -> None:
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     reader, writer = await opened(port)
@@ -260,7 +258,7 @@
     writer.write(b"two")
     while not any(side.pending for side in relay.links[0].sides):
         await asyncio.sleep(0)
-    _, late = await opened(port)  # silent is not cut: connections come up
+    _, late = await opened(port)  # a stalled link still accepts connections
     relay.heal()
     assert await reader.readexactly(3) == b"two"
     late.close()
@@ -269,14 +267,14 @@
 
 
 @socket_test
-async def test_a_link_that_is_silent_one_way_passes_the_other_on() -> None:
+async def test_a_link_stalled_in_one_direction_forwards_the_other() -> None:
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     reader, writer = await opened(port)
     relay.set(["door"], Condition(stalled=True, direction="back"), "hall")
     writer.write(b"heard")
     while not any(side.pending and not side.source for side in relay.links[0].sides):
-        await asyncio.sleep(0)  # the echo came, so the question went out
+        await asyncio.sleep(0)  # the echo has arrived, so the request was forwarded
     relay.set(["door"], Condition(stalled=True, direction="out"), "hall")
     assert await reader.readexactly(5) == b"heard"
     writer.write(b"mute")
@@ -289,7 +287,7 @@
 
 
 @socket_test
-async def test_a_fault_on_the_way_to_one_target_leaves_the_others() -> None:
+async def test_a_link_fault_to_one_target_does_not_affect_others() -> None:
     relay = Relay(Clock(), [])
     (_, first), (port, second) = await echoing(relay, "door", "keeper"), await echoing(relay, "door", "hall")
     _, third = await echoing(relay, "other", "keeper")
@@ -307,7 +305,7 @@
 
 
 @socket_test
-async def test_a_cut_link_lets_no_connection_come_up_until_it_heals() -> None:
+async def test_a_partitioned_link_establishes_no_connection_until_it_heals() -> None:
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     reader, writer = await opened(port)
@@ -342,7 +340,7 @@
     start = loop.time()
     writer.write(b"x" * 1_000)
     await reader.readexactly(1_000)
-    assert loop.time() - start >= 0.199  # 0.1 s each way
+    assert loop.time() - start >= 0.199  # 0.1 s in each direction
     relay.links[0].reset()
     assert await gone(reader)
     relay.close()
@@ -350,7 +348,7 @@
 
 
 @socket_test
-async def test_a_split_cuts_between_groups_alone() -> None:
+async def test_a_split_partitions_only_links_between_groups() -> None:
     relay = Relay(Clock(), [])
     across, one = await echoing(relay, "door 0", "keeper")
     inside, two = await echoing(relay, "door 1", "keeper")
@@ -367,7 +365,7 @@
 
 
 @socket_test
-async def test_what_a_silent_link_holds_is_bounded() -> None:
+async def test_pending_bytes_of_a_stalled_link_are_bounded() -> None:
     relay = Relay(Clock(), [])
     port, server = await echoing(relay)
     _, writer = await opened(port)
@@ -378,7 +376,7 @@
         writer.write(b"x" * 262_144)
     for _ in range(2_000):
         await asyncio.sleep(0)
-    assert max(side.size for side in relay.links[0].sides) < 2_000_000
+    assert max(side.pending_bytes for side in relay.links[0].sides) < 2_000_000
     writer.transport.abort()
     relay.close()
     server.close()
@@ -399,7 +397,7 @@
 
 
 @socket_test
-async def test_a_backend_serves_reports_and_writes_its_book() -> None:
+async def test_a_backend_serves_reports_load_and_records_attempts() -> None:
     made = await platform()
     backend = made.backends[0]
     reader, writer = await opened(backend.ports[1])
@@ -464,7 +462,7 @@
     made = await platform()
     old = made.backends[0]
     old.crash()
-    new = await made.new_backend(warming_up=True, instead=old)
+    new = await made.new_backend(warming_up=True, replaced=old)
     assert new.ports == old.ports and new.name != old.name
     assert (new.machine.zone, new.machine.cell) == (old.machine.zone, old.machine.cell)
     reader, writer = await opened(old.ports[0])
@@ -475,7 +473,7 @@
 
 
 @socket_test
-async def test_a_hung_backend_holds_and_answers_later() -> None:
+async def test_a_hung_backend_answers_after_the_hang() -> None:
     made = await platform()
     backend = made.backends[0]
     backend.set_hung(True)
@@ -492,23 +490,22 @@
 # Whole days
 
 
-def test_a_link_that_falls_silent_with_hundreds_of_attempts_out_loses_no_request() -> None:
-    """Every backend behind its link, slow enough that 200 attempts are out, then all links silent
-    for good.
-    """
+def test_links_that_stall_with_hundreds_of_attempts_in_flight_lose_no_request() -> None:
+    """All links stall for the rest of the day once 200 attempts are in flight at slow backends."""
     text = SMALL.replace("work_ms = 12", "work_ms = 700").replace("work_ms = 20", "work_ms = 700")
     text = text.replace("aim_ms = 400", "aim_ms = 2000").replace("aim_ms = 500", "aim_ms = 2000")
     text = text.replace("deadline_ms = 900", "deadline_ms = 2500").replace("retries = 1", "retries = 0")
     text = text.replace("boxes = 6", "boxes = 100").replace("cores = 2", "cores = 4")
     text = text.replace("heavy = 0.5", "heavy = 0").replace("use = 0.25", "use = 0.8")
     text = text.replace("seconds = 3", "seconds = 2")
-    text += '[[at]]\nat_s = 2\ndo = "hall-slow"\nhall = "hall-a"\nms = 0\nfor_s = 0\n'  # links, no fault
+    # Creates links without a fault.
+    text += '[[at]]\nat_s = 2\ndo = "hall-slow"\nhall = "hall-a"\nms = 0\nfor_s = 0\n'
     out = []
 
     def silence(platform: Platform, _: LoadGenerator) -> None:
         loop = asyncio.get_running_loop()
 
-        def look() -> None:
+        def stall_if_busy() -> None:
             count = sum(a.end is End.OPEN for a in platform.request_log.attempts)
             if count >= 200:
                 out.append(count)
@@ -516,9 +513,9 @@
                 for link in platform.relay.links:
                     link.set(Condition(stalled=True))
             elif not platform.closed:
-                loop.call_later(0.02, look)
+                loop.call_later(0.02, stall_if_busy)
 
-        loop.call_soon(look)
+        loop.call_soon(stall_if_busy)
 
     run = uvloop.run(run_on_sockets(text, during=silence))
     assert out and out[0] >= 200
@@ -528,7 +525,7 @@
     )
 
 
-def test_a_zone_cut_off_breaks_no_rule_and_no_answer_is_missing() -> None:
+def test_a_partitioned_zone_breaks_no_rule() -> None:
     run = uvloop.run(
         run_on_sockets(SMALL + '[[at]]\nat_s = 0.8\ndo = "hall-cut"\nhall = "hall-b"\nfor_s = 1.2\n')
     )
@@ -537,7 +534,7 @@
     assert {"hall-b is back"} <= {text for _, text in run.request_log.faults}
 
 
-def test_a_terminal_sees_an_end_that_its_loop_has_yet_to_tell() -> None:
+def test_a_client_detects_a_closed_connection_before_its_loop_does() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listening:
