--- a/irisdeal/demo/__init__.py
+++ b/irisdeal/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A day on one machine: the testbed in this process, real front doors as processes."""
+"""Plays a day on one machine: the testbed runs in this process, real front doors as separate processes."""
--- a/irisdeal/demo/deployment.py
+++ b/irisdeal/demo/deployment.py
@@ -1,4 +1,4 @@
-"""How the front doors of a deployment are built and run, and the addresses that they listen on."""
+"""Commands that build and run the front doors of a deployment, and addresses for them to listen on."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class DemoError(Exception):
-    """The demo cannot be played on this machine as asked; the text says why."""
+    """The demo cannot be run; the message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """How front doors are built and run: the two lines and the folder that they are run in."""
+    """The shell commands that build and run a front door, and the folder that they are run in."""
 
     root: Path
     run: str
@@ -26,7 +26,7 @@
 
 
 def find_deployment(start: Path, path: Path | None = None) -> Deployment:
-    """`deploy/balancer.toml` in a folder or above it; without one, this interpreter's own `-m irisdeal`."""
+    """Read `deploy/balancer.toml` of `start` or a parent; without one, run this interpreter's `-m irisdeal`."""
     candidates = (
         [path]
         if path is not None
@@ -40,7 +40,7 @@
                 raise DemoError(f"{candidate}: {error}") from None
             run, build = deployment.get("run"), deployment.get("build", "")
             if not isinstance(run, str) or not isinstance(build, str):
-                raise DemoError(f"{candidate}: run: wanted the line that starts a door")
+                raise DemoError(f"{candidate}: run: wanted the command that starts a front door")
             return Deployment(candidate.resolve().parent.parent, run, build)
     if path is not None:
         raise DemoError(f"{path}: no such file")
@@ -48,7 +48,7 @@
 
 
 async def build(deploy: Deployment) -> None:
-    """Run the deployment's `build` line; quick where everything is built already."""
+    """Run the deployment's `build` command, if it has one."""
     if not deploy.build:
         return
     made = await asyncio.create_subprocess_shell(
@@ -60,19 +60,19 @@
 
 
 def free_port() -> int:
-    """Find a port of 127.0.0.1 that is free now; by the time it is used somebody may have it."""
+    """Find a port of 127.0.0.1 that is free now; another process may bind it before it is used."""
     with socket.socket() as made:
         made.bind(("127.0.0.1", 0))
         return int(made.getsockname()[1])
 
 
 def own_host() -> str:
-    """Return an address of loopback that no other run on this machine has: by our process id.
+    """Return a loopback address that no other run on this machine uses, derived from the process id.
 
-    A port that was looked for and given up is anybody's until its front door binds it; on an address of one's own
-    nobody else looks. Where the system has the one address alone (not Linux), that one.
+    On a shared address, another run could bind a free port between its discovery and its use. On systems with a
+    single loopback address (not Linux), that one is returned.
     """
-    pid = os.getpid()  # 22 bits at most (proc(5), pid_max)
+    pid = os.getpid()  # at most 22 bits (proc(5), pid_max)
     host = f"127.{64 + (pid >> 16) % 64}.{pid >> 8 & 255}.{pid & 255}"
     with socket.socket() as made:
         try:
@@ -82,10 +82,10 @@
     return host
 
 
-PORTS = itertools.count(10_000)  # of the front doors of this process, each used once
+PORTS = itertools.count(10_000)  # for the front doors of this process, each used once
 
 
 def own_address() -> tuple[str, int]:
-    """Where a front door is to listen."""
+    """Return a new address for a front door to listen on."""
     host = own_host()
     return host, free_port() if host == "127.0.0.1" else next(PORTS)
--- a/irisdeal/demo/processes.py
+++ b/irisdeal/demo/processes.py
@@ -1,7 +1,7 @@
-"""Real front doors as processes: started by the deployment's `run` line, signalled, sampled and ended.
+"""Real front doors as processes: started by the deployment's `run` command, signalled, sampled and ended.
 
-Each front door gets a session of its own, so that a Ctrl-C at the terminal does not reach it before the demo
-does, and so that the processes that it started end with it. Nothing else is ever signalled.
+Each front door has its own session, so that Ctrl-C at the terminal reaches the demo alone, and so that its child
+processes can be ended with it. No other processes are signalled.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from irisdeal.testbed.platform import Platform
 from irisdeal.testbed.request_log import FrontDoorIncarnation
 
-READY_WITHIN = 30.0  # s; DEPLOY, Limits: clients come when all front doors are ready, or after 30 s
-ENDS_WITHIN = 4.2  # s from SIGTERM to SIGKILL: the longest deadline (3 s at most), 0.7 s more, a margin
-LEAVES = 0.3  # s after SIGTERM in which new connections go on coming; PROTOCOL, Figures: 0.2 to 0.4 s
-POLL = 0.02  # s between two looks at a front door's health while it starts
-SAMPLE = 0.5  # s between two looks at a front door's memory and descriptors
-KEPT_LOG = 20_000  # bytes of a front door's log that are kept for the report
+READY_TIMEOUT_S = 30.0  # DEPLOY, Limits: the load starts when all front doors are ready, or after 30 s
+SHUTDOWN_TIMEOUT_S = 4.2  # from SIGTERM to SIGKILL: the longest deadline (3 s) + 0.7 s + margin
+LOAD_BALANCER_DELAY_S = 0.3  # new connections arrive this long after SIGTERM; PROTOCOL, Figures: 0.2 to 0.4 s
+HEALTH_POLL_S = 0.02  # between health checks during the start
+USAGE_INTERVAL_S = 0.5  # between samples of memory and descriptors
+MAX_LOG_BYTES = 20_000  # kept for the report, the end of the log
 
 
 @dataclass(slots=True)
@@ -37,8 +37,8 @@
     config: Path
     process: asyncio.subprocess.Process | None = None
     incarnation: FrontDoorIncarnation | None = None
-    wanted: bool = True  # an end that nobody asked for is a crash
-    turn: int = 0  # of kills and restarts: the last one alone brings it back
+    expected_up: bool = True  # an exit while this is true is a crash
+    restart_number: int = 0  # of kills and restarts; only the last one starts a process
     uses: list[ProcessUsage] = field(default_factory=list)
     log: bytearray = field(default_factory=bytearray)
     reader: asyncio.Task[None] | None = None
@@ -51,7 +51,7 @@
 
 
 class FrontDoorProcesses:
-    """The front doors of one run. Implements what the platform's timeline asks of front doors."""
+    """The front doors of one run. Implements `FrontDoors` for the platform's timeline."""
 
     def __init__(self, platform: Platform, deploy: Deployment, folder: Path, seed: int) -> None:
         self.platform, self.deploy, self.folder = platform, deploy, folder
@@ -70,9 +70,9 @@
         return [front_door.address for front_door in self.front_doors]
 
     async def start(self) -> None:
-        """All front doors, ready. Raises `DemoError` where one does not come up."""
+        """Start all front doors, and wait until they are ready. Raises `DemoError` if one fails to start."""
         await asyncio.gather(*(self._start(front_door) for front_door in self.front_doors))
-        self.sampler = asyncio.get_running_loop().create_task(self._sample())
+        self.sampler = asyncio.get_running_loop().create_task(self._sample_usage())
 
     async def _start(self, front_door: _FrontDoor) -> None:
         self.platform.write_config(
@@ -92,14 +92,14 @@
         front_door.incarnation = FrontDoorIncarnation(
             front_door.number, front_door.process.pid, self.platform.now()
         )
-        front_door.wanted = True
+        front_door.expected_up = True
         front_door.uses.append(ProcessUsage())
         self.platform.request_log.front_doors.append(front_door.incarnation)
         loop = asyncio.get_running_loop()
         front_door.log = bytearray()
-        front_door.reader = loop.create_task(self._read(front_door, front_door.process))
+        front_door.reader = loop.create_task(self._read_log(front_door, front_door.process))
         front_door.watcher = loop.create_task(
-            self._watch(front_door, front_door.process, front_door.incarnation)
+            self._wait_for_end(front_door, front_door.process, front_door.incarnation)
         )
         await self._wait_until_ready(front_door)
         front_door.incarnation.ready = self.platform.now()
@@ -118,21 +118,21 @@
 
     async def _wait_until_ready(self, front_door: _FrontDoor) -> None:
         try:
-            async with asyncio.timeout(READY_WITHIN):
-                while not await self._healthy(front_door):
-                    process = front_door.process  # another one, where the timeline has restarted it meanwhile
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while not await self._is_healthy(front_door):
+                    process = front_door.process  # may have been replaced by a restart of the timeline
                     if process is not None and process.returncode is not None:
-                        await asyncio.sleep(POLL)
+                        await asyncio.sleep(HEALTH_POLL_S)
                         last = bytes(front_door.log[-400:]).decode("utf-8", "replace").strip()
                         raise DemoError(
                             f"door {front_door.number} ended at its start with exit code "
                             f"{process.returncode}: {last}"
                         )
-                    await asyncio.sleep(POLL)
+                    await asyncio.sleep(HEALTH_POLL_S)
         except TimeoutError:
-            raise DemoError(f"door {front_door.number} was not ready after {READY_WITHIN:g} s") from None
+            raise DemoError(f"door {front_door.number} was not ready after {READY_TIMEOUT_S:g} s") from None
 
-    async def _healthy(self, front_door: _FrontDoor) -> bool:
+    async def _is_healthy(self, front_door: _FrontDoor) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*front_door.address)
         except OSError:
@@ -145,35 +145,35 @@
         finally:
             writer.transport.abort()
 
-    async def _read(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
+    async def _read_log(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
         log = front_door.log
         while chunk := await process.stdout.read(65_536):
             log += chunk
-            del log[:-KEPT_LOG]
+            del log[:-MAX_LOG_BYTES]
 
-    async def _watch(
+    async def _wait_for_end(
         self, front_door: _FrontDoor, process: asyncio.subprocess.Process, incarnation: FrontDoorIncarnation
     ) -> None:
         code = await process.wait()
         incarnation.ended, incarnation.code = self.platform.now(), code
         incarnation.log = bytes(front_door.log).decode("utf-8", "replace")
-        if front_door.wanted:
+        if front_door.expected_up:
             last = incarnation.log.strip().splitlines()[-1:] or ["no log"]
             self.crashes.append(
                 f"door {front_door.number} ended by itself with exit code {code}: {last[0][:200]}"
             )
         if self.load_generator is not None:
             asyncio.get_running_loop().call_later(
-                self.platform.scenario.load.notice_s, self._noticed, front_door, process
+                self.platform.scenario.load.notice_s, self._remove_from_load, front_door, process
             )
 
-    def _noticed(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
-        """Remove a dead front door from the load, unless another process has its place by now."""
+    def _remove_from_load(self, front_door: _FrontDoor, process: asyncio.subprocess.Process) -> None:
+        """Remove an ended front door from the load balancer, unless it has been restarted."""
         if front_door.process is process and self.load_generator is not None:
             self.load_generator.front_door_down(front_door.number)
 
-    # What the timeline does
+    # Faults of the timeline
 
     def _signal(self, front_door: _FrontDoor, number: int) -> None:
         process = front_door.process
@@ -182,27 +182,27 @@
                 os.kill(process.pid, number)
 
     async def kill(self, front_door: int, down: float) -> None:
-        """Kill a front door with SIGKILL, and start it again after `down` s."""
+        """Kill a front door with SIGKILL, and restart it after `down` s."""
         target = self.front_doors[front_door]
         if target.process is None or target.incarnation is None or target.process.returncode is not None:
             return
-        target.wanted = False
-        target.turn = turn = target.turn + 1
+        target.expected_up = False
+        target.restart_number = restart_number = target.restart_number + 1
         target.incarnation.killed = self.platform.now()
         self._kill_group(target)
         await target.process.wait()
         await asyncio.sleep(down)
-        await self._restart_process(target, turn)
+        await self._restart_process(target, restart_number)
 
     async def restart(self, front_door: int) -> None:
-        """End a front door with SIGTERM, and start it again once it has ended."""
+        """End a front door with SIGTERM, and restart it once it has ended."""
         target = self.front_doors[front_door]
         if target.process is None or target.process.returncode is not None:
             return
-        target.turn = turn = target.turn + 1
-        self._end(target)
-        await self._wait(target)
-        await self._restart_process(target, turn)
+        target.restart_number = restart_number = target.restart_number + 1
+        self._terminate(target)
+        await self._wait_for_exit(target)
+        await self._restart_process(target, restart_number)
 
     async def stall(self, front_door: int, seconds: float) -> None:
         """Stop a front door with SIGSTOP for `seconds`."""
@@ -219,36 +219,35 @@
                 self._signal(target, signal.SIGCONT)
 
     async def reload(self, front_door: int) -> None:
-        """Write a front door's configuration anew and send it SIGHUP."""
+        """Rewrite a front door's configuration and send it SIGHUP."""
         target = self.front_doors[front_door]
         self.platform.write_config(front_door, target.listen, self.random.getrandbits(63), target.config)
         self._signal(target, signal.SIGHUP)
 
-    async def _restart_process(self, front_door: _FrontDoor, turn: int) -> None:
-        if (
-            self.platform.closed or front_door.turn != turn
-        ):  # a kill amid a restart's drain: one start, not two
+    async def _restart_process(self, front_door: _FrontDoor, restart_number: int) -> None:
+        # A kill during the drain of a restart must start one process, not two.
+        if self.platform.closed or front_door.restart_number != restart_number:
             return
         await self._start(front_door)
         if self.load_generator is not None:
             self.load_generator.front_door_up(front_door.number)
         self.platform.record_fault(f"door {front_door.number} is back")
 
-    def _end(self, front_door: _FrontDoor) -> None:
-        front_door.wanted = False
+    def _terminate(self, front_door: _FrontDoor) -> None:
+        front_door.expected_up = False
         assert front_door.incarnation is not None
         front_door.incarnation.terminated = self.platform.now()
         self._signal(front_door, signal.SIGTERM)
         if self.load_generator is not None:
             asyncio.get_running_loop().call_later(
-                LEAVES, self.load_generator.front_door_draining, front_door.number
+                LOAD_BALANCER_DELAY_S, self.load_generator.front_door_draining, front_door.number
             )
 
-    async def _wait(self, front_door: _FrontDoor) -> None:
-        """Until it has ended; SIGKILL where it does not in time."""
+    async def _wait_for_exit(self, front_door: _FrontDoor) -> None:
+        """Wait for the end of the process; sends SIGKILL after `SHUTDOWN_TIMEOUT_S`."""
         assert front_door.process is not None and front_door.incarnation is not None
         try:
-            async with asyncio.timeout(ENDS_WITHIN):
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
                 await front_door.process.wait()
         except TimeoutError:
             front_door.incarnation.killed = self.platform.now()
@@ -258,42 +257,42 @@
     def _kill_group(self, front_door: _FrontDoor) -> None:
         assert front_door.process is not None
         with suppress(ProcessLookupError, PermissionError):
-            os.killpg(front_door.process.pid, signal.SIGKILL)  # its own session, made by us
+            os.killpg(front_door.process.pid, signal.SIGKILL)  # the process has its own session
 
     async def stop(self) -> None:
-        """End all front doors in good order."""
+        """Shut down all front doors gracefully."""
         if self.sampler is not None:
             self.sampler.cancel()
         self._measure_all()
         running = [d for d in self.front_doors if d.process is not None and d.process.returncode is None]
         for front_door in running:
-            self._end(front_door)
-        await asyncio.gather(*(self._wait(front_door) for front_door in running))
+            self._terminate(front_door)
+        await asyncio.gather(*(self._wait_for_exit(front_door) for front_door in running))
         for front_door in self.front_doors:
             if front_door.watcher is not None:
                 await front_door.watcher
 
     def kill_all(self) -> None:
-        """At once, from wherever: what is still there of our front doors ends."""
+        """Kill all front doors that are still running, with their process groups."""
         for front_door in self.front_doors:
-            front_door.wanted = False
+            front_door.expected_up = False
             if front_door.process is not None and front_door.process.returncode is None:
                 self._kill_group(front_door)
 
-    # What they use
+    # Resource usage
 
-    async def _sample(self) -> None:
+    async def _sample_usage(self) -> None:
         while True:
             self._measure_all()
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(USAGE_INTERVAL_S)
 
     def _measure_all(self) -> None:
         for front_door in self.front_doors:
             if front_door.process is not None and front_door.process.returncode is None:
                 measure_usage(front_door.process.pid, front_door.uses[-1])
 
-    def use(self, front_door: int) -> ProcessUsage:
-        """Over all lives of a front door: CPU added up, the most of the others."""
+    def usage(self, front_door: int) -> ProcessUsage:
+        """Return the usage over all processes of a front door: total CPU time, maximum of the others."""
         total = ProcessUsage()
         for use in self.front_doors[front_door].uses:
             total.cpu = use.cpu if total.cpu is None else total.cpu + (use.cpu or 0)
@@ -303,5 +302,5 @@
 
 
 def make_folder() -> tempfile.TemporaryDirectory[str]:
-    """Where the front doors' configurations stand while the demo runs."""
+    """Create a temporary folder for the configurations of the front doors."""
     return tempfile.TemporaryDirectory(prefix="irisdeal-demo-")
--- a/irisdeal/demo/run.py
+++ b/irisdeal/demo/run.py
@@ -1,4 +1,4 @@
-"""One demo: test services, front doors, the day, and what came of it."""
+"""Runs a demo: starts test services and front doors, plays the day, and collects the results."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from irisdeal.testbed.site_frames import SiteError
 from irisdeal.testbed.workload import Day
 
-QUIET_PERIOD = 0.3  # s after the last answer: what a front door still sends shows
-PROGRESS = 0.2  # s between two reports of progress
-START_DELAY = 50_000  # µs from the last preparation to the day's start
+QUIET_PERIOD_S = 0.3  # after the last answer, to record late sends of front doors
+PROGRESS_INTERVAL_S = 0.2  # between calls of `progress`
+START_DELAY_US = 50_000  # from the end of the preparation to the start of the day
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one run showed. `interrupted` is s from the start, None for a whole day."""
+    """The results of one run. `interrupted` is s from the start, or None if the day was completed."""
 
     day: Day
     request_log: RequestLog
     verdict: Verdict
     service: Service
     uses: list[ProcessUsage]
-    own_cpu: int  # µs of this process: all test services
+    own_cpu: int  # CPU time in µs of this process, which runs the test services
     start: int
     crashes: list[str] = field(default_factory=list)
     interrupted: float | None = None
     counter_calls: int = 0
-    reference: float = 1.0  # the share that the backends' capacity alone would allow
+    reference: float = 1.0  # upper bound of the served share, by the backends' capacity alone
     tenants: list[TenantUsage] = field(default_factory=list)  # the largest overshoot first
     manners: dict[str, MannerUse] = field(default_factory=dict)
 
@@ -64,13 +64,13 @@
     started: Callable[[list[int]], None] = lambda _: None,
     reports: Path | None = None,
 ) -> Outcome:
-    """Play a day with real front doors. Ends early, in good order, once `interrupted` is set.
+    """Play a day with real front doors. Shuts down early and gracefully once `interrupted` is set.
 
     `progress` is called with the seconds played, `started` with the front doors' process ids once all are ready.
-    `reports` is a folder for the sockets of the front doors' own reports, nN.sock each.
+    `reports` is a folder for the sockets of the front doors' reports, nN.sock each.
 
-    Raises `DemoError` where the front doors cannot be built or started. Whatever happens, every process that was
-    started here has ended on return.
+    Raises `DemoError` if the front doors cannot be built or started. All processes that were started have ended on
+    return, in any case.
     """
     stop = interrupted or asyncio.Event()
     await build(deploy)
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observer:
-    """Who watches a run: `stop` ends it early, `progress` and `started` are notified of it."""
+    """Callbacks of a run, and `stop`, which ends it early."""
 
     stop: asyncio.Event
     progress: Callable[[float], None]
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Played:
-    """A day that was played: its start and the CPU time of this process in µs, and s until an interrupt."""
+    """A played day: its start and the CPU time of this process in µs, and s from start to interrupt, or None."""
 
     start: int
     own_cpu: int
@@ -140,10 +140,10 @@
         await load.prepare()
     observer.started([process.pid for process in platform.request_log.front_doors])
     before = os.times()
-    start = platform.now() + START_DELAY
+    start = platform.now() + START_DELAY_US
     platform.play(start, front_doors)
     interrupted_at = await _run_load(platform, load, observer, start)
-    await asyncio.sleep(QUIET_PERIOD)
+    await asyncio.sleep(QUIET_PERIOD_S)
     after = os.times()
     await front_doors.stop()
     await platform.gather()
@@ -154,12 +154,14 @@
 async def _run_load(
     platform: Platform, load: LoadGenerator | LoadProcesses, observer: _Observer, start: int
 ) -> float | None:
-    """Run the load to its end; s from the start at which it was interrupted, None for a complete day."""
+    """Run the load; returns s from the start to the interrupt, or None for a complete day."""
     interrupted_at: float | None = None
     running = asyncio.get_running_loop().create_task(load.run(start))
     waiting = asyncio.get_running_loop().create_task(observer.stop.wait())
     while not running.done():
-        await asyncio.wait({running, waiting}, timeout=PROGRESS, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(
+            {running, waiting}, timeout=PROGRESS_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+        )
         seconds = (platform.now() - start) / 1e6
         observer.progress(max(0.0, min(seconds, platform.scenario.seconds)))
         if waiting.done() and interrupted_at is None:
@@ -181,7 +183,7 @@
         request_log,
         audit(request_log, platform.figures),
         summarize_service(request_log, scenario, start),
-        [front_doors.use(number) for number in platform.front_doors],
+        [front_doors.usage(number) for number in platform.front_doors],
         played.own_cpu,
         start,
         front_doors.crashes,
--- a/irisdeal/demo/tables.py
+++ b/irisdeal/demo/tables.py
@@ -1,4 +1,4 @@
-"""The report of a demo as tables for people."""
+"""The report of a demo as text tables."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from irisdeal.demo.run import Outcome
 from irisdeal.testbed.audit import Rule
 
-LATE_MS = 50  # of the testbed's event loop, from which the report mentions it
+MIN_REPORTED_LAG_MS = 50  # stalls of the testbed's event loop above this are reported
 Report = dict[str, Any]  # as `as_json` gives it
 
 
 def show(outcome: Outcome, console: Console, tenants: int = 5) -> None:
-    """Print the tables, with `tenants` of those that exceeded their quotas most."""
+    """Print the tables, including the `tenants` tenants with the largest overshoot."""
     report = as_json(outcome)
     _show_heading(outcome, report, console)
     _show_service(report, console)
@@ -32,16 +32,18 @@
 def _show_heading(outcome: Outcome, report: Report, console: Console) -> None:
     scenario = outcome.day.scenario
     if outcome.interrupted is not None:
-        console.print(f"[bold]Interrupted after {outcome.interrupted:.1f} s.[/] What was measured till then:")
+        console.print(f"[bold]Interrupted after {outcome.interrupted:.1f} s.[/] Results up to then:")
     console.print(
-        f"[bold]{scenario.name}[/]: {scenario.front_doors} doors, {scenario.fleet.backends} boxes, "
+        f"[bold]{scenario.name}[/]: {scenario.front_doors} front doors, {scenario.fleet.backends} backends, "
         f"{scenario.seconds:g} s, seed {outcome.day.seed} (schedule {report['schedule']})"
     )
 
 
 def _show_service(report: Report, console: Console) -> None:
     service = report["service"]
-    table = Table(title="Worth answered in time, of the worth asked inside the quotas", title_justify="left")
+    table = Table(
+        title="Value served in time, as a share of the value offered within quotas", title_justify="left"
+    )
     for name in ("whole", "worst 10 s", *service["by_class"], *service["by_plan"]):
         table.add_column(name, justify="right")
     table.add_row(
@@ -56,29 +58,30 @@
         )
     )
     console.print(table)
-    console.print(f"The boxes' capacity alone would allow {service['by_capacity_alone']:.3f} of it.")
+    console.print(f"The backends' capacity alone would allow a share of {service['by_capacity_alone']:.3f}.")
     console.print(
-        f"Served inside the quotas: {service['inside_per_s']:.1f} requests a second. Sent on beyond quotas: "
+        f"Served within quotas: {service['inside_per_s']:.1f} requests a second. Forwarded beyond quotas: "
         f"{100 * service['beyond_quota']:.1f}% of the units.\n"
-        f"{service['first_tries']} first tries, {service['tries']} tries, {service['attempts']} attempts; "
-        f"{service['refused']} refused, {service['failed']} failed; served in {service['p50_ms']:.0f} ms "
-        f"(median), {service['p99_ms']:.0f} ms (99th percentile)."
+        f"{service['first_tries']} requests, {service['tries']} client attempts, "
+        f"{service['attempts']} backend attempts; {service['refused']} rejected, "
+        f"{service['failed']} failed; served in {service['p50_ms']:.0f} ms (median), "
+        f"{service['p99_ms']:.0f} ms (99th percentile)."
     )
 
 
 def _show_manners(report: Report, console: Console) -> None:
-    table = Table(title="By how stores ask, over all tries of an ask", title_justify="left")
+    table = Table(title="By tenant behavior, over all attempts of a request", title_justify="left")
     for name in (
-        "stores that are",
+        "tenants",
         "count",
-        "asks",
-        "inside quota",
+        "requests",
+        "within quota",
         "of them unserved",
         "late",
         "p50 ms",
         "p99 ms",
     ):
-        table.add_column(name, justify="left" if name == "stores that are" else "right")
+        table.add_column(name, justify="left" if name == "tenants" else "right")
     for name, use in report["by_manner"].items():
         table.add_row(
             name,
@@ -90,7 +93,7 @@
 
 
 def _show_front_doors(report: Report, console: Console) -> None:
-    table = Table(title="Doors", title_justify="left")
+    table = Table(title="Front doors", title_justify="left")
     for name in ("door", "requests", "CPU µs a request", "memory MB", "descriptors"):
         table.add_column(name, justify="right")
     for use in report["doors_used"]:
@@ -107,10 +110,18 @@
 
 def _show_tenants(outcome: Outcome, tenants: int, console: Console) -> None:
     over = sum(use.overshoot > 0 for use in outcome.tenants)
-    title = f"Over their quotas by the boxes' books: {over} of {len(outcome.tenants)} stores; the furthest"
+    title = f"Over their quotas by the backends' logs: {over} of {len(outcome.tenants)} tenants; the largest"
     table = Table(title=title, title_justify="left")
-    for name in ("store", "plan", "units sent", "allowed", "most over in any span", "at s", "doors"):
-        table.add_column(name, justify="left" if name in ("store", "plan") else "right")
+    for name in (
+        "tenant",
+        "plan",
+        "units sent",
+        "allowed",
+        "largest excess in any span",
+        "at s",
+        "front doors",
+    ):
+        table.add_column(name, justify="left" if name in ("tenant", "plan") else "right")
     for use in outcome.tenants[:tenants]:
         at = f"{(use.worst_at - outcome.start) / 1e6:.1f}" if use.worst_at else "-"
         table.add_row(
@@ -130,12 +141,12 @@
         console.print(f"{fault['at']:7.2f} s  {fault['what']}")
     if report["strangers"]:
         ends = ", ".join(f"{count} {name}" for name, count in sorted(report["strangers"].items()))
-        console.print(f"Connections of no store: {ends}.")
+        console.print(f"Connections of misbehaving clients: {ends}.")
 
 
 def _show_rules(report: Report, console: Console) -> None:
-    table = Table(title="The five rules, by the stand-ins' books", title_justify="left")
-    for name, side in (("rule", "left"), ("", "left"), ("breaches", "right"), ("looked at", "right")):
+    table = Table(title="The five rules, by the test services' request logs", title_justify="left")
+    for name, side in (("rule", "left"), ("", "left"), ("breaches", "right"), ("checked", "right")):
         table.add_column(name, justify=side)  # type: ignore[arg-type]
     for rule in Rule:
         judged = report["rules"][rule.name.lower()]
@@ -151,15 +162,15 @@
 def _show_remarks(report: Report, console: Console) -> None:
     if report["excused"]:
         console.print(
-            f"{report['excused']} tries were with a door when it was killed: the client's to retry."
+            f"{report['excused']} attempts were pending at a front door when it was killed; they are excused."
         )
     for text in (*report["breaches"], *report["crashes"]):
         console.print(f"[red]{text}[/]", highlight=False)
-    if report["standins"]["late_ms"] > LATE_MS:
+    if report["standins"]["late_ms"] > MIN_REPORTED_LAG_MS:
         late = report["standins"]["late_ms"]
         console.print(
-            f"The stand-ins ran up to {late:.0f} ms late, so this machine is busy; the rules' time "
-            "limits were taken longer where that fell into them."
+            f"The test services ran up to {late:.0f} ms late, so this machine is busy; time limits of the rules "
+            "were extended by the lag within them."
         )
 
 
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo with real front doors as processes: what a person sees, how it ends, and what it leaves behind."""
+"""Tests of the demo with real front door processes: output, shutdown, and cleanup."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def deploy_file(folder: Path, run: str = HERE.run) -> Path:
-    """A deployment whose front doors run on the tests' own interpreter."""
+    """Write a deployment file whose front doors run on the interpreter of the tests."""
     (folder / "deploy").mkdir()
     path = folder / "deploy" / "balancer.toml"
     path.write_text(f'run = "cd {ROOT} && {run}"\n')
@@ -48,7 +48,7 @@
     return True
 
 
-def test_a_short_day_is_played_reported_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_short_day_is_played_and_reported_and_leaves_no_process(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
     scenario = tmp_path / "small.toml"
     scenario.write_text('about = "small"\n' + SMALL)
@@ -65,22 +65,22 @@
         str(deploy_file(tmp_path)),
     )
     assert done.returncode == 0, done.stdout + done.stderr
-    told = json.loads(out.read_text())
-    assert told["kept"] and told["service"]["whole"] > 0.5 and told["interrupted_after"] is None
-    assert told["rules"]["answers"]["looked_at"] > 100
-    assert len(told["doors_used"]) == 2
-    for used in told["doors_used"]:
+    output = json.loads(out.read_text())
+    assert output["kept"] and output["service"]["whole"] > 0.5 and output["interrupted_after"] is None
+    assert output["rules"]["answers"]["looked_at"] > 100
+    assert len(output["doors_used"]) == 2
+    for used in output["doors_used"]:
         assert used["requests"] > 20 and not any(exists(pid) for pid in used["pids"])
         if sys.platform == "linux":
             assert used["cpu_us_per_request"] > 0 and used["memory_bytes"] > 1e6 and used["descriptors"] > 5
-    assert told["stores"] and all(s["units_sent"] > 0 for s in told["stores"])
-    overs = [s["overshoot_units"] for s in told["stores"]]
+    assert output["stores"] and all(s["units_sent"] > 0 for s in output["stores"])
+    overs = [s["overshoot_units"] for s in output["stores"]]
     assert overs == sorted(overs, reverse=True)
     for words in ("Over their quotas", "whole", "worst 10 s", "mall", "CPU", "no request is lost", "kept"):
         assert words in done.stdout
 
 
-def test_ctrl_c_ends_it_in_good_order_with_what_was_measured(tmp_path: Path) -> None:
+def test_ctrl_c_shuts_down_gracefully_and_reports_the_results_so_far(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
     process = subprocess.Popen(
         [
@@ -109,18 +109,18 @@
     assert line.startswith("2 doors are ready: processes ")
     pids = [int(word) for word in line.rpartition("processes ")[2].split(", ")]
     assert all(exists(pid) for pid in pids)
-    os.killpg(process.pid, signal.SIGINT)  # as a terminal does: the whole foreground group
+    os.killpg(process.pid, signal.SIGINT)  # as a terminal does, to the foreground process group
     stdout, stderr = process.communicate(timeout=30)
     assert process.returncode == 0, stdout + stderr
-    told = json.loads(out.read_text())
-    assert "Interrupted after" in stdout and 0 <= told["interrupted_after"] < 60
+    output = json.loads(out.read_text())
+    assert "Interrupted after" in stdout and 0 <= output["interrupted_after"] < 60
     assert not any(exists(pid) for pid in pids)
     assert bystander.poll() is None
     bystander.communicate(b"\n")
 
 
 @pytest.mark.parametrize(
-    ("arguments", "says"),
+    ("arguments", "expected"),
     [
         (["--scenario", "nothing"], "nothing: no such scenario: wanted a file, or one of calm"),
         (["--scenario", "nowhere/x.toml"], "nowhere/x.toml: No such file"),
@@ -130,12 +130,12 @@
         (["--json", "nowhere/out.json"], "cannot be written"),
     ],
 )
-def test_what_cannot_be_used_is_one_clear_error(arguments: list[str], says: str) -> None:
+def test_an_invalid_argument_is_one_error_without_a_traceback(arguments: list[str], expected: str) -> None:
     done = demo(*arguments)
-    assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr + done.stdout
+    assert done.returncode == 2 and expected in done.stderr and "Traceback" not in done.stderr + done.stdout
 
 
-def test_a_front_door_that_does_not_start_is_reported_with_its_last_words(tmp_path: Path) -> None:
+def test_a_front_door_that_does_not_start_is_reported_with_its_last_output(tmp_path: Path) -> None:
     path = deploy_file(tmp_path, "echo no luck today >&2; exit 3")
     done = demo("--deploy", str(path))
     assert done.returncode == 2 and "exit code 3" in done.stderr and "no luck today" in done.stderr
@@ -165,14 +165,14 @@
     deploy_file(tmp_path)
     assert find_deployment(inner).root == tmp_path
     (tmp_path / "deploy" / "balancer.toml").write_text("run = 3\n")
-    with pytest.raises(DemoError, match="run: wanted the line"):
+    with pytest.raises(DemoError, match="run: wanted the command that starts a front door"):
         find_deployment(inner)
 
 
-def test_a_front_door_killed_between_a_backends_answer_and_the_clients_is_the_clients_to_retry(
+def test_a_request_whose_front_door_is_killed_before_it_forwards_the_answer_is_excused(
     tmp_path: Path,
 ) -> None:
-    """Stopped while its backend answers, then killed: the answer is made, and never passed on."""
+    """The front door is stopped while the backend answers, then killed: the answer is never forwarded."""
     text = SMALL.replace("share = 0.6", "share = 0.001").replace("share = 0.2", "share = 1", 1)
     text = text.replace("window_ms = 600", "window_ms = 5000")
 
@@ -186,28 +186,28 @@
         front_doors.load_generator = load_generator
         try:
             await front_doors.start()
-            struck: list[Attempt] = []
+            unforwarded: list[Attempt] = []
 
-            async def strike() -> None:
-                victim = front_doors.front_doors[0].process
-                assert victim is not None
+            async def kill_after_answer() -> None:
+                process = front_doors.front_doors[0].process
+                assert process is not None
                 while not any(
                     a.front_door == 0 and a.kind == "claim" and a.end is End.OPEN
                     for a in platform.request_log.attempts
                 ):
                     await asyncio.sleep(0.001)
-                os.kill(victim.pid, signal.SIGSTOP)
+                os.kill(process.pid, signal.SIGSTOP)
                 pending = [
                     a for a in platform.request_log.attempts if a.front_door == 0 and a.end is End.OPEN
                 ]
                 while not any(a.end is End.SERVED for a in pending):
                     await asyncio.sleep(0.001)
-                struck.extend(a for a in pending if a.end is End.SERVED)
+                unforwarded.extend(a for a in pending if a.end is End.SERVED)
                 await front_doors.kill(0, 0.1)
 
-            striking = asyncio.ensure_future(strike())
+            killing = asyncio.ensure_future(kill_after_answer())
             await load_generator.run(platform.now())
-            await striking
+            await killing
             await front_doors.stop()
         finally:
             front_doors.kill_all()
@@ -215,8 +215,8 @@
             platform.close()
         verdict = audit(platform.request_log, platform.figures)
         assert [b.text() for b in verdict.breaches] == []
-        assert struck and verdict.excused >= 1
-        lost = [t for t in platform.request_log.client_attempts if t.trace == struck[0].trace]
+        assert unforwarded and verdict.excused >= 1
+        lost = [t for t in platform.request_log.client_attempts if t.trace == unforwarded[0].trace]
         assert lost and not lost[0].answers and lost[0].disconnected_at
         assert [
             incarnation.killed > 0
@@ -258,11 +258,11 @@
     assert process.stdout is not None
     assert json.loads(process.stdout.readline())["addresses"][0].startswith("127.0.0.1:")
     process.send_signal(signal.SIGINT)
-    book, _ = process.communicate(timeout=20)
-    assert process.returncode == 0 and isinstance(json.loads(book), dict)
+    report, _ = process.communicate(timeout=20)
+    assert process.returncode == 0 and isinstance(json.loads(report), dict)
 
 
-def test_a_service_that_cannot_be_used_says_so() -> None:
+def test_a_service_that_cannot_start_reports_why() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "irisdeal.testbed", "backend", "--scenario", "none"],
         cwd=ROOT,
@@ -273,8 +273,8 @@
     assert done.returncode == 2 and done.stderr.startswith("testbed: none: no such scenario")
 
 
-def test_two_runs_side_by_side_have_addresses_of_their_own() -> None:
-    """Lost: a port was looked for, given up and bound later, so that another run could take it meanwhile."""
+def test_concurrent_runs_have_different_addresses() -> None:
+    """On a shared address, another run could bind a free port between its discovery and its use."""
     code = "from irisdeal.demo.deployment import own_address\nprint(own_address(), own_address())\ninput()"
     runs = [
         subprocess.Popen(
@@ -283,11 +283,11 @@
         for _ in range(3)
     ]
     try:
-        told = [run.stdout.readline() for run in runs if run.stdout is not None]
+        output = [run.stdout.readline() for run in runs if run.stdout is not None]
     finally:
         for run in runs:
             run.communicate("\n")
-    hosts = {line.split("'")[1] for line in told}
+    hosts = {line.split("'")[1] for line in output}
     if hosts == {"127.0.0.1"}:
-        pytest.skip("this system has one loopback address alone")
+        pytest.skip("this system has a single loopback address")
     assert len(hosts) == 3 and all(host.startswith("127.") for host in hosts)
