--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -1,11 +1,10 @@
-"""What a whole door costs beside a bare forwarder: CPU µs a request, and added p50 and p99.
+"""Cost of a complete front door compared with a minimal forwarder: CPU µs per request, and added p50 and p99.
 
     python -m benchmarks.door_cost [--rate 300] [--seconds 3] [--turns 5] [--json]
 
-Both run as processes of their own before the same backends, which answer at once. They take turns at the
-same load in one run, so that what else the machine does meets both alike; the ratio is that of each turn's
-pair, given as its median with the least and the most. The door counts each store with a count keeper, as in
-service.
+Both run as separate processes with the same backends, which answer at once. They take turns under the same load in
+one run, so that other load on the machine affects both alike; the ratio is computed for each pair of turns and
+given as median, minimum and maximum. The front door counts each store with a counter service, as in production.
 """
 
 from __future__ import annotations
@@ -32,22 +31,22 @@
 from irisdeal.testbed.request_log import Clock, RequestLog
 from irisdeal.testbed.scenario_files import load
 
-BACKENDS = 4
-STORES = 200  # so many that none passes its quota
-READY = 200  # looks, 50 ms apart, for a process to come up
-WARM = 0.5  # s of load before each turn that is not counted
+BACKEND_COUNT = 4
+STORE_COUNT = 200  # enough that none exceeds its quota
+MAX_STARTUP_POLLS = 200  # 50 ms apart, for a process to listen
+WARMUP_S = 0.5  # of load before each turn, not measured
 
 
 @dataclass(slots=True)
-class Turn:
-    """One turn of one target."""
+class TurnResult:
+    """Results of one turn of one target."""
 
-    cpu_us: float  # a request
+    cpu_us: float  # per request
     p50_ms: float
     p99_ms: float
 
 
-class Instant:
+class InstantBackend:
     """A backend that answers at once."""
 
     def now(self) -> int:
@@ -61,16 +60,16 @@
         connection.reply(200, b"done")
 
 
-class Load:
-    """An open load on one address."""
+class LoadGenerator:
+    """Sends requests at a fixed rate to one port, regardless of the answers (open loop)."""
 
     def __init__(self, port: int, name: str) -> None:
         self.port, self.name, self.number = port, name, 0
         self.idle: list[ClientConnection] = []
-        self.took: list[float] = []
-        self.odd: dict[int, int] = {}  # answers by status that were not 200; 0 where none came
+        self.durations_s: list[float] = []
+        self.error_counts: dict[int, int] = {}  # answers other than 200 by status; 0: no answer
 
-    def text(self) -> bytes:
+    def build_request(self) -> bytes:
         self.number += 1
         lines = (
             "GET /refund/check HTTP/1.1",
@@ -78,7 +77,7 @@
             f"X-Trace-Id: {self.name}{self.number:08x}",
             "X-Qos: check",
             "Plan: chain",
-            f"Account: {self.number % STORES:016x}",
+            f"Account: {self.number % STORE_COUNT:016x}",
             "X-Expires-In: 1900m",
             "Quota-Info: units=1,spread=1,first=0",
             "",
@@ -86,25 +85,25 @@
         )
         return "\r\n".join(lines).encode()
 
-    async def one(self) -> None:
+    async def send_request(self) -> None:
         loop = asyncio.get_running_loop()
         connection = self.idle.pop() if self.idle else None
         if connection is None or not connection.usable():
             connection = ClientConnection()
             await loop.create_connection(lambda: connection, "127.0.0.1", self.port)
-        done: asyncio.Future[int] = loop.create_future()
+        status_future: asyncio.Future[int] = loop.create_future()
 
         def ended(status: int = 0, *_: object) -> None:
-            if not done.done():
-                done.set_result(status)
+            if not status_future.done():
+                status_future.set_result(status)
 
         connection.on_answer, connection.on_end = ended, ended
-        start = time.perf_counter()  # the loop's own time counts whole milliseconds
-        connection.write(self.text())
-        status = await done
-        self.took.append(time.perf_counter() - start)
+        start = time.perf_counter()  # the event loop's clock has a resolution of milliseconds
+        connection.write(self.build_request())
+        status = await status_future
+        self.durations_s.append(time.perf_counter() - start)
         if status != 200:
-            self.odd[status] = self.odd.get(status, 0) + 1
+            self.error_counts[status] = self.error_counts.get(status, 0) + 1
         if connection.usable():
             self.idle.append(connection)
 
@@ -113,27 +112,27 @@
         start, tasks = loop.time(), []
         for n in range(round(rate * seconds)):
             await asyncio.sleep(max(0.0, start + n / rate - loop.time()))
-            tasks.append(loop.create_task(self.one()))
+            tasks.append(loop.create_task(self.send_request()))
         await asyncio.gather(*tasks)
 
 
-async def turn(load_: Load, pid: int, rate: float, seconds: float) -> Turn:
-    await load_.run(rate, WARM)
-    load_.took.clear()
+async def measure_turn(generator: LoadGenerator, pid: int, rate: float, seconds: float) -> TurnResult:
+    await generator.run(rate, WARMUP_S)
+    generator.durations_s.clear()
     before, after = ProcessUsage(), ProcessUsage()
     measure_usage(pid, before)
-    await load_.run(rate, seconds)
+    await generator.run(rate, seconds)
     measure_usage(pid, after)
-    took = sorted(load_.took)
-    return Turn(
-        ((after.cpu or 0) - (before.cpu or 0)) / len(took),
-        1000 * took[len(took) // 2],
-        1000 * took[int(len(took) * 0.99)],
+    durations_s = sorted(generator.durations_s)
+    return TurnResult(
+        ((after.cpu or 0) - (before.cpu or 0)) / len(durations_s),
+        1000 * durations_s[len(durations_s) // 2],
+        1000 * durations_s[int(len(durations_s) * 0.99)],
     )
 
 
-async def up(port: int) -> None:
-    for _ in range(READY):
+async def wait_until_listening(port: int) -> None:
+    for _ in range(MAX_STARTUP_POLLS):
         try:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
         except OSError:
@@ -141,25 +140,25 @@
         else:
             writer.close()
             return
-    raise SystemExit(f"nothing listens at port {port}")
+    raise SystemExit(f"no process listens at port {port}")
 
 
 async def run(rate: float, seconds: float, turns: int) -> dict[str, Any]:
-    loop, now = asyncio.get_running_loop(), Clock()
-    instant, servers = Instant(), []
-    for _ in range(BACKENDS):
-        servers.append(await loop.create_server(lambda: ServerConnection(instant, 0, 0), "127.0.0.1", 0))
+    loop, clock = asyncio.get_running_loop(), Clock()
+    backend, servers = InstantBackend(), []
+    for _ in range(BACKEND_COUNT):
+        servers.append(await loop.create_server(lambda: ServerConnection(backend, 0, 0), "127.0.0.1", 0))
     ports = [int(server.sockets[0].getsockname()[1]) for server in servers]
     scenario = load("calm").resized(front_doors=1)
-    keeper, roster = (
-        CounterServer(scenario.counter, now, 1),
-        DiscoveryServer(scenario.discovery, RequestLog(), now, 1),
+    counter_service, discovery_service = (
+        CounterServer(scenario.counter, clock, 1),
+        DiscoveryServer(scenario.discovery, RequestLog(), clock, 1),
     )
-    roster.endpoints.change(
+    discovery_service.endpoints.change(
         *(Endpoint(f"s-{n}", "hall-a", "std", 0, "Ready", 0, (port,)) for n, port in enumerate(ports))
     )
-    await roster.start(range(1))
-    await keeper.start(range(1))
+    await discovery_service.start(range(1))
+    await counter_service.start(range(1))
     door_port, bare_port = free_port(), free_port()
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
@@ -168,8 +167,8 @@
                 {
                     "name": "n0",
                     "listen": f"127.0.0.1:{door_port}",
-                    "discovery": f"127.0.0.1:{roster.ports[0]}",
-                    "counter": f"127.0.0.1:{keeper.ports[0]}",
+                    "discovery": f"127.0.0.1:{discovery_service.ports[0]}",
+                    "counter": f"127.0.0.1:{counter_service.ports[0]}",
                     "seed": "1",
                     "known": {"revision": 0, "complete": True, "members": []},
                     "settings": front_door_settings(scenario, 0),
@@ -184,67 +183,71 @@
             ),
         }
         processes: dict[str, asyncio.subprocess.Process] = {}
-        found: dict[str, list[Turn]] = {name: [] for name in commands}
+        results: dict[str, list[TurnResult]] = {name: [] for name in commands}
         try:
-            loads = {}
+            generators = {}
             for name, (port, command) in commands.items():
                 processes[name] = await asyncio.create_subprocess_exec(
                     *command, env={"EDGE_CONFIG": str(config), "PATH": "/usr/bin:/bin"}
                 )
-                await up(port)
-                loads[name] = Load(port, name)
+                await wait_until_listening(port)
+                generators[name] = LoadGenerator(port, name)
             for n in range(turns):
                 for name in ("door", "bare") if n % 2 else ("bare", "door"):
-                    found[name].append(await turn(loads[name], processes[name].pid, rate, seconds))
+                    results[name].append(
+                        await measure_turn(generators[name], processes[name].pid, rate, seconds)
+                    )
         finally:
             for process in processes.values():
                 if process.returncode is None:
                     process.terminate()
                     await process.wait()
-    keeper.close()
-    roster.close()
-    ratios = [door.cpu_us / bare.cpu_us for door, bare in zip(found["door"], found["bare"], strict=True)]
+    counter_service.close()
+    discovery_service.close()
+    ratios = [door.cpu_us / bare.cpu_us for door, bare in zip(results["door"], results["bare"], strict=True)]
 
     def median(name: str, field: str) -> float:
-        return float(statistics.median(getattr(t, field) for t in found[name]))
+        return float(statistics.median(getattr(t, field) for t in results[name]))
 
     return {
         "rate": rate,
         "turns": turns,
-        "odd_answers": {name: made.odd for name, made in loads.items()},
+        "odd_answers": {name: generator.error_counts for name, generator in generators.items()},
         "cpu_us": {name: median(name, "cpu_us") for name in commands},
         "cpu_ratio": {"median": statistics.median(ratios), "least": min(ratios), "most": max(ratios)},
         "p50_ms": {name: median(name, "p50_ms") for name in commands},
         "p99_ms": {name: median(name, "p99_ms") for name in commands},
-        "keeper_calls_a_request": keeper.calls / max(1, loads["door"].number),
+        "keeper_calls_a_request": counter_service.calls / max(1, generators["door"].number),
     }
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.door_cost", description="A door, a bare forwarder.")
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.door_cost", description="Compare the front door with a minimal forwarder."
+    )
     parser.add_argument("--rate", type=float, default=300.0, help="requests a second")
     parser.add_argument("--seconds", type=float, default=3.0, help="of each turn")
     parser.add_argument("--turns", type=int, default=5)
     parser.add_argument("--json", action="store_true")
-    told = parser.parse_args()
-    if not (told.rate > 0 and told.seconds > 0 and told.turns > 0):
-        parser.error("rate, seconds and turns: wanted over 0")
-    made = uvloop.run(run(told.rate, told.seconds, told.turns))
-    if told.json:
-        print(json.dumps(made, indent=1))
+    args = parser.parse_args()
+    if not (args.rate > 0 and args.seconds > 0 and args.turns > 0):
+        parser.error("--rate, --seconds and --turns must be greater than 0")
+    result = uvloop.run(run(args.rate, args.seconds, args.turns))
+    if args.json:
+        print(json.dumps(result, indent=1))
         return 0
-    ratio = made["cpu_ratio"]
-    print(f"{made['turns']} turns each at {made['rate']:g} requests a second")
+    ratio = result["cpu_ratio"]
+    print(f"{result['turns']} turns each at {result['rate']:g} requests a second")
     for name in ("door", "bare"):
         print(
-            f"{name}: {made['cpu_us'][name]:.0f} µs CPU a request, p50 {made['p50_ms'][name]:.2f} ms, "
-            f"p99 {made['p99_ms'][name]:.2f} ms, not 200: {made['odd_answers'][name] or 'none'}"
+            f"{name}: {result['cpu_us'][name]:.0f} µs CPU per request, p50 {result['p50_ms'][name]:.2f} ms, "
+            f"p99 {result['p99_ms'][name]:.2f} ms, not 200: {result['odd_answers'][name] or 'none'}"
         )
     print(
-        f"CPU of the door over the bare forwarder: {ratio['median']:.2f} ({ratio['least']:.2f} to "
-        f"{ratio['most']:.2f}); added p50 {made['p50_ms']['door'] - made['p50_ms']['bare']:.2f} ms, "
-        f"added p99 {made['p99_ms']['door'] - made['p99_ms']['bare']:.2f} ms\n"
-        f"calls to the count keeper: {made['keeper_calls_a_request']:.2f} a request, each waited for"
+        f"CPU of the front door over the minimal forwarder: {ratio['median']:.2f} ({ratio['least']:.2f} to "
+        f"{ratio['most']:.2f}); added p50 {result['p50_ms']['door'] - result['p50_ms']['bare']:.2f} ms, "
+        f"added p99 {result['p99_ms']['door'] - result['p99_ms']['bare']:.2f} ms\n"
+        f"calls to the counter service: {result['keeper_calls_a_request']:.2f} per request, each awaited"
     )
     return 0
 
--- a/benchmarks/fair_queue.py
+++ b/benchmarks/fair_queue.py
@@ -1,11 +1,11 @@
-"""What an operation of the fair queue costs beside a plain FIFO, at 10, 1,000 and 100,000 stores.
+"""Cost of a fair queue operation compared with a plain FIFO, at 10, 1,000 and 100,000 stores.
 
-    python -m benchmarks.fair_queue            # ns an operation, and the ratio, taken in turns in one run
+    python -m benchmarks.fair_queue            # ns per operation, and the ratio, measured alternately in one run
     python -m benchmarks.fair_queue --stores 50 --rounds 9
 
-Every store has four requests waiting all along; one is served and one comes (`serve`), one leaves unserved
-and one comes (`leave`), or one comes to a full queue and another gives way (`give way`). The plain FIFO is
-one `collections.deque`; it takes out what leaves from its head alone, which flatters it.
+Every store always has four waiting requests; one is served and one arrives (`serve`), one leaves unserved and one
+arrives (`leave`), or one arrives at a full queue and displaces another (`give way`). The plain FIFO is one
+`collections.deque`; it removes entries only from its head, which favours it in the comparison.
 """
 
 from __future__ import annotations
@@ -21,52 +21,52 @@
 
 from irisdeal.front_door.queueing.fair_queue import Entry, FairQueue
 
-DEEP = 4  # requests of each store that wait
-OPERATIONS = 20_000  # of one round
-PLANS = 4
+REQUESTS_PER_STORE = 4  # waiting
+OPERATIONS_PER_ROUND = 20_000
+PLAN_COUNT = 4
 
 
-def full(stores: int, most: int) -> FairQueue[int]:
-    queue: FairQueue[int] = FairQueue((1.0,), most, 1 << 40, most)
-    for n in range(stores * DEEP):
+def make_full_queue(stores: int, capacity: int) -> FairQueue[int]:
+    queue: FairQueue[int] = FairQueue((1.0,), capacity, 1 << 40, capacity)
+    for n in range(stores * REQUESTS_PER_STORE):
         store = n % stores
-        queue.push(0, store % PLANS, store, Entry(n, 1.0, 100, 0), 1.0, n)
+        queue.push(0, store % PLAN_COUNT, store, Entry(n, 1.0, 100, 0), 1.0, n)
     return queue
 
 
-def serving(queue: FairQueue[int], stores: list[int]) -> None:
+def run_serve(queue: FairQueue[int], stores: list[int]) -> None:
     for now, store in enumerate(stores):
         entry = queue.head()
         assert entry is not None
         queue.serve(entry)
-        queue.push(0, store % PLANS, store, Entry(now, 1.0, 100, now), 1.0, now)
+        queue.push(0, store % PLAN_COUNT, store, Entry(now, 1.0, 100, now), 1.0, now)
 
 
-def leaving(queue: FairQueue[int], stores: list[int]) -> None:
+def run_leave(queue: FairQueue[int], stores: list[int]) -> None:
     waiting: deque[Entry[int]] = deque()
     for now, store in enumerate(stores):
         entry = Entry(now, 1.0, 100, now)
-        queue.push(0, store % PLANS, store, entry, 1.0, now)
+        queue.push(0, store % PLAN_COUNT, store, entry, 1.0, now)
         waiting.append(entry)
         if len(waiting) > 100:
             queue.remove(waiting.popleft())
 
 
-def giving_way(queue: FairQueue[int], stores: list[int]) -> None:
+def run_give_way(queue: FairQueue[int], stores: list[int]) -> None:
     for now, store in enumerate(stores):
-        queue.push(0, store % PLANS, store, Entry(now, 1.0, 100, now), 1.0, now)
+        queue.push(0, store % PLAN_COUNT, store, Entry(now, 1.0, 100, now), 1.0, now)
 
 
-def plain(queue: deque[Entry[int]], stores: list[int]) -> None:
+def run_fifo(queue: deque[Entry[int]], stores: list[int]) -> None:
     for now, _ in enumerate(stores):
         queue.popleft()
         queue.append(Entry(now, 1.0, 100, now))
 
 
-def took(call: Callable[[Any, list[int]], None], queue: Any, stores: list[int]) -> float:
+def measure_ns(call: Callable[[Any, list[int]], None], queue: Any, stores: list[int]) -> float:
     start = time.perf_counter_ns()
     call(queue, stores)
-    return (time.perf_counter_ns() - start) / OPERATIONS
+    return (time.perf_counter_ns() - start) / OPERATIONS_PER_ROUND
 
 
 def main() -> int:
@@ -75,18 +75,24 @@
     )
     parser.add_argument("--stores", type=int, nargs="+", default=[10, 1_000, 100_000])
     parser.add_argument("--rounds", type=int, default=5)
-    told = parser.parse_args()
-    if min(told.stores) < 1 or told.rounds < 1:
-        parser.error("--stores and --rounds: wanted at least 1")
+    args = parser.parse_args()
+    if min(args.stores) < 1 or args.rounds < 1:
+        parser.error("--stores and --rounds must be at least 1")
     rng = random.Random(1)
     print(f"{'stores':>8} {'operation':>9} {'fair ns':>8} {'FIFO ns':>8} {'ratio':>6}   (least to most)")
-    for stores in told.stores:
-        asked = [rng.randrange(stores) for _ in range(OPERATIONS)]
-        calls = {"serve": serving, "leave": leaving, "give way": giving_way}
+    for stores in args.stores:
+        sequence = [rng.randrange(stores) for _ in range(OPERATIONS_PER_ROUND)]
+        calls = {"serve": run_serve, "leave": run_leave, "give way": run_give_way}
         for name, call in calls.items():
-            most = stores * DEEP if name == "give way" else 1 << 40
-            queue, fifo = full(stores, most), deque(Entry(n, 1.0, 100, 0) for n in range(stores * DEEP))
-            pairs = [(took(call, queue, asked), took(plain, fifo, asked)) for _ in range(told.rounds)]
+            capacity = stores * REQUESTS_PER_STORE if name == "give way" else 1 << 40
+            queue, fifo = (
+                make_full_queue(stores, capacity),
+                deque(Entry(n, 1.0, 100, 0) for n in range(stores * REQUESTS_PER_STORE)),
+            )
+            pairs = [
+                (measure_ns(call, queue, sequence), measure_ns(run_fifo, fifo, sequence))
+                for _ in range(args.rounds)
+            ]
             ratios = sorted(fair / simple for fair, simple in pairs)
             print(
                 f"{stores:>8} {name:>9} {statistics.median(p[0] for p in pairs):>8.0f} "
--- a/benchmarks/forwarder.py
+++ b/benchmarks/forwarder.py
@@ -1,7 +1,7 @@
-"""The bare forwarder that a door is measured beside: same loop, same parser, no decisions.
+"""Minimal forwarder that a front door is compared with: same event loop, same parser, no decisions.
 
-It hands each request to the next backend in turn on a kept connection, unchanged but for the framing, and the
-answer back. No limits, no time-outs, no retries: nothing that a door must do beyond forwarding.
+It sends each request to the next backend, round robin, on a persistent connection, unchanged except for the
+framing, and returns the answer. It has no limits, timeouts or retries.
 
     python -m benchmarks.forwarder LISTEN_PORT BACKEND_PORT [BACKEND_PORT ...]
 """
@@ -19,7 +19,7 @@
 
 
 class Backend(asyncio.Protocol):
-    """One kept connection to a backend."""
+    """One persistent connection to a backend."""
 
     def __init__(self, pool: Pool, port: int) -> None:
         self.pool, self.port = pool, port
@@ -51,21 +51,23 @@
 
 
 class Pool:
+    """Idle connections by backend port."""
+
     def __init__(self, ports: list[int]) -> None:
         self.idle: dict[int, deque[Backend]] = {port: deque() for port in ports}
-        self.turn = itertools.cycle(ports)
+        self.next_port = itertools.cycle(ports)
 
     def send(self, client: Client, payload: bytes) -> None:
-        port = next(self.turn)
-        kept = self.idle[port]
-        while kept:
-            backend = kept.pop()
+        port = next(self.next_port)
+        idle = self.idle[port]
+        while idle:
+            backend = idle.pop()
             if backend.transport is not None:
                 backend.client = client
                 return backend.transport.write(payload)
-        asyncio.get_running_loop().create_task(self._fresh(client, payload, port))
+        asyncio.get_running_loop().create_task(self._connect(client, payload, port))
 
-    async def _fresh(self, client: Client, payload: bytes, port: int) -> None:
+    async def _connect(self, client: Client, payload: bytes, port: int) -> None:
         backend = Backend(self, port)
         await asyncio.get_running_loop().create_connection(lambda: backend, "127.0.0.1", port)
         assert backend.transport is not None
@@ -74,6 +76,8 @@
 
 
 class Client(asyncio.Protocol):
+    """A connection of a client."""
+
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.parser = httptools.HttpRequestParser(self)
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,15 +1,14 @@
-"""How a fleet of doors leaves a lost zone and returns, in virtual time: the beliefs alone, no process.
+"""How a fleet of front doors leaves a lost zone and returns: the zone logic alone, in virtual time.
 
     python -m benchmarks.zones                         # a zone cut for 8 s, 12 to 1,000 doors
     python -m benchmarks.zones --fault calm --doors 30
 
-Each door sends `--rate` attempts a second evenly over three zones. An attempt is answered after a
-lognormal time, or fails after a patience of two mean times. The keeper answers within `COUNTER_DELAY_RANGE_S`,
-or loses a call.
+Each front door sends `--rate` attempts per second evenly over three zones. An attempt is answered after a lognormal
+time, or fails after a timeout of two mean times. The counter service answers within `COUNTER_DELAY_RANGE_S`, or loses a call.
 
-Columns: s from the loss until half, 95 in 100 and all of the doors have left; attempts spent on the lost
-zone, and trials; calls to the keeper a second while it is lost, and the most in any second; s from the return
-until 95 in 100 send there again; doors that left a zone that was well; times that a door had no zone.
+Columns: s from the loss until half, 95 % and all of the front doors have left; attempts sent to the lost zone, and
+probes; calls to the counter service per second during the loss, and the maximum in any second; s from the return
+until 95 % send there again; front doors that left a healthy zone; times that a front door had no zone.
 """
 
 from __future__ import annotations
@@ -23,20 +22,24 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--fault", choices=list(FAULTS), default="cut")
     parser.add_argument("--doors", type=int, action="append")
-    parser.add_argument("--backends", type=int, default=0, help="of all three zones (default: 0.6 a door)")
-    parser.add_argument("--rate", type=float, default=6.0, help="attempts a second of each door")
+    parser.add_argument(
+        "--backends", type=int, default=0, help="in all three zones (default: 0.6 per front door)"
+    )
+    parser.add_argument("--rate", type=float, default=6.0, help="attempts per second of each front door")
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--lose", type=float, default=0.0, help="share of the keeper's answers that get lost")
-    parser.add_argument("--alone", action="store_true", help="no keeper")
-    given = parser.parse_args()
+    parser.add_argument(
+        "--lose", type=float, default=0.0, help="lost fraction of the counter service's answers"
+    )
+    parser.add_argument("--alone", action="store_true", help="run without a counter service")
+    args = parser.parse_args()
     print("doors seed   half    95%    all  spent trials calls/s most   back  wrong  none")
-    for doors in given.doors or (12, 30, 200, 1000):
-        backends = given.backends or max(9, 3 * round(doors * 0.2))
-        for seed in range(1, given.seeds + 1):
-            bad = BAD_BACKENDS_PER_ZONE if given.fault == "calm" else 0
+    for doors in args.doors or (12, 30, 200, 1000):
+        backends = args.backends or max(9, 3 * round(doors * 0.2))
+        for seed in range(1, args.seeds + 1):
+            bad = BAD_BACKENDS_PER_ZONE if args.fault == "calm" else 0
             f = summarize(
                 FleetSimulation(
-                    doors, backends, given.rate, seed, FAULTS[given.fault], bad, given.lose, not given.alone
+                    doors, backends, args.rate, seed, FAULTS[args.fault], bad, args.lose, not args.alone
                 ).run()
             )
             print(
