--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -1,17 +1,18 @@
-"""The quota account alone, over 3 to 1,000 doors: what the count keeper's time buys.
+"""The quota account alone, with 3 to 1,000 front doors: the effect of calls to the counter service.
 
     python -m benchmarks.account                    # a table, some ten seconds
     python -m benchmarks.account --doors 200 --seeds 3 --silent 8:16
 
-An exact simulation of tries, doors, accounts and the keeper, with no backends: what is let in takes its units
-from the store as it is meant. Customers and plans are of the size of a day of 200 doors: 1,200 requests a
-second, 1,300 customers of four plans, of whom one in ten asks three to five times its quota and one in six
-has spikes; clients try three more times, 140 ms apart. The keeper takes 1,700 calls a second in three parts,
-each with a line of 0.1 s. Fewer doors have fewer customers and calls in proportion.
+An exact simulation of attempts, front doors, accounts and the counter service, without backends: an admitted
+attempt takes its units from the store's true quota. Customers and plans are those of a day with 200 front doors:
+1,200 requests per second and 1,300 customers of four plans, of whom one in ten requests three to five times its
+quota and one in six has spikes; clients retry three times, 140 ms apart. The counter service takes 1,700 calls per
+second in three parts, each with a queue of 0.1 s. Fewer front doors have proportionally fewer customers and calls.
 
-Columns: worth served inside quotas, over what a store known at once would let first tries have; what is paid
-for units beyond quotas; the difference of both; units sent on that were beyond; of the refused, those whose
-store had room; tries a request, calls a try, and the shares of calls turned away and answered after 30 ms.
+Columns: value served within quotas, over what first attempts get with exact quotas; the penalty for units beyond
+quotas; the difference of both; the fraction of admitted units beyond quotas; the fraction of refusals whose store
+had quota left; attempts per request, calls per attempt, and the fractions of calls rejected and answered after
+30 ms.
 """
 
 from __future__ import annotations
@@ -28,21 +29,26 @@
 from irisdeal.front_door.quota.counter_overload import AdmissionPath, CounterOverload
 from irisdeal.front_door.quota.quota_account import QuotaAccount
 
-SECOND = 1_000_000
-START = 1_000_000 * SECOND
-SECONDS = 25.0
-# Rate and burst in units, worth of a unit, what a unit beyond costs of it, customers, doors of each at most.
+US_PER_S = 1_000_000
+START_US = 1_000_000 * US_PER_S
+DAY_DURATION_S = 25.0
+# Rate and burst in units, value of a unit, penalty of a unit beyond as a ratio of it, customers, most front doors
+# of a customer (0: no limit).
 PLANS = (
     (1.0, 6.0, 0.45, 1.2, 532, 0),
     (0.86, 6.0, 0.88, 1.0, 617, 0),
     (3.5, 17.0, 1.1, 1.2, 128, 6),
     (7.6, 14.0, 1.6, 0.5, 60, 0),
 )
-CLASSES = ((0.85, 1.0, 1.0), (0.15, 3.0, 2.0))  # share, units, worth
-TRIES, PAUSE = 4, 140_000  # a client's tries, µs between them
-PER_S, PARTS, LINE, WAY = 1_700.0, 3, 100_000, 800  # calls a second, parts, µs of their lines, µs one way
-SILENCE = 120_000  # µs that a door waits for an answer
-SUMS = (
+CLASSES = ((0.85, 1.0, 1.0), (0.15, 3.0, 2.0))  # fraction of the requests, units, value
+MAX_ATTEMPTS = 4  # of a client
+RETRY_DELAY_US = 140_000
+COUNTER_CALLS_PER_S = 1_700.0
+COUNTER_PARTS = 3
+MAX_QUEUE_US = 100_000  # of one part
+NETWORK_DELAY_US = 800  # one way
+CALL_TIMEOUT_US = 120_000  # for an answer at a front door
+SUM_NAMES = (
     "first",
     "tries",
     "asked",
@@ -60,226 +66,237 @@
 
 @dataclass
 class Store:
-    """One customer, and its quota as it is meant."""
+    """One customer and the true level of its quota."""
 
     key: int
     plan: int
     doors: list[int]
     weights: list[float]
     level: float = 0.0
-    at: int = START
+    at: int = START_US
 
-    def flow(self, now: int) -> float:
+    def refill(self, now: int) -> float:
         rate, burst = PLANS[self.plan][:2]
-        self.level = min(burst, self.level + rate * (now - self.at) / SECOND)
+        self.level = min(burst, self.level + rate * (now - self.at) / US_PER_S)
         self.at = now
         return self.level
 
 
 @dataclass(eq=False)
-class Try:
+class Attempt:
+    """One attempt of a client's request; `number` counts from 1."""
+
     store: Store
-    kind: int
+    class_index: int
     door: int
     number: int = 1
 
     @property
     def units(self) -> float:
-        return CLASSES[self.kind][1]
+        return CLASSES[self.class_index][1]
 
     @property
-    def worth(self) -> float:
-        return CLASSES[self.kind][1] * CLASSES[self.kind][2] * PLANS[self.store.plan][2]
+    def value(self) -> float:
+        return CLASSES[self.class_index][1] * CLASSES[self.class_index][2] * PLANS[self.store.plan][2]
 
 
-class Desk(Protocol):
-    """A way to decide tries at all doors."""
+class AdmissionPolicy(Protocol):
+    """A policy that decides attempts at all front doors."""
 
-    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
-        """Whether a try goes out, or the calls that decide it."""
+    def admit(self, attempt: Attempt, now: int) -> bool | list[CounterCall]:
+        """Whether an attempt is admitted, or the counter calls that decide it."""
         ...
 
 
-class All:
-    """Lets all in."""
+class AdmitAll:
+    """Admits every attempt."""
 
-    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
+    def admit(self, attempt: Attempt, now: int) -> bool | list[CounterCall]:
         return True
 
 
-class Known:
-    """Knows each store at once: the end of the scale."""
+class ExactQuota:
+    """Decides by the true quota of each store: the upper bound."""
 
-    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
-        return one.store.flow(now) >= one.units
+    def admit(self, attempt: Attempt, now: int) -> bool | list[CounterCall]:
+        return attempt.store.refill(now) >= attempt.units
 
 
-class Counted:
-    """The program's accounts, decided as the module decides."""
+class CountedQuota:
+    """Decides by the program's quota accounts."""
 
-    def __init__(self, doors: int, chance: random.Random) -> None:
-        self.chance, self.accounts = chance, dict[tuple[int, int], QuotaAccount]()
-        self.crowding = [CounterOverload() for _ in range(doors)]
+    def __init__(self, doors: int, rng: random.Random) -> None:
+        self.rng, self.accounts = rng, dict[tuple[int, int], QuotaAccount]()
+        self.counter_overload = [CounterOverload() for _ in range(doors)]
 
-    def account(self, one: Try, now: int) -> QuotaAccount:
-        key, (rate, burst) = (one.door, one.store.key), PLANS[one.store.plan][:2]
+    def account_of(self, attempt: Attempt, now: int) -> QuotaAccount:
+        key, (rate, burst) = (attempt.door, attempt.store.key), PLANS[attempt.store.plan][:2]
         if key not in self.accounts:
-            self.accounts[key] = QuotaAccount(one.store.key, rate, burst, len(one.store.doors), now)
+            self.accounts[key] = QuotaAccount(attempt.store.key, rate, burst, len(attempt.store.doors), now)
         return self.accounts[key]
 
-    def ask(self, one: Try, now: int) -> bool | list[CounterCall]:
-        account = self.account(one, now)
-        account.record_demand(one.units, now)
-        if account.rejects_without_call(now, self.chance.random()):
+    def admit(self, attempt: Attempt, now: int) -> bool | list[CounterCall]:
+        account = self.account_of(attempt, now)
+        account.record_demand(attempt.units, now)
+        if account.rejects_without_call(now, self.rng.random()):
             return False
-        way = self.crowding[one.door].admission_path(one.number > 1, self.chance.random())
+        way = self.counter_overload[attempt.door].admission_path(attempt.number > 1, self.rng.random())
         if way is AdmissionPath.CLAIM:
-            return [account.claim(one.units, now, self.chance.random())]
-        return account.admit_locally(one.units, now) if way is AdmissionPath.LOCAL else False
+            return [account.claim(attempt.units, now, self.rng.random())]
+        return account.admit_locally(attempt.units, now) if way is AdmissionPath.LOCAL else False
 
 
 @dataclass
 class Day:
-    """One day; the figures are sums over it."""
+    """One simulated day; the figures are sums over it."""
 
     doors: int
     seed: int
     silent: tuple[float, float] = (0.0, 0.0)
-    per_s: float = PER_S
-    sums: dict[str, float] = field(default_factory=lambda: dict.fromkeys(SUMS, 0.0))
+    per_s: float = COUNTER_CALLS_PER_S
+    sums: dict[str, float] = field(default_factory=lambda: dict.fromkeys(SUM_NAMES, 0.0))
 
     def __post_init__(self) -> None:
-        self.random, self.names, self.number = random.Random(self.seed), dict[int, float](), 0
-        self.free = [0] * PARTS
-        self.due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        for plan, (rate, burst, _, _, count, most) in enumerate(PLANS):
+        self.rng, self.totals, self.number = random.Random(self.seed), dict[int, float](), 0
+        self.free_at = [0] * COUNTER_PARTS
+        self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        for plan, (rate, burst, _, _, count, max_doors) in enumerate(PLANS):
             for _ in range(max(1, round(count * self.doors / 200))):
-                spread = self.random.randint(max(2, self.doors // 2), max(3, self.doors))
-                ways = min(self.doors, most or spread)
-                first, skew = self.random.randrange(self.doors), self.random.uniform(0.35, 1.1)
-                weights = list(accumulate(1.0 / (n + 1) ** skew for n in range(ways)))
+                spread = self.rng.randint(max(2, self.doors // 2), max(3, self.doors))
+                door_count = min(self.doors, max_doors or spread)
+                first, skew = self.rng.randrange(self.doors), self.rng.uniform(0.35, 1.1)
+                weights = list(accumulate(1.0 / (n + 1) ** skew for n in range(door_count)))
                 store = Store(
-                    self.random.getrandbits(33) * 4 + plan,
+                    self.rng.getrandbits(33) * 4 + plan,
                     plan,
-                    [(first + n) % self.doors for n in range(ways)],
+                    [(first + n) % self.doors for n in range(door_count)],
                     weights,
                     burst,
                 )
-                for begin, end, times in self._spells():
-                    self._arrive(store, begin, end, times * rate)
-        self._reference()
-
-    def _spells(self) -> list[tuple[float, float, float]]:
-        """What a customer asks from when to when, in times of its rate."""
-        what, usual = self.random.random(), self.random.uniform(0.22, 0.45)
-        if what < 0.16:
-            return [(0.0, SECONDS, self.random.uniform(0.8, 0.97))]
-        if what < 0.26:
-            begin = self.random.uniform(0.0, SECONDS / 2)
-            return [(0.0, begin, usual), (begin, SECONDS, self.random.uniform(2.7, 4.8))]
-        spells, last, begin = [], 0.0, self.random.uniform(0.0, 14.0)
-        while what < 0.43 and begin < SECONDS:
-            end = min(SECONDS, begin + self.random.uniform(0.6, 3.2))
-            spells += [(last, begin, usual), (begin, end, self.random.uniform(2.9, 7.6))]
-            last, begin = end, end + self.random.uniform(14.0, 25.0)
-        return [*spells, (last, SECONDS, usual)]
-
-    def _arrive(self, store: Store, begin: float, end: float, rate: float) -> None:
+                for begin, end, times in self._draw_phases():
+                    self._schedule_attempts(store, begin, end, times * rate)
+        self._compute_reference()
+
+    def _draw_phases(self) -> list[tuple[float, float, float]]:
+        """Phases of a customer: start and end in s, and its requests as a multiple of its rate."""
+        kind, normal_rate = self.rng.random(), self.rng.uniform(0.22, 0.45)
+        if kind < 0.16:
+            return [(0.0, DAY_DURATION_S, self.rng.uniform(0.8, 0.97))]
+        if kind < 0.26:
+            begin = self.rng.uniform(0.0, DAY_DURATION_S / 2)
+            return [(0.0, begin, normal_rate), (begin, DAY_DURATION_S, self.rng.uniform(2.7, 4.8))]
+        phases, last, begin = [], 0.0, self.rng.uniform(0.0, 14.0)
+        while kind < 0.43 and begin < DAY_DURATION_S:
+            end = min(DAY_DURATION_S, begin + self.rng.uniform(0.6, 3.2))
+            phases += [(last, begin, normal_rate), (begin, end, self.rng.uniform(2.9, 7.6))]
+            last, begin = end, end + self.rng.uniform(14.0, 25.0)
+        return [*phases, (last, DAY_DURATION_S, normal_rate)]
+
+    def _schedule_attempts(self, store: Store, begin: float, end: float, rate: float) -> None:
         mean = sum(share * units for share, units, _ in CLASSES)
-        while (begin := begin + self.random.expovariate(rate / mean)) < end:
-            kind = int(self.random.random() < CLASSES[1][0])
-            door = self.random.choices(store.doors, cum_weights=store.weights)[0]
-            self.at(START + int(begin * SECOND), self._try, Try(store, kind, door))
+        while (begin := begin + self.rng.expovariate(rate / mean)) < end:
+            class_index = int(self.rng.random() < CLASSES[1][0])
+            door = self.rng.choices(store.doors, cum_weights=store.weights)[0]
+            self.at(START_US + int(begin * US_PER_S), self._on_attempt, Attempt(store, class_index, door))
             self.sums["first"] += 1
 
-    def _reference(self) -> None:
-        """What a store known at once lets first tries have, no try coming again."""
+    def _compute_reference(self) -> None:
+        """Sum the value that first attempts get with exact quotas, without retries."""
         levels: dict[int, tuple[float, int]] = {}
-        for now, _, _, (one,) in sorted(self.due, key=lambda step: step[:2]):
-            rate, burst = PLANS[one.store.plan][:2]
-            level, at = levels.get(one.store.key, (burst, START))
-            level = min(burst, level + rate * (now - at) / SECOND)
-            if level >= one.units:
-                level -= one.units
-                self.sums["asked"] += one.worth
-            levels[one.store.key] = level, now
-
-    def at(self, when: int, what: Callable[..., None], *subject: Any) -> None:
+        for now, _, _, (attempt,) in sorted(self.events, key=lambda step: step[:2]):
+            rate, burst = PLANS[attempt.store.plan][:2]
+            level, at = levels.get(attempt.store.key, (burst, START_US))
+            level = min(burst, level + rate * (now - at) / US_PER_S)
+            if level >= attempt.units:
+                level -= attempt.units
+                self.sums["asked"] += attempt.value
+            levels[attempt.store.key] = level, now
+
+    def at(self, when: int, kind: Callable[..., None], *subject: Any) -> None:
         self.number += 1
-        heapq.heappush(self.due, (when, self.number, what, subject))
+        heapq.heappush(self.events, (when, self.number, kind, subject))
 
-    def play(self, desk: Desk) -> dict[str, float]:
-        self.desk = desk
-        while self.due:
-            self.now, _, what, subject = heapq.heappop(self.due)
-            what(*subject)
+    def play(self, policy: AdmissionPolicy) -> dict[str, float]:
+        self.policy = policy
+        while self.events:
+            self.now, _, kind, subject = heapq.heappop(self.events)
+            kind(*subject)
         return self.sums
 
-    def _try(self, one: Try) -> None:
+    def _on_attempt(self, attempt: Attempt) -> None:
         self.sums["tries"] += 1
-        self._decided(one, self.desk.ask(one, self.now))
+        self._on_decision(attempt, self.policy.admit(attempt, self.now))
 
-    def _decided(self, one: Try, goes: bool | list[CounterCall]) -> None:
-        if isinstance(goes, list):
-            for call in goes:
-                self._call(one, call)
+    def _on_decision(self, attempt: Attempt, decision: bool | list[CounterCall]) -> None:
+        if isinstance(decision, list):
+            for call in decision:
+                self._on_call(attempt, call)
             return
-        room = one.store.flow(self.now) >= one.units
-        if goes:
-            self.sums["out"] += one.units
-            if room:
-                one.store.level -= one.units
-                self.sums["inside"] += one.worth
+        has_room = attempt.store.refill(self.now) >= attempt.units
+        if decision:
+            self.sums["out"] += attempt.units
+            if has_room:
+                attempt.store.level -= attempt.units
+                self.sums["inside"] += attempt.value
             else:
-                self.sums["beyond"] += one.units
-                self.sums["paid"] += one.worth * PLANS[one.store.plan][3]
+                self.sums["beyond"] += attempt.units
+                self.sums["paid"] += attempt.value * PLANS[attempt.store.plan][3]
             return
         self.sums["refused"] += 1
-        self.sums["room"] += room
-        if one.number < TRIES:
-            door = self.random.choices(one.store.doors, cum_weights=one.store.weights)[0]
-            self.at(self.now + PAUSE, self._try, Try(one.store, one.kind, door, one.number + 1))
+        self.sums["room"] += has_room
+        if attempt.number < MAX_ATTEMPTS:
+            door = self.rng.choices(attempt.store.doors, cum_weights=attempt.store.weights)[0]
+            self.at(
+                self.now + RETRY_DELAY_US,
+                self._on_attempt,
+                Attempt(attempt.store, attempt.class_index, door, attempt.number + 1),
+            )
 
-    def _call(self, one: Try, call: CounterCall) -> None:
-        """The keeper: parts by name, each with one line."""
+    def _on_call(self, attempt: Attempt, call: CounterCall) -> None:
+        """Simulate the counter service: parts by counter name, each with one queue."""
         self.sums["calls"] += 1
-        if self.silent[0] <= (self.now - START) / SECOND < self.silent[1]:
-            return self.at(self.now + SILENCE, self._unanswered, one, call)
-        part, service = call.name % PARTS, int(PARTS / self.per_s * SECOND * 200 / self.doors)
-        begin = max(self.now + WAY, self.free[part])
-        if begin - self.now > LINE:
+        if self.silent[0] <= (self.now - START_US) / US_PER_S < self.silent[1]:
+            return self.at(self.now + CALL_TIMEOUT_US, self._on_timeout, attempt, call)
+        part, service = (
+            call.name % COUNTER_PARTS,
+            int(COUNTER_PARTS / self.per_s * US_PER_S * 200 / self.doors),
+        )
+        begin = max(self.now + NETWORK_DELAY_US, self.free_at[part])
+        if begin - self.now > MAX_QUEUE_US:
             self.sums["away"] += 1
-            return self.at(self.now + 2 * WAY, self._turned_away, one, call)
-        self.free[part] = begin + service
-        self.names[call.name] = total = float(f"{self.names.get(call.name, 0.0) + call.amount:.7g}")
-        self.sums["late"] += begin + service + WAY - self.now > 30_000
-        self.at(begin + service + WAY, self._answered, one, call, total)
-
-    def _answered(self, one: Try, call: CounterCall, total: float) -> None:
-        assert isinstance(self.desk, Counted)
-        self.desk.crowding[one.door].answered()
-        holds, calls = self.desk.account(one, self.now).counter_answered(call, total, self.now)
-        self._decided(one, calls)
+            return self.at(self.now + 2 * NETWORK_DELAY_US, self._on_rejection, attempt, call)
+        self.free_at[part] = begin + service
+        self.totals[call.name] = total = float(f"{self.totals.get(call.name, 0.0) + call.amount:.7g}")
+        self.sums["late"] += begin + service + NETWORK_DELAY_US - self.now > 30_000
+        self.at(begin + service + NETWORK_DELAY_US, self._on_answer, attempt, call, total)
+
+    def _on_answer(self, attempt: Attempt, call: CounterCall, total: float) -> None:
+        assert isinstance(self.policy, CountedQuota)
+        self.policy.counter_overload[attempt.door].answered()
+        holds, calls = self.policy.account_of(attempt, self.now).counter_answered(call, total, self.now)
+        self._on_decision(attempt, calls)
         if holds is not None and call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
-            self._decided(one, holds)
+            self._on_decision(attempt, holds)
 
-    def _turned_away(self, one: Try, call: CounterCall) -> None:
-        assert isinstance(self.desk, Counted)
-        self.desk.crowding[one.door].rejected()
+    def _on_rejection(self, attempt: Attempt, call: CounterCall) -> None:
+        assert isinstance(self.policy, CountedQuota)
+        self.policy.counter_overload[attempt.door].rejected()
         if call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
-            self._decided(one, False)
+            self._on_decision(attempt, False)
 
-    def _unanswered(self, one: Try, call: CounterCall) -> None:
-        assert isinstance(self.desk, Counted)
-        self.desk.crowding[one.door].unanswered()
+    def _on_timeout(self, attempt: Attempt, call: CounterCall) -> None:
+        assert isinstance(self.policy, CountedQuota)
+        self.policy.counter_overload[attempt.door].unanswered()
         if call.purpose in (CallPurpose.CLAIM, CallPurpose.READ):
-            self._decided(one, self.desk.account(one, self.now).admit_locally(one.units, self.now))
+            self._on_decision(
+                attempt, self.policy.account_of(attempt, self.now).admit_locally(attempt.units, self.now)
+            )
 
 
-WAYS: dict[str, Callable[[int, int], Desk]] = {
-    "all let in": lambda doors, seed: All(),
-    "counted": lambda doors, seed: Counted(doors, random.Random(seed)),
-    "known at once": lambda doors, seed: Known(),
+POLICIES: dict[str, Callable[[int, int], AdmissionPolicy]] = {
+    "all let in": lambda doors, seed: AdmitAll(),
+    "counted": lambda doors, seed: CountedQuota(doors, random.Random(seed)),
+    "known at once": lambda doors, seed: ExactQuota(),
 }
 
 
@@ -287,16 +304,23 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--doors", type=int, nargs="+", default=[40, 200, 1000])
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--calls", type=float, default=PER_S, help="a second, at 200 doors")
-    parser.add_argument("--silent", default="0:0", help="from:to, seconds of the day: the keeper is silent")
-    given = parser.parse_args()
-    begin, _, end = given.silent.partition(":")
+    parser.add_argument(
+        "--calls",
+        type=float,
+        default=COUNTER_CALLS_PER_S,
+        help="counter calls per second, at 200 front doors",
+    )
+    parser.add_argument(
+        "--silent", default="0:0", help="FROM:TO, seconds of the day without answers of the counter service"
+    )
+    args = parser.parse_args()
+    begin, _, end = args.silent.partition(":")
     print(f"{'doors':>6} {'way':<14} served  paid  both beyond  room tries/r calls/t  away  late")
-    for doors in given.doors:
-        for name, way in WAYS.items():
-            sums = dict.fromkeys(SUMS, 0.0)
-            for seed in range(1, given.seeds + 1):
-                day = Day(doors, seed, (float(begin), float(end)), given.calls)
+    for doors in args.doors:
+        for name, way in POLICIES.items():
+            sums = dict.fromkeys(SUM_NAMES, 0.0)
+            for seed in range(1, args.seeds + 1):
+                day = Day(doors, seed, (float(begin), float(end)), args.calls)
                 for key, value in day.play(way(doors, seed)).items():
                     sums[key] += value
             refused, calls = max(1.0, sums["refused"]), max(1.0, sums["calls"])
--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -1,14 +1,14 @@
-"""A dozen real doors as processes while one of three zones is lost: when they leave it and are back.
+"""Twelve real front doors as processes while one of three zones is lost: when they leave it and return.
 
     python -m benchmarks.lost_zone                       # every fault, one seed, two minutes
     python -m benchmarks.lost_zone --fault silent --seeds 20
-    python -m benchmarks.lost_zone --root ../before      # another checkout's doors
+    python -m benchmarks.lost_zone --root ../before      # another checkout's front doors
 
-Columns: rules kept; doors that left the zone, and did so with the fleet; s from the loss until half and 95
-in 100 of the doors had (by their own logs), and from the first of them to the last of 95 in 100; what doors
-wrote into the lost zone (by the links' books, on connections that were up), and what of it later than 2.5 s
-after the loss; s from its return until 95 in 100 of those sent there again; doors that left a zone that was
-well; the worth served, and the calls to the keeper for each first try.
+Columns: whether the rules held; front doors that left the zone, and how many of them with the fleet; s from the
+loss until half and 95 % of the front doors had left (by their logs), and from the first to the last of the 95 %;
+writes to the lost zone on open connections (by the link records), and those later than 2.5 s after the loss; s from
+the zone's return until 95 % of those sent there again; front doors that left a healthy zone; the served fraction of
+the value, and calls to the counter service per first attempt.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
-# Boxes are slow and half busy, so that doors send into all zones, some three attempts a second into each.
+# Backends are slow and half busy, so that front doors send to all zones, about three attempts a second to each.
 FRONT_DOOR_COUNT = 12
-LOST = 2.5  # s of the day at which the zone is lost
-BACK = 6.5  # s of the day at which it is back
-ENDS = 10.5  # s of the day at which it ends
-SETTLED = 2.5  # s after the loss, from which on only trials are to go there
-ZONE = "hall-b"
-DAY = f"""
-seconds = {ENDS}
+LOST_AT_S = 2.5  # of the day
+BACK_AT_S = 6.5  # of the day
+END_S = 10.5
+SETTLED_AFTER_S = 2.5  # from the loss; later only probes may be sent there
+LOST_ZONE = "hall-b"
+DAY_SCENARIO = f"""
+seconds = {END_S}
 doors = {FRONT_DOOR_COUNT}
 [fleet]
 boxes = 36
@@ -77,118 +77,130 @@
 [door]
 connect_timeout_ms = 250
 """
-LINK = f'[[at]]\nat_s = {LOST}\nfor_s = {BACK - LOST}\ndoor = {FRONT_DOOR_COUNT}\nto = "{ZONE}"\n'
-SILENT = LINK + 'do = "link-silent"\nway = "both"\n'
-KEEPER = f"[[at]]\nat_s = {LOST - 0.5}\nfor_s = {BACK - LOST}\n"
+LINK_FAULT = (
+    f"[[at]]\nat_s = {LOST_AT_S}\nfor_s = {BACK_AT_S - LOST_AT_S}\n"
+    f'door = {FRONT_DOOR_COUNT}\nto = "{LOST_ZONE}"\n'
+)
+SILENT_FAULT = LINK_FAULT + 'do = "link-silent"\nway = "both"\n'
+COUNTER_FAULT = f"[[at]]\nat_s = {LOST_AT_S - 0.5}\nfor_s = {BACK_AT_S - LOST_AT_S}\n"
 FAULTS = {
     "none": "",
-    "cut": LINK + 'do = "link-cut"\n',
-    "silent": SILENT,
-    "mute": LINK + 'do = "link-silent"\nway = "back"\n',  # requests arrive, answers do not
-    "one door cut": LINK.replace(f"door = {FRONT_DOOR_COUNT}", "door = 1") + 'do = "link-cut"\n',
-    "silent, no keeper": SILENT + KEEPER + 'do = "keeper-silent"\n',
-    "silent, keeper split": SILENT + KEEPER + 'do = "keeper-split"\ndoor = 6\n',
-    "silent, doors killed": SILENT
+    "cut": LINK_FAULT + 'do = "link-cut"\n',
+    "silent": SILENT_FAULT,
+    "mute": LINK_FAULT + 'do = "link-silent"\nway = "back"\n',  # requests arrive, answers are lost
+    "one door cut": LINK_FAULT.replace(f"door = {FRONT_DOOR_COUNT}", "door = 1") + 'do = "link-cut"\n',
+    "silent, no keeper": SILENT_FAULT + COUNTER_FAULT + 'do = "keeper-silent"\n',
+    "silent, keeper split": SILENT_FAULT + COUNTER_FAULT + 'do = "keeper-split"\ndoor = 6\n',
+    "silent, doors killed": SILENT_FAULT
     + "".join(
-        f'[[at]]\nat_s = {LOST + 0.8}\ndo = "door-kill"\ndoor = {door}\nfor_s = 0.5\n' for door in range(3)
+        f'[[at]]\nat_s = {LOST_AT_S + 0.8}\ndo = "door-kill"\ndoor = {door}\nfor_s = 0.5\n'
+        for door in range(3)
     ),
-    "three boxes hang": f'[[at]]\nat_s = {LOST}\nfor_s = {BACK - LOST}\ndo = "box-hang"\nboxes = 3\n',
+    "three boxes hang": f"[[at]]\nat_s = {LOST_AT_S}\nfor_s = {BACK_AT_S - LOST_AT_S}\n"
+    'do = "box-hang"\nboxes = 3\n',
 }
-LINE = re.compile(r"^(\S+ \S+),(\d{3}) INFO \S+: zone (\d+) (left|returning|serving): (.*)$", re.M)
+LOG_LINE = re.compile(r"^(\S+ \S+),(\d{3}) INFO \S+: zone (\d+) (left|returning|serving): (.*)$", re.M)
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """A change of one door's belief: s of the day."""
+class ZoneChange:
+    """A change of a zone's state at one front door; `at` is in s of the day."""
 
     at: float
     door: int
     zone: int
-    stand: str
-    why: str
+    state: str
+    reason: str
 
 
 def play_day(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
-    """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
+    """Play a day with one of `FAULTS`; `root` is the checkout of the front doors."""
     deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
-    return asyncio.run(play(draw(parse(DAY + FAULTS[fault]), seed), deploy))
+    return asyncio.run(play(draw(parse(DAY_SCENARIO + FAULTS[fault]), seed), deploy))
 
 
-def steps(outcome: Outcome) -> list[Step]:
-    """What the doors' own logs tell, in the order of time."""
-    found = []
-    for life in outcome.request_log.front_doors:
-        for clock, ms, zone, stand, why in LINE.findall(life.log):
+def zone_changes(outcome: Outcome) -> list[ZoneChange]:
+    """The changes in the front doors' logs, in order of time."""
+    changes = []
+    for process in outcome.request_log.front_doors:
+        for clock, ms, zone, state, reason in LOG_LINE.findall(process.log):
             at = time.mktime(time.strptime(clock, "%Y-%m-%d %H:%M:%S")) * SECOND + int(ms) * 1000
-            found.append(Step((at - outcome.start) / SECOND, life.front_door, int(zone), stand, why))
-    return sorted(found, key=lambda step: step.at)
+            changes.append(
+                ZoneChange((at - outcome.start) / SECOND, process.front_door, int(zone), state, reason)
+            )
+    return sorted(changes, key=lambda change: change.at)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneExits:
-    """How the doors left the zone and came back. Times in s from the loss, or from the return."""
+    """How the front doors left the zone and returned. Times are in s from the loss, or from the return."""
 
-    left_after_s: list[float]  # of each door that left, the first time
+    left_after_s: list[float]  # the first exit of each front door that left
     with_fleet_count: int
     returned_after_s: list[float]
     wrong_exit_count: int
     writes_after_s: list[float]
 
-    def time_until_share(self, share: float, times: list[float], of: int) -> float:
-        wanted = max(1, math.ceil(of * share))
+    def time_until_share(self, share: float, times: list[float], count: int) -> float:
+        """The time until `share` of `count` front doors, infinity if fewer did."""
+        wanted = max(1, math.ceil(count * share))
         return sorted(times)[wanted - 1] if len(times) >= wanted else math.inf
 
 
 def zone_exits(outcome: Outcome) -> ZoneExits:
-    """By logs and by the links' books."""
-    zone = outcome.day.scenario.fleet.zones.index(ZONE)
+    """Evaluate the logs and the link records of a day."""
+    zone = outcome.day.scenario.fleet.zones.index(LOST_ZONE)
     left: dict[int, float] = {}
-    back: dict[int, float] = {}
-    wrong, fleet = set[tuple[int, int]](), set[int]()
-    for step in steps(outcome):
-        if step.stand == "left" and (step.zone != zone or not LOST <= step.at <= BACK + 1.0):
-            wrong.add((step.door, step.zone))
-        elif step.stand == "left":
-            left.setdefault(step.door, step.at - LOST)
-            fleet |= {step.door} if step.why.startswith("as so many") else set()
-        elif step.zone == zone and step.stand == "returning" and step.at >= BACK:
-            back.setdefault(step.door, step.at - BACK)
+    returned: dict[int, float] = {}
+    wrong_exits, with_fleet = set[tuple[int, int]](), set[int]()
+    for change in zone_changes(outcome):
+        if change.state == "left" and (change.zone != zone or not LOST_AT_S <= change.at <= BACK_AT_S + 1.0):
+            wrong_exits.add((change.door, change.zone))
+        elif change.state == "left":
+            left.setdefault(change.door, change.at - LOST_AT_S)
+            with_fleet |= {change.door} if change.reason.startswith("as so many") else set()
+        elif change.zone == zone and change.state == "returning" and change.at >= BACK_AT_S:
+            returned.setdefault(change.door, change.at - BACK_AT_S)
     writes = [
-        (at - outcome.start) / SECOND - LOST
-        for hold in outcome.request_log.link_faults
-        if hold.target == ZONE
-        for at in hold.writes
+        (at - outcome.start) / SECOND - LOST_AT_S
+        for fault in outcome.request_log.link_faults
+        if fault.target == LOST_ZONE
+        for at in fault.writes
     ]
-    return ZoneExits(list(left.values()), len(fleet), list(back.values()), len(wrong), sorted(writes))
+    return ZoneExits(
+        list(left.values()), len(with_fleet), list(returned.values()), len(wrong_exits), sorted(writes)
+    )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--fault", choices=list(FAULTS), action="append", help="one of them; may be repeated")
+    parser.add_argument(
+        "--fault", choices=list(FAULTS), action="append", help="play only this fault; may be repeated"
+    )
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--root", type=Path, default=ROOT, help="the checkout whose doors play it")
-    given = parser.parse_args()
+    parser.add_argument("--root", type=Path, default=ROOT, help="checkout of the front doors")
+    args = parser.parse_args()
     print(f"{'fault':<21} seed kept left fleet   half    95%  spread writes late   back wrong served calls")
-    for fault in given.fault or FAULTS:
-        for seed in range(1, given.seeds + 1):
-            outcome = play_day(fault, seed, given.root)
-            found, whole = zone_exits(outcome), outcome.service.total
-            last, of = (
-                found.time_until_share(0.95, found.left_after_s, FRONT_DOOR_COUNT),
-                len(found.left_after_s),
+    for fault in args.fault or FAULTS:
+        for seed in range(1, args.seeds + 1):
+            outcome = play_day(fault, seed, args.root)
+            exits, total = zone_exits(outcome), outcome.service.total
+            last, count = (
+                exits.time_until_share(0.95, exits.left_after_s, FRONT_DOOR_COUNT),
+                len(exits.left_after_s),
             )
-            late = sum(at > SETTLED for at in found.writes_after_s)
+            late = sum(at > SETTLED_AFTER_S for at in exits.writes_after_s)
             calls = outcome.counter_calls / max(1, outcome.service.first_attempts)
             kept, half = (
                 "yes" if outcome.kept else "NO",
-                found.time_until_share(0.5, found.left_after_s, FRONT_DOOR_COUNT),
+                exits.time_until_share(0.5, exits.left_after_s, FRONT_DOOR_COUNT),
             )
             print(
                 f"{fault:<21} {seed:4} {kept:<4}"
-                f" {of:4} {found.with_fleet_count:5} {half:6.2f} {last:6.2f}"
-                f" {last - min(found.left_after_s, default=0.0):7.2f} {len(found.writes_after_s):6} {late:4}"
-                f" {found.time_until_share(0.95, found.returned_after_s, of):6.2f} {found.wrong_exit_count:5}"
-                f" {whole.served / whole.offered:6.3f} {calls:5.2f}",
+                f" {count:4} {exits.with_fleet_count:5} {half:6.2f} {last:6.2f}"
+                f" {last - min(exits.left_after_s, default=0.0):7.2f} {len(exits.writes_after_s):6} {late:4}"
+                f" {exits.time_until_share(0.95, exits.returned_after_s, count):6.2f} {exits.wrong_exit_count:5}"
+                f" {total.served / total.offered:6.3f} {calls:5.2f}",
                 flush=True,
             )
 
--- a/benchmarks/many_doors.py
+++ b/benchmarks/many_doors.py
@@ -1,12 +1,13 @@
-"""A dozen real doors as processes while the count keeper fails: each store's overshoot beside its bound.
+"""Twelve real front doors as processes while the counter service fails: each store's overshoot and its bound.
 
     python -m benchmarks.many_doors                      # all faults, one seed, a minute and a half
     python -m benchmarks.many_doors --seeds 20 --fault silent
 
-Each customer comes through all twelve doors, so that a door sees one of them once in seconds; what it may
-have is known to the keeper alone. Bounds: those of `irisdeal/front_door/quota/quota_account.py`; figures
-are by the boxes' books. Columns: rules kept, the worst store's units over its quota, the bound, what quiet stores
-asked, the share of it that was refused with half of the store or more left, and what was served.
+Each customer uses all twelve front doors, so that one of them sees a customer only once in several seconds, and
+only the counter service has the total. The bounds are those of `irisdeal/front_door/quota/quota_account.py`;
+figures are taken from the backends' records. Columns: whether the rules held, the worst store's units over its
+quota, the bound, requests of calm stores, the fraction of them refused with half of the quota or more left, and the
+served fraction.
 """
 
 from __future__ import annotations
@@ -24,8 +25,9 @@
 from irisdeal.testbed.workload import draw
 
 ROOT = Path(__file__).parent.parent
-DOORS, LARGEST = 12, 3.0  # doors; units of the largest request
-DAY = """
+FRONT_DOOR_COUNT = 12
+LARGEST_REQUEST_UNITS = 3.0
+DAY_SCENARIO = """
 seconds = 7
 doors = 12
 [fleet]
@@ -63,13 +65,13 @@
 calls_per_s = 400
 queue_ms = 60
 """
-LINK = '[[at]]\nat_s = 2\nfor_s = 3\ndoor = 6\nto = "keeper"\n'
-# Its lines, how often it may let another burst and slot through, seconds for which doors are alone.
+LINK_FAULT = '[[at]]\nat_s = 2\nfor_s = 3\ndoor = 6\nto = "keeper"\n'
+# Scenario text, how many more times a burst and a slot may be admitted, s without the counter service.
 FAULTS = {
     "none": ("", 0, 0.0),
     "split": ('[[at]]\nat_s = 2\ndo = "keeper-split"\ndoor = 6\nfor_s = 3\n', 2, 0.0),
-    "cut from half": (LINK + 'do = "link-cut"\n', 1, 4.0),
-    "mute to half": (LINK + 'do = "link-silent"\nway = "back"\n', 1, 4.0),
+    "cut from half": (LINK_FAULT + 'do = "link-cut"\n', 1, 4.0),
+    "mute to half": (LINK_FAULT + 'do = "link-silent"\nway = "back"\n', 1, 4.0),
     "flush": ('[[at]]\nat_s = 3\ndo = "keeper-flush"\nsize = 0.9\n', 1, 0.0),
     "slow": ('[[at]]\nat_s = 2\ndo = "keeper-slow"\nsize = 4\nfor_s = 3\n', 1, 4.0),
     "silent": ('[[at]]\nat_s = 2\ndo = "keeper-silent"\nfor_s = 3\n', 1, 4.0),
@@ -77,42 +79,46 @@
 
 
 def play_day(fault: str, seed: int = 4711, root: Path = ROOT) -> Outcome:
-    """A day with one of `FAULTS`; `root` is the checkout whose doors play it."""
+    """Play a day with one of `FAULTS`; `root` is the checkout of the front doors."""
     deploy = Deployment(root, f"exec {sys.executable} -m irisdeal")
-    return asyncio.run(play(draw(parse(DAY + FAULTS[fault][0]), seed), deploy))
+    return asyncio.run(play(draw(parse(DAY_SCENARIO + FAULTS[fault][0]), seed), deploy))
 
 
 def overshoot_bound(fault: str) -> float:
-    """Units by which a store may pass its quota at most."""
-    _, again, alone = FAULTS[fault]
-    account = QuotaAccount(0, 1.0, 6.0, DOORS, 0)
-    most = (1 + again) * (account.burst + account.refill(account.slot_us))
-    if alone:
-        most += DOORS * LARGEST + LOCAL_SHARES * (account.burst + account.refill(round(alone * US_PER_S)))
-    return most
+    """Maximum units by which a store may exceed its quota."""
+    _, extra_grants, isolated_s = FAULTS[fault]
+    account = QuotaAccount(0, 1.0, 6.0, FRONT_DOOR_COUNT, 0)
+    bound = (1 + extra_grants) * (account.burst + account.refill(account.slot_us))
+    if isolated_s:
+        bound += FRONT_DOOR_COUNT * LARGEST_REQUEST_UNITS + LOCAL_SHARES * (
+            account.burst + account.refill(round(isolated_s * US_PER_S))
+        )
+    return bound
 
 
 def calm_refusals(outcome: Outcome) -> Refusals:
-    """What came of the tries of stores far within their quotas."""
-    calm = {store.customer for store in outcome.day.tenants if store.manner == "calm"}
-    return refusals(outcome.request_log, outcome.day.scenario, calm)
+    """Refusals of stores far within their quotas."""
+    calm_customers = {store.customer for store in outcome.day.tenants if store.manner == "calm"}
+    return refusals(outcome.request_log, outcome.day.scenario, calm_customers)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--fault", choices=list(FAULTS), action="append", help="one of them; may be repeated")
+    parser.add_argument(
+        "--fault", choices=list(FAULTS), action="append", help="play only this fault; may be repeated"
+    )
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--root", type=Path, default=ROOT, help="the checkout whose doors play it")
-    given = parser.parse_args()
+    parser.add_argument("--root", type=Path, default=ROOT, help="checkout of the front doors")
+    args = parser.parse_args()
     print(f"{'fault':<14} seed kept  worst  bound  asked  with room  served")
-    for fault in given.fault or FAULTS:
-        for seed in range(1, given.seeds + 1):
-            outcome = play_day(fault, seed, given.root)
-            calm, whole = calm_refusals(outcome), outcome.service.total
+    for fault in args.fault or FAULTS:
+        for seed in range(1, args.seeds + 1):
+            outcome = play_day(fault, seed, args.root)
+            calm, total = calm_refusals(outcome), outcome.service.total
             kept, worst = "yes" if outcome.kept else "NO", outcome.tenants[0].overshoot
             print(
                 f"{fault:<14} {seed:4} {kept:<4} {worst:6.1f} {overshoot_bound(fault):6.1f} {calm.asked:6}"
-                f" {calm.fraction:10.3f} {whole.served / whole.offered:7.3f}",
+                f" {calm.fraction:10.3f} {total.served / total.offered:7.3f}",
                 flush=True,
             )
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -4,7 +4,8 @@
     python -m benchmarks.zones --fault calm --doors 30
 
 Each front door sends `--rate` attempts per second evenly over three zones. An attempt is answered after a lognormal
-time, or fails after a timeout of two mean times. The counter service answers within `COUNTER_DELAY_RANGE_S`, or loses a call.
+time, or fails after a timeout of two mean times. The counter service answers
+within `COUNTER_DELAY_RANGE_S`, or loses a call.
 
 Columns: s from the loss until half, 95 % and all of the front doors have left; attempts sent to the lost zone, and
 probes; calls to the counter service per second during the loss, and the maximum in any second; s from the return
