--- a/benchmarks/lost_zone.py
+++ b/benchmarks/lost_zone.py
@@ -158,7 +158,7 @@
             wrong_exits.add((change.door, change.zone))
         elif change.state == "left":
             left.setdefault(change.door, change.at - LOST_AT_S)
-            with_fleet |= {change.door} if change.reason.startswith("as so many") else set()
+            with_fleet |= {change.door} if change.reason.startswith("with the fleet") else set()
         elif change.zone == zone and change.state == "returning" and change.at >= BACK_AT_S:
             returned.setdefault(change.door, change.at - BACK_AT_S)
     writes = [
