--- a/benchmarks/zones_states.py
+++ b/benchmarks/zones_states.py
@@ -1,20 +1,21 @@
-"""Every state that the beliefs of three doors on two zones can reach in so many steps, and rules that
-hold.
+"""Searches all states of the zone failover of three front doors and two zones within a number of steps for
+violated invariants.
 
     python -m benchmarks.zones_states --depth 7 --from calm --from left
 
-A breadth-first search of the real core (`irisdeal.front_door.zones.failover.ZoneFailover`), no model of it. A step
-is one of: a door's attempt at a zone is answered, or fails, as that zone is; it fails though its zone is well
-(`STRAYS` times at most); the oldest word of a door reaches the keeper and is answered, or is lost
-(`LOSSES`); `TICK` passes; zone 0 is lost or back (`FAULTS`). Two states are one where they differ by
-nothing that is looked at again, or by which door is which. It begins from where all is well, from where
-zone 0 is lost and doors have seen a little of it, from where all have left it, and from where one is
-coming back; each is reached by steps of the core.
-
-Rules: each door has a zone to send to; a zone is left by a door alone that saw an attempt fail there
-since it last changed its mind, and only while another zone has answered it lately; a zone that came
-back is sent no more than cold backends bear; what the keeper counts, with what is on its way, is the
-doors that count themselves.
+A breadth-first search over the real code (`irisdeal.front_door.zones.failover.ZoneFailover`), not a model of
+it. A step is one of: an attempt of a front door at a zone succeeds or fails, depending on the zone; it fails
+although the zone is healthy (at most `MAX_STRAY_FAILURES` times); the oldest counter call of a front door is
+answered, or lost (at most `MAX_LOST_CALLS` times); `TICK_US` passes; zone 0 is lost or returns (at most
+`MAX_ZONE_CHANGES` times). States are equal if they differ only in values that are not read again, or by a
+permutation of the front doors. The search starts where all zones are healthy, where zone 0 is lost and the
+front doors have seen a few failures, where all have left it, and where one is returning; steps of the real
+code lead to each start.
+
+Invariants: each front door has a zone to send to; a front door leaves a zone only if one of its attempts
+there failed since its last state change, and only while another zone has answered recently; a returning zone
+gets no more load than cold backends can carry; the counter, including pending calls, equals the number of
+front doors that count themselves.
 """
 
 from __future__ import annotations
@@ -38,40 +39,46 @@
     required_suspects,
 )
 
-DOORS, BACKENDS, FAULTS, STRAYS, LOSSES = 3, 2, 2, 2, 1
-PART = 0.6  # of what makes a cold backend fall: what all doors may send there
-TICK = 400_000  # µs: longer than the first look, shorter than the wait for a trial
-FALL, START, WARM = 4.0, 0.18, 17 * SECOND_US
-BEGIN = 100 * EPOCH_US + SECOND_US
+FRONT_DOOR_COUNT = 3
+BACKENDS_PER_ZONE = 2
+MAX_ZONE_CHANGES = 2
+MAX_STRAY_FAILURES = 2
+MAX_LOST_CALLS = 1
+MAX_COLD_LOAD_RATIO = 0.6  # of the load that makes a cold backend collapse, for all front doors together
+TICK_US = 400_000  # longer than the delay of the first check, shorter than the wait for a trial
+COLLAPSE_LOAD_RATIO = 4.0
+START_CAPACITY_RATIO = 0.18
+WARM_UP_US = 17 * SECOND_US
+START_US = 100 * EPOCH_US + SECOND_US
 
 
-class Even(random.Random):
-    """Chance without luck, so that a step has one outcome."""
+class ConstantRandom(random.Random):
+    """A constant random source, so that each step has exactly one outcome."""
 
     def random(self) -> float:
         return 0.5
 
-    def __deepcopy__(self, memo: dict[int, Any]) -> Even:
+    def __deepcopy__(self, memo: dict[int, Any]) -> ConstantRandom:
         return self
 
 
 @dataclass(slots=True)
-class World:
-    """One state."""
-
-    doors: list[ZoneFailover]
-    now: int = BEGIN
-    lost: bool = False
-    faults: int = FAULTS
-    strays: int = STRAYS
-    losses: int = LOSSES
+class SearchState:
+    """One state of the search."""
+
+    front_doors: list[ZoneFailover]
+    now: int = START_US
+    is_zone_lost: bool = False
+    zone_changes_left: int = MAX_ZONE_CHANGES
+    stray_failures_left: int = MAX_STRAY_FAILURES
+    lost_calls_left: int = MAX_LOST_CALLS
     counts: dict[int, int] = field(default_factory=dict)
-    words: list[list[ZoneCounterCall]] = field(default_factory=lambda: [[], [], []])
-    # Door and zone that failed it since the door last changed its mind.
-    saw: set[tuple[int, int]] = field(default_factory=set)
-    fresh: set[tuple[int, int]] = field(default_factory=set)  # the same, and it has not answered since
+    pending_calls: list[list[ZoneCounterCall]] = field(default_factory=lambda: [[], [], []])
+    # Front door and zone with a failed attempt since the front door's last state change there.
+    failed_since_change: set[tuple[int, int]] = field(default_factory=set)
+    failed_without_success: set[tuple[int, int]] = field(default_factory=set)  # and no success since
     trace: tuple[str, ...] = ()
-    broken: str = ""
+    violation: str = ""
 
     def key(self) -> tuple[Any, ...]:
         def age(at: int) -> int:
@@ -80,233 +87,276 @@
         epoch = self.now // EPOCH_US
         doors = tuple(
             (
-                z.state.value,
-                round(z.evidence.score, 3),
-                sorted(z.evidence.failed_backends),
-                round(z.evidence.failure_ratio, 4),
-                age(z.state_since),
-                z.with_fleet,
-                z.counted_epoch - epoch if z.counted_epoch >= 0 else None,
-                z.successes_at_leave,
-                z.checked_epoch - epoch,
-                max(-1, z.next_check_at - self.now) if z.next_check_at else None,
-                z.check_count,
-                max(0, z.next_trial_at - self.now),
-                z.failed_returns,
-                age(z.last_success_at),
-                age(z.last_success_sent_at),
-                age(z.last_failure_sent_at),
+                zone.state.value,
+                round(zone.evidence.score, 3),
+                sorted(zone.evidence.failed_backends),
+                round(zone.evidence.failure_ratio, 4),
+                age(zone.state_since),
+                zone.with_fleet,
+                zone.counted_epoch - epoch if zone.counted_epoch >= 0 else None,
+                zone.successes_at_leave,
+                zone.checked_epoch - epoch,
+                max(-1, zone.next_check_at - self.now) if zone.next_check_at else None,
+                zone.check_count,
+                max(0, zone.next_trial_at - self.now),
+                zone.failed_returns,
+                age(zone.last_success_at),
+                age(zone.last_success_sent_at),
+                age(zone.last_failure_sent_at),
             )
-            for door in self.doors
-            for z in door.zones.values()
+            for door in self.front_doors
+            for zone in door.zones.values()
         )
         each = tuple(
             sorted(
                 (
                     repr(doors[2 * door : 2 * door + 2]),
-                    repr(self.words[door]),
-                    repr([((door, n) in self.saw, (door, n) in self.fresh) for n in range(2)]),
+                    repr(self.pending_calls[door]),
+                    repr(
+                        [
+                            (
+                                (door, number) in self.failed_since_change,
+                                (door, number) in self.failed_without_success,
+                            )
+                            for number in range(2)
+                        ]
+                    ),
                 )
-                for door in range(DOORS)
+                for door in range(FRONT_DOOR_COUNT)
             )
         )
         return (
             each,
             self.now % EPOCH_US,
-            self.lost,
-            self.faults,
-            self.strays,
-            self.losses,
+            self.is_zone_lost,
+            self.zone_changes_left,
+            self.stray_failures_left,
+            self.lost_calls_left,
             tuple(sorted(self.counts.items())),
         )
 
-    def then(self, what: str) -> World:
-        made = copy.copy(self)
-        made.doors, made.counts = copy.deepcopy(self.doors), dict(self.counts)
-        made.words, made.trace = [list(w) for w in self.words], (*self.trace, what)
-        made.saw, made.fresh = set(self.saw), set(self.fresh)
-        return made
+    def after_step(self, what: str) -> SearchState:
+        """A copy of this state whose trace ends with `what`."""
+        successor = copy.copy(self)
+        successor.front_doors, successor.counts = copy.deepcopy(self.front_doors), dict(self.counts)
+        successor.pending_calls, successor.trace = (
+            [list(calls) for calls in self.pending_calls],
+            (*self.trace, what),
+        )
+        successor.failed_since_change, successor.failed_without_success = (
+            set(self.failed_since_change),
+            set(self.failed_without_success),
+        )
+        return successor
 
     # Steps
 
-    def next(self) -> Iterator[World]:
-        for door in range(DOORS):
+    def successors(self) -> Iterator[SearchState]:
+        for door in range(FRONT_DOOR_COUNT):
             for zone in range(2):
-                yield from self._attempts(door, zone)
-            if self.words[door]:
-                yield self._heard(door, True)
-                if self.losses:
-                    yield self._heard(door, False)
-        made = self.then("tick")
-        made.now += TICK
-        for door, belief in enumerate(made.doors):
-            made._do(door, lambda belief=belief: belief.due_calls(made.now))
-            belief.finish_ramps(made.now)
-        yield made
-        if self.faults:
-            made = self.then("back" if self.lost else "lost")
-            made.lost, made.faults = not self.lost, self.faults - 1
-            yield made
-
-    def _attempts(self, door: int, zone: int) -> Iterator[World]:
-        belief, sent = self.doors[door], self.now - TICK // 2
-        name = b"1" if b"0" in belief.zones[zone].evidence.failed_backends else b"0"
-        if not belief.load_share(zone, self.now) and belief.due_trial(self.now) != zone:
+                yield from self._attempt_steps(door, zone)
+            if self.pending_calls[door]:
+                yield self._deliver_call(door, True)
+                if self.lost_calls_left:
+                    yield self._deliver_call(door, False)
+        successor = self.after_step("tick")
+        successor.now += TICK_US
+        for door, failover in enumerate(successor.front_doors):
+            successor._apply(door, lambda failover=failover: failover.due_calls(successor.now))
+            failover.finish_ramps(successor.now)
+        yield successor
+        if self.zone_changes_left:
+            successor = self.after_step("back" if self.is_zone_lost else "lost")
+            successor.is_zone_lost, successor.zone_changes_left = (
+                not self.is_zone_lost,
+                self.zone_changes_left - 1,
+            )
+            yield successor
+
+    def _attempt_steps(self, door: int, zone: int) -> Iterator[SearchState]:
+        failover, sent_at = self.front_doors[door], self.now - TICK_US // 2
+        backend = b"1" if b"0" in failover.zones[zone].evidence.failed_backends else b"0"
+        if not failover.load_share(zone, self.now) and failover.due_trial(self.now) != zone:
             return
-        fails = self.lost and zone == 0
-        if fails or self.strays:
-            made = self.then(f"door {door} fails at zone {zone}")
-            made.strays -= not fails
-            made.saw.add((door, zone))
-            made.fresh.add((door, zone))
-            if not belief.load_share(zone, self.now):
-                made.doors[door].record_trial(zone, made.now)
-            made._do(door, lambda: made.doors[door].record_failure(zone, name, sent, made.now))
-            yield made
-        if not fails:
-            made = self.then(f"door {door} is answered by zone {zone}")
-            if not belief.load_share(zone, self.now):
-                made.doors[door].record_trial(zone, made.now)
-            made.fresh.discard((door, zone))
-            made._do(door, lambda: made.doors[door].record_success(zone, name, sent, made.now))
-            yield made
-
-    def _heard(self, door: int, answered: bool) -> World:
-        made = self.then(f"door {door}'s word is {'answered' if answered else 'lost'}")
-        word = made.words[door].pop(0)
-        made.losses -= not answered
+        is_failing = self.is_zone_lost and zone == 0
+        if is_failing or self.stray_failures_left:
+            successor = self.after_step(f"door {door} fails at zone {zone}")
+            successor.stray_failures_left -= not is_failing
+            successor.failed_since_change.add((door, zone))
+            successor.failed_without_success.add((door, zone))
+            if not failover.load_share(zone, self.now):
+                successor.front_doors[door].record_trial(zone, successor.now)
+            successor._apply(
+                door,
+                lambda: successor.front_doors[door].record_failure(zone, backend, sent_at, successor.now),
+            )
+            yield successor
+        if not is_failing:
+            successor = self.after_step(f"door {door} is answered by zone {zone}")
+            if not failover.load_share(zone, self.now):
+                successor.front_doors[door].record_trial(zone, successor.now)
+            successor.failed_without_success.discard((door, zone))
+            successor._apply(
+                door,
+                lambda: successor.front_doors[door].record_success(zone, backend, sent_at, successor.now),
+            )
+            yield successor
+
+    def _deliver_call(self, door: int, answered: bool) -> SearchState:
+        successor = self.after_step(f"door {door}'s call is {'answered' if answered else 'lost'}")
+        call = successor.pending_calls[door].pop(0)
+        successor.lost_calls_left -= not answered
         if answered:
-            made.counts[word.counter_name] = made.counts.get(word.counter_name, 0) + int(word.amount)
-            stood = made.doors[door].zones[word.zone].state is not ZoneState.LEFT
-            made._do(
-                door, lambda: made.doors[door].receive_count(word, made.counts[word.counter_name], made.now)
+            successor.counts[call.counter_name] = successor.counts.get(call.counter_name, 0) + int(
+                call.amount
             )
-            if stood and made.doors[door].zones[word.zone].state is ZoneState.LEFT:
-                if (count := made.counts[word.counter_name] % TRIAL_SUCCESS_AMOUNT) < required_suspects(
-                    DOORS
+            was_in_use = successor.front_doors[door].zones[call.zone].state is not ZoneState.LEFT
+            successor._apply(
+                door,
+                lambda: successor.front_doors[door].receive_count(
+                    call, successor.counts[call.counter_name], successor.now
+                ),
+            )
+            if was_in_use and successor.front_doors[door].zones[call.zone].state is ZoneState.LEFT:
+                if (count := successor.counts[call.counter_name] % TRIAL_SUCCESS_AMOUNT) < required_suspects(
+                    FRONT_DOOR_COUNT
                 ):
-                    made.broken = f"door {door} left zone {word.zone} since {count} did"
-                elif (door, word.zone) not in self.fresh:
-                    made.broken = f"door {door} left zone {word.zone} on others' word alone"
-        return made
-
-    def _do(self, door: int, call: Any) -> None:
-        """A call of the core's; what must hold of the change that it makes."""
-        before = [zone.state for zone in self.doors[door].zones.values()]
-        self.words[door] += call()
-        for number, zone in self.doors[door].zones.items():
+                    successor.violation = f"door {door} left zone {call.zone} since {count} did"
+                elif (door, call.zone) not in self.failed_without_success:
+                    successor.violation = f"door {door} left zone {call.zone} on others' word alone"
+        return successor
+
+    def _apply(self, door: int, operation: Any) -> None:
+        """Run an operation of a front door, and check the state changes that it causes."""
+        before = [zone.state for zone in self.front_doors[door].zones.values()]
+        self.pending_calls[door] += operation()
+        for number, zone in self.front_doors[door].zones.items():
             if zone.state is before[number]:
                 continue
             if zone.state is ZoneState.LEFT:
-                other = self.doors[door].zones[1 - number]
-                if (door, number) not in self.saw:
-                    self.broken = f"door {door} left zone {number} and saw nothing fail there"
+                other = self.front_doors[door].zones[1 - number]
+                if (door, number) not in self.failed_since_change:
+                    self.violation = f"door {door} left zone {number} and saw nothing fail there"
                 elif other.state is ZoneState.LEFT or self.now - other.last_success_at > MAX_SUCCESS_AGE_US:
-                    self.broken = f"door {door} left zone {number} with no other that answers"
-            self.saw.discard((door, number))
-            self.fresh.discard((door, number))
+                    self.violation = f"door {door} left zone {number} with no other that answers"
+            self.failed_since_change.discard((door, number))
+            self.failed_without_success.discard((door, number))
 
-    # What must hold of every state
+    # Invariants of every state
 
     def check(self) -> str:
-        if self.broken:
-            return self.broken
-        for door, belief in enumerate(self.doors):
-            shares = [belief.load_share(zone, self.now) for zone in range(2)]
+        """The violated invariant; empty if there is none."""
+        if self.violation:
+            return self.violation
+        for door, failover in enumerate(self.front_doors):
+            shares = [failover.load_share(zone, self.now) for zone in range(2)]
             if not any(shares):
                 return f"door {door} has no zone"
-            for number, zone in belief.zones.items():
-                warm = START + (1.0 - START) * min(1.0, (self.now - zone.state_since) / WARM)
-                if zone.state is ZoneState.RETURNING and shares[number] > PART * FALL * warm + 1e-9 < 1.0:
+            for number, zone in failover.zones.items():
+                capacity_ratio = START_CAPACITY_RATIO + (1.0 - START_CAPACITY_RATIO) * min(
+                    1.0, (self.now - zone.state_since) / WARM_UP_US
+                )
+                if (
+                    zone.state is ZoneState.RETURNING
+                    and shares[number]
+                    > MAX_COLD_LOAD_RATIO * COLLAPSE_LOAD_RATIO * capacity_ratio + 1e-9
+                    < 1.0
+                ):
                     return f"door {door} sends too much to zone {number}"
-        if self.losses == LOSSES:
-            for n in range(2):
-                word = ZoneCounterCall(n, self.now // EPOCH_US, 0)
-                told = self.counts.get(word.counter_name, 0) + sum(
-                    int(w.amount)
-                    for words in self.words
-                    for w in words
-                    if w.counter_name == word.counter_name
+        if self.lost_calls_left == MAX_LOST_CALLS:
+            for number in range(2):
+                call = ZoneCounterCall(number, self.now // EPOCH_US, 0)
+                reported = self.counts.get(call.counter_name, 0) + sum(
+                    int(pending.amount)
+                    for calls in self.pending_calls
+                    for pending in calls
+                    if pending.counter_name == call.counter_name
+                )
+                counting = sum(
+                    failover.zones[number].counted_epoch == call.epoch for failover in self.front_doors
                 )
-                counted = sum(b.zones[n].counted_epoch == word.epoch for b in self.doors)
                 if (
-                    told + TRIAL_SUCCESS_AMOUNT // 2
-                ) % TRIAL_SUCCESS_AMOUNT - TRIAL_SUCCESS_AMOUNT // 2 != counted:
-                    return f"zone {n}: {told} are told where {counted} count"
+                    reported + TRIAL_SUCCESS_AMOUNT // 2
+                ) % TRIAL_SUCCESS_AMOUNT - TRIAL_SUCCESS_AMOUNT // 2 != counting:
+                    return f"zone {number}: {reported} are told where {counting} count"
         return ""
 
 
-def begin(where: str = "calm") -> World:
-    """One of the states that the search sets out from."""
-    doors = []
-    for _ in range(DOORS):
-        made = ZoneFailover(DOORS, FALL, START, WARM, True, Even())
-        made.update_backend_counts({0: BACKENDS, 1: BACKENDS})
+def initial_state(where: str = "calm") -> SearchState:
+    """One of the initial states of the search (`STARTS`)."""
+    front_doors = []
+    for _ in range(FRONT_DOOR_COUNT):
+        failover = ZoneFailover(
+            FRONT_DOOR_COUNT, COLLAPSE_LOAD_RATIO, START_CAPACITY_RATIO, WARM_UP_US, True, ConstantRandom()
+        )
+        failover.update_backend_counts({0: BACKENDS_PER_ZONE, 1: BACKENDS_PER_ZONE})
         for zone in range(2):
-            made.record_success(zone, b"0", BEGIN - TICK, BEGIN)
-        doors.append(made)
-    world = World(doors)
+            failover.record_success(zone, b"0", START_US - TICK_US, START_US)
+        front_doors.append(failover)
+    world = SearchState(front_doors)
     if where == "calm":
         return world
     steps = ["lost", *("door 0 fails at zone 0",) * 3, *("door 1 fails at zone 0",) * 2]
-    if where == "stale":  # no other zone has answered for long
+    if where == "stale":  # no other zone has answered recently
         steps += ["tick"] * 6
-    elif where == "two":  # two have left, one suspects it
+    elif where == "two":  # two have left, one suspects the zone
         steps += [f"door {door} fails at zone 0" for door in (0, 0, 1, 1, 1, 2, 2)]
-        steps += [f"door {door}'s word is answered" for door in range(2)]
+        steps += [f"door {door}'s call is answered" for door in range(2)]
     elif where != "lost":
         steps += [f"door {door} fails at zone 0" for door in (0, 0, 1, 1, 1, 2, 2, 2, 2, 2)]
-        steps += [f"door {door}'s word is answered" for door in range(DOORS)]
+        steps += [f"door {door}'s call is answered" for door in range(FRONT_DOOR_COUNT)]
     if where == "returning":
         steps += ["back", *("tick",) * 5, "door 1 is answered by zone 1", "door 0 is answered by zone 0"]
     for step in steps:
-        world = next(made for made in world.next() if made.trace[-1] == step)
-    world.faults = max(1, world.faults)
+        world = next(successor for successor in world.successors() if successor.trace[-1] == step)
+    world.zone_changes_left = max(1, world.zone_changes_left)
     return world
 
 
 STARTS = ("calm", "lost", "stale", "two", "left", "returning")
 
 
-def search(depth: int, most: int = 10**9, where: str = "calm") -> tuple[list[int], World | None]:
-    """New states by depth, up to `most` of them in all; the first that breaks a rule."""
-    layer = [begin(where)]
+def search(depth: int, most: int = 10**9, where: str = "calm") -> tuple[list[int], SearchState | None]:
+    """The number of new states by depth, up to `most` in total, and the first state that violates an invariant."""
+    layer = [initial_state(where)]
     seen = {hash(layer[0].key())}
-    found = [1]
+    new_states = [1]
     for _ in range(depth):
-        following = []
+        next_layer = []
         for world in layer:
-            for made in world.next():
-                key = hash(made.key())
+            for successor in world.successors():
+                key = hash(successor.key())
                 if key in seen:
                     continue
-                if made.check():
-                    return found, made
+                if successor.check():
+                    return new_states, successor
                 seen.add(key)
-                following.append(made)
+                next_layer.append(successor)
                 if len(seen) >= most:
-                    return [*found, len(following)], None
-        layer = following
-        found.append(len(layer))
-    return found, None
+                    return [*new_states, len(next_layer)], None
+        layer = next_layer
+        new_states.append(len(layer))
+    return new_states, None
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--depth", type=int, default=5)
-    parser.add_argument("--most", type=int, default=2_000_000, help="states at most, from each start")
+    parser.add_argument(
+        "--most", type=int, default=2_000_000, help="maximum number of states from each start"
+    )
     parser.add_argument("--from", dest="starts", choices=STARTS, action="append")
-    given = parser.parse_args()
-    for where in given.starts or STARTS:
-        began = time.monotonic()
-        found, broken = search(given.depth, given.most, where)
+    args = parser.parse_args()
+    for where in args.starts or STARTS:
+        started_at = time.monotonic()
+        new_states, violating_state = search(args.depth, args.most, where)
         print(
-            f"{where}: {sum(found)} states in {time.monotonic() - began:.0f} s, by depth"
-            f" {', '.join(map(str, found))}",
+            f"{where}: {sum(new_states)} states in {time.monotonic() - started_at:.0f} s, by depth"
+            f" {', '.join(map(str, new_states))}",
             flush=True,
         )
-        if broken is not None:
-            print(f"broken: {broken.check()}\n  " + "\n  ".join(broken.trace))
+        if violating_state is not None:
+            print(f"broken: {violating_state.check()}\n  " + "\n  ".join(violating_state.trace))
 
 
 if __name__ == "__main__":
