--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -78,7 +78,9 @@
 
 
 async def requests_of(make_watcher: Callable[[], RegistryWatcher]) -> list[list[tuple[str, Any]]]:
-    """The requests of a watcher at two registries that send a full update, then one with a silent incarnation."""
+    """The requests of a watcher at two registries that send a full update, then one with a silent
+    incarnation.
+    """
     registries = [Registry() for _ in IPS]
     for ip, registry in zip(IPS, registries, strict=True):
         await registry.server.listen((ip, PORT_RANGE[0] + 1))
@@ -147,7 +149,9 @@
         assert driver.start_proxies()["unsettled"] == 0
 
         def counted() -> tuple[int, int, int]:
-            """Known incarnations; bytes of their reports as sent by the proxies and received by the registries."""
+            """Known incarnations; bytes of their reports as sent by the proxies and received by the
+            registries.
+            """
             report = driver.collect_reports(driver.proxy_simulators)[0]
             registry_counts = [
                 counts for name, (_, counts) in driver.sample().items() if name.startswith("registry")
--- a/tests/cli/test_store.py
+++ b/tests/cli/test_store.py
@@ -231,7 +231,9 @@
 
 
 def decide(known: Members, change: Change, kept: dict[str, AcceptorState], own: str) -> Value | None:
-    """Run up to ten ballots of a proposer with the acceptors that answer; return the decided value or None."""
+    """Run up to ten ballots of a proposer with the acceptors that answer; return the decided value or
+    None.
+    """
     count = kept[own].promised.count
     for _ in range(10):
         count += 1
@@ -254,7 +256,9 @@
 
 
 def test_a_value_accepted_by_an_old_member_is_not_revived() -> None:
-    """A machine with a high ballot of the old list on its disk returns as a member and follows the new list."""
+    """A machine with a high ballot of the old list on its disk returns as a member and follows the new
+    list.
+    """
     planned = adoption.plan_adoption(inspect_folder(write_store(MemoryDisk(), *DISK)), IPS[0])
     own, late = planned.state.decided.members.seats[0], format_seat(IPS[2], "first")
     old = Ballot(200, late)
--- a/tests/front_door/test_openapi.py
+++ b/tests/front_door/test_openapi.py
@@ -1,4 +1,6 @@
-"""Tests of reading descriptions: accepted ones, and rejected ones with file, pointer and reason. No network."""
+"""Tests of reading descriptions: accepted ones, and rejected ones with file, pointer and reason. No
+network.
+"""
 
 from __future__ import annotations
 
--- a/tests/front_door/test_routes.py
+++ b/tests/front_door/test_routes.py
@@ -1,4 +1,6 @@
-"""Tests of routes: targets, the matcher against a linear search, costs, table comparison and class numbers."""
+"""Tests of routes: targets, the matcher against a linear search, costs, table comparison and class
+numbers.
+"""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -314,7 +314,8 @@
         )
         == []
     )
-    # Two thirds must come from front doors that were notified of this start; four of ten came from front door 0.
+    # Two thirds must come from front doors that were notified of this start; four of ten came from front door
+    # 0.
     assert len(broken(incarnations=[incarnation], attempts=ten, endpoint_notices=notices[1:])) == 0
     assert (
         len(
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -273,5 +273,7 @@
 
 
 def test_a_late_counter_service_still_answers_in_the_order_of_the_calls() -> None:
-    """With one timer for each answer, two that were due together were swapped: a call got another name's total."""
+    """With one timer for each answer, two that were due together were swapped: a call got another name's
+    total.
+    """
     assert asyncio.run(_answers_with_a_late_loop()) == [b"first", b"second"]
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -177,7 +177,8 @@
         await asyncio.sleep(0)
     discovery.change(member("s1", "Terminating"))
     update = await watch
-    assert update["complete"] is False and update["members"][0]["phase"] == "Terminating"  # type: ignore[index]
+    assert update["complete"] is False
+    assert update["members"][0]["phase"] == "Terminating"  # type: ignore[index]
     assert [(t.backend, t.phase) for t in request_log.endpoint_notices] == [
         ("s1", "Ready"),
         ("s1", "Terminating"),
