--- a/irisdeal/cli/chaos.py
+++ b/irisdeal/cli/chaos.py
@@ -319,7 +319,7 @@
             f"{search.virtual_s / max(0.01, search.real_s):.1f} s in one",
         ),
         (
-            "coverage",
+            "ground",
             f"{len(search.states)} states of a gateway, {len(search.seen_pairs)} pairs of values, "
             f"{search.coverage_summary()}",
         ),
